--- a/crates/control-plane/src/master/departures.rs
+++ b/crates/control-plane/src/master/departures.rs
@@ -80,6 +80,8 @@
     pub(super) fn resize_fleet(&mut self, now: u64) {
         let counted = self.counted_fleet(now);
         self.office.fleet(now as f64, counted);
+        let wide = self.fleet.wide_slices(counted);
+        self.office.wide_slices(wide);
     }
 
     /// How many data planes may spend something: slices are held back for those of them that are silent.
--- a/crates/control-plane/src/master/news.rs
+++ b/crates/control-plane/src/master/news.rs
@@ -117,6 +117,7 @@
         self.look_round(now);
         self.to_masters(&Flag::Masters(self.cards()));
         self.fleet.sweep(now);
+        self.fleet.divides_by(now, self.slice_divisor(now));
         if !self.grown && now >= YOUNG {
             self.grown = true;
             self.to_followers(&Flag::Berths { whole: true, berths: self.register.all(now) });
--- a/crates/quota/src/cache.rs
+++ b/crates/quota/src/cache.rs
@@ -92,6 +92,12 @@
     slice: f64,
     slice_ends: Millis,
     slice_used: u32,
+    /// Whether the count has to be charged for the slice: its holder gave no answer, and grants all to others meanwhile.
+    slice_is_owed: bool,
+    /// Units of slices whose windows are over, and of which the count knows nothing yet.
+    slice_debt: u32,
+    /// So much of it stands in the draw on its way.
+    slice_debt_told: u32,
     known: bool,
     demand: f64,
     asked: f64,
@@ -198,7 +204,7 @@
     fn turn(&mut self, epoch: Epoch) {
         if epoch > self.epoch {
             self.epoch = epoch;
-            self.tenants.values_mut().for_each(|t| t.back = 0);
+            self.tenants.values_mut().for_each(|t| (t.back, t.slice_debt) = (0, 0));
         }
     }
 
@@ -320,17 +326,19 @@
             }
             t.roll(now);
             t.wanted &= !t.spent_out(now);
-            if !t.wants(now) {
+            if !t.wants(now) && t.slice_debt == 0 {
                 continue;
             }
             if !self.sources.get_mut(t.source).is_some_and(|source| source.may_be_asked(now)) {
                 continue;
             }
+            let (need, add) = if t.wants(now) { t.size(now, terms, gateways) } else { (0, 0) };
             t.wanted = false;
-            let (need, add) = t.size(now, terms, gateways);
-            if add < 1 {
+            if add < 1 && t.slice_debt == 0 {
                 continue;
             }
+            t.slice_debt_told = t.slice_debt;
+            let need = if t.slice_debt > 0 { add.saturating_add(t.slice_debt) } else { need };
             let at = draws.iter().position(|(place, _)| *place == t.source).unwrap_or_else(|| {
                 self.numbers += 1;
                 draws.push((t.source, Draw { number: self.numbers, epoch, wants: Vec::new() }));
@@ -451,7 +459,7 @@
                 if t.wanted {
                     due = due.min(if probe.is_some() { from } else { from.max(t.slices_until) });
                 }
-                if t.ends_at > 0.0 && t.demand >= AHEAD {
+                if t.ends_at > 0.0 && (t.demand >= AHEAD || t.slice_debt > 0) {
                     due = due.min(from.max(t.ends_at).max(t.slices_until));
                 }
             }
--- a/crates/quota/src/cache/tenant.rs
+++ b/crates/quota/src/cache/tenant.rs
@@ -10,6 +10,7 @@
             self.back = self.back.saturating_add(std::mem::take(&mut self.block));
             (self.got, self.spent) = (0, 0);
         }
+        self.settle_slice(now);
         let windows = ((now - self.demand_from) / terms.window).floor();
         if windows >= 1.0 {
             let first =
@@ -20,7 +21,7 @@
             self.demand_from += windows * terms.window;
         }
         if self.known && now > self.asked_at + IDLE {
-            (self.known, self.demand, self.back) = (false, 0.0, 0);
+            (self.known, self.demand, self.back, self.slice_debt) = (false, 0.0, 0, 0);
         }
     }
 
@@ -55,7 +56,8 @@
         let fresh = now >= self.slice_ends + terms.window;
         let part = if fresh { lot } else { self.slice.fract() };
         let mine = terms.refill / gateways;
-        self.slice_used = 0;
+        self.settle_slice(now);
+        self.slice_is_owed = now >= self.slices_until;
         if now < self.ends_at {
             self.slice_ends = self.ends_at;
             self.slice = part + (mine - f64::from(self.got)).max(0.0);
@@ -78,6 +80,17 @@
         fits
     }
 
+    /// What was spent of a slice whose window is over is owed to the count, unless a block has paid for it.
+    fn settle_slice(&mut self, now: Millis) {
+        if now < self.slice_ends {
+            return;
+        }
+        let used = std::mem::take(&mut self.slice_used);
+        if self.slice_is_owed {
+            self.slice_debt = self.slice_debt.saturating_add(used);
+        }
+    }
+
     pub(super) fn refuse(&mut self, now: Millis, lot: f64) -> Verdict {
         self.refused += 1;
         let window = self.terms.map_or(1000.0, |t| t.window);
@@ -125,6 +138,8 @@
             }
             Standing::Open => {}
         }
+        self.settle_slice(now);
+        self.slice_debt -= std::mem::take(&mut self.slice_debt_told).min(self.slice_debt);
         if now >= ends_at {
             self.back = self.back.saturating_add(share.granted);
             return;
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -2,9 +2,10 @@
 
 use std::collections::{BTreeMap, HashMap};
 
+use crate::silence_charges::SilenceCharges;
 use crate::{
     Draw, Epoch, Floor, Grant, HEARD_FOR, Handed, Handover, Millis, Quota, SILENT_AFTER, Share, Standing,
-    Terms, Want,
+    Terms, Want, WideSlice,
 };
 
 /// A draw this close before a window's end is served from the next one: gateways count the end from when they asked,
@@ -70,9 +71,14 @@
     first: bool,
     configured: bool,
     known: u32,
+    /// Gateways that may spend more than the even slice while they are silent, by name, and how many each divides by.
+    wide: BTreeMap<String, u32>,
+    /// The part of a refill that silent gateways may spend as slices.
+    silent: f64,
     /// What the log says that counts had at the least when this office began.
     floors: BTreeMap<String, u32>,
     heard: HashMap<String, Millis>,
+    charges: SilenceCharges,
     counts: BTreeMap<String, Count>,
 }
 
@@ -90,8 +96,11 @@
             first,
             configured: false,
             known: 1,
+            wide: BTreeMap::new(),
+            silent: 1.0,
             floors,
             heard,
+            charges: SilenceCharges::default(),
             counts,
         }
     }
@@ -230,6 +239,14 @@
     /// Takes the number of gateways in all, those included that may be cut off and spend their slices.
     pub fn fleet(&mut self, _now: Millis, known: u32) {
         self.known = known.max(1);
+        self.count_silent();
+    }
+
+    /// Takes the gateways that divide their slices by fewer than there are: they were told of a smaller fleet, and may
+    /// have been cut off since.
+    pub fn wide_slices(&mut self, wide: &[WideSlice]) {
+        self.wide = wide.iter().map(|slice| (slice.gateway.clone(), slice.divisor.max(1))).collect();
+        self.count_silent();
     }
 
     /// A gateway was heard, by a draw or otherwise.
@@ -238,6 +255,8 @@
             *at = at.max(now);
         } else if self.heard.len() < GATEWAYS_MOST {
             self.heard.insert(gateway.to_owned(), now);
+            self.charges.returned(now, gateway);
+            self.count_silent();
         }
     }
 
@@ -245,12 +264,15 @@
     pub fn left(&mut self, gateway: &str) {
         // Else it would stand in for one that is silent, whose slice would not be held back.
         self.heard.remove(gateway);
+        self.charges.left(gateway);
+        self.count_silent();
     }
 
     /// While a count is shut, the slices of all gateways would come to one refill. Of this, gateways that are heard get
     /// what they need instead of even parts: few requests come where an even part is, when gateways are many.
     fn share_shut(&mut self, now: Millis, want: &Want, share: Share) -> Share {
         let (heard, known) = (self.heard.len() as f64, f64::from(self.known));
+        let silent = self.silent;
         let gather = self.since + self.shut;
         let Some(count) = self.counts.get_mut(&want.tenant) else { return share };
         let Some(terms) = count.terms.filter(|_| now >= gather) else { return share };
@@ -258,8 +280,8 @@
             let standing = if now < gather + GATHER { Standing::Later } else { Standing::Slices };
             return Share { standing, ..share };
         }
-        let free = (terms.refill * (heard / known).min(1.0) - count.granted).max(0.0).floor();
-        let granted = f64::from(want.need).min(free);
+        let free = (terms.refill * (1.0 - silent) - count.granted).max(0.0).floor();
+        let granted = f64::from(want.need.min(want.add)).min(free);
         count.granted += granted;
         Share { granted: granted as u32, left: (free - granted) as u32, standing: Standing::Open, ..share }
     }
@@ -272,10 +294,26 @@
         if draw.epoch >= self.epoch || self.epoch.number <= 1 {
             self.heard(now, gateway);
         }
+        for want in &draw.wants {
+            self.refund(now, gateway, want);
+        }
         let shares = draw.wants.iter().map(|want| self.share(now, want, same)).collect();
         Grant { number: draw.number, epoch: self.epoch, shares }
     }
 
+    /// A gateway that is back says what it has spent of slices. What the count was charged for
+    /// them by estimate comes back to that extent.
+    fn refund(&mut self, now: Millis, gateway: &str, want: &Want) {
+        let refills = self.charges.refund(now, gateway, &want.tenant);
+        if refills <= 0.0 {
+            return;
+        }
+        let Some(count) = self.counts.get_mut(&want.tenant) else { return };
+        let Some(terms) = count.terms else { return };
+        let charged = refills * terms.refill / terms.window;
+        count.free = (count.free + charged.min(want.owed().into())).min(terms.most);
+    }
+
     /// Whether a count is about to need what lies below its floor: the log should say so before more is granted.
     pub fn presses(&self) -> bool {
         let of = |c: &Count| c.terms.is_some_and(|t| c.gone_at.is_none() && c.floor.presses(t.refill));
@@ -340,21 +378,37 @@
     /// Gateways not heard lately are silent. They may have spent slices since soon after their last word, while the
     /// counts still granted their part to others: that comes off now.
     fn forget_silent(&mut self, now: Millis) {
-        let before = self.heard.len();
-        self.heard.retain(|_, at| now < *at + HEARD_FOR);
-        let lost = (before - self.heard.len()) as f64 / f64::from(self.known);
-        if lost > 0.0 {
-            for count in self.counts.values_mut() {
-                let Some(terms) = count.terms else { continue };
-                let spent = terms.refill / terms.window * (HEARD_FOR - SILENT_AFTER) * lost.min(1.0);
-                count.free = (count.free - spent).max(-terms.most);
-            }
+        let is_silent = |at: &Millis| now >= *at + HEARD_FOR;
+        let mut lost = 0.0;
+        for (gateway, at) in self.heard.iter().filter(|(_, at)| is_silent(at)) {
+            let part = self.slice_of(gateway);
+            self.charges.charged(now, gateway, *at, part);
+            lost += part;
+        }
+        if lost <= 0.0 {
+            return;
         }
+        self.heard.retain(|_, at| !is_silent(at));
+        self.count_silent();
+        for count in self.counts.values_mut() {
+            let Some(terms) = count.terms else { continue };
+            let spent = terms.refill / terms.window * (HEARD_FOR - SILENT_AFTER) * lost.min(1.0);
+            count.free = (count.free - spent).max(-terms.most);
+        }
+    }
+
+    /// The part of a refill that one gateway spends as its slice.
+    fn slice_of(&self, gateway: &str) -> f64 {
+        1.0 / f64::from(self.wide.get(gateway).copied().unwrap_or(self.known))
     }
 
-    /// The share of all gateways that was not heard lately.
-    fn silent(&self) -> f64 {
-        f64::from(self.known.saturating_sub(self.heard.len() as u32)) / f64::from(self.known)
+    /// Adds up the slices of all gateways that were not heard lately.
+    fn count_silent(&mut self) {
+        let wide = self.wide.iter().filter(|(gateway, _)| !self.heard.contains_key(*gateway));
+        let (wide, wide_part) = wide
+            .fold((0, 0.0), |(number, part), (_, divisor)| (number + 1, part + 1.0 / f64::from(*divisor)));
+        let even = self.known.saturating_sub(self.heard.len() as u32).saturating_sub(wide);
+        self.silent = (f64::from(even) / f64::from(self.known) + wide_part).min(1.0);
     }
 
     fn grid_end(&self, now: Millis, window: Millis) -> Millis {
@@ -365,7 +419,7 @@
     }
 
     fn roll(&mut self, now: Millis, tenant: &str) {
-        let silent = self.silent();
+        let silent = self.silent;
         let Some(mut count) = self.counts.remove(tenant) else { return };
         let mut rolls = 0;
         while let Some(terms) = count.terms.filter(|t| now + EARLY.min(t.window * 0.05) >= count.end) {
@@ -428,6 +482,9 @@
             let most_back = (terms.most - count.free - count.granted).max(0.0);
             count.free += f64::from(want.back).min(most_back);
         }
+        let owed = want.owed();
+        count.free = (count.free - f64::from(owed)).max(-terms.most);
+        let need = if owed > 0 { 0 } else { want.need };
         // In the first window of an office all are silent until they ask, and what they have spent of slices until then
         // comes off their first block: to keep their slices back would refuse most of what the floor left.
         let silent = if now < self.office + terms.window { 0.0 } else { count.silent };
@@ -435,7 +492,7 @@
         count.floor.seen(left);
         let (all, free) = (left.max(0.0).floor(), (left - count.floor.held()).max(0.0).floor());
         let even = (free / (EVEN_OVER * active)).max(LEAST_PART * terms.refill / active);
-        let granted = f64::from(want.add).min(even.floor()).max(f64::from(want.need)).min(free);
+        let granted = f64::from(want.add).min(even.floor()).max(f64::from(need)).min(free);
         count.free -= granted;
         count.granted += granted;
         share.granted = granted as u32;
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -14,6 +14,7 @@
 mod office;
 mod placer;
 mod roster;
+mod silence_charges;
 mod source;
 mod terms;
 
@@ -51,12 +52,22 @@
     pub wants: Vec<Want>,
 }
 
+/// A gateway that divides its slices by fewer gateways than there are, since it was told of a smaller fleet.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct WideSlice {
+    /// The gateway's name.
+    pub gateway: String,
+    /// By how many it divides.
+    pub divisor: u32,
+}
+
 /// What one tenant wants at one gateway.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Want {
     /// The tenant's name.
     pub tenant: String,
-    /// Requests that wait for a unit now.
+    /// Requests that wait for a unit now; or, where it is above `add`, what the gateway owes and `add` together. Holders
+    /// of the version before grant the difference instead of charging it.
     pub need: u32,
     /// Units to add to the count, those needed now among them.
     pub add: u32,
@@ -64,6 +75,13 @@
     pub back: u32,
 }
 
+impl Want {
+    /// Units that the gateway spent by even slices in windows gone by, and that no count was charged for.
+    pub fn owed(&self) -> u32 {
+        self.need.saturating_sub(self.add)
+    }
+}
+
 /// A holder's answer to a draw.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Grant {
--- a/crates/quota/src/office.rs
+++ b/crates/quota/src/office.rs
@@ -3,7 +3,7 @@
 use bitcode::{Decode, Encode};
 use std::collections::BTreeMap;
 
-use crate::{Draw, Epoch, Grant, Holder, LEASE_MOST, Millis, Quota, Roster};
+use crate::{Draw, Epoch, Grant, Holder, LEASE_MOST, Millis, Quota, Roster, WideSlice};
 
 /// Faults that tests plant to see that they are found. All off in service.
 #[doc(hidden)]
@@ -52,6 +52,7 @@
     holder: Option<Holder>,
     quotas: Vec<Quota>,
     known: u32,
+    wide: Vec<WideSlice>,
     /// What the log says of counts, for the next office of one that holds them all.
     floors: BTreeMap<String, u32>,
     faults: Faults,
@@ -67,6 +68,7 @@
             holder: None,
             quotas: Vec::new(),
             known: 1,
+            wide: Vec::new(),
             floors: BTreeMap::new(),
             faults: Faults::default(),
         }
@@ -141,6 +143,7 @@
         }
         holder.floors(std::mem::take(&mut self.floors));
         holder.fleet(now, self.known);
+        holder.wide_slices(&self.wide);
         holder.quotas(now, &self.mine());
         self.holder = Some(holder);
         told
@@ -211,6 +214,15 @@
         }
     }
 
+    /// Takes the gateways that may divide their slices by fewer than there are; see [`Holder::wide_slices`].
+    pub fn wide_slices(&mut self, wide: Vec<WideSlice>) {
+        if wide == self.wide {
+            return;
+        }
+        self.wide = wide;
+        self.holder.iter_mut().for_each(|holder| holder.wide_slices(&self.wide));
+    }
+
     /// A gateway was heard otherwise than by a draw; it knows the assignment of that epoch.
     pub fn heard(&mut self, now: Millis, gateway: &str, epoch: Epoch) {
         if let Some(holder) = &mut self.holder
--- a/crates/quota/tests/world/membership.rs
+++ b/crates/quota/tests/world/membership.rs
@@ -256,12 +256,18 @@
             membership.logged = settled;
         }
         self.tell_control(place, &Word::Present(present));
+        if let Some(divisor) = self.divisor(place) {
+            self.membership().knows[place].fleet.divides_by(now as u64, divisor);
+        }
         self.resize(place);
     }
 
     fn resize(&mut self, place: usize) {
         let (now, counted) = (self.now, self.counted_at(place));
         self.masters[place].office.fleet(now, counted);
+        let Some(membership) = &self.membership else { return };
+        let wide = membership.knows[place].fleet.wide_slices(counted);
+        self.masters[place].office.wide_slices(wide);
     }
 
     fn counted_at(&self, place: usize) -> u32 {
--- a/crates/registry/src/fleet.rs
+++ b/crates/registry/src/fleet.rs
@@ -6,7 +6,8 @@
 
 use crate::Millis;
 use protocol::Departure;
-use std::collections::BTreeMap;
+use quota::WideSlice;
+use std::collections::{BTreeMap, VecDeque};
 
 /// A data plane that fell silent without a word may be cut off and spend its even slices: it counts for this long,
 /// which is as long as its lease cache spends slices after the last word of control.
@@ -14,6 +15,9 @@
 /// A departure is remembered for this long: longer than any process goes on saying that it hears the data plane. What
 /// is said even later counts the data plane once more, for [`COUNTED_WHILE_SILENT`].
 const DEPARTURE_REMEMBERED: Millis = 120_000;
+/// Another process may say for this long that it hears a data plane that hears nothing any more: two silences of a
+/// connection, and the rounds in which that is told.
+const HEARSAY_SPAN: Millis = 6_000;
 /// Names that are remembered at most; machines are some hundreds.
 const NAMES_MOST: usize = 4096;
 /// Incarnations of one name that are remembered at most, among those heard and among those departed.
@@ -41,12 +45,18 @@
 struct Known {
     heard: Vec<Incarnation>,
     departed: Vec<Incarnation>,
+    /// Since when any incarnation has counted without a break.
+    present_since: Millis,
+    /// By how many it divides its slices at the least, as it was told while it was heard; nothing if that is not known.
+    divisor: Option<u32>,
 }
 
 /// The data planes that any process of control has heard.
 #[derive(Debug, Default)]
 pub struct Fleet {
     known: BTreeMap<String, Known>,
+    /// By how many data planes were told lately to divide their slices, and since when.
+    divisors: VecDeque<(Millis, u32)>,
     faults: FleetFaults,
 }
 
@@ -62,9 +72,42 @@
         if known.has_departed(incarnation) {
             return;
         }
+        if !known.is_present() {
+            known.present_since = now;
+        }
+        let present_since = known.present_since;
+        let divisor = self.least_divisor(present_since);
+        let Some(known) = self.known_or_new(name) else { return };
+        known.divisor = divisor;
         keep_latest(&mut known.heard, incarnation, now);
     }
 
+    /// Data planes are told from now on to divide their slices by so many.
+    pub fn divides_by(&mut self, now: Millis, divisor: u32) {
+        self.divisors.push_back((now, divisor));
+        // The newest one of before the span was in force at its beginning.
+        while self.divisors.get(1).is_some_and(|(since, _)| since + HEARSAY_SPAN <= now) {
+            self.divisors.pop_front();
+        }
+    }
+
+    /// The data planes that may divide their slices by fewer than these: those that were last heard when the fleet was
+    /// smaller. While one is heard, it is told of a larger fleet in time.
+    pub fn wide_slices(&self, present: u32) -> Vec<WideSlice> {
+        let wide = |(name, known): (&String, &Known)| {
+            let divisor = known.divisor.filter(|divisor| *divisor < present && known.is_present())?;
+            Some(WideSlice { gateway: name.clone(), divisor })
+        };
+        self.known.iter().filter_map(wide).collect()
+    }
+
+    /// The least that was in force lately, but not before that time.
+    fn least_divisor(&self, not_before: Millis) -> Option<u32> {
+        let ends = self.divisors.iter().skip(1).map(|(since, _)| *since).chain([Millis::MAX]);
+        let in_force = self.divisors.iter().zip(ends).filter(|(_, end)| *end > not_before);
+        in_force.map(|((_, divisor), _)| *divisor).min()
+    }
+
     /// An incarnation said itself, so long ago, that it has ended: it spends nothing more. Whether that is news here.
     pub fn departed(&mut self, now: Millis, departure: &Departure) -> bool {
         let faults = self.faults;
