--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -16,7 +16,7 @@
 mod unanswered;
 
 pub use course::Course;
-pub use line::{Line, LineError, Reader, attach, dial, write_while_taken};
+pub use line::{Line, LineError, Reader, Received, attach, dial, write_while_taken};
 pub use lookout::{Lookout, card};
 pub use pilot::{News, Pilot, PilotSettings, Place};
 pub use tree::{Signals, word_of};
--- a/crates/transport/src/line.rs
+++ b/crates/transport/src/line.rs
@@ -96,28 +96,53 @@
     buffer: BytesMut,
 }
 
+/// What came on a connection.
+#[derive(Debug)]
+pub enum Received {
+    /// A whole message.
+    Message(Flag),
+    /// Some bytes of one that is still on its way: the peer lives, though its link takes its time.
+    Part,
+}
+
 impl Reader {
     /// The next message.
     ///
     /// # Errors
     /// When there will be none: the connection is to be dropped.
     pub async fn next(&mut self) -> Result<Flag, LineError> {
-        let peer = self.peer;
         loop {
-            match protocol::unframe(&self.buffer).map_err(|source| LineError::Garbled { peer, source })? {
-                Some((flag, taken)) => {
-                    self.buffer.advance(taken);
-                    return Ok(flag);
-                }
-                None => {
-                    let read = self.stream.read_buf(&mut self.buffer).await;
-                    if read.map_err(|source| LineError::Read { peer, source })? == 0 {
-                        return Err(LineError::Closed { peer });
-                    }
-                }
+            if let Received::Message(flag) = self.receive().await? {
+                return Ok(flag);
             }
         }
     }
+
+    /// The next message, or more bytes of it.
+    ///
+    /// # Errors
+    /// When there will be neither: the connection is to be dropped.
+    pub async fn receive(&mut self) -> Result<Received, LineError> {
+        let peer = self.peer;
+        if let Some(flag) = self.take_message()? {
+            return Ok(Received::Message(flag));
+        }
+        let read = self.stream.read_buf(&mut self.buffer).await;
+        if read.map_err(|source| LineError::Read { peer, source })? == 0 {
+            return Err(LineError::Closed { peer });
+        }
+        Ok(self.take_message()?.map_or(Received::Part, Received::Message))
+    }
+
+    /// The next message, if it is here whole.
+    fn take_message(&mut self) -> Result<Option<Flag>, LineError> {
+        let peer = self.peer;
+        let next = protocol::unframe(&self.buffer).map_err(|source| LineError::Garbled { peer, source })?;
+        Ok(next.map(|(flag, taken)| {
+            self.buffer.advance(taken);
+            flag
+        }))
+    }
 }
 
 /// Takes a connection into use.
--- a/crates/transport/src/pilot.rs
+++ b/crates/transport/src/pilot.rs
@@ -3,7 +3,7 @@
 
 use crate::course::Course;
 use crate::leaving::Leaving;
-use crate::line::{Line, LineError, Reader, dial};
+use crate::line::{Line, LineError, Reader, Received, dial};
 use crate::sheets;
 use crate::spawn;
 use crate::tree::{self, Tree};
@@ -23,6 +23,8 @@
 const TICK: Duration = Duration::from_millis(200);
 /// A sign of life goes out this often.
 const SIGN: Duration = Duration::from_millis(800);
+/// Bytes of a message that is still on its way are a sign of life, noted this often at most.
+const PART_NOTED: Duration = Duration::from_millis(300);
 /// A draw that has no answer by then, in ms, gets none.
 const DRAW_LOST: u64 = 400;
 
@@ -117,7 +119,7 @@
 }
 
 /// What happened on a connection: its number, and what came or why it ended.
-type Event = (u64, Result<Flag, LineError>);
+type Event = (u64, Result<Received, LineError>);
 
 struct Voyage {
     number: u64,
@@ -232,8 +234,15 @@
             if lines.send((number, line)).await.is_err() {
                 return;
             }
+            let mut noted = Instant::now();
             loop {
-                let next = reader.next().await;
+                let next = reader.receive().await;
+                if matches!(next, Ok(Received::Part)) {
+                    if noted.elapsed() < PART_NOTED {
+                        continue;
+                    }
+                    noted = Instant::now();
+                }
                 let over = next.is_err();
                 if events.send((number, next)).await.is_err() || over {
                     return;
@@ -342,7 +351,7 @@
         }
     }
 
-    fn on_event(&mut self, number: u64, event: Result<Flag, LineError>) {
+    fn on_event(&mut self, number: u64, event: Result<Received, LineError>) {
         if let (Err(_), Some(leaving)) = (&event, &mut self.leaving) {
             leaving.lost(number);
         }
@@ -356,17 +365,21 @@
                 self.on_tick();
             }
             Err(_) => self.part(|holder| holder.voyage.number == number),
-            Ok(Flag::LeaveAccepted) => self.on_leave_accepted(number),
-            Ok(flag) if from_master => {
+            Ok(Received::Message(Flag::LeaveAccepted)) => self.on_leave_accepted(number),
+            Ok(received) if from_master => {
                 let now = self.now();
                 self.course.heard(now);
-                self.on_news(flag, now);
+                if let Received::Message(flag) = received {
+                    self.on_news(flag, now);
+                }
             }
-            Ok(Flag::Grant(grant)) if is_answer(grant.number) => (self.news)(News::Grant(grant)),
-            Ok(Flag::NotHolder { number }) if is_answer(number) => {
+            Ok(Received::Message(Flag::Grant(grant))) if is_answer(grant.number) => {
+                (self.news)(News::Grant(grant));
+            }
+            Ok(Received::Message(Flag::NotHolder { number })) if is_answer(number) => {
                 (self.news)(News::Unanswered { number });
             }
-            _ => {}
+            Ok(_) => {}
         }
     }
 
--- a/crates/transport/tests/pilot.rs
+++ b/crates/transport/tests/pilot.rs
@@ -1,11 +1,12 @@
 //! Answers to lease requests: each goes to its own request, on the connection that carried it.
 
-use protocol::{Flag, Hail, Plane, Pulse};
+use protocol::{Flag, Hail, Plane, Pulse, Sheet};
 use quota::{Draw, Epoch, Grant};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_blocking, yield_now};
 use transport::{Line, News, Pilot, PilotSettings, Reader, attach};
@@ -13,12 +14,15 @@
 /// Longer than a request waits for its answer, in steps shorter than the silence that ends a connection.
 const LONG: u32 = 4;
 const STEP: Duration = Duration::from_millis(150);
+/// Turns of the event loop after which nothing more is expected.
+const MOST_YIELDS: u32 = 200_000;
 
 /// What is heard of lease requests.
 #[derive(Debug, PartialEq)]
 enum Heard {
     Granted(u64),
     Unanswered(u64),
+    Configuration { version: u64 },
 }
 
 /// A control plane that holds all counts, and one that follows it.
@@ -47,6 +51,9 @@
         let news = move |news| match news {
             News::Grant(grant) => noted.borrow_mut().push(Heard::Granted(grant.number)),
             News::Unanswered { number } => noted.borrow_mut().push(Heard::Unanswered(number)),
+            News::Sheet(sheet) => {
+                noted.borrow_mut().push(Heard::Configuration { version: sheet.version });
+            }
             _ => {}
         };
         let settings = PilotSettings { me, seeds: vec![address], ways: config::Detours::default() };
@@ -75,6 +82,16 @@
             yield_now().await;
         }
     }
+
+    /// What was written has yet to come through the sockets, however busy the machine is.
+    async fn until_something_is_heard(&self) {
+        for _ in 0..MOST_YIELDS {
+            if !self.heard.borrow().is_empty() {
+                return;
+            }
+            yield_now().await;
+        }
+    }
 }
 
 fn grant(number: u64) -> Flag {
@@ -137,3 +154,24 @@
         assert_eq!(*world.heard.borrow(), [Heard::Granted(1), Heard::Unanswered(2), Heard::Granted(3)]);
     });
 }
+
+/// A configuration takes 6 s to come: four times the silence that ends a connection. Its sender is not left.
+#[test]
+fn a_message_that_comes_slowly_is_no_silence() {
+    on_held_clock(async {
+        let world = World::start().await;
+        let (mut link, _) = world.listener.accept().await.expect("a connection");
+        let body = (0..40_000u32).flat_map(u32::to_le_bytes).collect();
+        let mut bytes = protocol::frame(&world.pulse());
+        bytes.extend(protocol::frame(&Flag::Sheet(Sheet { version: 1, body })));
+        let parts = 40;
+        for part in bytes.chunks(bytes.len().div_ceil(parts)) {
+            link.write_all(part).await.expect("the follower is there");
+            world.settle().await;
+            tokio::time::advance(STEP).await;
+            world.settle().await;
+        }
+        world.until_something_is_heard().await;
+        assert_eq!(*world.heard.borrow(), [Heard::Configuration { version: 1 }]);
+    });
+}
