--- a/crates/control-plane/src/master.rs
+++ b/crates/control-plane/src/master.rs
@@ -2,6 +2,7 @@
 
 mod contact;
 mod departures;
+mod ending;
 mod entries;
 mod links;
 mod membership;
@@ -109,6 +110,8 @@
     },
     /// The settings file names other seeds.
     Seeds(Vec<SocketAddr>),
+    /// This process is to end. The sender hears once another one leads, and no call waits here any more.
+    End(oneshot::Sender<()>),
 }
 
 /// What a master is told at its start.
@@ -243,6 +246,10 @@
     watch: Watch,
     /// Who watches the neighbours, if anybody does.
     lookout: Option<Rc<Lookout>>,
+    /// This process is to end.
+    is_ending: bool,
+    /// Who waits until nothing is left to do before that.
+    ended: Option<oneshot::Sender<()>>,
 }
 
 impl Master {
@@ -303,6 +310,8 @@
             handles_outputs: false,
             watch: Watch::new(),
             lookout: None,
+            is_ending: false,
+            ended: None,
             settings,
         };
         master.renewed();
@@ -361,6 +370,7 @@
             Command::Closed { number, error } => self.on_closed(number, &error),
             Command::Saved { ticket } => self.log(Input::Saved { ticket }),
             Command::Seeds(seeds) => self.settings.seeds = seeds,
+            Command::End(ended) => (self.is_ending, self.ended) = (true, Some(ended)),
         }
     }
 
@@ -382,6 +392,7 @@
             self.tend_tree(now);
         }
         self.tend_contact(now);
+        self.tend_end();
         // Whoever waits for a leader, or for this process to have caught up, hears of it at once.
         let (leader, epoch, fresh) = self.leader(now);
         self.watch.stands(now, leader, epoch, self.ledger.version());
--- a/crates/control-plane/src/master/orders.rs
+++ b/crates/control-plane/src/master/orders.rs
@@ -46,7 +46,7 @@
     }
 
     pub(super) fn on_order_here(&mut self, order: Order, reply: oneshot::Sender<Reply>, now: u64) {
-        if self.node.as_ref().is_some_and(|node| node.is_leader()) {
+        if self.takes_orders() {
             return self.on_order(Asker::Here(reply), order, now);
         }
         if self.waiting.len() >= CALLS_WAITING {
@@ -62,7 +62,7 @@
     /// Calls that wait for a leader go to it as soon as it is known.
     pub(super) fn pass_on(&mut self, now: u64) {
         let (leader, _, current) = self.leader(now);
-        let leads = self.node.as_ref().is_some_and(|node| node.is_leader());
+        let leads = self.takes_orders();
         self.take_back(leader.filter(|_| current));
         let ready: Vec<u64> =
             self.waiting.iter().filter(|(_, w)| w.passed.is_none()).map(|(t, _)| *t).collect();
@@ -147,6 +147,10 @@
 
     /// A call of the operator at the leader.
     pub(super) fn on_order(&mut self, asker: Asker, order: Order, now: u64) {
+        // Whoever passed it on does so anew once another one leads.
+        if self.is_ending && matches!(asker, Asker::There { .. }) {
+            return;
+        }
         let leads = self
             .node
             .as_ref()
--- /dev/null
+++ b/crates/control-plane/tests/ending.rs
@@ -0,0 +1,87 @@
+//! A process of control that is to end hands over its lead: orders go on, and none that waits there is lost.
+
+#[path = "support/simulation.rs"]
+#[allow(dead_code)] // Nothing is cut off here.
+mod simulation;
+
+use control_plane::{Call, Faults, Reply};
+use simulation::Simulation;
+use std::time::Duration;
+use tokio::task::LocalSet;
+use tokio::time::{Instant, sleep, timeout};
+
+const VOTERS: usize = 3;
+const WITHOUT_LOG: usize = 1;
+/// An operator waits so long for the answer to a change.
+const ANSWER_WITHIN: Duration = Duration::from_millis(2500);
+/// The lead is handed over within this; an election after a silence takes 320 ms at the least.
+const HANDED_OVER_WITHIN: Duration = Duration::from_millis(150);
+/// No order waits longer than this while the lead is handed over.
+const LONGEST_ORDER: Duration = Duration::from_millis(250);
+const PAUSE: Duration = Duration::from_millis(15);
+
+fn config(version: u64) -> Vec<u8> {
+    format!(
+        r#"{{"generation":"r{version}","route_table":{{"r":{{"authority":"h.example","path_prefix":"/",
+        "variant":"pure","deadline_ms":1000,"goal_ms":500,"rank":1,"target":"s","max_tries":2,"public":true}}}},
+        "service_table":{{"s":{{"health_path":"/h","max_conns":10,"protocol":"h1","tls_mode":false}}}},
+        "limits":{{"max_header_bytes":16384,"max_body_bytes":1000000,"header_wait_ms":3000,"idle_timeout_ms":15000}}}}"#
+    )
+    .into_bytes()
+}
+
+async fn change(simulation: &Simulation, process: usize, version: u64) -> Option<Reply> {
+    let order = protocol::Order::Replace { base: version - 1, body: config(version) };
+    simulation.call(process, Call::Order(order), ANSWER_WITHIN).await
+}
+
+/// Who leads, as each process says of itself.
+async fn leader(simulation: &Simulation) -> usize {
+    loop {
+        for process in 0..VOTERS {
+            let status = simulation.call(process, Call::Status, ANSWER_WITHIN).await.expect("a status");
+            let status: serde_json::Value = serde_json::from_slice(&status.body).expect("JSON");
+            if status["log"]["holds_lease"] == true {
+                return process;
+            }
+        }
+        sleep(PAUSE).await;
+    }
+}
+
+/// Changes one after the other through a process, while the leader is told to end halfway. Gives the longest that one
+/// took, and who led before.
+async fn changes_while_the_leader_ends(seed: u64, through_the_leader: bool) {
+    let simulation = Simulation::start(VOTERS, WITHOUT_LOG, seed, Faults::default());
+    let ends = leader(&simulation).await;
+    let process = if through_the_leader { ends } else { VOTERS };
+    let mut ended = None;
+    for version in 1..=40 {
+        if version == 20 {
+            ended = Some((Instant::now(), simulation.end(ends).await));
+        }
+        let sent = Instant::now();
+        let reply = change(&simulation, process, version).await;
+        assert_eq!(reply.map(|reply| reply.status), Some(200), "seed {seed}, version {version}");
+        // At first the processes have yet to find each other.
+        assert!(
+            version == 1 || sent.elapsed() < LONGEST_ORDER,
+            "seed {seed}, version {version} took {:?}",
+            sent.elapsed()
+        );
+        sleep(PAUSE).await;
+    }
+    let (since, ended) = ended.expect("it was told to end");
+    let in_time = timeout(HANDED_OVER_WITHIN, ended).await;
+    assert!(in_time.is_ok_and(|ended| ended.is_ok()), "seed {seed}: not ended after {:?}", since.elapsed());
+    assert_ne!(leader(&simulation).await, ends, "seed {seed}: it leads on");
+}
+
+#[test]
+fn orders_go_on_while_the_leader_ends() {
+    for (seed, through_the_leader) in (0..10).flat_map(|seed| [(seed, false), (seed, true)]) {
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
+        let play = changes_while_the_leader_ends(seed, through_the_leader);
+        LocalSet::new().block_on(&runtime.expect("a runtime"), play);
+    }
+}
--- a/crates/control-plane/tests/support/simulation.rs
+++ b/crates/control-plane/tests/support/simulation.rs
@@ -283,6 +283,14 @@
         timeout(within, both).await.ok().flatten()
     }
 
+    /// Tells a process to end in order; when nothing is left to do, the sender hears.
+    #[allow(dead_code)] // Not all that share this simulation end processes.
+    pub async fn end(&self, process: usize) -> oneshot::Receiver<()> {
+        let (ending, ended) = oneshot::channel();
+        let _ = self.commands[process].send(Command::End(ending)).await;
+        ended
+    }
+
     /// Follows a process from its own machine; what it sends comes out.
     pub async fn follow(&self, process: usize) -> Receiver<Rc<[u8]>> {
         let (line, frames) = channel(FRAMES);
--- a/crates/raft/src/election.rs
+++ b/crates/raft/src/election.rs
@@ -49,6 +49,18 @@
     }
 
     fn stand(&mut self, now: Millis) {
+        let (term, last_index, last_term) = self.become_candidate(now);
+        self.ask_for_votes(Message::RequestVote { term, last_index, last_term });
+    }
+
+    /// The leader of this term has said that it gave up its lead to this node.
+    pub(crate) fn stand_as_successor(&mut self, now: Millis) {
+        let (term, last_index, last_term) = self.become_candidate(now);
+        self.ask_for_votes(Message::RequestVoteOfSuccessor { term, last_index, last_term });
+    }
+
+    /// Begins the next term with a vote for itself. Gives that term, and index and term of the last entry.
+    fn become_candidate(&mut self, now: Millis) -> (u64, u64, u64) {
         self.draw_election(now);
         let longer = (self.election_due - now).saturating_mul((1 << self.lost_elections) - 1);
         self.election_due = self.election_due.saturating_add(longer);
@@ -59,11 +71,10 @@
         // The own vote counts like any other: once it is on disk.
         self.unsaved.own_vote = Some(self.term);
         self.campaign = Some(Campaign { binding: true, granted: Vec::new() });
-        let message = Message::RequestVote {
-            term: self.term,
-            last_index: self.log.last(),
-            last_term: self.log.last_term(),
-        };
+        (self.term, self.log.last(), self.log.last_term())
+    }
+
+    fn ask_for_votes(&mut self, message: Message) {
         for to in self.others() {
             self.answer(to, message.clone());
         }
@@ -116,12 +127,25 @@
         &mut self, now: Millis, from: VoterId, term: u64, end: (u64, u64), out: &mut Vec<Output>,
     ) {
         // Whoever is bound does not even take the newer term: that would end a leader that works.
-        if !self.bound(now) {
-            self.see_term(now, term, out);
+        if self.bound(now) {
+            self.answer(from, Message::VoteAnswer { term: self.term, granted: false });
+            return;
         }
+        self.give_vote(now, from, term, end, out);
+    }
+
+    /// The leader of the term before has given up its lead to the one that asks: what this node is bound to is over.
+    pub(crate) fn successor_requested(
+        &mut self, now: Millis, from: VoterId, term: u64, end: (u64, u64), out: &mut Vec<Output>,
+    ) {
+        self.give_vote(now, from, term, end, out);
+    }
+
+    /// Votes if it may: once a term, and for nobody whose log lacks what could be committed here.
+    fn give_vote(&mut self, now: Millis, from: VoterId, term: u64, end: (u64, u64), out: &mut Vec<Output>) {
+        self.see_term(now, term, out);
         let free = self.vote.as_ref().is_none_or(|vote| *vote == from);
-        let granted =
-            term == self.term && free && self.as_new(end) && self.lead.is_none() && !self.bound(now);
+        let granted = term == self.term && free && self.as_new(end) && self.lead.is_none();
         if granted && self.vote.is_none() {
             self.vote = Some(from.clone());
             self.unsaved.hard_state = true;
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -11,6 +11,7 @@
 mod agreement;
 mod checksum;
 mod election;
+mod leadership_transfer;
 mod log;
 mod members;
 mod node;
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -44,6 +44,8 @@
     pub retire_freely: bool,
     /// A list is changed while the change before it is not committed.
     pub two_changes: bool,
+    /// A leader goes on leading after it has handed its lead to another voter.
+    pub leads_after_transfer: bool,
 }
 
 impl Faults {
@@ -64,6 +66,7 @@
         promote_early: false,
         retire_freely: false,
         two_changes: false,
+        leads_after_transfer: false,
     };
 }
 
@@ -192,6 +195,7 @@
             Input::Propose { token, change } => self.propose(now, token, change, out),
             Input::AddVoter(voter) => self.add_voter(now, voter, out),
             Input::RemoveVoter(voter) => self.remove_voter(now, &voter, out),
+            Input::TransferLeadership => self.transfer_leadership(now, out),
             Input::Saved { ticket } => self.on_disk(now, ticket, out),
             Input::Compact { index, state } => self.compact(index, state),
         }
@@ -277,6 +281,9 @@
             Message::RequestVote { term, last_index, last_term } => {
                 self.vote_requested(now, from, term, (last_term, last_index), out);
             }
+            Message::RequestVoteOfSuccessor { term, last_index, last_term } => {
+                self.successor_requested(now, from, term, (last_term, last_index), out);
+            }
             Message::VoteAnswer { term, granted } => self.vote_answered(now, from, term, granted, out),
             Message::Heartbeat { term, echo, commit } => {
                 self.heartbeat_came(now, from, term, echo, commit, out)
@@ -302,6 +309,7 @@
             Message::PieceReceived { term, transfer, offset, received } => {
                 self.piece_answered(now, &from, term, (transfer, offset, received), out);
             }
+            Message::TimeoutNow { term } => self.timeout_now_came(now, &from, term),
         }
     }
 
--- a/crates/raft/src/types.rs
+++ b/crates/raft/src/types.rs
@@ -249,6 +249,20 @@
         /// So many bytes of the payload are there, from the first on.
         received: u64,
     },
+    /// The leader has given up its lead to the one that is told so.
+    TimeoutNow {
+        /// The term that it led in.
+        term: u64,
+    },
+    /// Vote for me: the leader of the term before has given up its lead, so that no lease of it stands any more.
+    RequestVoteOfSuccessor {
+        /// The term that it stands in.
+        term: u64,
+        /// Its last entry's index.
+        last_index: u64,
+        /// Its last entry's term.
+        last_term: u64,
+    },
 }
 
 impl Message {
@@ -265,7 +279,9 @@
             | Message::AppendAccepted { term, .. }
             | Message::AppendRejected { term, .. }
             | Message::Piece { term, .. }
-            | Message::PieceReceived { term, .. } => *term,
+            | Message::PieceReceived { term, .. }
+            | Message::TimeoutNow { term }
+            | Message::RequestVoteOfSuccessor { term, .. } => *term,
         }
     }
 }
@@ -293,6 +309,8 @@
     AddVoter(VoterId),
     /// This voter is to go; the host repeats it until the list is without it.
     RemoveVoter(VoterId),
+    /// This node is about to end: if it leads, another one is to. The host repeats it until it leads no more.
+    TransferLeadership,
     /// The save with this ticket, and all before it, are on disk.
     Saved {
         /// The ticket.
--- a/crates/raft/tests/drawn.rs
+++ b/crates/raft/tests/drawn.rs
@@ -22,6 +22,8 @@
     slow: (u64, u64),
     /// In how many steps of a hundred there are proposals.
     busy: u64,
+    /// In how many steps of a hundred the leader is asked to hand over its lead.
+    transfers: u64,
     /// How long a message may be that does not go in pieces, and how long those are.
     limits: TransferLimits,
 }
@@ -38,6 +40,7 @@
     cuts: 30,
     slow: (2, 3),
     busy: 100,
+    transfers: 0,
     limits: SERVICE,
 };
 const POWER: Weather = Weather {
@@ -48,11 +51,26 @@
     cuts: 20,
     slow: (40, 10),
     busy: 100,
+    transfers: 0,
     limits: SERVICE,
 };
 const PIECES: Weather = Weather { limits: SMALL, ..ALL };
-const LINKS: Weather =
-    Weather { often: 25, kills: 0, wipes: 0, freezes: 60, cuts: 25, slow: (2, 3), busy: 3, limits: SERVICE };
+/// Leaders that hand over their lead all the time, amid all troubles; and on links where that gets lost and comes late.
+const TRANSFERS: Weather = Weather { transfers: 20, ..ALL };
+const TRANSFERS_ON_BAD_LINKS: Weather = Weather { transfers: 30, busy: 100, ..LINKS };
+/// Nothing is handed over while entries wait for their commitment.
+const QUIET_TRANSFERS: Weather = Weather { busy: 30, ..TRANSFERS_ON_BAD_LINKS };
+const LINKS: Weather = Weather {
+    often: 25,
+    kills: 0,
+    wipes: 0,
+    freezes: 60,
+    cuts: 25,
+    slow: (2, 3),
+    busy: 3,
+    transfers: 0,
+    limits: SERVICE,
+};
 
 fn live(seed: u64, size: usize, weather: Weather, faults: Faults) -> Result<World, String> {
     let mut world = World::with_limits(seed, size, faults, weather.limits);
@@ -74,6 +92,9 @@
             if proposes {
                 world.input(leader, Input::Propose { token, change: vec![7; 20] })?;
             }
+            if world.draw.chance(weather.transfers) {
+                world.input(leader, Input::TransferLeadership)?;
+            }
             if world.settled() {
                 wiped = 0;
             }
@@ -148,6 +169,8 @@
     three = { 3, 0, ALL }, three_more = { 3, 1, ALL },
     five = { 5, 2, ALL }, five_more = { 5, 3, ALL },
     three_in_pieces = { 3, 4, PIECES }, five_in_pieces = { 5, 5, PIECES },
+    three_with_transfers = { 3, 6, TRANSFERS }, five_with_transfers = { 5, 7, TRANSFERS },
+    three_with_transfers_on_bad_links = { 3, 8, TRANSFERS_ON_BAD_LINKS },
 )]
 fn nothing_is_lost_and_work_goes_on(size: usize, part: u64, weather: Weather) {
     let (mut committed, mut leases, mut sent) = (0, 0, 0);
@@ -182,6 +205,9 @@
     any_birth = { Faults { any_birth: true, ..Faults::default() }, ALL, LOST },
     fickle = { Faults { fickle: true, ..Faults::default() }, LINKS, TWO_LEASES },
     transfers_mixed = { Faults { transfers_mixed: true, ..Faults::default() }, PIECES, STRANGE },
+    leads_after_transfer = {
+        Faults { leads_after_transfer: true, ..Faults::default() }, QUIET_TRANSFERS, TWO_LEASES
+    },
     hasty_entries = { Faults { hasty: true, ..Faults::default() }, POWER, LOST },
 )]
 fn planted_faults_are_found(faults: Faults, weather: Weather, what: &str) {
@@ -200,6 +226,25 @@
     }
 }
 
+/// Silence would take an election, 300 ms at the least.
+#[parameterized(three = { 3 }, five = { 5 })]
+fn a_leader_that_hands_over_its_lead_has_a_successor_at_once(size: usize) {
+    for seed in 0..50 {
+        let mut world = World::new(seed, size, Faults::default());
+        world.lossy = false;
+        world.slow = (0, 0);
+        world.run_until(world.now + 2_000).unwrap();
+        let (leader, began) = (world.leader().unwrap(), world.now);
+        while world.leader().is_none_or(|now| now == leader) {
+            assert!(world.now < began + 150, "seed {seed}: nobody else leads after {} ms", world.now - began);
+            if world.leader() == Some(leader) {
+                world.input(leader, Input::TransferLeadership).unwrap();
+            }
+            world.run_until(world.now + 5).unwrap();
+        }
+    }
+}
+
 #[test]
 fn a_fresh_harbour_has_a_leader_within_a_second() {
     for seed in 0..50 {
--- a/crates/reachlb/src/master.rs
+++ b/crates/reachlb/src/master.rs
@@ -2,7 +2,7 @@
 
 use crate::start;
 use config::Settings;
-use control_plane::{Disk, Losses, Master, MasterSettings, Tolerance};
+use control_plane::{Command, Disk, Losses, Master, MasterSettings, Tolerance};
 use miette::{Result, miette};
 use protocol::{Hail, Plane};
 use raft::{Timing, VoterId};
@@ -12,7 +12,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
-use tokio::sync::mpsc;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::timeout;
 
 /// So many commands wait for the owner of the tables.
 const COMMANDS: usize = 1024;
@@ -20,6 +21,8 @@
 const CATCH_UP_PARTS: u64 = 3;
 /// ... and at least so many elections: shorter silences are lost messages.
 const LEAST_SILENT_ELECTIONS: u64 = 4;
+/// A process that is to end waits at most this long for its successor as leader, and for the answers to its calls.
+const END_WAIT: Duration = Duration::from_millis(800);
 /// Descriptors kept for files, listeners and other processes.
 const KEPT: usize = 400;
 
@@ -104,6 +107,7 @@
                 if let Some(lookout) = &lookout {
                     lookout.leave();
                 }
+                end_in_order(&commands).await;
                 return Ok(());
             }
             _ = hangup.recv() => match Settings::read(&path) {
@@ -112,7 +116,7 @@
                         lookout.seeds(&start::watch_seeds(&settings));
                     }
                     let seeds = start::seeds(&settings);
-                    let _ = commands.send(control_plane::Command::Seeds(seeds)).await;
+                    let _ = commands.send(Command::Seeds(seeds)).await;
                 }
                 Err(fault) => spdlog::error!("settings not taken: {}", fault, kv: { step = "hangup" }),
             }
@@ -120,6 +124,15 @@
     }
 }
 
+/// Waits until another process leads and no call waits here any more, for as long as that may take.
+async fn end_in_order(commands: &mpsc::Sender<Command>) {
+    let (ending, ended) = oneshot::channel();
+    let in_order = async { commands.send(Command::End(ending)).await.is_ok() && ended.await.is_ok() };
+    if !timeout(END_WAIT, in_order).await.unwrap_or(false) {
+        spdlog::warn!("the lead was not handed over, or calls still wait", kv: { step = "end" });
+    }
+}
+
 fn tolerance(settings: &Settings) -> Tolerance {
     let count = |losses: u32| usize::try_from(losses).unwrap_or(usize::MAX);
     let losses = Losses {
