--- a/crates/config/src/json.rs
+++ b/crates/config/src/json.rs
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub(crate) enum Node {
     Null,
-    Flag(bool),
+    Message(bool),
     Whole(u64),
     Figure(f64),
     Text(String),
@@ -32,7 +32,7 @@
     fn kind(&self) -> &'static str {
         match self {
             Self::Null => "null",
-            Self::Flag(_) => "true or false",
+            Self::Message(_) => "true or false",
             Self::Whole(_) | Self::Figure(_) => "a number",
             Self::Text(_) => "a text",
             Self::List(_) => "a list",
@@ -55,7 +55,7 @@
         };
         match self {
             Self::Null => hasher.update(b"n"),
-            Self::Flag(flag) => hasher.update([b'b', u8::from(*flag)]),
+            Self::Message(flag) => hasher.update([b'b', u8::from(*flag)]),
             Self::Whole(whole) => {
                 hasher.update(b"w");
                 hasher.update(whole.to_be_bytes());
@@ -117,7 +117,7 @@
             }
 
             fn visit_bool<E>(self, flag: bool) -> Result<Node, E> {
-                Ok(Node::Flag(flag))
+                Ok(Node::Message(flag))
             }
 
             fn visit_u64<E>(self, whole: u64) -> Result<Node, E> {
@@ -288,7 +288,7 @@
     }
 
     pub(crate) fn flag(&self, faults: &mut Faults) -> Option<bool> {
-        let Node::Flag(flag) = self.node else { return self.wants("true or false", faults) };
+        let Node::Message(flag) = self.node else { return self.wants("true or false", faults) };
         Some(*flag)
     }
 
--- a/crates/config/src/kind.rs
+++ b/crates/config/src/kind.rs
@@ -38,8 +38,8 @@
     }
 }
 
-pub struct Flag;
-impl Kind for Flag {
+pub struct Message;
+impl Kind for Message {
     type Out = bool;
     const NAME: &'static str = "true or false";
 
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -14,7 +14,7 @@
 use toml::{Table, Value};
 
 use crate::kind::{
-    Addresses, Figure, Flag, Kind, Maybe, Millis, Names, Parsed, Ports, Seconds, Text, Texts, Ways, Whole,
+    Addresses, Figure, Kind, Maybe, Message, Millis, Names, Parsed, Ports, Seconds, Text, Texts, Ways, Whole,
 };
 
 /// Name of the list of `name=value` texts.
@@ -197,9 +197,9 @@
         /// Control addresses of up to three machines that are up at the first start.
         seed_list: Addresses = required, "seed_list";
         /// Whether this is the first start of the whole system, with empty disks.
-        bootstrap: Flag = false, "bootstrap";
+        bootstrap: Message = false, "bootstrap";
         /// Whether the machine counts for the losses that are tolerated, and so votes.
-        in_quorum: Flag = false, "in_quorum";
+        in_quorum: Message = false, "in_quorum";
         /// Directory that outlives the process; without it nothing is kept.
         data_path: Maybe<Parsed<PathBuf>> = empty, "data_path";
         /// How backends become known.
@@ -271,7 +271,7 @@
         /// By how much troubles may stretch the other times at most.
         stretch_max: Millis = 8000, "bound_table.stretch_max_ms";
         /// Whether a key that was taken away may never come back into force.
-        revoke_final: Flag = false, "bound_table.revoke_final";
+        revoke_final: Message = false, "bound_table.revoke_final";
         /// Time in which a key that was taken away has to be refused.
         revoke: Millis = 5000, "bound_table.revoke_ms";
         /// Further tries that are allowed for each request.
@@ -303,13 +303,13 @@
         /// How long the leader may act on the answer of a majority.
         lease: Millis = 230, "reachlb.lease_ms", |lease| !lease.is_zero() => "wants more than 0";
         /// Whether processes watch each other, in sets of a few; the command line can say so as well.
-        watching: Flag = false, "reachlb.watching";
+        watching: Message = false, "reachlb.watching";
         /// Which lines are logged: off, error, warn, info, debug or trace.
         log_level: Text = "info", "reachlb.log_level",
             |level| matches!(&**level, "off" | "error" | "warn" | "info" | "debug" | "trace")
                 => "wants off, error, warn, info, debug or trace";
         /// Whether news goes down a tree of relays: the same on all machines.
-        relays: Flag = false, "reachlb.relays";
+        relays: Message = false, "reachlb.relays";
         /// Megabits a second of its link for each process that follows a relay.
         relay_share: Figure = 10.0, "reachlb.relay_mbps", |share| *share > 0.0 => "wants more than 0";
         /// Addresses of machines and backends that are reached under another one, as `own=other`.
--- a/crates/control-plane/src/admission.rs
+++ b/crates/control-plane/src/admission.rs
@@ -5,7 +5,7 @@
 //! an entry in flight, nor an earlier copy of the order that is still on its way, can bring a refused order into force.
 
 use crate::calls::Reply;
-use crate::ledger::{Change, Ledger, Verdict};
+use crate::ledger::{Change, ConfigHistory, Verdict};
 use config::Config;
 
 /// What a leader does with an order.
@@ -36,7 +36,7 @@
 }
 
 /// Decides on an order that builds on `base`, by the configurations that are committed.
-pub fn decide(ledger: &Ledger, base: u64, body: Vec<u8>) -> Decision {
+pub fn decide(ledger: &ConfigHistory, base: u64, body: Vec<u8>) -> Decision {
     let config = match Config::parse(&body) {
         Ok(config) => config,
         Err(fault) => return decide_invalid(ledger, &body, fault.to_string()),
@@ -49,7 +49,7 @@
 }
 
 /// A program whose checks were less strict may have taken what this one calls invalid: its repetition is acknowledged.
-fn decide_invalid(ledger: &Ledger, body: &[u8], fault: String) -> Decision {
+fn decide_invalid(ledger: &ConfigHistory, body: &[u8], fault: String) -> Decision {
     match Config::identify(body) {
         Some((version, digest)) if ledger.has_taken(version.0, &digest) => {
             Decision::Decided { version: version.0, verdict: Verdict::TakenBefore }
--- a/crates/control-plane/src/calls.rs
+++ b/crates/control-plane/src/calls.rs
@@ -11,7 +11,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use observability::Seldom;
-use protocol::{Berth, Order, Phase};
+use protocol::{Backend, Order, Phase};
 use serde::Deserialize;
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub enum Call {
     /// A backend beats.
-    Beat(Berth),
+    Beat(Backend),
     /// A backend ends.
     Departure(String),
     /// The operator's.
@@ -266,7 +266,7 @@
     if beat.address.parse::<std::net::SocketAddr>().is_err() {
         return Err(unread(format!("address: {:?} is no ip:port", beat.address)));
     }
-    Ok(Call::Beat(Berth {
+    Ok(Call::Beat(Backend {
         id: id.to_owned(),
         service: beat.summary.target,
         address: beat.address,
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -1,6 +1,6 @@
 //! The disk of a voter: its file, and the thread that writes to it.
 
-use crate::ledger::Ledger;
+use crate::ledger::ConfigHistory;
 use crate::master::Command;
 use miette::Diagnostic;
 use raft::store::Store;
@@ -62,7 +62,7 @@
         };
         // Whoever went on without its snapshot's state would decide on changes by another one than the others.
         if let Some(Err(error)) =
-            saved.as_ref().and_then(|saved| saved.snapshot.as_ref()).map(|s| Ledger::restore(&s.state))
+            saved.as_ref().and_then(|saved| saved.snapshot.as_ref()).map(|s| ConfigHistory::restore(&s.state))
         {
             let why = format!(
                 "its state is of no version known here ({error}): start the version that wrote it, or empty the folder"
--- a/crates/control-plane/src/ledger.rs
+++ b/crates/control-plane/src/ledger.rs
@@ -117,7 +117,7 @@
 
 /// All configurations ever taken, the newest in full.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Ledger {
+pub struct ConfigHistory {
     version: u64,
     body: Vec<u8>,
     digests: BTreeMap<u64, [u8; 32]>,
@@ -130,7 +130,7 @@
     fleet: u32,
 }
 
-impl Ledger {
+impl ConfigHistory {
     /// Reads what a snapshot holds, also one that a version before this one wrote.
     ///
     /// # Errors
--- a/crates/control-plane/src/ledger/snapshot_format.rs
+++ b/crates/control-plane/src/ledger/snapshot_format.rs
@@ -8,7 +8,7 @@
 //! version before could not read it, and both run side by side while a system is upgraded. The version after this one
 //! writes it.
 
-use super::{Ledger, Place};
+use super::{ConfigHistory, Place};
 use bitcode::Decode;
 use std::collections::BTreeMap;
 use thiserror::Error;
@@ -58,17 +58,17 @@
 }
 
 /// Reads a state in one format; none if it is in another one.
-pub fn read_as(format: Format, state: &[u8]) -> Option<Ledger> {
+pub fn read_as(format: Format, state: &[u8]) -> Option<ConfigHistory> {
     match format {
         Format::Tagged => bitcode::decode(state.strip_prefix(TAG)?).ok(),
         Format::WithFloors => bitcode::decode(state).ok(),
         Format::WithBodies => {
             let WithBodies { version, body, digests, places, bodies } = bitcode::decode(state).ok()?;
-            Some(Ledger { version, body, digests, places, bodies, ..Ledger::default() })
+            Some(ConfigHistory { version, body, digests, places, bodies, ..ConfigHistory::default() })
         }
         Format::Bare => {
             let Bare { version, body, digests } = bitcode::decode(state).ok()?;
-            Some(Ledger { version, body, digests, ..Ledger::default() })
+            Some(ConfigHistory { version, body, digests, ..ConfigHistory::default() })
         }
     }
 }
@@ -78,11 +78,11 @@
     FORMATS.into_iter().filter(|format| read_as(*format, state).is_some()).collect()
 }
 
-pub(super) fn read(state: &[u8]) -> Result<Ledger, UnknownFormat> {
+pub(super) fn read(state: &[u8]) -> Result<ConfigHistory, UnknownFormat> {
     let read = FORMATS.into_iter().find_map(|format| read_as(format, state));
     read.ok_or(UnknownFormat { length: state.len() })
 }
 
-pub(super) fn write(ledger: &Ledger) -> Vec<u8> {
+pub(super) fn write(ledger: &ConfigHistory) -> Vec<u8> {
     bitcode::encode(ledger)
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,6 +1,6 @@
 //! The control plane of the system: configurations, backends, counts, and the news of them.
 //!
-//! One owner has all tables ([`Master`]) and works through a queue of commands: calls from the control socket, frames
+//! One owner has all tables ([`ControlPlane`]) and works through a queue of commands: calls from the control socket, frames
 //! from other processes, words of the disk's thread, and time. Nothing else changes a table.
 
 #![forbid(unsafe_code)]
@@ -22,7 +22,7 @@
 pub use disk::{Disk, DiskError};
 #[doc(hidden)]
 pub use faults::Faults;
-pub use ledger::{Change, Ledger, Marks, Place, Verdict, snapshot_format};
+pub use ledger::{Change, ConfigHistory, Marks, Place, Verdict, snapshot_format};
 pub use lines::{Connect, ConnectTcp, listen};
-pub use master::{Command, Master, MasterSettings};
+pub use master::{Command, ControlPlane, ControlPlaneSettings};
 pub use tolerance::{Losses, Tolerance};
--- a/crates/control-plane/src/master.rs
+++ b/crates/control-plane/src/master.rs
@@ -16,13 +16,16 @@
 use crate::contact::{Confirmation, Contact, ContactMessage};
 use crate::disk::Disk;
 use crate::faults::Faults;
-use crate::ledger::{Change, Ledger, Marks, Place, Verdict};
+use crate::ledger::{Change, ConfigHistory, Marks, Place, Verdict};
 use crate::lines::{Connect, ConnectTcp};
 use crate::tolerance::Tolerance;
 use crate::watch::{Watch, What as Happened};
 use config::{Config, Detours};
-use protocol::{Berth, Flag, Hail, Held, MasterCard, Order, Phase, Plane, Pulse, Sheet, Splice};
-use quota::{Office, Placer, Quota, Roster};
+use protocol::{
+    Backend, ConfigDelta, ConfigSnapshot, ControlPlaneAddress, Heartbeat, Held, Hello, Message, Order, Phase,
+    Plane,
+};
+use quota::{HolderAssignment, Placer, Quota, QuotaService};
 use raft::{Input, Node, Output, Role, Saved, Snapshot, Timing, VoterId, What};
 use registry::{Fleet, Judgement, Register};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -31,8 +34,8 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
-use transport::sheets::{self, Sheets};
-use transport::{Line, LineError, Lookout};
+use transport::sheets::{self, ConfigEncoder};
+use transport::{Line, LineError, NeighborWatch};
 
 /// How often things are looked after.
 const TICK: u64 = 50;
@@ -40,7 +43,7 @@
 const PULSE: u64 = 350;
 /// ... and news of the leader no more often than this.
 const LEAST_PULSE: u64 = 40;
-/// What others told of the leader stands for so long: two of their pulses and some room. Quays leave whoever
+/// What others told of the leader stands for so long: two of their pulses and some room. DataPlanes leave whoever
 /// is behind 0.9 s after its last good word, so that those behind a relay that was cut off have news again within 2 s.
 const WORD: u64 = 800;
 /// Other masters hear whose beats came here, and who else serves control, this often.
@@ -94,7 +97,7 @@
         /// The connection.
         number: u64,
         /// The message.
-        flag: Flag,
+        flag: Message,
     },
     /// A connection is over, or never came up.
     Closed {
@@ -116,9 +119,9 @@
 
 /// What a master is told at its start.
 #[derive(Clone, Debug)]
-pub struct MasterSettings {
+pub struct ControlPlaneSettings {
     /// Who it is.
-    pub me: Hail,
+    pub me: Hello,
     /// Where it takes connections.
     pub address: SocketAddr,
     /// Where the first other masters take connections.
@@ -154,7 +157,7 @@
 
 struct Peer {
     line: Line,
-    hail: Option<Hail>,
+    hail: Option<Hello>,
     dialed: Option<SocketAddr>,
     follows: bool,
     /// Whether it draws on the counts here, and is to be known to the others by that.
@@ -189,8 +192,8 @@
 }
 
 /// The owner of all tables of the control plane of one process.
-pub struct Master {
-    settings: MasterSettings,
+pub struct ControlPlane {
+    settings: ControlPlaneSettings,
     began: Instant,
     random: u64,
     commands: mpsc::Sender<Command>,
@@ -202,22 +205,22 @@
     incarnations: BTreeMap<SocketAddr, u64>,
     register: Register,
     fleet: Fleet,
-    ledger: Ledger,
+    ledger: ConfigHistory,
     config: Option<Config>,
-    sheets: Sheets,
+    sheets: ConfigEncoder,
     /// Entries have brought another configuration into force, and followers are yet to be told.
     changed: bool,
     root: Option<tree::Root>,
     node: Option<Node>,
     disk: Option<Disk>,
-    office: Office,
+    office: QuotaService,
     /// Of the leader.
     placer: Option<Placer>,
     /// The newest assignment of counts heard of.
-    roster: Roster,
+    roster: HolderAssignment,
     offers: Offers,
     /// Known from others, of a master without a log of its own.
-    told: Pulse,
+    told: Heartbeat,
     told_at: u64,
     /// Whether the leader has said that what this process tells is of this moment, if it does not lead.
     contact: Contact,
@@ -245,24 +248,24 @@
     handles_outputs: bool,
     watch: Watch,
     /// Who watches the neighbours, if anybody does.
-    lookout: Option<Rc<Lookout>>,
+    lookout: Option<Rc<NeighborWatch>>,
     /// This process is to end.
     is_ending: bool,
     /// Who waits until nothing is left to do before that.
     ended: Option<oneshot::Sender<()>>,
 }
 
-impl Master {
+impl ControlPlane {
     /// A master; `log` is what a voter has on its disk.
     pub fn new(
-        settings: MasterSettings, log: Option<(Disk, Saved)>, commands: mpsc::Sender<Command>,
+        settings: ControlPlaneSettings, log: Option<(Disk, Saved)>, commands: mpsc::Sender<Command>,
         numbers: Rc<dyn Fn() -> u64>,
     ) -> Self {
-        let (mut node, mut disk, mut ledger) = (None, None, Ledger::default());
+        let (mut node, mut disk, mut ledger) = (None, None, ConfigHistory::default());
         if let Some((opened, saved)) = log {
             // The log tells its entries again, but only those after its snapshot.
             // It was read before, when the disk was opened.
-            let state = saved.snapshot.as_ref().map(|snapshot| Ledger::restore(&snapshot.state));
+            let state = saved.snapshot.as_ref().map(|snapshot| ConfigHistory::restore(&snapshot.state));
             ledger = state.and_then(Result::ok).unwrap_or_default();
             node = Some(Node::start(saved, settings.timing, settings.seed, 0));
             disk = Some(opened);
@@ -280,16 +283,16 @@
             fleet: Fleet::default(),
             ledger,
             config: None,
-            sheets: Sheets::default(),
+            sheets: ConfigEncoder::default(),
             changed: false,
             root: None,
             node,
             disk,
-            office: Office::new(&settings.address.to_string()),
+            office: QuotaService::new(&settings.address.to_string()),
             placer: None,
-            roster: Roster::default(),
+            roster: HolderAssignment::default(),
             offers: Offers::default(),
-            told: Pulse::default(),
+            told: Heartbeat::default(),
             told_at: 0,
             contact: Contact::default(),
             connect: Rc::new(ConnectTcp(settings.ways.clone())),
@@ -319,7 +322,7 @@
     }
 
     /// Goes by what the watch of the neighbours finds, too.
-    pub fn with_lookout(self, lookout: Option<Rc<Lookout>>) -> Self {
+    pub fn with_lookout(self, lookout: Option<Rc<NeighborWatch>>) -> Self {
         Self { lookout, ..self }
     }
 
--- a/crates/control-plane/src/master/contact.rs
+++ b/crates/control-plane/src/master/contact.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Master {
+impl ControlPlane {
     /// The leader of the log as this process knows it, its term, and whether that is of this moment.
     pub(super) fn leader(&self, now: u64) -> (Option<SocketAddr>, u64, bool) {
         match &self.node {
@@ -77,6 +77,6 @@
     }
 }
 
-fn contact_message(message: &ContactMessage) -> Flag {
-    Flag::Log { incarnation: 0, message: message.encoded() }
+fn contact_message(message: &ContactMessage) -> Message {
+    Message::Log { incarnation: 0, message: message.encoded() }
 }
--- a/crates/control-plane/src/master/departures.rs
+++ b/crates/control-plane/src/master/departures.rs
@@ -16,15 +16,15 @@
 /// A process this old has heard of all data planes that there are, or they count no more.
 const SETTLED: u64 = 30_000;
 
-impl Master {
+impl ControlPlane {
     /// A data plane says on its connection that it has ended.
     pub(super) fn on_leave(&mut self, number: u64, now: u64) {
         let Some(peer) = self.peers.get(&number) else { return };
-        let Some(hail) = peer.hail.as_ref().filter(|hail| hail.plane == Plane::Quay) else { return };
+        let Some(hail) = peer.hail.as_ref().filter(|hail| hail.plane == Plane::DataPlane) else { return };
         let departure = Departure { name: hail.name.clone(), incarnation: hail.life, ago_ms: 0 };
         self.on_departures(vec![departure], now);
         if let Some(peer) = self.peers.get(&number) {
-            peer.line.send(&Flag::LeaveAccepted);
+            peer.line.send(&Message::LeaveAccepted);
         }
     }
 
@@ -36,7 +36,7 @@
         }
         self.silence_departed();
         self.resize_fleet(now);
-        let frame: Rc<[u8]> = protocol::frame(&Flag::Departures(departures)).into();
+        let frame: Rc<[u8]> = protocol::frame(&Message::Departures(departures)).into();
         for peer in self.peers.values().filter(|peer| peer.understands_departures) {
             peer.line.send_frame(frame.clone());
         }
@@ -48,24 +48,24 @@
         let Some(peer) = self.peers.get_mut(&number) else { return };
         peer.understands_departures = true;
         if !departures.is_empty() {
-            peer.line.send(&Flag::Departures(departures));
+            peer.line.send(&Message::Departures(departures));
         }
     }
 
     /// What another process of control is told, that it may tell of departures here.
-    pub(super) fn understands_departures() -> Flag {
-        Flag::NotHolder { number: UNDERSTANDS_DEPARTURES }
+    pub(super) fn understands_departures() -> Message {
+        Message::NotHolder { number: UNDERSTANDS_DEPARTURES }
     }
 
     /// A data plane gave a sign of life, unless it is one on its way from before its departure.
-    pub(super) fn heard_data_plane(&mut self, hail: &Hail, epoch: Epoch, now: u64) {
+    pub(super) fn heard_data_plane(&mut self, hail: &Hello, epoch: Epoch, now: u64) {
         if !self.has_departed(hail) {
             self.office.heard(now as f64, &hail.name, epoch);
         }
     }
 
     /// Whether this incarnation has said that it ended.
-    pub(super) fn has_departed(&self, hail: &Hail) -> bool {
+    pub(super) fn has_departed(&self, hail: &Hello) -> bool {
         self.fleet.has_departed(&hail.name, hail.life)
     }
 
--- a/crates/control-plane/src/master/ending.rs
+++ b/crates/control-plane/src/master/ending.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 
-impl Master {
+impl ControlPlane {
     /// Whether this process leads and goes on to: one that ends takes no further order into its log.
     pub(super) fn takes_orders(&self) -> bool {
         !self.is_ending && self.node.as_ref().is_some_and(|node| node.is_leader())
--- a/crates/control-plane/src/master/entries.rs
+++ b/crates/control-plane/src/master/entries.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::admission::reply_to;
 
-impl Master {
+impl ControlPlane {
     pub(super) fn log(&mut self, input: Input) {
         let now = self.now();
         let Some(node) = &mut self.node else { return };
@@ -32,7 +32,7 @@
                 if let Ok(address) = to.address.parse()
                     && let Some(line) = self.line_to(&address)
                 {
-                    line.send(&Flag::Log { incarnation, message: bitcode::encode(&message) });
+                    line.send(&Message::Log { incarnation, message: bitcode::encode(&message) });
                 }
             }
             Output::Save(save) => {
@@ -62,7 +62,7 @@
     /// Takes over the leader's state. If it can't be read, this process takes no part in the log any more, and writes
     /// nothing of it: it would judge changes, and lead, by a state that is behind its log.
     fn install(&mut self, snapshot: &Snapshot) {
-        match Ledger::restore(&snapshot.state) {
+        match ConfigHistory::restore(&snapshot.state) {
             Ok(ledger) => {
                 self.changed |= ledger.version() > self.ledger.version();
                 self.ledger = ledger;
--- a/crates/control-plane/src/master/links.rs
+++ b/crates/control-plane/src/master/links.rs
@@ -3,12 +3,12 @@
 use super::*;
 use protocol::UNDERSTANDS_DEPARTURES;
 
-impl Master {
+impl ControlPlane {
     pub(super) fn on_opened(&mut self, number: u64, line: Line, dialed: Option<SocketAddr>) {
         let now = self.now();
         if let Some(to) = dialed {
             self.dialing.remove(&to);
-            line.send(&Flag::Hail(self.settings.me.clone()));
+            line.send(&Message::Hello(self.settings.me.clone()));
         }
         let peer = Peer {
             line,
@@ -90,117 +90,120 @@
         }
     }
 
-    pub(super) fn to_masters(&self, flag: &Flag) {
+    pub(super) fn to_masters(&self, flag: &Message) {
         let frame: Rc<[u8]> = protocol::frame(flag).into();
         for peer in self.peers.values().filter(|p| p.dialed.is_some()) {
             peer.line.send_frame(frame.clone());
         }
     }
 
-    pub(super) fn to_followers(&self, flag: &Flag) {
+    pub(super) fn to_followers(&self, flag: &Message) {
         let frame: Rc<[u8]> = protocol::frame(flag).into();
         for peer in self.peers.values().filter(|p| p.follows) {
             peer.line.send_frame(frame.clone());
         }
     }
 
-    pub(super) fn cards(&self) -> Vec<MasterCard> {
+    pub(super) fn cards(&self) -> Vec<ControlPlaneAddress> {
         let me = (&self.settings.address, &self.settings.me.zone);
         let known = self.masters.iter().chain([me]);
-        let cards: BTreeSet<_> =
-            known.map(|(a, zone)| MasterCard { address: a.to_string(), zone: zone.clone() }).collect();
+        let cards: BTreeSet<_> = known
+            .map(|(a, zone)| ControlPlaneAddress { address: a.to_string(), zone: zone.clone() })
+            .collect();
         cards.into_iter().collect()
     }
 
     /// What another master has to know of all that this one knows.
     pub(super) fn tell_everything(&self, number: u64, now: u64) {
         let Some(peer) = self.peers.get(&number) else { return };
-        peer.line.send(&Flag::Masters(self.cards()));
-        peer.line.send(&Flag::Berths { whole: false, berths: self.register.everything(now) });
-        peer.line.send(&Flag::Quays(self.quays_here(now)));
+        peer.line.send(&Message::ControlPlanes(self.cards()));
+        peer.line.send(&Message::Backends { whole: false, berths: self.register.everything(now) });
+        peer.line.send(&Message::DataPlanes(self.quays_here(now)));
     }
 
     pub(super) fn quays_here(&self, now: u64) -> Vec<(String, u64)> {
         let hails = self.peers.values().filter(|p| (p.follows || p.here) && now < p.heard + QUAY_SILENT);
         let quays = hails.filter_map(|p| p.hail.as_ref());
-        let quays = quays.filter(|h| h.plane == Plane::Quay && !self.has_departed(h));
+        let quays = quays.filter(|h| h.plane == Plane::DataPlane && !self.has_departed(h));
         quays.map(|h| (h.name.clone(), h.life)).collect()
     }
 
-    pub(super) fn on_frame(&mut self, number: u64, flag: Flag) {
+    pub(super) fn on_frame(&mut self, number: u64, flag: Message) {
         let now = self.now();
         let Some(peer) = self.peers.get_mut(&number) else { return };
         peer.heard = now;
         self.frames += 1;
         match flag {
-            Flag::Hail(hail) => self.on_hail(number, hail, now),
-            Flag::Welcome(hail) => self.meet(&hail),
-            Flag::Log { incarnation, message } => self.on_log(number, incarnation, &message),
-            Flag::Masters(cards) => {
+            Message::Hello(hail) => self.on_hail(number, hail, now),
+            Message::Welcome(hail) => self.meet(&hail),
+            Message::Log { incarnation, message } => self.on_log(number, incarnation, &message),
+            Message::ControlPlanes(cards) => {
                 for card in cards {
                     if let Ok(address) = card.address.parse() {
                         self.learn_master(address, card.zone);
                     }
                 }
             }
-            Flag::Follow { have } => self.on_follow(number, have, now),
-            Flag::Berths { berths, .. } => {
+            Message::Follow { have } => self.on_follow(number, have, now),
+            Message::Backends { berths, .. } => {
                 let changed = self.register.hear(now, berths);
                 self.tell_berths(changed);
             }
-            Flag::Heard(heard) => {
+            Message::Heard(heard) => {
                 let back = self.register.alive(now, &heard);
                 self.tell_berths(back);
             }
-            Flag::Quays(quays) => {
+            Message::DataPlanes(quays) => {
                 quays.iter().for_each(|(name, life)| self.fleet.heard(now, name, *life));
                 peer.quays = quays;
                 self.resize_fleet(now);
             }
-            Flag::Leave => self.on_leave(number, now),
-            Flag::Departures(departures) => self.on_departures(departures, now),
-            Flag::Here { epoch } => {
+            Message::Leave => self.on_leave(number, now),
+            Message::Departures(departures) => self.on_departures(departures, now),
+            Message::Here { epoch } => {
                 // Below a relay a quay follows no master: its sign to the holders of the counts says that it lives.
                 peer.here = self.root.is_some();
                 if let Some(hail) = peer.hail.clone() {
                     self.heard_data_plane(&hail, epoch, now);
                 }
             }
-            Flag::Offer { number: offer, answered, draws } => {
+            Message::Offer { number: offer, answered, draws } => {
                 self.on_offer(number, offer, answered, draws, now)
             }
-            Flag::Lease { number: offer, roster, ends_in } => self.on_lease(offer, &roster, ends_in, now),
-            Flag::Roster(roster) => self.on_roster(&roster, now),
-            Flag::Handover(handover) => self.on_handover(handover, now),
-            Flag::Draw(draw) => self.on_draw(number, draw, now),
-            Flag::Ask { token, order } => self.on_order(Asker::There { peer: number, token }, order, now),
-            Flag::Told { token, status, body } => self.on_told(number, token, Reply { status, body }),
-            // News of another master, for those without a log.
-            Flag::Pulse(pulse) => self.on_pulse(pulse, now),
-            Flag::Sheet(sheet) => self.on_sheet(sheet),
-            Flag::Splice(splice) => self.on_splice(number, &splice),
-            Flag::Whole => self.on_whole(number),
-            Flag::Relay(word) => self.on_relay(number, word),
-            Flag::NotHolder { number: UNDERSTANDS_DEPARTURES } => self.on_understands_departures(number, now),
-            Flag::Grant(_) | Flag::NotHolder { .. } | Flag::LeaveAccepted => {}
+            Message::Lease { number: offer, roster, ends_in } => self.on_lease(offer, &roster, ends_in, now),
+            Message::HolderAssignment(roster) => self.on_roster(&roster, now),
+            Message::Handover(handover) => self.on_handover(handover, now),
+            Message::LeaseRequest(draw) => self.on_draw(number, draw, now),
+            Message::Ask { token, order } => self.on_order(Asker::There { peer: number, token }, order, now),
+            Message::Told { token, status, body } => self.on_told(number, token, Reply { status, body }),
+            // Update of another master, for those without a log.
+            Message::Heartbeat(pulse) => self.on_pulse(pulse, now),
+            Message::ConfigSnapshot(sheet) => self.on_sheet(sheet),
+            Message::ConfigDelta(splice) => self.on_splice(number, &splice),
+            Message::Whole => self.on_whole(number),
+            Message::Relay(word) => self.on_relay(number, word),
+            Message::NotHolder { number: UNDERSTANDS_DEPARTURES } => {
+                self.on_understands_departures(number, now)
+            }
+            Message::Grant(_) | Message::NotHolder { .. } | Message::LeaveAccepted => {}
         }
     }
 
-    pub(super) fn on_hail(&mut self, number: u64, hail: Hail, now: u64) {
+    pub(super) fn on_hail(&mut self, number: u64, hail: Hello, now: u64) {
         let Some(peer) = self.peers.get_mut(&number) else { return };
         peer.hail = Some(hail.clone());
         match hail.plane {
-            Plane::Quay => {
+            Plane::DataPlane => {
                 self.fleet.heard(now, &hail.name, hail.life);
                 // First that it is there: else it would stand in for one that is silent.
                 self.resize_fleet(now);
                 self.heard_data_plane(&hail, quota::Epoch::default(), now);
             }
-            Plane::Master => {
+            Plane::ControlPlane => {
                 let mut me = self.settings.me.clone();
                 me.incarnation = self.node.as_ref().map(|node| node.me().incarnation);
                 if let Some(peer) = self.peers.get(&number) {
-                    peer.line.send(&Flag::Welcome(me));
+                    peer.line.send(&Message::Welcome(me));
                     peer.line.send(&Self::understands_departures());
                 }
                 self.meet(&hail);
@@ -215,7 +218,7 @@
         }
     }
 
-    pub(super) fn meet(&mut self, hail: &Hail) {
+    pub(super) fn meet(&mut self, hail: &Hello) {
         let Ok(address) = hail.address.parse() else { return };
         self.learn_master(address, hail.zone.clone());
         if let Some(incarnation) =
@@ -240,7 +243,7 @@
         let pulse = self.pulse_for(number, now);
         let Some(peer) = self.peers.get_mut(&number) else { return };
         if let Some(hail) = &peer.hail
-            && hail.plane == Plane::Quay
+            && hail.plane == Plane::DataPlane
         {
             self.fleet.heard(now, &hail.name, hail.life);
         }
@@ -251,14 +254,14 @@
         if std::mem::replace(&mut peer.follows, true) {
             return;
         }
-        peer.line.send(&Flag::Pulse(pulse));
+        peer.line.send(&Message::Heartbeat(pulse));
         self.send_sheet(number);
         let young = now < YOUNG;
         let berths = if young { self.register.everything(now) } else { self.register.all(now) };
         let cards = self.cards();
         if let Some(peer) = self.peers.get(&number) {
-            peer.line.send(&Flag::Berths { whole: !young, berths });
-            peer.line.send(&Flag::Masters(cards));
+            peer.line.send(&Message::Backends { whole: !young, berths });
+            peer.line.send(&Message::ControlPlanes(cards));
         }
     }
 }
--- a/crates/control-plane/src/master/membership.rs
+++ b/crates/control-plane/src/master/membership.rs
@@ -9,7 +9,7 @@
 /// A process that has said nothing for so long, in ms, is not offered to the log as a voter.
 const CANDIDATE_SILENT: u64 = 2500;
 
-impl Master {
+impl ControlPlane {
     /// Tells the log when voters are gone for good, and offers it all that could vote and do not: it wants to be asked
     /// until they do.
     pub(super) fn tend_voters(&mut self, now: u64) {
@@ -34,7 +34,7 @@
     fn candidates(&self, now: u64) -> BTreeSet<VoterId> {
         let heard = self.peers.values().filter(|peer| now < peer.heard + CANDIDATE_SILENT);
         let hails = heard.filter_map(|peer| peer.hail.as_ref());
-        let hails = hails.filter(|hail| hail.plane == Plane::Master && hail.quorum);
+        let hails = hails.filter(|hail| hail.plane == Plane::ControlPlane && hail.quorum);
         hails
             .filter_map(|hail| Some((hail.address.parse::<SocketAddr>().ok()?, hail.incarnation?)))
             .filter(|(address, _)| *address != self.settings.address)
--- a/crates/control-plane/src/master/news.rs
+++ b/crates/control-plane/src/master/news.rs
@@ -4,12 +4,12 @@
 use failure_detector::State;
 use protocol::Departure;
 
-impl Master {
-    pub(super) fn pulse_for(&self, number: u64, now: u64) -> Pulse {
+impl ControlPlane {
+    pub(super) fn pulse_for(&self, number: u64, now: u64) -> Heartbeat {
         let (leader, epoch, fresh) = self.leader(now);
         let (assignment, deputies) = self.deputies(epoch);
         let name = self.peers.get(&number).and_then(|p| p.hail.as_ref()).map_or("", |h| h.name.as_str());
-        Pulse {
+        Heartbeat {
             leader: leader.map(|l| l.to_string()),
             epoch,
             fresh,
@@ -26,7 +26,7 @@
         for number in followers {
             let pulse = self.pulse_for(number, now);
             if let Some(peer) = self.peers.get(&number) {
-                peer.line.send(&Flag::Pulse(pulse));
+                peer.line.send(&Message::Heartbeat(pulse));
             }
         }
         // A master without a log follows those that have one, and only those: two that followed each other would send
@@ -35,13 +35,13 @@
             let have = self.sheets.held();
             for address in self.incarnations.keys() {
                 if let Some(line) = self.line_to(address) {
-                    line.send(&Flag::Follow { have });
+                    line.send(&Message::Follow { have });
                 }
             }
         }
     }
 
-    pub(super) fn on_pulse(&mut self, pulse: Pulse, now: u64) {
+    pub(super) fn on_pulse(&mut self, pulse: Heartbeat, now: u64) {
         let newer = pulse.fresh && pulse.epoch >= self.told.epoch;
         if self.node.is_none() && pulse.leader.is_some() && (newer || now > self.told_at + WORD) {
             let known = (self.told.epoch, self.told.assignment);
@@ -52,7 +52,7 @@
         }
     }
 
-    pub(super) fn on_sheet(&mut self, sheet: Sheet) {
+    pub(super) fn on_sheet(&mut self, sheet: ConfigSnapshot) {
         if self.node.is_none() && sheet.version > self.ledger.version() {
             let base = self.ledger.version();
             let change = Change { base, version: sheet.version, digest: [0; 32], body: sheet.body };
@@ -64,7 +64,7 @@
     }
 
     /// A configuration as a difference. Whoever sent one that makes nothing here is asked for the whole.
-    pub(super) fn on_splice(&mut self, number: u64, splice: &Splice) {
+    pub(super) fn on_splice(&mut self, number: u64, splice: &ConfigDelta) {
         if self.node.is_some() || splice.version <= self.ledger.version() {
             return;
         }
@@ -73,7 +73,7 @@
             Err(unfit) => {
                 spdlog::warn!("{}", unfit, kv: { step = "splice" });
                 if let Some(peer) = self.peers.get(&number) {
-                    peer.line.send(&Flag::Whole);
+                    peer.line.send(&Message::Whole);
                 }
             }
         }
@@ -108,26 +108,26 @@
     pub(super) fn round(&mut self, now: u64) {
         let heard = self.register.round();
         if !heard.is_empty() {
-            self.to_masters(&Flag::Heard(heard));
+            self.to_masters(&Message::Heard(heard));
         }
         let changed = self.register.sweep(now);
         self.tell_berths(changed);
         self.tend_voters(now);
         self.count_quays(now);
         self.look_round(now);
-        self.to_masters(&Flag::Masters(self.cards()));
+        self.to_masters(&Message::ControlPlanes(self.cards()));
         self.fleet.sweep(now);
         self.fleet.divides_by(now, self.slice_divisor(now));
         if !self.grown && now >= YOUNG {
             self.grown = true;
-            self.to_followers(&Flag::Berths { whole: true, berths: self.register.all(now) });
+            self.to_followers(&Message::Backends { whole: true, berths: self.register.all(now) });
             self.take_root(now);
         }
         self.watch.quays(now, self.fleet.incarnations());
         self.resize_fleet(now);
     }
 
-    /// Quays that are heard here, and those of which other masters say so: their word stands while they are heard.
+    /// DataPlanes that are heard here, and those of which other masters say so: their word stands while they are heard.
     fn count_quays(&mut self, now: u64) {
         let mut quays = self.quays_here(now);
         let told = self.peers.values().filter(|peer| now < peer.heard + QUAY_SILENT);
@@ -136,7 +136,7 @@
         }
         quays.sort_unstable();
         if quays != self.told_quays.0 || now >= self.told_quays.1 + QUAYS_AGAIN {
-            self.to_masters(&Flag::Quays(quays.clone()));
+            self.to_masters(&Message::DataPlanes(quays.clone()));
             self.told_quays = (quays, now);
         }
     }
@@ -163,11 +163,11 @@
         self.on_departures(departures, now);
     }
 
-    pub(super) fn tell_berths(&mut self, berths: Vec<Berth>) {
+    pub(super) fn tell_berths(&mut self, berths: Vec<Backend>) {
         if !berths.is_empty() {
             let now = self.now();
             self.watch.berths(now, &berths);
-            self.to_followers(&Flag::Berths { whole: false, berths: berths.clone() });
+            self.to_followers(&Message::Backends { whole: false, berths: berths.clone() });
             self.tell_tree(relay_tree::Input::Change(berths));
         }
     }
@@ -176,7 +176,7 @@
     pub(super) fn renewed(&mut self) {
         let Some(body) = self.ledger.body() else { return };
         self.config = Config::parse(body).ok();
-        self.sheets = Sheets::new(self.ledger.version(), body);
+        self.sheets = ConfigEncoder::new(self.ledger.version(), body);
         let followers: Vec<u64> = self.peers.iter().filter(|(_, p)| p.follows).map(|(n, _)| *n).collect();
         for number in followers {
             self.send_sheet(number);
--- a/crates/control-plane/src/master/office.rs
+++ b/crates/control-plane/src/master/office.rs
@@ -11,7 +11,7 @@
 
 /// The log is told of another number of quays once it is off by more than one in so many.
 const FLEET_MOVES: u32 = 8;
-impl Master {
+impl ControlPlane {
     /// Whoever holds the lease of the log holds the counts, and may share them out.
     pub(super) fn tend_office(&mut self, now: u64) {
         self.count_draws(now);
@@ -36,11 +36,11 @@
             self.office.assume(now as f64, &self.roster, first);
             let quays = self.peers.values().filter(|p| now < p.heard + QUAY_SILENT);
             for (peer, hail) in quays.filter_map(|p| Some((p, p.hail.as_ref()?))) {
-                if hail.plane == Plane::Quay && !self.has_departed(hail) {
+                if hail.plane == Plane::DataPlane && !self.has_departed(hail) {
                     self.office.heard(peer.heard as f64, &hail.name, Epoch::first(term));
                 }
             }
-            self.watch.note(now, self.settings.address.to_string(), Happened::Office(true));
+            self.watch.note(now, self.settings.address.to_string(), Happened::QuotaService(true));
         } else if holds {
             self.share_out(now);
         }
@@ -81,7 +81,7 @@
     pub(super) fn resign(&mut self, now: u64) {
         if self.placer.take().is_some() {
             self.office.resign();
-            self.watch.note(now, self.settings.address.to_string(), Happened::Office(false));
+            self.watch.note(now, self.settings.address.to_string(), Happened::QuotaService(false));
         }
     }
 
@@ -100,7 +100,7 @@
             self.roster = placer.roster().clone();
             let told = self.office.assume(now as f64, &self.roster, false);
             // The assignment goes first: a new holder has to know that it is one.
-            self.to_masters(&Flag::Roster(self.roster.clone()));
+            self.to_masters(&Message::HolderAssignment(self.roster.clone()));
             self.hand_over(told);
             self.next[1] = now;
         }
@@ -116,7 +116,7 @@
         self.offers.next = now + if deputy { RENEW } else { OFFER };
         let number = self.offers.sent.back().map_or(1, |(number, _)| number + 1);
         let Some(line) = self.line_to(&leader) else { return };
-        line.send(&Flag::Offer { number, answered: self.offers.answered, draws: self.offers.draws.2 });
+        line.send(&Message::Offer { number, answered: self.offers.answered, draws: self.offers.draws.2 });
         self.offers.sent.push_back((number, now));
         if self.offers.sent.len() > OFFERS {
             self.offers.sent.pop_front();
@@ -129,16 +129,17 @@
         else {
             return;
         };
-        let Some(hail) = peer.hail.as_ref().filter(|hail| hail.plane == Plane::Master && hail.quorum) else {
+        let Some(hail) = peer.hail.as_ref().filter(|hail| hail.plane == Plane::ControlPlane && hail.quorum)
+        else {
             return;
         };
         let draws = if draws.is_finite() { draws.max(0.0) } else { 0.0 };
         let deputy = placer.asked(now as f64, &hail.address, answered, draws);
         let ends_in = if deputy { (until - now) as f64 } else { 0.0 };
-        peer.line.send(&Flag::Lease { number: offer, roster: placer.roster().clone(), ends_in });
+        peer.line.send(&Message::Lease { number: offer, roster: placer.roster().clone(), ends_in });
     }
 
-    pub(super) fn on_lease(&mut self, offer: u64, roster: &Roster, ends_in: f64, now: u64) {
+    pub(super) fn on_lease(&mut self, offer: u64, roster: &HolderAssignment, ends_in: f64, now: u64) {
         self.on_roster(roster, now);
         self.offers.answered = self.offers.answered.max(offer);
         let sent = self.offers.sent.iter().find(|(number, _)| *number == offer).map(|(_, sent)| *sent);
@@ -154,7 +155,7 @@
     }
 
     /// Another process, the leader as a rule, tells of an assignment.
-    pub(super) fn on_roster(&mut self, roster: &Roster, now: u64) {
+    pub(super) fn on_roster(&mut self, roster: &HolderAssignment, now: u64) {
         // A voter that knows of a newer term expects nothing from the leader of an old one.
         if roster.epoch <= self.roster.epoch
             || self.node.as_ref().is_none_or(|n| roster.epoch.term < n.term())
@@ -193,7 +194,7 @@
     fn hand_over(&self, told: Vec<(String, Handover)>) {
         for (to, handover) in told {
             if let Some(line) = to.parse().ok().and_then(|to| self.line_to(&to)) {
-                line.send(&Flag::Handover(handover));
+                line.send(&Message::Handover(handover));
             }
         }
     }
@@ -213,7 +214,7 @@
         (number, others.cloned().collect())
     }
 
-    pub(super) fn on_draw(&mut self, number: u64, draw: quota::Draw, now: u64) {
+    pub(super) fn on_draw(&mut self, number: u64, draw: quota::LeaseRequest, now: u64) {
         self.renew(now);
         let Some(peer) = self.peers.get(&number) else { return };
         let Some(hail) = &peer.hail else { return };
@@ -224,11 +225,11 @@
         let flag = match self.office.draw(now as f64, &hail.name, &draw) {
             Some(grant) => {
                 self.watch.counted.draws.0 += 1;
-                Flag::Grant(grant)
+                Message::Grant(grant)
             }
             None => {
                 self.watch.counted.draws.1 += 1;
-                Flag::NotHolder { number: draw.number }
+                Message::NotHolder { number: draw.number }
             }
         };
         peer.line.send(&flag);
--- a/crates/control-plane/src/master/orders.rs
+++ b/crates/control-plane/src/master/orders.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::admission::{Decision, decide};
 
-impl Master {
+impl ControlPlane {
     pub(super) fn on_call(&mut self, call: Call, reply: oneshot::Sender<Reply>) {
         let now = self.now();
         *self.watch.counted.calls.entry(call.kind()).or_default() += 1;
@@ -40,7 +40,7 @@
 
     pub(super) fn on_judgement(&mut self, judgement: Judgement) {
         if let Judgement::Changed(berths) = judgement {
-            self.to_masters(&Flag::Berths { whole: false, berths: berths.clone() });
+            self.to_masters(&Message::Backends { whole: false, berths: berths.clone() });
             self.tell_berths(berths);
         }
     }
@@ -74,7 +74,7 @@
             } else if let Some(to) = leader.filter(|to| *to != self.settings.address)
                 && let Some((number, line)) = self.connection_to(&to)
                 && let Some(waiting) = self.waiting.get_mut(&token)
-                && line.send(&Flag::Ask { token, order: waiting.order.clone() })
+                && line.send(&Message::Ask { token, order: waiting.order.clone() })
             {
                 waiting.passed = Some(number);
             }
@@ -133,7 +133,7 @@
             Asker::There { peer, token } => {
                 if let Some(peer) = self.peers.get(&peer) {
                     let Reply { status, body } = reply;
-                    peer.line.send(&Flag::Told { token, status, body });
+                    peer.line.send(&Message::Told { token, status, body });
                 }
             }
         }
@@ -184,7 +184,7 @@
     }
 }
 
-impl Master {
+impl ControlPlane {
     /// Its answer waits until the log has decided.
     fn propose(&mut self, asker: Asker, change: &Change, now: u64) {
         self.tokens += 1;
--- a/crates/control-plane/src/master/told.rs
+++ b/crates/control-plane/src/master/told.rs
@@ -1,11 +1,11 @@
 //! What operators are told: status, history, records, metrics.
 
-use super::Master;
+use super::ControlPlane;
 use crate::calls::Reply;
 use observability::Page;
 use serde_json::json;
 
-impl Master {
+impl ControlPlane {
     /// How things stand, for operators.
     pub(super) fn status(&self, now: u64) -> Reply {
         let (leader, epoch, fresh) = self.leader(now);
--- a/crates/control-plane/src/master/tree.rs
+++ b/crates/control-plane/src/master/tree.rs
@@ -14,7 +14,7 @@
     next: u64,
 }
 
-impl Master {
+impl ControlPlane {
     /// From when it may be followed: before, its list does not say who is not there.
     pub(super) fn take_root(&mut self, now: u64) {
         let Some(room) = self.settings.relay_room else { return };
@@ -29,8 +29,8 @@
 
     pub(super) fn tell_tree_sheet(&mut self) {
         if let Some(body) = self.ledger.body() {
-            let sheet = Sheet { version: self.ledger.version(), body: body.to_vec() };
-            self.tell_tree(Moved::Sheet(sheet));
+            let sheet = ConfigSnapshot { version: self.ledger.version(), body: body.to_vec() };
+            self.tell_tree(Moved::ConfigSnapshot(sheet));
         }
     }
 
--- a/crates/control-plane/src/watch.rs
+++ b/crates/control-plane/src/watch.rs
@@ -3,7 +3,7 @@
 use crate::admission::Decision;
 use crate::ledger::Verdict;
 use observability::{Ring, Seldom};
-use protocol::{Berth, Phase};
+use protocol::{Backend, Phase};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
@@ -14,7 +14,7 @@
 const OF_BACKENDS: usize = 384;
 /// All other records.
 const OF_OTHERS: usize = 128;
-/// Quays that are gone are known by name up to so many, to tell a return from a first word.
+/// DataPlanes that are gone are known by name up to so many, to tell a return from a first word.
 const MOST_QUAYS: usize = 4096;
 
 /// So many lines of one kind go to the log in so many ms; what is left out there is among the records.
@@ -28,7 +28,7 @@
     /// Another leader, or none.
     Leader(Option<SocketAddr>),
     /// This process holds the counts, or does no more.
-    Office(bool),
+    QuotaService(bool),
     /// A change was decided on.
     Change(Verdict),
     /// A configuration that can't be read.
@@ -36,7 +36,7 @@
     /// A backend of a service.
     Backend(Rc<str>, Seen),
     /// A quay.
-    Quay(Seen),
+    DataPlane(Seen),
     /// The voters are these now.
     Voters(Box<[Box<str>]>),
 }
@@ -72,10 +72,10 @@
     fn step(&self) -> &'static str {
         match self {
             Self::Leader(_) => "leader",
-            Self::Office(_) => "office",
+            Self::QuotaService(_) => "office",
             Self::Change(_) | Self::Unread(_) => "config",
             Self::Backend(..) => "backend",
-            Self::Quay(_) => "quay",
+            Self::DataPlane(_) => "quay",
             Self::Voters(_) => "voters",
         }
     }
@@ -86,8 +86,8 @@
         match self {
             Self::Leader(Some(leader)) => write!(f, "{leader} leads, as far as this process knows"),
             Self::Leader(None) => write!(f, "no leader is known here"),
-            Self::Office(true) => write!(f, "this process holds the counts"),
-            Self::Office(false) => write!(f, "this process holds the counts no more"),
+            Self::QuotaService(true) => write!(f, "this process holds the counts"),
+            Self::QuotaService(false) => write!(f, "this process holds the counts no more"),
             Self::Change(Verdict::Taken) => write!(f, "taken: in force from here on"),
             Self::Change(Verdict::TakenBefore) => write!(f, "the same had been taken before"),
             Self::Change(Verdict::Stale { current }) => {
@@ -104,7 +104,7 @@
             }
             Self::Unread(why) => write!(f, "refused: {why}"),
             Self::Backend(service, seen) => write!(f, "backend of {service}: {seen}"),
-            Self::Quay(seen) => write!(f, "quay: {seen}"),
+            Self::DataPlane(seen) => write!(f, "quay: {seen}"),
             Self::Voters(list) => write!(f, "the voters are {}", list.join(", ")),
         }
     }
@@ -241,7 +241,7 @@
     }
 
     /// These backends are told otherwise from now on.
-    pub fn berths(&mut self, at: u64, berths: &[Berth]) {
+    pub fn berths(&mut self, at: u64, berths: &[Backend]) {
         for berth in berths {
             let known = self.known.get(&*berth.id).copied();
             let seen = match (known, berth.phase) {
@@ -298,7 +298,7 @@
         changed.extend(lost.map(|(name, _)| (name.clone(), None, Seen::Gone)));
         for (name, life, seen) in changed {
             self.quays.insert(name.clone(), life);
-            self.note(at, name, What::Quay(seen));
+            self.note(at, name, What::DataPlane(seen));
         }
     }
 
@@ -332,8 +332,8 @@
 mod tests {
     use super::*;
 
-    fn berth(phase: Phase, overdue: bool) -> Berth {
-        Berth {
+    fn berth(phase: Phase, overdue: bool) -> Backend {
+        Backend {
             id: "i".into(),
             service: "s".into(),
             address: "127.0.0.1:9".into(),
@@ -386,7 +386,7 @@
         let mut watch = Watch::new();
         watch.stands(1, Some(([127, 0, 0, 1], 7).into()), 3, 2);
         for n in 0..OF_BACKENDS * 2 {
-            watch.berths(2, &[Berth { id: n.to_string(), ..berth(Phase::Serving, false) }]);
+            watch.berths(2, &[Backend { id: n.to_string(), ..berth(Phase::Serving, false) }]);
         }
         assert_eq!(texts(&watch, "127.0.0.1:7").len(), 1);
         assert_eq!((texts(&watch, "s").len(), watch.dropped()), (OF_BACKENDS, OF_BACKENDS as u64));
--- a/crates/control-plane/tests/bytes.rs
+++ b/crates/control-plane/tests/bytes.rs
@@ -2,11 +2,11 @@
 //! few words, and what is taken for right is read the same again.
 
 use config::{Config, Settings};
-use control_plane::{CALLS, Call, Change, Ledger, Place};
+use control_plane::{CALLS, Call, Change, ConfigHistory, Place};
 use fault_injection::mutate::Mutator;
 use hyper::header::{HeaderMap, HeaderValue};
 use protocol::relay::{Mark, Word};
-use protocol::{Berth, Flag, Hail, Held, Phase, Plane, Pulse, Splice, frame, unframe};
+use protocol::{Backend, ConfigDelta, Heartbeat, Held, Hello, Message, Phase, Plane, frame, unframe};
 
 /// Changed texts for each reader: some seconds, also on a slow machine.
 const EACH: usize = 3000;
@@ -90,8 +90,8 @@
     }
 }
 
-fn berth(id: &str, count: u64) -> Berth {
-    Berth {
+fn berth(id: &str, count: u64) -> Backend {
+    Backend {
         id: id.into(),
         service: "customs".into(),
         address: "10.0.0.1:80".into(),
@@ -107,28 +107,34 @@
 
 #[test]
 fn frames() {
-    let hail = Hail {
+    let hail = Hello {
         name: "m1".into(),
         life: 7,
-        plane: Plane::Quay,
+        plane: Plane::DataPlane,
         address: "10.0.0.1:80".into(),
         zone: "north".into(),
         quorum: false,
         incarnation: None,
     };
     let whole = [
-        Flag::Hail(hail),
-        Flag::Follow { have: Held { version: 7, mark: 9 } },
-        Flag::Splice(Splice { version: 8, base: 7, digest: [7; 32], length: 9, bytes: vec![1, 2, 3] }),
-        Flag::Relay(Word::Missed { mark: Mark { epoch: 3, sequence: 4 }, version: 7 }),
-        Flag::Pulse(Pulse::default()),
-        Flag::Heard(vec![("i-1".into(), 3), ("i-2".into(), 9)]),
-        Flag::Berths { whole: true, berths: vec![berth("i-1", 4), berth("i-2", u64::MAX)] },
+        Message::Hello(hail),
+        Message::Follow { have: Held { version: 7, mark: 9 } },
+        Message::ConfigDelta(ConfigDelta {
+            version: 8,
+            base: 7,
+            digest: [7; 32],
+            length: 9,
+            bytes: vec![1, 2, 3],
+        }),
+        Message::Relay(Word::Missed { mark: Mark { epoch: 3, sequence: 4 }, version: 7 }),
+        Message::Heartbeat(Heartbeat::default()),
+        Message::Heard(vec![("i-1".into(), 3), ("i-2".into(), 9)]),
+        Message::Backends { whole: true, berths: vec![berth("i-1", 4), berth("i-2", u64::MAX)] },
     ];
-    feed(5, whole.iter().map(frame).collect(), |bytes| match unframe::<Flag>(bytes) {
+    feed(5, whole.iter().map(frame).collect(), |bytes| match unframe::<Message>(bytes) {
         Ok(Some((flag, taken))) => {
             assert!(taken <= bytes.len());
-            let again = unframe::<Flag>(&frame(&flag)).expect("whole").expect("whole");
+            let again = unframe::<Message>(&frame(&flag)).expect("whole").expect("whole");
             assert_eq!(format!("{:?}", again.0), format!("{flag:?}"));
             true
         }
@@ -141,11 +147,11 @@
     let change = |base, version| Change { base, version, digest: [7; 32], body: b"{\"a\":1}".to_vec() };
     let changes = [change(0, 1), change(1, u64::MAX)];
     feed(6, changes.iter().map(bitcode::encode).collect(), |bytes| Change::read(bytes).is_ok());
-    let mut ledger = Ledger::default();
+    let mut ledger = ConfigHistory::default();
     for version in 1..=9 {
         ledger.apply(Place::default(), change(version - 1, version));
     }
-    feed(7, vec![bitcode::encode(&ledger)], |bytes| match Ledger::restore(bytes) {
+    feed(7, vec![bitcode::encode(&ledger)], |bytes| match ConfigHistory::restore(bytes) {
         Ok(mut ledger) => {
             // What was restored can be used, whatever it is.
             ledger.apply(Place::default(), change(ledger.version(), ledger.version().saturating_add(1)));
--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/contact.rs
@@ -11,7 +11,7 @@
 
 use control_plane::{Call, Faults};
 use linearizability::{Answer, ConfigRegister, History, Order, check};
-use protocol::{Berth, Flag, Phase};
+use protocol::{Backend, Message, Phase};
 use simulation::{Link, Random, Simulation};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -161,7 +161,9 @@
     async fn follow(&self, process: usize) {
         let mut frames = self.simulation.follow(process).await;
         while let Some(frame) = frames.recv().await {
-            let Ok(Some((Flag::Pulse(pulse), _))) = protocol::unframe::<Flag>(&frame) else { continue };
+            let Ok(Some((Message::Heartbeat(pulse), _))) = protocol::unframe::<Message>(&frame) else {
+                continue;
+            };
             let mut seen = self.seen.borrow_mut();
             let known = seen.acknowledged.iter().filter(|(at, _)| at.elapsed() > AGE);
             let newest = known.map(|(_, version)| *version).max().unwrap_or(0);
@@ -181,7 +183,7 @@
     async fn leave(&self, process: usize) {
         for number in 1.. {
             sleep(Duration::from_millis(200)).await;
-            let leaving = Berth {
+            let leaving = Backend {
                 id: format!("b-{process}"),
                 service: "s".into(),
                 address: "10.1.0.1:80".into(),
--- a/crates/control-plane/tests/fleet/mod.rs
+++ b/crates/control-plane/tests/fleet/mod.rs
@@ -15,8 +15,8 @@
 /// A list from before a departure comes by way of another process; `marker` shows that it was read.
 fn late_list(to: SocketAddr, name: &str, marker: &str) -> Played {
     let mut other = Played::new(TcpStream::connect(to).expect("a connection"));
-    other.say(&Flag::Hail(hail("late", 1, Plane::Master)));
-    other.say(&Flag::Quays(vec![(name.into(), 1), (marker.into(), 1)]));
+    other.say(&Message::Hello(hail("late", 1, Plane::ControlPlane)));
+    other.say(&Message::DataPlanes(vec![(name.into(), 1), (marker.into(), 1)]));
     other
 }
 
@@ -58,20 +58,20 @@
     let earlier = TcpListener::bind(ports[2]).expect("a listener");
     let process = Process::start(0, ports[0], &[ports[0], ports[2]], ports[1], None, true);
     let mut earlier = Played::new(earlier.accept().expect("a connection").0);
-    earlier.say(&Flag::Welcome(hail("earlier", 1, Plane::Master)));
+    earlier.say(&Message::Welcome(hail("earlier", 1, Plane::ControlPlane)));
     Played::data_plane(ports[0], "a", 1).leave();
     counts(&process, &[]);
     let mut rounds = 0;
     while rounds < 2 {
         match earlier.next() {
-            Flag::Masters(_) => rounds += 1,
-            Flag::Departures(_) => panic!("it would have closed the connection"),
+            Message::ControlPlanes(_) => rounds += 1,
+            Message::Departures(_) => panic!("it would have closed the connection"),
             _ => {}
         }
     }
-    earlier.say(&Flag::NotHolder { number: protocol::UNDERSTANDS_DEPARTURES });
+    earlier.say(&Message::NotHolder { number: protocol::UNDERSTANDS_DEPARTURES });
     let departures = until(|| match earlier.next() {
-        Flag::Departures(departures) => Some(departures),
+        Message::Departures(departures) => Some(departures),
         _ => None,
     });
     assert_eq!((departures[0].name.as_str(), departures[0].incarnation), ("a", 1));
@@ -82,14 +82,20 @@
     let ports = free_ports(2);
     let _process = Process::start(VOTERS, ports[0], &[ports[0]], ports[1], None, true);
     let mut voter = Played::new(until(|| TcpStream::connect(ports[0]).ok()));
-    voter.say(&Flag::Hail(hail("voter", 1, Plane::Master)));
+    voter.say(&Message::Hello(hail("voter", 1, Plane::ControlPlane)));
     let leader = Some(ports[1].to_string());
-    voter.say(&Flag::Pulse(Pulse { leader, epoch: 1, fresh: true, fleet: 9, ..Pulse::default() }));
+    voter.say(&Message::Heartbeat(Heartbeat {
+        leader,
+        epoch: 1,
+        fresh: true,
+        fleet: 9,
+        ..Heartbeat::default()
+    }));
     // It has heard of one data plane itself: that one's slice would be the whole of each quota. The leader that it was told
     // of answers nothing, so that no word is of this moment; none of them may say less than it was told.
     let mut only = Played::data_plane(ports[0], "a", 1);
     let fleet = until(|| match only.next() {
-        Flag::Pulse(pulse) if pulse.leader.is_some() => Some(pulse.fleet),
+        Message::Heartbeat(pulse) if pulse.leader.is_some() => Some(pulse.fleet),
         _ => None,
     });
     assert_eq!(fleet, 9);
--- a/crates/control-plane/tests/forwarded.rs
+++ b/crates/control-plane/tests/forwarded.rs
@@ -1,7 +1,7 @@
 //! Calls that go on to the leader: their answers come on the connection that carried them, or not at all.
 
-use control_plane::{Master, MasterSettings, Tolerance};
-use protocol::{Flag, Hail, Plane, Pulse};
+use control_plane::{ControlPlane, ControlPlaneSettings, Tolerance};
+use protocol::{Heartbeat, Hello, Message, Plane};
 use raft::Timing;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -16,11 +16,11 @@
 /// Only a hang takes as long.
 const LONG: Duration = Duration::from_secs(20);
 
-fn hail(name: &str, address: SocketAddr) -> Hail {
-    Hail {
+fn hail(name: &str, address: SocketAddr) -> Hello {
+    Hello {
         name: name.into(),
         life: 1,
-        plane: Plane::Master,
+        plane: Plane::ControlPlane,
         address: address.to_string(),
         zone: "a".into(),
         quorum: false,
@@ -32,7 +32,7 @@
 async fn follower(leader: SocketAddr) -> (SocketAddr, SocketAddr) {
     let (peers, calls) = (listener().await, listener().await);
     let addresses = (peers.local_addr().expect("an address"), calls.local_addr().expect("an address"));
-    let settings = MasterSettings {
+    let settings = ControlPlaneSettings {
         me: hail("m1", addresses.0),
         address: addresses.0,
         seeds: vec![leader],
@@ -51,7 +51,7 @@
         numbers.set(numbers.get() + 1);
         numbers.get()
     });
-    let master = Master::new(settings, None, commands.clone(), numbers.clone());
+    let master = ControlPlane::new(settings, None, commands.clone(), numbers.clone());
     spawn_local(control_plane::listen(peers, commands.clone(), move || numbers()));
     spawn_local(control_plane::serve(calls, commands, 16));
     spawn_local(master.run(queue));
@@ -67,20 +67,25 @@
     let (stream, peer) = leader.accept().await.expect("a connection");
     let (line, reader) = attach(stream, peer);
     let address = leader.local_addr().expect("an address").to_string();
-    line.send(&Flag::Pulse(Pulse { leader: Some(address), epoch: 1, fresh: true, ..Pulse::default() }));
+    line.send(&Message::Heartbeat(Heartbeat {
+        leader: Some(address),
+        epoch: 1,
+        fresh: true,
+        ..Heartbeat::default()
+    }));
     (line, reader)
 }
 
 async fn asked(from: &mut Reader) -> u64 {
     loop {
-        if let Flag::Ask { token, .. } = from.next().await.expect("a message") {
+        if let Message::Ask { token, .. } = from.next().await.expect("a message") {
             return token;
         }
     }
 }
 
-fn told(token: u64, body: &str) -> Flag {
-    Flag::Told { token, status: 200, body: body.into() }
+fn told(token: u64, body: &str) -> Message {
+    Message::Told { token, status: 200, body: body.into() }
 }
 
 async fn read(calls: SocketAddr) -> String {
@@ -105,8 +110,8 @@
         let (other, mut answers) = dial(peers, &config::Detours::default()).await.expect("a connection");
         other.send(&told(token, "of another connection"));
         // Once this is answered, what was sent before has been read.
-        other.send(&Flag::Hail(hail("m2", peers)));
-        assert!(matches!(answers.next().await, Ok(Flag::Welcome(_))));
+        other.send(&Message::Hello(hail("m2", peers)));
+        assert!(matches!(answers.next().await, Ok(Message::Welcome(_))));
         line.send(&told(token + 1, "of another call"));
         let second = spawn_local(read(calls));
         let next = asked(&mut reader).await;
--- a/crates/control-plane/tests/harbour.rs
+++ b/crates/control-plane/tests/harbour.rs
@@ -1,11 +1,11 @@
-//! Masters as threads with a runtime each, over loopback and on real files: what an operator sees while they come and go.
+//! ControlPlanes as threads with a runtime each, over loopback and on real files: what an operator sees while they come and go.
 
 mod fleet;
 mod played;
 
-use control_plane::{Change, Disk, Losses, Master, MasterSettings, Tolerance};
-use protocol::{Flag, Hail, Held, Plane, Pulse, Sheet};
-use raft::{Entry, Message, Snapshot, Timing, VoterId, What};
+use control_plane::{Change, ControlPlane, ControlPlaneSettings, Disk, Losses, Tolerance};
+use protocol::{ConfigSnapshot, Heartbeat, Held, Hello, Message, Plane};
+use raft::{Entry, Message as LogMessage, Snapshot, Timing, VoterId, What};
 use std::cell::Cell;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -55,10 +55,10 @@
                 };
                 // The thread of the process before may take a moment to let go of the file.
                 let log = folder.map(|folder| until(|| Disk::open(&folder, newcomer, commands.clone()).ok()));
-                let me = Hail {
+                let me = Hello {
                     name: format!("m{at}"),
                     life: 1,
-                    plane: Plane::Master,
+                    plane: Plane::ControlPlane,
                     address: address.to_string(),
                     zone: "a".into(),
                     quorum: log.is_some(),
@@ -66,7 +66,7 @@
                 };
                 let timing = Timing { heartbeat: 40, election: 300, lease: 200 };
                 let seed = at as u64 + 5;
-                let settings = MasterSettings {
+                let settings = ControlPlaneSettings {
                     me,
                     address,
                     seeds,
@@ -84,7 +84,7 @@
                     numbers.set(numbers.get() + 1);
                     numbers.get()
                 });
-                let master = Master::new(settings, log, commands.clone(), numbers.clone());
+                let master = ControlPlane::new(settings, log, commands.clone(), numbers.clone());
                 let listen = |address| {
                     let listener = TcpListener::bind(address).expect("the port");
                     listener.set_nonblocking(true).expect("not blocking");
@@ -374,11 +374,11 @@
 }
 
 /// The next configuration on this connection, in whatever form.
-fn next_sheet(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Flag {
+fn next_sheet(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Message {
     until(|| {
-        while let Some((flag, taken)) = protocol::unframe::<Flag>(buffer).expect("a message") {
+        while let Some((flag, taken)) = protocol::unframe::<Message>(buffer).expect("a message") {
             buffer.drain(..taken);
-            if matches!(flag, Flag::Sheet(_) | Flag::Splice(_)) {
+            if matches!(flag, Message::ConfigSnapshot(_) | Message::ConfigDelta(_)) {
                 return Some(flag);
             }
         }
@@ -395,10 +395,10 @@
     let masters = harbour.all(true);
     assert_eq!(masters[0].insist(0, &config(3)), 200);
     assert_eq!(until(|| masters[1].read().1.contains("r3").then_some(())), ());
-    let hail = Hail {
+    let hail = Hello {
         name: "q".into(),
         life: 1,
-        plane: Plane::Quay,
+        plane: Plane::DataPlane,
         address: "127.0.0.1:1".into(),
         zone: "a".into(),
         quorum: false,
@@ -406,23 +406,25 @@
     };
     let mut stream = TcpStream::connect(harbour.peers[1]).expect("a line");
     stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
-    let mut say = |flag: Flag| stream.write_all(&protocol::frame(&flag)).expect("sent");
-    say(Flag::Hail(hail));
-    say(Flag::Follow { have: Held::default() });
+    let mut say = |flag: Message| stream.write_all(&protocol::frame(&flag)).expect("sent");
+    say(Message::Hello(hail));
+    say(Message::Follow { have: Held::default() });
     let (mut read, mut buffer) = (stream.try_clone().expect("the same"), Vec::new());
-    let Flag::Splice(first) = next_sheet(&mut read, &mut buffer) else { panic!("nothing was known") };
+    let Message::ConfigDelta(first) = next_sheet(&mut read, &mut buffer) else { panic!("nothing was known") };
     assert_eq!(first.base, 0);
     let first = rebuild(None, &first).expect("the first");
     assert_eq!(first.body, config(3).into_bytes());
     assert_eq!(masters[2].insist(3, &config(4)), 200);
-    let Flag::Splice(next) = next_sheet(&mut read, &mut buffer) else { panic!("it has the one before") };
+    let Message::ConfigDelta(next) = next_sheet(&mut read, &mut buffer) else {
+        panic!("it has the one before")
+    };
     assert_eq!(next.base, 3);
     assert_eq!(rebuild(Some(&first.body), &next).expect("the next").body, config(4).into_bytes());
     // It could not make it out, so it says.
-    let mut say = |flag: Flag| stream.write_all(&protocol::frame(&flag)).expect("sent");
-    say(Flag::Whole);
-    let whole = Sheet { version: 4, body: config(4).into_bytes() };
-    assert_eq!(next_sheet(&mut read, &mut buffer), Flag::Sheet(whole));
+    let mut say = |flag: Message| stream.write_all(&protocol::frame(&flag)).expect("sent");
+    say(Message::Whole);
+    let whole = ConfigSnapshot { version: 4, body: config(4).into_bytes() };
+    assert_eq!(next_sheet(&mut read, &mut buffer), Message::ConfigSnapshot(whole));
 }
 
 #[test]
@@ -532,28 +534,28 @@
     let _masters = harbour.all(false);
     // It follows before there is a leader, as all do whose machines come back together.
     let mut follower = until(|| TcpStream::connect(harbour.peers[0]).ok());
-    let hail = Hail {
+    let hail = Hello {
         name: "q".into(),
         life: 1,
-        plane: Plane::Quay,
+        plane: Plane::DataPlane,
         address: "127.0.0.1:1".into(),
         zone: "a".into(),
         quorum: false,
         incarnation: None,
     };
-    let frames = [Flag::Hail(hail), Flag::Follow { have: Held::default() }]
+    let frames = [Message::Hello(hail), Message::Follow { have: Held::default() }]
         .map(|flag| protocol::frame(&flag))
         .concat();
     follower.write_all(&frames).expect("sent");
     follower.set_read_timeout(Some(PATIENCE)).expect("a limit");
     let (mut read, mut sheets) = (Vec::new(), Vec::new());
     loop {
-        while let Some((flag, length)) = protocol::unframe::<Flag>(&read).expect("a frame") {
+        while let Some((flag, length)) = protocol::unframe::<Message>(&read).expect("a frame") {
             read.drain(..length);
             match flag {
-                Flag::Sheet(sheet) => sheets.push(sheet.version),
-                Flag::Splice(splice) => sheets.push(splice.version),
-                Flag::Pulse(pulse) if pulse.fresh => {
+                Message::ConfigSnapshot(sheet) => sheets.push(sheet.version),
+                Message::ConfigDelta(splice) => sheets.push(splice.version),
+                Message::Heartbeat(pulse) if pulse.fresh => {
                     assert_eq!((pulse.version, sheets), (9, vec![9]));
                     return;
                 }
@@ -585,19 +587,24 @@
     let voters: Vec<_> = (0..2)
         .map(|at| {
             let address = harbour.peers[at];
-            let hail = Hail {
+            let hail = Hello {
                 name: format!("v{at}"),
                 life: 1,
-                plane: Plane::Master,
+                plane: Plane::ControlPlane,
                 address: address.to_string(),
                 zone: "a".into(),
                 quorum: true,
                 incarnation: Some(0),
             };
-            let pulse =
-                Pulse { leader: Some(address.to_string()), epoch: 1, fresh: true, ..Pulse::default() };
+            let pulse = Heartbeat {
+                leader: Some(address.to_string()),
+                epoch: 1,
+                fresh: true,
+                ..Heartbeat::default()
+            };
             let mut stream = TcpStream::connect(pair[at]).expect("a line");
-            let frames = [Flag::Hail(hail), Flag::Pulse(pulse)].map(|flag| protocol::frame(&flag)).concat();
+            let frames =
+                [Message::Hello(hail), Message::Heartbeat(pulse)].map(|flag| protocol::frame(&flag)).concat();
             stream.write_all(&frames).expect("sent");
             stream
         })
@@ -615,22 +622,22 @@
 
 /// A connection to a process from one that says of itself that it is another voter.
 fn line_of_voter(harbour: &Harbour, at: usize, to: usize) -> TcpStream {
-    let hail = Hail {
+    let hail = Hello {
         name: format!("m{at}"),
         life: 1,
-        plane: Plane::Master,
+        plane: Plane::ControlPlane,
         address: harbour.peers[at].to_string(),
         zone: "a".into(),
         quorum: true,
         incarnation: Some(0),
     };
     let mut stream = until(|| TcpStream::connect(harbour.peers[to]).ok());
-    stream.write_all(&protocol::frame(&Flag::Hail(hail))).expect("sent");
+    stream.write_all(&protocol::frame(&Message::Hello(hail))).expect("sent");
     stream
 }
 
-fn log_frame(message: &Message) -> Vec<u8> {
-    protocol::frame(&Flag::Log { incarnation: 0, message: bitcode::encode(message) })
+fn log_frame(message: &LogMessage) -> Vec<u8> {
+    protocol::frame(&Message::Log { incarnation: 0, message: bitcode::encode(message) })
 }
 
 fn has_status(process: &Process, what: &str) {
@@ -657,10 +664,10 @@
         Entry { index, term: 1, what: What::Change(bitcode::encode(&change)) }
     };
     let entries = (1..=20).map(entry).collect();
-    let append = Message::Append { term: 1, prev_index: 0, prev_term: 0, entries, commit: 20 };
+    let append = LogMessage::Append { term: 1, prev_index: 0, prev_term: 0, entries, commit: 20 };
     let mut line = line_of_voter(&harbour, 1, 0);
     // A message that a later version has added is ignored, and the connection stands.
-    let unknown = protocol::frame(&Flag::Log { incarnation: 0, message: vec![200, 1, 2, 3] });
+    let unknown = protocol::frame(&Message::Log { incarnation: 0, message: vec![200, 1, 2, 3] });
     line.write_all(&unknown).expect("sent");
     line.write_all(&log_frame(&append)).expect("sent");
     has_status(&process, r#""commit":20"#);
@@ -680,7 +687,7 @@
         .collect();
     let snapshot = Snapshot { index: 9, term: 1, members, state: b"of a version to come".to_vec() };
     let mut line = line_of_voter(&harbour, 1, 0);
-    line.write_all(&log_frame(&Message::InstallSnapshot { term: 1, snapshot })).expect("sent");
+    line.write_all(&log_frame(&LogMessage::InstallSnapshot { term: 1, snapshot })).expect("sent");
     has_status(&process, r#""log":null"#);
     process.kill();
     let saved = on_disk(&harbour, 0);
--- a/crates/control-plane/tests/ledger.rs
+++ b/crates/control-plane/tests/ledger.rs
@@ -2,7 +2,7 @@
 
 use bitcode::Encode;
 use control_plane::snapshot_format::{Format, TAG, formats_of};
-use control_plane::{Change, Ledger, Marks, Place, Verdict};
+use control_plane::{Change, ConfigHistory, Marks, Place, Verdict};
 use std::collections::BTreeMap;
 
 fn change(base: u64, version: u64, digest: u8) -> Change {
@@ -11,7 +11,7 @@
 
 #[test]
 fn two_changes_on_one_version_are_not_both_taken() {
-    let mut ledger = Ledger::default();
+    let mut ledger = ConfigHistory::default();
     assert_eq!(ledger.apply(Place::default(), change(0, 3, 1)), Verdict::Taken);
     assert_eq!(ledger.apply(Place::default(), change(3, 5, 2)), Verdict::Taken);
     assert_eq!(ledger.apply(Place::default(), change(3, 6, 3)), Verdict::Stale { current: 5 });
@@ -20,7 +20,7 @@
 
 #[test]
 fn the_same_configuration_again_is_taken_also_after_newer_ones() {
-    let mut ledger = Ledger::default();
+    let mut ledger = ConfigHistory::default();
     ledger.apply(Place::default(), change(0, 3, 1));
     ledger.apply(Place::default(), change(3, 5, 2));
     assert_eq!(ledger.apply(Place::default(), change(0, 3, 1)), Verdict::TakenBefore);
@@ -33,7 +33,7 @@
 
 #[test]
 fn before_the_first_there_is_nothing_to_read() {
-    let ledger = Ledger::default();
+    let ledger = ConfigHistory::default();
     assert_eq!((ledger.body(), ledger.version()), (None, 0));
     // r4 may be on its way through the log: a refusal would not hold.
     assert_eq!(ledger.judge(4, 5, &[0; 32]), Verdict::Ahead { base: 4, current: 0 });
@@ -51,7 +51,7 @@
     proper = { 5, 6, 9, Verdict::Taken },
 )]
 fn a_verdict_is_final_if_no_later_entry_can_change_it(base: u64, version: u64, digest: u8, verdict: Verdict) {
-    let mut ledger = Ledger::default();
+    let mut ledger = ConfigHistory::default();
     ledger.apply(Place::default(), change(0, 3, 1));
     ledger.apply(Place::default(), change(3, 5, 2));
     assert_eq!(ledger.judge(base, version, &[digest; 32]), verdict);
@@ -71,8 +71,8 @@
 /// As many versions as a ledger remembers by their digests.
 const REMEMBERED: u64 = 4096;
 
-fn ledger_up_to(newest: u64) -> Ledger {
-    let mut ledger = Ledger::default();
+fn ledger_up_to(newest: u64) -> ConfigHistory {
+    let mut ledger = ConfigHistory::default();
     for version in 1..=newest {
         let digest = [version as u8; 32];
         ledger.apply(Place::default(), Change { base: version - 1, version, digest, body: vec![1] });
@@ -83,7 +83,7 @@
 #[test]
 fn an_order_that_was_taken_is_never_refused_however_many_others_came_after_it() {
     let repeated = |newest: u64| {
-        let ledger = Ledger::restore(&ledger_up_to(newest).snapshot()).expect("a ledger");
+        let ledger = ConfigHistory::restore(&ledger_up_to(newest).snapshot()).expect("a ledger");
         ledger.judge(1, 2, &[2; 32])
     };
     assert_eq!(repeated(REMEMBERED + 1), Verdict::TakenBefore);
@@ -103,19 +103,19 @@
 
 #[test]
 fn what_a_snapshot_holds_is_all_of_it() {
-    let mut ledger = Ledger::default();
+    let mut ledger = ConfigHistory::default();
     for version in 1..=20 {
         ledger.apply(Place::default(), change(version - 1, version, version as u8));
     }
     let bytes = bitcode::encode(&ledger);
-    let mut again: Ledger = bitcode::decode(&bytes).expect("a ledger");
+    let mut again: ConfigHistory = bitcode::decode(&bytes).expect("a ledger");
     assert_eq!(again, ledger);
     assert_eq!(again.apply(Place::default(), change(3, 4, 4)), Verdict::TakenBefore);
 }
 
 #[test]
 fn former_bodies_are_kept_as_long_as_there_is_room() {
-    let mut ledger = Ledger::default();
+    let mut ledger = ConfigHistory::default();
     for version in 1..=12 {
         let at = Place { index: version + 7, epoch: 2 };
         // The 6th leaves no room for others beside it.
@@ -137,7 +137,7 @@
 
 #[test]
 fn marks_are_told_from_changes_and_the_newest_count() {
-    let mut ledger = Ledger::default();
+    let mut ledger = ConfigHistory::default();
     for marks in [marks(&[("a", 5), ("b", 7)], 13), marks(&[("a", 0), ("c", 1)], 12)] {
         let entry = marks.entry();
         assert!(Change::read(&entry).is_err());
@@ -145,7 +145,7 @@
     }
     let floors: Vec<_> = ledger.floors().iter().map(|(tenant, units)| (tenant.as_str(), *units)).collect();
     assert_eq!((floors, ledger.fleet()), (vec![("b", 7), ("c", 1)], 12));
-    let again = Ledger::restore(&bitcode::encode(&ledger)).expect("a ledger");
+    let again = ConfigHistory::restore(&bitcode::encode(&ledger)).expect("a ledger");
     assert_eq!(again, ledger);
     assert!(Marks::read(&bitcode::encode(&change(1, 2, 3))).is_none());
     assert!(Marks::read(&entry_cut(&marks(&[("a", 5)], 3))).is_some_and(|marks| marks.is_err()));
@@ -184,11 +184,11 @@
         places: [(3, Place { index: 8, epoch: 2 })].into(),
         bodies: [(2, vec![4])].into(),
     };
-    let ledger = Ledger::restore(&bitcode::encode(&former)).expect("a ledger");
+    let ledger = ConfigHistory::restore(&bitcode::encode(&former)).expect("a ledger");
     assert_eq!((ledger.version(), ledger.body(), ledger.body_of(2)), (3, Some(&[9][..]), Some(&[4][..])));
     assert!(ledger.floors().is_empty() && ledger.fleet() == 0);
     let bare = Bare { version: 3, body: vec![9], digests: [(3, [1; 32])].into() };
-    let ledger = Ledger::restore(&bitcode::encode(&bare)).expect("a ledger");
+    let ledger = ConfigHistory::restore(&bitcode::encode(&bare)).expect("a ledger");
     assert_eq!((ledger.version(), ledger.body(), ledger.body_of(2)), (3, Some(&[9][..]), None));
 }
 
@@ -210,7 +210,7 @@
     let places: BTreeMap<_, _> =
         versions.iter().map(|version| (*version, Place { index: number(), epoch: number() })).collect();
     let bodies: BTreeMap<_, _> = versions.iter().map(|version| (*version, bytes(number()))).collect();
-    let mut ledger = Ledger::default();
+    let mut ledger = ConfigHistory::default();
     let digest = [number() as u8; 32];
     ledger.apply(
         Place { index: number(), epoch: number() },
--- a/crates/control-plane/tests/orders/drawn.rs
+++ b/crates/control-plane/tests/orders/drawn.rs
@@ -7,7 +7,7 @@
 
 use crate::linearizability::{Answer, ConfigRegister, History, Order as Operation, check};
 use crate::orders::{Order, Promises};
-use control_plane::{Change, Decision, Ledger, Place, Verdict, reply_to};
+use control_plane::{Change, ConfigHistory, Decision, Place, Verdict, reply_to};
 use nodes::World;
 use raft::{Faults, Input, What};
 use std::collections::BTreeSet;
@@ -58,7 +58,7 @@
     world: World,
     plant: Plant,
     /// The state after each entry of the log.
-    states: Vec<Rc<Ledger>>,
+    states: Vec<Rc<ConfigHistory>>,
     verdicts: Vec<Option<Verdict>>,
     orders: Vec<Order>,
     copies: Vec<Sent>,
@@ -71,7 +71,7 @@
 impl Operators {
     /// `before` versions are in place already.
     fn new(seed: u64, before: u64, plant: Plant) -> Self {
-        let mut ledger = Ledger::default();
+        let mut ledger = ConfigHistory::default();
         let mut promises = Promises::default();
         for version in 1..=before {
             let digest = [0; 32];
@@ -118,14 +118,14 @@
                     order.base == base && order.version == version && order.body() == change.body
                 };
                 let order = self.orders.iter().find(known).copied();
-                let mut ledger = Ledger::clone(&state);
+                let mut ledger = ConfigHistory::clone(&state);
                 let at = Place { index: entry.index, epoch: entry.term };
                 let outcome = ledger.apply(at, change.clone());
                 if outcome == Verdict::Taken {
                     self.promises.taken.extend(order);
                 }
                 verdict = Some(outcome);
-                state = Rc::new(Ledger::restore(&ledger.snapshot()).expect("what it wrote"));
+                state = Rc::new(ConfigHistory::restore(&ledger.snapshot()).expect("what it wrote"));
             }
             self.states.push(state);
             self.verdicts.push(verdict);
--- a/crates/control-plane/tests/orders/main.rs
+++ b/crates/control-plane/tests/orders/main.rs
@@ -13,7 +13,7 @@
 mod world;
 
 use config::Config;
-use control_plane::{Change, Ledger, Place, decide};
+use control_plane::{Change, ConfigHistory, Place, decide};
 use orders::Order;
 use search::search;
 use world::{Budget, Plant, World};
@@ -70,7 +70,7 @@
 fn an_order_that_an_earlier_program_took_is_acknowledged_though_it_is_invalid_now() {
     let body = br#"{"generation":"r2","route_table":{}}"#.to_vec();
     let (version, digest) = Config::identify(&body).expect("it is readable");
-    let mut ledger = Ledger::default();
+    let mut ledger = ConfigHistory::default();
     assert_eq!(decide(&ledger, 0, body.clone()).reply().map(|reply| reply.status), Some(400));
     ledger.apply(Place::default(), Change { base: 0, version: version.0, digest, body: body.clone() });
     assert_eq!(decide(&ledger, 0, body).reply().map(|reply| reply.status), Some(200));
--- a/crates/control-plane/tests/orders/orders.rs
+++ b/crates/control-plane/tests/orders/orders.rs
@@ -1,7 +1,7 @@
 //! The orders that operators send, what they were promised by answers, and what must never be.
 
 use config::Config;
-use control_plane::{Decision, Ledger, Reply, Verdict, decide};
+use control_plane::{ConfigHistory, Decision, Reply, Verdict, decide};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -43,7 +43,7 @@
     }
 
     /// What a leader with this state does with it.
-    pub fn decide(self, ledger: &Ledger) -> Decision {
+    pub fn decide(self, ledger: &ConfigHistory) -> Decision {
         decide(ledger, self.base, self.body())
     }
 }
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// What was found.
-    pub fn check_leader(&self, ledger: &Ledger, orders: &[Order]) -> Result<(), String> {
+    pub fn check_leader(&self, ledger: &ConfigHistory, orders: &[Order]) -> Result<(), String> {
         let current = ledger.version();
         for order in orders {
             let verdict = ledger.judge(order.base, order.version, &order.digest());
--- a/crates/control-plane/tests/orders/world.rs
+++ b/crates/control-plane/tests/orders/world.rs
@@ -5,7 +5,7 @@
 
 use super::search::Reach;
 use crate::orders::{Order, Promises};
-use control_plane::{Change, Decision, Ledger, Place, Reply, Verdict, decide, reply_to};
+use control_plane::{Change, ConfigHistory, Decision, Place, Reply, Verdict, decide, reply_to};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
 
@@ -50,7 +50,7 @@
 /// A process that leads, or thinks so.
 #[derive(Clone, Debug, Default)]
 struct Leader {
-    ledger: Ledger,
+    ledger: ConfigHistory,
     in_flight: Vec<usize>,
 }
 
@@ -189,7 +189,7 @@
         if ahead && self.plant == Plant::AheadRefused { Reply::why(412, "planted") } else { reply }
     }
 
-    fn apply(&self, ledger: &mut Ledger, number: usize) -> Verdict {
+    fn apply(&self, ledger: &mut ConfigHistory, number: usize) -> Verdict {
         let order = self.orders[number];
         let base = if self.plant == Plant::AnyBase { ledger.version() } else { order.base };
         let change = Change { base, version: order.version, digest: order.digest(), body: order.body() };
@@ -219,10 +219,10 @@
             && let Some(body) = ledger.body()
         {
             let change = Change { base: 0, version: ledger.version(), digest: [0; 32], body: body.to_vec() };
-            *ledger = Ledger::default();
+            *ledger = ConfigHistory::default();
             ledger.apply(Place::default(), change);
         }
         let snapshot = ledger.snapshot();
-        self.leader.ledger = Ledger::restore(&snapshot).expect("what it wrote");
+        self.leader.ledger = ConfigHistory::restore(&snapshot).expect("what it wrote");
     }
 }
--- a/crates/control-plane/tests/played/mod.rs
+++ b/crates/control-plane/tests/played/mod.rs
@@ -1,6 +1,6 @@
 //! Other processes as a process of control meets them, played by a test.
 
-use protocol::{Flag, Hail, Held, Plane};
+use protocol::{Held, Hello, Message, Plane};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
@@ -19,18 +19,18 @@
     /// Connects as a data plane.
     pub fn data_plane(to: SocketAddr, name: &str, incarnation: u64) -> Self {
         let mut played = Self::new(super::until(|| TcpStream::connect(to).ok()));
-        played.say(&Flag::Hail(hail(name, incarnation, Plane::Quay)));
-        played.say(&Flag::Follow { have: Held::default() });
+        played.say(&Message::Hello(hail(name, incarnation, Plane::DataPlane)));
+        played.say(&Message::Follow { have: Held::default() });
         played
     }
 
-    pub fn say(&mut self, flag: &Flag) {
+    pub fn say(&mut self, flag: &Message) {
         self.stream.write_all(&protocol::frame(flag)).expect("sent");
     }
 
-    pub fn next(&mut self) -> Flag {
+    pub fn next(&mut self) -> Message {
         loop {
-            if let Some((flag, length)) = protocol::unframe::<Flag>(&self.read).expect("a frame") {
+            if let Some((flag, length)) = protocol::unframe::<Message>(&self.read).expect("a frame") {
                 self.read.drain(..length);
                 return flag;
             }
@@ -42,14 +42,14 @@
     }
 
     pub fn leave(&mut self) {
-        self.say(&Flag::Leave);
-        while self.next() != Flag::LeaveAccepted {}
+        self.say(&Message::Leave);
+        while self.next() != Message::LeaveAccepted {}
     }
 }
 
 /// Who says that it connects.
-pub fn hail(name: &str, incarnation: u64, plane: Plane) -> Hail {
-    Hail {
+pub fn hail(name: &str, incarnation: u64, plane: Plane) -> Hello {
+    Hello {
         name: name.into(),
         life: incarnation,
         plane,
--- a/crates/control-plane/tests/support/simulation.rs
+++ b/crates/control-plane/tests/support/simulation.rs
@@ -1,8 +1,10 @@
 //! Whole control planes in one thread under a simulated clock: links that are cut, held or half open, processes that
 //! freeze, disks that hang.
 
-use control_plane::{Command, Connect, Disk, Faults, Losses, Master, MasterSettings, Reply, Tolerance};
-use protocol::{Flag, Hail, Plane};
+use control_plane::{
+    Command, Connect, ControlPlane, ControlPlaneSettings, Disk, Faults, Losses, Reply, Tolerance,
+};
+use protocol::{Hello, Message, Plane};
 use raft::{Save, Saved, Timing, VoterId};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -134,7 +136,7 @@
     while let Some(frame) = frames.recv().await {
         let (from, to) = (sender.process, receiver.process);
         let mut lost = !network.passes(from, to).await;
-        if !lost && let Ok(Some((flag, _))) = protocol::unframe::<Flag>(&frame) {
+        if !lost && let Ok(Some((flag, _))) = protocol::unframe::<Message>(&frame) {
             let _ = receiver.commands.send(Command::Frame { number: receiver.number, flag }).await;
         }
         if network.link(to, from) == Some(Link::Cut) {
@@ -296,10 +298,10 @@
         let (line, frames) = channel(FRAMES);
         let number = self.network.number();
         let name = format!("data-plane-{process}");
-        let hail = Hail {
+        let hail = Hello {
             name,
             life: 1,
-            plane: Plane::Quay,
+            plane: Plane::DataPlane,
             address: "127.0.0.1:1".into(),
             zone: "a".into(),
             quorum: false,
@@ -307,8 +309,8 @@
         };
         let commands = &self.commands[process];
         let _ = commands.send(Command::Opened { number, line: Line::over(line), dialed: None }).await;
-        let follow = Flag::Follow { have: protocol::Held::default() };
-        for flag in [Flag::Hail(hail), follow] {
+        let follow = Message::Follow { have: protocol::Held::default() };
+        for flag in [Message::Hello(hail), follow] {
             let _ = commands.send(Command::Frame { number, flag }).await;
         }
         frames
@@ -327,16 +329,16 @@
         let saved = Saved { me, term: 0, vote: None, snapshot: None, entries: Vec::new(), founders };
         (disk(process, network.clone(), commands.clone()), saved)
     });
-    let me = Hail {
+    let me = Hello {
         name: format!("control-{process}"),
         life: 1,
-        plane: Plane::Master,
+        plane: Plane::ControlPlane,
         address: own.to_string(),
         zone: "a".into(),
         quorum: votes,
         incarnation: votes.then_some(0),
     };
-    let settings = MasterSettings {
+    let settings = ControlPlaneSettings {
         me,
         address: own,
         seeds: (0..voters.min(3)).map(address).collect(),
@@ -350,7 +352,7 @@
         ways: config::Detours::default(),
     };
     let numbers = network.clone();
-    let master = Master::new(settings, log, commands.clone(), Rc::new(move || numbers.number()))
+    let master = ControlPlane::new(settings, log, commands.clone(), Rc::new(move || numbers.number()))
         .with_connect(Rc::new(Dialer { own: process, network: network.clone() }))
         .with_faults(faults);
     let inner = Box::pin(master.run(queue));
--- a/crates/data-plane/src/berths.rs
+++ b/crates/data-plane/src/berths.rs
@@ -3,7 +3,7 @@
 
 use config::Detours;
 use doorcourse::{BackendState, Name};
-use protocol::{Berth, Phase};
+use protocol::{Backend, Phase};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -63,7 +63,7 @@
     }
 
     /// Takes in a list or changes to it, and gives the lives that are told otherwise now.
-    pub fn update(&mut self, berths: &[Berth], whole: bool) -> Vec<(Name, Life)> {
+    pub fn update(&mut self, berths: &[Backend], whole: bool) -> Vec<(Name, Life)> {
         let mut changed = Vec::new();
         if whole {
             let named: HashSet<&str> = berths.iter().map(|berth| &*berth.id).collect();
@@ -86,7 +86,7 @@
         changed
     }
 
-    fn hear(&mut self, berth: &Berth) -> Option<(Name, Life)> {
+    fn hear(&mut self, berth: &Backend) -> Option<(Name, Life)> {
         let dial = self.ways.to(berth.address.parse().ok()?);
         let Some(life) = self.lives.get_mut(&*berth.id) else {
             let id = Name::from(&*berth.id);
@@ -175,8 +175,8 @@
 mod tests {
     use super::*;
 
-    fn berth(id: &str, phase: Phase, call_count: u64) -> Berth {
-        Berth {
+    fn berth(id: &str, phase: Phase, call_count: u64) -> Backend {
+        Backend {
             id: id.into(),
             service: "s".into(),
             address: "127.0.0.1:9".into(),
@@ -190,7 +190,7 @@
         }
     }
 
-    fn told(lives: &mut Lives, berths: &[Berth], whole: bool) -> Vec<(String, BackendState)> {
+    fn told(lives: &mut Lives, berths: &[Backend], whole: bool) -> Vec<(String, BackendState)> {
         lives.update(berths, whole).into_iter().map(|(id, life)| (id.to_string(), life.state())).collect()
     }
 
@@ -216,14 +216,14 @@
         gone.sort_by(|a, b| a.0.cmp(&b.0));
         assert_eq!(gone, [("a".to_owned(), BackendState::Gone), ("b".to_owned(), BackendState::Gone)]);
         assert_eq!(told(&mut lives, &[a], false), [("a".to_owned(), BackendState::Ready)]);
-        let back = Berth { phase: Phase::Serving, ..b };
+        let back = Backend { phase: Phase::Serving, ..b };
         assert_eq!(told(&mut lives, &[back], false), [("b".to_owned(), BackendState::Draining)]);
     }
 
     #[test]
     fn cold_backends_are_spared_while_most_are_warm() {
-        let cold = |id: &str| Berth { warmup_left_ms: 4000, ..berth(id, Phase::Serving, 1) };
-        let spared = |lives: &mut Lives, berths: &[Berth]| {
+        let cold = |id: &str| Backend { warmup_left_ms: 4000, ..berth(id, Phase::Serving, 1) };
+        let spared = |lives: &mut Lives, berths: &[Backend]| {
             let changed = lives.update(berths, false).into_iter();
             changed.filter(|(_, life)| life.started.is_some()).count()
         };
--- a/crates/data-plane/src/front.rs
+++ b/crates/data-plane/src/front.rs
@@ -3,7 +3,7 @@
 use crate::headers::ATTEMPT_ID;
 use crate::headers::KEEP_ALIVE;
 use crate::order::{Fault, Order};
-use crate::quay::{PLAN, Quay, Service};
+use crate::quay::{DataPlane, PLAN, Service};
 use crate::speech::Speech;
 use crate::watch::{Trail, Why};
 use crate::{Admission, Asked, Conf};
@@ -91,7 +91,7 @@
     }
 
     /// Serves clients until `end` resolves, then lets those finish that are there.
-    pub async fn serve(quay: &Rc<Quay>, listener: TcpListener, end: impl Future<Output = ()>) {
+    pub async fn serve(quay: &Rc<DataPlane>, listener: TcpListener, end: impl Future<Output = ()>) {
         let hall = quay.front().hall.clone();
         let ended = async {
             end.await;
@@ -133,7 +133,7 @@
     }
 }
 
-fn welcome(quay: &Rc<Quay>, stream: TcpStream) {
+fn welcome(quay: &Rc<DataPlane>, stream: TcpStream) {
     let conf = quay.conf();
     let limits = conf.as_ref().map(|conf| &conf.limits);
     let (idle, head) = limits.map_or((EARLY_LIMIT, EARLY_LIMIT), |l| (l.idle_timeout, l.header_wait));
@@ -167,7 +167,7 @@
     hall.welcome(stream, guest, buffer, service);
 }
 
-impl Quay {
+impl DataPlane {
     /// The one answer to a request whose head came at this moment.
     async fn answer(&self, request: Request<Incoming>, arrived: Instant) -> Reaction {
         let mut trail = Trail::new(self, arrived, request.headers().get(ATTEMPT_ID).cloned());
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -23,8 +23,8 @@
 
 #[doc(hidden)]
 pub use http_proxy::planted::Faults;
-pub use purser::Purser;
-pub use quay::Quay;
+pub use purser::LeaseClient;
+pub use quay::DataPlane;
 
 use config::Detours;
 use std::fmt;
@@ -53,7 +53,7 @@
 
 /// What one process is told at its start.
 #[derive(Clone)]
-pub struct QuaySettings {
+pub struct DataPlaneSettings {
     /// Where clients come in.
     pub front: SocketAddr,
     /// Where the platform asks whether this gateway is ready.
@@ -78,7 +78,7 @@
     pub ways: Detours,
 }
 
-impl QuaySettings {
+impl DataPlaneSettings {
     /// Settings with the usual figures and no log.
     pub fn new(front: SocketAddr, readiness: SocketAddr, zone: &str, name: &str) -> Self {
         Self {
--- a/crates/data-plane/src/purser.rs
+++ b/crates/data-plane/src/purser.rs
@@ -1,7 +1,7 @@
 //! The lease cache of this gateway at work: asks for blocks, has requests wait for them, and tells what the cache says.
 
 use crate::{Admission, Asked};
-use quota::{Cache, Draw, Grant, Quota, Roster, Verdict};
+use quota::{Cache, Grant, HolderAssignment, LeaseRequest, Quota, Verdict};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::{Rc, Weak};
@@ -13,10 +13,10 @@
 type Word = Result<(), Duration>;
 
 /// Sends a draw to a holder of counts, by its name.
-type Send = Box<dyn Fn(&str, Draw) -> bool>;
+type Send = Box<dyn Fn(&str, LeaseRequest) -> bool>;
 
 /// Runs the lease cache.
-pub struct Purser {
+pub struct LeaseClient {
     cache: RefCell<Cache>,
     began: Instant,
     requests: Cell<u64>,
@@ -27,7 +27,7 @@
     stir: Notify,
 }
 
-impl Purser {
+impl LeaseClient {
     /// A cache that knows no tenants yet.
     pub fn start(seed: u64, send: Send) -> Rc<Self> {
         let purser = Rc::new(Self {
@@ -65,7 +65,7 @@
     }
 
     /// Who holds the counts from now on.
-    pub fn roster(&self, roster: &Roster) {
+    pub fn roster(&self, roster: &HolderAssignment) {
         self.cache.borrow_mut().roster(roster);
         self.stir.notify_one();
     }
@@ -127,7 +127,7 @@
     }
 }
 
-impl Admission for Purser {
+impl Admission for LeaseClient {
     fn ask(&self, tenant: &str, wait_at_most: Duration) -> Asked {
         let (now, request) = (self.now(), self.requests.get());
         self.requests.set(request + 1);
@@ -170,7 +170,7 @@
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let sent: Rc<Cell<u64>> = Rc::default();
             let number = sent.clone();
-            let purser = Purser::start(1, Box::new(move |_, draw| number.replace(draw.number) == 0));
+            let purser = LeaseClient::start(1, Box::new(move |_, draw| number.replace(draw.number) == 0));
             purser.fleet(3, true);
             purser.quotas(vec![Quota { tenant: "t".into(), rate_per_s: 10.0, burst: 10.0 }]);
             let wait = Duration::from_secs(60);
--- a/crates/data-plane/src/quay.rs
+++ b/crates/data-plane/src/quay.rs
@@ -4,7 +4,7 @@
 use crate::front::Front;
 use crate::speech::Speech;
 use crate::watch::{Counts, Watch};
-use crate::{Admission, Conf, QuaySettings, readiness};
+use crate::{Admission, Conf, DataPlaneSettings, readiness};
 use config::Version;
 use doorcourse::{BackendEntry, Class, Effect, Event, Group, Name, Plan, Pool, Settings};
 use http_proxy::engine::Engine;
@@ -12,7 +12,7 @@
 use http_proxy::planted::Faults;
 use http_proxy::pool::{Backends, Host, spawn};
 use http_proxy::time::clock::millis;
-use protocol::{Berth, Phase};
+use protocol::{Backend, Phase};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
@@ -87,8 +87,8 @@
 }
 
 /// The data plane.
-pub struct Quay {
-    settings: QuaySettings,
+pub struct DataPlane {
+    settings: DataPlaneSettings,
     seed: u64,
     admission: Rc<dyn Admission>,
     conf: RefCell<Option<Rc<Conf>>>,
@@ -103,9 +103,9 @@
     watch: Rc<Watch>,
 }
 
-impl Quay {
+impl DataPlane {
     /// A data plane that knows no configuration and no backends yet. No two processes share a seed.
-    pub fn new(settings: QuaySettings, admission: Rc<dyn Admission>, seed: u64) -> Rc<Self> {
+    pub fn new(settings: DataPlaneSettings, admission: Rc<dyn Admission>, seed: u64) -> Rc<Self> {
         let figures = Figures::new(&Settings::default());
         let left = settings.max_fds.saturating_sub(OTHER_DESCRIPTORS).max(64);
         let most_clients = (left as f64 * CLIENT_SHARE) as usize;
@@ -160,7 +160,7 @@
     }
 
     /// Takes in a list of backends or changes to it.
-    pub fn berths(&self, changes: &[Berth], whole: bool) {
+    pub fn berths(&self, changes: &[Backend], whole: bool) {
         let changed = self.lives.borrow_mut().update(changes, whole);
         self.tell(changed);
     }
@@ -212,7 +212,7 @@
         &self.figures
     }
 
-    pub(crate) fn settings(&self) -> &QuaySettings {
+    pub(crate) fn settings(&self) -> &DataPlaneSettings {
         &self.settings
     }
 
--- a/crates/data-plane/src/readiness.rs
+++ b/crates/data-plane/src/readiness.rs
@@ -1,6 +1,6 @@
 //! Where the platform asks whether new clients should come here, and operators what happened.
 
-use crate::Quay;
+use crate::DataPlane;
 use crate::front::Keep;
 use bytes::Bytes;
 use http_proxy::guest::{Guest, Hall};
@@ -25,7 +25,7 @@
 const BUFFER: usize = 8 * 1024;
 
 /// Answers for ever.
-pub async fn serve(quay: Rc<Quay>, listener: TcpListener) {
+pub async fn serve(quay: Rc<DataPlane>, listener: TcpListener) {
     let hall = Hall::new(MOST, quay.figures().clone());
     loop {
         let stream = hall.accept(&listener).await;
@@ -49,7 +49,7 @@
 }
 
 /// What operators ask for, with its type; whoever asks for anything else asks for readiness.
-fn told(quay: &Quay, request: &Request<Incoming>) -> Option<(&'static str, String)> {
+fn told(quay: &DataPlane, request: &Request<Incoming>) -> Option<(&'static str, String)> {
     if request.method() != Method::GET {
         return None;
     }
@@ -70,6 +70,6 @@
 }
 
 /// Starts answering; it ends with the process.
-pub fn start(quay: Rc<Quay>, listener: TcpListener) {
+pub fn start(quay: Rc<DataPlane>, listener: TcpListener) {
     spawn(serve(quay, listener));
 }
--- a/crates/data-plane/src/watch.rs
+++ b/crates/data-plane/src/watch.rs
@@ -2,7 +2,7 @@
 //! request that goes smoothly nothing is touched but counts.
 
 use crate::order::Fault;
-use crate::quay::{Quay, Service};
+use crate::quay::{DataPlane, Service};
 use crate::speech::Asking;
 use crate::{Line, Log};
 use doorcourse::{Name, Outcome};
@@ -279,7 +279,7 @@
 
 /// One request on its way through the quay. Dropped without an end, its client has left.
 pub struct Trail<'q> {
-    quay: &'q Quay,
+    quay: &'q DataPlane,
     arrived: Instant,
     id: Option<HeaderValue>,
     ended: bool,
@@ -291,7 +291,7 @@
 }
 
 impl<'q> Trail<'q> {
-    pub fn new(quay: &'q Quay, arrived: Instant, id: Option<HeaderValue>) -> Self {
+    pub fn new(quay: &'q DataPlane, arrived: Instant, id: Option<HeaderValue>) -> Self {
         Self { quay, arrived, id, ended: false, ask: None, service: None, why: None }
     }
 
@@ -321,7 +321,7 @@
     }
 }
 
-impl Quay {
+impl DataPlane {
     /// Metrics, as text.
     pub fn metrics(&self) -> String {
         let watch = self.watch();
--- a/crates/data-plane/tests/answers/backend.rs
+++ b/crates/data-plane/tests/answers/backend.rs
@@ -1,7 +1,7 @@
 //! Backends that misbehave by a seed.
 
 use crate::helper::script::reset;
-use crate::helper::{Backend, Heard, hear_body, hear_head};
+use crate::helper::{Heard, ScriptedBackend, hear_body, hear_head};
 use crate::history::{History, Violation, body_of};
 use fault_injection::Random;
 use std::cell::RefCell;
@@ -106,14 +106,14 @@
 }
 
 impl Unruly {
-    pub async fn start(id: &str, random: Random, history: Rc<History>) -> Backend {
+    pub async fn start(id: &str, random: Random, history: Rc<History>) -> ScriptedBackend {
         let unruly = Rc::new(Self {
             id: id.to_owned(),
             random: RefCell::new(random),
             history,
             last: RefCell::default(),
         });
-        Backend::on_streams(id, "one", move |stream, _| unruly.clone().serve(stream)).await
+        ScriptedBackend::on_streams(id, "one", move |stream, _| unruly.clone().serve(stream)).await
     }
 
     async fn serve(self: Rc<Self>, stream: TcpStream) {
--- a/crates/data-plane/tests/answers/history.rs
+++ b/crates/data-plane/tests/answers/history.rs
@@ -6,7 +6,7 @@
 use crate::helper::{Heard, World, usual};
 use data_plane::Faults;
 use fault_injection::Random;
-use protocol::Berth;
+use protocol::Backend;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -154,13 +154,13 @@
         let world = World::start(usual(), &backends.iter().collect::<Vec<_>>()).await;
         world.quay.plant(faults);
         let quay = world.quay.clone();
-        let berths: Vec<Berth> = backends.iter().map(|backend| backend.berth.clone()).collect();
+        let berths: Vec<Backend> = backends.iter().map(|backend| backend.berth.clone()).collect();
         let beats = spawn_local(async move {
             for call_count in (2..).step_by(2) {
                 sleep(BEATS).await;
                 // Whoever seems to be late and is heard again gets requests at once, whatever came from it before.
                 for (call_count, overdue) in [(call_count, true), (call_count + 1, false)] {
-                    let of = |berth: &Berth| Berth { call_count, overdue, ..berth.clone() };
+                    let of = |berth: &Backend| Backend { call_count, overdue, ..berth.clone() };
                     quay.berths(&berths.iter().map(of).collect::<Vec<_>>(), false);
                 }
             }
--- a/crates/data-plane/tests/forward.rs
+++ b/crates/data-plane/tests/forward.rs
@@ -3,7 +3,8 @@
 mod helper;
 
 use helper::{
-    Backend, Client, Do, World, conf, good, on_one_thread, other, request, route, says_good, until, usual,
+    Client, Do, ScriptedBackend, World, conf, good, on_one_thread, other, request, route, says_good, until,
+    usual,
 };
 use std::time::Duration;
 
@@ -17,7 +18,7 @@
                 "b",
             ))
         };
-        let backend = Backend::start("i-1", "one", does).await;
+        let backend = ScriptedBackend::start("i-1", "one", does).await;
         let world = World::start(usual(), &[&backend]).await;
         let more = "X-Mine: 2\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 3\r\nTE: trailers\r\nX-Tenant: other\r\n\
                     X-Target-Instance: i-9\r\nProxy-Authorization: p\r\nCookie: c\r\n";
@@ -51,7 +52,7 @@
 #[test]
 fn bodies_in_chunks_come_whole_and_connections_serve_again() {
     on_one_thread(async {
-        let backend = Backend::start("i-1", "one", says_good).await;
+        let backend = ScriptedBackend::start("i-1", "one", says_good).await;
         let world = World::start(usual(), &[&backend]).await;
         let mut client = Client::connect(world.front).await;
         for _ in 0..3 {
@@ -83,7 +84,7 @@
 )]
 fn what_is_not_taken_reaches_nobody(request: String, status: u16) {
     on_one_thread(async move {
-        let backend = Backend::start("i-1", "one", says_good).await;
+        let backend = ScriptedBackend::start("i-1", "one", says_good).await;
         let world = World::start(usual(), &[&backend]).await;
         assert_eq!((world.ask(&request).await.status(), backend.count()), (status, 0));
         assert_eq!(world.purser.asked.get(), 0, "nobody was asked for a unit");
@@ -93,7 +94,7 @@
 #[test]
 fn behind_a_body_with_two_lengths_nothing_is_smuggled() {
     on_one_thread(async {
-        let backend = Backend::start("i-1", "one", says_good).await;
+        let backend = ScriptedBackend::start("i-1", "one", says_good).await;
         let world = World::start(usual(), &[&backend]).await;
         let mut client = Client::connect(world.front).await;
         // By its length the second request is a part of the first one's body.
@@ -110,7 +111,7 @@
 #[test]
 fn a_public_route_needs_no_key_and_names_no_tenant_of_the_client_s_choice() {
     on_one_thread(async {
-        let backend = Backend::start("i-1", "one", says_good).await;
+        let backend = ScriptedBackend::start("i-1", "one", says_good).await;
         let world = World::start(usual(), &[&backend]).await;
         let asked = request("GET", "/open/x", "X-Tenant: mira\r\n", "").replace("k1", "k2");
         assert_eq!(world.ask(&asked).await.status(), 200);
@@ -121,7 +122,7 @@
 #[test]
 fn admission_decides_before_any_backend_and_hears_of_what_never_ran() {
     on_one_thread(async {
-        let backend = Backend::start("i-1", "one", |heard| {
+        let backend = ScriptedBackend::start("i-1", "one", |heard| {
             Do::Say(other(heard, "503 Service Unavailable", "X-Not-Executed: 1\r\n"))
         });
         let backend = backend.await;
@@ -155,7 +156,8 @@
     on_one_thread(async {
         for (said, status) in [("404 Not Found", 404), ("500 Oh", 500), ("503 Service Unavailable", 502)] {
             let backend =
-                Backend::start("i-1", "one", |heard| Do::Say(other(heard, said, "X-Why: w\r\n"))).await;
+                ScriptedBackend::start("i-1", "one", |heard| Do::Say(other(heard, said, "X-Why: w\r\n")))
+                    .await;
             let world = World::start(usual(), &[&backend]).await;
             let reply = world.ask(&request("POST", "/e/x", "", "")).await;
             assert_eq!((reply.status(), backend.count()), (status, 1), "{said}");
@@ -179,7 +181,7 @@
         };
         for path in ["/p/whole", "/p/cut", "/p/chunks"] {
             let body = body.clone();
-            let backend = Backend::start("i-1", "one", move |heard| does(heard, &body)).await;
+            let backend = ScriptedBackend::start("i-1", "one", move |heard| does(heard, &body)).await;
             let world = World::start(usual(), &[&backend]).await;
             let reply = world.ask(&request("GET", path, "", "")).await;
             let told = (reply.status(), reply.whole);
@@ -202,7 +204,7 @@
             let head = good(heard, "Transfer-Encoding: chunked\r\n", "").replace("Content-Length: 0\r\n", "");
             Do::Break(format!("{head}30d40\r\n{}", &body[..200_000]))
         };
-        let backend = Backend::start("i-1", "one", does).await;
+        let backend = ScriptedBackend::start("i-1", "one", does).await;
         let world = World::start(usual(), &[&backend]).await;
         let asked = request("GET", "/p/x", "", "").replace("HTTP/1.1", "HTTP/1.0");
         let reply = world.ask(&asked).await;
@@ -214,7 +216,7 @@
 #[test]
 fn what_takes_longer_than_its_client_waits_ends_as_such() {
     on_one_thread(async {
-        let backend = Backend::start("i-1", "one", |_| Do::Hang).await;
+        let backend = ScriptedBackend::start("i-1", "one", |_| Do::Hang).await;
         let world = World::start(usual(), &[&backend]).await;
         let asked = request("POST", "/e/x", "", "").replace("Left: 2000", "Left: 120");
         assert_eq!((world.ask(&asked).await.status(), backend.count()), (504, 1));
@@ -224,7 +226,10 @@
 #[test]
 fn a_newer_configuration_counts_at_once_and_an_older_one_never() {
     on_one_thread(async {
-        let (one, two) = (Backend::start("i-1", "one", says_good), Backend::start("i-2", "two", says_good));
+        let (one, two) = (
+            ScriptedBackend::start("i-1", "one", says_good),
+            ScriptedBackend::start("i-2", "two", says_good),
+        );
         let (one, two) = (one.await, two.await);
         let world = World::start(usual(), &[&one, &two]).await;
         let mut client = Client::connect(world.front).await;
@@ -241,7 +246,10 @@
 #[test]
 fn a_route_s_services_get_their_shares_and_one_without_backends_none() {
     on_one_thread(async {
-        let (one, two) = (Backend::start("i-1", "one", says_good), Backend::start("i-2", "two", says_good));
+        let (one, two) = (
+            ScriptedBackend::start("i-1", "one", says_good),
+            ScriptedBackend::start("i-2", "two", says_good),
+        );
         let (one, two) = (one.await, two.await);
         let split = |version, shares: [u32; 2]| {
             let weighted = format!(
@@ -275,7 +283,7 @@
 #[test]
 fn who_comes_before_the_first_configuration_waits_for_it_a_moment_and_no_longer() {
     on_one_thread(async {
-        let backend = Backend::start("i-1", "one", says_good).await;
+        let backend = ScriptedBackend::start("i-1", "one", says_good).await;
         let world = World::blank(&[&backend]).await;
         let mut early = Client::connect(world.front).await;
         let reply = early.ask(&request("GET", "/p/x", "", "")).await.expect("an answer");
--- a/crates/data-plane/tests/helper/mod.rs
+++ b/crates/data-plane/tests/helper/mod.rs
@@ -4,8 +4,8 @@
 
 pub mod script;
 
-use data_plane::{Admission, Asked, Conf, Quay, QuaySettings};
-use protocol::{Berth, Phase};
+use data_plane::{Admission, Asked, Conf, DataPlane, DataPlaneSettings};
+use protocol::{Backend, Phase};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -137,13 +137,13 @@
 }
 
 /// A backend.
-pub struct Backend {
-    pub berth: Berth,
+pub struct ScriptedBackend {
+    pub berth: Backend,
     pub heard: Rc<RefCell<Vec<Heard>>>,
     pub connections: Rc<Cell<usize>>,
 }
 
-impl Backend {
+impl ScriptedBackend {
     pub async fn start(id: &str, service: &str, does: impl Fn(&Heard) -> Do + 'static) -> Self {
         let does = Rc::new(does);
         Self::on_streams(id, service, move |stream, all| {
@@ -185,7 +185,7 @@
                 spawn_local(serve(stream, all.clone()));
             }
         });
-        let berth = Berth {
+        let berth = Backend {
             id: id.into(),
             service: service.into(),
             address,
@@ -208,14 +208,14 @@
         self.heard.borrow().last().cloned().expect("a request")
     }
 
-    pub fn told(&self, phase: Phase, call_count: u64) -> Berth {
-        Berth { phase, call_count, ..self.berth.clone() }
+    pub fn told(&self, phase: Phase, call_count: u64) -> Backend {
+        Backend { phase, call_count, ..self.berth.clone() }
     }
 }
 
 /// Who says what tenants have left.
 #[derive(Default)]
-pub struct Purser {
+pub struct LeaseClient {
     pub refuses: Cell<Option<Duration>>,
     /// Answers later, with this.
     pub later: Cell<Option<Result<(), Duration>>>,
@@ -223,7 +223,7 @@
     pub back: Cell<u32>,
 }
 
-impl Admission for Purser {
+impl Admission for LeaseClient {
     fn ask(&self, _: &str, _: Duration) -> Asked {
         self.asked.set(self.asked.get() + 1);
         if let Some(answer) = self.later.get() {
@@ -273,8 +273,8 @@
 
 /// A quay that serves.
 pub struct World {
-    pub quay: Rc<Quay>,
-    pub purser: Rc<Purser>,
+    pub quay: Rc<DataPlane>,
+    pub purser: Rc<LeaseClient>,
     pub front: SocketAddr,
     pub readiness: SocketAddr,
     pub end: Option<oneshot::Sender<()>>,
@@ -282,22 +282,22 @@
 }
 
 impl World {
-    pub async fn start(conf: Rc<Conf>, backends: &[&Backend]) -> Self {
+    pub async fn start(conf: Rc<Conf>, backends: &[&ScriptedBackend]) -> Self {
         let world = Self::blank(backends).await;
         world.quay.configure(conf);
         world
     }
 
     /// A quay that knows no configuration yet.
-    pub async fn blank(backends: &[&Backend]) -> Self {
+    pub async fn blank(backends: &[&ScriptedBackend]) -> Self {
         let front = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let readiness = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addresses =
             (front.local_addr().expect("an address"), readiness.local_addr().expect("an address"));
-        let mut settings = QuaySettings::new(addresses.0, addresses.1, "z1", "q1");
+        let mut settings = DataPlaneSettings::new(addresses.0, addresses.1, "z1", "q1");
         settings.linger = Duration::from_millis(100);
-        let purser = Rc::<Purser>::default();
-        let quay = Quay::new(settings, purser.clone(), 7);
+        let purser = Rc::<LeaseClient>::default();
+        let quay = DataPlane::new(settings, purser.clone(), 7);
         quay.berths(&backends.iter().map(|backend| backend.berth.clone()).collect::<Vec<_>>(), true);
         let (end, ended) = oneshot::channel::<()>();
         let served = spawn_local(quay.clone().serve(front, readiness, async move { drop(ended.await) }));
--- a/crates/data-plane/tests/helper/script.rs
+++ b/crates/data-plane/tests/helper/script.rs
@@ -1,6 +1,6 @@
 //! Backends that follow a script byte by byte.
 
-use super::{Backend, Do, Heard, hear, hear_head, says_good};
+use super::{Do, Heard, ScriptedBackend, hear, hear_head, says_good};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
@@ -42,7 +42,7 @@
 /// Two backends of the service `one`. The first connection to either of them follows the script, all others serve
 /// properly.
 pub struct Pair {
-    pub backends: [Backend; 2],
+    pub backends: [ScriptedBackend; 2],
     pub progress: Rc<Progress>,
 }
 
@@ -51,7 +51,7 @@
         let progress = Rc::<Progress>::default();
         let start = |id| {
             let progress = progress.clone();
-            Backend::on_streams(id, "one", move |stream, heard| {
+            ScriptedBackend::on_streams(id, "one", move |stream, heard| {
                 let progress = progress.clone();
                 async move {
                     if progress.taken.replace(true) {
@@ -68,7 +68,7 @@
 
     /// How many requests were served on proper connections.
     pub fn served(&self) -> usize {
-        self.backends.iter().map(Backend::count).sum()
+        self.backends.iter().map(ScriptedBackend::count).sum()
     }
 
     /// How many connections were made.
--- a/crates/data-plane/tests/points.rs
+++ b/crates/data-plane/tests/points.rs
@@ -5,8 +5,8 @@
 
 use helper::script::Pair;
 use helper::script::Step::{self, Close, Read, ReadHead, ReadRequest, Reset, Stall, Write};
-use helper::{Backend, Client, World, hear, on_one_thread, request, until, usual};
-use protocol::Berth;
+use helper::{Client, ScriptedBackend, World, hear, on_one_thread, request, until, usual};
+use protocol::Backend;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
@@ -188,7 +188,7 @@
     on_one_thread(async move {
         let connections = Rc::new(Cell::new(0));
         let counted = connections.clone();
-        let backend = Backend::on_streams("i-1", "one", move |stream, _| {
+        let backend = ScriptedBackend::on_streams("i-1", "one", move |stream, _| {
             counted.set(counted.get() + 1);
             async move {
                 let mut stream = BufReader::new(stream);
@@ -204,7 +204,7 @@
             assert_eq!(connections.get(), asked, "one connection for each request");
             // It is left out for a while after a failure, unless somebody says that it is well again.
             for (call_count, overdue) in [(2 * asked, true), (2 * asked + 1, false)] {
-                let berth = Berth { call_count, overdue, ..backend.berth.clone() };
+                let berth = Backend { call_count, overdue, ..backend.berth.clone() };
                 world.quay.berths(&[berth], false);
             }
         }
@@ -249,7 +249,7 @@
     on_one_thread(async move {
         let (read, over) = (Rc::<RefCell<Vec<u8>>>::default(), Rc::<Cell<bool>>::default());
         let (bytes, closed) = (read.clone(), over.clone());
-        let backend = Backend::on_streams("i-1", "one", move |mut stream, _| {
+        let backend = ScriptedBackend::on_streams("i-1", "one", move |mut stream, _| {
             let (bytes, closed) = (bytes.clone(), closed.clone());
             async move {
                 let mut part = vec![0; 64 * 1024];
--- a/crates/data-plane/tests/tries.rs
+++ b/crates/data-plane/tests/tries.rs
@@ -3,20 +3,23 @@
 mod helper;
 
 use helper::{
-    Backend, Client, Do, Heard, World, conf, good, on_one_thread, other, request, route, says_good, until,
-    usual,
+    Client, Do, Heard, ScriptedBackend, World, conf, good, on_one_thread, other, request, route, says_good,
+    until, usual,
 };
 use protocol::Phase;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
 /// Spoils the answer of the first request that either backend gets.
-async fn two(spoilt: fn(&Heard) -> Do) -> [Backend; 2] {
+async fn two(spoilt: fn(&Heard) -> Do) -> [ScriptedBackend; 2] {
     let first = Rc::new(std::cell::Cell::new(true));
     let does = move |first: Rc<std::cell::Cell<bool>>| {
         move |heard: &Heard| if first.replace(false) { spoilt(heard) } else { says_good(heard) }
     };
-    [Backend::start("i-1", "one", does(first.clone())).await, Backend::start("i-2", "one", does(first)).await]
+    [
+        ScriptedBackend::start("i-1", "one", does(first.clone())).await,
+        ScriptedBackend::start("i-2", "one", does(first)).await,
+    ]
 }
 
 fn wrong_id(heard: &Heard) -> Do {
@@ -57,13 +60,13 @@
         let world = World::start(usual(), &[&backends[0], &backends[1]]).await;
         let reply = world.ask(&request("POST", "/e/x", "", "b")).await;
         assert_eq!((reply.status(), reply.wait()), (502, None));
-        assert_eq!(backends.iter().map(Backend::count).sum::<usize>(), 1, "sent on once");
+        assert_eq!(backends.iter().map(ScriptedBackend::count).sum::<usize>(), 1, "sent on once");
 
         let backends = two(spoilt).await;
         let world = World::start(usual(), &[&backends[0], &backends[1]]).await;
         let reply = world.ask(&request("POST", "/p/x", "", "b")).await;
         assert_eq!((reply.status(), &*reply.body), (200, &b"fine"[..]));
-        assert_eq!(backends.iter().map(Backend::count).collect::<Vec<_>>(), [1, 1]);
+        assert_eq!(backends.iter().map(ScriptedBackend::count).collect::<Vec<_>>(), [1, 1]);
     });
 }
 
@@ -74,7 +77,7 @@
         let backends = two(full).await;
         let world = World::start(usual(), &[&backends[0], &backends[1]]).await;
         assert_eq!(world.ask(&request("POST", "/e/x", "", "b")).await.status(), 200);
-        assert_eq!(backends.iter().map(Backend::count).collect::<Vec<_>>(), [1, 1]);
+        assert_eq!(backends.iter().map(ScriptedBackend::count).collect::<Vec<_>>(), [1, 1]);
         assert!(backends.iter().all(|backend| backend.last().body == b"b"));
     });
 }
@@ -83,7 +86,7 @@
 fn what_comes_after_a_whole_answer_is_nobody_s() {
     on_one_thread(async {
         let twice = |heard: &Heard| Do::Say(good(heard, "", "one") + &good(heard, "", "two"));
-        let backend = Backend::start("i-1", "one", twice).await;
+        let backend = ScriptedBackend::start("i-1", "one", twice).await;
         let world = World::start(usual(), &[&backend]).await;
         let mut client = Client::connect(world.front).await;
         for n in 1..=3 {
@@ -101,21 +104,21 @@
             conf(2, &[route("p", "/p/", "pure", "one", "").replace(r#""max_tries":2"#, r#""max_tries":1"#)]);
         let world = World::start(once, &[&backends[0], &backends[1]]).await;
         assert_eq!(world.ask(&request("GET", "/p/x", "", "")).await.status(), 502);
-        assert_eq!(backends.iter().map(Backend::count).sum::<usize>(), 1);
+        assert_eq!(backends.iter().map(ScriptedBackend::count).sum::<usize>(), 1);
     });
 }
 
 #[test]
 fn who_is_not_who_was_meant_is_left_out_until_a_newer_word() {
     on_one_thread(async {
-        let stranger = Backend::start("i-1", "one", |heard| {
+        let stranger = ScriptedBackend::start("i-1", "one", |heard| {
             Do::Say(other(heard, "421 Misdirected Request", "X-Instance-Id: i-7\r\n"))
         });
         let stranger = stranger.await;
         let world = World::start(usual(), &[&stranger]).await;
         let asked = request("POST", "/e/x", "", "b");
         assert_eq!((world.ask(&asked).await.status(), stranger.count()), (503, 1));
-        let right = Backend::start("i-2", "one", says_good).await;
+        let right = ScriptedBackend::start("i-2", "one", says_good).await;
         world.quay.berths(&[right.berth.clone(), stranger.berth.clone()], false);
         for _ in 0..4 {
             assert_eq!(world.ask(&asked).await.status(), 200);
@@ -132,13 +135,15 @@
     on_one_thread(async {
         let word = Rc::new(Notify::new());
         let told = word.clone();
-        let one =
-            Backend::start("i-1", "one", move |heard| Do::Await(told.clone(), good(heard, "", "late"))).await;
+        let one = ScriptedBackend::start("i-1", "one", move |heard| {
+            Do::Await(told.clone(), good(heard, "", "late"))
+        })
+        .await;
         let world = World::start(usual(), &[&one]).await;
         let mut client = Client::connect(world.front).await;
         client.send(&request("POST", "/e/x", "", "b")).await;
         until(|| one.count() == 1).await;
-        let two = Backend::start("i-2", "one", says_good).await;
+        let two = ScriptedBackend::start("i-2", "one", says_good).await;
         world.quay.berths(&[one.told(Phase::Draining, 2), two.berth.clone()], false);
         // Whoever has heard less takes nothing back.
         world.quay.berths(&[one.berth.clone(), two.berth.clone()], true);
@@ -156,7 +161,7 @@
     on_one_thread(async {
         let word = Rc::new(Notify::new());
         let told = word.clone();
-        let backend = Backend::start("i-1", "one", move |heard| match &*heard.line {
+        let backend = ScriptedBackend::start("i-1", "one", move |heard| match &*heard.line {
             "POST /e/slow HTTP/1.1" => Do::Await(told.clone(), good(heard, "", "late")),
             _ => says_good(heard),
         });
@@ -188,14 +193,14 @@
 #[test]
 fn where_nobody_listens_nothing_ran() {
     on_one_thread(async {
-        let mut dead = Backend::start("i-1", "one", says_good).await.berth;
+        let mut dead = ScriptedBackend::start("i-1", "one", says_good).await.berth;
         let free = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
         dead.address = free.to_string();
         let world = World::start(usual(), &[]).await;
         world.quay.berths(std::slice::from_ref(&dead), true);
         let reply = world.ask(&request("POST", "/e/x", "", "b")).await;
         assert!(reply.status() == 503 && reply.wait().is_some(), "{reply:?}");
-        let right = Backend::start("i-2", "one", says_good).await;
+        let right = ScriptedBackend::start("i-2", "one", says_good).await;
         world.quay.berths(std::slice::from_ref(&right.berth), false);
         for _ in 0..4 {
             assert_eq!(world.ask(&request("POST", "/e/x", "", "b")).await.status(), 200);
@@ -206,7 +211,7 @@
 #[test]
 fn without_room_the_refusal_comes_early_and_the_unit_goes_back() {
     on_one_thread(async {
-        let mut backend = Backend::start("i-1", "one", |_| Do::Hang).await;
+        let mut backend = ScriptedBackend::start("i-1", "one", |_| Do::Hang).await;
         backend.berth.capacity = 1;
         let world = World::start(usual(), &[&backend]).await;
         let mut out = Vec::new();
--- a/crates/data-plane/tests/watch.rs
+++ b/crates/data-plane/tests/watch.rs
@@ -2,7 +2,7 @@
 
 mod helper;
 
-use helper::{Backend, Client, Do, World, on_one_thread, other, request, says_good, usual};
+use helper::{Client, Do, ScriptedBackend, World, on_one_thread, other, request, says_good, usual};
 use protocol::Phase;
 
 async fn got(world: &World, path: &str) -> (u16, String) {
@@ -14,10 +14,10 @@
 #[test]
 fn only_requests_that_did_not_go_smoothly_are_kept() {
     on_one_thread(async {
-        let full = Backend::start("i-1", "one", |heard| {
+        let full = ScriptedBackend::start("i-1", "one", |heard| {
             Do::Say(other(heard, "503 Service Unavailable", "X-Not-Executed: 1\r\n"))
         });
-        let (full, good) = (full.await, Backend::start("i-2", "one", says_good).await);
+        let (full, good) = (full.await, ScriptedBackend::start("i-2", "one", says_good).await);
         let world = World::start(usual(), &[&good]).await;
         assert_eq!(world.ask(&request("GET", "/p/x", "", "")).await.status(), 200);
         let smooth = got(&world, "/requests/7f").await;
@@ -52,7 +52,7 @@
         for path in ["/readiness", "/", "/requests", "/other"] {
             assert_eq!(got(&world, path).await, (503, String::new()), "{path}");
         }
-        let backend = Backend::start("i-1", "one", says_good).await;
+        let backend = ScriptedBackend::start("i-1", "one", says_good).await;
         world.quay.berths(std::slice::from_ref(&backend.berth), false);
         assert_eq!(got(&world, "/readiness").await, (200, String::new()));
     });
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -27,7 +27,7 @@
 
 /// One life of a backend.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Berth {
+pub struct Backend {
     /// Its `instance_id`.
     pub id: String,
     /// The service that it belongs to.
@@ -98,14 +98,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Plane {
     /// It carries requests.
-    Quay,
+    DataPlane,
     /// It serves control.
-    Master,
+    ControlPlane,
 }
 
 /// The first message on each connection: who has connected.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Hail {
+pub struct Hello {
     /// The name of its machine.
     pub name: String,
     /// Drawn at its start: tells one life of a process from the next.
@@ -127,20 +127,20 @@
 pub struct Departure {
     /// The name of its machine.
     pub name: String,
-    /// Drawn at its start, as [`Hail::life`].
+    /// Drawn at its start, as [`Hello::life`].
     pub incarnation: u64,
     /// How long ago it said so, in ms.
     pub ago_ms: u64,
 }
 
-/// The number of a [`Flag::NotHolder`] by which a process that serves control tells another one, as the answer to its
-/// [`Flag::Hail`], that it reads [`Flag::Departures`]. A process of an earlier version would close the connection on
+/// The number of a [`Message::NotHolder`] by which a process that serves control tells another one, as the answer to its
+/// [`Message::Hello`], that it reads [`Message::Departures`]. A process of an earlier version would close the connection on
 /// such a message, and ignores this one; no lease request has this number.
 pub const UNDERSTANDS_DEPARTURES: u64 = u64::MAX;
 
 /// A process that serves control, as others know it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub struct MasterCard {
+pub struct ControlPlaneAddress {
     /// Where it takes the connections of other processes, `ip:port`.
     pub address: String,
     /// Its zone.
@@ -149,7 +149,7 @@
 
 /// A configuration as it was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Sheet {
+pub struct ConfigSnapshot {
     /// Its version.
     pub version: u64,
     /// The operator's body, byte for byte.
@@ -167,7 +167,7 @@
 
 /// A configuration as what makes it out of another one.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Splice {
+pub struct ConfigDelta {
     /// Its version.
     pub version: u64,
     /// The version that it is made from; 0 for an empty body.
@@ -182,7 +182,7 @@
 
 /// What a process that serves control says of the harbour at this moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Pulse {
+pub struct Heartbeat {
     /// Where the leader of the log takes connections, as far as the sender knows.
     pub leader: Option<String>,
     /// The leader's term.
@@ -219,11 +219,11 @@
 
 /// One message.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Flag {
+pub enum Message {
     /// Who speaks; the first on each connection.
-    Hail(Hail),
+    Hello(Hello),
     /// The answer to it by a process that serves control, who it is itself.
-    Welcome(Hail),
+    Welcome(Hello),
     /// Between voters: a message of the log, encoded, and the sender's incarnation.
     Log {
         /// The sender's incarnation.
@@ -232,34 +232,34 @@
         message: Vec<u8>,
     },
     /// The processes that serve control, as far as the sender knows.
-    Masters(Vec<MasterCard>),
+    ControlPlanes(Vec<ControlPlaneAddress>),
     /// Asks for all news from now on.
     Follow {
         /// The newest configuration that the asker has.
         have: Held,
     },
     /// A configuration.
-    Sheet(Sheet),
+    ConfigSnapshot(ConfigSnapshot),
     /// Backends: what changed, or with `whole` all there are.
-    Berths {
+    Backends {
         /// Whether there are no others.
         whole: bool,
         /// The backends.
-        berths: Vec<Berth>,
+        berths: Vec<Backend>,
     },
     /// Backends that have been heard since the last such word: id and number of calls.
     Heard(Vec<(String, u64)>),
-    /// Quays that the sender hears: name and life.
-    Quays(Vec<(String, u64)>),
+    /// DataPlanes that the sender hears: name and life.
+    DataPlanes(Vec<(String, u64)>),
     /// How things stand.
-    Pulse(Pulse),
+    Heartbeat(Heartbeat),
     /// A quay can reach a holder of counts, and has nothing to ask.
     Here {
         /// The newest assignment that it has heard of.
         epoch: quota::Epoch,
     },
     /// A quay wants units of tenants.
-    Draw(quota::Draw),
+    LeaseRequest(quota::LeaseRequest),
     /// It gets them.
     Grant(quota::Grant),
     /// The holder of the counts is another process.
@@ -281,12 +281,12 @@
         /// The offer's number.
         number: u64,
         /// The assignment.
-        roster: quota::Roster,
+        roster: quota::HolderAssignment,
         /// The span of the lease, in ms from when the offer was sent; 0 for none.
         ends_in: f64,
     },
     /// The leader has made an assignment.
-    Roster(quota::Roster),
+    HolderAssignment(quota::HolderAssignment),
     /// A master gives counts up to another one.
     Handover(quota::Handover),
     /// A call of the operator for the leader.
@@ -306,10 +306,10 @@
         body: Vec<u8>,
     },
     /// A configuration as a difference.
-    Splice(Splice),
+    ConfigDelta(ConfigDelta),
     /// Asks for the newest configuration whole: what came made none.
     Whole,
-    /// Between relays and those that follow them. A configuration goes as a [`Flag::Splice`] instead.
+    /// Between relays and those that follow them. A configuration goes as a [`Message::ConfigDelta`] instead.
     Relay(relay::Word),
     /// A data plane says that it has ended: it admits no request and spends nothing from now on.
     Leave,
--- a/crates/protocol/src/relay.rs
+++ b/crates/protocol/src/relay.rs
@@ -1,6 +1,6 @@
 //! What relays of news say to each other.
 
-use crate::{Berth, Sheet};
+use crate::{Backend, ConfigSnapshot};
 use bitcode::{Decode, Encode};
 
 /// How far a process is in the changes of backends.
@@ -18,7 +18,7 @@
     /// Which changes these are.
     pub mark: Mark,
     /// The backends.
-    pub berths: Vec<Berth>,
+    pub berths: Vec<Backend>,
 }
 
 /// A relay that can take followers.
@@ -52,7 +52,7 @@
         to: Vec<String>,
     },
     /// Down: the root lives. Sent by it alone and passed on, never twice.
-    Pulse {
+    Heartbeat {
         /// The root's epoch.
         epoch: u64,
         /// Which one, counted in each epoch.
@@ -64,7 +64,7 @@
         /// The newest configuration that the sender has.
         version: u64,
         /// What the root says of the harbour; the receiver's own number is not in it.
-        told: crate::Pulse,
+        told: crate::Heartbeat,
     },
     /// Down: where roots take connections.
     Roots(Vec<String>),
@@ -89,7 +89,7 @@
     /// Down: all backends there are.
     Whole(Batch),
     /// Down: a configuration.
-    Sheet(Sheet),
+    ConfigSnapshot(ConfigSnapshot),
 }
 
 impl Word {
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -1,20 +1,20 @@
 //! Frames, whole and in pieces, and bytes that are none.
 
-use protocol::{Flag, Garbled, Held, LONGEST, Pulse, frame, unframe};
+use protocol::{Garbled, Heartbeat, Held, LONGEST, Message, frame, unframe};
 
 #[test]
 fn frames_come_back_whole_however_they_are_cut() {
     let flags = [
-        Flag::Follow { have: Held { version: 7, mark: 9 } },
-        Flag::Pulse(Pulse::default()),
-        Flag::Heard(vec![("i-1".into(), 3)]),
+        Message::Follow { have: Held { version: 7, mark: 9 } },
+        Message::Heartbeat(Heartbeat::default()),
+        Message::Heard(vec![("i-1".into(), 3)]),
     ];
     let bytes: Vec<u8> = flags.iter().flat_map(frame).collect();
     for size in 1..bytes.len() {
         let (mut buffer, mut read) = (Vec::new(), Vec::new());
         for piece in bytes.chunks(size) {
             buffer.extend_from_slice(piece);
-            while let Some((flag, taken)) = unframe::<Flag>(&buffer).expect("a frame") {
+            while let Some((flag, taken)) = unframe::<Message>(&buffer).expect("a frame") {
                 buffer.drain(..taken);
                 read.push(flag);
             }
@@ -26,20 +26,20 @@
 
 #[test]
 fn what_is_no_frame_is_told_apart_from_half_a_frame() {
-    assert_eq!(unframe::<Flag>(&[0, 0]), Ok(None));
+    assert_eq!(unframe::<Message>(&[0, 0]), Ok(None));
     let long = u32::try_from(LONGEST + 1).expect("fits").to_be_bytes();
-    assert_eq!(unframe::<Flag>(&long), Err(Garbled::TooLong(LONGEST + 1)));
-    assert_eq!(unframe::<Flag>(&[0, 0, 0, 3, 255, 255, 255]), Err(Garbled::Undecodable));
+    assert_eq!(unframe::<Message>(&long), Err(Garbled::TooLong(LONGEST + 1)));
+    assert_eq!(unframe::<Message>(&[0, 0, 0, 3, 255, 255, 255]), Err(Garbled::Undecodable));
 }
 
 #[test]
 fn any_byte_changed_gives_a_message_or_an_error_but_no_panic() {
-    let whole = frame(&Flag::Heard(vec![("i-1".into(), 3), ("i-2".into(), 9)]));
+    let whole = frame(&Message::Heard(vec![("i-1".into(), 3), ("i-2".into(), 9)]));
     for at in 4..whole.len() {
         for bit in 0..8 {
             let mut bytes = whole.clone();
             bytes[at] ^= 1 << bit;
-            if let Ok(read) = unframe::<Flag>(&bytes) {
+            if let Ok(read) = unframe::<Message>(&bytes) {
                 assert!(read.is_some(), "the length is untouched");
             }
         }
--- a/crates/quota/src/cache.rs
+++ b/crates/quota/src/cache.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use crate::source::{PROBE, Source};
-use crate::{Draw, Epoch, Grant, Millis, Quota, Roster, Share, Standing, Terms, Want};
+use crate::{Epoch, Grant, HolderAssignment, LeaseRequest, Millis, Quota, Share, Standing, Terms, Want};
 
 /// The weight of the newest window in smoothed demand.
 const NEWEST: f64 = 0.4;
@@ -116,7 +116,7 @@
     seed: u64,
     numbers: u64,
     epoch: Epoch,
-    roster: Roster,
+    roster: HolderAssignment,
     /// The holders, in the order of the assignment; never empty.
     sources: Vec<Source>,
     last_word: Option<Millis>,
@@ -136,7 +136,7 @@
             seed,
             numbers: 0,
             epoch: Epoch::default(),
-            roster: Roster::default(),
+            roster: HolderAssignment::default(),
             sources: vec![Source::new("")],
             last_word: None,
             ignores_epoch: false,
@@ -166,7 +166,7 @@
 
     /// Takes an assignment: who holds what, unless it is an older one. Draws on their way to others are given up, and
     /// grants of an older epoch refused from now on.
-    pub fn roster(&mut self, roster: &Roster) {
+    pub fn roster(&mut self, roster: &HolderAssignment) {
         if roster.epoch < self.epoch || roster.holders.is_empty() || *roster == self.roster {
             return;
         }
@@ -191,7 +191,7 @@
     }
 
     /// The newest assignment that it was told.
-    pub fn holders(&self) -> &Roster {
+    pub fn holders(&self) -> &HolderAssignment {
         &self.roster
     }
 
@@ -313,8 +313,8 @@
     }
 
     /// What is to be sent now, and to which holder: one message for all tenants of it.
-    pub fn draw(&mut self, now: Millis) -> Vec<(Rc<str>, Draw)> {
-        let mut draws: Vec<(usize, Draw)> = Vec::new();
+    pub fn draw(&mut self, now: Millis) -> Vec<(Rc<str>, LeaseRequest)> {
+        let mut draws: Vec<(usize, LeaseRequest)> = Vec::new();
         if self.closed {
             return Vec::new();
         }
@@ -341,7 +341,7 @@
             let need = if t.slice_debt > 0 { add.saturating_add(t.slice_debt) } else { need };
             let at = draws.iter().position(|(place, _)| *place == t.source).unwrap_or_else(|| {
                 self.numbers += 1;
-                draws.push((t.source, Draw { number: self.numbers, epoch, wants: Vec::new() }));
+                draws.push((t.source, LeaseRequest { number: self.numbers, epoch, wants: Vec::new() }));
                 draws.len() - 1
             });
             if let Some((_, draw)) = draws.get_mut(at) {
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -4,8 +4,8 @@
 
 use crate::silence_charges::SilenceCharges;
 use crate::{
-    Draw, Epoch, Floor, Grant, HEARD_FOR, Handed, Handover, Millis, Quota, SILENT_AFTER, Share, Standing,
-    Terms, Want, WideSlice,
+    Epoch, Floor, Grant, HEARD_FOR, Handed, Handover, LeaseRequest, Millis, Quota, SILENT_AFTER, Share,
+    Standing, Terms, Want, WideSlice,
 };
 
 /// A draw this close before a window's end is served from the next one: gateways count the end from when they asked,
@@ -61,7 +61,7 @@
 
 /// Holds the counts of all tenants under one epoch.
 #[derive(Debug)]
-pub struct Holder {
+pub struct QuotaHolder {
     epoch: Epoch,
     /// Where the grid of windows begins.
     office: Millis,
@@ -82,7 +82,7 @@
     counts: BTreeMap<String, Count>,
 }
 
-impl Holder {
+impl QuotaHolder {
     /// Takes office under an epoch. Unless no holder was there before (`first`), nothing is granted for one window of
     /// each tenant after `shut`, for which a former holder may still have granted: by then every block of it has ended.
     pub fn take_office(epoch: Epoch, first: bool, now: Millis, shut: Millis) -> Self {
@@ -287,7 +287,7 @@
     }
 
     /// Answers a gateway's draw.
-    pub fn draw(&mut self, now: Millis, gateway: &str, draw: &Draw) -> Grant {
+    pub fn draw(&mut self, now: Millis, gateway: &str, draw: &LeaseRequest) -> Grant {
         self.forget_silent(now);
         let same = draw.epoch == self.epoch;
         // One that knows an older assignment only may spend slices of counts that are granted from here.
@@ -321,7 +321,7 @@
     }
 
     /// Floors that the log should say from now on, by tenant. They are on their way once this has told them: the holder
-    /// keeps to the higher of old and new until [`Holder::decided`].
+    /// keeps to the higher of old and new until [`QuotaHolder::decided`].
     pub fn floors_wanted(&mut self, now: Millis) -> Vec<(String, u32)> {
         let mut wanted = Vec::new();
         for (tenant, count) in &mut self.counts {
@@ -352,7 +352,7 @@
     }
 
     /// Has a gateway ask again shortly.
-    pub fn put_off(&self, draw: &Draw) -> Grant {
+    pub fn put_off(&self, draw: &LeaseRequest) -> Grant {
         let share = |want: &Want| Share {
             tenant: want.tenant.clone(),
             window: 0,
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,7 +1,7 @@
 //! Counts of tenants and the lease caches that draw on them: state machines without I/O or clock.
 //!
-//! The leader of the control plane, or several of its processes by the leader's assignment ([`Placer`], [`Roster`]),
-//! has an [`Office`] with the count of each of its tenants' windows ([`Holder`]); each gateway of the data plane has a
+//! The leader of the control plane, or several of its processes by the leader's assignment ([`Placer`], [`HolderAssignment`]),
+//! has an [`QuotaService`] with the count of each of its tenants' windows ([`QuotaHolder`]); each gateway of the data plane has a
 //! [`Cache`] of blocks taken from these counts. Both are told the time by their hosts, each by its own
 //! steady clock: over the wire go spans only.
 
@@ -20,12 +20,12 @@
 
 pub use cache::{Cache, TenantFigures, Verdict};
 pub use floor::Floor;
-pub use holder::{CountFigures, Holder};
+pub use holder::{CountFigures, QuotaHolder};
 #[doc(hidden)]
 pub use office::Faults;
-pub use office::{Handed, Handover, Office};
+pub use office::{Handed, Handover, QuotaService};
 pub use placer::{HOLDERS_MOST, LOST, Placer};
-pub use roster::{Epoch, Roster};
+pub use roster::{Epoch, HolderAssignment};
 pub use terms::{Quota, Terms};
 
 use bitcode::{Decode, Encode};
@@ -43,7 +43,7 @@
 
 /// What a gateway wants of the counts: one message for all its tenants.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub struct Draw {
+pub struct LeaseRequest {
     /// The cache's own number for this draw; the answer repeats it.
     pub number: u64,
     /// The highest epoch the cache has seen: units go back only to the holder that gave them.
--- a/crates/quota/src/office.rs
+++ b/crates/quota/src/office.rs
@@ -3,7 +3,9 @@
 use bitcode::{Decode, Encode};
 use std::collections::BTreeMap;
 
-use crate::{Draw, Epoch, Grant, Holder, LEASE_MOST, Millis, Quota, Roster, WideSlice};
+use crate::{
+    Epoch, Grant, HolderAssignment, LEASE_MOST, LeaseRequest, Millis, Quota, QuotaHolder, WideSlice,
+};
 
 /// Faults that tests plant to see that they are found. All off in service.
 #[doc(hidden)]
@@ -19,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Handover {
     /// The assignment by which they move: it may be news to the next holder.
-    pub roster: Roster,
+    pub roster: HolderAssignment,
     /// The gateways that the holder has heard, and how long ago.
     pub heard: Vec<(String, Millis)>,
     /// The counts.
@@ -45,11 +47,11 @@
 
 /// Holds those counts that the newest assignment gives to this process, while its lease lasts.
 #[derive(Debug)]
-pub struct Office {
+pub struct QuotaService {
     me: String,
-    roster: Roster,
+    roster: HolderAssignment,
     lease_until: Millis,
-    holder: Option<Holder>,
+    holder: Option<QuotaHolder>,
     quotas: Vec<Quota>,
     known: u32,
     wide: Vec<WideSlice>,
@@ -58,12 +60,12 @@
     faults: Faults,
 }
 
-impl Office {
+impl QuotaService {
     /// The office of a process that holds nothing yet.
     pub fn new(me: &str) -> Self {
         Self {
             me: me.to_owned(),
-            roster: Roster::default(),
+            roster: HolderAssignment::default(),
             lease_until: 0.0,
             holder: None,
             quotas: Vec::new(),
@@ -84,35 +86,35 @@
         self.floors = floors;
     }
 
-    /// See [`Holder::presses`].
+    /// See [`QuotaHolder::presses`].
     pub fn presses(&self) -> bool {
-        self.holder.as_ref().is_some_and(Holder::presses)
+        self.holder.as_ref().is_some_and(QuotaHolder::presses)
     }
 
-    /// See [`Holder::floors_wanted`].
+    /// See [`QuotaHolder::floors_wanted`].
     pub fn floors_wanted(&mut self, now: Millis) -> Vec<(String, u32)> {
         self.holder.as_mut().map(|holder| holder.floors_wanted(now)).unwrap_or_default()
     }
 
-    /// See [`Holder::decided`].
+    /// See [`QuotaHolder::decided`].
     pub fn decided(&mut self) {
-        self.holder.iter_mut().for_each(Holder::decided);
+        self.holder.iter_mut().for_each(QuotaHolder::decided);
     }
 
     /// The newest assignment that this process has taken.
-    pub fn roster(&self) -> &Roster {
+    pub fn roster(&self) -> &HolderAssignment {
         &self.roster
     }
 
     /// The counts, if this process has any.
-    pub fn holder(&self) -> Option<&Holder> {
+    pub fn holder(&self) -> Option<&QuotaHolder> {
         self.holder.as_ref()
     }
 
     /// Takes an assignment; older ones and the present one change nothing. Counts that go to others are given up at
     /// once; what their new holders are to be told comes back, with their names. `first` says that no holder was there
     /// before in the life of the harbour.
-    pub fn assume(&mut self, now: Millis, roster: &Roster, first: bool) -> Vec<(String, Handover)> {
+    pub fn assume(&mut self, now: Millis, roster: &HolderAssignment, first: bool) -> Vec<(String, Handover)> {
         if roster.epoch <= self.roster.epoch {
             return Vec::new();
         }
@@ -136,7 +138,7 @@
                 holder.goes_on(now, roster.epoch, shut);
                 holder
             }
-            None => Holder::take_office(roster.epoch, opens, now, shut),
+            None => QuotaHolder::take_office(roster.epoch, opens, now, shut),
         };
         if self.faults.opens_at_once {
             holder.opens_at_once();
@@ -149,7 +151,7 @@
         told
     }
 
-    fn give_up(&self, now: Millis, holder: &mut Holder) -> Vec<(String, Handover)> {
+    fn give_up(&self, now: Millis, holder: &mut QuotaHolder) -> Vec<(String, Handover)> {
         let mut told: Vec<(String, Handover)> = Vec::new();
         for count in holder.give_up(now, |tenant| self.roster.holder_of(tenant) == Some(&self.me)) {
             let Some(to) = self.roster.holder_of(&count.tenant) else { continue };
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Takes the gateways that may divide their slices by fewer than there are; see [`Holder::wide_slices`].
+    /// Takes the gateways that may divide their slices by fewer than there are; see [`QuotaHolder::wide_slices`].
     pub fn wide_slices(&mut self, wide: Vec<WideSlice>) {
         if wide == self.wide {
             return;
@@ -232,7 +234,7 @@
         }
     }
 
-    /// A gateway has said that it ended; see [`Holder::left`].
+    /// A gateway has said that it ended; see [`QuotaHolder::left`].
     pub fn left(&mut self, gateway: &str) {
         self.holder.iter_mut().for_each(|holder| holder.left(gateway));
     }
@@ -248,7 +250,7 @@
     }
 
     /// Answers a gateway's draw; nothing while it may not grant.
-    pub fn draw(&mut self, now: Millis, gateway: &str, draw: &Draw) -> Option<Grant> {
+    pub fn draw(&mut self, now: Millis, gateway: &str, draw: &LeaseRequest) -> Option<Grant> {
         let open = self.is_open(now);
         let holder = self.holder.as_mut()?;
         if open {
--- a/crates/quota/src/placer.rs
+++ b/crates/quota/src/placer.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Epoch, Millis, Roster};
+use crate::{Epoch, HolderAssignment, Millis};
 
 /// More holders than this make draws smaller and not fewer.
 pub const HOLDERS_MOST: usize = 8;
@@ -32,7 +32,7 @@
     me: String,
     /// One holder bears this many draws a second.
     bears: f64,
-    roster: Roster,
+    roster: HolderAssignment,
     changed: Millis,
     candidates: BTreeMap<String, Candidate>,
 }
@@ -42,12 +42,12 @@
     /// share them out: each further holder costs every gateway a message each window, so few draws are better left
     /// together. With infinity it holds them alone for good.
     pub fn new(me: &str, term: u64, now: Millis, bears: f64) -> Self {
-        let roster = Roster { epoch: Epoch::first(term), holders: vec![me.to_owned()] };
+        let roster = HolderAssignment { epoch: Epoch::first(term), holders: vec![me.to_owned()] };
         Self { me: me.to_owned(), bears: bears.max(1.0), roster, changed: now, candidates: BTreeMap::new() }
     }
 
     /// The present assignment.
-    pub fn roster(&self) -> &Roster {
+    pub fn roster(&self) -> &HolderAssignment {
         &self.roster
     }
 
--- a/crates/quota/src/roster.rs
+++ b/crates/quota/src/roster.rs
@@ -25,14 +25,14 @@
 
 /// One assignment: the holders that the tenants are spread over. Who holds what follows from it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Roster {
+pub struct HolderAssignment {
     /// Its epoch.
     pub epoch: Epoch,
     /// The holders by name; the leader is one of them.
     pub holders: Vec<String>,
 }
 
-impl Roster {
+impl HolderAssignment {
     /// The place in `holders` of the one that has a tenant's count, by rendezvous hashing: when a holder comes or goes,
     /// only the tenants that come to it or were its own move.
     pub fn place_of(&self, tenant: &str) -> Option<usize> {
--- a/crates/quota/tests/departures.rs
+++ b/crates/quota/tests/departures.rs
@@ -1,6 +1,6 @@
 //! A gateway that ends spends nothing more, and one that has ended stands in for nobody.
 
-use quota::{Cache, Draw, Epoch, Grant, Holder, Quota, Share, Standing, Verdict, Want};
+use quota::{Cache, Epoch, Grant, LeaseRequest, Quota, QuotaHolder, Share, Standing, Verdict, Want};
 
 const TENANT: &str = "t";
 const WINDOW: f64 = 400.0;
@@ -72,14 +72,14 @@
     assert!(by_slices(&mut in_touch, 1100.0, 30) > 15);
 }
 
-fn granted(holder: &mut Holder, now: f64) -> u32 {
+fn granted(holder: &mut QuotaHolder, now: f64) -> u32 {
     let wants = vec![Want { tenant: TENANT.into(), need: 1000, add: 1000, back: 0 }];
-    holder.draw(now, "a", &Draw { number: 1, epoch: Epoch::first(1), wants }).shares[0].granted
+    holder.draw(now, "a", &LeaseRequest { number: 1, epoch: Epoch::first(1), wants }).shares[0].granted
 }
 
 /// What a gateway gets in a window, with another one cut off and a third that leaves at its begin, if at all.
 fn beside_one_cut_off(leaves: bool) -> u32 {
-    let mut holder = Holder::take_office(Epoch::first(1), true, 0.0, 0.0);
+    let mut holder = QuotaHolder::take_office(Epoch::first(1), true, 0.0, 0.0);
     holder.fleet(0.0, 3);
     holder.quotas(0.0, &[quota()]);
     holder.heard(0.0, "cut off");
--- a/crates/quota/tests/floors.rs
+++ b/crates/quota/tests/floors.rs
@@ -1,6 +1,6 @@
 //! Floors of counts through changes of holder: what the log says is enough to begin with, and never too much.
 
-use quota::{Cache, Draw, Epoch, Holder, Quota, Roster, Verdict, Want};
+use quota::{Cache, Epoch, HolderAssignment, LeaseRequest, Quota, QuotaHolder, Verdict, Want};
 use std::collections::BTreeMap;
 
 const STEP: f64 = 5.0;
@@ -46,7 +46,7 @@
 
 struct World {
     lots: Lots,
-    holder: Option<Holder>,
+    holder: Option<QuotaHolder>,
     epoch: u64,
     log: Log,
     caches: Vec<Cache>,
@@ -83,12 +83,12 @@
     fn takes_office(&mut self, now: f64) {
         self.epoch += 1;
         let floors = self.log.floors.clone();
-        let mut holder = Holder::take_office(Epoch::first(self.epoch), self.epoch == 1, now, 0.0);
+        let mut holder = QuotaHolder::take_office(Epoch::first(self.epoch), self.epoch == 1, now, 0.0);
         holder.floors(floors);
         holder.fleet(now, QUAYS as u32);
         holder.quotas(now, &[quota()]);
         self.holder = Some(holder);
-        let roster = Roster { epoch: Epoch::first(self.epoch), holders: vec!["m".to_owned()] };
+        let roster = HolderAssignment { epoch: Epoch::first(self.epoch), holders: vec!["m".to_owned()] };
         self.caches.iter_mut().for_each(|cache| cache.roster(&roster));
     }
 
@@ -232,12 +232,12 @@
 
 #[test]
 fn a_floor_that_may_yet_be_decided_is_kept_to() {
-    let mut holder = Holder::take_office(Epoch::first(1), true, 0.0, 0.0);
+    let mut holder = QuotaHolder::take_office(Epoch::first(1), true, 0.0, 0.0);
     holder.fleet(0.0, 1);
     holder.quotas(0.0, &[quota()]);
-    let draw = |holder: &mut Holder, now: f64, add: u32| {
+    let draw = |holder: &mut QuotaHolder, now: f64, add: u32| {
         let wants = vec![Want { tenant: TENANT.into(), need: add, add, back: 0 }];
-        holder.draw(now, "quay", &Draw { number: 1, epoch: Epoch::first(1), wants }).shares[0].clone()
+        holder.draw(now, "quay", &LeaseRequest { number: 1, epoch: Epoch::first(1), wants }).shares[0].clone()
     };
     let mut now = 0.0;
     while now < 6500.0 {
--- a/crates/quota/tests/office.rs
+++ b/crates/quota/tests/office.rs
@@ -1,7 +1,8 @@
 //! What an office, a cache and the leader's assignments do at the moments that a drawn world seldom reaches.
 
 use quota::{
-    Cache, Draw, Epoch, Grant, Handover, LOST, Office, Placer, Quota, Roster, Share, Standing, Verdict, Want,
+    Cache, Epoch, Grant, Handover, HolderAssignment, LOST, LeaseRequest, Placer, Quota, QuotaService, Share,
+    Standing, Verdict, Want,
 };
 use std::collections::BTreeSet;
 
@@ -11,19 +12,23 @@
     Quota { tenant: tenant.into(), rate_per_s: 50.0, burst: 10.0 }
 }
 
-fn roster(number: u32, holders: &[&str]) -> Roster {
-    Roster { epoch: Epoch { term: 1, number }, holders: holders.iter().map(|h| (*h).to_owned()).collect() }
+fn roster(number: u32, holders: &[&str]) -> HolderAssignment {
+    HolderAssignment {
+        epoch: Epoch { term: 1, number },
+        holders: holders.iter().map(|h| (*h).to_owned()).collect(),
+    }
 }
 
-fn draw(office: &mut Office, now: f64, tenant: &str) -> Share {
+fn draw(office: &mut QuotaService, now: f64, tenant: &str) -> Share {
     let wants = vec![Want { tenant: tenant.into(), need: 5, add: 5, back: 0 }];
-    let grant =
-        office.draw(now, "quay", &Draw { number: 1, epoch: Epoch::default(), wants }).expect("a grant");
+    let grant = office
+        .draw(now, "quay", &LeaseRequest { number: 1, epoch: Epoch::default(), wants })
+        .expect("a grant");
     grant.shares.into_iter().next().expect("a share")
 }
 
-fn office(me: &str, tenants: &[String]) -> Office {
-    let mut office = Office::new(me);
+fn office(me: &str, tenants: &[String]) -> QuotaService {
+    let mut office = QuotaService::new(me);
     office.quotas(0.0, tenants.iter().map(|t| quota(t)).collect());
     office.lease(1e9);
     office
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -4,7 +4,8 @@
 #![allow(dead_code)]
 
 use quota::{
-    Cache, Draw, Epoch, Faults, Grant, Handover, LEASE_MOST, Office, Placer, Quota, Roster, Verdict,
+    Cache, Epoch, Faults, Grant, Handover, HolderAssignment, LEASE_MOST, LeaseRequest, Placer, Quota,
+    QuotaService, Verdict,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
@@ -52,14 +53,14 @@
 
 #[derive(Debug, Clone)]
 enum Said {
-    Draw(Draw),
+    LeaseRequest(LeaseRequest),
     Grant(Grant),
     NotHolder(u64),
     Ask { number: u64, answered: u64, draws: f64 },
-    Lease { number: u64, roster: Roster, ends_in: f64 },
-    Roster(Roster),
+    Lease { number: u64, roster: HolderAssignment, ends_in: f64 },
+    HolderAssignment(HolderAssignment),
     Handover(Handover),
-    Pulse { roster: Roster, fresh: bool, gateways: Option<u32> },
+    Heartbeat { roster: HolderAssignment, fresh: bool, gateways: Option<u32> },
     Here(Epoch),
     Word(membership::Word),
 }
@@ -97,10 +98,10 @@
     }
 }
 
-struct Master {
-    office: Office,
+struct ControlPlane {
+    office: QuotaService,
     placer: Option<Placer>,
-    known: Roster,
+    known: HolderAssignment,
     asks: VecDeque<(u64, f64)>,
     answered: u64,
     next_ask: f64,
@@ -145,7 +146,7 @@
     clients: Lots,
     pub judge: Judge,
     loads: Vec<Load>,
-    masters: Vec<Master>,
+    masters: Vec<ControlPlane>,
     gateways: Vec<Gateway>,
     queue: BinaryHeap<Reverse<Due>>,
     order: u64,
@@ -218,15 +219,15 @@
         world
     }
 
-    fn master(&mut self, place: usize, life: u64, quotas: &[Quota], gateways: usize) -> Master {
-        let mut office = Office::new(&name(place));
+    fn master(&mut self, place: usize, life: u64, quotas: &[Quota], gateways: usize) -> ControlPlane {
+        let mut office = QuotaService::new(&name(place));
         office.plant(self.faults);
         office.fleet(self.now, gateways as u32);
         office.quotas(self.now, quotas.to_vec());
-        Master {
+        ControlPlane {
             office,
             placer: None,
-            known: Roster::default(),
+            known: HolderAssignment::default(),
             asks: VecDeque::new(),
             answered: 0,
             next_ask: 0.0,
@@ -393,7 +394,7 @@
     fn tell(&mut self, leader: usize) {
         let roster = self.masters[leader].known.clone();
         for other in (0..self.masters.len()).filter(|other| *other != leader) {
-            self.send(Who::M(leader), Who::M(other), Said::Roster(roster.clone()));
+            self.send(Who::M(leader), Who::M(other), Said::HolderAssignment(roster.clone()));
         }
         self.pulse(leader);
     }
@@ -402,7 +403,7 @@
     fn single(&self) -> Result<(), String> {
         for load in &self.loads {
             let tenant = &load.quota.tenant;
-            let holds = |m: &&Master| m.up && m.office.holds(self.now, tenant);
+            let holds = |m: &&ControlPlane| m.up && m.office.holds(self.now, tenant);
             if self.masters.iter().filter(holds).count() > 1 {
                 return Err(format!("{tenant} is held twice at {:.0} ms", self.now));
             }
@@ -460,7 +461,7 @@
         }
     }
 
-    fn take_roster(&mut self, place: usize, roster: &Roster) {
+    fn take_roster(&mut self, place: usize, roster: &HolderAssignment) {
         let now = self.now;
         let m = &mut self.masters[place];
         if roster.epoch <= m.known.epoch {
@@ -485,13 +486,13 @@
         let gateways = self.divisor(place);
         for gateway in 0..self.gateways.len() {
             if self.gateways[gateway].follows == place {
-                let pulse = Said::Pulse { roster: roster.clone(), fresh, gateways };
+                let pulse = Said::Heartbeat { roster: roster.clone(), fresh, gateways };
                 self.send(Who::M(place), Who::Q(gateway), pulse);
             }
         }
     }
 
-    fn roster_at(&self, place: usize) -> Roster {
+    fn roster_at(&self, place: usize) -> HolderAssignment {
         self.gateways[place].cache.holders().clone()
     }
 
@@ -504,7 +505,7 @@
             return;
         }
         self.judge.sent(match &said {
-            Said::Draw(draw) => Some(bitcode::encode(draw).len() + 5),
+            Said::LeaseRequest(draw) => Some(bitcode::encode(draw).len() + 5),
             Said::Grant(grant) => Some(bitcode::encode(grant).len() + 5),
             _ => None,
         });
@@ -533,7 +534,7 @@
         let m = &mut self.masters[place];
         match said {
             Said::Here(epoch) => m.office.heard(now, &quay, epoch),
-            Said::Draw(draw) => {
+            Said::LeaseRequest(draw) => {
                 m.draws.1 += 1;
                 let answer = match m.office.draw(now, &quay, &draw) {
                     Some(grant) => Said::Grant(grant),
@@ -573,7 +574,7 @@
                     m.office.lease(until);
                 }
             }
-            Said::Roster(roster) => self.take_roster(place, &roster),
+            Said::HolderAssignment(roster) => self.take_roster(place, &roster),
             Said::Handover(handover) => {
                 let m = &mut self.masters[place];
                 if handover.roster.epoch > m.known.epoch {
@@ -593,7 +594,7 @@
         let g = &mut self.gateways[place];
         let mut told = Vec::new();
         match said {
-            Said::Pulse { roster, fresh, gateways } => {
+            Said::Heartbeat { roster, fresh, gateways } => {
                 g.heard = now;
                 match gateways {
                     Some(gateways) => g.cache.fleet_told(now, gateways, fresh),
@@ -657,7 +658,7 @@
             match to {
                 Some(to) => {
                     self.gateways[place].drawn.insert(draw.number, now);
-                    self.send(Who::Q(place), Who::M(to), Said::Draw(draw));
+                    self.send(Who::Q(place), Who::M(to), Said::LeaseRequest(draw));
                 }
                 None => self.gateways[place].cache.silent(now, draw.number),
             }
--- a/crates/reachlb/src/lib.rs
+++ b/crates/reachlb/src/lib.rs
@@ -25,9 +25,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Program {
     /// Carries requests from clients to backends.
-    Quay,
+    DataPlane,
     /// Serves control.
-    Harbourmaster,
+    ControlPlane,
 }
 
 /// What the command line turns on, whatever the settings say.
@@ -35,7 +35,7 @@
 pub struct Switches {
     /// Processes watch each other.
     pub watching: bool,
-    /// News goes down a tree of relays.
+    /// Update goes down a tree of relays.
     pub relays: bool,
 }
 
@@ -60,8 +60,8 @@
         return ExitCode::from(UNUSABLE);
     }
     let done = match program {
-        Program::Quay => start::run(quays::run(settings, path)),
-        Program::Harbourmaster => start::run(master::run(settings, path)),
+        Program::DataPlane => start::run(quays::run(settings, path)),
+        Program::ControlPlane => start::run(master::run(settings, path)),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/reachlb/src/main.rs
+++ b/crates/reachlb/src/main.rs
@@ -22,9 +22,9 @@
 #[derive(Debug, Options)]
 enum Command {
     /// carry requests from clients to backends
-    Quay(Plane),
+    DataPlane(Plane),
     /// serve control: backends' beats, the operator's calls, the log, the counts
-    Harbourmaster(Plane),
+    ControlPlane(Plane),
     /// check a settings file (TOML) or a configuration (JSON), every fault on a line of its own
     Check(Check),
     /// how a harbour stands, as one of its processes knows it
@@ -71,8 +71,8 @@
         Command::Explain(call) => return operate::run(operate::explain(call)),
         Command::State(call) => return operate::told(operate::state(call)),
         Command::Voter(call) => return operate::run(operate::voter(call)),
-        Command::Quay(plane) => (Program::Quay, plane),
-        Command::Harbourmaster(plane) => (Program::Harbourmaster, plane),
+        Command::DataPlane(plane) => (Program::DataPlane, plane),
+        Command::ControlPlane(plane) => (Program::ControlPlane, plane),
     };
     let Plane { watching, relays, .. } = plane;
     serve(program, arguments.settings, Switches { watching, relays })
--- a/crates/reachlb/src/master.rs
+++ b/crates/reachlb/src/master.rs
@@ -2,9 +2,9 @@
 
 use crate::start;
 use config::Settings;
-use control_plane::{Command, Disk, Losses, Master, MasterSettings, Tolerance};
+use control_plane::{Command, ControlPlane, ControlPlaneSettings, Disk, Losses, Tolerance};
 use miette::{Result, miette};
-use protocol::{Hail, Plane};
+use protocol::{Hello, Plane};
 use raft::{Timing, VoterId};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -61,16 +61,16 @@
         }
         None => None,
     };
-    let me = Hail {
+    let me = Hello {
         name: settings.node_name.to_string(),
         life,
-        plane: Plane::Master,
+        plane: Plane::ControlPlane,
         address: address.to_string(),
         zone: settings.zone.to_string(),
         quorum: log.is_some(),
         incarnation: log.as_ref().map(|(_, saved)| saved.me.incarnation),
     };
-    let master = MasterSettings {
+    let master = ControlPlaneSettings {
         me,
         address,
         seeds: start::seeds(&settings),
@@ -94,7 +94,8 @@
     });
     spdlog::info!("serves control", kv: { step = "start", life, quorum = folder.is_some() });
     let lookout = start::watch(&settings, false, life)?;
-    let master = Master::new(master, log, commands.clone(), numbers.clone()).with_lookout(lookout.clone());
+    let master =
+        ControlPlane::new(master, log, commands.clone(), numbers.clone()).with_lookout(lookout.clone());
     tokio::task::spawn_local(control_plane::listen(peers, commands.clone(), move || numbers()));
     let callers = (settings.max_fds as usize).saturating_sub(KEPT).clamp(64, 4096);
     tokio::task::spawn_local(control_plane::serve(control, commands.clone(), callers));
--- a/crates/reachlb/src/operate/state.rs
+++ b/crates/reachlb/src/operate/state.rs
@@ -1,7 +1,7 @@
 //! What lies in a data folder, read from a copy: neither a repair nor a fault of this program changes the original.
 
 use super::Trouble;
-use control_plane::{Change, Ledger, Marks};
+use control_plane::{Change, ConfigHistory, Marks};
 use gumdrop::Options;
 use raft::store::{Store, StoreError};
 use raft::{Entry, Saved, What};
@@ -87,7 +87,7 @@
 fn described(saved: &Saved, path: &Path) -> Result<Value, Trouble> {
     let snapshot = match &saved.snapshot {
         Some(snapshot) => {
-            let ledger = Ledger::restore(&snapshot.state)
+            let ledger = ConfigHistory::restore(&snapshot.state)
                 .map_err(|error| damaged(path, format!("the state in the snapshot: {error}")))?;
             Some(json!({ "index": snapshot.index, "term": snapshot.term, "bytes": snapshot.state.len(),
                 "members": snapshot.members.iter().map(ToString::to_string).collect::<Vec<_>>(),
--- a/crates/reachlb/src/quays.rs
+++ b/crates/reachlb/src/quays.rs
@@ -2,9 +2,9 @@
 
 use crate::start;
 use config::{Config, Settings};
-use data_plane::{Purser, Quay, QuaySettings};
+use data_plane::{DataPlane, DataPlaneSettings, LeaseClient};
 use miette::{Result, miette};
-use protocol::{Hail, Plane};
+use protocol::{Hello, Plane};
 use quota::Quota;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::timeout;
-use transport::{News, Pilot, PilotSettings, Place};
+use transport::{ControlFollower, FollowerSettings, Place, Update};
 
 /// A process that has ended waits at most this long until control has accepted that.
 const LEAVE_WAIT: Duration = Duration::from_millis(400);
@@ -28,10 +28,10 @@
     let readiness_at = settings.readiness.ok_or_else(|| miette!("settings: bind.readiness is missing"))?;
     let front = start::listen("clients", front_at)?;
     let readiness = start::listen("readiness", readiness_at)?;
-    let me = Hail {
+    let me = Hello {
         name: settings.node_name.to_string(),
         life,
-        plane: Plane::Quay,
+        plane: Plane::DataPlane,
         // Whom operators ask what became of a request.
         address: if readiness_at.ip().is_unspecified() {
             SocketAddr::new(settings.ip, readiness_at.port()).to_string()
@@ -43,11 +43,11 @@
         incarnation: None,
     };
     // The pilot's news and the purser's draws need each other.
-    let pilot: Rc<RefCell<Option<Pilot>>> = Rc::default();
+    let pilot: Rc<RefCell<Option<ControlFollower>>> = Rc::default();
     let wire = pilot.clone();
     let send = move |to: &str, draw| wire.borrow().as_ref().is_some_and(|pilot| pilot.draw(to, draw));
-    let purser = Purser::start(life, Box::new(send));
-    let about = QuaySettings {
+    let purser = LeaseClient::start(life, Box::new(send));
+    let about = DataPlaneSettings {
         max_fds: settings.max_fds as usize,
         grace: settings.bounds.grace,
         ways: settings.tuning.ways.clone(),
@@ -55,14 +55,14 @@
             let (step, version, left_out) = (line.step, line.version, line.left_out);
             spdlog::info!("{}", line.text, kv: { step, version, left_out });
         }),
-        ..QuaySettings::new(front_at, readiness_at, &settings.zone, &settings.node_name)
+        ..DataPlaneSettings::new(front_at, readiness_at, &settings.zone, &settings.node_name)
     };
-    let quay = Quay::new(about, purser.clone(), life);
+    let quay = DataPlane::new(about, purser.clone(), life);
     let news = {
         let (quay, purser) = (quay.clone(), purser.clone());
         let mut known = (None, 0);
         move |news| match news {
-            News::Sheet(sheet) => match Config::parse(&sheet.body) {
+            Update::ConfigSnapshot(sheet) => match Config::parse(&sheet.body) {
                 Ok(config) => {
                     purser.quotas(quotas(&config));
                     quay.configure(Rc::new(config));
@@ -72,8 +72,8 @@
                     spdlog::error!("not read: {}", fault, kv: { step = "config", version });
                 }
             },
-            News::Berths { whole, berths } => quay.berths(&berths, whole),
-            News::Pulse(pulse) => {
+            Update::Backends { whole, berths } => quay.berths(&berths, whole),
+            Update::Heartbeat(pulse) => {
                 let leader = (pulse.leader.clone(), pulse.epoch);
                 if leader != known {
                     // Once for each leader, and once when there is none: elections bound how often.
@@ -85,12 +85,12 @@
                 purser.fleet(pulse.fleet, pulse.fresh);
                 quay.fleet(pulse.fleet, pulse.number);
             }
-            News::Roster(roster) => purser.roster(&roster),
-            News::Follows(relay) => {
+            Update::HolderAssignment(roster) => purser.roster(&roster),
+            Update::Follows(relay) => {
                 spdlog::info!("the news comes from another one", kv: { step = "relay", peer = relay.to_string().as_str() });
             }
-            News::Grant(grant) => purser.granted(grant),
-            News::Unanswered { number } => purser.unanswered(number),
+            Update::Grant(grant) => purser.granted(grant),
+            Update::Unanswered { number } => purser.unanswered(number),
         }
     };
     let lookout = start::watch(&settings, true, life)?;
@@ -100,7 +100,7 @@
         false => None,
     };
     let ways = settings.tuning.ways.clone();
-    *pilot.borrow_mut() = Some(Pilot::start(PilotSettings { me, seeds, ways }, place, news));
+    *pilot.borrow_mut() = Some(ControlFollower::start(FollowerSettings { me, seeds, ways }, place, news));
     let (watch, seeded) = (lookout.clone(), pilot.clone());
     let mut end = signal(SignalKind::terminate()).map_err(|e| miette!("signals: {e}"))?;
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| miette!("signals: {e}"))?;
--- a/crates/reachlb/src/start.rs
+++ b/crates/reachlb/src/start.rs
@@ -7,7 +7,7 @@
 use std::net::{IpAddr, SocketAddr, SocketAddrV4};
 use std::rc::Rc;
 use tokio::net::{TcpListener, UdpSocket};
-use transport::Lookout;
+use transport::NeighborWatch;
 
 /// A number that no other process draws: the standard library seeds its hashers from the system's randomness.
 pub fn draw() -> u64 {
@@ -39,9 +39,9 @@
     relay_tree::room(settings.link_mbps, settings.tuning.relay_share)
 }
 
-/// Starts the watch, where the settings want it. Quays take datagrams at the first of the ports that are theirs,
+/// Starts the watch, where the settings want it. DataPlanes take datagrams at the first of the ports that are theirs,
 /// processes that serve control at the second, so that two on one machine get along.
-pub fn watch(settings: &Settings, quay: bool, life: u64) -> Result<Option<Rc<Lookout>>> {
+pub fn watch(settings: &Settings, quay: bool, life: u64) -> Result<Option<Rc<NeighborWatch>>> {
     let (first, last) = settings.port_range;
     let port = if quay { first } else { first.saturating_add(1) };
     let (true, IpAddr::V4(ip)) = (settings.tuning.watching && port <= last, settings.ip) else {
@@ -55,7 +55,7 @@
     };
     let socket = open().into_diagnostic().wrap_err_with(|| format!("take datagrams at {at}"))?;
     let card = transport::card(at, &settings.node_name, quay, life);
-    Ok(Some(Lookout::start(socket, card, watch_seeds(settings), life)))
+    Ok(Some(NeighborWatch::start(socket, card, watch_seeds(settings), life)))
 }
 
 /// Where the processes on the seeds' machines take datagrams.
--- a/crates/registry/src/register.rs
+++ b/crates/registry/src/register.rs
@@ -1,7 +1,7 @@
 //! The backends, each life of them once.
 
 use crate::Millis;
-use protocol::{Berth, Phase};
+use protocol::{Backend, Phase};
 use std::collections::BTreeMap;
 
 /// After so many beats missed a backend is overdue: one may be lost, a second one sent to a gateway that is gone.
@@ -15,8 +15,8 @@
 /// More lives than this at a time are not taken in.
 const MOST: usize = 20_000;
 
-struct Mooring {
-    berth: Berth,
+struct Registration {
+    berth: Backend,
     /// When it was last heard, here or elsewhere.
     heard: Millis,
     /// When the word that is kept was said: its warm-up counts from then.
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Judgement {
     /// It changes what requests may be sent: all should know.
-    Changed(Vec<Berth>),
+    Changed(Vec<Backend>),
     /// Nothing but that it lives.
     Alive,
     /// It is older than what is known, or the table is full.
@@ -38,7 +38,7 @@
 
 /// All lives of backends that are known.
 pub struct Register {
-    moorings: BTreeMap<String, Mooring>,
+    moorings: BTreeMap<String, Registration>,
     overdue_after: Millis,
 }
 
@@ -49,7 +49,7 @@
     }
 
     /// A beat came here.
-    pub fn beat(&mut self, now: Millis, berth: Berth) -> Judgement {
+    pub fn beat(&mut self, now: Millis, berth: Backend) -> Judgement {
         let judgement = self.merge(now, berth, true);
         match judgement {
             changed if changed.is_empty() => Judgement::Alive,
@@ -69,12 +69,12 @@
     }
 
     /// Words of another process; gives what they change.
-    pub fn hear(&mut self, now: Millis, berths: Vec<Berth>) -> Vec<Berth> {
+    pub fn hear(&mut self, now: Millis, berths: Vec<Backend>) -> Vec<Backend> {
         berths.into_iter().flat_map(|berth| self.merge(now, berth, false)).collect()
     }
 
     /// Another process has heard these since its last round; gives those that were overdue here.
-    pub fn alive(&mut self, now: Millis, heard: &[(String, u64)]) -> Vec<Berth> {
+    pub fn alive(&mut self, now: Millis, heard: &[(String, u64)]) -> Vec<Backend> {
         let mut back = Vec::new();
         for (id, calls) in heard {
             let Some(mooring) = self.moorings.get_mut(id) else { continue };
@@ -91,14 +91,14 @@
 
     /// Those that were heard here since the last round, for the other processes.
     pub fn round(&mut self) -> Vec<(String, u64)> {
-        let heard = |(id, m): (&String, &mut Mooring)| {
+        let heard = |(id, m): (&String, &mut Registration)| {
             std::mem::take(&mut m.news).then(|| (id.clone(), m.berth.call_count))
         };
         self.moorings.iter_mut().filter_map(heard).collect()
     }
 
     /// Marks those whose beats are missed, and ends and forgets old lives; gives what changed.
-    pub fn sweep(&mut self, now: Millis) -> Vec<Berth> {
+    pub fn sweep(&mut self, now: Millis) -> Vec<Backend> {
         let mut changed = Vec::new();
         self.moorings.retain(|_, mooring| {
             let silent = now.saturating_sub(mooring.heard);
@@ -119,16 +119,16 @@
     }
 
     /// All lives that are not over, as they stand now.
-    pub fn all(&self, now: Millis) -> Vec<Berth> {
+    pub fn all(&self, now: Millis) -> Vec<Backend> {
         self.moorings.values().filter(|m| m.berth.phase != Phase::Gone).map(|m| m.shown(now)).collect()
     }
 
     /// All lives, those that are over too: another process has to learn of these as well.
-    pub fn everything(&self, now: Millis) -> Vec<Berth> {
+    pub fn everything(&self, now: Millis) -> Vec<Backend> {
         self.moorings.values().map(|m| m.shown(now)).collect()
     }
 
-    fn merge(&mut self, now: Millis, mut berth: Berth, here: bool) -> Vec<Berth> {
+    fn merge(&mut self, now: Millis, mut berth: Backend, here: bool) -> Vec<Backend> {
         let mut changed = Vec::new();
         berth.overdue = false;
         let full = self.moorings.len() >= MOST;
@@ -137,7 +137,7 @@
             None => {
                 changed.extend(self.evict(now, &berth));
                 changed.push(berth.clone());
-                let mooring = Mooring { heard: now, said: now, news: here, berth: berth.clone() };
+                let mooring = Registration { heard: now, said: now, news: here, berth: berth.clone() };
                 self.moorings.insert(berth.id, mooring);
             }
             Some(known) => {
@@ -149,7 +149,7 @@
                     known.berth = berth;
                 }
                 known.berth.phase = phase;
-                let plain = |b: &Berth| Berth { call_count: 0, warmup_left_ms: 0, ..b.clone() };
+                let plain = |b: &Backend| Backend { call_count: 0, warmup_left_ms: 0, ..b.clone() };
                 if plain(&known.berth) != plain(&old) {
                     changed.push(known.shown(now));
                 }
@@ -160,7 +160,7 @@
 
     /// A new life at an address: whatever was there before has ended, said so or not. Addresses are used again only
     /// after seconds, so one heard just now is not the older one: the newcomer is a late word then.
-    fn evict(&mut self, now: Millis, newcomer: &Berth) -> Vec<Berth> {
+    fn evict(&mut self, now: Millis, newcomer: &Backend) -> Vec<Backend> {
         if newcomer.phase == Phase::Gone {
             return Vec::new();
         }
@@ -178,10 +178,10 @@
     }
 }
 
-impl Mooring {
-    fn shown(&self, now: Millis) -> Berth {
+impl Registration {
+    fn shown(&self, now: Millis) -> Backend {
         let since = now.saturating_sub(self.said).min(u64::from(u32::MAX)) as u32;
         let warmup_left_ms = self.berth.warmup_left_ms.saturating_sub(since);
-        Berth { warmup_left_ms, ..self.berth.clone() }
+        Backend { warmup_left_ms, ..self.berth.clone() }
     }
 }
--- a/crates/registry/tests/register.rs
+++ b/crates/registry/tests/register.rs
@@ -1,13 +1,13 @@
 //! Words about backends, in any order and any number of times, and what becomes of them.
 
-use protocol::{Berth, Departure, Phase};
+use protocol::{Backend, Departure, Phase};
 use registry::{Fleet, Judgement, Register};
 use yare::parameterized;
 
 const BEAT: u64 = 1300;
 
-fn berth(id: &str, address: &str, phase: Phase, calls: u64) -> Berth {
-    Berth {
+fn berth(id: &str, address: &str, phase: Phase, calls: u64) -> Backend {
+    Backend {
         id: id.into(),
         service: "s".into(),
         address: address.into(),
--- a/crates/relay-tree/src/above.rs
+++ b/crates/relay-tree/src/above.rs
@@ -32,7 +32,7 @@
     pub(crate) next_pulse: Millis,
     /// The one that is followed looks for another place itself.
     adrift: bool,
-    pub(crate) told: protocol::Pulse,
+    pub(crate) told: protocol::Heartbeat,
     /// Since when the root has not heard the leader just now.
     behind: Option<Millis>,
     next_ask: Millis,
@@ -141,7 +141,7 @@
         let asked = matches!(self.above.state, State::Asking(to, _) if to == from);
         match word {
             Word::Refer { to } if asked || self.following() == Some(from) => self.on_refer(now, from, to),
-            Word::Pulse { .. } if asked => {
+            Word::Heartbeat { .. } if asked => {
                 let above = &mut self.above;
                 above.state = State::Following(from, now);
                 above.named.clear();
@@ -177,7 +177,7 @@
 
     fn on_stream(&mut self, now: Millis, from: SocketAddr, word: Word) {
         match word {
-            Word::Pulse { .. } => self.on_pulse(now, from, word),
+            Word::Heartbeat { .. } => self.on_pulse(now, from, word),
             Word::Adrift if !self.above.adrift => {
                 self.above.adrift = true;
                 self.above.state = State::Following(from, now + ADRIFT);
@@ -188,7 +188,7 @@
                     self.tell(&Word::Batch(batch.clone()));
                     let (mark, berths) = (batch.mark, batch.berths.clone());
                     self.chart.take(batch);
-                    self.outputs.push(Output::Berths { whole: false, mark, berths });
+                    self.outputs.push(Output::Backends { whole: false, mark, berths });
                 }
                 Order::Old => {}
                 Order::Gap => self.miss(now, from),
@@ -196,9 +196,9 @@
             Word::Whole(all) if self.chart.replace(&all) => {
                 let (mark, berths) = (all.mark, all.berths.clone());
                 self.tell(&Word::Whole(all));
-                self.outputs.push(Output::Berths { whole: true, mark, berths });
+                self.outputs.push(Output::Backends { whole: true, mark, berths });
             }
-            Word::Sheet(sheet) => self.take_sheet(sheet),
+            Word::ConfigSnapshot(sheet) => self.take_sheet(sheet),
             Word::Roots(roots) => {
                 self.take_roots(roots.iter().filter_map(|root| root.parse().ok()).collect())
             }
@@ -207,7 +207,7 @@
     }
 
     fn on_pulse(&mut self, now: Millis, from: SocketAddr, word: Word) {
-        let Word::Pulse { epoch, beat, path, mark, version, told } = word else { return };
+        let Word::Heartbeat { epoch, beat, path, mark, version, told } = word else { return };
         if path.contains(&self.settings.me.to_string()) || path.len() > DEEPEST {
             return self.lost(now, from);
         }
@@ -228,7 +228,7 @@
         }
         let told = above.told.clone();
         self.pass_pulse();
-        self.outputs.push(Output::Pulse(told));
+        self.outputs.push(Output::Heartbeat(told));
         let own = self.chart.mark();
         let newer = mark.epoch != own.epoch || mark.sequence > own.sequence;
         if mark.epoch != 0 && newer || version > self.chart.version() {
--- a/crates/relay-tree/src/below.rs
+++ b/crates/relay-tree/src/below.rs
@@ -29,7 +29,7 @@
         path.push(self.settings.me.to_string());
         let (mark, version) = self.stands();
         let epoch = self.settings.epoch.unwrap_or(self.above.epoch);
-        Word::Pulse { epoch, beat: self.above.beat, path, mark, version, told: self.above.told.clone() }
+        Word::Heartbeat { epoch, beat: self.above.beat, path, mark, version, told: self.above.told.clone() }
     }
 
     pub(crate) fn pass_pulse(&mut self) {
--- a/crates/relay-tree/src/chart.rs
+++ b/crates/relay-tree/src/chart.rs
@@ -1,7 +1,7 @@
 //! What a relay knows: backends, the last changes of them, and the newest configuration.
 
 use protocol::relay::{Batch, Mark, Word};
-use protocol::{Berth, Phase, Sheet};
+use protocol::{Backend, ConfigSnapshot, Phase};
 use std::collections::{BTreeMap, VecDeque};
 
 /// So many changes are kept for those that missed some.
@@ -10,9 +10,9 @@
 #[derive(Debug)]
 pub(crate) struct Chart {
     mark: Mark,
-    berths: BTreeMap<String, Berth>,
+    berths: BTreeMap<String, Backend>,
     kept: VecDeque<Batch>,
-    sheet: Option<Sheet>,
+    sheet: Option<ConfigSnapshot>,
 }
 
 /// What becomes of a batch.
@@ -40,7 +40,7 @@
     }
 
     /// A root's own change: it gets the next number.
-    pub(crate) fn change(&mut self, mut berths: Vec<Berth>) -> Batch {
+    pub(crate) fn change(&mut self, mut berths: Vec<Backend>) -> Batch {
         // A stable order: what must be sent nothing new is known before whatever may take its place.
         berths.sort_by_key(|berth| berth.phase == Phase::Serving);
         let mark = Mark { sequence: self.mark.sequence + 1, ..self.mark };
@@ -71,7 +71,7 @@
         }
     }
 
-    fn put(&mut self, berth: Berth) {
+    fn put(&mut self, berth: Backend) {
         if berth.phase == Phase::Gone {
             self.berths.remove(&berth.id);
         } else {
@@ -92,7 +92,7 @@
     }
 
     /// Takes a configuration; false when it is none newer.
-    pub(crate) fn sheet(&mut self, sheet: &Sheet) -> bool {
+    pub(crate) fn sheet(&mut self, sheet: &ConfigSnapshot) -> bool {
         let newer = sheet.version > self.version();
         if newer {
             self.sheet = Some(sheet.clone());
@@ -104,7 +104,7 @@
     pub(crate) fn since(&self, mark: Mark, version: u64) -> Vec<Word> {
         let mut words = Vec::new();
         if let Some(sheet) = self.sheet.as_ref().filter(|sheet| sheet.version > version) {
-            words.push(Word::Sheet(sheet.clone()));
+            words.push(Word::ConfigSnapshot(sheet.clone()));
         }
         if self.mark.epoch == 0 || mark.epoch == self.mark.epoch && mark.sequence >= self.mark.sequence {
             return words;
--- a/crates/relay-tree/src/lib.rs
+++ b/crates/relay-tree/src/lib.rs
@@ -13,7 +13,7 @@
 
 use chart::Chart;
 use protocol::relay::{Mark, Word};
-use protocol::{Berth, Pulse, Sheet};
+use protocol::{Backend, ConfigSnapshot, Heartbeat};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -92,11 +92,11 @@
     /// The connection on which it followed is over.
     Left(SocketAddr),
     /// Backends changed; of a root.
-    Change(Vec<Berth>),
+    Change(Vec<Backend>),
     /// A configuration is in force; of a root.
-    Sheet(Sheet),
+    ConfigSnapshot(ConfigSnapshot),
     /// What goes with the next pulses; of a root.
-    Told(Pulse),
+    Told(Heartbeat),
     /// These are the roots from now on; those that follow hear it.
     Roots(Vec<SocketAddr>),
 }
@@ -112,18 +112,18 @@
         word: Word,
     },
     /// Backends changed, or with `whole` these are all.
-    Berths {
+    Backends {
         /// Whether there are no others.
         whole: bool,
         /// How far this process is with them.
         mark: Mark,
         /// The backends.
-        berths: Vec<Berth>,
+        berths: Vec<Backend>,
     },
     /// A configuration newer than all before.
-    Sheet(Sheet),
+    ConfigSnapshot(ConfigSnapshot),
     /// A root lives, and says this of the harbour.
-    Pulse(Pulse),
+    Heartbeat(Heartbeat),
 }
 
 /// One process of the tree.
@@ -170,8 +170,8 @@
                 let batch = self.chart.change(berths);
                 self.tell(&Word::Batch(batch));
             }
-            Input::Sheet(sheet) if self.is_root() => self.take_sheet(sheet),
-            Input::Change(_) | Input::Sheet(_) => {}
+            Input::ConfigSnapshot(sheet) if self.is_root() => self.take_sheet(sheet),
+            Input::Change(_) | Input::ConfigSnapshot(_) => {}
             Input::Told(told) => self.above.told = told,
             Input::Roots(roots) => self.take_roots(roots),
         }
@@ -221,15 +221,15 @@
         }
     }
 
-    fn take_sheet(&mut self, sheet: Sheet) {
+    fn take_sheet(&mut self, sheet: ConfigSnapshot) {
         if self.chart.sheet(&sheet) {
             for (to, follower) in &mut self.below {
                 if follower.version < sheet.version {
                     follower.version = sheet.version;
-                    self.outputs.push(Output::Send { to: *to, word: Word::Sheet(sheet.clone()) });
+                    self.outputs.push(Output::Send { to: *to, word: Word::ConfigSnapshot(sheet.clone()) });
                 }
             }
-            self.outputs.push(Output::Sheet(sheet));
+            self.outputs.push(Output::ConfigSnapshot(sheet));
         }
     }
 
--- a/crates/relay-tree/tests/circle.rs
+++ b/crates/relay-tree/tests/circle.rs
@@ -27,7 +27,7 @@
             deaf: vec![],
             pathless,
         };
-        row.play(0, 0, Input::Told(protocol::Pulse { fresh: true, ..protocol::Pulse::default() }));
+        row.play(0, 0, Input::Told(protocol::Heartbeat { fresh: true, ..protocol::Heartbeat::default() }));
         row
     }
 
@@ -42,7 +42,7 @@
                 // They would tell the second one of the root.
                 continue;
             }
-            if let (Word::Pulse { path, .. }, true) = (&mut word, self.pathless) {
+            if let (Word::Heartbeat { path, .. }, true) = (&mut word, self.pathless) {
                 path.clear();
             }
             let next = self.relays.iter().position(|(address, _)| *address == to);
--- a/crates/relay-tree/tests/world/mod.rs
+++ b/crates/relay-tree/tests/world/mod.rs
@@ -2,7 +2,7 @@
 //! drawn from a seed, on a clock of its own.
 
 use protocol::relay::{Mark, Word};
-use protocol::{Berth, Phase, Pulse, Sheet};
+use protocol::{Backend, ConfigSnapshot, Heartbeat, Phase};
 use relay_tree::{DEEPEST, Input, Output, Relay, Settings};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -49,7 +49,7 @@
     stored: Vec<(usize, u64, Word)>,
     up_busy: Micros,
     down_busy: Micros,
-    table: BTreeMap<String, Berth>,
+    table: BTreeMap<String, Backend>,
     mark: Mark,
     version: u64,
     pub sent: u64,
@@ -68,7 +68,7 @@
     /// The line of a follower to the one that it follows or asks.
     lines: BTreeMap<(usize, usize), u64>,
     calls: u64,
-    truth: BTreeMap<String, Berth>,
+    truth: BTreeMap<String, Backend>,
     born: BTreeMap<u64, Micros>,
     /// For each change the time until each process knew.
     pub delays: Vec<Micros>,
@@ -171,12 +171,12 @@
         node.relay = Some(Relay::new(Settings { me: address(at), room, epoch, roots, seed }));
         let life = node.life;
         if node.kind.root {
-            self.work(at, Input::Told(Pulse { fresh: true, ..Pulse::default() }));
+            self.work(at, Input::Told(Heartbeat { fresh: true, ..Heartbeat::default() }));
             // A root that starts hears from the others what there is.
             let all: Vec<_> = self.truth.values().cloned().collect();
             self.work(at, Input::Change(all));
             if let Some((version, _)) = self.sheets.last_key_value() {
-                self.work(at, Input::Sheet(Sheet { version: *version, body: body(500) }));
+                self.work(at, Input::ConfigSnapshot(ConfigSnapshot { version: *version, body: body(500) }));
             }
         }
         let first = self.now + self.below(100_000);
@@ -190,9 +190,9 @@
         for output in outputs {
             match output {
                 Output::Send { to, word } => self.send(at, number(&to), word),
-                Output::Berths { whole, mark, berths } => self.told(at, whole, mark, &berths),
-                Output::Pulse(_) => {}
-                Output::Sheet(sheet) => {
+                Output::Backends { whole, mark, berths } => self.told(at, whole, mark, &berths),
+                Output::Heartbeat(_) => {}
+                Output::ConfigSnapshot(sheet) => {
                     if sheet.version <= self.nodes[at].version {
                         self.wrong.push(format!("{at} goes back to r{}", sheet.version));
                     }
@@ -206,7 +206,7 @@
     }
 
     /// What the process does with its news, and whether that is what it should get.
-    fn told(&mut self, at: usize, whole: bool, mark: Mark, berths: &[Berth]) {
+    fn told(&mut self, at: usize, whole: bool, mark: Mark, berths: &[Backend]) {
         let now = self.now;
         let node = &mut self.nodes[at];
         if whole {
@@ -325,12 +325,12 @@
         let mut berths = Vec::new();
         for _ in 0..how_many {
             let id = format!("i-{:010}", self.below(231));
-            if berths.iter().any(|berth: &Berth| berth.id == id) {
+            if berths.iter().any(|berth: &Backend| berth.id == id) {
                 continue;
             }
             self.calls += 1;
             let phase = if self.below(3) == 0 { Phase::Draining } else { Phase::Serving };
-            let berth = Berth {
+            let berth = Backend {
                 id: id.clone(),
                 service: "service-a".into(),
                 address: "10.200.100.50:8000".into(),
@@ -356,7 +356,7 @@
     pub fn configure(&mut self, version: u64, bytes: usize) {
         self.sheets.insert(version, self.now);
         for root in self.roots() {
-            self.work(root, Input::Sheet(Sheet { version, body: body(bytes) }));
+            self.work(root, Input::ConfigSnapshot(ConfigSnapshot { version, body: body(bytes) }));
         }
     }
 
--- a/crates/testbed/src/backend.rs
+++ b/crates/testbed/src/backend.rs
@@ -66,7 +66,7 @@
 }
 
 /// One life of a backend.
-pub struct Backend {
+pub struct StandInBackend {
     /// Its service.
     pub service: String,
     /// Its zone.
@@ -108,7 +108,7 @@
     pub history: Option<Arc<History>>,
 }
 
-impl Backend {
+impl StandInBackend {
     /// Starts one, which beats at once.
     ///
     /// # Errors
