--- a/crates/testbed/src/capacity/costs.rs
+++ b/crates/testbed/src/capacity/costs.rs
@@ -5,11 +5,11 @@
 use super::size::Size;
 use super::timing::{Spread, measure};
 use config::Config;
-use control_plane::{Change, Ledger, Place};
-use protocol::{Flag, Held, frame, unframe};
-use quota::{Cache, Epoch, Office, Roster};
+use control_plane::{Change, ConfigHistory, Place};
+use protocol::{Held, Message, frame, unframe};
+use quota::{Cache, Epoch, HolderAssignment, QuotaService};
 use registry::{Fleet, Register};
-use transport::sheets::{Sheets, held, rebuild};
+use transport::sheets::{ConfigEncoder, held, rebuild};
 
 /// Turns of steps that are short.
 const SHORT_TURNS: usize = 2_000;
@@ -69,16 +69,22 @@
     let (before, after) = (configuration_bytes(size, 1), changed(size));
     let has = held(1, &before);
     let parse = measure(FEW_TURNS, || (), |(), _| drop(std::hint::black_box(Config::parse(&after))));
-    let whole =
-        measure(FEW_TURNS, || (), |(), _| drop(Sheets::new(2, &after).frame(Held::default(), None, &after)));
-    let difference =
-        measure(FEW_TURNS, || (), |(), _| drop(Sheets::new(2, &after).frame(has, Some(&before), &after)));
-    let sent = Sheets::new(2, &after).frame(has, Some(&before), &after);
+    let whole = measure(
+        FEW_TURNS,
+        || (),
+        |(), _| drop(ConfigEncoder::new(2, &after).frame(Held::default(), None, &after)),
+    );
+    let difference = measure(
+        FEW_TURNS,
+        || (),
+        |(), _| drop(ConfigEncoder::new(2, &after).frame(has, Some(&before), &after)),
+    );
+    let sent = ConfigEncoder::new(2, &after).frame(has, Some(&before), &after);
     let rebuilding = measure(
         FEW_TURNS,
         || (),
         |(), _| {
-            if let Ok(Some((Flag::Splice(splice), _))) = unframe(&sent) {
+            if let Ok(Some((Message::ConfigDelta(splice), _))) = unframe(&sent) {
                 drop(std::hint::black_box(rebuild(Some(&before), &splice)));
             }
         },
@@ -92,7 +98,7 @@
     let applied = measure(
         1,
         || {
-            let mut ledger = Ledger::default();
+            let mut ledger = ConfigHistory::default();
             ledger.apply(Place::default(), change(1, &before));
             (ledger, Some(change(2, &after)))
         },
@@ -111,12 +117,12 @@
     ]
 }
 
-fn roster() -> Roster {
-    Roster { epoch: Epoch::first(12), holders: vec![HOLDER.to_owned()] }
+fn roster() -> HolderAssignment {
+    HolderAssignment { epoch: Epoch::first(12), holders: vec![HOLDER.to_owned()] }
 }
 
-fn holder(size: &Size) -> Office {
-    let mut office = Office::new(HOLDER);
+fn holder(size: &Size) -> QuotaService {
+    let mut office = QuotaService::new(HOLDER);
     office.quotas(0.0, quotas(size));
     office.fleet(0.0, size.gateways as u32);
     office.assume(0.0, &roster(), true);
@@ -181,10 +187,12 @@
     let sent = measure(
         SHORT_TURNS,
         || (),
-        |(), turn| drop(std::hint::black_box(frame(&Flag::Draw(lease_request(turn as u64, 7..8))))),
+        |(), turn| {
+            drop(std::hint::black_box(frame(&Message::LeaseRequest(lease_request(turn as u64, 7..8)))))
+        },
     );
-    let bytes = frame(&Flag::Draw(lease_request(7, 7..8)));
-    let read = measure(SHORT_TURNS, || (), |(), _| drop(std::hint::black_box(unframe::<Flag>(&bytes))));
+    let bytes = frame(&Message::LeaseRequest(lease_request(7, 7..8)));
+    let read = measure(SHORT_TURNS, || (), |(), _| drop(std::hint::black_box(unframe::<Message>(&bytes))));
     vec![
         cost_of(step::ANSWER, answered),
         cost_of(step::FLOORS, floors),
--- a/crates/testbed/src/capacity/memory.rs
+++ b/crates/testbed/src/capacity/memory.rs
@@ -4,9 +4,9 @@
 use super::samples::{backends, configuration_bytes, gateway_name, quotas};
 use super::size::Size;
 use config::Config;
-use control_plane::{Change, Ledger, Place};
-use protocol::Berth;
-use quota::{Cache, Epoch, Office, Quota, Roster};
+use control_plane::{Change, ConfigHistory, Place};
+use protocol::Backend;
+use quota::{Cache, Epoch, HolderAssignment, Quota, QuotaService};
 use registry::Register;
 use std::any::Any;
 
@@ -23,7 +23,7 @@
     body: Vec<u8>,
     changed: Vec<u8>,
     quotas: Vec<Quota>,
-    backends: Vec<Berth>,
+    backends: Vec<Backend>,
 }
 
 impl Inputs {
@@ -59,8 +59,8 @@
     Some(pages * PAGE)
 }
 
-fn history(inputs: &Inputs) -> Ledger {
-    let mut history = Ledger::default();
+fn history(inputs: &Inputs) -> ConfigHistory {
+    let mut history = ConfigHistory::default();
     let first = Change { base: 0, version: 1, digest: [1; 32], body: inputs.body.clone() };
     history.apply(Place::default(), first);
     let second = Change { base: 1, version: 2, digest: [2; 32], body: inputs.changed.clone() };
@@ -80,10 +80,10 @@
     cache
 }
 
-fn counts(inputs: &Inputs) -> Office {
-    let mut office = Office::new(HOLDER);
+fn counts(inputs: &Inputs) -> QuotaService {
+    let mut office = QuotaService::new(HOLDER);
     office.quotas(0.0, inputs.quotas.clone());
-    office.assume(0.0, &Roster { epoch: Epoch::first(1), holders: vec![HOLDER.to_owned()] }, true);
+    office.assume(0.0, &HolderAssignment { epoch: Epoch::first(1), holders: vec![HOLDER.to_owned()] }, true);
     (0..inputs.size.gateways).for_each(|n| office.heard(0.0, &gateway_name(n), Epoch::first(1)));
     office
 }
--- a/crates/testbed/src/capacity/messages.rs
+++ b/crates/testbed/src/capacity/messages.rs
@@ -2,10 +2,10 @@
 
 use super::samples::{backend, backend_id, backends, configuration_bytes, gateway_name, tenant_name};
 use super::size::Size;
-use protocol::{Flag, Hail, Held, MasterCard, Order, Plane, Pulse, frame};
-use quota::{Draw, Epoch, Grant, Share, Standing, Want};
-use raft::{Entry, Message, What};
-use transport::sheets::{Sheets, held};
+use protocol::{ControlPlaneAddress, Heartbeat, Held, Hello, Message, Order, Plane, frame};
+use quota::{Epoch, Grant, LeaseRequest, Share, Standing, Want};
+use raft::{Entry, Message as LogMessage, What};
+use transport::sheets::{ConfigEncoder, held};
 
 /// The largest body that the control plane's HTTP interface takes, in bytes, and the log as well.
 pub const LARGEST_CONFIGURATION: usize = 4 << 20;
@@ -53,8 +53,8 @@
     format!("10.12.{}.{}:7400", number / 256 % 256, number % 256)
 }
 
-fn hello(plane: Plane) -> Hail {
-    Hail {
+fn hello(plane: Plane) -> Hello {
+    Hello {
         name: gateway_name(7),
         life: u64::MAX / 3,
         plane,
@@ -66,8 +66,8 @@
 }
 
 /// The state of things that followers are told.
-pub fn status(size: &Size) -> Pulse {
-    Pulse {
+pub fn status(size: &Size) -> Heartbeat {
+    Heartbeat {
         leader: Some(address(1)),
         epoch: 12,
         assignment: 0,
@@ -80,9 +80,9 @@
 }
 
 /// A request for units of `count` tenants.
-pub fn lease_request(number: u64, tenants: impl Iterator<Item = usize>) -> Draw {
+pub fn lease_request(number: u64, tenants: impl Iterator<Item = usize>) -> LeaseRequest {
     let want = |n| Want { tenant: tenant_name(n), need: 1, add: 1, back: 0 };
-    Draw { number, epoch: Epoch::first(12), wants: tenants.map(want).collect() }
+    LeaseRequest { number, epoch: Epoch::first(12), wants: tenants.map(want).collect() }
 }
 
 fn grant(tenants: impl Iterator<Item = usize>) -> Grant {
@@ -97,17 +97,17 @@
     Grant { number: 4_000_000, epoch: Epoch::first(12), shares: tenants.map(share).collect() }
 }
 
-fn log(message: &Message) -> Flag {
-    Flag::Log { incarnation: u64::MAX / 5, message: bitcode::encode(message) }
+fn log(message: &LogMessage) -> Message {
+    Message::Log { incarnation: u64::MAX / 5, message: bitcode::encode(message) }
 }
 
-fn append(change: Vec<u8>) -> Message {
+fn append(change: Vec<u8>) -> LogMessage {
     let entry = Entry { index: 90_000, term: 12, what: What::Change(change) };
-    Message::Append { term: 12, prev_index: 89_999, prev_term: 12, entries: vec![entry], commit: 89_999 }
+    LogMessage::Append { term: 12, prev_index: 89_999, prev_term: 12, entries: vec![entry], commit: 89_999 }
 }
 
-fn member_cards(size: &Size) -> Vec<MasterCard> {
-    let card = |n| MasterCard { address: address(n), zone: format!("zone-{}", n % 4) };
+fn member_cards(size: &Size) -> Vec<ControlPlaneAddress> {
+    let card = |n| ControlPlaneAddress { address: address(n), zone: format!("zone-{}", n % 4) };
     (0..size.control_planes).map(card).collect()
 }
 
@@ -147,9 +147,9 @@
 /// A configuration on its way: what a follower is sent with nothing to build on, and with the version before.
 pub fn configuration_frames(size: &Size) -> (usize, usize) {
     let (before, after) = (configuration_bytes(size, 1), changed(size));
-    let whole = Sheets::new(2, &after).frame(Held::default(), None, &after).len();
+    let whole = ConfigEncoder::new(2, &after).frame(Held::default(), None, &after).len();
     let has = held(1, &before);
-    let difference = Sheets::new(2, &after).frame(has, Some(&before), &after).len();
+    let difference = ConfigEncoder::new(2, &after).frame(has, Some(&before), &after).len();
     (whole, difference)
 }
 
@@ -165,7 +165,7 @@
     let body = configuration_bytes(size, 1);
     let (whole, difference) = configuration_frames(size);
     let (beat, answer) = heartbeat();
-    let of = |kind, flag: Flag| MessageLength { kind, bytes: frame(&flag).len() };
+    let of = |kind, flag: Message| MessageLength { kind, bytes: frame(&flag).len() };
     let raw = |kind, bytes| MessageLength { kind, bytes };
     let appended = log(&append(body.clone()));
     vec![
@@ -173,26 +173,26 @@
         raw(kind::WHOLE, whole),
         raw(kind::DIFFERENCE, difference),
         of(kind::LOG_ENTRY, appended),
-        of(kind::ORDER, Flag::Ask { token: 7, order: Order::Replace { base: 1, body } }),
-        of(kind::HELLO, Flag::Hail(hello(Plane::Quay))),
-        of(kind::STATUS, Flag::Pulse(status(size))),
-        of(kind::FOLLOW, Flag::Follow { have: held(3_000, b"x") }),
-        of(kind::HERE, Flag::Here { epoch: Epoch::first(12) }),
-        of(kind::LEASE_REQUEST, Flag::Draw(lease_request(4_000_000, 7..8))),
-        of(kind::GRANT, Flag::Grant(grant(7..8))),
-        of(kind::LEASE_REQUEST_OF_TEN, Flag::Draw(lease_request(4_000_000, 7..17))),
-        of(kind::GRANT_TO_TEN, Flag::Grant(grant(7..17))),
-        of(kind::LOG_HEARTBEAT, log(&Message::Heartbeat { term: 12, echo: 4_000_000, commit: 90_000 })),
+        of(kind::ORDER, Message::Ask { token: 7, order: Order::Replace { base: 1, body } }),
+        of(kind::HELLO, Message::Hello(hello(Plane::DataPlane))),
+        of(kind::STATUS, Message::Heartbeat(status(size))),
+        of(kind::FOLLOW, Message::Follow { have: held(3_000, b"x") }),
+        of(kind::HERE, Message::Here { epoch: Epoch::first(12) }),
+        of(kind::LEASE_REQUEST, Message::LeaseRequest(lease_request(4_000_000, 7..8))),
+        of(kind::GRANT, Message::Grant(grant(7..8))),
+        of(kind::LEASE_REQUEST_OF_TEN, Message::LeaseRequest(lease_request(4_000_000, 7..17))),
+        of(kind::GRANT_TO_TEN, Message::Grant(grant(7..17))),
+        of(kind::LOG_HEARTBEAT, log(&LogMessage::Heartbeat { term: 12, echo: 4_000_000, commit: 90_000 })),
         of(
             kind::LOG_HEARTBEAT_ANSWER,
-            log(&Message::HeartbeatAnswer { term: 12, echo: 4_000_000, matched: 90_000 }),
+            log(&LogMessage::HeartbeatAnswer { term: 12, echo: 4_000_000, matched: 90_000 }),
         ),
-        of(kind::CONTROL_PLANES, Flag::Masters(member_cards(size))),
-        of(kind::DATA_PLANES, Flag::Quays(gateways_of_one(size))),
-        of(kind::HEARD, Flag::Heard(heard_in_a_round(size))),
+        of(kind::CONTROL_PLANES, Message::ControlPlanes(member_cards(size))),
+        of(kind::DATA_PLANES, Message::DataPlanes(gateways_of_one(size))),
+        of(kind::HEARD, Message::Heard(heard_in_a_round(size))),
         raw(kind::HTTP_HEARTBEAT, beat),
         raw(kind::HTTP_ANSWER, answer),
-        of(kind::BACKEND, Flag::Berths { whole: false, berths: vec![backend(7)] }),
-        of(kind::ALL_BACKENDS, Flag::Berths { whole: true, berths: backends(size) }),
+        of(kind::BACKEND, Message::Backends { whole: false, berths: vec![backend(7)] }),
+        of(kind::ALL_BACKENDS, Message::Backends { whole: true, berths: backends(size) }),
     ]
 }
--- a/crates/testbed/src/capacity/model.rs
+++ b/crates/testbed/src/capacity/model.rs
@@ -29,7 +29,7 @@
     /// What leading the log adds.
     Leader,
     /// What holding the counts adds; the leader holds them as long as they are not shared out.
-    Holder,
+    QuotaHolder,
 }
 
 /// All roles with their names in tables.
@@ -37,7 +37,7 @@
     (Role::DataPlane, "data plane"),
     (Role::ControlPlane, "control plane"),
     (Role::Leader, "leader, on top"),
-    (Role::Holder, "holder of counts, on top"),
+    (Role::QuotaHolder, "holder of counts, on top"),
 ];
 
 /// Something that comes again and again: a message or a step.
@@ -101,7 +101,7 @@
             flow(kind::LOG_HEARTBEAT, others * LOG_HEARTBEATS_PER_S),
             flow(kind::LOG_HEARTBEAT_ANSWER, others * LOG_HEARTBEATS_PER_S),
         ],
-        Role::Holder => vec![
+        Role::QuotaHolder => vec![
             flow(kind::LEASE_REQUEST, leases),
             flow(kind::GRANT, leases),
             flow(kind::HERE, size.gateways as f64 * SIGNS_PER_S),
@@ -140,7 +140,7 @@
             flow(step::ENCODE, others * LOG_HEARTBEATS_PER_S),
             flow(step::DECODE, others * LOG_HEARTBEATS_PER_S),
         ],
-        Role::Holder => vec![
+        Role::QuotaHolder => vec![
             flow(step::ANSWER, leases),
             flow(step::FLOORS, leases),
             flow(step::ENCODE, leases),
--- a/crates/testbed/src/capacity/samples.rs
+++ b/crates/testbed/src/capacity/samples.rs
@@ -1,7 +1,7 @@
 //! Configurations, backends and names of a given size, with texts as long as they are in use.
 
 use super::size::Size;
-use protocol::{Berth, Phase};
+use protocol::{Backend, Phase};
 use quota::Quota;
 use serde_json::{Map, Value, json};
 
@@ -94,8 +94,8 @@
 }
 
 /// One backend.
-pub fn backend(number: usize) -> Berth {
-    Berth {
+pub fn backend(number: usize) -> Backend {
+    Backend {
         id: backend_id(number),
         service: service_name(number % 330),
         address: format!("10.{}.{}.{}:8080", 16 + number / 65_536, number / 256 % 256, number % 256),
@@ -110,6 +110,6 @@
 }
 
 /// All backends.
-pub fn backends(size: &Size) -> Vec<Berth> {
+pub fn backends(size: &Size) -> Vec<Backend> {
     (0..size.backends).map(backend).collect()
 }
--- a/crates/testbed/src/capacity/size.rs
+++ b/crates/testbed/src/capacity/size.rs
@@ -1,6 +1,6 @@
 //! The sizes that capacity is worked out for.
 
-use control_plane::{Change, Ledger, Place};
+use control_plane::{Change, ConfigHistory, Place};
 
 /// How large a deployment is, at its peak.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -53,7 +53,7 @@
     /// Whether the history keeps the body before the newest one, so that a configuration goes as a difference.
     pub fn keeps_the_body_before(&self) -> bool {
         let length = super::samples::configuration_bytes(self, 1).len();
-        let mut history = Ledger::default();
+        let mut history = ConfigHistory::default();
         for version in 1..=2 {
             let body = vec![b' '; length];
             history.apply(Place::default(), Change { base: version - 1, version, digest: [0; 32], body });
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,10 +1,10 @@
 //! The demo: a harbour that is built, loaded, put in trouble, judged and taken down again.
 
-use crate::backend::{Backend, Cradle};
+use crate::backend::{Cradle, StandInBackend};
 use crate::clients::Platform;
 use crate::control::Control;
 use crate::fault::Fault;
-use crate::fleet::{self, Berth, Process};
+use crate::fleet::{self, Backend, Process};
 use crate::history::{Deed, History, Seen};
 use crate::judge::{Terms, judge};
 use crate::load::{Greed, Load, Tallies};
@@ -51,14 +51,14 @@
 }
 
 impl Program {
-    fn berth(&self, name: String, plane: &str, settings: PathBuf, log: PathBuf) -> Berth {
+    fn berth(&self, name: String, plane: &str, settings: PathBuf, log: PathBuf) -> Backend {
         let plane = std::iter::once(plane.to_owned());
         let arguments = self.before.iter().cloned().chain(plane).chain(self.after.iter().cloned()).collect();
-        Berth { name, program: self.file.clone(), arguments, settings, log }
+        Backend { name, program: self.file.clone(), arguments, settings, log }
     }
 
     /// A harbourmaster's place in a folder.
-    pub fn master(&self, folder: &Path, machine: usize) -> Berth {
+    pub fn master(&self, folder: &Path, machine: usize) -> Backend {
         let name = format!("machine-{}-harbourmaster", machine + 1);
         let (settings, log) = files(folder, &name);
         self.berth(name, "harbourmaster", settings, log)
@@ -88,14 +88,14 @@
     }
 
     /// The place of a process of hollow data planes in a folder.
-    pub fn hollow(&self, folder: &Path, number: usize, settings: PathBuf) -> Berth {
+    pub fn hollow(&self, folder: &Path, number: usize, settings: PathBuf) -> Backend {
         let name = format!("hollow-{number}");
         let (_, log) = files(folder, &name);
         self.berth(name, "hollow", settings, log)
     }
 
     /// A quay's place in a folder.
-    pub fn quay(&self, folder: &Path, machine: usize) -> Berth {
+    pub fn quay(&self, folder: &Path, machine: usize) -> Backend {
         let name = format!("machine-{}-quay", machine + 1);
         let (settings, log) = files(folder, &name);
         self.berth(name, "quay", settings, log)
@@ -130,11 +130,11 @@
 pub fn backends(
     services: &[&str], at: impl Fn(usize) -> IpAddr, control: impl Fn(usize) -> Control, seed: u64,
     history: Option<&Arc<History>>,
-) -> Result<Vec<Arc<Backend>>, Fault> {
+) -> Result<Vec<Arc<StandInBackend>>, Fault> {
     let mut backends = Vec::new();
     for service in services {
         for zone in ZONES_OF_BACKENDS {
-            backends.push(Backend::start(Cradle {
+            backends.push(StandInBackend::start(Cradle {
                 service: (*service).to_owned(),
                 zone: zone.to_owned(),
                 at: SocketAddr::new(at(backends.len()), 0),
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -16,7 +16,7 @@
 
 /// What starts a process: the program that has both planes, and where it finds its settings and writes its log.
 #[derive(Clone, Debug)]
-pub struct Berth {
+pub struct Backend {
     /// Its name.
     pub name: String,
     /// The program, and its arguments.
@@ -31,7 +31,7 @@
 
 /// A process at its berth, or the empty berth.
 pub struct Process {
-    berth: Berth,
+    berth: Backend,
     child: Option<Child>,
     pid: u32,
     spent: Duration,
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     /// When it cannot be started.
-    pub fn start(berth: Berth) -> Result<Self, Fault> {
+    pub fn start(berth: Backend) -> Result<Self, Fault> {
         let mut process = Self { berth, child: None, pid: 0, spent: Duration::ZERO };
         process.restart()?;
         Ok(process)
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -399,8 +399,8 @@
     }
     let program = match plane {
         "hollow" => return hollow(),
-        "quay" => reachlb::Program::Quay,
-        "harbourmaster" => reachlb::Program::Harbourmaster,
+        "quay" => reachlb::Program::DataPlane,
+        "harbourmaster" => reachlb::Program::ControlPlane,
         other => {
             eprintln!("{other:?} is neither quay nor harbourmaster");
             return ExitCode::from(UNUSABLE);
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -9,7 +9,7 @@
 use crate::control::Control;
 use crate::fault::Fault;
 use config::Detours;
-use protocol::{Flag, Hail, Plane, frame};
+use protocol::{Hello, Message, Plane, frame};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -19,7 +19,7 @@
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
-use transport::{News, Pilot, PilotSettings};
+use transport::{ControlFollower, FollowerSettings, Update};
 
 /// The report is written this often.
 const REPORTS: Duration = Duration::from_secs(1);
@@ -53,7 +53,7 @@
 
 /// One hollow data plane.
 struct Hollow {
-    pilot: RefCell<Option<Pilot>>,
+    pilot: RefCell<Option<ControlFollower>>,
     leader: RefCell<Option<String>>,
     /// Lease requests under way, and when they were sent.
     sent: RefCell<HashMap<u64, Instant>>,
@@ -61,29 +61,29 @@
 }
 
 impl Hollow {
-    fn on_news(&self, news: News) {
+    fn on_news(&self, news: Update) {
         let mut report = self.report.borrow_mut();
         match news {
-            News::Sheet(sheet) => report.arrived(sheet.version, steady_seconds()),
-            News::Berths { whole, berths } => {
+            Update::ConfigSnapshot(sheet) => report.arrived(sheet.version, steady_seconds()),
+            Update::Backends { whole, berths } => {
                 let kind = if whole { "all backends" } else { "backends that changed" };
-                report.count(kind, frame(&Flag::Berths { whole, berths }).len());
+                report.count(kind, frame(&Message::Backends { whole, berths }).len());
             }
-            News::Pulse(pulse) => {
+            Update::Heartbeat(pulse) => {
                 self.leader.borrow_mut().clone_from(&pulse.leader);
-                report.count("state of things", frame(&Flag::Pulse(pulse)).len());
+                report.count("state of things", frame(&Message::Heartbeat(pulse)).len());
             }
-            News::Grant(grant) => {
+            Update::Grant(grant) => {
                 if let Some(sent) = self.sent.borrow_mut().remove(&grant.number) {
                     report.waited(sent.elapsed().as_micros() as u64);
                 }
-                report.count("grant", frame(&Flag::Grant(grant)).len());
+                report.count("grant", frame(&Message::Grant(grant)).len());
             }
-            News::Unanswered { number } => {
+            Update::Unanswered { number } => {
                 self.sent.borrow_mut().remove(&number);
                 report.unanswered += 1;
             }
-            News::Roster(_) | News::Follows(_) => {}
+            Update::HolderAssignment(_) | Update::Follows(_) => {}
         }
     }
 
@@ -91,29 +91,29 @@
     fn request(&self, number: u64, tenant: usize) {
         let Some(leader) = self.leader.borrow().clone() else { return };
         let request = lease_request(number, std::iter::once(tenant));
-        self.report.borrow_mut().count("lease request", frame(&Flag::Draw(request.clone())).len());
+        self.report.borrow_mut().count("lease request", frame(&Message::LeaseRequest(request.clone())).len());
         self.sent.borrow_mut().insert(number, Instant::now());
         let sent = self.pilot.borrow().as_ref().is_some_and(|pilot| pilot.draw(&leader, request));
         if !sent {
-            self.on_news(News::Unanswered { number });
+            self.on_news(Update::Unanswered { number });
         }
     }
 
     async fn run(self: Rc<Self>, number: usize, settings: Rc<HollowSettings>) {
         let mut chance = Chance::new(number as u64, 1);
         sleep(STARTS_OVER.mul_f64(chance.unit())).await;
-        let me = Hail {
+        let me = Hello {
             name: samples::gateway_name(number),
             life: crate::chance::mix(number as u64 + 1),
-            plane: Plane::Quay,
+            plane: Plane::DataPlane,
             address: format!("127.0.0.1:{}", 1 + number % 60_000),
             zone: settings.zones[number % settings.zones.len()].clone(),
             quorum: false,
             incarnation: None,
         };
-        let about = PilotSettings { me, seeds: settings.seeds.clone(), ways: Detours::default() };
+        let about = FollowerSettings { me, seeds: settings.seeds.clone(), ways: Detours::default() };
         let hears = self.clone();
-        *self.pilot.borrow_mut() = Some(Pilot::start(about, None, move |news| hears.on_news(news)));
+        *self.pilot.borrow_mut() = Some(ControlFollower::start(about, None, move |news| hears.on_news(news)));
         let mut requests = 0;
         loop {
             let pause = -(1.0 - chance.unit()).ln() / settings.requests_per_s.max(1e-3);
--- a/crates/testbed/src/trial/parties.rs
+++ b/crates/testbed/src/trial/parties.rs
@@ -16,19 +16,21 @@
     /// A machine, as it connects to others.
     Machine(usize),
     /// Its quay, as clients find it.
-    Quay(usize),
+    DataPlane(usize),
     /// Its harbourmaster, as all others find it.
-    Master(usize),
+    ControlPlane(usize),
     /// A backend's place.
-    Backend(usize),
+    StandInBackend(usize),
 }
 
 impl Party {
     /// Its zone; clients and the operator come from outside.
     pub fn zone(self) -> Option<&'static str> {
         match self {
-            Self::Machine(machine) | Self::Quay(machine) | Self::Master(machine) => Some(ZONES[machine]),
-            Self::Backend(slot) => Some(ZONES_OF_BACKENDS[slot % ZONES_OF_BACKENDS.len()]),
+            Self::Machine(machine) | Self::DataPlane(machine) | Self::ControlPlane(machine) => {
+                Some(ZONES[machine])
+            }
+            Self::StandInBackend(slot) => Some(ZONES_OF_BACKENDS[slot % ZONES_OF_BACKENDS.len()]),
             Self::Clients | Self::Operator => None,
         }
     }
@@ -36,26 +38,27 @@
     /// The machine that it is on, if it is ours.
     pub fn machine(self) -> Option<usize> {
         match self {
-            Self::Machine(machine) | Self::Quay(machine) | Self::Master(machine) => Some(machine),
+            Self::Machine(machine) | Self::DataPlane(machine) | Self::ControlPlane(machine) => Some(machine),
             _ => None,
         }
     }
 
     /// Everybody.
     pub fn all() -> Vec<Self> {
-        let machines = (0..ZONES.len()).flat_map(|machine| [Self::Machine(machine), Self::Quay(machine)]);
-        let masters = (0..MASTERS).map(Self::Master);
-        let backends = (0..SLOTS).map(Self::Backend);
+        let machines =
+            (0..ZONES.len()).flat_map(|machine| [Self::Machine(machine), Self::DataPlane(machine)]);
+        let masters = (0..MASTERS).map(Self::ControlPlane);
+        let backends = (0..SLOTS).map(Self::StandInBackend);
         machines.chain(masters).chain(backends).chain([Self::Clients, Self::Operator]).collect()
     }
 
     /// Whether the one connects to the other.
     pub fn talks(self, to: Self) -> bool {
         match (self, to) {
-            (Self::Machine(from), Self::Master(to)) => from != to,
-            (Self::Clients, Self::Quay(_))
-            | (Self::Operator | Self::Backend(_), Self::Master(_))
-            | (Self::Machine(_), Self::Backend(_)) => true,
+            (Self::Machine(from), Self::ControlPlane(to)) => from != to,
+            (Self::Clients, Self::DataPlane(_))
+            | (Self::Operator | Self::StandInBackend(_), Self::ControlPlane(_))
+            | (Self::Machine(_), Self::StandInBackend(_)) => true,
             _ => false,
         }
     }
@@ -70,11 +73,11 @@
                 ("*", _) => true,
                 ("clients", party) => party == Self::Clients,
                 ("operator", party) => party == Self::Operator,
-                ("backends", party) => matches!(party, Self::Backend(_)),
+                ("backends", party) => matches!(party, Self::StandInBackend(_)),
                 ("machines", party) => party.machine().is_some(),
-                (_, Self::Backend(slot)) if number("b") == Some(slot) => true,
-                (_, Self::Quay(machine)) if number("q") == Some(machine) => true,
-                (_, Self::Master(machine)) if number("h") == Some(machine) => true,
+                (_, Self::StandInBackend(slot)) if number("b") == Some(slot) => true,
+                (_, Self::DataPlane(machine)) if number("q") == Some(machine) => true,
+                (_, Self::ControlPlane(machine)) if number("h") == Some(machine) => true,
                 (_, party) if party.machine().is_some() && number("m") == party.machine() => true,
                 (_, party) => name.strip_prefix("zone:").is_some_and(|zone| party.zone() == Some(zone)),
             };
@@ -94,9 +97,9 @@
             Self::Clients => f.write_str("clients"),
             Self::Operator => f.write_str("operator"),
             Self::Machine(number) => write!(f, "m{}", number + 1),
-            Self::Quay(number) => write!(f, "q{}", number + 1),
-            Self::Master(number) => write!(f, "h{}", number + 1),
-            Self::Backend(number) => write!(f, "b{}", number + 1),
+            Self::DataPlane(number) => write!(f, "q{}", number + 1),
+            Self::ControlPlane(number) => write!(f, "h{}", number + 1),
+            Self::StandInBackend(number) => write!(f, "b{}", number + 1),
         }
     }
 }
--- a/crates/testbed/src/trial/schedule.rs
+++ b/crates/testbed/src/trial/schedule.rs
@@ -313,10 +313,10 @@
     } else {
         let found = whom(&row.on, "on")?;
         let on = if kind.is_of_processes() {
-            let process = |party: &Party| matches!(party, Party::Quay(_) | Party::Master(_));
+            let process = |party: &Party| matches!(party, Party::DataPlane(_) | Party::ControlPlane(_));
             On::Processes(found.into_iter().filter(process).collect())
         } else {
-            let slot = |party| if let Party::Backend(slot) = party { Some(slot) } else { None };
+            let slot = |party| if let Party::StandInBackend(slot) = party { Some(slot) } else { None };
             On::Backends(found.into_iter().filter_map(slot).collect())
         };
         let empty = matches!(&on, On::Processes(of) if of.is_empty())
--- a/crates/testbed/src/trial/stage.rs
+++ b/crates/testbed/src/trial/stage.rs
@@ -3,7 +3,7 @@
 use super::parties::{Party, ZONES_OF_BACKENDS};
 use super::rude::rude;
 use super::schedule::{Disk, Fault, Kind, On};
-use crate::backend::{Backend, Cradle};
+use crate::backend::{Cradle, StandInBackend};
 use crate::chance::mix;
 use crate::control::Control;
 use crate::demo::{Program, data};
@@ -47,7 +47,7 @@
     /// See there.
     pub quays: Vec<Mutex<Process>>,
     /// By place.
-    pub backends: Vec<Mutex<Arc<Backend>>>,
+    pub backends: Vec<Mutex<Arc<StandInBackend>>>,
     controls: Vec<Control>,
     /// Where clients go.
     pub fronts: Arc<[SocketAddr]>,
@@ -77,13 +77,14 @@
             for to in (0..MASTERS).filter(|to| *to != from) {
                 let target = site.peers(to);
                 let at = SocketAddr::new(site.way(from, target.ip()), target.port());
-                let (parties, source) = ((Party::Machine(from), Party::Master(to)), site.source(Some(from)));
+                let (parties, source) =
+                    ((Party::Machine(from), Party::ControlPlane(to)), site.source(Some(from)));
                 net.way(parties, at, source, target, true).map_err(failed)?;
             }
         }
         let controls = |of: Party| -> Result<Control, Failure> {
             let way = |machine| {
-                let (parties, target) = ((of, Party::Master(machine)), site.control(machine));
+                let (parties, target) = ((of, Party::ControlPlane(machine)), site.control(machine));
                 net.way(parties, SocketAddr::new(others, 0), others, target, true).map_err(failed)
             };
             let ways: Vec<_> = (0..MASTERS).map(way).collect::<Result<_, _>>()?;
@@ -91,13 +92,13 @@
             Ok(Control::by_ways(ways, own))
         };
         let front = |machine| {
-            let (parties, target) = ((Party::Clients, Party::Quay(machine)), site.front(machine));
+            let (parties, target) = ((Party::Clients, Party::DataPlane(machine)), site.front(machine));
             net.way(parties, SocketAddr::new(others, 0), others, target, true).map_err(failed)
         };
         let fronts: Arc<[_]> = (0..ZONES.len()).map(front).collect::<Result<_, _>>()?;
         let operator = Operator::new(controls(Party::Operator)?, fronts.to_vec(), history.clone());
         let of_backends: Vec<_> =
-            (0..SLOTS).map(|slot| controls(Party::Backend(slot))).collect::<Result<_, _>>()?;
+            (0..SLOTS).map(|slot| controls(Party::StandInBackend(slot))).collect::<Result<_, _>>()?;
         let (masters, quays) = program.start_all(folder, &site)?;
         let mut stage = Self {
             history,
@@ -126,18 +127,18 @@
     /// A new life at a backend's place: at a port of its own, or at one that was used before.
     fn life(
         &self, slot: usize, service: &str, port: Option<u16>, warm: bool,
-    ) -> Result<Arc<Backend>, Failure> {
+    ) -> Result<Arc<StandInBackend>, Failure> {
         let life = self.lives.replace(self.lives.get() + 1);
         let at = SocketAddr::new(self.site.backend(slot), port.unwrap_or(PORTS + life));
         if port.is_none() {
             for machine in 0..ZONES.len() {
                 let way = SocketAddr::new(self.site.way(machine, at.ip()), at.port());
                 let (parties, source) =
-                    ((Party::Machine(machine), Party::Backend(slot)), self.site.source(Some(machine)));
+                    ((Party::Machine(machine), Party::StandInBackend(slot)), self.site.source(Some(machine)));
                 self.net.way(parties, way, source, at, true).map_err(failed)?;
             }
         }
-        Backend::start(Cradle {
+        StandInBackend::start(Cradle {
             service: service.to_owned(),
             zone: ZONES_OF_BACKENDS[slot % ZONES_OF_BACKENDS.len()].to_owned(),
             at,
@@ -150,8 +151,8 @@
 
     fn process(&self, of: Party) -> Option<(usize, bool, &Mutex<Process>)> {
         match of {
-            Party::Quay(machine) => Some((machine, true, self.quays.get(machine)?)),
-            Party::Master(machine) => Some((machine, false, self.masters.get(machine)?)),
+            Party::DataPlane(machine) => Some((machine, true, self.quays.get(machine)?)),
+            Party::ControlPlane(machine) => Some((machine, false, self.masters.get(machine)?)),
             _ => None,
         }
     }
@@ -191,7 +192,7 @@
             On::Leader => {
                 let control = self.operator_control().await;
                 match control.leader().await {
-                    Some(leader) => self.to_processes(vec![Party::Master(leader)], fault, until).await,
+                    Some(leader) => self.to_processes(vec![Party::ControlPlane(leader)], fault, until).await,
                     None => {
                         self.history.late("nobody led when the leader was to be in trouble");
                         Ok(())
--- a/crates/testbed/src/trouble.rs
+++ b/crates/testbed/src/trouble.rs
@@ -1,6 +1,6 @@
 //! What happens in the midst of a demo, and is over before its end.
 
-use crate::backend::{Backend, Cradle};
+use crate::backend::{Cradle, StandInBackend};
 use crate::chance::mix;
 use crate::control::Control;
 use crate::fault::Fault;
@@ -86,7 +86,7 @@
     /// The operator.
     pub operator: Operator,
     /// The backends of the moment.
-    pub backends: Vec<Arc<Backend>>,
+    pub backends: Vec<Arc<StandInBackend>>,
     /// What is seen.
     pub history: Arc<History>,
     /// Prints.
@@ -230,7 +230,7 @@
         for index in 0..self.backends.len() {
             sleep_until(start + begin + pace * index as u32).await;
             let old = self.backends[index].clone();
-            let new = Backend::start(Cradle {
+            let new = StandInBackend::start(Cradle {
                 service: old.service.clone(),
                 zone: old.zone.clone(),
                 at: (Ipv4Addr::LOCALHOST, 0).into(),
--- a/crates/testbed/src/up.rs
+++ b/crates/testbed/src/up.rs
@@ -1,6 +1,6 @@
 //! A harbour to look at: it stays up until it is told to end, and its files can be changed by hand.
 
-use crate::backend::Backend;
+use crate::backend::StandInBackend;
 use crate::clients::Platform;
 use crate::control::Control;
 use crate::demo::{Program, backends, data, make_folders, told_to_end, wait_ready};
@@ -78,7 +78,9 @@
         ended
     }
 
-    async fn build(&self, dir: &Path, processes: &mut Vec<Process>) -> Result<Vec<Arc<Backend>>, Fault> {
+    async fn build(
+        &self, dir: &Path, processes: &mut Vec<Process>,
+    ) -> Result<Vec<Arc<StandInBackend>>, Fault> {
         let teller = Teller::default();
         make_folders(dir)?;
         let masters: Vec<_> = (0..MASTERS).map(|machine| self.program.master(dir, machine)).collect();
@@ -104,7 +106,7 @@
         let body = std::fs::read(&order).map_err(Fault::file(&order))?;
         let config = config::Config::parse(&body)
             .map_err(|fault| Fault::Settings { path: order.clone(), wrong: fault.to_string() })?;
-        let paths = |berths: &[crate::fleet::Berth]| -> Vec<_> {
+        let paths = |berths: &[crate::fleet::Backend]| -> Vec<_> {
             berths.iter().map(|b| b.settings.clone()).collect()
         };
         let master_files = paths(&masters);
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -68,7 +68,7 @@
         messages(role, size, true).iter().map(|flow| bytes_per_s(flow, &all)).sum::<f64>()
     };
     let (small, large) = (Size::of(140), Size::of(280));
-    let holder = sum(Role::Holder, &large) / sum(Role::Holder, &small);
+    let holder = sum(Role::QuotaHolder, &large) / sum(Role::QuotaHolder, &small);
     assert!((holder - 2.0).abs() < 0.01, "{holder}");
     let gateway = sum(Role::DataPlane, &large) / sum(Role::DataPlane, &small);
     assert!((gateway - 1.0).abs() < 0.05, "{gateway}");
--- a/crates/transport/examples/weigh.rs
+++ b/crates/transport/examples/weigh.rs
@@ -2,9 +2,9 @@
 //!
 //! `cargo run --release -p transport --example weigh`
 
-use protocol::{Flag, Held, unframe};
+use protocol::{Message, Held, unframe};
 use std::time::{Duration, Instant};
-use transport::sheets::{Sheets, held, rebuild};
+use transport::sheets::{ConfigEncoder, held, rebuild};
 
 /// Words that don't repeat, the same in each run.
 struct Draw(u64);
@@ -101,9 +101,9 @@
 fn weigh(what: &str, base: &[u8], whole: &[u8]) {
     const ROUNDS: u32 = 200;
     let has = if base.is_empty() { Held::default() } else { held(1, base) };
-    let frame = Sheets::new(2, whole).frame(has, Some(base), whole);
-    let made = span(ROUNDS, || Sheets::new(2, whole).frame(has, Some(base), whole));
-    let Ok(Some((Flag::Splice(splice), _))) = unframe(&frame) else { return println!("{what}: whole") };
+    let frame = ConfigEncoder::new(2, whole).frame(has, Some(base), whole);
+    let made = span(ROUNDS, || ConfigEncoder::new(2, whole).frame(has, Some(base), whole));
+    let Ok(Some((Message::ConfigDelta(splice), _))) = unframe(&frame) else { return println!("{what}: whole") };
     let rebuilt = span(ROUNDS, || rebuild(Some(base), &splice).map(|sheet| assert_eq!(sheet.body, whole)));
     println!("{what}: {} bytes as {}; made in {made:?}, rebuilt in {rebuilt:?}", whole.len(), frame.len());
 }
--- a/crates/transport/src/course.rs
+++ b/crates/transport/src/course.rs
@@ -1,7 +1,7 @@
 //! Whom to follow: a state machine without I/O or clock.
 
-use protocol::Pulse;
-use quota::{Epoch, Roster};
+use protocol::Heartbeat;
+use quota::{Epoch, HolderAssignment};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
 
 /// What a follower knows of those that serve control, and whom it follows.
 #[derive(Debug)]
-pub struct Course {
+pub struct PeerChoice {
     name: String,
     zone: String,
     own: Option<SocketAddr>,
@@ -47,11 +47,11 @@
     following: Option<Leading>,
     leader: Option<SocketAddr>,
     /// Who holds the counts.
-    roster: Roster,
+    roster: HolderAssignment,
     started: Millis,
 }
 
-impl Course {
+impl PeerChoice {
     /// A follower of this name and zone, itself at `own` if it serves control, that knows some seeds.
     pub fn new(now: Millis, name: &str, zone: &str, own: Option<SocketAddr>, seeds: Vec<SocketAddr>) -> Self {
         Self {
@@ -63,7 +63,7 @@
             failed: BTreeMap::new(),
             following: None,
             leader: None,
-            roster: Roster::default(),
+            roster: HolderAssignment::default(),
             started: now,
         }
     }
@@ -84,7 +84,7 @@
     }
 
     /// Who holds the counts, as far as known.
-    pub fn roster(&self) -> &Roster {
+    pub fn roster(&self) -> &HolderAssignment {
         &self.roster
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// The one that is followed says how things stand.
-    pub fn pulse(&mut self, now: Millis, pulse: &Pulse) {
+    pub fn pulse(&mut self, now: Millis, pulse: &Heartbeat) {
         let leader = pulse.leader.as_ref().and_then(|l| l.parse().ok());
         // One that is cut off may go on naming a leader of old.
         let epoch = Epoch { term: pulse.epoch, number: pulse.assignment.max(1) };
@@ -154,7 +154,7 @@
                 && epoch >= self.roster.epoch
             {
                 let holders = std::iter::once(leader).chain(&pulse.deputies).cloned().collect();
-                self.roster = Roster { epoch, holders };
+                self.roster = HolderAssignment { epoch, holders };
             }
         }
         if let Some(following) = &mut self.following {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -15,10 +15,10 @@
 mod tree;
 mod unanswered;
 
-pub use course::Course;
+pub use course::PeerChoice;
 pub use line::{Line, LineError, Reader, Received, attach, dial, write_while_taken};
-pub use lookout::{Lookout, card};
-pub use pilot::{News, Pilot, PilotSettings, Place};
+pub use lookout::{NeighborWatch, card};
+pub use pilot::{ControlFollower, FollowerSettings, Place, Update};
 pub use tree::{Signals, word_of};
 pub use unanswered::Unanswered;
 
--- a/crates/transport/src/line.rs
+++ b/crates/transport/src/line.rs
@@ -4,7 +4,7 @@
 use bytes::{Buf, BytesMut};
 use config::Detours;
 use miette::Diagnostic;
-use protocol::{Flag, Garbled};
+use protocol::{Garbled, Message};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -74,7 +74,7 @@
     }
 
     /// Queues a message; false when the connection is lost or its queue full, which loses it.
-    pub fn send(&self, flag: &Flag) -> bool {
+    pub fn send(&self, flag: &Message) -> bool {
         self.send_frame(protocol::frame(flag).into())
     }
 
@@ -100,7 +100,7 @@
 #[derive(Debug)]
 pub enum Received {
     /// A whole message.
-    Message(Flag),
+    Message(Message),
     /// Some bytes of one that is still on its way: the peer lives, though its link takes its time.
     Part,
 }
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     /// When there will be none: the connection is to be dropped.
-    pub async fn next(&mut self) -> Result<Flag, LineError> {
+    pub async fn next(&mut self) -> Result<Message, LineError> {
         loop {
             if let Received::Message(flag) = self.receive().await? {
                 return Ok(flag);
@@ -135,7 +135,7 @@
     }
 
     /// The next message, if it is here whole.
-    fn take_message(&mut self) -> Result<Option<Flag>, LineError> {
+    fn take_message(&mut self) -> Result<Option<Message>, LineError> {
         let peer = self.peer;
         let next = protocol::unframe(&self.buffer).map_err(|source| LineError::Garbled { peer, source })?;
         Ok(next.map(|(flag, taken)| {
--- a/crates/transport/src/lookout.rs
+++ b/crates/transport/src/lookout.rs
@@ -15,13 +15,13 @@
 const AT_ONCE: usize = 64;
 
 /// The watch of this process at work.
-pub struct Lookout {
+pub struct NeighborWatch {
     keeper: RefCell<Keeper>,
     socket: UdpSocket,
     began: Instant,
 }
 
-impl Lookout {
+impl NeighborWatch {
     /// Watches from now on at a socket that is bound to the card's address; `seed` is drawn for this life.
     pub fn start(socket: UdpSocket, card: Card, seeds: Vec<SocketAddr>, seed: u64) -> Rc<Self> {
         let keeper = RefCell::new(Keeper::new(card, marks(&seeds), seed, 0));
--- a/crates/transport/src/pilot.rs
+++ b/crates/transport/src/pilot.rs
@@ -1,7 +1,7 @@
 //! Follows the news: one process that serves control at a time, another one when that falls silent or behind; and a
 //! connection to the holder of the counts.
 
-use crate::course::Course;
+use crate::course::PeerChoice;
 use crate::leaving::Leaving;
 use crate::line::{Line, LineError, Reader, Received, dial};
 use crate::sheets;
@@ -9,8 +9,8 @@
 use crate::tree::{self, Tree};
 use crate::unanswered::Unanswered;
 use config::Detours;
-use protocol::{Berth, Flag, Hail, Held, MasterCard, Pulse, Sheet, Splice};
-use quota::Roster;
+use protocol::{Backend, ConfigDelta, ConfigSnapshot, ControlPlaneAddress, Heartbeat, Held, Hello, Message};
+use quota::HolderAssignment;
 use relay_tree::{Input, Output};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -30,20 +30,20 @@
 
 /// What there is to hear.
 #[derive(Debug)]
-pub enum News {
+pub enum Update {
     /// A configuration.
-    Sheet(Sheet),
+    ConfigSnapshot(ConfigSnapshot),
     /// Backends: changes, or with `whole` all there are.
-    Berths {
+    Backends {
         /// Whether there are no others.
         whole: bool,
         /// The backends.
-        berths: Vec<Berth>,
+        berths: Vec<Backend>,
     },
     /// How things stand.
-    Pulse(Pulse),
+    Heartbeat(Heartbeat),
     /// Who holds the counts.
-    Roster(Roster),
+    HolderAssignment(HolderAssignment),
     /// Whom this process follows in the tree of relays.
     Follows(SocketAddr),
     /// An answer to a draw.
@@ -57,9 +57,9 @@
 
 /// What a follower is told at its start.
 #[derive(Clone, Debug)]
-pub struct PilotSettings {
+pub struct FollowerSettings {
     /// Who follows.
-    pub me: Hail,
+    pub me: Hello,
     /// Where the first ones to ask take connections.
     pub seeds: Vec<SocketAddr>,
     /// By which ways others are reached.
@@ -78,29 +78,31 @@
 }
 
 /// A follower of the news.
-pub struct Pilot {
+pub struct ControlFollower {
     orders: mpsc::Sender<Order>,
 }
 
 enum Order {
-    Draw(SocketAddr, quota::Draw),
+    LeaseRequest(SocketAddr, quota::LeaseRequest),
     Seeds(Vec<SocketAddr>),
     Leave(oneshot::Sender<()>),
 }
 
-impl Pilot {
+impl ControlFollower {
     /// Follows from now on; `news` hears all of it, in order.
     ///
     /// With a place it follows whom the tree names, and passes the news on; else a process that serves control.
-    pub fn start(settings: PilotSettings, place: Option<Place>, news: impl FnMut(News) + 'static) -> Self {
+    pub fn start(
+        settings: FollowerSettings, place: Option<Place>, news: impl FnMut(Update) + 'static,
+    ) -> Self {
         let (orders, queue) = mpsc::channel(64);
-        spawn(Helm::run(settings, place, Box::new(news), queue));
+        spawn(FollowerTask::run(settings, place, Box::new(news), queue));
         Self { orders }
     }
 
     /// Sends a draw to its holder; false when it can't be sent.
-    pub fn draw(&self, to: &str, draw: quota::Draw) -> bool {
-        to.parse().is_ok_and(|to| self.orders.try_send(Order::Draw(to, draw)).is_ok())
+    pub fn draw(&self, to: &str, draw: quota::LeaseRequest) -> bool {
+        to.parse().is_ok_and(|to| self.orders.try_send(Order::LeaseRequest(to, draw)).is_ok())
     }
 
     /// Says that this process has ended, to the process that is followed and to the holders of the counts, on each
@@ -121,60 +123,60 @@
 /// What happened on a connection: its number, and what came or why it ended.
 type Event = (u64, Result<Received, LineError>);
 
-struct Voyage {
+struct Upstream {
     number: u64,
     to: SocketAddr,
     /// Nothing while it comes up.
     line: Option<Line>,
 }
 
-impl Voyage {
+impl Upstream {
     fn is_lost(&self) -> bool {
         self.line.as_ref().is_some_and(Line::is_lost)
     }
 }
 
 /// A holder of counts, and the draws that it has not answered.
-struct Holder {
-    voyage: Voyage,
+struct QuotaHolder {
+    voyage: Upstream,
     drawn: Unanswered,
 }
 
-struct Helm {
-    settings: PilotSettings,
-    news: Box<dyn FnMut(News)>,
-    course: Course,
+struct FollowerTask {
+    settings: FollowerSettings,
+    news: Box<dyn FnMut(Update)>,
+    course: PeerChoice,
     began: Instant,
     numbers: u64,
-    master: Option<Voyage>,
+    master: Option<Upstream>,
     tree: Option<Tree>,
-    holders: Vec<Holder>,
+    holders: Vec<QuotaHolder>,
     /// What was taken last, and its body: what comes next may be a change of it.
     have: Held,
     body: Vec<u8>,
     /// A configuration from one who is perhaps behind, for a process that has none.
-    doubtful: Option<Sheet>,
+    doubtful: Option<ConfigSnapshot>,
     above: Option<SocketAddr>,
     /// The version of the last root heard of, if it said that it is of this moment, with a place in the tree.
     root_version: Option<u64>,
     signed: Instant,
-    roster: Roster,
+    roster: HolderAssignment,
     /// This process has ended and says so.
     leaving: Option<Leaving>,
     events: mpsc::Sender<Event>,
     lines: mpsc::Sender<(u64, Line)>,
 }
 
-impl Helm {
+impl FollowerTask {
     async fn run(
-        settings: PilotSettings, place: Option<Place>, news: Box<dyn FnMut(News)>,
+        settings: FollowerSettings, place: Option<Place>, news: Box<dyn FnMut(Update)>,
         mut orders: mpsc::Receiver<Order>,
     ) {
         let (events, mut inbox) = mpsc::channel(256);
         let (lines, mut up) = mpsc::channel(8);
         let (me, began) = (&settings.me, Instant::now());
         let (tree, mut said) = place.map(|place| moored(place, &settings)).unzip();
-        let course = Course::new(0, &me.name, &me.zone, me.address.parse().ok(), settings.seeds.clone());
+        let course = PeerChoice::new(0, &me.name, &me.zone, me.address.parse().ok(), settings.seeds.clone());
         let mut helm = Self {
             settings,
             news,
@@ -190,7 +192,7 @@
             above: None,
             root_version: None,
             signed: began,
-            roster: Roster::default(),
+            roster: HolderAssignment::default(),
             leaving: None,
             events,
             lines,
@@ -203,7 +205,7 @@
                 Some((number, event)) = inbox.recv() => helm.on_event(number, event),
                 Some(event) = next(&mut said) => helm.on_tree(event),
                 order = orders.recv() => match order {
-                    Some(Order::Draw(to, draw)) => helm.on_draw(to, draw),
+                    Some(Order::LeaseRequest(to, draw)) => helm.on_draw(to, draw),
                     Some(Order::Seeds(seeds)) => helm.on_seeds(seeds),
                     Some(Order::Leave(done)) => helm.on_leave(done),
                     None => return,
@@ -217,10 +219,10 @@
         self.began.elapsed().as_millis() as u64
     }
 
-    fn voyage(&mut self, to: SocketAddr) -> Voyage {
+    fn voyage(&mut self, to: SocketAddr) -> Upstream {
         self.numbers += 1;
         let (number, events, lines) = (self.numbers, self.events.clone(), self.lines.clone());
-        let hail = Flag::Hail(self.settings.me.clone());
+        let hail = Message::Hello(self.settings.me.clone());
         let ways = self.settings.ways.clone();
         spawn(async move {
             let (line, mut reader): (Line, Reader) = match dial(to, &ways).await {
@@ -249,7 +251,7 @@
                 }
             }
         });
-        Voyage { number, to, line: None }
+        Upstream { number, to, line: None }
     }
 
     fn leave(&mut self) {
@@ -262,7 +264,7 @@
         let now = self.now();
         if self.tree.is_some() {
             self.tend_tree(now);
-        } else if self.course.is_over(now) || self.master.as_ref().is_some_and(Voyage::is_lost) {
+        } else if self.course.is_over(now) || self.master.as_ref().is_some_and(Upstream::is_lost) {
             self.leave();
         }
         // Also a process in the tree of relays says its last word to one that serves control.
@@ -274,12 +276,12 @@
         self.take_doubtful();
         if self.signed.elapsed() > SIGN {
             self.signed = Instant::now();
-            let sign = Flag::Follow { have: self.have };
+            let sign = Message::Follow { have: self.have };
             // Only a sign of life on a connection that has its news already.
             if let Some(line) = self.master.as_ref().and_then(|v| v.line.as_ref()) {
                 line.send(&sign);
             }
-            let here = Flag::Here { epoch: self.roster.epoch };
+            let here = Message::Here { epoch: self.roster.epoch };
             for line in self.holders.iter().filter_map(|holder| holder.voyage.line.as_ref()) {
                 line.send(&here);
             }
@@ -293,7 +295,7 @@
         let mut leaving = Leaving::new(done);
         let voyages = self.master.iter().chain(self.holders.iter().map(|holder| &holder.voyage));
         for voyage in voyages {
-            if voyage.line.as_ref().is_some_and(|line| line.send(&Flag::Leave)) {
+            if voyage.line.as_ref().is_some_and(|line| line.send(&Message::Leave)) {
                 leaving.said(voyage.number);
             }
         }
@@ -308,7 +310,7 @@
     }
 
     /// Leaves holders; what was drawn from them gets no answer.
-    fn part(&mut self, leaves: impl Fn(&Holder) -> bool) {
+    fn part(&mut self, leaves: impl Fn(&QuotaHolder) -> bool) {
         let mut left = Vec::new();
         self.holders.retain(|holder| {
             let leaves = leaves(holder);
@@ -318,7 +320,7 @@
             !leaves
         });
         for number in left {
-            (self.news)(News::Unanswered { number });
+            (self.news)(Update::Unanswered { number });
         }
     }
 
@@ -328,24 +330,24 @@
         for to in wanted {
             if self.holders.iter().all(|holder| holder.voyage.to != to) {
                 let voyage = self.voyage(to);
-                self.holders.push(Holder { voyage, drawn: Unanswered::default() });
+                self.holders.push(QuotaHolder { voyage, drawn: Unanswered::default() });
             }
         }
     }
 
     fn on_up(&mut self, number: u64, line: Line) {
         if let Some(leaving) = &mut self.leaving
-            && line.send(&Flag::Leave)
+            && line.send(&Message::Leave)
         {
             leaving.said(number);
         }
         if let Some(voyage) = self.master.as_mut().filter(|v| v.number == number) {
-            line.send(&Flag::Follow { have: self.have });
+            line.send(&Message::Follow { have: self.have });
             voyage.line = Some(line);
         } else if let Some(holder) = self.holders.iter_mut().find(|holder| holder.voyage.number == number) {
             // Among several holders only one that says which assignment it knows counts as heard.
             if self.roster.epoch.number > 1 {
-                line.send(&Flag::Here { epoch: self.roster.epoch });
+                line.send(&Message::Here { epoch: self.roster.epoch });
             }
             holder.voyage.line = Some(line);
         }
@@ -365,7 +367,7 @@
                 self.on_tick();
             }
             Err(_) => self.part(|holder| holder.voyage.number == number),
-            Ok(Received::Message(Flag::LeaveAccepted)) => self.on_leave_accepted(number),
+            Ok(Received::Message(Message::LeaveAccepted)) => self.on_leave_accepted(number),
             Ok(received) if from_master => {
                 let now = self.now();
                 self.course.heard(now);
@@ -373,36 +375,36 @@
                     self.on_news(flag, now);
                 }
             }
-            Ok(Received::Message(Flag::Grant(grant))) if is_answer(grant.number) => {
-                (self.news)(News::Grant(grant));
+            Ok(Received::Message(Message::Grant(grant))) if is_answer(grant.number) => {
+                (self.news)(Update::Grant(grant));
             }
-            Ok(Received::Message(Flag::NotHolder { number })) if is_answer(number) => {
-                (self.news)(News::Unanswered { number });
+            Ok(Received::Message(Message::NotHolder { number })) if is_answer(number) => {
+                (self.news)(Update::Unanswered { number });
             }
             Ok(_) => {}
         }
     }
 
-    fn on_news(&mut self, flag: Flag, now: u64) {
+    fn on_news(&mut self, flag: Message, now: u64) {
         match flag {
-            Flag::Pulse(pulse) => {
+            Message::Heartbeat(pulse) => {
                 self.course.pulse(now, &pulse);
                 self.take_doubtful();
                 if self.roster != *self.course.roster() {
                     self.roster = self.course.roster().clone();
-                    (self.news)(News::Roster(self.roster.clone()));
+                    (self.news)(Update::HolderAssignment(self.roster.clone()));
                 }
                 self.tend_holders();
-                (self.news)(News::Pulse(pulse));
+                (self.news)(Update::Heartbeat(pulse));
             }
-            Flag::Sheet(sheet) => {
+            Message::ConfigSnapshot(sheet) => {
                 self.doubtful = Some(sheet);
                 self.take_doubtful();
             }
-            Flag::Splice(splice) => self.on_splice(&splice),
-            Flag::Berths { whole, berths } => (self.news)(News::Berths { whole, berths }),
-            Flag::Masters(cards) => {
-                let read = |card: MasterCard| Some((card.address.parse().ok()?, card.zone));
+            Message::ConfigDelta(splice) => self.on_splice(&splice),
+            Message::Backends { whole, berths } => (self.news)(Update::Backends { whole, berths }),
+            Message::ControlPlanes(cards) => {
+                let read = |card: ControlPlaneAddress| Some((card.address.parse().ok()?, card.zone));
                 self.course.masters(cards.into_iter().filter_map(read));
             }
             _ => {}
@@ -410,7 +412,7 @@
     }
 
     /// A configuration as a difference. Whoever sent one that makes nothing here is asked for the whole.
-    fn on_splice(&mut self, splice: &Splice) {
+    fn on_splice(&mut self, splice: &ConfigDelta) {
         if splice.version <= self.have.version {
             return;
         }
@@ -424,7 +426,7 @@
             }
             Err(_) => {
                 if let Some(line) = self.master.as_ref().and_then(|v| v.line.as_ref()) {
-                    line.send(&Flag::Whole);
+                    line.send(&Message::Whole);
                 }
             }
         }
@@ -438,7 +440,7 @@
         if let Some(sheet) = self.doubtful.take().filter(|sheet| sheet.version > self.have.version) {
             self.have = sheets::held(sheet.version, &sheet.body);
             self.body.clone_from(&sheet.body);
-            (self.news)(News::Sheet(sheet));
+            (self.news)(Update::ConfigSnapshot(sheet));
         }
     }
 
@@ -472,42 +474,43 @@
         let news = self.tree.as_mut().map(|tree| tree.work(now, input));
         let above = self.tree.as_ref().and_then(Tree::follows);
         if let Some(above) = above.filter(|_| above != self.above) {
-            (self.news)(News::Follows(above));
+            (self.news)(Update::Follows(above));
         }
         self.above = above;
         for output in news.into_iter().flatten() {
             let flag = match output {
-                Output::Pulse(mut pulse) => {
+                Output::Heartbeat(mut pulse) => {
                     self.root_version = pulse.fresh.then_some(pulse.version);
                     // The root does not count those that it does not know one by one.
                     let mut hasher = DefaultHasher::new();
                     self.settings.me.name.hash(&mut hasher);
                     pulse.number = (hasher.finish() % u64::from(pulse.fleet.max(1))) as u32;
-                    Flag::Pulse(pulse)
+                    Message::Heartbeat(pulse)
                 }
-                Output::Sheet(sheet) => Flag::Sheet(sheet),
-                Output::Berths { whole, berths, .. } => Flag::Berths { whole, berths },
+                Output::ConfigSnapshot(sheet) => Message::ConfigSnapshot(sheet),
+                Output::Backends { whole, berths, .. } => Message::Backends { whole, berths },
                 Output::Send { .. } => continue,
             };
             self.on_news(flag, now);
         }
     }
 
-    fn on_draw(&mut self, to: SocketAddr, draw: quota::Draw) {
+    fn on_draw(&mut self, to: SocketAddr, draw: quota::LeaseRequest) {
         let (number, now) = (draw.number, self.now());
         let holder = self.holders.iter_mut().find(|holder| holder.voyage.to == to);
-        let sent = holder.filter(|h| h.voyage.line.as_ref().is_some_and(|line| line.send(&Flag::Draw(draw))));
+        let sent = holder
+            .filter(|h| h.voyage.line.as_ref().is_some_and(|line| line.send(&Message::LeaseRequest(draw))));
         let unanswered = match sent {
             Some(holder) => holder.drawn.sent(number, now),
             None => Some(number),
         };
         if let Some(number) = unanswered {
-            (self.news)(News::Unanswered { number });
+            (self.news)(Update::Unanswered { number });
         }
     }
 }
 
-fn moored(place: Place, settings: &PilotSettings) -> (Tree, mpsc::Receiver<tree::Event>) {
+fn moored(place: Place, settings: &FollowerSettings) -> (Tree, mpsc::Receiver<tree::Event>) {
     let Place { at, listener, room } = place;
     let (roots, seed) = (settings.seeds.clone(), settings.me.life | 1);
     let about = relay_tree::Settings { me: at, room, epoch: None, roots, seed };
--- a/crates/transport/src/sheets.rs
+++ b/crates/transport/src/sheets.rs
@@ -4,7 +4,7 @@
 //! repeats itself gets shorter also where there is no base. `docs/relays.md` has the ways weighed and the figures.
 
 use miette::Diagnostic;
-use protocol::{Flag, Held, LONGEST, Sheet, Splice};
+use protocol::{ConfigDelta, ConfigSnapshot, Held, LONGEST, Message};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -64,7 +64,7 @@
 
 /// The newest configuration as it goes to followers: made once for all that have the same, when the first asks.
 #[derive(Debug, Default)]
-pub struct Sheets {
+pub struct ConfigEncoder {
     version: u64,
     digest: [u8; 32],
     whole: Option<Rc<[u8]>>,
@@ -72,7 +72,7 @@
     made: BTreeMap<Held, Rc<[u8]>>,
 }
 
-impl Sheets {
+impl ConfigEncoder {
     /// Nothing of this version was sent yet.
     pub fn new(version: u64, body: &[u8]) -> Self {
         Self { version, digest: Sha256::digest(body).into(), ..Self::default() }
@@ -85,8 +85,8 @@
 
     /// The frame for whoever asked for the whole.
     pub fn whole(&mut self, body: &[u8]) -> Rc<[u8]> {
-        let sheet = || Sheet { version: self.version, body: body.to_vec() };
-        self.whole.get_or_insert_with(|| protocol::frame(&Flag::Sheet(sheet())).into()).clone()
+        let sheet = || ConfigSnapshot { version: self.version, body: body.to_vec() };
+        self.whole.get_or_insert_with(|| protocol::frame(&Message::ConfigSnapshot(sheet())).into()).clone()
     }
 
     /// The frame for a follower that has `has`; `base` is the body of that version, if it is kept here.
@@ -101,7 +101,9 @@
             return made.clone();
         }
         let made = match splice(key.version, base, self.version, self.digest, body) {
-            Ok(splice) if splice.bytes.len() < body.len() => protocol::frame(&Flag::Splice(splice)).into(),
+            Ok(splice) if splice.bytes.len() < body.len() => {
+                protocol::frame(&Message::ConfigDelta(splice)).into()
+            }
             _ => self.whole(body),
         };
         self.made.insert(key, made.clone());
@@ -111,16 +113,16 @@
 
 fn splice(
     base: u64, of: &[u8], version: u64, digest: [u8; 32], body: &[u8],
-) -> Result<Splice, std::io::Error> {
+) -> Result<ConfigDelta, std::io::Error> {
     let bytes = zstd::bulk::Compressor::with_dictionary(LEVEL, of)?.compress(body)?;
-    Ok(Splice { version, base, digest, length: body.len() as u32, bytes })
+    Ok(ConfigDelta { version, base, digest, length: body.len() as u32, bytes })
 }
 
 /// Makes the configuration that was sent. `base` is the body of the version that it builds on, if that is here.
 ///
 /// # Errors
 /// When it can't be made, or is another one: never anything but what the sender has.
-pub fn rebuild(base: Option<&[u8]>, splice: &Splice) -> Result<Sheet, Unfit> {
+pub fn rebuild(base: Option<&[u8]>, splice: &ConfigDelta) -> Result<ConfigSnapshot, Unfit> {
     let (version, length) = (splice.version, splice.length as usize);
     if length > LONGEST {
         return Err(Unfit::TooLong { version, length });
@@ -133,5 +135,5 @@
     if Sha256::digest(&body).as_slice() != splice.digest {
         return Err(Unfit::Digest { version, base: splice.base });
     }
-    Ok(Sheet { version, body })
+    Ok(ConfigSnapshot { version, body })
 }
--- a/crates/transport/src/tree.rs
+++ b/crates/transport/src/tree.rs
@@ -1,11 +1,11 @@
 //! A place in the tree of relays: what the state machine decides, over real connections.
 
 use crate::line::{Line, LineError, Reader, attach, dial};
-use crate::sheets::{Sheets, rebuild};
+use crate::sheets::{ConfigEncoder, rebuild};
 use crate::spawn;
 use config::Detours;
 use protocol::relay::Word;
-use protocol::{Flag, Hail, Held};
+use protocol::{Held, Hello, Message};
 use relay_tree::{Input, Output, Relay, Settings};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,10 +32,12 @@
             Some((last, frame)) if *last == word => frame.clone(),
             _ => {
                 let frame: Rc<[u8]> = match &word {
-                    Word::Sheet(sheet) => {
-                        Sheets::new(sheet.version, &sheet.body).frame(Held::default(), None, &sheet.body)
-                    }
-                    word => protocol::frame(&Flag::Relay(word.clone())).into(),
+                    Word::ConfigSnapshot(sheet) => ConfigEncoder::new(sheet.version, &sheet.body).frame(
+                        Held::default(),
+                        None,
+                        &sheet.body,
+                    ),
+                    word => protocol::frame(&Message::Relay(word.clone())).into(),
                 };
                 self.last = Some((word, frame.clone()));
                 frame
@@ -45,12 +47,12 @@
 }
 
 /// The word that a message is, on a connection between relays.
-pub fn word_of(flag: Flag) -> Option<Word> {
+pub fn word_of(flag: Message) -> Option<Word> {
     match flag {
-        Flag::Relay(word) => Some(word),
-        Flag::Sheet(sheet) => Some(Word::Sheet(sheet)),
+        Message::Relay(word) => Some(word),
+        Message::ConfigSnapshot(sheet) => Some(Word::ConfigSnapshot(sheet)),
         // It comes with no base: who can't make it out asks again, by the number in the next pulse.
-        Flag::Splice(splice) => rebuild(None, &splice).ok().map(Word::Sheet),
+        Message::ConfigDelta(splice) => rebuild(None, &splice).ok().map(Word::ConfigSnapshot),
         _ => None,
     }
 }
@@ -62,7 +64,7 @@
     /// Another process has connected.
     Caller(u64, Line),
     /// A message, or the end.
-    Said(u64, Result<Flag, LineError>),
+    Said(u64, Result<Message, LineError>),
 }
 
 struct Dialed {
@@ -83,7 +85,7 @@
 /// One process's place.
 pub(crate) struct Tree {
     relay: Relay,
-    hail: Hail,
+    hail: Hello,
     /// By which ways others are reached.
     ways: Detours,
     numbers: u64,
@@ -97,7 +99,7 @@
 impl Tree {
     /// Takes connections at `listener`; what happens on any comes out of the queue.
     pub(crate) fn start(
-        settings: Settings, hail: Hail, ways: Detours, listener: TcpListener,
+        settings: Settings, hail: Hello, ways: Detours, listener: TcpListener,
     ) -> (Self, mpsc::Receiver<Event>) {
         let (events, queue) = mpsc::channel(256);
         spawn(listen(listener, events.clone()));
@@ -151,7 +153,7 @@
     fn dial(&mut self, to: SocketAddr) {
         self.numbers += 2;
         let (number, events, ways) = (self.numbers, self.events.clone(), self.ways.clone());
-        let hail = protocol::frame(&Flag::Hail(self.hail.clone())).into();
+        let hail = protocol::frame(&Message::Hello(self.hail.clone())).into();
         self.dialed = Some(Dialed { number, to, line: None, waiting: vec![hail] });
         spawn(async move {
             match dial(to, &ways).await {
--- a/crates/transport/tests/course.rs
+++ b/crates/transport/tests/course.rs
@@ -1,22 +1,22 @@
 //! Whom a follower follows, by what it heard and when.
 
-use protocol::Pulse;
+use protocol::Heartbeat;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use transport::Course;
+use transport::PeerChoice;
 
 fn at(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7000))
 }
 
-fn course(masters: &[(u8, &str)]) -> Course {
-    let mut course = Course::new(0, "edge-1", "a", None, vec![at(9)]);
+fn course(masters: &[(u8, &str)]) -> PeerChoice {
+    let mut course = PeerChoice::new(0, "edge-1", "a", None, vec![at(9)]);
     course.masters(masters.iter().map(|(number, zone)| (at(*number), (*zone).to_owned())));
     course
 }
 
-fn pulse(leader: u8, epoch: u64, fresh: bool) -> Pulse {
-    Pulse { leader: Some(at(leader).to_string()), epoch, fresh, ..Pulse::default() }
+fn pulse(leader: u8, epoch: u64, fresh: bool) -> Heartbeat {
+    Heartbeat { leader: Some(at(leader).to_string()), epoch, fresh, ..Heartbeat::default() }
 }
 
 #[test]
@@ -49,7 +49,7 @@
 
 #[test]
 fn one_that_has_lost_the_leader_is_left_only_for_another() {
-    let mut alone = Course::new(0, "edge-1", "a", None, vec![at(1)]);
+    let mut alone = PeerChoice::new(0, "edge-1", "a", None, vec![at(1)]);
     let mut choice = course(&[(1, "a"), (2, "a")]);
     for course in [&mut alone, &mut choice] {
         course.choose(0);
@@ -92,7 +92,7 @@
     course.failed(20);
     course.choose(300);
     // The next one says how new it is before its configuration comes.
-    course.pulse(310, &Pulse { version: 9, ..pulse(1, 1, true) });
+    course.pulse(310, &Heartbeat { version: 9, ..pulse(1, 1, true) });
     assert!(!course.may_begin(320, 5), "r5 came from the one before");
     assert!(course.may_begin(320, 9));
 }
@@ -101,7 +101,7 @@
 fn many_followers_spread_over_all() {
     let mut followed = BTreeMap::new();
     for number in 0..300 {
-        let mut course = Course::new(0, &format!("edge-{number}"), "z", None, Vec::new());
+        let mut course = PeerChoice::new(0, &format!("edge-{number}"), "z", None, Vec::new());
         course.masters((1..=6).map(|number| (at(number), "a".to_owned())));
         *followed.entry(course.choose(0)).or_insert(0) += 1;
     }
--- a/crates/transport/tests/leaving.rs
+++ b/crates/transport/tests/leaving.rs
@@ -1,13 +1,13 @@
 //! The last word of a data plane: said on every connection, again on the next one, until it is accepted.
 
 use config::Detours;
-use protocol::{Flag, Hail, Plane, Pulse};
+use protocol::{Heartbeat, Hello, Message, Plane};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 use tokio::time::timeout;
-use transport::{Line, Pilot, PilotSettings, Reader, attach};
+use transport::{ControlFollower, FollowerSettings, Line, Reader, attach};
 
 /// Whatever is waited for comes much sooner.
 const PATIENCE: Duration = Duration::from_secs(30);
@@ -25,17 +25,17 @@
     (listener, address)
 }
 
-fn pilot(seed: SocketAddr) -> Pilot {
-    let me = Hail {
+fn pilot(seed: SocketAddr) -> ControlFollower {
+    let me = Hello {
         name: "a".into(),
         life: 1,
-        plane: Plane::Quay,
+        plane: Plane::DataPlane,
         address: "127.0.0.1:1".into(),
         zone: "z".into(),
         quorum: false,
         incarnation: None,
     };
-    Pilot::start(PilotSettings { me, seeds: vec![seed], ways: Detours::default() }, None, |_| {})
+    ControlFollower::start(FollowerSettings { me, seeds: vec![seed], ways: Detours::default() }, None, |_| {})
 }
 
 async fn accept(listener: &TcpListener) -> (Line, Reader) {
@@ -44,7 +44,7 @@
 }
 
 /// Reads until this message comes.
-async fn until(reader: &mut Reader, wanted: &Flag) {
+async fn until(reader: &mut Reader, wanted: &Message) {
     let read = async { while reader.next().await.expect("a message") != *wanted {} };
     timeout(PATIENCE, read).await.expect("the message");
 }
@@ -56,15 +56,15 @@
         let pilot = pilot(to);
         let (line, mut reader) = accept(&followed).await;
         let leader = Some(leader.to_string());
-        line.send(&Flag::Pulse(Pulse { leader, epoch: 1, fresh: true, ..Pulse::default() }));
+        line.send(&Message::Heartbeat(Heartbeat { leader, epoch: 1, fresh: true, ..Heartbeat::default() }));
         let (holder_line, mut holder_reader) = accept(&holder).await;
         let mut left = Box::pin(pilot.leave());
         assert!(timeout(AWHILE, &mut left).await.is_err(), "nobody has accepted it");
-        until(&mut reader, &Flag::Leave).await;
-        until(&mut holder_reader, &Flag::Leave).await;
-        line.send(&Flag::LeaveAccepted);
+        until(&mut reader, &Message::Leave).await;
+        until(&mut holder_reader, &Message::Leave).await;
+        line.send(&Message::LeaveAccepted);
         assert!(timeout(AWHILE, &mut left).await.is_err(), "the holder has not accepted it");
-        holder_line.send(&Flag::LeaveAccepted);
+        holder_line.send(&Message::LeaveAccepted);
         timeout(PATIENCE, left).await.expect("accepted");
     });
 }
@@ -81,8 +81,8 @@
         drop(first);
         let again = async {
             let (line, mut reader) = accept(&listener).await;
-            until(&mut reader, &Flag::Leave).await;
-            line.send(&Flag::LeaveAccepted);
+            until(&mut reader, &Message::Leave).await;
+            line.send(&Message::LeaveAccepted);
             // The connection lasts until the other end has read it.
             let _ = timeout(AWHILE, reader.next()).await;
         };
--- a/crates/transport/tests/pilot.rs
+++ b/crates/transport/tests/pilot.rs
@@ -1,7 +1,7 @@
 //! Answers to lease requests: each goes to its own request, on the connection that carried it.
 
-use protocol::{Flag, Hail, Plane, Pulse, Sheet};
-use quota::{Draw, Epoch, Grant};
+use protocol::{ConfigSnapshot, Heartbeat, Hello, Message, Plane};
+use quota::{Epoch, Grant, LeaseRequest};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_blocking, yield_now};
-use transport::{Line, News, Pilot, PilotSettings, Reader, attach};
+use transport::{ControlFollower, FollowerSettings, Line, Reader, Update, attach};
 
 /// Longer than a request waits for its answer, in steps shorter than the silence that ends a connection.
 const LONG: u32 = 4;
@@ -29,7 +29,7 @@
 struct World {
     listener: TcpListener,
     address: SocketAddr,
-    pilot: Pilot,
+    pilot: ControlFollower,
     heard: Rc<RefCell<Vec<Heard>>>,
 }
 
@@ -37,10 +37,10 @@
     async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let me = Hail {
+        let me = Hello {
             name: "q".into(),
             life: 1,
-            plane: Plane::Quay,
+            plane: Plane::DataPlane,
             address: String::new(),
             zone: "z".into(),
             quorum: false,
@@ -49,15 +49,15 @@
         let heard = Rc::<RefCell<Vec<Heard>>>::default();
         let noted = heard.clone();
         let news = move |news| match news {
-            News::Grant(grant) => noted.borrow_mut().push(Heard::Granted(grant.number)),
-            News::Unanswered { number } => noted.borrow_mut().push(Heard::Unanswered(number)),
-            News::Sheet(sheet) => {
+            Update::Grant(grant) => noted.borrow_mut().push(Heard::Granted(grant.number)),
+            Update::Unanswered { number } => noted.borrow_mut().push(Heard::Unanswered(number)),
+            Update::ConfigSnapshot(sheet) => {
                 noted.borrow_mut().push(Heard::Configuration { version: sheet.version });
             }
             _ => {}
         };
-        let settings = PilotSettings { me, seeds: vec![address], ways: config::Detours::default() };
-        let pilot = Pilot::start(settings, None, news);
+        let settings = FollowerSettings { me, seeds: vec![address], ways: config::Detours::default() };
+        let pilot = ControlFollower::start(settings, None, news);
         Self { listener, address, pilot, heard }
     }
 
@@ -66,13 +66,13 @@
         attach(stream, peer)
     }
 
-    fn pulse(&self) -> Flag {
+    fn pulse(&self) -> Message {
         let leader = Some(self.address.to_string());
-        Flag::Pulse(Pulse { leader, epoch: 1, fresh: true, fleet: 1, ..Pulse::default() })
+        Message::Heartbeat(Heartbeat { leader, epoch: 1, fresh: true, fleet: 1, ..Heartbeat::default() })
     }
 
     fn draw(&self, number: u64) {
-        let draw = Draw { number, epoch: Epoch::first(1), wants: Vec::new() };
+        let draw = LeaseRequest { number, epoch: Epoch::first(1), wants: Vec::new() };
         assert!(self.pilot.draw(&self.address.to_string(), draw));
     }
 
@@ -94,13 +94,13 @@
     }
 }
 
-fn grant(number: u64) -> Flag {
-    Flag::Grant(Grant { number, epoch: Epoch::first(1), shares: Vec::new() })
+fn grant(number: u64) -> Message {
+    Message::Grant(Grant { number, epoch: Epoch::first(1), shares: Vec::new() })
 }
 
 async fn drawn(from: &mut Reader) -> u64 {
     loop {
-        if let Flag::Draw(draw) = from.next().await.expect("a message") {
+        if let Message::LeaseRequest(draw) = from.next().await.expect("a message") {
             return draw.number;
         }
     }
@@ -163,7 +163,7 @@
         let (mut link, _) = world.listener.accept().await.expect("a connection");
         let body = (0..40_000u32).flat_map(u32::to_le_bytes).collect();
         let mut bytes = protocol::frame(&world.pulse());
-        bytes.extend(protocol::frame(&Flag::Sheet(Sheet { version: 1, body })));
+        bytes.extend(protocol::frame(&Message::ConfigSnapshot(ConfigSnapshot { version: 1, body })));
         let parts = 40;
         for part in bytes.chunks(bytes.len().div_ceil(parts)) {
             link.write_all(part).await.expect("the follower is there");
--- a/crates/transport/tests/sheets.rs
+++ b/crates/transport/tests/sheets.rs
@@ -1,20 +1,20 @@
 //! Configurations as differences: what is rebuilt is what was sent, or nothing.
 
-use protocol::{Flag, Held, Sheet, Splice, frame, unframe};
-use transport::sheets::{Sheets, Unfit, held, rebuild};
+use protocol::{ConfigDelta, ConfigSnapshot, Held, Message, frame, unframe};
+use transport::sheets::{ConfigEncoder, Unfit, held, rebuild};
 
 fn table(entries: impl Iterator<Item = u32>) -> Vec<u8> {
     let entries: Vec<_> = entries.map(|n| format!("\"r-{n}\":{{\"goal_ms\":{}}}", n * 31)).collect();
     entries.join(",").into_bytes()
 }
 
-fn sent(bytes: &[u8]) -> Flag {
+fn sent(bytes: &[u8]) -> Message {
     unframe(bytes).expect("a frame").expect("a whole one").0
 }
 
-fn spliced(has: Held, base: Option<&[u8]>, version: u64, whole: &[u8]) -> Splice {
-    match sent(&Sheets::new(version, whole).frame(has, base, whole)) {
-        Flag::Splice(splice) => splice,
+fn spliced(has: Held, base: Option<&[u8]>, version: u64, whole: &[u8]) -> ConfigDelta {
+    match sent(&ConfigEncoder::new(version, whole).frame(has, base, whole)) {
+        Message::ConfigDelta(splice) => splice,
         other => panic!("{other:?}"),
     }
 }
@@ -26,7 +26,7 @@
         let whole = table((0..400).map(|n| if n == at { 9000 } else { n }));
         let splice = spliced(held(3, &base), Some(&base), 8, &whole);
         assert!(splice.base == 3 && splice.bytes.len() < 100, "{} bytes", splice.bytes.len());
-        assert_eq!(rebuild(Some(&base), &splice).ok(), Some(Sheet { version: 8, body: whole }));
+        assert_eq!(rebuild(Some(&base), &splice).ok(), Some(ConfigSnapshot { version: 8, body: whole }));
     }
     // Nothing is known: the text's own repeats are what is saved.
     let first = spliced(Held::default(), None, 3, &base);
@@ -50,7 +50,7 @@
     let other = rebuild(Some(&table(7..300)), &splice);
     assert!(matches!(other, Err(Unfit::Digest { .. } | Unfit::Broken { .. })), "{other:?}");
     assert!(matches!(
-        rebuild(Some(&base), &Splice { length: u32::MAX, ..splice }),
+        rebuild(Some(&base), &ConfigDelta { length: u32::MAX, ..splice }),
         Err(Unfit::TooLong { version: 4, .. })
     ));
 }
@@ -71,7 +71,7 @@
 #[test]
 fn it_is_made_once_for_all_that_have_the_same_and_never_on_a_namesake() {
     let (base, whole) = (table(0..90), table(0..91));
-    let mut sheets = Sheets::new(2, &whole);
+    let mut sheets = ConfigEncoder::new(2, &whole);
     let one = sheets.frame(held(1, &base), Some(&base), &whole);
     let other = sheets.frame(held(1, &base), Some(&base), &whole);
     assert!(std::rc::Rc::ptr_eq(&one, &other));
@@ -79,14 +79,14 @@
     let namesake = sheets.frame(held(1, b"{}"), Some(&base), &whole);
     let unknown = sheets.frame(held(9, &base), None, &whole);
     assert!(std::rc::Rc::ptr_eq(&namesake, &unknown));
-    assert!(matches!(sent(&namesake), Flag::Splice(Splice { base: 0, .. })));
+    assert!(matches!(sent(&namesake), Message::ConfigDelta(ConfigDelta { base: 0, .. })));
     assert_eq!(sheets.held(), held(2, &whole));
 }
 
 #[test]
 fn what_gets_no_shorter_goes_whole() {
-    let mut sheets = Sheets::new(1, b"{}");
-    let whole = frame(&Flag::Sheet(Sheet { version: 1, body: b"{}".to_vec() }));
+    let mut sheets = ConfigEncoder::new(1, b"{}");
+    let whole = frame(&Message::ConfigSnapshot(ConfigSnapshot { version: 1, body: b"{}".to_vec() }));
     assert_eq!(*sheets.frame(Held::default(), None, b"{}"), *whole);
     assert_eq!(*sheets.whole(b"{}"), *whole);
 }
