--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -295,7 +295,7 @@
     /// What is tuned about the project itself, in the table `reachlb`.
     pub struct Tuning, TUNING {
         /// How often a leader and whoever has news to tell give a sign of life.
-        pulse: Millis = 60, "reachlb.pulse_ms", |pulse| !pulse.is_zero() => "wants more than 0";
+        heartbeat: Millis = 60, "reachlb.pulse_ms", |heartbeat| !heartbeat.is_zero() => "wants more than 0";
         /// Draws a second that one holder of counts bears: more, and the leader shares the counts out; 0 for never.
         draws_a_holder: Figure = 0.0, "reachlb.draws_a_holder", |draws| *draws >= 0.0 => "wants 0 or more";
         /// Silence of the leader after which another one stands for election.
@@ -325,8 +325,8 @@
             let words = "has to be below reachlb.election_ms";
             fault::<()>(faults, "reachlb.lease_ms", WrongSetting::Check(words));
         }
-        if self.pulse >= self.lease {
-            // Otherwise the lease would end between two pulses of a leader that is well.
+        if self.heartbeat >= self.lease {
+            // Otherwise the lease would end between two heartbeats of a leader that is well.
             fault::<()>(faults, "reachlb.pulse_ms", WrongSetting::Check("has to be below reachlb.lease_ms"));
         }
     }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -72,7 +72,7 @@
     bound_ratio = { "retry_ratio=0.2", "retry_ratio=-1", "bound_table.retry_ratio: is negative" },
     no_bound = { "seed_lag_s=3", "seed_lag_s", "bound_table[0]: wants a text name=value and has \"seed_lag_s\"" },
     lease = { "[zones]", "[reachlb]\nlease_ms = 320\n[zones]", "reachlb.lease_ms: has to be below reachlb.election_ms" },
-    pulse = { "[zones]", "[reachlb]\npulse_ms = 230\n[zones]", "reachlb.pulse_ms: has to be below reachlb.lease_ms" },
+    heartbeat = { "[zones]", "[reachlb]\npulse_ms = 230\n[zones]", "reachlb.pulse_ms: has to be below reachlb.lease_ms" },
     level = { "[zones]", "[reachlb]\nlog_level = 'loud'\n[zones]", "reachlb.log_level: wants off, error" },
     ways = { "[zones]", "[reachlb]\nways = ['10.0.0.1=there']\n[zones]", "reachlb.ways: wants a list of texts address=address" },
     toml = { "[limits]", "[limits", "(document): is not TOML" },
--- a/crates/control-plane/src/admission.rs
+++ b/crates/control-plane/src/admission.rs
@@ -5,7 +5,7 @@
 //! an entry in flight, nor an earlier copy of the order that is still on its way, can bring a refused order into force.
 
 use crate::calls::Reply;
-use crate::ledger::{Change, ConfigHistory, Verdict};
+use crate::config_history::{Change, ConfigHistory, Verdict};
 use config::Config;
 
 /// What a leader does with an order.
@@ -36,22 +36,22 @@
 }
 
 /// Decides on an order that builds on `base`, by the configurations that are committed.
-pub fn decide(ledger: &ConfigHistory, base: u64, body: Vec<u8>) -> Decision {
+pub fn decide(config_history: &ConfigHistory, base: u64, body: Vec<u8>) -> Decision {
     let config = match Config::parse(&body) {
         Ok(config) => config,
-        Err(fault) => return decide_invalid(ledger, &body, fault.to_string()),
+        Err(fault) => return decide_invalid(config_history, &body, fault.to_string()),
     };
     let (version, digest) = (config.version.0, config.digest());
-    match ledger.judge(base, version, &digest) {
+    match config_history.judge(base, version, &digest) {
         Verdict::Taken => Decision::Propose(Change { base, version, digest, body }),
         verdict => Decision::Decided { version, verdict },
     }
 }
 
 /// A program whose checks were less strict may have taken what this one calls invalid: its repetition is acknowledged.
-fn decide_invalid(ledger: &ConfigHistory, body: &[u8], fault: String) -> Decision {
+fn decide_invalid(config_history: &ConfigHistory, body: &[u8], fault: String) -> Decision {
     match Config::identify(body) {
-        Some((version, digest)) if ledger.has_taken(version.0, &digest) => {
+        Some((version, digest)) if config_history.has_taken(version.0, &digest) => {
             Decision::Decided { version: version.0, verdict: Verdict::TakenBefore }
         }
         _ => Decision::Invalid(fault),
--- a/crates/control-plane/src/calls.rs
+++ b/crates/control-plane/src/calls.rs
@@ -1,6 +1,6 @@
 //! The calls of backends and operators, declared in one table, and the socket that takes them.
 
-use crate::master::Command;
+use crate::control_plane::Command;
 use bytes::{Bytes, BytesMut};
 use config::Version;
 use http_body_util::{BodyExt, Full};
--- a/crates/control-plane/src/ledger.rs
+++ b/crates/control-plane/src/config_history.rs
@@ -46,7 +46,7 @@
 pub struct Marks {
     /// Floors of counts that are other ones from here on, in units: see [`quota::Floor`].
     pub floors: Vec<(String, u32)>,
-    /// How many quays there are.
+    /// How many data planes there are.
     pub fleet: u32,
 }
 
@@ -126,7 +126,7 @@
     bodies: BTreeMap<u64, Vec<u8>>,
     /// Floors of counts; those that are not here are zero.
     floors: BTreeMap<String, u32>,
-    /// How many quays there were when last it was said.
+    /// How many data planes there were when last it was said.
     fleet: u32,
 }
 
@@ -217,7 +217,7 @@
         &self.floors
     }
 
-    /// How many quays there were when last it was said; 0 before that.
+    /// How many data planes there were when last it was said; 0 before that.
     pub fn fleet(&self) -> u32 {
         self.fleet
     }
--- a/crates/control-plane/src/ledger/snapshot_format.rs
+++ b/crates/control-plane/src/config_history/snapshot_format.rs
@@ -83,6 +83,6 @@
     read.ok_or(UnknownFormat { length: state.len() })
 }
 
-pub(super) fn write(ledger: &ConfigHistory) -> Vec<u8> {
-    bitcode::encode(ledger)
+pub(super) fn write(config_history: &ConfigHistory) -> Vec<u8> {
+    bitcode::encode(config_history)
 }
--- a/crates/control-plane/src/master.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -6,17 +6,17 @@
 mod entries;
 mod links;
 mod membership;
-mod news;
-mod office;
 mod orders;
-mod told;
+mod quota_service;
+mod status;
 mod tree;
+mod updates;
 
 use crate::calls::{Call, Reply};
+use crate::config_history::{Change, ConfigHistory, Marks, Place, Verdict};
 use crate::contact::{Confirmation, Contact, ContactMessage};
 use crate::disk::Disk;
 use crate::faults::Faults;
-use crate::ledger::{Change, ConfigHistory, Marks, Place, Verdict};
 use crate::lines::{Connect, ConnectTcp};
 use crate::tolerance::Tolerance;
 use crate::watch::{Watch, What as Happened};
@@ -34,24 +34,24 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
-use transport::sheets::{self, ConfigEncoder};
+use transport::config_snapshots::{self, ConfigEncoder};
 use transport::{Line, LineError, NeighborWatch};
 
 /// How often things are looked after.
 const TICK: u64 = 50;
 /// Followers hear something this often.
-const PULSE: u64 = 350;
+const HEARTBEAT: u64 = 350;
 /// ... and news of the leader no more often than this.
-const LEAST_PULSE: u64 = 40;
-/// What others told of the leader stands for so long: two of their pulses and some room. DataPlanes leave whoever
+const LEAST_HEARTBEAT: u64 = 40;
+/// What others told of the leader stands for so long: two of their heartbeats and some room. DataPlanes leave whoever
 /// is behind 0.9 s after its last good word, so that those behind a relay that was cut off have news again within 2 s.
 const WORD: u64 = 800;
-/// Other masters hear whose beats came here, and who else serves control, this often.
+/// Other control planes hear whose beats came here, and who else serves control, this often.
 const ROUND: u64 = 400;
-/// ... and which quays are heard here when that changes, or after this long: what was said stands as long as the line.
-/// Processes of the version before take the word itself for a sign of life, and count a quay on for 30 s.
-const QUAYS_AGAIN: u64 = 8000;
-/// A master that could not be reached is dialed again after this, drawn up to twice as long: after a herd's death the
+/// ... and which data planes are heard here when that changes, or after this long: what was said stands as long as the line.
+/// Processes of the version before take the word itself for a sign of life, and count a data plane on for 30 s.
+const DATA_PLANES_AGAIN: u64 = 8000;
+/// A control plane that could not be reached is dialed again after this, drawn up to twice as long: after a herd's death the
 /// first election waits for these connections.
 const REDIAL: u64 = 80;
 /// A dial that says nothing at all is over after this.
@@ -68,10 +68,10 @@
 const MARKS_WEIGH: f64 = 0.1;
 /// ... or so many bytes of them: the disk is small, and a change of 4 MB takes 8 of the file.
 const COMPACT_BYTES: usize = 4_000_000;
-/// A master this young may not have heard of all backends yet: its list says who is there, not who is not.
+/// A control plane this young may not have heard of all backends yet: its list says who is there, not who is not.
 const YOUNG: u64 = 4000;
-/// A quay's connection that has said nothing for this long is no sign of life.
-const QUAY_SILENT: u64 = 2500;
+/// A data plane's connection that has said nothing for this long is no sign of life.
+const DATA_PLANE_SILENT: u64 = 2500;
 
 /// Something for the owner to work through.
 #[derive(Debug)]
@@ -117,14 +117,14 @@
     End(oneshot::Sender<()>),
 }
 
-/// What a master is told at its start.
+/// What a control plane is told at its start.
 #[derive(Clone, Debug)]
 pub struct ControlPlaneSettings {
     /// Who it is.
     pub me: Hello,
     /// Where it takes connections.
     pub address: SocketAddr,
-    /// Where the first other masters take connections.
+    /// Where the first other control planes take connections.
     pub seeds: Vec<SocketAddr>,
     /// How often backends beat, in ms.
     pub beat_interval: u64,
@@ -157,7 +157,7 @@
 
 struct Peer {
     line: Line,
-    hail: Option<Hello>,
+    hello: Option<Hello>,
     dialed: Option<SocketAddr>,
     follows: bool,
     /// Whether it draws on the counts here, and is to be known to the others by that.
@@ -166,8 +166,8 @@
     has: Held,
     heard: u64,
     opened: u64,
-    /// The quays that it said it hears, until it says otherwise.
-    quays: Vec<(String, u64)>,
+    /// The data planes that it said it hears, until it says otherwise.
+    data_planes: Vec<(String, u64)>,
     /// Whether it may be told of departures of data planes.
     understands_departures: bool,
 }
@@ -200,26 +200,26 @@
     numbers: Rc<dyn Fn() -> u64>,
     peers: BTreeMap<u64, Peer>,
     dialing: BTreeMap<SocketAddr, (u64, u64)>,
-    masters: BTreeMap<SocketAddr, String>,
+    control_planes: BTreeMap<SocketAddr, String>,
     /// The incarnations of those with a disk that counts.
     incarnations: BTreeMap<SocketAddr, u64>,
     register: Register,
     fleet: Fleet,
-    ledger: ConfigHistory,
+    config_history: ConfigHistory,
     config: Option<Config>,
-    sheets: ConfigEncoder,
+    config_encoder: ConfigEncoder,
     /// Entries have brought another configuration into force, and followers are yet to be told.
     changed: bool,
     root: Option<tree::Root>,
     node: Option<Node>,
     disk: Option<Disk>,
-    office: QuotaService,
+    quota_service: QuotaService,
     /// Of the leader.
     placer: Option<Placer>,
     /// The newest assignment of counts heard of.
-    roster: HolderAssignment,
+    assignment: HolderAssignment,
     offers: Offers,
-    /// Known from others, of a master without a log of its own.
+    /// Known from others, of a control plane without a log of its own.
     told: Heartbeat,
     told_at: u64,
     /// Whether the leader has said that what this process tells is of this moment, if it does not lead.
@@ -239,16 +239,16 @@
     /// Messages of other processes since the start.
     frames: u64,
     /// The leader that followers were told of last, and whether as of this moment.
-    pulsed: (Option<SocketAddr>, bool),
+    told_in_heartbeat: (Option<SocketAddr>, bool),
     next: [u64; 3],
-    /// The quays that the other masters were told of last, and when.
-    told_quays: (Vec<(String, u64)>, u64),
+    /// The data planes that the other control planes were told of last, and when.
+    told_data_planes: (Vec<(String, u64)>, u64),
     /// What the log has asked for and was not done yet.
     outputs: Vec<Output>,
     handles_outputs: bool,
     watch: Watch,
     /// Who watches the neighbours, if anybody does.
-    lookout: Option<Rc<NeighborWatch>>,
+    neighbor_watch: Option<Rc<NeighborWatch>>,
     /// This process is to end.
     is_ending: bool,
     /// Who waits until nothing is left to do before that.
@@ -256,41 +256,41 @@
 }
 
 impl ControlPlane {
-    /// A master; `log` is what a voter has on its disk.
+    /// A control plane; `log` is what a voter has on its disk.
     pub fn new(
         settings: ControlPlaneSettings, log: Option<(Disk, Saved)>, commands: mpsc::Sender<Command>,
         numbers: Rc<dyn Fn() -> u64>,
     ) -> Self {
-        let (mut node, mut disk, mut ledger) = (None, None, ConfigHistory::default());
+        let (mut node, mut disk, mut config_history) = (None, None, ConfigHistory::default());
         if let Some((opened, saved)) = log {
             // The log tells its entries again, but only those after its snapshot.
             // It was read before, when the disk was opened.
             let state = saved.snapshot.as_ref().map(|snapshot| ConfigHistory::restore(&snapshot.state));
-            ledger = state.and_then(Result::ok).unwrap_or_default();
+            config_history = state.and_then(Result::ok).unwrap_or_default();
             node = Some(Node::start(saved, settings.timing, settings.seed, 0));
             disk = Some(opened);
         }
-        let mut master = Self {
+        let mut control_plane = Self {
             began: Instant::now(),
             random: settings.seed | 1,
             commands,
             numbers,
             peers: BTreeMap::new(),
             dialing: BTreeMap::new(),
-            masters: BTreeMap::new(),
+            control_planes: BTreeMap::new(),
             incarnations: BTreeMap::new(),
             register: Register::new(settings.beat_interval),
             fleet: Fleet::default(),
-            ledger,
+            config_history,
             config: None,
-            sheets: ConfigEncoder::default(),
+            config_encoder: ConfigEncoder::default(),
             changed: false,
             root: None,
             node,
             disk,
-            office: QuotaService::new(&settings.address.to_string()),
+            quota_service: QuotaService::new(&settings.address.to_string()),
             placer: None,
-            roster: HolderAssignment::default(),
+            assignment: HolderAssignment::default(),
             offers: Offers::default(),
             told: Heartbeat::default(),
             told_at: 0,
@@ -306,24 +306,24 @@
             change_bytes: 0,
             grown: false,
             frames: 0,
-            pulsed: (None, false),
+            told_in_heartbeat: (None, false),
             next: [0; 3],
-            told_quays: (Vec::new(), 0),
+            told_data_planes: (Vec::new(), 0),
             outputs: Vec::new(),
             handles_outputs: false,
             watch: Watch::new(),
-            lookout: None,
+            neighbor_watch: None,
             is_ending: false,
             ended: None,
             settings,
         };
-        master.renewed();
-        master
+        control_plane.renewed();
+        control_plane
     }
 
     /// Goes by what the watch of the neighbours finds, too.
-    pub fn with_lookout(self, lookout: Option<Rc<NeighborWatch>>) -> Self {
-        Self { lookout, ..self }
+    pub fn with_neighbor_watch(self, neighbor_watch: Option<Rc<NeighborWatch>>) -> Self {
+        Self { neighbor_watch, ..self }
     }
 
     /// Reaches others in another way than by TCP.
@@ -391,20 +391,21 @@
             self.next[0] = now + TICK;
             self.tend_calls(now);
             self.tend_lines(now);
-            self.tend_office(now);
+            self.tend_quota_service(now);
             self.tend_tree(now);
         }
         self.tend_contact(now);
         self.tend_end();
         // Whoever waits for a leader, or for this process to have caught up, hears of it at once.
         let (leader, epoch, fresh) = self.leader(now);
-        self.watch.stands(now, leader, epoch, self.ledger.version());
+        self.watch.stands(now, leader, epoch, self.config_history.version());
         let news = (leader, fresh);
-        let early = fresh && news != self.pulsed && now + PULSE >= self.next[1] + LEAST_PULSE;
+        let early =
+            fresh && news != self.told_in_heartbeat && now + HEARTBEAT >= self.next[1] + LEAST_HEARTBEAT;
         if now >= self.next[1] || early {
-            self.next[1] = now + PULSE;
-            self.pulsed = news;
-            self.pulse(now);
+            self.next[1] = now + HEARTBEAT;
+            self.told_in_heartbeat = news;
+            self.heartbeat(now);
         }
         if now >= self.next[2] {
             self.next[2] = now + ROUND;
--- a/crates/control-plane/src/master/contact.rs
+++ b/crates/control-plane/src/control_plane/contact.rs
@@ -34,7 +34,7 @@
         }
         match self.contact.newest(now) {
             Some(newest) if newest.term >= self.told.epoch => {
-                (Some(newest.leader), newest.term, newest.version <= self.ledger.version())
+                (Some(newest.leader), newest.term, newest.version <= self.config_history.version())
             }
             _ => (self.leader_address(), self.told.epoch, false),
         }
@@ -70,7 +70,7 @@
             return;
         };
         if let Some(node) = self.node.as_ref().filter(|node| node.holds_lease(now)) {
-            let (term, commit, version) = (node.term(), node.commit(), self.ledger.version());
+            let (term, commit, version) = (node.term(), node.commit(), self.config_history.version());
             let answer = ContactMessage::Answer { number, term, commit, version };
             peer.line.send(&contact_message(&answer));
         }
--- a/crates/control-plane/src/master/departures.rs
+++ b/crates/control-plane/src/control_plane/departures.rs
@@ -20,8 +20,8 @@
     /// A data plane says on its connection that it has ended.
     pub(super) fn on_leave(&mut self, number: u64, now: u64) {
         let Some(peer) = self.peers.get(&number) else { return };
-        let Some(hail) = peer.hail.as_ref().filter(|hail| hail.plane == Plane::DataPlane) else { return };
-        let departure = Departure { name: hail.name.clone(), incarnation: hail.life, ago_ms: 0 };
+        let Some(hello) = peer.hello.as_ref().filter(|hello| hello.plane == Plane::DataPlane) else { return };
+        let departure = Departure { name: hello.name.clone(), incarnation: hello.life, ago_ms: 0 };
         self.on_departures(vec![departure], now);
         if let Some(peer) = self.peers.get(&number) {
             peer.line.send(&Message::LeaveAccepted);
@@ -58,30 +58,30 @@
     }
 
     /// A data plane gave a sign of life, unless it is one on its way from before its departure.
-    pub(super) fn heard_data_plane(&mut self, hail: &Hello, epoch: Epoch, now: u64) {
-        if !self.has_departed(hail) {
-            self.office.heard(now as f64, &hail.name, epoch);
+    pub(super) fn heard_data_plane(&mut self, hello: &Hello, epoch: Epoch, now: u64) {
+        if !self.has_departed(hello) {
+            self.quota_service.heard(now as f64, &hello.name, epoch);
         }
     }
 
     /// Whether this incarnation has said that it ended.
-    pub(super) fn has_departed(&self, hail: &Hello) -> bool {
-        self.fleet.has_departed(&hail.name, hail.life)
+    pub(super) fn has_departed(&self, hello: &Hello) -> bool {
+        self.fleet.has_departed(&hello.name, hello.life)
     }
 
     /// Departed data planes do not stand in for others of which nothing is heard.
     pub(super) fn silence_departed(&mut self) {
         for name in self.fleet.departed_names() {
-            self.office.left(name);
+            self.quota_service.left(name);
         }
     }
 
     /// The counts go by the number of data planes as it is now.
     pub(super) fn resize_fleet(&mut self, now: u64) {
         let counted = self.counted_fleet(now);
-        self.office.fleet(now as f64, counted);
+        self.quota_service.fleet(now as f64, counted);
         let wide = self.fleet.wide_slices(counted);
-        self.office.wide_slices(wide);
+        self.quota_service.wide_slices(wide);
     }
 
     /// How many data planes may spend something: slices are held back for those of them that are silent.
@@ -109,7 +109,7 @@
     fn recorded_fleet(&self, now: u64) -> u32 {
         match &self.node {
             _ if now >= SETTLED => 0,
-            Some(_) => self.ledger.fleet(),
+            Some(_) => self.config_history.fleet(),
             None => self.told.fleet,
         }
     }
--- a/crates/control-plane/src/master/entries.rs
+++ b/crates/control-plane/src/control_plane/entries.rs
@@ -63,9 +63,9 @@
     /// nothing of it: it would judge changes, and lead, by a state that is behind its log.
     fn install(&mut self, snapshot: &Snapshot) {
         match ConfigHistory::restore(&snapshot.state) {
-            Ok(ledger) => {
-                self.changed |= ledger.version() > self.ledger.version();
-                self.ledger = ledger;
+            Ok(config_history) => {
+                self.changed |= config_history.version() > self.config_history.version();
+                self.config_history = config_history;
                 (self.changes, self.change_bytes) = (0.0, 0);
             }
             Err(error) => {
@@ -103,7 +103,7 @@
             // The first entry of this leader: all that others left in the log has been taken in, so that the counts can
             // be held from here on.
             What::Nothing if self.node.as_ref().is_some_and(|node| node.term() == at.epoch) => {
-                return self.tend_office(now);
+                return self.tend_quota_service(now);
             }
             What::Nothing => return,
         };
@@ -113,7 +113,7 @@
         }
         let Ok(change) = Change::read(&change) else { return };
         let version = change.version;
-        let verdict = self.ledger.apply(at, change);
+        let verdict = self.config_history.apply(at, change);
         self.watch.change(now, version, verdict);
         self.changed |= verdict == Verdict::Taken;
         if let Some(token) = self.accepted.remove(&index) {
@@ -125,11 +125,11 @@
     /// Marks are decided.
     fn on_marks(&mut self, index: u64, marks: Option<Marks>) {
         if let Some(marks) = marks {
-            self.ledger.mark(marks);
+            self.config_history.mark(marks);
         }
         let token = self.accepted.remove(&index);
         if token.is_some() && token == self.marking.take_if(|marking| Some(*marking) == token) {
-            self.office.decided();
+            self.quota_service.decided();
         }
         self.written(index, MARKS_WEIGH);
     }
@@ -139,7 +139,7 @@
         self.changes += weight;
         if self.changes >= COMPACT_AFTER || self.change_bytes >= COMPACT_BYTES {
             (self.changes, self.change_bytes) = (0.0, 0);
-            let state = self.ledger.snapshot();
+            let state = self.config_history.snapshot();
             self.log(Input::Compact { index, state });
         }
     }
--- a/crates/control-plane/src/master/links.rs
+++ b/crates/control-plane/src/control_plane/links.rs
@@ -12,14 +12,14 @@
         }
         let peer = Peer {
             line,
-            hail: None,
+            hello: None,
             dialed,
             follows: false,
             here: false,
             has: Held::default(),
             heard: now,
             opened: now,
-            quays: Vec::new(),
+            data_planes: Vec::new(),
             understands_departures: false,
         };
         self.peers.insert(number, peer);
@@ -41,11 +41,11 @@
             }
             return;
         };
-        let name = peer.hail.map_or_else(String::new, |hail| hail.name);
+        let name = peer.hello.map_or_else(String::new, |hello| hello.name);
         spdlog::debug!("{}", error, kv: { step = "line", peer = name.as_str() });
     }
 
-    /// A line of ours to a master.
+    /// A line of ours to a control plane.
     pub(super) fn line_to(&self, address: &SocketAddr) -> Option<&Line> {
         let ours = self.peers.values().find(|p| p.dialed.as_ref() == Some(address) && !p.line.is_lost());
         ours.map(|p| &p.line)
@@ -58,21 +58,21 @@
         Some((*number, peer.line.clone()))
     }
 
-    pub(super) fn other_masters(&self) -> BTreeSet<SocketAddr> {
-        let known = self.masters.keys().chain(&self.settings.seeds).copied();
+    pub(super) fn other_control_planes(&self) -> BTreeSet<SocketAddr> {
+        let known = self.control_planes.keys().chain(&self.settings.seeds).copied();
         // After a restart the settings may name none of the voters, and nobody else may be left to tell of them.
         let voters = self.node.iter().flat_map(|node| node.members());
         let voters = voters.filter_map(|voter| voter.address.parse().ok());
         known.chain(voters).filter(|address| *address != self.settings.address).collect()
     }
 
-    /// Each master has a connection of its own to every other one.
+    /// Each control plane has a connection of its own to every other one.
     pub(super) fn tend_lines(&mut self, now: u64) {
         let silent: Vec<u64> = self
             .peers
             .iter()
             .filter(|(_, p)| {
-                p.line.is_lost() || p.hail.is_none() && p.dialed.is_none() && now > p.opened + 3000
+                p.line.is_lost() || p.hello.is_none() && p.dialed.is_none() && now > p.opened + 3000
             })
             .map(|(number, _)| *number)
             .collect();
@@ -80,7 +80,7 @@
             self.peers.remove(&number);
         }
         self.dialing.retain(|_, (_, until)| now < *until);
-        for to in self.other_masters() {
+        for to in self.other_control_planes() {
             if self.line_to(&to).is_some() || self.dialing.contains_key(&to) {
                 continue;
             }
@@ -90,7 +90,7 @@
         }
     }
 
-    pub(super) fn to_masters(&self, flag: &Message) {
+    pub(super) fn to_control_planes(&self, flag: &Message) {
         let frame: Rc<[u8]> = protocol::frame(flag).into();
         for peer in self.peers.values().filter(|p| p.dialed.is_some()) {
             peer.line.send_frame(frame.clone());
@@ -106,26 +106,27 @@
 
     pub(super) fn cards(&self) -> Vec<ControlPlaneAddress> {
         let me = (&self.settings.address, &self.settings.me.zone);
-        let known = self.masters.iter().chain([me]);
+        let known = self.control_planes.iter().chain([me]);
         let cards: BTreeSet<_> = known
             .map(|(a, zone)| ControlPlaneAddress { address: a.to_string(), zone: zone.clone() })
             .collect();
         cards.into_iter().collect()
     }
 
-    /// What another master has to know of all that this one knows.
+    /// What another control plane has to know of all that this one knows.
     pub(super) fn tell_everything(&self, number: u64, now: u64) {
         let Some(peer) = self.peers.get(&number) else { return };
         peer.line.send(&Message::ControlPlanes(self.cards()));
-        peer.line.send(&Message::Backends { whole: false, berths: self.register.everything(now) });
-        peer.line.send(&Message::DataPlanes(self.quays_here(now)));
+        peer.line.send(&Message::Backends { whole: false, backends: self.register.everything(now) });
+        peer.line.send(&Message::DataPlanes(self.data_planes_here(now)));
     }
 
-    pub(super) fn quays_here(&self, now: u64) -> Vec<(String, u64)> {
-        let hails = self.peers.values().filter(|p| (p.follows || p.here) && now < p.heard + QUAY_SILENT);
-        let quays = hails.filter_map(|p| p.hail.as_ref());
-        let quays = quays.filter(|h| h.plane == Plane::DataPlane && !self.has_departed(h));
-        quays.map(|h| (h.name.clone(), h.life)).collect()
+    pub(super) fn data_planes_here(&self, now: u64) -> Vec<(String, u64)> {
+        let hellos =
+            self.peers.values().filter(|p| (p.follows || p.here) && now < p.heard + DATA_PLANE_SILENT);
+        let data_planes = hellos.filter_map(|p| p.hello.as_ref());
+        let data_planes = data_planes.filter(|h| h.plane == Plane::DataPlane && !self.has_departed(h));
+        data_planes.map(|h| (h.name.clone(), h.life)).collect()
     }
 
     pub(super) fn on_frame(&mut self, number: u64, flag: Message) {
@@ -134,52 +135,54 @@
         peer.heard = now;
         self.frames += 1;
         match flag {
-            Message::Hello(hail) => self.on_hail(number, hail, now),
-            Message::Welcome(hail) => self.meet(&hail),
+            Message::Hello(hello) => self.on_hello(number, hello, now),
+            Message::Welcome(hello) => self.meet(&hello),
             Message::Log { incarnation, message } => self.on_log(number, incarnation, &message),
             Message::ControlPlanes(cards) => {
                 for card in cards {
                     if let Ok(address) = card.address.parse() {
-                        self.learn_master(address, card.zone);
+                        self.learn_control_plane(address, card.zone);
                     }
                 }
             }
             Message::Follow { have } => self.on_follow(number, have, now),
-            Message::Backends { berths, .. } => {
-                let changed = self.register.hear(now, berths);
-                self.tell_berths(changed);
+            Message::Backends { backends, .. } => {
+                let changed = self.register.hear(now, backends);
+                self.tell_backends(changed);
             }
             Message::Heard(heard) => {
                 let back = self.register.alive(now, &heard);
-                self.tell_berths(back);
+                self.tell_backends(back);
             }
-            Message::DataPlanes(quays) => {
-                quays.iter().for_each(|(name, life)| self.fleet.heard(now, name, *life));
-                peer.quays = quays;
+            Message::DataPlanes(data_planes) => {
+                data_planes.iter().for_each(|(name, life)| self.fleet.heard(now, name, *life));
+                peer.data_planes = data_planes;
                 self.resize_fleet(now);
             }
             Message::Leave => self.on_leave(number, now),
             Message::Departures(departures) => self.on_departures(departures, now),
             Message::Here { epoch } => {
-                // Below a relay a quay follows no master: its sign to the holders of the counts says that it lives.
+                // Below a relay a data plane follows no control plane: its sign to the holders of the counts says that it lives.
                 peer.here = self.root.is_some();
-                if let Some(hail) = peer.hail.clone() {
-                    self.heard_data_plane(&hail, epoch, now);
+                if let Some(hello) = peer.hello.clone() {
+                    self.heard_data_plane(&hello, epoch, now);
                 }
             }
             Message::Offer { number: offer, answered, draws } => {
                 self.on_offer(number, offer, answered, draws, now)
             }
-            Message::Lease { number: offer, roster, ends_in } => self.on_lease(offer, &roster, ends_in, now),
-            Message::HolderAssignment(roster) => self.on_roster(&roster, now),
+            Message::Lease { number: offer, assignment, ends_in } => {
+                self.on_lease(offer, &assignment, ends_in, now)
+            }
+            Message::HolderAssignment(assignment) => self.on_assignment(&assignment, now),
             Message::Handover(handover) => self.on_handover(handover, now),
             Message::LeaseRequest(draw) => self.on_draw(number, draw, now),
             Message::Ask { token, order } => self.on_order(Asker::There { peer: number, token }, order, now),
             Message::Told { token, status, body } => self.on_told(number, token, Reply { status, body }),
-            // Update of another master, for those without a log.
-            Message::Heartbeat(pulse) => self.on_pulse(pulse, now),
-            Message::ConfigSnapshot(sheet) => self.on_sheet(sheet),
-            Message::ConfigDelta(splice) => self.on_splice(number, &splice),
+            // Update of another control plane, for those without a log.
+            Message::Heartbeat(heartbeat) => self.on_heartbeat(heartbeat, now),
+            Message::ConfigSnapshot(config_snapshot) => self.on_config_snapshot(config_snapshot),
+            Message::ConfigDelta(config_delta) => self.on_config_delta(number, &config_delta),
             Message::Whole => self.on_whole(number),
             Message::Relay(word) => self.on_relay(number, word),
             Message::NotHolder { number: UNDERSTANDS_DEPARTURES } => {
@@ -189,15 +192,15 @@
         }
     }
 
-    pub(super) fn on_hail(&mut self, number: u64, hail: Hello, now: u64) {
+    pub(super) fn on_hello(&mut self, number: u64, hello: Hello, now: u64) {
         let Some(peer) = self.peers.get_mut(&number) else { return };
-        peer.hail = Some(hail.clone());
-        match hail.plane {
+        peer.hello = Some(hello.clone());
+        match hello.plane {
             Plane::DataPlane => {
-                self.fleet.heard(now, &hail.name, hail.life);
+                self.fleet.heard(now, &hello.name, hello.life);
                 // First that it is there: else it would stand in for one that is silent.
                 self.resize_fleet(now);
-                self.heard_data_plane(&hail, quota::Epoch::default(), now);
+                self.heard_data_plane(&hello, quota::Epoch::default(), now);
             }
             Plane::ControlPlane => {
                 let mut me = self.settings.me.clone();
@@ -206,23 +209,23 @@
                     peer.line.send(&Message::Welcome(me));
                     peer.line.send(&Self::understands_departures());
                 }
-                self.meet(&hail);
+                self.meet(&hello);
             }
         }
     }
 
-    pub(super) fn learn_master(&mut self, address: SocketAddr, zone: String) {
+    pub(super) fn learn_control_plane(&mut self, address: SocketAddr, zone: String) {
         // Machines that serve control are some dozens; more are somebody's fault.
-        if address != self.settings.address && self.masters.len() < 256 {
-            self.masters.insert(address, zone);
+        if address != self.settings.address && self.control_planes.len() < 256 {
+            self.control_planes.insert(address, zone);
         }
     }
 
-    pub(super) fn meet(&mut self, hail: &Hello) {
-        let Ok(address) = hail.address.parse() else { return };
-        self.learn_master(address, hail.zone.clone());
+    pub(super) fn meet(&mut self, hello: &Hello) {
+        let Ok(address) = hello.address.parse() else { return };
+        self.learn_control_plane(address, hello.zone.clone());
         if let Some(incarnation) =
-            hail.incarnation.filter(|_| hail.quorum && self.masters.contains_key(&address))
+            hello.incarnation.filter(|_| hello.quorum && self.control_planes.contains_key(&address))
         {
             self.incarnations.insert(address, incarnation);
         }
@@ -232,20 +235,20 @@
         if let Some(message) = ContactMessage::read(message) {
             return self.on_contact(number, &message);
         }
-        let Some(hail) = self.peers.get(&number).and_then(|p| p.hail.as_ref()) else { return };
-        let from = VoterId { address: hail.address.clone(), incarnation };
+        let Some(hello) = self.peers.get(&number).and_then(|p| p.hello.as_ref()) else { return };
+        let from = VoterId { address: hello.address.clone(), incarnation };
         if let Ok(message) = bitcode::decode(message) {
             self.log(Input::Heard { from, message });
         }
     }
 
     pub(super) fn on_follow(&mut self, number: u64, have: Held, now: u64) {
-        let pulse = self.pulse_for(number, now);
+        let heartbeat = self.heartbeat_for(number, now);
         let Some(peer) = self.peers.get_mut(&number) else { return };
-        if let Some(hail) = &peer.hail
-            && hail.plane == Plane::DataPlane
+        if let Some(hello) = &peer.hello
+            && hello.plane == Plane::DataPlane
         {
-            self.fleet.heard(now, &hail.name, hail.life);
+            self.fleet.heard(now, &hello.name, hello.life);
         }
         // A sign of life may have been on its way while a newer one was sent.
         if have.version >= peer.has.version {
@@ -254,13 +257,13 @@
         if std::mem::replace(&mut peer.follows, true) {
             return;
         }
-        peer.line.send(&Message::Heartbeat(pulse));
-        self.send_sheet(number);
+        peer.line.send(&Message::Heartbeat(heartbeat));
+        self.send_config_snapshot(number);
         let young = now < YOUNG;
-        let berths = if young { self.register.everything(now) } else { self.register.all(now) };
+        let backends = if young { self.register.everything(now) } else { self.register.all(now) };
         let cards = self.cards();
         if let Some(peer) = self.peers.get(&number) {
-            peer.line.send(&Message::Backends { whole: !young, berths });
+            peer.line.send(&Message::Backends { whole: !young, backends });
             peer.line.send(&Message::ControlPlanes(cards));
         }
     }
--- a/crates/control-plane/src/master/membership.rs
+++ b/crates/control-plane/src/control_plane/membership.rs
@@ -33,10 +33,10 @@
     /// take the places of others among the learners.
     fn candidates(&self, now: u64) -> BTreeSet<VoterId> {
         let heard = self.peers.values().filter(|peer| now < peer.heard + CANDIDATE_SILENT);
-        let hails = heard.filter_map(|peer| peer.hail.as_ref());
-        let hails = hails.filter(|hail| hail.plane == Plane::ControlPlane && hail.quorum);
-        hails
-            .filter_map(|hail| Some((hail.address.parse::<SocketAddr>().ok()?, hail.incarnation?)))
+        let hellos = heard.filter_map(|peer| peer.hello.as_ref());
+        let hellos = hellos.filter(|hello| hello.plane == Plane::ControlPlane && hello.quorum);
+        hellos
+            .filter_map(|hello| Some((hello.address.parse::<SocketAddr>().ok()?, hello.incarnation?)))
             .filter(|(address, _)| *address != self.settings.address)
             .map(|(address, incarnation)| VoterId { address: address.to_string(), incarnation })
             .collect()
@@ -46,7 +46,7 @@
     fn zones_of<'a>(&'a self, voters: &'a [VoterId]) -> Vec<&'a str> {
         let zone = |voter: &'a VoterId| match voter.address.parse() {
             Ok(address) if address == self.settings.address => self.settings.me.zone.as_str(),
-            Ok(address) => self.masters.get(&address).map_or(voter.address.as_str(), String::as_str),
+            Ok(address) => self.control_planes.get(&address).map_or(voter.address.as_str(), String::as_str),
             Err(_) => voter.address.as_str(),
         };
         voters.iter().map(zone).collect()
--- a/crates/control-plane/src/master/orders.rs
+++ b/crates/control-plane/src/control_plane/orders.rs
@@ -8,9 +8,9 @@
         let now = self.now();
         *self.watch.counted.calls.entry(call.kind()).or_default() += 1;
         match call {
-            Call::Beat(berth) => {
-                let leaves = berth.phase == Phase::Draining;
-                let judgement = self.register.beat(now, berth);
+            Call::Beat(backend) => {
+                let leaves = backend.phase == Phase::Draining;
+                let judgement = self.register.beat(now, backend);
                 self.on_judgement(judgement);
                 let _ = reply.send(if leaves { self.leave_acknowledged(now) } else { Reply::done() });
             }
@@ -39,9 +39,9 @@
     }
 
     pub(super) fn on_judgement(&mut self, judgement: Judgement) {
-        if let Judgement::Changed(berths) = judgement {
-            self.to_masters(&Message::Backends { whole: false, berths: berths.clone() });
-            self.tell_berths(berths);
+        if let Judgement::Changed(backends) = judgement {
+            self.to_control_planes(&Message::Backends { whole: false, backends: backends.clone() });
+            self.tell_backends(backends);
         }
     }
 
@@ -160,7 +160,7 @@
         }
         match order {
             Order::Read => {
-                let reply = match self.ledger.body() {
+                let reply = match self.config_history.body() {
                     Some(body) => Reply { status: 200, body: body.to_vec() },
                     None => Reply::why(404, "no configuration was taken yet"),
                 };
@@ -171,7 +171,7 @@
                 self.answer(asker, reply);
             }
             Order::Replace { base, body } => {
-                let decision = decide(&self.ledger, base, body);
+                let decision = decide(&self.config_history, base, body);
                 self.watch.decided(now, &decision);
                 if let Some(reply) = decision.reply() {
                     return self.answer(asker, reply);
--- a/crates/control-plane/src/master/office.rs
+++ b/crates/control-plane/src/control_plane/quota_service.rs
@@ -9,11 +9,11 @@
 /// Offers of which an answer is still worth anything.
 const OFFERS: usize = 16;
 
-/// The log is told of another number of quays once it is off by more than one in so many.
+/// The log is told of another number of data planes once it is off by more than one in so many.
 const FLEET_MOVES: u32 = 8;
 impl ControlPlane {
     /// Whoever holds the lease of the log holds the counts, and may share them out.
-    pub(super) fn tend_office(&mut self, now: u64) {
+    pub(super) fn tend_quota_service(&mut self, now: u64) {
         self.count_draws(now);
         let Some(node) = &self.node else { return };
         let (leads, holds, term) = (node.is_leader(), node.holds_lease(now), node.term());
@@ -21,23 +21,23 @@
             // The office ends with the term: a lease that comes back within it finds its counts as they were.
             self.resign(now);
             self.offer(now);
-        } else if holds && self.placer.as_ref().is_none_or(|p| p.roster().epoch.term != term) {
-            let first = term <= 1 && self.ledger.version() == 0;
+        } else if holds && self.placer.as_ref().is_none_or(|p| p.assignment().epoch.term != term) {
+            let first = term <= 1 && self.config_history.version() == 0;
             let bears = self.settings.draws_a_holder;
             let bears = if bears > 0.0 { bears } else { f64::INFINITY };
             let placer = Placer::new(&self.settings.address.to_string(), term, now as f64, bears);
-            self.roster = placer.roster().clone();
+            self.assignment = placer.assignment().clone();
             self.placer = Some(placer);
             self.resize_fleet(now);
             // Deputies' counts have no floors.
             if self.settings.draws_a_holder <= 0.0 {
-                self.office.floors(self.ledger.floors().clone());
+                self.quota_service.floors(self.config_history.floors().clone());
             }
-            self.office.assume(now as f64, &self.roster, first);
-            let quays = self.peers.values().filter(|p| now < p.heard + QUAY_SILENT);
-            for (peer, hail) in quays.filter_map(|p| Some((p, p.hail.as_ref()?))) {
-                if hail.plane == Plane::DataPlane && !self.has_departed(hail) {
-                    self.office.heard(peer.heard as f64, &hail.name, Epoch::first(term));
+            self.quota_service.assume(now as f64, &self.assignment, first);
+            let data_planes = self.peers.values().filter(|p| now < p.heard + DATA_PLANE_SILENT);
+            for (peer, hello) in data_planes.filter_map(|p| Some((p, p.hello.as_ref()?))) {
+                if hello.plane == Plane::DataPlane && !self.has_departed(hello) {
+                    self.quota_service.heard(peer.heard as f64, &hello.name, Epoch::first(term));
                 }
             }
             self.watch.note(now, self.settings.address.to_string(), Happened::QuotaService(true));
@@ -52,7 +52,7 @@
         if self.placer.is_some()
             && let Some(until) = self.node.as_ref().and_then(|node| node.lease_until(now))
         {
-            self.office.lease(until as f64);
+            self.quota_service.lease(until as f64);
         }
         self.tend_marks(now);
     }
@@ -64,8 +64,8 @@
             return;
         }
         let alone = self.settings.draws_a_holder <= 0.0;
-        let floors = if alone { self.office.floors_wanted(now as f64) } else { Vec::new() };
-        let (fleet, said) = (self.fleet_to_record(now), self.ledger.fleet());
+        let floors = if alone { self.quota_service.floors_wanted(now as f64) } else { Vec::new() };
+        let (fleet, said) = (self.fleet_to_record(now), self.config_history.fleet());
         // A few more or less change nobody's part by much.
         let other = now >= YOUNG && fleet > 0 && fleet.abs_diff(said) * FLEET_MOVES > said;
         if floors.is_empty() && !other {
@@ -80,7 +80,7 @@
 
     pub(super) fn resign(&mut self, now: u64) {
         if self.placer.take().is_some() {
-            self.office.resign();
+            self.quota_service.resign();
             self.watch.note(now, self.settings.address.to_string(), Happened::QuotaService(false));
         }
     }
@@ -97,10 +97,10 @@
     fn share_out(&mut self, now: u64) {
         let Some(placer) = &mut self.placer else { return };
         if placer.tend(now as f64, self.offers.draws.2) {
-            self.roster = placer.roster().clone();
-            let told = self.office.assume(now as f64, &self.roster, false);
+            self.assignment = placer.assignment().clone();
+            let told = self.quota_service.assume(now as f64, &self.assignment, false);
             // The assignment goes first: a new holder has to know that it is one.
-            self.to_masters(&Message::HolderAssignment(self.roster.clone()));
+            self.to_control_planes(&Message::HolderAssignment(self.assignment.clone()));
             self.hand_over(told);
             self.next[1] = now;
         }
@@ -112,7 +112,7 @@
             return;
         }
         let (Some(leader), ..) = self.leader(now) else { return };
-        let deputy = self.roster.has(&self.settings.address.to_string());
+        let deputy = self.assignment.has(&self.settings.address.to_string());
         self.offers.next = now + if deputy { RENEW } else { OFFER };
         let number = self.offers.sent.back().map_or(1, |(number, _)| number + 1);
         let Some(line) = self.line_to(&leader) else { return };
@@ -129,54 +129,55 @@
         else {
             return;
         };
-        let Some(hail) = peer.hail.as_ref().filter(|hail| hail.plane == Plane::ControlPlane && hail.quorum)
+        let Some(hello) =
+            peer.hello.as_ref().filter(|hello| hello.plane == Plane::ControlPlane && hello.quorum)
         else {
             return;
         };
         let draws = if draws.is_finite() { draws.max(0.0) } else { 0.0 };
-        let deputy = placer.asked(now as f64, &hail.address, answered, draws);
+        let deputy = placer.asked(now as f64, &hello.address, answered, draws);
         let ends_in = if deputy { (until - now) as f64 } else { 0.0 };
-        peer.line.send(&Message::Lease { number: offer, roster: placer.roster().clone(), ends_in });
+        peer.line.send(&Message::Lease { number: offer, assignment: placer.assignment().clone(), ends_in });
     }
 
-    pub(super) fn on_lease(&mut self, offer: u64, roster: &HolderAssignment, ends_in: f64, now: u64) {
-        self.on_roster(roster, now);
+    pub(super) fn on_lease(&mut self, offer: u64, assignment: &HolderAssignment, ends_in: f64, now: u64) {
+        self.on_assignment(assignment, now);
         self.offers.answered = self.offers.answered.max(offer);
         let sent = self.offers.sent.iter().find(|(number, _)| *number == offer).map(|(_, sent)| *sent);
         if let Some(sent) = sent
             && self.placer.is_none()
-            && self.office.roster().epoch == roster.epoch
+            && self.quota_service.assignment().epoch == assignment.epoch
             && ends_in > 0.0
         {
             let until = sent as f64 + ends_in.min(LEASE_MOST);
-            let until = until.max(self.office.lease_until());
-            self.office.lease(until);
+            let until = until.max(self.quota_service.lease_until());
+            self.quota_service.lease(until);
         }
     }
 
     /// Another process, the leader as a rule, tells of an assignment.
-    pub(super) fn on_roster(&mut self, roster: &HolderAssignment, now: u64) {
+    pub(super) fn on_assignment(&mut self, assignment: &HolderAssignment, now: u64) {
         // A voter that knows of a newer term expects nothing from the leader of an old one.
-        if roster.epoch <= self.roster.epoch
-            || self.node.as_ref().is_none_or(|n| roster.epoch.term < n.term())
+        if assignment.epoch <= self.assignment.epoch
+            || self.node.as_ref().is_none_or(|n| assignment.epoch.term < n.term())
         {
             return;
         }
-        self.roster = roster.clone();
-        let told = self.office.assume(now as f64, roster, false);
+        self.assignment = assignment.clone();
+        let told = self.quota_service.assume(now as f64, assignment, false);
         self.hand_over(told);
         self.assigned(now);
     }
 
     pub(super) fn on_handover(&mut self, handover: Handover, now: u64) {
-        if self.node.as_ref().is_none_or(|node| handover.roster.epoch.term < node.term()) {
+        if self.node.as_ref().is_none_or(|node| handover.assignment.epoch.term < node.term()) {
             return;
         }
-        let newer = handover.roster.epoch > self.roster.epoch;
+        let newer = handover.assignment.epoch > self.assignment.epoch;
         if newer {
-            self.roster = handover.roster.clone();
+            self.assignment = handover.assignment.clone();
         }
-        let told = self.office.handed(now as f64, handover);
+        let told = self.quota_service.handed(now as f64, handover);
         self.silence_departed();
         self.hand_over(told);
         if newer {
@@ -205,24 +206,24 @@
             let known = self.told.epoch == term;
             return if known { (self.told.assignment, self.told.deputies.clone()) } else { (0, Vec::new()) };
         }
-        let Epoch { term: of, number } = self.roster.epoch;
+        let Epoch { term: of, number } = self.assignment.epoch;
         if of != term || number <= 1 {
             return (0, Vec::new());
         }
         let leader = self.leader(self.now()).0.map(|leader| leader.to_string());
-        let others = self.roster.holders.iter().filter(|holder| Some(*holder) != leader.as_ref());
+        let others = self.assignment.holders.iter().filter(|holder| Some(*holder) != leader.as_ref());
         (number, others.cloned().collect())
     }
 
     pub(super) fn on_draw(&mut self, number: u64, draw: quota::LeaseRequest, now: u64) {
         self.renew(now);
         let Some(peer) = self.peers.get(&number) else { return };
-        let Some(hail) = &peer.hail else { return };
-        if self.fleet.has_departed(&hail.name, hail.life) {
+        let Some(hello) = &peer.hello else { return };
+        if self.fleet.has_departed(&hello.name, hello.life) {
             return;
         }
-        self.fleet.heard(now, &hail.name, hail.life);
-        let flag = match self.office.draw(now as f64, &hail.name, &draw) {
+        self.fleet.heard(now, &hello.name, hello.life);
+        let flag = match self.quota_service.draw(now as f64, &hello.name, &draw) {
             Some(grant) => {
                 self.watch.counted.draws.0 += 1;
                 Message::Grant(grant)
@@ -233,7 +234,7 @@
             }
         };
         peer.line.send(&flag);
-        if self.office.presses() {
+        if self.quota_service.presses() {
             self.tend_marks(now);
         }
     }
--- a/crates/control-plane/src/master/told.rs
+++ b/crates/control-plane/src/control_plane/status.rs
@@ -22,13 +22,13 @@
         let lines: Vec<_> = self
             .peers
             .values()
-            .filter_map(|p| Some((p, p.hail.as_ref()?)))
-            .map(|(p, hail)| {
-                json!({ "name": hail.name, "plane": format!("{:?}", hail.plane), "address": hail.address,
+            .filter_map(|p| Some((p, p.hello.as_ref()?)))
+            .map(|(p, hello)| {
+                json!({ "name": hello.name, "plane": format!("{:?}", hello.plane), "address": hello.address,
                 "follows": p.follows, "silent_ms": now.saturating_sub(p.heard) })
             })
             .collect();
-        let masters: Vec<_> = self
+        let control_planes: Vec<_> = self
             .cards()
             .into_iter()
             .map(|card| {
@@ -37,7 +37,7 @@
                 json!({ "address": card.address, "zone": card.zone, "reached": line })
             })
             .collect();
-        let berths: Vec<_> = self
+        let backends: Vec<_> = self
             .register
             .all(now)
             .into_iter()
@@ -47,37 +47,37 @@
             })
             .collect();
         let counts: Vec<_> = self
-            .office
+            .quota_service
             .holder()
             .iter()
             .flat_map(|holder| holder.figures())
             .map(|c| json!({ "tenant": c.tenant, "window": c.window, "granted": c.granted, "left": c.left }))
             .collect();
-        let quays: Vec<_> = self.fleet.names().collect();
-        let watch = self.lookout.as_ref().map(|lookout| {
-            let standing = lookout.standing();
+        let data_planes: Vec<_> = self.fleet.names().collect();
+        let watch = self.neighbor_watch.as_ref().map(|neighbor_watch| {
+            let standing = neighbor_watch.standing();
             let watched = standing.watched.into_iter();
             let watched: Vec<_> = watched
                 .map(|(name, silent, doubted)| json!({ "name": name, "silent_ms": silent, "doubted": doubted }))
                 .collect();
-            json!({ "adrift": standing.adrift, "here": standing.here, "watched": watched })
+            json!({ "isolated": standing.isolated, "here": standing.here, "watched": watched })
         });
         let status = json!({ "name": self.settings.me.name, "zone": self.settings.me.zone, "up_ms": now, "frames": self.frames,
             "leader": leader.map(|l| l.to_string()), "epoch": epoch, "fresh": fresh,
-            "version": format!("r{}", self.ledger.version()), "log": log, "masters": masters, "lines": lines,
-            "quays": quays, "backends": berths, "counts": counts, "holders": self.roster.holders,
-            "assignment": self.roster.epoch.number, "watch": watch });
+            "version": format!("r{}", self.config_history.version()), "log": log, "control_planes": control_planes, "lines": lines,
+            "data_planes": data_planes, "backends": backends, "counts": counts, "holders": self.assignment.holders,
+            "assignment": self.assignment.epoch.number, "watch": watch });
         Reply { status: 200, body: status.to_string().into_bytes() }
     }
 
     /// The last versions, and when they were taken.
     pub(super) fn history(&self, now: u64) -> Reply {
         let versions: Vec<_> = self
-            .ledger
+            .config_history
             .history()
             .map(|(version, digest, at)| {
                 let digest: String = digest.iter().map(|byte| format!("{byte:02x}")).collect();
-                let kept = self.ledger.body_of(version).is_some();
+                let kept = self.config_history.body_of(version).is_some();
                 json!({ "version": format!("r{version}"), "digest": digest, "epoch": at.epoch, "index": at.index,
                     "body_kept": kept })
             })
@@ -89,7 +89,7 @@
 
     /// The body of one of the last versions.
     pub(super) fn past(&self, version: u64) -> Reply {
-        match self.ledger.body_of(version) {
+        match self.config_history.body_of(version) {
             Some(body) => Reply { status: 200, body: body.to_vec() },
             None => Reply::why(404, &format!("r{version} is not kept here")),
         }
@@ -100,7 +100,7 @@
         // Processes that serve control are known by their names and by their addresses.
         let me = (&self.settings.me.name, self.settings.address.to_string());
         let others =
-            self.peers.values().filter_map(|p| p.hail.as_ref()).map(|h| (&h.name, h.address.clone()));
+            self.peers.values().filter_map(|p| p.hello.as_ref()).map(|h| (&h.name, h.address.clone()));
         let names: Vec<_> = others
             .chain([me])
             .filter(|(name, address)| about == Some(name.as_str()) || about == Some(address))
@@ -117,20 +117,20 @@
 
     /// Metrics, as text.
     pub(super) fn metrics(&self, now: u64) -> Reply {
-        let mut page = Page::of("master", now);
+        let mut page = Page::of("control plane", now);
         let (leader, epoch, fresh) = self.leader(now);
         let flag = |set: bool| f64::from(u8::from(set));
         page.gauge("leader_known", "1 while this process knows a leader", flag(leader.is_some()));
         page.gauge("fresh", "1 while what this process tells is of this moment", flag(fresh));
         page.gauge("epoch", "Term of the leader, as known here", epoch as f64);
-        page.gauge("config_version", "Version in force here", self.ledger.version() as f64);
+        page.gauge("config_version", "Version in force here", self.config_history.version() as f64);
         if let Some(node) = &self.node {
             page.gauge("leads", "1 while this process leads", flag(node.is_leader()));
             page.gauge("holds_lease", "1 while this process holds the counts", flag(node.holds_lease(now)));
             page.gauge(
                 "holders",
                 "Processes that hold counts, as known here",
-                self.roster.holders.len() as f64,
+                self.assignment.holders.len() as f64,
             );
             page.gauge("voter", "1 while this process votes", flag(node.is_voter()));
             page.gauge("voters", "Voters of the log", node.members().len() as f64);
@@ -138,12 +138,18 @@
             page.gauge("log_commit", "Last entry of the log that is decided", node.commit() as f64);
         }
         let row = |label: &'static str, value: &str| vec![(label, value.to_owned())];
-        let masters = self.other_masters().into_iter().map(|address| self.line_to(&address).is_some());
-        let masters = masters.map(|reached| (row("reached", if reached { "yes" } else { "no" }), 1.0));
-        page.gauges("masters", "Other processes that serve control, by whether they are reached", masters);
+        let control_planes =
+            self.other_control_planes().into_iter().map(|address| self.line_to(&address).is_some());
+        let control_planes =
+            control_planes.map(|reached| (row("reached", if reached { "yes" } else { "no" }), 1.0));
+        page.gauges(
+            "control_planes",
+            "Other processes that serve control, by whether they are reached",
+            control_planes,
+        );
         let follows = self.peers.values().filter(|p| p.follows).count();
         page.gauge("followers", "Processes that follow the news here", follows as f64);
-        page.gauge("quays", "Quays that count", f64::from(self.fleet.size()));
+        page.gauge("data_planes", "Data planes that count", f64::from(self.fleet.size()));
         let backends = self.register.all(now).into_iter().map(|b| {
             let phase = if b.overdue { "overdue" } else { phase(b.phase) };
             (vec![("service", b.service), ("phase", phase.to_owned())], 1.0)
@@ -157,7 +163,7 @@
         page.counter("leader_changes", "Times that another leader was known here", counted.leaders);
         let draws =
             [(row("outcome", "answered"), counted.draws.0), (row("outcome", "not_holder"), counted.draws.1)];
-        page.counters("draws", "Draws of quays on the counts", draws);
+        page.counters("draws", "Draws of data planes on the counts", draws);
         page.gauge("calls_waiting", "Calls that wait for a leader or its word", self.waiting.len() as f64);
         page.counter("events_dropped", "Records that made room for others", self.watch.dropped());
         Reply { status: 200, body: page.text().into_bytes() }
--- a/crates/control-plane/src/master/tree.rs
+++ b/crates/control-plane/src/control_plane/tree.rs
@@ -24,13 +24,14 @@
         let (lines, signals) = (BTreeMap::new(), Signals::default());
         self.root = Some(Root { relay, lines, signals, outputs: Vec::new(), next: now });
         self.tell_tree(Moved::Change(self.register.all(now)));
-        self.tell_tree_sheet();
+        self.tell_tree_config_snapshot();
     }
 
-    pub(super) fn tell_tree_sheet(&mut self) {
-        if let Some(body) = self.ledger.body() {
-            let sheet = ConfigSnapshot { version: self.ledger.version(), body: body.to_vec() };
-            self.tell_tree(Moved::ConfigSnapshot(sheet));
+    pub(super) fn tell_tree_config_snapshot(&mut self) {
+        if let Some(body) = self.config_history.body() {
+            let config_snapshot =
+                ConfigSnapshot { version: self.config_history.version(), body: body.to_vec() };
+            self.tell_tree(Moved::ConfigSnapshot(config_snapshot));
         }
     }
 
@@ -54,9 +55,9 @@
             return;
         }
         root.next = now + 2 * TICK;
-        let told = self.pulse_for(0, now);
+        let told = self.heartbeat_for(0, now);
         let own = self.settings.address;
-        let roots = self.other_masters().into_iter().chain([own]).collect();
+        let roots = self.other_control_planes().into_iter().chain([own]).collect();
         self.tell_tree(Moved::Told(told));
         self.tell_tree(Moved::Roots(roots));
         self.tell_tree(Moved::Tick);
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -1,7 +1,7 @@
 //! The disk of a voter: its file, and the thread that writes to it.
 
-use crate::ledger::ConfigHistory;
-use crate::master::Command;
+use crate::config_history::ConfigHistory;
+use crate::control_plane::Command;
 use miette::Diagnostic;
 use raft::store::Store;
 use raft::{Save, Saved, Told, VoterId, Writer};
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -8,21 +8,21 @@
 
 mod admission;
 mod calls;
+mod config_history;
 mod contact;
+mod control_plane;
 mod disk;
 mod faults;
-mod ledger;
 mod lines;
-mod master;
 mod tolerance;
 mod watch;
 
 pub use admission::{Decision, decide, reply_to};
 pub use calls::{CALLS, Call, Declared, Reply, serve};
+pub use config_history::{Change, ConfigHistory, Marks, Place, Verdict, snapshot_format};
+pub use control_plane::{Command, ControlPlane, ControlPlaneSettings};
 pub use disk::{Disk, DiskError};
 #[doc(hidden)]
 pub use faults::Faults;
-pub use ledger::{Change, ConfigHistory, Marks, Place, Verdict, snapshot_format};
 pub use lines::{Connect, ConnectTcp, listen};
-pub use master::{Command, ControlPlane, ControlPlaneSettings};
 pub use tolerance::{Losses, Tolerance};
--- a/crates/control-plane/src/watch.rs
+++ b/crates/control-plane/src/watch.rs
@@ -1,7 +1,7 @@
 //! Records of what this process decided and saw: bounded, and without text until somebody reads them.
 
 use crate::admission::Decision;
-use crate::ledger::Verdict;
+use crate::config_history::Verdict;
 use observability::{Ring, Seldom};
 use protocol::{Backend, Phase};
 use serde_json::{Value, json};
@@ -15,12 +15,12 @@
 /// All other records.
 const OF_OTHERS: usize = 128;
 /// DataPlanes that are gone are known by name up to so many, to tell a return from a first word.
-const MOST_QUAYS: usize = 4096;
+const MOST_DATA_PLANES: usize = 4096;
 
 /// So many lines of one kind go to the log in so many ms; what is left out there is among the records.
 const LINES: (u32, u64) = (20, 10_000);
 /// The kinds of lines.
-const STEPS: [&str; 6] = ["leader", "office", "config", "quay", "voters", "dial"];
+const STEPS: [&str; 6] = ["leader", "quota_service", "config", "data-plane", "voters", "dial"];
 
 /// What happened.
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
     Unread(Box<str>),
     /// A backend of a service.
     Backend(Rc<str>, Seen),
-    /// A quay.
+    /// A data plane.
     DataPlane(Seen),
     /// The voters are these now.
     Voters(Box<[Box<str>]>),
@@ -72,10 +72,10 @@
     fn step(&self) -> &'static str {
         match self {
             Self::Leader(_) => "leader",
-            Self::QuotaService(_) => "office",
+            Self::QuotaService(_) => "quota_service",
             Self::Change(_) | Self::Unread(_) => "config",
             Self::Backend(..) => "backend",
-            Self::DataPlane(_) => "quay",
+            Self::DataPlane(_) => "data-plane",
             Self::Voters(_) => "voters",
         }
     }
@@ -104,7 +104,7 @@
             }
             Self::Unread(why) => write!(f, "refused: {why}"),
             Self::Backend(service, seen) => write!(f, "backend of {service}: {seen}"),
-            Self::DataPlane(seen) => write!(f, "quay: {seen}"),
+            Self::DataPlane(seen) => write!(f, "data plane: {seen}"),
             Self::Voters(list) => write!(f, "the voters are {}", list.join(", ")),
         }
     }
@@ -148,8 +148,8 @@
     known: HashMap<Rc<str>, (Phase, bool)>,
     /// Services by name, so that records share it.
     services: HashSet<Rc<str>>,
-    /// The life of each quay; none once it counts no more.
-    quays: BTreeMap<Rc<str>, Option<u64>>,
+    /// The life of each data plane; none once it counts no more.
+    data_planes: BTreeMap<Rc<str>, Option<u64>>,
     limits: [Seldom; STEPS.len()],
     candidacies: Seldom,
     pub counted: Counted,
@@ -165,7 +165,7 @@
             leader: None,
             known: HashMap::new(),
             services: HashSet::new(),
-            quays: BTreeMap::new(),
+            data_planes: BTreeMap::new(),
             limits: STEPS.map(|_| Seldom::new(LINES.0, LINES.1)),
             // Without a majority there is one after each wait.
             candidacies: Seldom::new(1, LINES.1),
@@ -241,29 +241,29 @@
     }
 
     /// These backends are told otherwise from now on.
-    pub fn berths(&mut self, at: u64, berths: &[Backend]) {
-        for berth in berths {
-            let known = self.known.get(&*berth.id).copied();
-            let seen = match (known, berth.phase) {
+    pub fn backends(&mut self, at: u64, backends: &[Backend]) {
+        for backend in backends {
+            let known = self.known.get(&*backend.id).copied();
+            let seen = match (known, backend.phase) {
                 (None, Phase::Gone) => continue,
                 (Some(_), Phase::Gone) => Seen::Gone,
                 (None, Phase::Serving) => Seen::First,
                 (Some((Phase::Serving, _)) | None, Phase::Draining) => Seen::Draining,
-                (Some((_, false)), _) if berth.overdue => Seen::Overdue,
-                (Some((_, true)), _) if !berth.overdue => Seen::Back,
+                (Some((_, false)), _) if backend.overdue => Seen::Overdue,
+                (Some((_, true)), _) if !backend.overdue => Seen::Back,
                 // Its address, its room or its zone is another one.
                 _ => continue,
             };
-            let id = match self.known.get_key_value(&*berth.id) {
+            let id = match self.known.get_key_value(&*backend.id) {
                 Some((id, _)) => id.clone(),
-                None => Rc::from(&*berth.id),
+                None => Rc::from(&*backend.id),
             };
-            if berth.phase == Phase::Gone {
+            if backend.phase == Phase::Gone {
                 self.known.remove(&id);
             } else {
-                self.known.insert(id.clone(), (berth.phase, berth.overdue));
+                self.known.insert(id.clone(), (backend.phase, backend.overdue));
             }
-            let service = self.service(&berth.service);
+            let service = self.service(&backend.service);
             self.note(at, id, What::Backend(service, seen));
         }
     }
@@ -280,24 +280,25 @@
         name
     }
 
-    /// The quays that count now: name and life, by name.
-    pub fn quays<'a>(&mut self, at: u64, now: impl Iterator<Item = (&'a str, u64)>) {
+    /// The data planes that count now: name and life, by name.
+    pub fn data_planes<'a>(&mut self, at: u64, now: impl Iterator<Item = (&'a str, u64)>) {
         let now: BTreeMap<&str, u64> = now.collect();
         let mut changed: Vec<(Rc<str>, Option<u64>, Seen)> = Vec::new();
         for (name, life) in &now {
-            let seen = match self.quays.get(*name) {
+            let seen = match self.data_planes.get(*name) {
                 Some(Some(known)) if known == life => continue,
                 Some(Some(_)) => Seen::Restarted,
                 Some(None) => Seen::Back,
-                None if self.quays.len() >= MOST_QUAYS => continue,
+                None if self.data_planes.len() >= MOST_DATA_PLANES => continue,
                 None => Seen::First,
             };
             changed.push((Rc::from(*name), Some(*life), seen));
         }
-        let lost = self.quays.iter().filter(|(name, life)| life.is_some() && !now.contains_key(&***name));
+        let lost =
+            self.data_planes.iter().filter(|(name, life)| life.is_some() && !now.contains_key(&***name));
         changed.extend(lost.map(|(name, _)| (name.clone(), None, Seen::Gone)));
         for (name, life, seen) in changed {
-            self.quays.insert(name.clone(), life);
+            self.data_planes.insert(name.clone(), life);
             self.note(at, name, What::DataPlane(seen));
         }
     }
@@ -332,7 +333,7 @@
 mod tests {
     use super::*;
 
-    fn berth(phase: Phase, overdue: bool) -> Backend {
+    fn backend(phase: Phase, overdue: bool) -> Backend {
         Backend {
             id: "i".into(),
             service: "s".into(),
@@ -362,7 +363,7 @@
             (Phase::Draining, false),
         ];
         for (at, (phase, overdue)) in words.into_iter().chain([(Phase::Gone, false); 2]).enumerate() {
-            watch.berths(at as u64, &[berth(phase, overdue)]);
+            watch.backends(at as u64, &[backend(phase, overdue)]);
         }
         let told =
             ["gone", "drains", "heard again", "overdue, its beats are missed", "heard for the first time"];
@@ -372,13 +373,13 @@
     }
 
     #[test]
-    fn a_quay_comes_goes_and_returns() {
+    fn a_data_plane_comes_goes_and_returns() {
         let mut watch = Watch::new();
-        for quays in [vec![("q", 1)], vec![("q", 1)], vec![("q", 2)], vec![], vec![], vec![("q", 3)]] {
-            watch.quays(1, quays.into_iter());
+        for data_planes in [vec![("q", 1)], vec![("q", 1)], vec![("q", 2)], vec![], vec![], vec![("q", 3)]] {
+            watch.data_planes(1, data_planes.into_iter());
         }
         let told = ["heard again", "gone", "another life under the same name", "heard for the first time"];
-        assert_eq!(texts(&watch, "q"), told.map(|text| format!("quay: {text}")));
+        assert_eq!(texts(&watch, "q"), told.map(|text| format!("data plane: {text}")));
     }
 
     #[test]
@@ -386,7 +387,7 @@
         let mut watch = Watch::new();
         watch.stands(1, Some(([127, 0, 0, 1], 7).into()), 3, 2);
         for n in 0..OF_BACKENDS * 2 {
-            watch.berths(2, &[Backend { id: n.to_string(), ..berth(Phase::Serving, false) }]);
+            watch.backends(2, &[Backend { id: n.to_string(), ..backend(Phase::Serving, false) }]);
         }
         assert_eq!(texts(&watch, "127.0.0.1:7").len(), 1);
         assert_eq!((texts(&watch, "s").len(), watch.dropped()), (OF_BACKENDS, OF_BACKENDS as u64));
--- a/crates/control-plane/tests/bytes.rs
+++ b/crates/control-plane/tests/bytes.rs
@@ -64,9 +64,9 @@
     let heartbeat = CALLS.iter().find(|call| call.path == "/Backends.Heartbeat/").expect("it is declared");
     feed(3, corpus(&["beat.json", "beat-draining.json"]), |bytes| {
         match (heartbeat.read)("i-1", &HeaderMap::new(), bytes) {
-            Ok(Call::Beat(berth)) => {
-                assert!(berth.capacity > 0 && berth.address.parse::<std::net::SocketAddr>().is_ok());
-                assert!(berth.warmup_left_ms <= 600_000);
+            Ok(Call::Beat(backend)) => {
+                assert!(backend.capacity > 0 && backend.address.parse::<std::net::SocketAddr>().is_ok());
+                assert!(backend.warmup_left_ms <= 600_000);
                 true
             }
             Ok(_) => panic!("a beat is a beat"),
@@ -90,7 +90,7 @@
     }
 }
 
-fn berth(id: &str, count: u64) -> Backend {
+fn backend(id: &str, count: u64) -> Backend {
     Backend {
         id: id.into(),
         service: "customs".into(),
@@ -107,7 +107,7 @@
 
 #[test]
 fn frames() {
-    let hail = Hello {
+    let hello = Hello {
         name: "m1".into(),
         life: 7,
         plane: Plane::DataPlane,
@@ -117,7 +117,7 @@
         incarnation: None,
     };
     let whole = [
-        Message::Hello(hail),
+        Message::Hello(hello),
         Message::Follow { have: Held { version: 7, mark: 9 } },
         Message::ConfigDelta(ConfigDelta {
             version: 8,
@@ -129,7 +129,7 @@
         Message::Relay(Word::Missed { mark: Mark { epoch: 3, sequence: 4 }, version: 7 }),
         Message::Heartbeat(Heartbeat::default()),
         Message::Heard(vec![("i-1".into(), 3), ("i-2".into(), 9)]),
-        Message::Backends { whole: true, berths: vec![berth("i-1", 4), berth("i-2", u64::MAX)] },
+        Message::Backends { whole: true, backends: vec![backend("i-1", 4), backend("i-2", u64::MAX)] },
     ];
     feed(5, whole.iter().map(frame).collect(), |bytes| match unframe::<Message>(bytes) {
         Ok(Some((flag, taken))) => {
@@ -147,15 +147,18 @@
     let change = |base, version| Change { base, version, digest: [7; 32], body: b"{\"a\":1}".to_vec() };
     let changes = [change(0, 1), change(1, u64::MAX)];
     feed(6, changes.iter().map(bitcode::encode).collect(), |bytes| Change::read(bytes).is_ok());
-    let mut ledger = ConfigHistory::default();
+    let mut config_history = ConfigHistory::default();
     for version in 1..=9 {
-        ledger.apply(Place::default(), change(version - 1, version));
+        config_history.apply(Place::default(), change(version - 1, version));
     }
-    feed(7, vec![bitcode::encode(&ledger)], |bytes| match ConfigHistory::restore(bytes) {
-        Ok(mut ledger) => {
+    feed(7, vec![bitcode::encode(&config_history)], |bytes| match ConfigHistory::restore(bytes) {
+        Ok(mut config_history) => {
             // What was restored can be used, whatever it is.
-            ledger.apply(Place::default(), change(ledger.version(), ledger.version().saturating_add(1)));
-            let _ = (ledger.body(), ledger.history().count());
+            config_history.apply(
+                Place::default(),
+                change(config_history.version(), config_history.version().saturating_add(1)),
+            );
+            let _ = (config_history.body(), config_history.history().count());
             true
         }
         Err(_) => false,
--- a/crates/control-plane/tests/ledger.rs
+++ b/crates/control-plane/tests/config_history.rs
@@ -11,32 +11,32 @@
 
 #[test]
 fn two_changes_on_one_version_are_not_both_taken() {
-    let mut ledger = ConfigHistory::default();
-    assert_eq!(ledger.apply(Place::default(), change(0, 3, 1)), Verdict::Taken);
-    assert_eq!(ledger.apply(Place::default(), change(3, 5, 2)), Verdict::Taken);
-    assert_eq!(ledger.apply(Place::default(), change(3, 6, 3)), Verdict::Stale { current: 5 });
-    assert_eq!(ledger.body(), Some([2].as_slice()));
+    let mut config_history = ConfigHistory::default();
+    assert_eq!(config_history.apply(Place::default(), change(0, 3, 1)), Verdict::Taken);
+    assert_eq!(config_history.apply(Place::default(), change(3, 5, 2)), Verdict::Taken);
+    assert_eq!(config_history.apply(Place::default(), change(3, 6, 3)), Verdict::Stale { current: 5 });
+    assert_eq!(config_history.body(), Some([2].as_slice()));
 }
 
 #[test]
 fn the_same_configuration_again_is_taken_also_after_newer_ones() {
-    let mut ledger = ConfigHistory::default();
-    ledger.apply(Place::default(), change(0, 3, 1));
-    ledger.apply(Place::default(), change(3, 5, 2));
-    assert_eq!(ledger.apply(Place::default(), change(0, 3, 1)), Verdict::TakenBefore);
-    assert_eq!(ledger.version(), 5, "and does not come back into force");
+    let mut config_history = ConfigHistory::default();
+    config_history.apply(Place::default(), change(0, 3, 1));
+    config_history.apply(Place::default(), change(3, 5, 2));
+    assert_eq!(config_history.apply(Place::default(), change(0, 3, 1)), Verdict::TakenBefore);
+    assert_eq!(config_history.version(), 5, "and does not come back into force");
     // Another body under a number that is taken is another configuration.
-    assert_eq!(ledger.apply(Place::default(), change(0, 3, 9)), Verdict::Stale { current: 5 });
-    assert_eq!(ledger.apply(Place::default(), change(5, 5, 9)), Verdict::NotAbove { current: 5 });
-    assert_eq!(ledger.apply(Place::default(), change(5, 4, 9)), Verdict::NotAbove { current: 5 });
+    assert_eq!(config_history.apply(Place::default(), change(0, 3, 9)), Verdict::Stale { current: 5 });
+    assert_eq!(config_history.apply(Place::default(), change(5, 5, 9)), Verdict::NotAbove { current: 5 });
+    assert_eq!(config_history.apply(Place::default(), change(5, 4, 9)), Verdict::NotAbove { current: 5 });
 }
 
 #[test]
 fn before_the_first_there_is_nothing_to_read() {
-    let ledger = ConfigHistory::default();
-    assert_eq!((ledger.body(), ledger.version()), (None, 0));
+    let config_history = ConfigHistory::default();
+    assert_eq!((config_history.body(), config_history.version()), (None, 0));
     // r4 may be on its way through the log: a refusal would not hold.
-    assert_eq!(ledger.judge(4, 5, &[0; 32]), Verdict::Ahead { base: 4, current: 0 });
+    assert_eq!(config_history.judge(4, 5, &[0; 32]), Verdict::Ahead { base: 4, current: 0 });
 }
 
 #[yare::parameterized(
@@ -51,13 +51,13 @@
     proper = { 5, 6, 9, Verdict::Taken },
 )]
 fn a_verdict_is_final_if_no_later_entry_can_change_it(base: u64, version: u64, digest: u8, verdict: Verdict) {
-    let mut ledger = ConfigHistory::default();
-    ledger.apply(Place::default(), change(0, 3, 1));
-    ledger.apply(Place::default(), change(3, 5, 2));
-    assert_eq!(ledger.judge(base, version, &[digest; 32]), verdict);
+    let mut config_history = ConfigHistory::default();
+    config_history.apply(Place::default(), change(0, 3, 1));
+    config_history.apply(Place::default(), change(3, 5, 2));
+    assert_eq!(config_history.judge(base, version, &[digest; 32]), verdict);
     // Whatever comes into force next, a refusal stays one, and what was taken stays acknowledged.
     for next in [6, 7, 8, 9, 20] {
-        let mut later = ledger.clone();
+        let mut later = config_history.clone();
         assert_eq!(later.apply(Place::default(), change(5, next, 7)), Verdict::Taken);
         let then = later.judge(base, version, &[digest; 32]);
         let taken = verdict == Verdict::TakenBefore;
@@ -68,67 +68,74 @@
     }
 }
 
-/// As many versions as a ledger remembers by their digests.
+/// As many versions as a history remembers by their digests.
 const REMEMBERED: u64 = 4096;
 
-fn ledger_up_to(newest: u64) -> ConfigHistory {
-    let mut ledger = ConfigHistory::default();
+fn config_history_up_to(newest: u64) -> ConfigHistory {
+    let mut config_history = ConfigHistory::default();
     for version in 1..=newest {
         let digest = [version as u8; 32];
-        ledger.apply(Place::default(), Change { base: version - 1, version, digest, body: vec![1] });
+        config_history.apply(Place::default(), Change { base: version - 1, version, digest, body: vec![1] });
     }
-    ledger
+    config_history
 }
 
 #[test]
 fn an_order_that_was_taken_is_never_refused_however_many_others_came_after_it() {
     let repeated = |newest: u64| {
-        let ledger = ConfigHistory::restore(&ledger_up_to(newest).snapshot()).expect("a ledger");
-        ledger.judge(1, 2, &[2; 32])
+        let config_history =
+            ConfigHistory::restore(&config_history_up_to(newest).snapshot()).expect("a history");
+        config_history.judge(1, 2, &[2; 32])
     };
     assert_eq!(repeated(REMEMBERED + 1), Verdict::TakenBefore);
     assert_eq!(repeated(REMEMBERED + 2), Verdict::Forgotten { oldest: 3 });
     assert_eq!(repeated(2 * REMEMBERED), Verdict::Forgotten { oldest: REMEMBERED + 1 });
     // What is remembered is refused as before.
-    let ledger = ledger_up_to(REMEMBERED + 2);
-    assert_eq!(ledger.judge(2, 3, &[9; 32]), Verdict::Stale { current: REMEMBERED + 2 });
+    let config_history = config_history_up_to(REMEMBERED + 2);
+    assert_eq!(config_history.judge(2, 3, &[9; 32]), Verdict::Stale { current: REMEMBERED + 2 });
 }
 
 #[test]
 fn a_full_memory_of_digests_takes_little_of_a_snapshot() {
-    let bytes = ledger_up_to(3 * REMEMBERED).snapshot().len();
+    let bytes = config_history_up_to(3 * REMEMBERED).snapshot().len();
     println!("{bytes} bytes");
     assert!(bytes < 150_000, "{bytes}");
 }
 
 #[test]
 fn what_a_snapshot_holds_is_all_of_it() {
-    let mut ledger = ConfigHistory::default();
+    let mut config_history = ConfigHistory::default();
     for version in 1..=20 {
-        ledger.apply(Place::default(), change(version - 1, version, version as u8));
+        config_history.apply(Place::default(), change(version - 1, version, version as u8));
     }
-    let bytes = bitcode::encode(&ledger);
-    let mut again: ConfigHistory = bitcode::decode(&bytes).expect("a ledger");
-    assert_eq!(again, ledger);
+    let bytes = bitcode::encode(&config_history);
+    let mut again: ConfigHistory = bitcode::decode(&bytes).expect("a history");
+    assert_eq!(again, config_history);
     assert_eq!(again.apply(Place::default(), change(3, 4, 4)), Verdict::TakenBefore);
 }
 
 #[test]
 fn former_bodies_are_kept_as_long_as_there_is_room() {
-    let mut ledger = ConfigHistory::default();
+    let mut config_history = ConfigHistory::default();
     for version in 1..=12 {
         let at = Place { index: version + 7, epoch: 2 };
         // The 6th leaves no room for others beside it.
         let body = vec![version as u8; if version == 6 { 1_048_576 } else { 10 }];
         let change = Change { base: version - 1, version, digest: [version as u8; 32], body };
-        assert_eq!(ledger.apply(at, change), Verdict::Taken);
+        assert_eq!(config_history.apply(at, change), Verdict::Taken);
         if version == 7 {
-            assert_eq!((1..=7).filter(|v| ledger.body_of(*v).is_some()).collect::<Vec<_>>(), [6, 7]);
+            assert_eq!((1..=7).filter(|v| config_history.body_of(*v).is_some()).collect::<Vec<_>>(), [6, 7]);
         }
     }
-    assert_eq!((1..=13).filter(|v| ledger.body_of(*v).is_some()).collect::<Vec<_>>(), [7, 8, 9, 10, 11, 12]);
-    let newest = ledger.history().next().map(|(version, digest, at)| (version, digest[0], at));
-    assert_eq!((newest, ledger.history().count()), (Some((12, 12, Place { index: 19, epoch: 2 })), 12));
+    assert_eq!(
+        (1..=13).filter(|v| config_history.body_of(*v).is_some()).collect::<Vec<_>>(),
+        [7, 8, 9, 10, 11, 12]
+    );
+    let newest = config_history.history().next().map(|(version, digest, at)| (version, digest[0], at));
+    assert_eq!(
+        (newest, config_history.history().count()),
+        (Some((12, 12, Place { index: 19, epoch: 2 })), 12)
+    );
 }
 
 fn marks(floors: &[(&str, u32)], fleet: u32) -> Marks {
@@ -137,16 +144,17 @@
 
 #[test]
 fn marks_are_told_from_changes_and_the_newest_count() {
-    let mut ledger = ConfigHistory::default();
+    let mut config_history = ConfigHistory::default();
     for marks in [marks(&[("a", 5), ("b", 7)], 13), marks(&[("a", 0), ("c", 1)], 12)] {
         let entry = marks.entry();
         assert!(Change::read(&entry).is_err());
-        ledger.mark(Marks::read(&entry).expect("marks").expect("whole"));
+        config_history.mark(Marks::read(&entry).expect("marks").expect("whole"));
     }
-    let floors: Vec<_> = ledger.floors().iter().map(|(tenant, units)| (tenant.as_str(), *units)).collect();
-    assert_eq!((floors, ledger.fleet()), (vec![("b", 7), ("c", 1)], 12));
-    let again = ConfigHistory::restore(&bitcode::encode(&ledger)).expect("a ledger");
-    assert_eq!(again, ledger);
+    let floors: Vec<_> =
+        config_history.floors().iter().map(|(tenant, units)| (tenant.as_str(), *units)).collect();
+    assert_eq!((floors, config_history.fleet()), (vec![("b", 7), ("c", 1)], 12));
+    let again = ConfigHistory::restore(&bitcode::encode(&config_history)).expect("a history");
+    assert_eq!(again, config_history);
     assert!(Marks::read(&bitcode::encode(&change(1, 2, 3))).is_none());
     assert!(Marks::read(&entry_cut(&marks(&[("a", 5)], 3))).is_some_and(|marks| marks.is_err()));
 }
@@ -184,12 +192,18 @@
         places: [(3, Place { index: 8, epoch: 2 })].into(),
         bodies: [(2, vec![4])].into(),
     };
-    let ledger = ConfigHistory::restore(&bitcode::encode(&former)).expect("a ledger");
-    assert_eq!((ledger.version(), ledger.body(), ledger.body_of(2)), (3, Some(&[9][..]), Some(&[4][..])));
-    assert!(ledger.floors().is_empty() && ledger.fleet() == 0);
+    let config_history = ConfigHistory::restore(&bitcode::encode(&former)).expect("a history");
+    assert_eq!(
+        (config_history.version(), config_history.body(), config_history.body_of(2)),
+        (3, Some(&[9][..]), Some(&[4][..]))
+    );
+    assert!(config_history.floors().is_empty() && config_history.fleet() == 0);
     let bare = Bare { version: 3, body: vec![9], digests: [(3, [1; 32])].into() };
-    let ledger = ConfigHistory::restore(&bitcode::encode(&bare)).expect("a ledger");
-    assert_eq!((ledger.version(), ledger.body(), ledger.body_of(2)), (3, Some(&[9][..]), None));
+    let config_history = ConfigHistory::restore(&bitcode::encode(&bare)).expect("a history");
+    assert_eq!(
+        (config_history.version(), config_history.body(), config_history.body_of(2)),
+        (3, Some(&[9][..]), None)
+    );
 }
 
 /// Numbers of all magnitudes: `bitcode` packs each in as few bytes as its column allows.
@@ -210,15 +224,15 @@
     let places: BTreeMap<_, _> =
         versions.iter().map(|version| (*version, Place { index: number(), epoch: number() })).collect();
     let bodies: BTreeMap<_, _> = versions.iter().map(|version| (*version, bytes(number()))).collect();
-    let mut ledger = ConfigHistory::default();
+    let mut config_history = ConfigHistory::default();
     let digest = [number() as u8; 32];
-    ledger.apply(
+    config_history.apply(
         Place { index: number(), epoch: number() },
         Change { base: 0, version, digest, body: body.clone() },
     );
     let floors = (0..number() % 4).map(|_| (format!("t{}", number()), number() as u32)).collect();
-    ledger.mark(Marks { floors, fleet: number() as u32 });
-    let floored = ledger.snapshot();
+    config_history.mark(Marks { floors, fleet: number() as u32 });
+    let floored = config_history.snapshot();
     let tagged = [TAG, &floored].concat();
     let with_bodies = WithBodies { version, body: body.clone(), digests: digests.clone(), places, bodies };
     let bare = Bare { version, body, digests };
--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/contact.rs
@@ -161,18 +161,18 @@
     async fn follow(&self, process: usize) {
         let mut frames = self.simulation.follow(process).await;
         while let Some(frame) = frames.recv().await {
-            let Ok(Some((Message::Heartbeat(pulse), _))) = protocol::unframe::<Message>(&frame) else {
+            let Ok(Some((Message::Heartbeat(heartbeat), _))) = protocol::unframe::<Message>(&frame) else {
                 continue;
             };
             let mut seen = self.seen.borrow_mut();
             let known = seen.acknowledged.iter().filter(|(at, _)| at.elapsed() > AGE);
             let newest = known.map(|(_, version)| *version).max().unwrap_or(0);
-            if pulse.fresh && pulse.version < newest {
-                let version = pulse.version;
+            if heartbeat.fresh && heartbeat.version < newest {
+                let version = heartbeat.version;
                 seen.wrong
                     .push(format!("process {process} tells of r{version} as the newest, not r{newest}"));
             }
-            if pulse.fresh {
+            if heartbeat.fresh {
                 seen.clear_answer(process, "news");
                 seen.news.insert(process, Instant::now());
             }
--- a/crates/control-plane/tests/fleet/mod.rs
+++ b/crates/control-plane/tests/fleet/mod.rs
@@ -1,6 +1,6 @@
 //! Who counts among the data planes, at processes of control over real connections.
 
-use super::played::{Played, hail};
+use super::played::{Played, hello};
 use super::*;
 
 /// Waits until a process counts these data planes.
@@ -8,48 +8,48 @@
     until(|| {
         let (_, status) = process.call("GET /Harbour.Status HTTP/1.1", "")?;
         let status: serde_json::Value = serde_json::from_str(&status).ok()?;
-        (status["quays"] == serde_json::json!(names)).then_some(())
+        (status["data_planes"] == serde_json::json!(names)).then_some(())
     });
 }
 
 /// A list from before a departure comes by way of another process; `marker` shows that it was read.
 fn late_list(to: SocketAddr, name: &str, marker: &str) -> Played {
     let mut other = Played::new(TcpStream::connect(to).expect("a connection"));
-    other.say(&Message::Hello(hail("late", 1, Plane::ControlPlane)));
+    other.say(&Message::Hello(hello("late", 1, Plane::ControlPlane)));
     other.say(&Message::DataPlanes(vec![(name.into(), 1), (marker.into(), 1)]));
     other
 }
 
 #[test]
 fn a_data_plane_that_said_it_ended_counts_nowhere_and_for_nobody_who_leads_next() {
-    let harbour = Harbour::new();
-    let mut masters = harbour.all(true);
-    let first = leader(&masters);
-    let stays = Played::data_plane(harbour.peers[first], "a", 1);
-    let mut leaves = Played::data_plane(harbour.peers[(first + 1) % 3], "b", 1);
-    masters.iter().for_each(|master| counts(master, &["a", "b"]));
+    let fleet = TestFleet::new();
+    let mut control_planes = fleet.all(true);
+    let first = leader(&control_planes);
+    let stays = Played::data_plane(fleet.peers[first], "a", 1);
+    let mut leaves = Played::data_plane(fleet.peers[(first + 1) % 3], "b", 1);
+    control_planes.iter().for_each(|control_plane| counts(control_plane, &["a", "b"]));
     let begun = Instant::now();
     leaves.leave();
-    masters.iter().for_each(|master| counts(master, &["a"]));
+    control_planes.iter().for_each(|control_plane| counts(control_plane, &["a"]));
     assert!(begun.elapsed() < Duration::from_secs(20), "one that fell silent counts for 30 s");
-    let _late = late_list(harbour.peers[first], "b", "c");
-    counts(&masters[first], &["a", "c"]);
+    let _late = late_list(fleet.peers[first], "b", "c");
+    counts(&control_planes[first], &["a", "c"]);
     // Whoever starts now is told as well.
-    masters[first].kill();
-    masters[first] = harbour.start(first, false);
+    control_planes[first].kill();
+    control_planes[first] = fleet.start(first, false);
     stays.stream.shutdown(std::net::Shutdown::Both).expect("closed");
-    let _stays = Played::data_plane(harbour.peers[first], "a", 1);
+    let _stays = Played::data_plane(fleet.peers[first], "a", 1);
     let told = |process: &Process| {
         let (_, status) = process.call("GET /Harbour.Status HTTP/1.1", "")?;
         (status.matches(r#""reached":true"#).count() == 3).then_some(())
     };
-    masters.iter().for_each(|master| until(|| told(master)));
-    leader(&masters);
-    let _late = late_list(harbour.peers[first], "b", "d");
-    counts(&masters[first], &["a", "d"]);
+    control_planes.iter().for_each(|control_plane| until(|| told(control_plane)));
+    leader(&control_planes);
+    let _late = late_list(fleet.peers[first], "b", "d");
+    counts(&control_planes[first], &["a", "d"]);
     // Started again it is somebody else.
-    let _again = Played::data_plane(harbour.peers[(first + 2) % 3], "b", 2);
-    counts(&masters[first], &["a", "b", "d"]);
+    let _again = Played::data_plane(fleet.peers[(first + 2) % 3], "b", 2);
+    counts(&control_planes[first], &["a", "b", "d"]);
 }
 
 #[test]
@@ -58,7 +58,7 @@
     let earlier = TcpListener::bind(ports[2]).expect("a listener");
     let process = Process::start(0, ports[0], &[ports[0], ports[2]], ports[1], None, true);
     let mut earlier = Played::new(earlier.accept().expect("a connection").0);
-    earlier.say(&Message::Welcome(hail("earlier", 1, Plane::ControlPlane)));
+    earlier.say(&Message::Welcome(hello("earlier", 1, Plane::ControlPlane)));
     Played::data_plane(ports[0], "a", 1).leave();
     counts(&process, &[]);
     let mut rounds = 0;
@@ -82,7 +82,7 @@
     let ports = free_ports(2);
     let _process = Process::start(VOTERS, ports[0], &[ports[0]], ports[1], None, true);
     let mut voter = Played::new(until(|| TcpStream::connect(ports[0]).ok()));
-    voter.say(&Message::Hello(hail("voter", 1, Plane::ControlPlane)));
+    voter.say(&Message::Hello(hello("voter", 1, Plane::ControlPlane)));
     let leader = Some(ports[1].to_string());
     voter.say(&Message::Heartbeat(Heartbeat {
         leader,
@@ -95,7 +95,7 @@
     // of answers nothing, so that no word is of this moment; none of them may say less than it was told.
     let mut only = Played::data_plane(ports[0], "a", 1);
     let fleet = until(|| match only.next() {
-        Message::Heartbeat(pulse) if pulse.leader.is_some() => Some(pulse.fleet),
+        Message::Heartbeat(heartbeat) if heartbeat.leader.is_some() => Some(heartbeat.fleet),
         _ => None,
     });
     assert_eq!(fleet, 9);
--- a/crates/control-plane/tests/forwarded.rs
+++ b/crates/control-plane/tests/forwarded.rs
@@ -16,7 +16,7 @@
 /// Only a hang takes as long.
 const LONG: Duration = Duration::from_secs(20);
 
-fn hail(name: &str, address: SocketAddr) -> Hello {
+fn hello(name: &str, address: SocketAddr) -> Hello {
     Hello {
         name: name.into(),
         life: 1,
@@ -33,7 +33,7 @@
     let (peers, calls) = (listener().await, listener().await);
     let addresses = (peers.local_addr().expect("an address"), calls.local_addr().expect("an address"));
     let settings = ControlPlaneSettings {
-        me: hail("m1", addresses.0),
+        me: hello("m1", addresses.0),
         address: addresses.0,
         seeds: vec![leader],
         beat_interval: 500,
@@ -51,10 +51,10 @@
         numbers.set(numbers.get() + 1);
         numbers.get()
     });
-    let master = ControlPlane::new(settings, None, commands.clone(), numbers.clone());
+    let control_plane = ControlPlane::new(settings, None, commands.clone(), numbers.clone());
     spawn_local(control_plane::listen(peers, commands.clone(), move || numbers()));
     spawn_local(control_plane::serve(calls, commands, 16));
-    spawn_local(master.run(queue));
+    spawn_local(control_plane.run(queue));
     addresses
 }
 
@@ -110,7 +110,7 @@
         let (other, mut answers) = dial(peers, &config::Detours::default()).await.expect("a connection");
         other.send(&told(token, "of another connection"));
         // Once this is answered, what was sent before has been read.
-        other.send(&Message::Hello(hail("m2", peers)));
+        other.send(&Message::Hello(hello("m2", peers)));
         assert!(matches!(answers.next().await, Ok(Message::Welcome(_))));
         line.send(&told(token + 1, "of another call"));
         let second = spawn_local(read(calls));
--- a/crates/control-plane/tests/orders/drawn.rs
+++ b/crates/control-plane/tests/orders/drawn.rs
@@ -1,4 +1,4 @@
-//! Operators in drawn worlds: real nodes of the log with kills, lost disks, freezes and cuts, and the ledger as the
+//! Operators in drawn worlds: real nodes of the log with kills, lost disks, freezes and cuts, and the history as the
 //! state that their log makes. Copies of orders come late, to any machine.
 
 #[allow(dead_code, reason = "the log's own tests use the rest")]
@@ -23,7 +23,7 @@
 const DELAY: u64 = 600;
 /// How many answers of a hundred are lost.
 const LOST: u64 = 30;
-/// How many digests a ledger remembers.
+/// How many digests a history remembers.
 const REMEMBERED: u64 = 4096;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -71,17 +71,18 @@
 impl Operators {
     /// `before` versions are in place already.
     fn new(seed: u64, before: u64, plant: Plant) -> Self {
-        let mut ledger = ConfigHistory::default();
+        let mut config_history = ConfigHistory::default();
         let mut promises = Promises::default();
         for version in 1..=before {
             let digest = [0; 32];
-            ledger.apply(Place::default(), Change { base: version - 1, version, digest, body: vec![0] });
+            config_history
+                .apply(Place::default(), Change { base: version - 1, version, digest, body: vec![0] });
             promises.taken.push(Order::new(version - 1, version, 0));
         }
         Self {
             world: World::new(seed, VOTERS, Faults::default()),
             plant,
-            states: vec![Rc::new(ledger)],
+            states: vec![Rc::new(config_history)],
             verdicts: vec![None],
             orders: Vec::new(),
             copies: Vec::new(),
@@ -107,7 +108,7 @@
 
     /// Takes in what the log has committed. Each state is written to a snapshot and read again.
     fn commit(&mut self) {
-        while let Some((entry, _)) = self.world.ledger.get(&(self.states.len() as u64)) {
+        while let Some((entry, _)) = self.world.committed.get(&(self.states.len() as u64)) {
             let mut state = self.states.last().expect("the first").clone();
             let mut verdict = None;
             if let What::Change(bytes) = &entry.what
@@ -118,14 +119,14 @@
                     order.base == base && order.version == version && order.body() == change.body
                 };
                 let order = self.orders.iter().find(known).copied();
-                let mut ledger = ConfigHistory::clone(&state);
+                let mut config_history = ConfigHistory::clone(&state);
                 let at = Place { index: entry.index, epoch: entry.term };
-                let outcome = ledger.apply(at, change.clone());
+                let outcome = config_history.apply(at, change.clone());
                 if outcome == Verdict::Taken {
                     self.promises.taken.extend(order);
                 }
                 verdict = Some(outcome);
-                state = Rc::new(ConfigHistory::restore(&ledger.snapshot()).expect("what it wrote"));
+                state = Rc::new(ConfigHistory::restore(&config_history.snapshot()).expect("what it wrote"));
             }
             self.states.push(state);
             self.verdicts.push(verdict);
@@ -138,7 +139,7 @@
             let Accepted { host, index, term, sent } = accepted;
             if self.world.hosts[host].applied < index {
                 self.accepted.push(accepted);
-            } else if self.world.ledger[&index].0.term == term
+            } else if self.world.committed[&index].0.term == term
                 && let Some(verdict) = self.verdicts[index as usize]
             {
                 self.reply(sent, verdict);
--- a/crates/control-plane/tests/orders/main.rs
+++ b/crates/control-plane/tests/orders/main.rs
@@ -70,10 +70,11 @@
 fn an_order_that_an_earlier_program_took_is_acknowledged_though_it_is_invalid_now() {
     let body = br#"{"generation":"r2","route_table":{}}"#.to_vec();
     let (version, digest) = Config::identify(&body).expect("it is readable");
-    let mut ledger = ConfigHistory::default();
-    assert_eq!(decide(&ledger, 0, body.clone()).reply().map(|reply| reply.status), Some(400));
-    ledger.apply(Place::default(), Change { base: 0, version: version.0, digest, body: body.clone() });
-    assert_eq!(decide(&ledger, 0, body).reply().map(|reply| reply.status), Some(200));
+    let mut config_history = ConfigHistory::default();
+    assert_eq!(decide(&config_history, 0, body.clone()).reply().map(|reply| reply.status), Some(400));
+    config_history
+        .apply(Place::default(), Change { base: 0, version: version.0, digest, body: body.clone() });
+    assert_eq!(decide(&config_history, 0, body).reply().map(|reply| reply.status), Some(200));
     let other = br#"{"generation":"r2","route_table":{},"x":1}"#.to_vec();
-    assert_eq!(decide(&ledger, 0, other).reply().map(|reply| reply.status), Some(400));
+    assert_eq!(decide(&config_history, 0, other).reply().map(|reply| reply.status), Some(400));
 }
--- a/crates/control-plane/tests/orders/orders.rs
+++ b/crates/control-plane/tests/orders/orders.rs
@@ -43,8 +43,8 @@
     }
 
     /// What a leader with this state does with it.
-    pub fn decide(self, ledger: &ConfigHistory) -> Decision {
-        decide(ledger, self.base, self.body())
+    pub fn decide(self, config_history: &ConfigHistory) -> Decision {
+        decide(config_history, self.base, self.body())
     }
 }
 
@@ -93,10 +93,10 @@
     ///
     /// # Errors
     /// What was found.
-    pub fn check_leader(&self, ledger: &ConfigHistory, orders: &[Order]) -> Result<(), String> {
-        let current = ledger.version();
+    pub fn check_leader(&self, config_history: &ConfigHistory, orders: &[Order]) -> Result<(), String> {
+        let current = config_history.version();
         for order in orders {
-            let verdict = ledger.judge(order.base, order.version, &order.digest());
+            let verdict = config_history.judge(order.base, order.version, &order.digest());
             let proper = order.base == current && order.version > current;
             let right = match self.taken.contains(order) {
                 true => verdict == Verdict::TakenBefore,
--- a/crates/control-plane/tests/orders/world.rs
+++ b/crates/control-plane/tests/orders/world.rs
@@ -50,7 +50,7 @@
 /// A process that leads, or thinks so.
 #[derive(Clone, Debug, Default)]
 struct Leader {
-    ledger: ConfigHistory,
+    config_history: ConfigHistory,
     in_flight: Vec<usize>,
 }
 
@@ -87,7 +87,7 @@
         let mut hasher = DefaultHasher::new();
         (&self.copies, self.elections, &self.promises).hash(&mut hasher);
         for leader in [Some(&self.leader), self.former.as_ref()] {
-            leader.map(|leader| (leader.ledger.snapshot(), &leader.in_flight)).hash(&mut hasher);
+            leader.map(|leader| (leader.config_history.snapshot(), &leader.in_flight)).hash(&mut hasher);
         }
         hasher.finish()
     }
@@ -141,7 +141,7 @@
             Event::Elect(kept) => world.elect(kept),
         }
         world.promises.check()?;
-        world.promises.check_leader(&world.leader.ledger, &self.orders)?;
+        world.promises.check_leader(&world.leader.config_history, &self.orders)?;
         Ok((world, None))
     }
 
@@ -170,17 +170,17 @@
 
     fn decide(&self, order: Order, leader: &Leader) -> Decision {
         match self.plant {
-            Plant::AnyBase => decide(&leader.ledger, leader.ledger.version(), order.body()),
+            Plant::AnyBase => decide(&leader.config_history, leader.config_history.version(), order.body()),
             Plant::UncommittedState => {
-                let mut ledger = leader.ledger.clone();
+                let mut config_history = leader.config_history.clone();
                 for number in &leader.in_flight {
-                    self.apply(&mut ledger, *number);
+                    self.apply(&mut config_history, *number);
                 }
-                let decision = order.decide(&ledger);
+                let decision = order.decide(&config_history);
                 let refused = decision.reply().is_some_and(|reply| (400..500).contains(&reply.status));
-                if refused { decision } else { order.decide(&leader.ledger) }
+                if refused { decision } else { order.decide(&leader.config_history) }
             }
-            _ => order.decide(&leader.ledger),
+            _ => order.decide(&leader.config_history),
         }
     }
 
@@ -189,17 +189,17 @@
         if ahead && self.plant == Plant::AheadRefused { Reply::why(412, "planted") } else { reply }
     }
 
-    fn apply(&self, ledger: &mut ConfigHistory, number: usize) -> Verdict {
+    fn apply(&self, config_history: &mut ConfigHistory, number: usize) -> Verdict {
         let order = self.orders[number];
-        let base = if self.plant == Plant::AnyBase { ledger.version() } else { order.base };
+        let base = if self.plant == Plant::AnyBase { config_history.version() } else { order.base };
         let change = Change { base, version: order.version, digest: order.digest(), body: order.body() };
-        ledger.apply(Place::default(), change)
+        config_history.apply(Place::default(), change)
     }
 
     fn commit(&mut self, number: usize) -> Verdict {
-        let mut ledger = std::mem::take(&mut self.leader.ledger);
-        let verdict = self.apply(&mut ledger, number);
-        self.leader.ledger = ledger;
+        let mut config_history = std::mem::take(&mut self.leader.config_history);
+        let verdict = self.apply(&mut config_history, number);
+        self.leader.config_history = config_history;
         if verdict == Verdict::Taken {
             self.promises.taken.push(self.orders[number]);
         }
@@ -214,15 +214,16 @@
         for number in in_flight.into_iter().take(kept) {
             self.commit(number);
         }
-        let ledger = &mut self.leader.ledger;
+        let config_history = &mut self.leader.config_history;
         if self.plant == Plant::DigestsDropped
-            && let Some(body) = ledger.body()
+            && let Some(body) = config_history.body()
         {
-            let change = Change { base: 0, version: ledger.version(), digest: [0; 32], body: body.to_vec() };
-            *ledger = ConfigHistory::default();
-            ledger.apply(Place::default(), change);
+            let change =
+                Change { base: 0, version: config_history.version(), digest: [0; 32], body: body.to_vec() };
+            *config_history = ConfigHistory::default();
+            config_history.apply(Place::default(), change);
         }
-        let snapshot = ledger.snapshot();
-        self.leader.ledger = ConfigHistory::restore(&snapshot).expect("what it wrote");
+        let snapshot = config_history.snapshot();
+        self.leader.config_history = ConfigHistory::restore(&snapshot).expect("what it wrote");
     }
 }
--- a/crates/control-plane/tests/played/mod.rs
+++ b/crates/control-plane/tests/played/mod.rs
@@ -19,7 +19,7 @@
     /// Connects as a data plane.
     pub fn data_plane(to: SocketAddr, name: &str, incarnation: u64) -> Self {
         let mut played = Self::new(super::until(|| TcpStream::connect(to).ok()));
-        played.say(&Message::Hello(hail(name, incarnation, Plane::DataPlane)));
+        played.say(&Message::Hello(hello(name, incarnation, Plane::DataPlane)));
         played.say(&Message::Follow { have: Held::default() });
         played
     }
@@ -48,7 +48,7 @@
 }
 
 /// Who says that it connects.
-pub fn hail(name: &str, incarnation: u64, plane: Plane) -> Hello {
+pub fn hello(name: &str, incarnation: u64, plane: Plane) -> Hello {
     Hello {
         name: name.into(),
         life: incarnation,
--- a/crates/control-plane/tests/support/simulation.rs
+++ b/crates/control-plane/tests/support/simulation.rs
@@ -298,7 +298,7 @@
         let (line, frames) = channel(FRAMES);
         let number = self.network.number();
         let name = format!("data-plane-{process}");
-        let hail = Hello {
+        let hello = Hello {
             name,
             life: 1,
             plane: Plane::DataPlane,
@@ -310,7 +310,7 @@
         let commands = &self.commands[process];
         let _ = commands.send(Command::Opened { number, line: Line::over(line), dialed: None }).await;
         let follow = Message::Follow { have: protocol::Held::default() };
-        for flag in [Message::Hello(hail), follow] {
+        for flag in [Message::Hello(hello), follow] {
             let _ = commands.send(Command::Frame { number, flag }).await;
         }
         frames
@@ -352,10 +352,10 @@
         ways: config::Detours::default(),
     };
     let numbers = network.clone();
-    let master = ControlPlane::new(settings, log, commands.clone(), Rc::new(move || numbers.number()))
+    let control_plane = ControlPlane::new(settings, log, commands.clone(), Rc::new(move || numbers.number()))
         .with_connect(Rc::new(Dialer { own: process, network: network.clone() }))
         .with_faults(faults);
-    let inner = Box::pin(master.run(queue));
+    let inner = Box::pin(control_plane.run(queue));
     spawn_local(Freezable { process, network: network.clone(), inner });
     commands
 }
--- a/crates/data-plane/src/berths.rs
+++ b/crates/data-plane/src/backends.rs
@@ -63,10 +63,10 @@
     }
 
     /// Takes in a list or changes to it, and gives the lives that are told otherwise now.
-    pub fn update(&mut self, berths: &[Backend], whole: bool) -> Vec<(Name, Life)> {
+    pub fn update(&mut self, backends: &[Backend], whole: bool) -> Vec<(Name, Life)> {
         let mut changed = Vec::new();
         if whole {
-            let named: HashSet<&str> = berths.iter().map(|berth| &*berth.id).collect();
+            let named: HashSet<&str> = backends.iter().map(|backend| &*backend.id).collect();
             for (id, life) in &mut self.lives {
                 if life.phase != Phase::Gone && life.listed && !named.contains(&**id) {
                     // Not over: who has heard less may just not know of it.
@@ -76,8 +76,8 @@
             }
             changed.iter().for_each(|(id, _)| self.bury(id));
         }
-        for berth in berths {
-            changed.extend(self.hear(berth));
+        for backend in backends {
+            changed.extend(self.hear(backend));
         }
         for (id, told) in changed.iter_mut().filter(|(_, life)| life.works_on.is_some()) {
             told.started = self.spared_since(told);
@@ -86,46 +86,46 @@
         changed
     }
 
-    fn hear(&mut self, berth: &Backend) -> Option<(Name, Life)> {
-        let dial = self.ways.to(berth.address.parse().ok()?);
-        let Some(life) = self.lives.get_mut(&*berth.id) else {
-            let id = Name::from(&*berth.id);
+    fn hear(&mut self, backend: &Backend) -> Option<(Name, Life)> {
+        let dial = self.ways.to(backend.address.parse().ok()?);
+        let Some(life) = self.lives.get_mut(&*backend.id) else {
+            let id = Name::from(&*backend.id);
             let mut life = Life {
-                service: Name::from(&*berth.service),
-                zone: Name::from(&*berth.zone),
+                service: Name::from(&*backend.service),
+                zone: Name::from(&*backend.zone),
                 dial,
-                phase: berth.phase,
-                calls: berth.call_count,
-                overdue: berth.overdue,
+                phase: backend.phase,
+                calls: backend.call_count,
+                overdue: backend.overdue,
                 works_on: None,
-                warm_at: Instant::now() + Duration::from_millis(berth.warmup_left_ms.into()).min(COLD_TIME),
+                warm_at: Instant::now() + Duration::from_millis(backend.warmup_left_ms.into()).min(COLD_TIME),
                 started: None,
                 missed: None,
                 listed: true,
             };
             self.lives.insert(id.clone(), life.clone());
-            if berth.phase == Phase::Gone {
+            if backend.phase == Phase::Gone {
                 self.bury(&id);
             }
-            life.works_on = Some(berth.capacity);
+            life.works_on = Some(backend.capacity);
             return Some((id, life));
         };
         let (state, before) = (life.state(), life.clone());
         if life.phase == Phase::Gone {
             return None;
         }
-        life.phase = life.phase.max(berth.phase);
-        if berth.call_count >= life.calls {
-            life.overdue = berth.overdue;
+        life.phase = life.phase.max(backend.phase);
+        if backend.call_count >= life.calls {
+            life.overdue = backend.overdue;
             life.dial = dial;
         }
         life.listed = true;
-        if life.missed.is_some_and(|calls| calls < berth.call_count) {
+        if life.missed.is_some_and(|calls| calls < backend.call_count) {
             life.missed = None;
         }
-        life.calls = life.calls.max(berth.call_count);
+        life.calls = life.calls.max(backend.call_count);
         let told = life.state() != state || life.dial != before.dial || life.overdue != before.overdue;
-        let (id, life) = (Name::from(&*berth.id), life.clone());
+        let (id, life) = (Name::from(&*backend.id), life.clone());
         if life.phase == Phase::Gone {
             self.bury(&id);
         }
@@ -175,7 +175,7 @@
 mod tests {
     use super::*;
 
-    fn berth(id: &str, phase: Phase, call_count: u64) -> Backend {
+    fn backend(id: &str, phase: Phase, call_count: u64) -> Backend {
         Backend {
             id: id.into(),
             service: "s".into(),
@@ -190,27 +190,27 @@
         }
     }
 
-    fn told(lives: &mut Lives, berths: &[Backend], whole: bool) -> Vec<(String, BackendState)> {
-        lives.update(berths, whole).into_iter().map(|(id, life)| (id.to_string(), life.state())).collect()
+    fn told(lives: &mut Lives, backends: &[Backend], whole: bool) -> Vec<(String, BackendState)> {
+        lives.update(backends, whole).into_iter().map(|(id, life)| (id.to_string(), life.state())).collect()
     }
 
     #[test]
     fn a_phase_goes_forward_only_whatever_order_words_come_in() {
         let mut lives = Lives::default();
         let one = |state| vec![("a".to_owned(), state)];
-        assert_eq!(told(&mut lives, &[berth("a", Phase::Serving, 3)], false), one(BackendState::Ready));
-        assert_eq!(told(&mut lives, &[berth("a", Phase::Serving, 4)], false), []);
-        assert_eq!(told(&mut lives, &[berth("a", Phase::Draining, 2)], false), one(BackendState::Draining));
-        assert_eq!(told(&mut lives, &[berth("a", Phase::Serving, 9)], true), []);
-        assert_eq!(told(&mut lives, &[berth("a", Phase::Gone, 9)], false), one(BackendState::Gone));
-        assert_eq!(told(&mut lives, &[berth("a", Phase::Serving, 10)], true), []);
+        assert_eq!(told(&mut lives, &[backend("a", Phase::Serving, 3)], false), one(BackendState::Ready));
+        assert_eq!(told(&mut lives, &[backend("a", Phase::Serving, 4)], false), []);
+        assert_eq!(told(&mut lives, &[backend("a", Phase::Draining, 2)], false), one(BackendState::Draining));
+        assert_eq!(told(&mut lives, &[backend("a", Phase::Serving, 9)], true), []);
+        assert_eq!(told(&mut lives, &[backend("a", Phase::Gone, 9)], false), one(BackendState::Gone));
+        assert_eq!(told(&mut lives, &[backend("a", Phase::Serving, 10)], true), []);
         assert!(!lives.has("s"));
     }
 
     #[test]
     fn who_is_not_on_a_whole_list_is_out_until_it_is_named_again() {
         let mut lives = Lives::default();
-        let (a, b) = (berth("a", Phase::Serving, 1), berth("b", Phase::Draining, 1));
+        let (a, b) = (backend("a", Phase::Serving, 1), backend("b", Phase::Draining, 1));
         lives.update(&[a.clone(), b.clone()], true);
         let mut gone = told(&mut lives, &[], true);
         gone.sort_by(|a, b| a.0.cmp(&b.0));
@@ -222,15 +222,15 @@
 
     #[test]
     fn cold_backends_are_spared_while_most_are_warm() {
-        let cold = |id: &str| Backend { warmup_left_ms: 4000, ..berth(id, Phase::Serving, 1) };
-        let spared = |lives: &mut Lives, berths: &[Backend]| {
-            let changed = lives.update(berths, false).into_iter();
+        let cold = |id: &str| Backend { warmup_left_ms: 4000, ..backend(id, Phase::Serving, 1) };
+        let spared = |lives: &mut Lives, backends: &[Backend]| {
+            let changed = lives.update(backends, false).into_iter();
             changed.filter(|(_, life)| life.started.is_some()).count()
         };
         let mut lives = Lives::default();
         assert_eq!(spared(&mut lives, &[cold("a"), cold("b"), cold("c")]), 0, "a first start");
         let mut lives = Lives::default();
-        let warm = ["a", "b", "c"].map(|id| berth(id, Phase::Serving, 1));
+        let warm = ["a", "b", "c"].map(|id| backend(id, Phase::Serving, 1));
         assert_eq!(spared(&mut lives, &warm), 0);
         assert_eq!(spared(&mut lives, &[cold("d"), cold("e")]), 2, "a release");
         assert_eq!(spared(&mut lives, &[cold("f")]), 0);
@@ -240,7 +240,7 @@
     fn what_is_remembered_of_lives_that_are_over_is_bounded() {
         let mut lives = Lives::default();
         for n in 0..MOST_OVER + 50 {
-            lives.update(&[berth(&n.to_string(), Phase::Gone, 1)], false);
+            lives.update(&[backend(&n.to_string(), Phase::Gone, 1)], false);
         }
         assert_eq!(lives.lives.len(), MOST_OVER);
     }
--- a/crates/data-plane/src/quay.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -1,6 +1,6 @@
 //! The data plane's state: the configuration in force, the backends of each service, and who decides for it.
 
-use crate::berths::{COLD_TIME, Life, Lives};
+use crate::backends::{COLD_TIME, Life, Lives};
 use crate::front::Front;
 use crate::speech::Speech;
 use crate::watch::{Counts, Watch};
@@ -112,8 +112,8 @@
         Rc::new_cyclic(|me: &Weak<Self>| {
             let (watch, me) = (Watch::new(settings.log.clone()), me.clone());
             let gone = Box::new(move |id: &Name| {
-                if let Some(quay) = me.upgrade() {
-                    quay.missed(id);
+                if let Some(data_plane) = me.upgrade() {
+                    data_plane.missed(id);
                 }
             });
             let backends = Backends::new(
@@ -160,7 +160,7 @@
     }
 
     /// Takes in a list of backends or changes to it.
-    pub fn berths(&self, changes: &[Backend], whole: bool) {
+    pub fn backends(&self, changes: &[Backend], whole: bool) {
         let changed = self.lives.borrow_mut().update(changes, whole);
         self.tell(changed);
     }
@@ -374,19 +374,19 @@
     async fn remind(me: Weak<Self>) {
         loop {
             sleep(REMIND).await;
-            let Some(quay) = me.upgrade() else { return };
+            let Some(data_plane) = me.upgrade() else { return };
             let overdue: Vec<_> = {
-                let lives = quay.lives.borrow();
+                let lives = data_plane.lives.borrow();
                 let overdue =
                     lives.serving().filter(|(_, life)| life.overdue && life.phase == Phase::Serving);
                 overdue.map(|(id, life)| (id.clone(), life.service.clone())).collect()
             };
             for (backend, service) in overdue {
-                if let Some(service) = quay.service(&service) {
+                if let Some(service) = data_plane.service(&service) {
                     service.engine.post(Event::Word { backend, down: true });
                 }
             }
-            quay.forget();
+            data_plane.forget();
         }
     }
 
--- a/crates/data-plane/src/front.rs
+++ b/crates/data-plane/src/front.rs
@@ -1,9 +1,9 @@
 //! The clients' side: takes requests in, asks admission and the decisions, writes their answers, drains at the end.
 
+use crate::data_plane::{DataPlane, PLAN, Service};
 use crate::headers::ATTEMPT_ID;
 use crate::headers::KEEP_ALIVE;
 use crate::order::{Fault, Order};
-use crate::quay::{DataPlane, PLAN, Service};
 use crate::speech::Speech;
 use crate::watch::{Trail, Why};
 use crate::{Admission, Asked, Conf};
@@ -91,15 +91,16 @@
     }
 
     /// Serves clients until `end` resolves, then lets those finish that are there.
-    pub async fn serve(quay: &Rc<DataPlane>, listener: TcpListener, end: impl Future<Output = ()>) {
-        let hall = quay.front().hall.clone();
+    pub async fn serve(data_plane: &Rc<DataPlane>, listener: TcpListener, end: impl Future<Output = ()>) {
+        let hall = data_plane.front().hall.clone();
         let ended = async {
             end.await;
-            let (settings, now) = (quay.settings(), Instant::now());
+            let (settings, now) = (data_plane.settings(), Instant::now());
             let by = now + settings.grace - LAST_ANSWERS.min(settings.grace / 4);
             let linger = settings.linger.min(settings.grace / 2);
-            quay.ending(by);
-            quay.watch()
+            data_plane.ending(by);
+            data_plane
+                .watch()
                 .note("end", format_args!("ending: takes clients for {} ms more", linger.as_millis()));
             // The platform goes on to send clients here until it has missed this gateway twice. Who is here already
             // may hold a connection that it will not use again.
@@ -113,28 +114,28 @@
         let by = loop {
             tokio::select! {
                 by = ended.as_mut() => break by,
-                stream = hall.accept(&listener) => welcome(quay, stream),
+                stream = hall.accept(&listener) => welcome(data_plane, stream),
             }
         };
         // What the machine has accepted for us already is ours to answer.
         while let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
-            welcome(quay, stream);
+            welcome(data_plane, stream);
         }
         drop(listener);
         let mut quiet = Instant::now();
         while hall.guests() > 0 && quiet.elapsed() < LAST_WORDS && Instant::now() < by + LAST_ANSWERS / 2 {
             let _ = timeout(SEE_OFF, hall.left()).await;
             hall.see_off(LAST_CALL);
-            if quay.active() > 0 {
+            if data_plane.active() > 0 {
                 quiet = Instant::now();
             }
         }
-        quay.watch().note("end", format_args!("ended with {} connections left", hall.guests()));
+        data_plane.watch().note("end", format_args!("ended with {} connections left", hall.guests()));
     }
 }
 
-fn welcome(quay: &Rc<DataPlane>, stream: TcpStream) {
-    let conf = quay.conf();
+fn welcome(data_plane: &Rc<DataPlane>, stream: TcpStream) {
+    let conf = data_plane.conf();
     let limits = conf.as_ref().map(|conf| &conf.limits);
     let (idle, head) = limits.map_or((EARLY_LIMIT, EARLY_LIMIT), |l| (l.idle_timeout, l.header_wait));
     let (idle, head) = (idle.min(LONGEST_LIMIT), head.min(LONGEST_LIMIT));
@@ -142,19 +143,19 @@
     let keeps = idle.as_secs().saturating_sub(TOLD_LESS);
     let keeps = (keeps > 0).then(|| HeaderValue::from_str(&format!("timeout={keeps}")).ok()).flatten();
     give_up_after(&stream, CLIENT_DEAD_AFTER);
-    let (guest, hall) = (Guest::new(idle, head), quay.front().hall.clone());
+    let (guest, hall) = (Guest::new(idle, head), data_plane.front().hall.clone());
     let service = service_fn({
-        let (quay, guest) = (quay.clone(), guest.clone());
+        let (data_plane, guest) = (data_plane.clone(), guest.clone());
         move |request| {
-            let (quay, guest, keeps) = (quay.clone(), guest.clone(), keeps.clone());
+            let (data_plane, guest, keeps) = (data_plane.clone(), guest.clone(), keeps.clone());
             async move {
                 let busy = guest.asks();
                 let arrived = guest.read_at();
-                quay.figures().cost().asked();
-                let mut response = quay.answer(request, arrived).await;
+                data_plane.figures().cost().asked();
+                let mut response = data_plane.answer(request, arrived).await;
                 let headers = response.headers_mut();
                 // So that clients find another gateway, or make room for others here.
-                if quay.is_ending() || quay.front().hall.is_full() {
+                if data_plane.is_ending() || data_plane.front().hall.is_full() {
                     headers.insert(CONNECTION, HeaderValue::from_static("close"));
                 } else if let Some(keeps) = keeps.filter(|_| !headers.contains_key(CONNECTION)) {
                     headers.insert(KEEP_ALIVE, keeps);
--- a/crates/data-plane/src/purser.rs
+++ b/crates/data-plane/src/lease_client.rs
@@ -30,7 +30,7 @@
 impl LeaseClient {
     /// A cache that knows no tenants yet.
     pub fn start(seed: u64, send: Send) -> Rc<Self> {
-        let purser = Rc::new(Self {
+        let lease_client = Rc::new(Self {
             cache: RefCell::new(Cache::new(seed)),
             began: Instant::now(),
             requests: Cell::new(0),
@@ -38,8 +38,8 @@
             send,
             stir: Notify::new(),
         });
-        tokio::task::spawn_local(Self::run(Rc::downgrade(&purser)));
-        purser
+        tokio::task::spawn_local(Self::run(Rc::downgrade(&lease_client)));
+        lease_client
     }
 
     fn now(&self) -> f64 {
@@ -65,8 +65,8 @@
     }
 
     /// Who holds the counts from now on.
-    pub fn roster(&self, roster: &HolderAssignment) {
-        self.cache.borrow_mut().roster(roster);
+    pub fn assignment(&self, assignment: &HolderAssignment) {
+        self.cache.borrow_mut().assignment(assignment);
         self.stir.notify_one();
     }
 
@@ -111,17 +111,17 @@
 
     async fn run(me: Weak<Self>) {
         loop {
-            let Some(purser) = me.upgrade() else { return };
+            let Some(lease_client) = me.upgrade() else { return };
             let mut verdicts = Vec::new();
-            purser.cache.borrow_mut().tick(purser.now(), &mut verdicts);
-            purser.tell(verdicts);
-            purser.draw();
-            let due = purser.cache.borrow().next_due();
-            let due = due.map(|due| purser.began + span(due.max(purser.now() + 1.0)));
+            lease_client.cache.borrow_mut().tick(lease_client.now(), &mut verdicts);
+            lease_client.tell(verdicts);
+            lease_client.draw();
+            let due = lease_client.cache.borrow().next_due();
+            let due = due.map(|due| lease_client.began + span(due.max(lease_client.now() + 1.0)));
             let due = due.unwrap_or_else(|| Instant::now() + Duration::from_millis(500));
             tokio::select! {
                 () = sleep_until(due) => {}
-                () = purser.stir.notified() => {}
+                () = lease_client.stir.notified() => {}
             }
         }
     }
@@ -170,11 +170,12 @@
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let sent: Rc<Cell<u64>> = Rc::default();
             let number = sent.clone();
-            let purser = LeaseClient::start(1, Box::new(move |_, draw| number.replace(draw.number) == 0));
-            purser.fleet(3, true);
-            purser.quotas(vec![Quota { tenant: "t".into(), rate_per_s: 10.0, burst: 10.0 }]);
+            let lease_client =
+                LeaseClient::start(1, Box::new(move |_, draw| number.replace(draw.number) == 0));
+            lease_client.fleet(3, true);
+            lease_client.quotas(vec![Quota { tenant: "t".into(), rate_per_s: 10.0, burst: 10.0 }]);
             let wait = Duration::from_secs(60);
-            let Asked::Wait(word) = purser.ask("t", wait) else { panic!("no block is in hand") };
+            let Asked::Wait(word) = lease_client.ask("t", wait) else { panic!("no block is in hand") };
             drop(word);
             // The window's only unit.
             let share = Share {
@@ -185,9 +186,9 @@
                 ends_in: 60_000.0,
                 standing: Standing::Open,
             };
-            purser.granted(Grant { number: sent.get(), epoch: Epoch::first(1), shares: vec![share] });
-            assert!(matches!(purser.ask("t", wait), Asked::Granted));
-            assert!(matches!(purser.ask("t", wait), Asked::Refused { .. }));
+            lease_client.granted(Grant { number: sent.get(), epoch: Epoch::first(1), shares: vec![share] });
+            assert!(matches!(lease_client.ask("t", wait), Asked::Granted));
+            assert!(matches!(lease_client.ask("t", wait), Asked::Refused { .. }));
         });
     }
 }
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -11,20 +11,20 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod berths;
+mod backends;
+mod data_plane;
 mod front;
 mod headers;
+mod lease_client;
 mod order;
-mod purser;
-mod quay;
 mod readiness;
 mod speech;
 mod watch;
 
+pub use data_plane::DataPlane;
 #[doc(hidden)]
 pub use http_proxy::planted::Faults;
-pub use purser::LeaseClient;
-pub use quay::DataPlane;
+pub use lease_client::LeaseClient;
 
 use config::Detours;
 use std::fmt;
--- a/crates/data-plane/src/readiness.rs
+++ b/crates/data-plane/src/readiness.rs
@@ -25,19 +25,19 @@
 const BUFFER: usize = 8 * 1024;
 
 /// Answers for ever.
-pub async fn serve(quay: Rc<DataPlane>, listener: TcpListener) {
-    let hall = Hall::new(MOST, quay.figures().clone());
+pub async fn serve(data_plane: Rc<DataPlane>, listener: TcpListener) {
+    let hall = Hall::new(MOST, data_plane.figures().clone());
     loop {
         let stream = hall.accept(&listener).await;
-        let (quay, guest) = (quay.clone(), Guest::new(IDLE, IDLE));
+        let (data_plane, guest) = (data_plane.clone(), Guest::new(IDLE, IDLE));
         let service = service_fn({
             let guest = guest.clone();
             move |request: Request<Incoming>| {
                 let mut response = Response::new(Content::whole(Bytes::new(), Keep::default()));
-                if let Some((says, text)) = told(&quay, &request) {
+                if let Some((says, text)) = told(&data_plane, &request) {
                     response = Response::new(Content::whole(text.into(), Keep::default()));
                     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(says));
-                } else if !quay.is_ready() {
+                } else if !data_plane.is_ready() {
                     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
                 }
                 response.body_mut().keep.busy = Some(guest.asks());
@@ -49,13 +49,13 @@
 }
 
 /// What operators ask for, with its type; whoever asks for anything else asks for readiness.
-fn told(quay: &DataPlane, request: &Request<Incoming>) -> Option<(&'static str, String)> {
+fn told(data_plane: &DataPlane, request: &Request<Incoming>) -> Option<(&'static str, String)> {
     if request.method() != Method::GET {
         return None;
     }
-    let (name, watch) = (&quay.settings().name, quay.watch());
+    let (name, watch) = (&data_plane.settings().name, data_plane.watch());
     let value = match request.uri().path() {
-        "/metrics" => return Some((TEXT, quay.metrics())),
+        "/metrics" => return Some((TEXT, data_plane.metrics())),
         "/events" => {
             let about = request.uri().query().and_then(|query| query.strip_prefix("about="));
             let requests = watch.requests(None, if about.is_none() { NEWEST } else { 0 });
@@ -70,6 +70,6 @@
 }
 
 /// Starts answering; it ends with the process.
-pub fn start(quay: Rc<DataPlane>, listener: TcpListener) {
-    spawn(serve(quay, listener));
+pub fn start(data_plane: Rc<DataPlane>, listener: TcpListener) {
+    spawn(serve(data_plane, listener));
 }
--- a/crates/data-plane/src/watch.rs
+++ b/crates/data-plane/src/watch.rs
@@ -1,8 +1,8 @@
-//! What operators see of a quay: requests that did not go smoothly, what it noticed, and its counts. On the way of a
+//! What operators see of a data plane: requests that did not go smoothly, what it noticed, and its counts. On the way of a
 //! request that goes smoothly nothing is touched but counts.
 
+use crate::data_plane::{DataPlane, Service};
 use crate::order::Fault;
-use crate::quay::{DataPlane, Service};
 use crate::speech::Asking;
 use crate::{Line, Log};
 use doorcourse::{Name, Outcome};
@@ -126,7 +126,7 @@
     }
 }
 
-/// Keeps the records of a quay.
+/// Keeps the records of a data plane.
 pub struct Watch {
     began: Instant,
     log: Log,
@@ -277,9 +277,9 @@
     text.chars().take(LONGEST).collect::<String>().into()
 }
 
-/// One request on its way through the quay. Dropped without an end, its client has left.
+/// One request on its way through the data plane. Dropped without an end, its client has left.
 pub struct Trail<'q> {
-    quay: &'q DataPlane,
+    data_plane: &'q DataPlane,
     arrived: Instant,
     id: Option<HeaderValue>,
     ended: bool,
@@ -291,8 +291,8 @@
 }
 
 impl<'q> Trail<'q> {
-    pub fn new(quay: &'q DataPlane, arrived: Instant, id: Option<HeaderValue>) -> Self {
-        Self { quay, arrived, id, ended: false, ask: None, service: None, why: None }
+    pub fn new(data_plane: &'q DataPlane, arrived: Instant, id: Option<HeaderValue>) -> Self {
+        Self { data_plane, arrived, id, ended: false, ask: None, service: None, why: None }
     }
 
     /// It is answered like this.
@@ -303,7 +303,7 @@
 
     fn end(&mut self, status: u16, why: Why) {
         self.ended = true;
-        let (now, watch) = (Instant::now(), self.quay.watch());
+        let (now, watch) = (Instant::now(), self.data_plane.watch());
         let counts = self.service.as_ref().map_or(&watch.nowhere, |service| &service.counts);
         counts.add(why, now.saturating_duration_since(self.arrived));
         let ask = self.ask.as_deref();
@@ -325,7 +325,7 @@
     /// Metrics, as text.
     pub fn metrics(&self) -> String {
         let watch = self.watch();
-        let mut page = Page::of("quay", watch.began.elapsed().as_millis() as u64);
+        let mut page = Page::of("data-plane", watch.began.elapsed().as_millis() as u64);
         page.gauge("ready", "1 while new clients should come here", f64::from(u8::from(self.is_ready())));
         page.gauge("config_version", "Version in force here", watch.version.get() as f64);
         page.gauge("active_requests", "Requests that are taken and have not ended", self.active() as f64);
--- a/crates/data-plane/tests/answers/history.rs
+++ b/crates/data-plane/tests/answers/history.rs
@@ -152,16 +152,16 @@
             backends.push(Unruly::start(&format!("i-{number}"), random, history.clone()).await);
         }
         let world = World::start(usual(), &backends.iter().collect::<Vec<_>>()).await;
-        world.quay.plant(faults);
-        let quay = world.quay.clone();
-        let berths: Vec<Backend> = backends.iter().map(|backend| backend.berth.clone()).collect();
+        world.data_plane.plant(faults);
+        let data_plane = world.data_plane.clone();
+        let backends: Vec<Backend> = backends.iter().map(|backend| backend.backend.clone()).collect();
         let beats = spawn_local(async move {
             for call_count in (2..).step_by(2) {
                 sleep(BEATS).await;
                 // Whoever seems to be late and is heard again gets requests at once, whatever came from it before.
                 for (call_count, overdue) in [(call_count, true), (call_count + 1, false)] {
-                    let of = |berth: &Backend| Backend { call_count, overdue, ..berth.clone() };
-                    quay.berths(&berths.iter().map(of).collect::<Vec<_>>(), false);
+                    let of = |backend: &Backend| Backend { call_count, overdue, ..backend.clone() };
+                    data_plane.backends(&backends.iter().map(of).collect::<Vec<_>>(), false);
                 }
             }
         });
--- a/crates/data-plane/tests/forward.rs
+++ b/crates/data-plane/tests/forward.rs
@@ -87,7 +87,7 @@
         let backend = ScriptedBackend::start("i-1", "one", says_good).await;
         let world = World::start(usual(), &[&backend]).await;
         assert_eq!((world.ask(&request).await.status(), backend.count()), (status, 0));
-        assert_eq!(world.purser.asked.get(), 0, "nobody was asked for a unit");
+        assert_eq!(world.lease_client.asked.get(), 0, "nobody was asked for a unit");
     });
 }
 
@@ -127,14 +127,14 @@
         });
         let backend = backend.await;
         let world = World::start(usual(), &[&backend]).await;
-        world.purser.refuses.set(Some(Duration::from_millis(250)));
+        world.lease_client.refuses.set(Some(Duration::from_millis(250)));
         let reply = world.ask(&request("GET", "/p/x", "", "")).await;
         assert_eq!((reply.status(), reply.wait(), backend.count()), (429, Some(0.25), 0));
-        world.purser.later.set(Some(Err(Duration::from_millis(125))));
+        world.lease_client.later.set(Some(Err(Duration::from_millis(125))));
         assert_eq!(world.ask(&request("GET", "/p/x", "", "")).await.wait(), Some(0.125));
-        world.purser.later.set(Some(Ok(())));
+        world.lease_client.later.set(Some(Ok(())));
         let reply = world.ask(&request("GET", "/p/x", "", "")).await;
-        assert_eq!((reply.status(), world.purser.back.get()), (503, 1), "it never ran");
+        assert_eq!((reply.status(), world.lease_client.back.get()), (503, 1), "it never ran");
         assert!(reply.wait().is_some_and(|wait| (0.05..0.7).contains(&wait)), "{reply:?}");
     });
 }
@@ -235,8 +235,8 @@
         let mut client = Client::connect(world.front).await;
         let asked = request("GET", "/p/x", "", "");
         assert_eq!(client.ask(&asked).await.expect("an answer").status(), 200);
-        world.quay.configure(conf(5, &[route("p", "/p/", "pure", "two", "")]));
-        world.quay.configure(usual());
+        world.data_plane.configure(conf(5, &[route("p", "/p/", "pure", "two", "")]));
+        world.data_plane.configure(usual());
         assert_eq!(client.ask(&asked).await.expect("an answer").status(), 200);
         assert_eq!((one.count(), two.count()), (1, 1));
         assert_eq!(client.ask(&request("GET", "/e/x", "", "")).await.expect("an answer").status(), 404);
@@ -266,13 +266,13 @@
         }
         assert!((25..75).contains(&two.count()), "a quarter of 200: {}", two.count());
         let before = two.count();
-        world.quay.configure(split(2, [1, 0]));
+        world.data_plane.configure(split(2, [1, 0]));
         for _ in 0..10 {
             client.ask(&asked).await;
         }
         assert_eq!(two.count(), before);
-        world.quay.configure(split(3, [1, 1]));
-        world.quay.berths(&[one.told(protocol::Phase::Gone, 2)], false);
+        world.data_plane.configure(split(3, [1, 1]));
+        world.data_plane.backends(&[one.told(protocol::Phase::Gone, 2)], false);
         for _ in 0..10 {
             assert_eq!(client.ask(&asked).await.expect("an answer").status(), 200);
         }
@@ -291,9 +291,9 @@
         assert!((0.3..=0.5).contains(&reply.wait().expect("a time to come back")));
         let mut client = Client::connect(world.front).await;
         client.send(&request("GET", "/p/x", "", "")).await;
-        let asked = || world.quay.figures().cost().told()["requests"].as_u64();
+        let asked = || world.data_plane.figures().cost().told()["requests"].as_u64();
         until(|| asked() == Some(2)).await;
-        world.quay.configure(usual());
+        world.data_plane.configure(usual());
         assert_eq!(client.hear().await.expect("an answer").status(), 200);
     });
 }
--- a/crates/data-plane/tests/helper/mod.rs
+++ b/crates/data-plane/tests/helper/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins on loopback sockets: backends that do as they are told, a client, an admission, and the quay between.
+//! Stand-ins on loopback sockets: backends that do as they are told, a client, an admission, and the data plane between.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -19,7 +19,7 @@
 /// Only a hang takes as long.
 const LONG: Duration = Duration::from_secs(20);
 
-/// Runs a test on one thread, as the quay runs.
+/// Runs a test on one thread, as the data plane runs.
 pub fn on_one_thread(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
@@ -138,7 +138,7 @@
 
 /// A backend.
 pub struct ScriptedBackend {
-    pub berth: Backend,
+    pub backend: Backend,
     pub heard: Rc<RefCell<Vec<Heard>>>,
     pub connections: Rc<Cell<usize>>,
 }
@@ -185,7 +185,7 @@
                 spawn_local(serve(stream, all.clone()));
             }
         });
-        let berth = Backend {
+        let backend = Backend {
             id: id.into(),
             service: service.into(),
             address,
@@ -197,7 +197,7 @@
             call_count: 1,
             overdue: false,
         };
-        Self { berth, heard, connections }
+        Self { backend, heard, connections }
     }
 
     pub fn count(&self) -> usize {
@@ -209,7 +209,7 @@
     }
 
     pub fn told(&self, phase: Phase, call_count: u64) -> Backend {
-        Backend { phase, call_count, ..self.berth.clone() }
+        Backend { phase, call_count, ..self.backend.clone() }
     }
 }
 
@@ -271,10 +271,10 @@
     )
 }
 
-/// A quay that serves.
+/// A data plane that serves.
 pub struct World {
-    pub quay: Rc<DataPlane>,
-    pub purser: Rc<LeaseClient>,
+    pub data_plane: Rc<DataPlane>,
+    pub lease_client: Rc<LeaseClient>,
     pub front: SocketAddr,
     pub readiness: SocketAddr,
     pub end: Option<oneshot::Sender<()>>,
@@ -284,11 +284,11 @@
 impl World {
     pub async fn start(conf: Rc<Conf>, backends: &[&ScriptedBackend]) -> Self {
         let world = Self::blank(backends).await;
-        world.quay.configure(conf);
+        world.data_plane.configure(conf);
         world
     }
 
-    /// A quay that knows no configuration yet.
+    /// A data plane that knows no configuration yet.
     pub async fn blank(backends: &[&ScriptedBackend]) -> Self {
         let front = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let readiness = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -296,12 +296,14 @@
             (front.local_addr().expect("an address"), readiness.local_addr().expect("an address"));
         let mut settings = DataPlaneSettings::new(addresses.0, addresses.1, "z1", "q1");
         settings.linger = Duration::from_millis(100);
-        let purser = Rc::<LeaseClient>::default();
-        let quay = DataPlane::new(settings, purser.clone(), 7);
-        quay.berths(&backends.iter().map(|backend| backend.berth.clone()).collect::<Vec<_>>(), true);
+        let lease_client = Rc::<LeaseClient>::default();
+        let data_plane = DataPlane::new(settings, lease_client.clone(), 7);
+        data_plane
+            .backends(&backends.iter().map(|backend| backend.backend.clone()).collect::<Vec<_>>(), true);
         let (end, ended) = oneshot::channel::<()>();
-        let served = spawn_local(quay.clone().serve(front, readiness, async move { drop(ended.await) }));
-        Self { quay, purser, front: addresses.0, readiness: addresses.1, end: Some(end), served }
+        let served =
+            spawn_local(data_plane.clone().serve(front, readiness, async move { drop(ended.await) }));
+        Self { data_plane, lease_client, front: addresses.0, readiness: addresses.1, end: Some(end), served }
     }
 
     pub async fn ask(&self, request: &str) -> Heard {
--- a/crates/data-plane/tests/points.rs
+++ b/crates/data-plane/tests/points.rs
@@ -204,8 +204,8 @@
             assert_eq!(connections.get(), asked, "one connection for each request");
             // It is left out for a while after a failure, unless somebody says that it is well again.
             for (call_count, overdue) in [(2 * asked, true), (2 * asked + 1, false)] {
-                let berth = Backend { call_count, overdue, ..backend.berth.clone() };
-                world.quay.berths(&[berth], false);
+                let backend = Backend { call_count, overdue, ..backend.backend.clone() };
+                world.data_plane.backends(&[backend], false);
             }
         }
     });
--- a/crates/data-plane/tests/tries.rs
+++ b/crates/data-plane/tests/tries.rs
@@ -111,22 +111,22 @@
 #[test]
 fn who_is_not_who_was_meant_is_left_out_until_a_newer_word() {
     on_one_thread(async {
-        let stranger = ScriptedBackend::start("i-1", "one", |heard| {
+        let learner = ScriptedBackend::start("i-1", "one", |heard| {
             Do::Say(other(heard, "421 Misdirected Request", "X-Instance-Id: i-7\r\n"))
         });
-        let stranger = stranger.await;
-        let world = World::start(usual(), &[&stranger]).await;
+        let learner = learner.await;
+        let world = World::start(usual(), &[&learner]).await;
         let asked = request("POST", "/e/x", "", "b");
-        assert_eq!((world.ask(&asked).await.status(), stranger.count()), (503, 1));
+        assert_eq!((world.ask(&asked).await.status(), learner.count()), (503, 1));
         let right = ScriptedBackend::start("i-2", "one", says_good).await;
-        world.quay.berths(&[right.berth.clone(), stranger.berth.clone()], false);
+        world.data_plane.backends(&[right.backend.clone(), learner.backend.clone()], false);
         for _ in 0..4 {
             assert_eq!(world.ask(&asked).await.status(), 200);
         }
-        assert_eq!(stranger.count(), 1);
-        world.quay.berths(&[stranger.told(Phase::Serving, 2), right.told(Phase::Draining, 2)], false);
+        assert_eq!(learner.count(), 1);
+        world.data_plane.backends(&[learner.told(Phase::Serving, 2), right.told(Phase::Draining, 2)], false);
         world.ask(&asked).await;
-        assert_eq!(stranger.count(), 2);
+        assert_eq!(learner.count(), 2);
     });
 }
 
@@ -144,9 +144,9 @@
         client.send(&request("POST", "/e/x", "", "b")).await;
         until(|| one.count() == 1).await;
         let two = ScriptedBackend::start("i-2", "one", says_good).await;
-        world.quay.berths(&[one.told(Phase::Draining, 2), two.berth.clone()], false);
+        world.data_plane.backends(&[one.told(Phase::Draining, 2), two.backend.clone()], false);
         // Whoever has heard less takes nothing back.
-        world.quay.berths(&[one.berth.clone(), two.berth.clone()], true);
+        world.data_plane.backends(&[one.backend.clone(), two.backend.clone()], true);
         for _ in 0..3 {
             assert_eq!(world.ask(&request("POST", "/e/x", "", "b")).await.status(), 200);
         }
@@ -174,7 +174,7 @@
         client.send(&request("POST", "/e/slow", "", "b")).await;
         until(|| backend.count() == 1).await;
         drop(world.end.take());
-        until(|| !world.quay.is_ready()).await;
+        until(|| !world.data_plane.is_ready()).await;
         assert_eq!(platform.ask(ready).await.expect("an answer").status(), 503);
         let reply = world.ask(&request("POST", "/e/quick", "", "b")).await;
         assert_eq!((reply.status(), reply.header("connection")), (200, Some("close")));
@@ -193,15 +193,15 @@
 #[test]
 fn where_nobody_listens_nothing_ran() {
     on_one_thread(async {
-        let mut dead = ScriptedBackend::start("i-1", "one", says_good).await.berth;
+        let mut dead = ScriptedBackend::start("i-1", "one", says_good).await.backend;
         let free = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
         dead.address = free.to_string();
         let world = World::start(usual(), &[]).await;
-        world.quay.berths(std::slice::from_ref(&dead), true);
+        world.data_plane.backends(std::slice::from_ref(&dead), true);
         let reply = world.ask(&request("POST", "/e/x", "", "b")).await;
         assert!(reply.status() == 503 && reply.wait().is_some(), "{reply:?}");
         let right = ScriptedBackend::start("i-2", "one", says_good).await;
-        world.quay.berths(std::slice::from_ref(&right.berth), false);
+        world.data_plane.backends(std::slice::from_ref(&right.backend), false);
         for _ in 0..4 {
             assert_eq!(world.ask(&request("POST", "/e/x", "", "b")).await.status(), 200);
         }
@@ -212,7 +212,7 @@
 fn without_room_the_refusal_comes_early_and_the_unit_goes_back() {
     on_one_thread(async {
         let mut backend = ScriptedBackend::start("i-1", "one", |_| Do::Hang).await;
-        backend.berth.capacity = 1;
+        backend.backend.capacity = 1;
         let world = World::start(usual(), &[&backend]).await;
         let mut out = Vec::new();
         for n in 1..=2 {
@@ -225,15 +225,18 @@
         let reply = world.ask(&request("POST", "/e/x", "", "b")).await;
         assert!(reply.status() == 503 && reply.wait().is_some(), "{reply:?}");
         assert!(begun.elapsed().as_millis() < 600, "well within the goal of 1,000 ms");
-        assert_eq!((backend.count(), world.purser.asked.get(), world.purser.back.get()), (2, 3, 1));
+        assert_eq!(
+            (backend.count(), world.lease_client.asked.get(), world.lease_client.back.get()),
+            (2, 3, 1)
+        );
         // Whoever leaves while waiting takes nothing along, whoever leaves what runs does.
         let mut client = Client::connect(world.front).await;
         client.send(&request("POST", "/e/x", "", "b")).await;
-        until(|| world.purser.asked.get() == 4).await;
+        until(|| world.lease_client.asked.get() == 4).await;
         drop(client);
-        until(|| world.purser.back.get() == 2).await;
+        until(|| world.lease_client.back.get() == 2).await;
         drop(out);
-        until(|| world.quay.active() == 0).await;
-        assert_eq!((backend.count(), world.purser.back.get()), (2, 2));
+        until(|| world.data_plane.active() == 0).await;
+        assert_eq!((backend.count(), world.lease_client.back.get()), (2, 2));
     });
 }
--- a/crates/failure-detector/src/keeper.rs
+++ b/crates/failure-detector/src/keeper.rs
@@ -24,7 +24,7 @@
 /// Who was heard within this is vouched for.
 const VOUCHED: Millis = 1000;
 /// Who has heard nobody at all for this long doubts itself, and nobody else.
-const ADRIFT: Millis = 1000;
+const ISOLATED: Millis = 1000;
 /// A step that comes so much late has slept through what the others said: it proves nothing about them.
 const LATE: Millis = 700;
 /// Who has slept for very long listens to nothing for this long: what waited for it is read in that time.
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Standing {
     /// Whether it hears nobody, and so judges nobody.
-    pub adrift: bool,
+    pub isolated: bool,
     /// How many it holds to be here, itself included.
     pub here: usize,
     /// Names of those that it watches, the time since each was heard, and whether it is doubted.
@@ -99,7 +99,7 @@
     began: Millis,
     stepped: Millis,
     heard: Millis,
-    ashore: Option<Millis>,
+    in_contact: Option<Millis>,
     drifting: Option<Millis>,
     strayed: Millis,
     /// Datagrams are not listened to before.
@@ -133,7 +133,7 @@
             began,
             stepped: began,
             heard: now,
-            ashore: None,
+            in_contact: None,
             drifting: None,
             strayed: 0,
             deaf_until: 0,
@@ -169,7 +169,7 @@
     }
 
     /// Whether this process hears nobody, and so judges nobody.
-    pub fn is_adrift(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         self.drifting.is_some()
     }
 
@@ -180,7 +180,7 @@
             let name = self.view.get(*mark)?.card.name.clone();
             Some((name, now.saturating_sub(charge.heard), self.doubts(charge, now)))
         });
-        Standing { adrift: self.is_adrift(), here: self.view.here(), watched: watched.collect() }
+        Standing { isolated: self.is_isolated(), here: self.view.here(), watched: watched.collect() }
     }
 
     /// The settings name other seeds.
@@ -189,8 +189,8 @@
     }
 
     /// The host has heard another machine by other means: a process that is the last of two may judge then.
-    pub fn ashore(&mut self, now: Millis) {
-        self.ashore = Some(now);
+    pub fn in_contact(&mut self, now: Millis) {
+        self.in_contact = Some(now);
     }
 
     /// The process ends: says so to those that watch it and those it watches.
@@ -263,10 +263,10 @@
     }
 
     fn look_out(&mut self, now: Millis) {
-        let silent = now > self.heard + ADRIFT && self.view.here() > 1;
-        let ashore = self.view.here() == 2 && self.ashore.is_some_and(|at| now < at + ADRIFT);
+        let silent = now > self.heard + ISOLATED && self.view.here() > 1;
+        let in_contact = self.view.here() == 2 && self.in_contact.is_some_and(|at| now < at + ISOLATED);
         match self.drifting {
-            None if silent && !ashore => self.drifting = Some(now),
+            None if silent && !in_contact => self.drifting = Some(now),
             Some(since) if !silent => {
                 self.drifting = None;
                 self.restart(now);
--- a/crates/failure-detector/src/message.rs
+++ b/crates/failure-detector/src/message.rs
@@ -46,7 +46,7 @@
     /// The name of its machine.
     pub name: String,
     /// Whether it carries requests.
-    pub quay: bool,
+    pub data_plane: bool,
     /// Drawn at its start: tells one life of a process from the next.
     pub life: u64,
 }
--- a/crates/failure-detector/src/trials.rs
+++ b/crates/failure-detector/src/trials.rs
@@ -143,7 +143,7 @@
         }
         world.run(20_000);
         if let Some(machine) = world.machines.get_mut(alone) {
-            assert!(machine.keeper.is_adrift());
+            assert!(machine.keeper.is_isolated());
             machine.cut.clear();
         }
     };
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_harbour_that_starts_at_once_knows_itself_by_its_seeds() {
+fn a_fleet_that_starts_at_once_knows_itself_by_its_seeds() {
     for (size, seeds) in [(13, 20 * times()), (85, 2 * times()), (1000, large())] {
         let mut spans = Vec::new();
         for seed in 0..seeds {
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn neither_what_a_node_spends_nor_how_long_a_death_takes_grows_with_the_harbour() {
+fn neither_what_a_node_spends_nor_how_long_a_death_takes_grows_with_the_fleet() {
     let spent = |size: usize| {
         let mut world = World::new(size, 3, true, 7, Planted::default());
         world.run(2000);
@@ -258,7 +258,12 @@
 /// Takes the same words in two orders, with repeats; whether both end with the same view.
 fn order_does_not_matter(takes_older: bool, seed: u64) -> bool {
     let word = |drawn: u64| Word {
-        card: Card { at: mark(drawn as usize % 3), name: String::new(), quay: true, life: drawn / 3 % 4 },
+        card: Card {
+            at: mark(drawn as usize % 3),
+            name: String::new(),
+            data_plane: true,
+            life: drawn / 3 % 4,
+        },
         incarnation: (drawn / 16 % 4) as u32,
         state: [State::Here, State::Dead, State::Left][(drawn / 64 % 3) as usize],
     };
--- a/crates/failure-detector/src/world.rs
+++ b/crates/failure-detector/src/world.rs
@@ -124,7 +124,7 @@
 
     fn keeper(&mut self, number: usize) -> Keeper {
         let life = self.draw();
-        let card = Card { at: mark(number), name: format!("edge-hall-{number}"), quay: true, life };
+        let card = Card { at: mark(number), name: format!("edge-hall-{number}"), data_plane: true, life };
         let mut keeper = Keeper::new(card, seeds(), self.draw(), self.now);
         keeper.plant(self.planted);
         keeper
--- a/crates/observability/src/page.rs
+++ b/crates/observability/src/page.rs
@@ -151,17 +151,17 @@
 
     #[test]
     fn a_page_is_bounded_and_adds_up() {
-        let mut page = Page::of("quay", 1500);
+        let mut page = Page::of("data-plane", 1500);
         let rows = (0..MOST_ROWS + 40).map(|n| (vec![("service", format!("s{n}"))], 1));
         page.counters("requests", "Requests", rows.chain([(vec![("service", "s0".to_owned())], 1)]));
         page.histogram("answer_seconds", "Time", &[0.1, 1.0], &[2, 1, 1], 9.5);
         let text = page.text();
         for line in [
-            "reachlb_up_seconds{plane=\"quay\"} 1.5",
-            "reachlb_requests_total{plane=\"quay\",service=\"s0\"} 2",
-            "reachlb_requests_total{plane=\"quay\",service=\"other\"} 40",
-            "reachlb_answer_seconds_bucket{plane=\"quay\",le=\"1.0\"} 3",
-            "reachlb_answer_seconds_bucket{plane=\"quay\",le=\"+Inf\"} 4",
+            "reachlb_up_seconds{plane=\"data-plane\"} 1.5",
+            "reachlb_requests_total{plane=\"data-plane\",service=\"s0\"} 2",
+            "reachlb_requests_total{plane=\"data-plane\",service=\"other\"} 40",
+            "reachlb_answer_seconds_bucket{plane=\"data-plane\",le=\"1.0\"} 3",
+            "reachlb_answer_seconds_bucket{plane=\"data-plane\",le=\"+Inf\"} 4",
             "# EOF",
         ] {
             assert!(text.lines().any(|known| known == line), "{line} in {text}");
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,7 +1,7 @@
 //! What the system's own processes say to each other: messages and their frames.
 //!
 //! A frame is four bytes of length (big-endian, of what follows) and one message in `bitcode`. Whoever reads one that is
-//! too long or can't be decoded closes the connection: all processes of a harbour run one version or its neighbours.
+//! too long or can't be decoded closes the connection: all processes of a fleet run one version or its neighbours.
 //! Times in messages are spans in milliseconds, never points of a clock: no two machines share one.
 
 #![forbid(unsafe_code)]
@@ -180,7 +180,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// What a process that serves control says of the harbour at this moment.
+/// What a process that serves control says of the fleet at this moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Heartbeat {
     /// Where the leader of the log takes connections, as far as the sender knows.
@@ -195,7 +195,7 @@
     pub fresh: bool,
     /// The newest version that the sender has.
     pub version: u64,
-    /// How many quays there are.
+    /// How many data planes there are.
     pub fleet: u32,
     /// Which of them, from 0, the receiver is.
     pub number: u32,
@@ -245,7 +245,7 @@
         /// Whether there are no others.
         whole: bool,
         /// The backends.
-        berths: Vec<Backend>,
+        backends: Vec<Backend>,
     },
     /// Backends that have been heard since the last such word: id and number of calls.
     Heard(Vec<(String, u64)>),
@@ -253,12 +253,12 @@
     DataPlanes(Vec<(String, u64)>),
     /// How things stand.
     Heartbeat(Heartbeat),
-    /// A quay can reach a holder of counts, and has nothing to ask.
+    /// A data plane can reach a holder of counts, and has nothing to ask.
     Here {
         /// The newest assignment that it has heard of.
         epoch: quota::Epoch,
     },
-    /// A quay wants units of tenants.
+    /// A data plane wants units of tenants.
     LeaseRequest(quota::LeaseRequest),
     /// It gets them.
     Grant(quota::Grant),
@@ -267,7 +267,7 @@
         /// The number of the draw.
         number: u64,
     },
-    /// A master asks the leader for a lease of its counts, or offers to hold some.
+    /// A control plane asks the leader for a lease of its counts, or offers to hold some.
     Offer {
         /// Chosen by the asker, each higher than the last.
         number: u64,
@@ -281,13 +281,13 @@
         /// The offer's number.
         number: u64,
         /// The assignment.
-        roster: quota::HolderAssignment,
+        assignment: quota::HolderAssignment,
         /// The span of the lease, in ms from when the offer was sent; 0 for none.
         ends_in: f64,
     },
     /// The leader has made an assignment.
     HolderAssignment(quota::HolderAssignment),
-    /// A master gives counts up to another one.
+    /// A control plane gives counts up to another one.
     Handover(quota::Handover),
     /// A call of the operator for the leader.
     Ask {
--- a/crates/protocol/src/relay.rs
+++ b/crates/protocol/src/relay.rs
@@ -18,7 +18,7 @@
     /// Which changes these are.
     pub mark: Mark,
     /// The backends.
-    pub berths: Vec<Backend>,
+    pub backends: Vec<Backend>,
 }
 
 /// A relay that can take followers.
@@ -63,7 +63,7 @@
         mark: Mark,
         /// The newest configuration that the sender has.
         version: u64,
-        /// What the root says of the harbour; the receiver's own number is not in it.
+        /// What the root says of the fleet; the receiver's own number is not in it.
         told: crate::Heartbeat,
     },
     /// Down: where roots take connections.
--- a/crates/quota/src/cache.rs
+++ b/crates/quota/src/cache.rs
@@ -116,7 +116,7 @@
     seed: u64,
     numbers: u64,
     epoch: Epoch,
-    roster: HolderAssignment,
+    assignment: HolderAssignment,
     /// The holders, in the order of the assignment; never empty.
     sources: Vec<Source>,
     last_word: Option<Millis>,
@@ -136,7 +136,7 @@
             seed,
             numbers: 0,
             epoch: Epoch::default(),
-            roster: HolderAssignment::default(),
+            assignment: HolderAssignment::default(),
             sources: vec![Source::new("")],
             last_word: None,
             ignores_epoch: false,
@@ -153,7 +153,7 @@
             let mut tenant =
                 old.remove(&quota.tenant).unwrap_or_else(|| Tenant { demand_from: now, ..Tenant::default() });
             tenant.terms = Terms::of(&quota);
-            tenant.source = self.roster.place_of(&quota.tenant).unwrap_or(0);
+            tenant.source = self.assignment.place_of(&quota.tenant).unwrap_or(0);
             tenant.burst = quota.burst.max(0.0);
             self.tenants.insert(quota.tenant, tenant);
         }
@@ -166,14 +166,14 @@
 
     /// Takes an assignment: who holds what, unless it is an older one. Draws on their way to others are given up, and
     /// grants of an older epoch refused from now on.
-    pub fn roster(&mut self, roster: &HolderAssignment) {
-        if roster.epoch < self.epoch || roster.holders.is_empty() || *roster == self.roster {
+    pub fn assignment(&mut self, assignment: &HolderAssignment) {
+        if assignment.epoch < self.epoch || assignment.holders.is_empty() || *assignment == self.assignment {
             return;
         }
-        self.turn(roster.epoch);
+        self.turn(assignment.epoch);
         let old = std::mem::take(&mut self.sources);
         let mut old: Vec<Option<Source>> = old.into_iter().map(Some).collect();
-        for name in &roster.holders {
+        for name in &assignment.holders {
             let kept =
                 old.iter_mut().find(|s| s.as_ref().is_some_and(|s| *s.name == **name)).and_then(Option::take);
             self.sources.push(kept.unwrap_or_else(|| Source::new(name)));
@@ -183,16 +183,16 @@
                 self.free_flights(number);
             }
         }
-        self.roster = roster.clone();
+        self.assignment = assignment.clone();
         for (name, t) in &mut self.tenants {
-            t.source = roster.place_of(name).unwrap_or(0);
+            t.source = assignment.place_of(name).unwrap_or(0);
             t.later_until = 0.0;
         }
     }
 
     /// The newest assignment that it was told.
     pub fn holders(&self) -> &HolderAssignment {
-        &self.roster
+        &self.assignment
     }
 
     #[doc(hidden)]
@@ -490,7 +490,7 @@
 
     fn may_slice(&self, now: Millis) -> bool {
         // Who has heard of a newer assignment than it knows may spend slices of a count that grants elsewhere.
-        let knows = self.roster.epoch >= self.epoch || self.roster.holders.is_empty();
+        let knows = self.assignment.epoch >= self.epoch || self.assignment.holders.is_empty();
         knows && self.last_word.is_some_and(|at| now < at + SLICES_FOR)
     }
 
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -8,24 +8,24 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod assignment;
 mod cache;
 mod floor;
 mod holder;
-mod office;
 mod placer;
-mod roster;
+mod quota_service;
 mod silence_charges;
 mod source;
 mod terms;
 
+pub use assignment::{Epoch, HolderAssignment};
 pub use cache::{Cache, TenantFigures, Verdict};
 pub use floor::Floor;
 pub use holder::{CountFigures, QuotaHolder};
-#[doc(hidden)]
-pub use office::Faults;
-pub use office::{Handed, Handover, QuotaService};
 pub use placer::{HOLDERS_MOST, LOST, Placer};
-pub use roster::{Epoch, HolderAssignment};
+#[doc(hidden)]
+pub use quota_service::Faults;
+pub use quota_service::{Handed, Handover, QuotaService};
 pub use terms::{Quota, Terms};
 
 use bitcode::{Decode, Encode};
--- a/crates/quota/src/placer.rs
+++ b/crates/quota/src/placer.rs
@@ -32,7 +32,7 @@
     me: String,
     /// One holder bears this many draws a second.
     bears: f64,
-    roster: HolderAssignment,
+    assignment: HolderAssignment,
     changed: Millis,
     candidates: BTreeMap<String, Candidate>,
 }
@@ -42,13 +42,19 @@
     /// share them out: each further holder costs every gateway a message each window, so few draws are better left
     /// together. With infinity it holds them alone for good.
     pub fn new(me: &str, term: u64, now: Millis, bears: f64) -> Self {
-        let roster = HolderAssignment { epoch: Epoch::first(term), holders: vec![me.to_owned()] };
-        Self { me: me.to_owned(), bears: bears.max(1.0), roster, changed: now, candidates: BTreeMap::new() }
+        let assignment = HolderAssignment { epoch: Epoch::first(term), holders: vec![me.to_owned()] };
+        Self {
+            me: me.to_owned(),
+            bears: bears.max(1.0),
+            assignment,
+            changed: now,
+            candidates: BTreeMap::new(),
+        }
     }
 
     /// The present assignment.
-    pub fn roster(&self) -> &HolderAssignment {
-        &self.roster
+    pub fn assignment(&self) -> &HolderAssignment {
+        &self.assignment
     }
 
     /// Another process asks for its lease, or offers itself. `answered` is the highest number of its asks that it has
@@ -68,22 +74,22 @@
             let known = Candidate { since: now, heard: now, answered, draws };
             self.candidates.insert(name.to_owned(), known);
         }
-        self.roster.has(name)
+        self.assignment.has(name)
     }
 
     /// Looks after the assignment; `draws` is how many the leader itself answers a second. Whether it changed.
     pub fn tend(&mut self, now: Millis, draws: f64) -> bool {
         self.candidates.retain(|_, known| now < known.heard + 2.0 * STEADY);
         let me = &self.me;
-        let before = self.roster.holders.len();
+        let before = self.assignment.holders.len();
         let lost = |name: &String| self.candidates.get(name).is_none_or(|known| now > known.heard + LOST);
-        self.roster.holders.retain(|name| name == me || !lost(name));
-        let mut changed = self.roster.holders.len() != before;
+        self.assignment.holders.retain(|name| name == me || !lost(name));
+        let mut changed = self.assignment.holders.len() != before;
         if !changed && now > self.changed + PACE {
             changed = self.fit(now, draws);
         }
         if changed {
-            self.roster.epoch.number += 1;
+            self.assignment.epoch.number += 1;
             self.changed = now;
             // Whoever becomes a deputy asks from now on much more often than it offered itself.
             for known in self.candidates.values_mut().filter(|known| now < known.heard + STEADY * 0.5) {
@@ -95,27 +101,29 @@
 
     /// Brings the number of holders nearer to what the draws need.
     fn fit(&mut self, now: Millis, draws: f64) -> bool {
-        let deputies = self.roster.holders.iter().filter_map(|name| self.candidates.get(name));
+        let deputies = self.assignment.holders.iter().filter_map(|name| self.candidates.get(name));
         let draws = draws + deputies.map(|known| known.draws).sum::<f64>();
-        let have = self.roster.holders.len();
+        let have = self.assignment.holders.len();
         if draws > self.bears * have as f64 && have < HOLDERS_MOST {
             let need = (draws / self.bears).ceil() as usize;
             let fresh: Vec<String> = self
                 .candidates
                 .iter()
                 .filter(|(name, known)| {
-                    !self.roster.has(name) && now > known.since + STEADY && now < known.heard + STEADY * 0.5
+                    !self.assignment.has(name)
+                        && now > known.since + STEADY
+                        && now < known.heard + STEADY * 0.5
                 })
                 .map(|(name, _)| name.clone())
                 .take(need.min(HOLDERS_MOST) - have)
                 .collect();
             let any = !fresh.is_empty();
-            self.roster.holders.extend(fresh);
+            self.assignment.holders.extend(fresh);
             return any;
         }
         if have > 1 && draws < self.bears * SLACK * (have - 1) as f64 {
-            let last = self.roster.holders.iter().rposition(|name| *name != self.me);
-            last.map(|at| self.roster.holders.remove(at));
+            let last = self.assignment.holders.iter().rposition(|name| *name != self.me);
+            last.map(|at| self.assignment.holders.remove(at));
             return last.is_some();
         }
         false
--- a/crates/quota/src/office.rs
+++ b/crates/quota/src/quota_service.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Handover {
     /// The assignment by which they move: it may be news to the next holder.
-    pub roster: HolderAssignment,
+    pub assignment: HolderAssignment,
     /// The gateways that the holder has heard, and how long ago.
     pub heard: Vec<(String, Millis)>,
     /// The counts.
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct QuotaService {
     me: String,
-    roster: HolderAssignment,
+    assignment: HolderAssignment,
     lease_until: Millis,
     holder: Option<QuotaHolder>,
     quotas: Vec<Quota>,
@@ -65,7 +65,7 @@
     pub fn new(me: &str) -> Self {
         Self {
             me: me.to_owned(),
-            roster: HolderAssignment::default(),
+            assignment: HolderAssignment::default(),
             lease_until: 0.0,
             holder: None,
             quotas: Vec::new(),
@@ -102,8 +102,8 @@
     }
 
     /// The newest assignment that this process has taken.
-    pub fn roster(&self) -> &HolderAssignment {
-        &self.roster
+    pub fn assignment(&self) -> &HolderAssignment {
+        &self.assignment
     }
 
     /// The counts, if this process has any.
@@ -113,32 +113,34 @@
 
     /// Takes an assignment; older ones and the present one change nothing. Counts that go to others are given up at
     /// once; what their new holders are to be told comes back, with their names. `first` says that no holder was there
-    /// before in the life of the harbour.
-    pub fn assume(&mut self, now: Millis, roster: &HolderAssignment, first: bool) -> Vec<(String, Handover)> {
-        if roster.epoch <= self.roster.epoch {
+    /// before in the life of the fleet.
+    pub fn assume(
+        &mut self, now: Millis, assignment: &HolderAssignment, first: bool,
+    ) -> Vec<(String, Handover)> {
+        if assignment.epoch <= self.assignment.epoch {
             return Vec::new();
         }
-        let follows = roster.epoch.follows(self.roster.epoch);
-        self.roster = roster.clone();
+        let follows = assignment.epoch.follows(self.assignment.epoch);
+        self.assignment = assignment.clone();
         let mut told = Vec::new();
         // Whoever missed an assignment may have lost a count in it and got it back: it starts anew with all of them.
         let mut holder = self.holder.take().filter(|_| follows);
         if let Some(holder) = &mut holder {
             told = self.give_up(now, holder);
         }
-        if !roster.has(&self.me) {
+        if !assignment.has(&self.me) {
             return told;
         }
         // Leases of an older term have ended before another leader could be elected; those of this term's former
         // assignment have not.
-        let shut = if roster.epoch.number == 1 || self.faults.opens_at_once { 0.0 } else { LEASE_MOST };
-        let opens = first && roster.epoch.number == 1 || self.faults.opens_at_once;
+        let shut = if assignment.epoch.number == 1 || self.faults.opens_at_once { 0.0 } else { LEASE_MOST };
+        let opens = first && assignment.epoch.number == 1 || self.faults.opens_at_once;
         let mut holder = match holder {
             Some(mut holder) => {
-                holder.goes_on(now, roster.epoch, shut);
+                holder.goes_on(now, assignment.epoch, shut);
                 holder
             }
-            None => QuotaHolder::take_office(roster.epoch, opens, now, shut),
+            None => QuotaHolder::take_quota_service(assignment.epoch, opens, now, shut),
         };
         if self.faults.opens_at_once {
             holder.opens_at_once();
@@ -153,13 +155,13 @@
 
     fn give_up(&self, now: Millis, holder: &mut QuotaHolder) -> Vec<(String, Handover)> {
         let mut told: Vec<(String, Handover)> = Vec::new();
-        for count in holder.give_up(now, |tenant| self.roster.holder_of(tenant) == Some(&self.me)) {
-            let Some(to) = self.roster.holder_of(&count.tenant) else { continue };
+        for count in holder.give_up(now, |tenant| self.assignment.holder_of(tenant) == Some(&self.me)) {
+            let Some(to) = self.assignment.holder_of(&count.tenant) else { continue };
             if let Some((_, handover)) = told.iter_mut().find(|(name, _)| name == to) {
                 handover.counts.push(count);
             } else {
-                let (roster, heard) = (self.roster.clone(), holder.heard_ago(now));
-                told.push((to.to_owned(), Handover { roster, heard, counts: vec![count] }));
+                let (assignment, heard) = (self.assignment.clone(), holder.heard_ago(now));
+                told.push((to.to_owned(), Handover { assignment, heard, counts: vec![count] }));
             }
         }
         told
@@ -168,8 +170,8 @@
     /// A former holder's word on counts that are this one's now. What this one gives up by the same assignment, if it
     /// had not heard of it, comes back as from `assume`.
     pub fn handed(&mut self, now: Millis, handover: Handover) -> Vec<(String, Handover)> {
-        let told = self.assume(now, &handover.roster, false);
-        if handover.roster.epoch == self.roster.epoch
+        let told = self.assume(now, &handover.assignment, false);
+        if handover.assignment.epoch == self.assignment.epoch
             && let Some(holder) = &mut self.holder
         {
             holder.take_over(now, handover);
@@ -204,7 +206,7 @@
     }
 
     fn mine(&self) -> Vec<Quota> {
-        let mine = |quota: &&Quota| self.roster.holder_of(&quota.tenant) == Some(&self.me);
+        let mine = |quota: &&Quota| self.assignment.holder_of(&quota.tenant) == Some(&self.me);
         self.quotas.iter().filter(mine).cloned().collect()
     }
 
--- a/crates/quota/tests/floors.rs
+++ b/crates/quota/tests/floors.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 const STEP: f64 = 5.0;
-const QUAYS: usize = 6;
+const DATA_PLANES: usize = 6;
 const TENANT: &str = "t";
 
 fn quota() -> Quota {
@@ -68,28 +68,28 @@
             spent: Vec::new(),
             refused: 0,
         };
-        world.caches = (0..QUAYS).map(|quay| world.cache(0.0, quay as u64)).collect();
-        world.takes_office(0.0);
+        world.caches = (0..DATA_PLANES).map(|data_plane| world.cache(0.0, data_plane as u64)).collect();
+        world.takes_quota_service(0.0);
         world
     }
 
     fn cache(&self, now: f64, seed: u64) -> Cache {
         let mut cache = Cache::new(seed);
-        cache.fleet(QUAYS as u32);
+        cache.fleet(DATA_PLANES as u32);
         cache.quotas(now, vec![quota()]);
         cache
     }
 
-    fn takes_office(&mut self, now: f64) {
+    fn takes_quota_service(&mut self, now: f64) {
         self.epoch += 1;
         let floors = self.log.floors.clone();
-        let mut holder = QuotaHolder::take_office(Epoch::first(self.epoch), self.epoch == 1, now, 0.0);
+        let mut holder = QuotaHolder::take_quota_service(Epoch::first(self.epoch), self.epoch == 1, now, 0.0);
         holder.floors(floors);
-        holder.fleet(now, QUAYS as u32);
+        holder.fleet(now, DATA_PLANES as u32);
         holder.quotas(now, &[quota()]);
         self.holder = Some(holder);
-        let roster = HolderAssignment { epoch: Epoch::first(self.epoch), holders: vec!["m".to_owned()] };
-        self.caches.iter_mut().for_each(|cache| cache.roster(&roster));
+        let assignment = HolderAssignment { epoch: Epoch::first(self.epoch), holders: vec!["m".to_owned()] };
+        self.caches.iter_mut().for_each(|cache| cache.assignment(&assignment));
     }
 
     /// The holder dies, and with `all` every gateway as well.
@@ -100,7 +100,7 @@
         }
         self.log.coming = None;
         if all {
-            self.caches = (0..QUAYS).map(|quay| self.cache(now, quay as u64)).collect();
+            self.caches = (0..DATA_PLANES).map(|data_plane| self.cache(now, data_plane as u64)).collect();
         }
     }
 
@@ -117,33 +117,33 @@
                 }
             }
         }
-        for quay in 0..QUAYS {
+        for data_plane in 0..DATA_PLANES {
             // A sign of life, as gateways give it that have nothing to ask for.
             if now % 800.0 < STEP
                 && let Some(holder) = &mut self.holder
             {
-                holder.heard(now, &quay.to_string());
+                holder.heard(now, &data_plane.to_string());
             }
             let mut told = Vec::new();
             // Some gateways have more of the tenant's clients than others.
-            let part = per_s * STEP / 1000.0 * (quay + 1) as f64 / 21.0;
+            let part = per_s * STEP / 1000.0 * (data_plane + 1) as f64 / 21.0;
             let mut asks = part.floor() + f64::from(u8::from(self.lots.next() < part.fract()));
             while asks >= 1.0 {
                 asks -= 1.0;
                 self.requests += 1;
-                let verdict = self.caches[quay].ask(now, self.requests, TENANT, 50.0);
+                let verdict = self.caches[data_plane].ask(now, self.requests, TENANT, 50.0);
                 told.push((self.requests, verdict));
             }
-            for (_, draw) in self.caches[quay].draw(now) {
+            for (_, draw) in self.caches[data_plane].draw(now) {
                 match &mut self.holder {
                     Some(holder) => {
-                        let grant = holder.draw(now, &quay.to_string(), &draw);
-                        self.caches[quay].granted(now, grant, &mut told);
+                        let grant = holder.draw(now, &data_plane.to_string(), &draw);
+                        self.caches[data_plane].granted(now, grant, &mut told);
                     }
-                    None => self.caches[quay].silent(now, draw.number),
+                    None => self.caches[data_plane].silent(now, draw.number),
                 }
             }
-            self.caches[quay].tick(now, &mut told);
+            self.caches[data_plane].tick(now, &mut told);
             for (_, verdict) in told {
                 match verdict {
                     Verdict::Granted => self.spent.push(now),
@@ -178,7 +178,7 @@
             back = now + 50.0 + long * world.lots.next();
             dies = f64::INFINITY;
         } else if now >= back {
-            world.takes_office(now);
+            world.takes_quota_service(now);
             back = f64::INFINITY;
             let soon = if world.lots.next() < 0.9 { 300.0 } else { 9000.0 };
             dies = now + 100.0 + soon * world.lots.next();
@@ -213,7 +213,7 @@
     }
     world.dies(now, true);
     now += 1000.0;
-    world.takes_office(now);
+    world.takes_quota_service(now);
     (world.refused, world.spent) = (0, Vec::new());
     let until = now + 400.0;
     while now < until {
@@ -232,12 +232,13 @@
 
 #[test]
 fn a_floor_that_may_yet_be_decided_is_kept_to() {
-    let mut holder = QuotaHolder::take_office(Epoch::first(1), true, 0.0, 0.0);
+    let mut holder = QuotaHolder::take_quota_service(Epoch::first(1), true, 0.0, 0.0);
     holder.fleet(0.0, 1);
     holder.quotas(0.0, &[quota()]);
     let draw = |holder: &mut QuotaHolder, now: f64, add: u32| {
         let wants = vec![Want { tenant: TENANT.into(), need: add, add, back: 0 }];
-        holder.draw(now, "quay", &LeaseRequest { number: 1, epoch: Epoch::first(1), wants }).shares[0].clone()
+        holder.draw(now, "data-plane", &LeaseRequest { number: 1, epoch: Epoch::first(1), wants }).shares[0]
+            .clone()
     };
     let mut now = 0.0;
     while now < 6500.0 {
--- a/crates/quota/tests/growing.rs
+++ b/crates/quota/tests/growing.rs
@@ -8,7 +8,7 @@
 use world::{Load, Who, World};
 use yare::parameterized;
 
-const MASTERS: usize = 3;
+const CONTROL_PLANES: usize = 3;
 /// All gateways there are, and those that stay while the others are gone.
 const GATEWAYS: usize = 13;
 const CORE: usize = 3;
@@ -34,7 +34,7 @@
 
 /// A world whose fleet has shrunk to its core, and has settled there.
 fn shrunk(seed: u64) -> World {
-    let mut world = World::new(seed, MASTERS, GATEWAYS, loads(), None, Faults::default())
+    let mut world = World::new(seed, CONTROL_PLANES, GATEWAYS, loads(), None, Faults::default())
         .with_membership(MembershipFaults::default());
     world.run_until(4_000.0).expect("one holder");
     for place in CORE..GATEWAYS {
@@ -57,9 +57,9 @@
 fn grows(seed: u64, cut_off: usize, leader: Leader) -> f64 {
     let mut world = shrunk(seed);
     for place in 0..cut_off {
-        for master in (0..MASTERS).map(Who::M) {
-            world.cut(Who::Q(place), master);
-            world.cut(master, Who::Q(place));
+        for control_plane in (0..CONTROL_PLANES).map(Who::M) {
+            world.cut(Who::Q(place), control_plane);
+            world.cut(control_plane, Who::Q(place));
         }
     }
     if leader == Leader::Killed {
--- a/crates/quota/tests/leaving.rs
+++ b/crates/quota/tests/leaving.rs
@@ -9,7 +9,7 @@
 use world::{Load, Who, World};
 use yare::parameterized;
 
-const MASTERS: usize = 3;
+const CONTROL_PLANES: usize = 3;
 /// No span of any tenant may come nearer than this to the judged bound.
 const MOST: f64 = 0.97;
 
@@ -20,7 +20,7 @@
 }
 
 fn world(seed: u64, gateways: usize, asks: f64, faults: MembershipFaults) -> World {
-    World::new(seed, MASTERS, gateways, loads(asks), None, Faults::default()).with_membership(faults)
+    World::new(seed, CONTROL_PLANES, gateways, loads(asks), None, Faults::default()).with_membership(faults)
 }
 
 /// What is served for a span, as a share of what one bucket would let through.
@@ -100,7 +100,7 @@
         let pause = 500.0 + world.lots.unit() * 2_500.0;
         world.run_until(world.now + pause)?;
         world.heal();
-        (0..MASTERS).for_each(|place| world.start(Who::M(place)));
+        (0..CONTROL_PLANES).for_each(|place| world.start(Who::M(place)));
         (0..GATEWAYS).for_each(|place| world.start(Who::Q(place)));
     }
     Ok(world.judge.worst())
@@ -108,14 +108,14 @@
 
 /// Control hears a gateway no more, nor the other way round.
 fn cut_off(world: &mut World, place: usize) {
-    for master in (0..MASTERS).map(Who::M) {
-        world.cut(Who::Q(place), master);
-        world.cut(master, Who::Q(place));
+    for control_plane in (0..CONTROL_PLANES).map(Who::M) {
+        world.cut(Who::Q(place), control_plane);
+        world.cut(control_plane, Who::Q(place));
     }
 }
 
 fn strike(world: &mut World, kind: usize) -> Result<(), String> {
-    let masters = || (0..MASTERS).map(Who::M);
+    let control_planes = || (0..CONTROL_PLANES).map(Who::M);
     let open = world.open_gateways();
     if open.is_empty() {
         return Ok(());
@@ -133,7 +133,7 @@
         (4, Some(leader)) => world.kill(Who::M(leader)),
         (5, Some(leader)) => world.freeze(Who::M(leader), 700.0),
         (6, Some(leader)) => {
-            for other in masters().filter(|other| *other != Who::M(leader)) {
+            for other in control_planes().filter(|other| *other != Who::M(leader)) {
                 world.cut(Who::M(leader), other);
                 world.cut(other, Who::M(leader));
             }
--- a/crates/quota/tests/office.rs
+++ b/crates/quota/tests/quota_service.rs
@@ -12,37 +12,37 @@
     Quota { tenant: tenant.into(), rate_per_s: 50.0, burst: 10.0 }
 }
 
-fn roster(number: u32, holders: &[&str]) -> HolderAssignment {
+fn assignment(number: u32, holders: &[&str]) -> HolderAssignment {
     HolderAssignment {
         epoch: Epoch { term: 1, number },
         holders: holders.iter().map(|h| (*h).to_owned()).collect(),
     }
 }
 
-fn draw(office: &mut QuotaService, now: f64, tenant: &str) -> Share {
+fn draw(quota_service: &mut QuotaService, now: f64, tenant: &str) -> Share {
     let wants = vec![Want { tenant: tenant.into(), need: 5, add: 5, back: 0 }];
-    let grant = office
-        .draw(now, "quay", &LeaseRequest { number: 1, epoch: Epoch::default(), wants })
+    let grant = quota_service
+        .draw(now, "data-plane", &LeaseRequest { number: 1, epoch: Epoch::default(), wants })
         .expect("a grant");
     grant.shares.into_iter().next().expect("a share")
 }
 
-fn office(me: &str, tenants: &[String]) -> QuotaService {
-    let mut office = QuotaService::new(me);
-    office.quotas(0.0, tenants.iter().map(|t| quota(t)).collect());
-    office.lease(1e9);
-    office
+fn quota_service(me: &str, tenants: &[String]) -> QuotaService {
+    let mut quota_service = QuotaService::new(me);
+    quota_service.quotas(0.0, tenants.iter().map(|t| quota(t)).collect());
+    quota_service.lease(1e9);
+    quota_service
 }
 
 /// A tenant that goes from `one` to `two` once `two` holds counts as well.
 fn mover() -> String {
-    let both = roster(2, &["one", "two"]);
+    let both = assignment(2, &["one", "two"]);
     (0..99).map(|n| format!("t{n}")).find(|t| both.holder_of(t) == Some("two")).expect("one of them moves")
 }
 
 #[test]
 fn only_tenants_of_a_holder_that_comes_or_goes_move() {
-    let (few, more) = (roster(1, &["a", "b", "c"]), roster(2, &["a", "b", "c", "d"]));
+    let (few, more) = (assignment(1, &["a", "b", "c"]), assignment(2, &["a", "b", "c", "d"]));
     let tenants: Vec<String> = (0..400).map(|n| format!("tenant-{n}")).collect();
     let mut of = BTreeSet::new();
     for tenant in &tenants {
@@ -59,15 +59,15 @@
 fn a_count_that_is_handed_over_goes_on_where_it_was() {
     let tenant = mover();
     let tenants = [tenant.clone()];
-    let (mut one, mut two) = (office("one", &tenants), office("two", &tenants));
-    one.assume(0.0, &roster(1, &["one"]), true);
+    let (mut one, mut two) = (quota_service("one", &tenants), quota_service("two", &tenants));
+    one.assume(0.0, &assignment(1, &["one"]), true);
     let before = draw(&mut one, 10.0, &tenant);
     assert_eq!(before.granted, 5);
-    let told = one.assume(20.0, &roster(2, &["one", "two"]), false);
+    let told = one.assume(20.0, &assignment(2, &["one", "two"]), false);
     assert!(!one.holds(20.0, &tenant));
     let (to, handover): (String, Handover) = told.into_iter().next().expect("it is handed over");
     assert_eq!(to, "two");
-    two.assume(21.0, &roster(2, &["one", "two"]), false);
+    two.assume(21.0, &assignment(2, &["one", "two"]), false);
     assert!(!two.holds(21.0, &tenant));
     assert_eq!(draw(&mut two, 21.0, &tenant).standing, Standing::Later);
     two.handed(22.0, handover.clone());
@@ -83,8 +83,8 @@
 #[test]
 fn a_silent_holder_s_counts_stay_shut_until_its_blocks_have_ended() {
     let tenant = mover();
-    let mut two = office("two", std::slice::from_ref(&tenant));
-    two.assume(1000.0, &roster(2, &["one", "two"]), false);
+    let mut two = quota_service("two", std::slice::from_ref(&tenant));
+    two.assume(1000.0, &assignment(2, &["one", "two"]), false);
     assert_eq!(draw(&mut two, 1200.0, &tenant).standing, Standing::Slices);
     assert!(!two.holds(1200.0 + WINDOW, &tenant));
     assert!(two.holds(1000.0 + quota::LEASE_MOST + WINDOW, &tenant));
@@ -93,13 +93,13 @@
 #[test]
 fn whoever_missed_an_assignment_starts_anew() {
     let tenant = mover();
-    let mut two = office("two", std::slice::from_ref(&tenant));
-    two.assume(0.0, &roster(2, &["one", "two"]), false);
+    let mut two = quota_service("two", std::slice::from_ref(&tenant));
+    two.assume(0.0, &assignment(2, &["one", "two"]), false);
     assert!(two.holds(2000.0, &tenant));
-    let told = two.assume(2000.0, &roster(4, &["one", "two"]), false);
+    let told = two.assume(2000.0, &assignment(4, &["one", "two"]), false);
     assert!(told.is_empty() && !two.holds(2000.0, &tenant));
-    two.assume(2010.0, &roster(3, &["two"]), false);
-    assert_eq!(two.roster().epoch.number, 4);
+    two.assume(2010.0, &assignment(3, &["two"]), false);
+    assert_eq!(two.assignment().epoch.number, 4);
 }
 
 #[test]
@@ -110,7 +110,7 @@
             cache.plant_ignored_epoch();
         }
         cache.quotas(0.0, vec![quota("t")]);
-        cache.roster(&roster(3, &["one"]));
+        cache.assignment(&assignment(3, &["one"]));
         assert!(matches!(cache.ask(1.0, 7, "t", 100.0), Verdict::Wait { .. }));
         let (to, draw) = cache.draw(1.0).into_iter().next().expect("a draw");
         assert_eq!(&*to, "one");
@@ -139,13 +139,13 @@
         placer.asked(now, "two", ask, 0.0);
         placer.tend(now, 50.0);
     }
-    assert!(placer.roster().has("two"));
-    let number = placer.roster().epoch.number;
+    assert!(placer.assignment().has("two"));
+    let number = placer.assignment().epoch.number;
     for ask in 80..90_u64 {
         let now = ask as f64 * 100.0;
         placer.asked(now, "two", 79, 0.0);
         placer.tend(now, 50.0);
     }
-    assert!(!placer.roster().has("two") && LOST < 900.0);
-    assert_eq!(placer.roster().epoch.number, number + 1);
+    assert!(!placer.assignment().has("two") && LOST < 900.0);
+    assert_eq!(placer.assignment().epoch.number, number + 1);
 }
--- a/crates/quota/tests/returning.rs
+++ b/crates/quota/tests/returning.rs
@@ -8,7 +8,7 @@
 use world::{Load, Who, World};
 use yare::parameterized;
 
-const MASTERS: usize = 3;
+const CONTROL_PLANES: usize = 3;
 const GATEWAYS: usize = 3;
 /// No span of any tenant may come nearer than this to the judged bound.
 const MOST: f64 = 0.97;
@@ -20,7 +20,7 @@
 fn world(seed: u64) -> World {
     let rates = [150.0, 100.0, 60.0, 40.0];
     let loads = rates.iter().enumerate().map(|(n, rate)| Load::new(n, *rate, rate * 0.5, 3.0));
-    World::new(seed, MASTERS, GATEWAYS, loads.collect(), None, Faults::default())
+    World::new(seed, CONTROL_PLANES, GATEWAYS, loads.collect(), None, Faults::default())
         .with_membership(MembershipFaults::default())
 }
 
@@ -34,9 +34,9 @@
         let mut world = world(seed * 11 + 2);
         world.run_until(5_000.0).expect("one holder");
         while world.now < 30_000.0 {
-            for master in (0..MASTERS).map(Who::M) {
-                world.cut(Who::Q(0), master);
-                world.cut(master, Who::Q(0));
+            for control_plane in (0..CONTROL_PLANES).map(Who::M) {
+                world.cut(Who::Q(0), control_plane);
+                world.cut(control_plane, Who::Q(0));
             }
             world.run_until(world.now + cut_for).expect("one holder");
             world.heal();
--- a/crates/quota/tests/spread.rs
+++ b/crates/quota/tests/spread.rs
@@ -7,7 +7,7 @@
 use world::{Load, Who, World};
 use yare::parameterized;
 
-const MASTERS: usize = 5;
+const CONTROL_PLANES: usize = 5;
 const GATEWAYS: usize = 12;
 /// No span of any tenant may come nearer than this to the judged bound.
 const MOST: f64 = 0.93;
@@ -38,7 +38,7 @@
 
 /// Lives through a trouble of that kind every two or three seconds; gives the worst span and the most holders.
 fn live(seed: u64, trouble: Trouble, faults: Faults, ignored: bool) -> Result<(f64, usize), String> {
-    let mut world = World::new(seed, MASTERS, GATEWAYS, loads(), Some(20.0), faults);
+    let mut world = World::new(seed, CONTROL_PLANES, GATEWAYS, loads(), Some(20.0), faults);
     if ignored {
         world.plant_ignored_epoch();
     }
@@ -54,23 +54,23 @@
         let pause = 300.0 + world.lots.unit() * 2_500.0;
         world.run_until(world.now + span + pause)?;
         world.heal();
-        (0..MASTERS).for_each(|place| world.start(Who::M(place)));
+        (0..CONTROL_PLANES).for_each(|place| world.start(Who::M(place)));
         holders = holders.max(world.holders());
     }
     Ok((world.judge.worst(), holders))
 }
 
 fn strike(world: &mut World, kind: usize, span: f64) -> Result<(), String> {
-    let masters = || (0..MASTERS).map(Who::M);
+    let control_planes = || (0..CONTROL_PLANES).map(Who::M);
     let (leader, deputy) = (world.leader, world.deputy());
     match (kind, leader, deputy) {
         (0, _, Some(deputy)) => world.kill(Who::M(deputy)),
         (1, _, Some(deputy)) => world.freeze(Who::M(deputy), span),
         (2, _, Some(deputy)) => {
-            masters().filter(|m| *m != Who::M(deputy)).for_each(|m| world.cut(m, Who::M(deputy)));
+            control_planes().filter(|m| *m != Who::M(deputy)).for_each(|m| world.cut(m, Who::M(deputy)));
         }
         (3, _, Some(deputy)) => {
-            masters().filter(|m| *m != Who::M(deputy)).for_each(|m| world.cut(Who::M(deputy), m));
+            control_planes().filter(|m| *m != Who::M(deputy)).for_each(|m| world.cut(Who::M(deputy), m));
         }
         (4, Some(leader), _) => world.kill(Who::M(leader)),
         (5, Some(leader), _) => world.freeze(Who::M(leader), span),
@@ -82,8 +82,8 @@
         }
         (7, ..) => {
             let place = world.lots.below(GATEWAYS);
-            let of = world.lots.below(MASTERS);
-            for m in masters().filter(|m| *m != Who::M(of)) {
+            let of = world.lots.below(CONTROL_PLANES);
+            for m in control_planes().filter(|m| *m != Who::M(of)) {
                 world.cut(Who::Q(place), m);
                 world.cut(m, Who::Q(place));
             }
--- a/crates/quota/tests/world/judge.rs
+++ b/crates/quota/tests/world/judge.rs
@@ -1,4 +1,4 @@
-//! What became of the requests, and what the rules and a single bucket for the whole harbour would say to it.
+//! What became of the requests, and what the rules and a single bucket for the whole fleet would say to it.
 
 use super::Load;
 use quota::{Grant, Standing};
@@ -8,7 +8,7 @@
 const SPAN: f64 = 5000.0;
 const EXCESS: f64 = 1.1;
 const SLACK: f64 = 20.0;
-/// Figures begin here: before, the harbour starts.
+/// Figures begin here: before, the fleet starts.
 const FROM: f64 = 4000.0;
 
 struct Tenant {
