--- a/crates/quota/tests/world/membership.rs
+++ b/crates/quota/tests/world/membership.rs
@@ -72,7 +72,7 @@
 impl World {
     /// Gateways may come and go from now on.
     pub fn with_membership(mut self, faults: MembershipFaults) -> Self {
-        let knows = (0..self.masters.len()).map(|_| Knows::new(0.0, faults)).collect();
+        let knows = (0..self.control_planes.len()).map(|_| Knows::new(0.0, faults)).collect();
         let leaving = BTreeMap::new();
         let (unruly, leaves_late) = (false, 0.0);
         self.membership = Some(Membership { knows, leaving, logged: 0, faults, unruly, leaves_late });
@@ -118,8 +118,8 @@
 
     /// Whom a gateway has connections with.
     fn spoken_to(&self, place: usize) -> Vec<usize> {
-        let (roster, follows) = (self.roster_at(place), self.gateways[place].follows);
-        (0..self.masters.len()).filter(|to| *to == follows || roster.has(&name(*to))).collect()
+        let (assignment, follows) = (self.assignment_at(place), self.gateways[place].follows);
+        (0..self.control_planes.len()).filter(|to| *to == follows || assignment.has(&name(*to))).collect()
     }
 
     pub(super) fn tend_leaving(&mut self, place: usize) {
@@ -169,7 +169,7 @@
                 self.resize(place);
                 if counts {
                     let epoch = quota::Epoch::default();
-                    self.masters[place].office.heard(now, &gateway_name, epoch);
+                    self.control_planes[place].quota_service.heard(now, &gateway_name, epoch);
                 }
             }
             Word::Leave { incarnation } => {
@@ -201,7 +201,7 @@
         departures.retain(|departure| fleet.departed(now, departure));
         let gone = |departure: &&Departure| !fleet.is_present(&departure.name);
         let gone: Vec<String> = departures.iter().filter(gone).map(|one| one.name.clone()).collect();
-        gone.iter().for_each(|name| self.masters[place].office.left(name));
+        gone.iter().for_each(|name| self.control_planes[place].quota_service.left(name));
         self.resize(place);
         if !departures.is_empty() {
             self.tell_control(place, &Word::Departed(departures));
@@ -209,7 +209,7 @@
     }
 
     fn tell_control(&mut self, place: usize, word: &Word) {
-        for other in (0..self.masters.len()).filter(|other| *other != place) {
+        for other in (0..self.control_planes.len()).filter(|other| *other != place) {
             self.send_word(Who::M(place), Who::M(other), word.clone());
         }
     }
@@ -264,10 +264,10 @@
 
     fn resize(&mut self, place: usize) {
         let (now, counted) = (self.now, self.counted_at(place));
-        self.masters[place].office.fleet(now, counted);
+        self.control_planes[place].quota_service.fleet(now, counted);
         let Some(membership) = &self.membership else { return };
         let wide = membership.knows[place].fleet.wide_slices(counted);
-        self.masters[place].office.wide_slices(wide);
+        self.control_planes[place].quota_service.wide_slices(wide);
     }
 
     fn counted_at(&self, place: usize) -> u32 {
@@ -298,7 +298,7 @@
         let Some(membership) = &mut self.membership else { return };
         membership.knows[place] = Knows::new(now, membership.faults);
         self.resize(place);
-        (0..self.masters.len()).for_each(|other| {
+        (0..self.control_planes.len()).for_each(|other| {
             self.tell_all(other, place);
         });
     }
@@ -339,5 +339,5 @@
 }
 
 pub(super) fn gateway_name(place: usize) -> String {
-    format!("quay-{place:02}")
+    format!("data plane-{place:02}")
 }
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A drawn harbour: masters that hold counts, gateways that draw on them, links and machines that fail, and clients.
+//! A drawn fleet: control planes that hold counts, gateways that draw on them, links and machines that fail, and clients.
 //! Time is the world's own; the log is played by a lease and elections as its state machine would have them.
 
 #![allow(dead_code)]
@@ -17,7 +17,7 @@
 
 const LOG_LEASE: f64 = 230.0;
 const ELECTION: f64 = 320.0;
-const PULSE: f64 = 350.0;
+const HEARTBEAT: f64 = 350.0;
 const SIGN: f64 = 800.0;
 const DRAW_LOST: f64 = 400.0;
 const SILENT: f64 = 1300.0;
@@ -57,10 +57,10 @@
     Grant(Grant),
     NotHolder(u64),
     Ask { number: u64, answered: u64, draws: f64 },
-    Lease { number: u64, roster: HolderAssignment, ends_in: f64 },
+    Lease { number: u64, assignment: HolderAssignment, ends_in: f64 },
     HolderAssignment(HolderAssignment),
     Handover(Handover),
-    Heartbeat { roster: HolderAssignment, fresh: bool, gateways: Option<u32> },
+    Heartbeat { assignment: HolderAssignment, fresh: bool, gateways: Option<u32> },
     Here(Epoch),
     Word(membership::Word),
 }
@@ -99,7 +99,7 @@
 }
 
 struct ControlPlane {
-    office: QuotaService,
+    quota_service: QuotaService,
     placer: Option<Placer>,
     known: HolderAssignment,
     asks: VecDeque<(u64, f64)>,
@@ -146,7 +146,7 @@
     clients: Lots,
     pub judge: Judge,
     loads: Vec<Load>,
-    masters: Vec<ControlPlane>,
+    control_planes: Vec<ControlPlane>,
     gateways: Vec<Gateway>,
     queue: BinaryHeap<Reverse<Due>>,
     order: u64,
@@ -171,7 +171,8 @@
 
 impl World {
     pub fn new(
-        seed: u64, masters: usize, gateways: usize, loads: Vec<Load>, bears: Option<f64>, faults: Faults,
+        seed: u64, control_planes: usize, gateways: usize, loads: Vec<Load>, bears: Option<f64>,
+        faults: Faults,
     ) -> Self {
         let judge = Judge::new(&loads);
         let quotas: Vec<Quota> = loads.iter().map(|load| load.quota.clone()).collect();
@@ -181,7 +182,7 @@
             clients: Lots(seed ^ 0x5eed),
             judge,
             loads,
-            masters: Vec::new(),
+            control_planes: Vec::new(),
             gateways: Vec::new(),
             queue: BinaryHeap::new(),
             order: 0,
@@ -199,12 +200,12 @@
             patience: 72.0,
             membership: None,
         };
-        for place in 0..masters {
-            let master = world.master(place, 0, &quotas, gateways);
-            world.masters.push(master);
-            let (tick, pulse) = (world.lots.unit() * 50.0, world.lots.unit() * PULSE);
+        for place in 0..control_planes {
+            let control_plane = world.control_plane(place, 0, &quotas, gateways);
+            world.control_planes.push(control_plane);
+            let (tick, heartbeat) = (world.lots.unit() * 50.0, world.lots.unit() * HEARTBEAT);
             world.at(tick, Event::Ticks(Who::M(place)));
-            world.at(pulse, Event::Pulses(place));
+            world.at(heartbeat, Event::Pulses(place));
         }
         for place in 0..gateways {
             let gateway = world.gateway(place, 0, &quotas, gateways);
@@ -219,13 +220,13 @@
         world
     }
 
-    fn master(&mut self, place: usize, life: u64, quotas: &[Quota], gateways: usize) -> ControlPlane {
-        let mut office = QuotaService::new(&name(place));
-        office.plant(self.faults);
-        office.fleet(self.now, gateways as u32);
-        office.quotas(self.now, quotas.to_vec());
+    fn control_plane(&mut self, place: usize, life: u64, quotas: &[Quota], gateways: usize) -> ControlPlane {
+        let mut quota_service = QuotaService::new(&name(place));
+        quota_service.plant(self.faults);
+        quota_service.fleet(self.now, gateways as u32);
+        quota_service.quotas(self.now, quotas.to_vec());
         ControlPlane {
-            office,
+            quota_service,
             placer: None,
             known: HolderAssignment::default(),
             asks: VecDeque::new(),
@@ -242,7 +243,7 @@
         let mut cache = Cache::new(place as u64 + 77 + life * 1000);
         cache.quotas(self.now, quotas.to_vec());
         cache.fleet(gateways as u32);
-        let follows = place % self.masters.len().max(1);
+        let follows = place % self.control_planes.len().max(1);
         let (drawn, waits) = (BTreeMap::new(), HashMap::new());
         Gateway { cache, follows, heard: self.now, drawn, waits, life, up: true }
     }
@@ -271,7 +272,7 @@
 
     fn is_awake(&self, who: Who) -> bool {
         let up = match who {
-            Who::M(place) => self.masters[place].up,
+            Who::M(place) => self.control_planes[place].up,
             Who::Q(place) => self.gateways[place].up,
         };
         up && self.frozen.get(&who).is_none_or(|until| self.now >= *until)
@@ -279,7 +280,7 @@
 
     fn life(&self, who: Who) -> u64 {
         match who {
-            Who::M(place) => self.masters[place].life,
+            Who::M(place) => self.control_planes[place].life,
             Who::Q(place) => self.gateways[place].life,
         }
     }
@@ -309,7 +310,7 @@
             Event::Ticks(who) => {
                 if self.is_awake(who) {
                     match who {
-                        Who::M(place) => self.tick_master(place),
+                        Who::M(place) => self.tick_control_plane(place),
                         Who::Q(place) => self.tick_gateway(place),
                     }
                 }
@@ -322,10 +323,10 @@
             }
             Event::Sign(place) => {
                 if self.is_awake(Who::Q(place)) {
-                    for to in 0..self.masters.len() {
-                        let roster = self.roster_at(place);
-                        if roster.has(&name(to)) {
-                            self.send(Who::Q(place), Who::M(to), Said::Here(roster.epoch));
+                    for to in 0..self.control_planes.len() {
+                        let assignment = self.assignment_at(place);
+                        if assignment.has(&name(to)) {
+                            self.send(Who::Q(place), Who::M(to), Said::Here(assignment.epoch));
                         }
                     }
                     self.says_hello(place);
@@ -333,8 +334,8 @@
                 self.at(now + SIGN, Event::Sign(place));
             }
             Event::Pulses(place) => {
-                self.pulse(place);
-                self.at(now + PULSE, Event::Pulses(place));
+                self.heartbeat(place);
+                self.at(now + HEARTBEAT, Event::Pulses(place));
             }
             Event::Request(tenant) => {
                 self.request(tenant);
@@ -357,7 +358,8 @@
                         && !world.cuts.contains(&(other, me))
             };
             world.is_awake(me)
-                && (0..world.masters.len()).filter(|o| both(*o)).count() * 2 > world.masters.len()
+                && (0..world.control_planes.len()).filter(|o| both(*o)).count() * 2
+                    > world.control_planes.len()
         };
         if let Some(leader) = self.leader
             && reaches(self, leader)
@@ -366,11 +368,12 @@
             self.lease = now + LOG_LEASE - 5.0;
             self.election = now + ELECTION + self.lots.unit() * ELECTION;
             let lease = self.lease;
-            self.masters[leader].office.lease(lease);
+            self.control_planes[leader].quota_service.lease(lease);
             return;
         }
         if now >= self.election {
-            let able: Vec<usize> = (0..self.masters.len()).filter(|place| reaches(self, *place)).collect();
+            let able: Vec<usize> =
+                (0..self.control_planes.len()).filter(|place| reaches(self, *place)).collect();
             if able.is_empty() {
                 return;
             }
@@ -380,52 +383,52 @@
             self.leader = Some(next);
             self.lease = now + LOG_LEASE - 5.0;
             let placer = Placer::new(&name(next), self.term, now, self.bears);
-            let roster = placer.roster().clone();
+            let assignment = placer.assignment().clone();
             let lease = self.lease;
-            let m = &mut self.masters[next];
+            let m = &mut self.control_planes[next];
             m.placer = Some(placer);
-            m.office.assume(now, &roster, first);
-            m.office.lease(lease);
-            m.known = roster;
+            m.quota_service.assume(now, &assignment, first);
+            m.quota_service.lease(lease);
+            m.known = assignment;
             self.tell(next);
         }
     }
 
     fn tell(&mut self, leader: usize) {
-        let roster = self.masters[leader].known.clone();
-        for other in (0..self.masters.len()).filter(|other| *other != leader) {
-            self.send(Who::M(leader), Who::M(other), Said::HolderAssignment(roster.clone()));
+        let assignment = self.control_planes[leader].known.clone();
+        for other in (0..self.control_planes.len()).filter(|other| *other != leader) {
+            self.send(Who::M(leader), Who::M(other), Said::HolderAssignment(assignment.clone()));
         }
-        self.pulse(leader);
+        self.heartbeat(leader);
     }
 
     /// No tenant's count is granted from by two.
     fn single(&self) -> Result<(), String> {
         for load in &self.loads {
             let tenant = &load.quota.tenant;
-            let holds = |m: &&ControlPlane| m.up && m.office.holds(self.now, tenant);
-            if self.masters.iter().filter(holds).count() > 1 {
+            let holds = |m: &&ControlPlane| m.up && m.quota_service.holds(self.now, tenant);
+            if self.control_planes.iter().filter(holds).count() > 1 {
                 return Err(format!("{tenant} is held twice at {:.0} ms", self.now));
             }
         }
         Ok(())
     }
 
-    fn tick_master(&mut self, place: usize) {
+    fn tick_control_plane(&mut self, place: usize) {
         let now = self.now;
         self.tend_membership(place);
-        let m = &mut self.masters[place];
+        let m = &mut self.control_planes[place];
         if now >= m.draws.0 + 1000.0 {
             m.draws = (now, 0, m.draws.1 as f64 * 1000.0 / (now - m.draws.0));
         }
         if self.leader != Some(place) && m.placer.take().is_some() {
-            m.office.resign();
+            m.quota_service.resign();
         }
         if let Some(placer) = &mut m.placer {
-            if self.spread && now < m.office.lease_until() && placer.tend(now, m.draws.2) {
-                let roster = placer.roster().clone();
-                m.known = roster.clone();
-                let told = m.office.assume(now, &roster, false);
+            if self.spread && now < m.quota_service.lease_until() && placer.tend(now, m.draws.2) {
+                let assignment = placer.assignment().clone();
+                m.known = assignment.clone();
+                let told = m.quota_service.assume(now, &assignment, false);
                 self.hand(place, told);
                 self.tell(place);
             } else if now >= m.next_round {
@@ -440,7 +443,7 @@
     /// A lease, or an offer to hold counts.
     fn ask(&mut self, place: usize) {
         let (now, me) = (self.now, name(place));
-        let m = &mut self.masters[place];
+        let m = &mut self.control_planes[place];
         let Some(leader) = self.leader.filter(|_| self.spread && now >= m.next_ask) else { return };
         m.next_ask = now + if m.known.has(&me) { RENEW } else { 1000.0 };
         let number = m.asks.back().map_or(1, |(number, _)| number + 1);
@@ -454,45 +457,45 @@
 
     fn hand(&mut self, place: usize, told: Vec<(String, Handover)>) {
         for (to, handover) in told {
-            let to = (0..self.masters.len()).find(|other| name(*other) == to);
+            let to = (0..self.control_planes.len()).find(|other| name(*other) == to);
             if let Some(to) = to {
                 self.send(Who::M(place), Who::M(to), Said::Handover(handover));
             }
         }
     }
 
-    fn take_roster(&mut self, place: usize, roster: &HolderAssignment) {
+    fn take_assignment(&mut self, place: usize, assignment: &HolderAssignment) {
         let now = self.now;
-        let m = &mut self.masters[place];
-        if roster.epoch <= m.known.epoch {
+        let m = &mut self.control_planes[place];
+        if assignment.epoch <= m.known.epoch {
             return;
         }
-        m.known = roster.clone();
+        m.known = assignment.clone();
         m.next_ask = 0.0;
-        let told = m.office.assume(now, roster, false);
+        let told = m.quota_service.assume(now, assignment, false);
         self.hand(place, told);
         self.ask(place);
-        self.pulse(place);
+        self.heartbeat(place);
     }
 
-    fn pulse(&mut self, place: usize) {
+    fn heartbeat(&mut self, place: usize) {
         if !self.is_awake(Who::M(place)) {
             return;
         }
-        let roster = self.masters[place].known.clone();
+        let assignment = self.control_planes[place].known.clone();
         let fresh = self.leader.is_some_and(|leader| {
             self.now < self.lease && !self.cuts.contains(&(Who::M(leader), Who::M(place)))
         });
         let gateways = self.divisor(place);
         for gateway in 0..self.gateways.len() {
             if self.gateways[gateway].follows == place {
-                let pulse = Said::Heartbeat { roster: roster.clone(), fresh, gateways };
-                self.send(Who::M(place), Who::Q(gateway), pulse);
+                let heartbeat = Said::Heartbeat { assignment: assignment.clone(), fresh, gateways };
+                self.send(Who::M(place), Who::Q(gateway), heartbeat);
             }
         }
     }
 
-    fn roster_at(&self, place: usize) -> HolderAssignment {
+    fn assignment_at(&self, place: usize) -> HolderAssignment {
         self.gateways[place].cache.holders().clone()
     }
 
@@ -524,19 +527,19 @@
                     self.serve_gateway(place, gateway, said);
                 }
             }
-            (Who::M(place), Who::M(other)) => self.hear_master(place, other, said),
+            (Who::M(place), Who::M(other)) => self.hear_control_plane(place, other, said),
             (Who::Q(place), _) => self.hear_gateway(place, said),
         }
     }
 
     fn serve_gateway(&mut self, place: usize, gateway: usize, said: Said) {
-        let (now, quay) = (self.now, membership::gateway_name(gateway));
-        let m = &mut self.masters[place];
+        let (now, data_plane) = (self.now, membership::gateway_name(gateway));
+        let m = &mut self.control_planes[place];
         match said {
-            Said::Here(epoch) => m.office.heard(now, &quay, epoch),
+            Said::Here(epoch) => m.quota_service.heard(now, &data_plane, epoch),
             Said::LeaseRequest(draw) => {
                 m.draws.1 += 1;
-                let answer = match m.office.draw(now, &quay, &draw) {
+                let answer = match m.quota_service.draw(now, &data_plane, &draw) {
                     Some(grant) => Said::Grant(grant),
                     None => Said::NotHolder(draw.number),
                 };
@@ -549,39 +552,40 @@
         }
     }
 
-    fn hear_master(&mut self, place: usize, other: usize, said: Said) {
+    fn hear_control_plane(&mut self, place: usize, other: usize, said: Said) {
         let now = self.now;
         match said {
             Said::Ask { number, answered, draws } => {
-                let m = &mut self.masters[place];
-                let lease = m.office.lease_until();
+                let m = &mut self.control_planes[place];
+                let lease = m.quota_service.lease_until();
                 let Some(placer) = &mut m.placer else { return };
                 let member = placer.asked(now, &name(other), answered, draws);
                 if now < lease {
-                    let (roster, ends_in) = (placer.roster().clone(), if member { lease - now } else { 0.0 });
-                    self.send(Who::M(place), Who::M(other), Said::Lease { number, roster, ends_in });
+                    let (assignment, ends_in) =
+                        (placer.assignment().clone(), if member { lease - now } else { 0.0 });
+                    self.send(Who::M(place), Who::M(other), Said::Lease { number, assignment, ends_in });
                 }
             }
-            Said::Lease { number, roster, ends_in } => {
-                self.take_roster(place, &roster);
-                let m = &mut self.masters[place];
+            Said::Lease { number, assignment, ends_in } => {
+                self.take_assignment(place, &assignment);
+                let m = &mut self.control_planes[place];
                 m.answered = m.answered.max(number);
                 if let Some((_, sent)) = m.asks.iter().find(|(n, _)| *n == number)
-                    && m.office.roster().epoch == roster.epoch
+                    && m.quota_service.assignment().epoch == assignment.epoch
                 {
                     let until = sent + ends_in.min(LEASE_MOST);
-                    let until = until.max(m.office.lease_until());
-                    m.office.lease(until);
+                    let until = until.max(m.quota_service.lease_until());
+                    m.quota_service.lease(until);
                 }
             }
-            Said::HolderAssignment(roster) => self.take_roster(place, &roster),
+            Said::HolderAssignment(assignment) => self.take_assignment(place, &assignment),
             Said::Handover(handover) => {
-                let m = &mut self.masters[place];
-                if handover.roster.epoch > m.known.epoch {
-                    m.known = handover.roster.clone();
+                let m = &mut self.control_planes[place];
+                if handover.assignment.epoch > m.known.epoch {
+                    m.known = handover.assignment.clone();
                 }
                 m.next_ask = 0.0;
-                let told = m.office.handed(now, handover);
+                let told = m.quota_service.handed(now, handover);
                 self.hand(place, told);
                 self.ask(place);
             }
@@ -594,7 +598,7 @@
         let g = &mut self.gateways[place];
         let mut told = Vec::new();
         match said {
-            Said::Heartbeat { roster, fresh, gateways } => {
+            Said::Heartbeat { assignment, fresh, gateways } => {
                 g.heard = now;
                 match gateways {
                     Some(gateways) => g.cache.fleet_told(now, gateways, fresh),
@@ -602,10 +606,10 @@
                     None => {}
                 }
                 let known = g.cache.holders().clone();
-                g.cache.roster(&roster);
+                g.cache.assignment(&assignment);
                 let now_known = g.cache.holders().clone();
                 // A new connection says who has come.
-                for to in 0..self.masters.len() {
+                for to in 0..self.control_planes.len() {
                     if now_known.has(&name(to))
                         && (!known.has(&name(to)) || known.epoch.term < now_known.epoch.term)
                     {
@@ -630,8 +634,8 @@
     fn tick_gateway(&mut self, place: usize) {
         let now = self.now;
         self.tend_leaving(place);
-        let masters = self.masters.len();
-        let lot = self.lots.below(masters);
+        let control_planes = self.control_planes.len();
+        let lot = self.lots.below(control_planes);
         let g = &mut self.gateways[place];
         if now > g.heard + SILENT {
             (g.follows, g.heard) = (lot, now);
@@ -654,7 +658,7 @@
         let now = self.now;
         for (to, draw) in self.gateways[place].cache.draw(now) {
             self.judge.drew();
-            let to = (0..self.masters.len()).find(|other| *name(*other) == *to);
+            let to = (0..self.control_planes.len()).find(|other| *name(*other) == *to);
             match to {
                 Some(to) => {
                     self.gateways[place].drawn.insert(draw.number, now);
--- a/crates/quota/tests/world/troubles.rs
+++ b/crates/quota/tests/world/troubles.rs
@@ -9,8 +9,8 @@
 
     pub fn heal(&mut self) {
         self.cuts.clear();
-        for from in 0..self.masters.len() {
-            (0..self.masters.len()).for_each(|to| self.tell_all(from, to));
+        for from in 0..self.control_planes.len() {
+            (0..self.control_planes.len()).for_each(|to| self.tell_all(from, to));
         }
     }
 
@@ -21,7 +21,7 @@
     pub fn kill(&mut self, who: Who) {
         match who {
             Who::M(place) => {
-                if let Some(m) = self.masters.get_mut(place) {
+                if let Some(m) = self.control_planes.get_mut(place) {
                     m.up = false;
                     m.life += 1;
                 }
@@ -38,9 +38,9 @@
     pub fn start(&mut self, who: Who) {
         let (quotas, size) = (self.quotas(), self.gateways.len());
         match who {
-            Who::M(place) if !self.masters[place].up => {
-                let life = self.masters[place].life;
-                self.masters[place] = self.master(place, life, &quotas, size);
+            Who::M(place) if !self.control_planes[place].up => {
+                let life = self.control_planes[place].life;
+                self.control_planes[place] = self.control_plane(place, life, &quotas, size);
                 self.starts_anew(place);
             }
             Who::Q(place) if !self.gateways[place].up => {
@@ -55,14 +55,15 @@
     /// A holder beside the leader that has counts, if there is one.
     pub fn deputy(&mut self) -> Option<usize> {
         let leader = self.leader?;
-        let roster = self.masters[leader].placer.as_ref()?.roster().clone();
-        let others: Vec<usize> =
-            (0..self.masters.len()).filter(|place| *place != leader && roster.has(&name(*place))).collect();
+        let assignment = self.control_planes[leader].placer.as_ref()?.assignment().clone();
+        let others: Vec<usize> = (0..self.control_planes.len())
+            .filter(|place| *place != leader && assignment.has(&name(*place)))
+            .collect();
         (!others.is_empty()).then(|| others[self.lots.below(others.len())])
     }
 
     pub fn holders(&self) -> usize {
-        let placer = self.leader.and_then(|leader| self.masters[leader].placer.as_ref());
-        placer.map_or(0, |placer| placer.roster().holders.len())
+        let placer = self.leader.and_then(|leader| self.control_planes[leader].placer.as_ref());
+        placer.map_or(0, |placer| placer.assignment().holders.len())
     }
 }
--- a/crates/raft/src/agreement/world.rs
+++ b/crates/raft/src/agreement/world.rs
@@ -92,7 +92,7 @@
 #[derive(Clone, Default, Hash)]
 struct Past {
     /// What was committed, and in the term of which leader.
-    ledger: Vec<(Entry, u64)>,
+    committed: Vec<(Entry, u64)>,
     leaders: BTreeMap<u64, VoterId>,
     /// Who was told by whom in which term that it has the vote.
     votes: BTreeMap<(u64, VoterId), VoterId>,
@@ -146,7 +146,7 @@
 
     /// Adds to what a search has reached: entries that are committed, and lists of voters that nodes go by.
     pub fn measure(&self, reach: &mut Reach) {
-        reach.committed = reach.committed.max(self.past.ledger.len());
+        reach.committed = reach.committed.max(self.past.committed.len());
         let lists = self.hosts.iter().map(|host| host.node.members().len());
         // A host that is no voter yet has no list.
         for length in lists.filter(|length| *length > 0) {
@@ -384,7 +384,7 @@
             return Err(format!("{me} leads in term {term} with {votes} votes of {members}"));
         }
         self.past
-            .ledger
+            .committed
             .iter()
             .filter(|(_, when)| *when < term)
             .try_for_each(|(entry, _)| holds(&node, entry))
@@ -393,12 +393,12 @@
     fn commit(&mut self, at: usize, entry: Entry) -> Result<(), String> {
         let node = &self.hosts[at].node;
         let index = entry.index as usize;
-        match self.past.ledger.get(index - 1) {
+        match self.past.committed.get(index - 1) {
             Some((first, _)) if *first == entry => return Ok(()),
             Some((first, _)) => {
                 return Err(format!("entry {index} is committed as {first:?} and as {entry:?}"));
             }
-            None if index > self.past.ledger.len() + 1 => {
+            None if index > self.past.committed.len() + 1 => {
                 return Err(format!("entry {index} is committed before those before it"));
             }
             None => {}
@@ -407,12 +407,12 @@
         for host in self.hosts.iter().filter(|host| host.node.is_leader() && host.node.term() > term) {
             holds(&host.node, &entry)?;
         }
-        Rc::make_mut(&mut self.past).ledger.push((entry, term));
+        Rc::make_mut(&mut self.past).committed.push((entry, term));
         Ok(())
     }
 
     fn install(&self, snapshot: &Snapshot) -> Result<(), String> {
-        let known = self.past.ledger.get(snapshot.index as usize - 1).map(|(entry, _)| entry.term);
+        let known = self.past.committed.get(snapshot.index as usize - 1).map(|(entry, _)| entry.term);
         if known != Some(snapshot.term) || snapshot.state != snapshot.index.to_be_bytes() {
             return Err(format!("the snapshot up to entry {} holds what was not committed", snapshot.index));
         }
@@ -436,7 +436,7 @@
             }
         }
         let node = &self.hosts[at].node;
-        let pending = (self.past.ledger.len() as u64 + 1..=mine.last())
+        let pending = (self.past.committed.len() as u64 + 1..=mine.last())
             .filter(|index| matches!(mine.get(*index), Some(Entry { what: What::Members(_), .. })));
         if pending.count() > 1 {
             return Err(format!("two changes of the list are pending with {}", node.me()));
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -267,7 +267,7 @@
     }
 
     fn heard(&mut self, now: Millis, from: VoterId, message: Message, out: &mut Vec<Output>) {
-        // No harbour gets to such a term; counting on from there would overflow.
+        // No fleet gets to such a term; counting on from there would overflow.
         if from == self.me || message.term() > u64::MAX / 2 {
             return;
         }
--- a/crates/raft/tests/disk.rs
+++ b/crates/raft/tests/disk.rs
@@ -88,7 +88,7 @@
     assert!(Store::open(&path).unwrap_err().is_lost());
 }
 
-/// Changes of this many bytes each, a snapshot of that many after every 16 of them or 4 MB, as harbourmaster does it.
+/// Changes of this many bytes each, a snapshot of that many after every 16 of them or 4 MB, as a control plane does it.
 #[parameterized(
     largest_configurations = { 16, 4 << 20, 6 << 20, 48 << 20 },
     large_states = { 96, 100, 3 << 20, 32 << 20 },
--- a/crates/raft/tests/drawn.rs
+++ b/crates/raft/tests/drawn.rs
@@ -142,11 +142,11 @@
         world.chores()?;
     }
     let leader = world.leader().ok_or("nobody leads after the trouble")?;
-    let before = world.ledger.len();
+    let before = world.committed.len();
     world.input(leader, Input::Propose { token: 1, change: vec![1] })?;
     world.run_until(world.now + 500)?;
-    let last = world.ledger.last_key_value().map_or(0, |(index, _)| *index);
-    if world.ledger.len() == before {
+    let last = world.committed.last_key_value().map_or(0, |(index, _)| *index);
+    if world.committed.len() == before {
         return Err("nothing is committed after the trouble".into());
     }
     for host in &world.hosts {
@@ -162,7 +162,7 @@
 fn whole(seed: u64, size: usize, weather: Weather) -> Result<(u64, u64, u64), String> {
     let mut world = live(seed, size, weather, Faults::default())?;
     heal(&mut world)?;
-    Ok((world.ledger.len() as u64, world.leases, world.sent))
+    Ok((world.committed.len() as u64, world.leases, world.sent))
 }
 
 #[parameterized(
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_fresh_harbour_has_a_leader_within_a_second() {
+fn a_fresh_system_has_a_leader_within_a_second() {
     for seed in 0..50 {
         let mut world = World::new(seed, 3, Faults::default());
         world.lossy = false;
--- a/crates/raft/tests/membership/mod.rs
+++ b/crates/raft/tests/membership/mod.rs
@@ -107,8 +107,8 @@
         if let Some(leader) = self.world.leader() {
             self.world.input(leader, Input::Propose { token: now, change: vec![7; 20] })?;
         }
-        if self.world.ledger.len() > self.committed {
-            (self.committed, self.grown_at) = (self.world.ledger.len(), now);
+        if self.world.committed.len() > self.committed {
+            (self.committed, self.grown_at) = (self.world.committed.len(), now);
         }
         if now > self.grown_at + LONGEST_STALL {
             return Err(format!("nothing is committed since {}: {}", self.grown_at, self.told()));
--- a/crates/raft/tests/world/mod.rs
+++ b/crates/raft/tests/world/mod.rs
@@ -82,7 +82,7 @@
     count: u64,
     leaders: BTreeMap<u64, VoterId>,
     /// All that anybody was told as committed, and the state after it.
-    pub ledger: BTreeMap<u64, (Entry, u64)>,
+    pub committed: BTreeMap<u64, (Entry, u64)>,
     /// What leaders have accepted: host, index and term of each, until somebody takes them.
     pub accepted: Vec<(usize, u64, u64)>,
     pub leases: u64,
@@ -123,7 +123,7 @@
             queue: BinaryHeap::new(),
             count: 0,
             leaders: BTreeMap::new(),
-            ledger: BTreeMap::new(),
+            committed: BTreeMap::new(),
             accepted: Vec::new(),
             leases: 0,
             sent: 0,
@@ -325,14 +325,14 @@
                 host.state = after(host.state, &entry);
                 let state = host.state;
                 let index = entry.index;
-                let first = self.ledger.entry(index).or_insert_with(|| (entry.clone(), state));
+                let first = self.committed.entry(index).or_insert_with(|| (entry.clone(), state));
                 if first.0 != entry || first.1 != state {
                     return Err(format!("entry {index} was committed as {:?} and as {entry:?}", first.0));
                 }
             }
             Output::Install { snapshot: Snapshot { index, state, .. } } => {
                 let state = u64::from_be_bytes(state[..].try_into().unwrap());
-                if self.ledger.get(&index).map(|(_, state)| *state) != Some(state) {
+                if self.committed.get(&index).map(|(_, state)| *state) != Some(state) {
                     return Err(format!("n{at} got a strange snapshot of {index}"));
                 }
                 (self.hosts[at].applied, self.hosts[at].state) = (index, state);
--- a/crates/reachlb/src/lib.rs
+++ b/crates/reachlb/src/lib.rs
@@ -1,5 +1,5 @@
 //! The programs of the system, as a library: `reachlb` is a thin command line around it, and whoever plays a whole
-//! harbour on one machine starts them from a binary of its own.
+//! fleet on one machine starts them from a binary of its own.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -7,9 +7,9 @@
 pub mod check;
 mod founder;
 mod logs;
-mod master;
 pub mod operate;
-mod quays;
+mod run_control_plane;
+mod run_data_plane;
 mod start;
 
 use std::path::PathBuf;
@@ -60,8 +60,8 @@
         return ExitCode::from(UNUSABLE);
     }
     let done = match program {
-        Program::DataPlane => start::run(quays::run(settings, path)),
-        Program::ControlPlane => start::run(master::run(settings, path)),
+        Program::DataPlane => start::run(run_data_plane::run(settings, path)),
+        Program::ControlPlane => start::run(run_control_plane::run(settings, path)),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/reachlb/src/main.rs
+++ b/crates/reachlb/src/main.rs
@@ -27,7 +27,7 @@
     ControlPlane(Plane),
     /// check a settings file (TOML) or a configuration (JSON), every fault on a line of its own
     Check(Check),
-    /// how a harbour stands, as one of its processes knows it
+    /// how a fleet stands, as one of its processes knows it
     Status(operate::Status),
     /// the configuration: in force, former ones, what changed, another one
     Config(operate::ConfigCalls),
--- a/crates/reachlb/src/operate/explain.rs
+++ b/crates/reachlb/src/operate/explain.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A harbour has some dozens of masters and some hundreds of quays; more are not asked.
+/// A fleet has some dozens of control planes and some hundreds of data planes; more are not asked.
 const MOST_ASKED: usize = 1024;
 
 /// The arguments.
@@ -24,24 +24,24 @@
     what: String,
 }
 
-/// Asks all masters that are known for records, and all quays for requests and what they saw themselves.
+/// Asks all control planes that are known for records, and all data planes for requests and what they saw themselves.
 pub async fn explain(call: Explain) -> Result<String, Trouble> {
     let first = client::get(&call.at, "status", "/Harbour.Status").await?;
     let asked = first.peer.clone();
     let first = first.json("status")?;
-    let (mut found, mut quays) = (Vec::new(), quays_of(&first));
+    let (mut found, mut data_planes) = (Vec::new(), data_planes_of(&first));
     let path = format!("/Harbour.Events?about={}", client::escape(&call.what));
     let mut unheard = 0;
     for control in masters_of(&first, &asked) {
         match client::get(&control, "events", &path).await {
             Ok(answer) if answer.status == 200 => {
                 found.extend(events_of(answer.json("events")?));
-                // Each quay follows one master: only all of them know all quays.
+                // Each data plane follows one control plane: only all of them know all data planes.
                 if control != asked
                     && let Ok(status) = client::get(&control, "status", "/Harbour.Status").await
                     && let Ok(status) = status.json("status")
                 {
-                    quays.extend(quays_of(&status));
+                    data_planes.extend(data_planes_of(&status));
                 }
             }
             _ => unheard += 1,
@@ -49,7 +49,7 @@
     }
     let mut requests = Vec::new();
     let word = client::escape(&call.what);
-    for (name, readiness) in quays.iter().take(MOST_ASKED) {
+    for (name, readiness) in data_planes.iter().take(MOST_ASKED) {
         let Ok(answer) = client::get(readiness, "request", &format!("/requests/{word}")).await else {
             unheard += 1;
             continue;
@@ -71,14 +71,14 @@
     Ok(shown(&call.what, &now, &found, &requests, unheard))
 }
 
-/// The control sockets of all masters. All machines of a harbour have the same ports, so only the address differs.
+/// The control sockets of all control planes. All machines of a fleet have the same ports, so only the address differs.
 fn masters_of(status: &Value, asked: &str) -> Vec<String> {
     let mut all = vec![asked.to_owned()];
     let port = asked.rsplit_once(':').and_then(|(_, port)| port.parse::<u16>().ok());
     let me = status["name"].as_str();
     let lines = status["lines"].as_array().into_iter().flatten();
-    let masters = lines.filter(|line| line["plane"] == "Master" && line["name"].as_str() != me);
-    for line in masters {
+    let control_planes = lines.filter(|line| line["plane"] == "Control plane" && line["name"].as_str() != me);
+    for line in control_planes {
         let address = line["address"].as_str().and_then(|address| address.parse::<SocketAddr>().ok());
         if let Some((address, port)) = address.zip(port) {
             let control = SocketAddr::new(address.ip(), port).to_string();
@@ -90,12 +90,12 @@
     all
 }
 
-/// Name and readiness socket of each quay that a master is connected with.
-fn quays_of(status: &Value) -> BTreeMap<String, String> {
+/// Name and readiness socket of each data plane that a control plane is connected with.
+fn data_planes_of(status: &Value) -> BTreeMap<String, String> {
     let lines = status["lines"].as_array().into_iter().flatten();
-    let quays = lines.filter(|line| line["plane"] == "Quay");
-    let quays = quays.map(|line| (cell(&line["name"]), cell(&line["address"])));
-    quays.filter(|(_, address)| address.parse::<SocketAddr>().is_ok()).collect()
+    let data_planes = lines.filter(|line| line["plane"] == "Data plane");
+    let data_planes = data_planes.map(|line| (cell(&line["name"]), cell(&line["address"])));
+    data_planes.filter(|(_, address)| address.parse::<SocketAddr>().is_ok()).collect()
 }
 
 fn events_of(mut answer: Value) -> Vec<Value> {
@@ -118,16 +118,17 @@
     if status["version"] == what {
         lines.push(format!("configuration {what} is in force"));
     }
-    for master in all("masters").iter().filter(|master| master["address"] == what) {
+    for control_plane in all("control_planes").iter().filter(|control_plane| control_plane["address"] == what)
+    {
         let leads = if status["leader"] == what { ", leads" } else { "" };
         lines.push(format!(
-            "master in {}, reached: {}{leads}",
-            cell(&master["zone"]),
-            cell(&master["reached"])
+            "control plane in {}, reached: {}{leads}",
+            cell(&control_plane["zone"]),
+            cell(&control_plane["reached"])
         ));
     }
-    if all("quays").iter().any(|quay| quay == what) {
-        lines.push("quay that counts".to_owned());
+    if all("data_planes").iter().any(|data_plane| data_plane == what) {
+        lines.push("data plane that counts".to_owned());
     }
     for line in all("lines").iter().filter(|line| line["name"] == what) {
         let silent = line["silent_ms"].as_u64().unwrap_or_default();
@@ -196,15 +197,15 @@
     #[test]
     fn whom_to_ask_is_read_from_the_status_of_one() {
         let status = json!({ "name": "a", "lines": [
-            { "name": "b", "plane": "Master", "address": "10.0.0.2:7660" },
-            { "name": "b", "plane": "Master", "address": "10.0.0.2:7660" },
-            { "name": "c", "plane": "Master", "address": "nowhere" },
-            { "name": "b", "plane": "Quay", "address": "10.0.0.2:8406" },
-            { "name": "old", "plane": "Quay", "address": "" },
+            { "name": "b", "plane": "Control plane", "address": "10.0.0.2:7660" },
+            { "name": "b", "plane": "Control plane", "address": "10.0.0.2:7660" },
+            { "name": "c", "plane": "Control plane", "address": "nowhere" },
+            { "name": "b", "plane": "Data plane", "address": "10.0.0.2:8406" },
+            { "name": "old", "plane": "Data plane", "address": "" },
         ]});
         assert_eq!(masters_of(&status, "10.0.0.1:8407"), ["10.0.0.1:8407", "10.0.0.2:8407"]);
-        assert_eq!(quays_of(&status), BTreeMap::from([("b".into(), "10.0.0.2:8406".into())]));
-        assert_eq!((masters_of(&json!([]), "x"), quays_of(&json!(7)).len()), (vec!["x".to_owned()], 0));
+        assert_eq!(data_planes_of(&status), BTreeMap::from([("b".into(), "10.0.0.2:8406".into())]));
+        assert_eq!((masters_of(&json!([]), "x"), data_planes_of(&json!(7)).len()), (vec!["x".to_owned()], 0));
     }
 
     #[test]
--- a/crates/reachlb/src/operate/mod.rs
+++ b/crates/reachlb/src/operate/mod.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a harbour and of a data folder.
+//! What operators ask of a fleet and of a data folder.
 //!
 //! Statuses: 0 it is as asked; 1 the answer was a refusal; 2 the arguments or a file can't be used; 3 what a process
 //! has written is damaged; 4 nobody answered.
--- a/crates/reachlb/src/operate/state.rs
+++ b/crates/reachlb/src/operate/state.rs
@@ -87,11 +87,11 @@
 fn described(saved: &Saved, path: &Path) -> Result<Value, Trouble> {
     let snapshot = match &saved.snapshot {
         Some(snapshot) => {
-            let ledger = ConfigHistory::restore(&snapshot.state)
+            let config_history = ConfigHistory::restore(&snapshot.state)
                 .map_err(|error| damaged(path, format!("the state in the snapshot: {error}")))?;
             Some(json!({ "index": snapshot.index, "term": snapshot.term, "bytes": snapshot.state.len(),
                 "members": snapshot.members.iter().map(ToString::to_string).collect::<Vec<_>>(),
-                "version": format!("r{}", ledger.version()) }))
+                "version": format!("r{}", config_history.version()) }))
         }
         None => None,
     };
@@ -105,7 +105,7 @@
             What::Change(change) if let Some(marks) = Marks::read(change) => {
                 let marks = marks
                     .map_err(|error| damaged(path, format!("the marks in entry {}: {error}", entry.index)))?;
-                format!("marks: {} floors of counts, {} quays", marks.floors.len(), marks.fleet)
+                format!("marks: {} floors of counts, {} data planes", marks.floors.len(), marks.fleet)
             }
             What::Change(change) => {
                 let change = Change::read(change).map_err(|error| {
--- a/crates/reachlb/src/operate/status.rs
+++ b/crates/reachlb/src/operate/status.rs
@@ -1,4 +1,4 @@
-//! How a harbour stands, as one of its processes knows it.
+//! How a fleet stands, as one of its processes knows it.
 
 use super::table::{ago, cell, of};
 use super::{Trouble, client};
@@ -104,21 +104,21 @@
         );
     }
     text.push_str(&borne(standing));
-    let quays = status["quays"].as_array().map_or(0, Vec::len);
-    let names: Vec<_> = status["quays"].as_array().into_iter().flatten().map(cell).collect();
-    let _ = writeln!(text, "quays: {quays}: {}", names.join(" "));
+    let data_planes = status["data_planes"].as_array().map_or(0, Vec::len);
+    let names: Vec<_> = status["data_planes"].as_array().into_iter().flatten().map(cell).collect();
+    let _ = writeln!(text, "data planes: {data_planes}: {}", names.join(" "));
     let watch = &status["watch"];
     if !watch.is_null() {
-        let adrift =
-            if watch["adrift"] == true { "; adrift: it hears nobody, and judges nobody" } else { "" };
-        let _ = writeln!(text, "watch: {} processes are here{adrift}", cell(&watch["here"]));
+        let isolated =
+            if watch["isolated"] == true { "; isolated: it hears nobody, and judges nobody" } else { "" };
+        let _ = writeln!(text, "watch: {} processes are here{isolated}", cell(&watch["here"]));
     }
     let mut section = |name: &str, list: &Value, fields: &[&str]| {
         if list.as_array().is_some_and(|list| !list.is_empty()) {
             let _ = write!(text, "\n{name}\n{}", of(list, fields));
         }
     };
-    section("masters", &status["masters"], &["address", "zone", "reached"]);
+    section("control_planes", &status["control_planes"], &["address", "zone", "reached"]);
     let mut backends = status["backends"].clone();
     if let Some(list) = backends.as_array_mut() {
         list.sort_by_cached_key(|backend| (cell(&backend["service"]), cell(&backend["id"])));
--- a/crates/reachlb/src/master.rs
+++ b/crates/reachlb/src/run_control_plane.rs
@@ -70,13 +70,13 @@
         quorum: log.is_some(),
         incarnation: log.as_ref().map(|(_, saved)| saved.me.incarnation),
     };
-    let master = ControlPlaneSettings {
+    let control_plane = ControlPlaneSettings {
         me,
         address,
         seeds: start::seeds(&settings),
         beat_interval: millis(settings.beat_interval),
         timing: Timing {
-            heartbeat: millis(settings.tuning.pulse),
+            heartbeat: millis(settings.tuning.heartbeat),
             election: millis(settings.tuning.election),
             lease: millis(settings.tuning.lease),
         },
@@ -93,28 +93,28 @@
         numbers.get()
     });
     spdlog::info!("serves control", kv: { step = "start", life, quorum = folder.is_some() });
-    let lookout = start::watch(&settings, false, life)?;
-    let master =
-        ControlPlane::new(master, log, commands.clone(), numbers.clone()).with_lookout(lookout.clone());
+    let neighbor_watch = start::watch(&settings, false, life)?;
+    let control_plane = ControlPlane::new(control_plane, log, commands.clone(), numbers.clone())
+        .with_neighbor_watch(neighbor_watch.clone());
     tokio::task::spawn_local(control_plane::listen(peers, commands.clone(), move || numbers()));
     let callers = (settings.max_fds as usize).saturating_sub(KEPT).clamp(64, 4096);
     tokio::task::spawn_local(control_plane::serve(control, commands.clone(), callers));
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| miette!("signals: {e}"))?;
     let mut end = signal(SignalKind::terminate()).map_err(|e| miette!("signals: {e}"))?;
-    tokio::task::spawn_local(master.run(queue));
+    tokio::task::spawn_local(control_plane.run(queue));
     loop {
         tokio::select! {
             _ = end.recv() => {
-                if let Some(lookout) = &lookout {
-                    lookout.leave();
+                if let Some(neighbor_watch) = &neighbor_watch {
+                    neighbor_watch.leave();
                 }
                 end_in_order(&commands).await;
                 return Ok(());
             }
             _ = hangup.recv() => match Settings::read(&path) {
                 Ok(settings) => {
-                    if let Some(lookout) = &lookout {
-                        lookout.seeds(&start::watch_seeds(&settings));
+                    if let Some(neighbor_watch) = &neighbor_watch {
+                        neighbor_watch.seeds(&start::watch_seeds(&settings));
                     }
                     let seeds = start::seeds(&settings);
                     let _ = commands.send(Command::Seeds(seeds)).await;
--- a/crates/reachlb/src/quays.rs
+++ b/crates/reachlb/src/run_data_plane.rs
@@ -42,11 +42,11 @@
         quorum: false,
         incarnation: None,
     };
-    // The pilot's news and the purser's draws need each other.
-    let pilot: Rc<RefCell<Option<ControlFollower>>> = Rc::default();
-    let wire = pilot.clone();
-    let send = move |to: &str, draw| wire.borrow().as_ref().is_some_and(|pilot| pilot.draw(to, draw));
-    let purser = LeaseClient::start(life, Box::new(send));
+    // The follower's news and the lease client's draws need each other.
+    let follower: Rc<RefCell<Option<ControlFollower>>> = Rc::default();
+    let wire = follower.clone();
+    let send = move |to: &str, draw| wire.borrow().as_ref().is_some_and(|follower| follower.draw(to, draw));
+    let lease_client = LeaseClient::start(life, Box::new(send));
     let about = DataPlaneSettings {
         max_fds: settings.max_fds as usize,
         grace: settings.bounds.grace,
@@ -57,59 +57,59 @@
         }),
         ..DataPlaneSettings::new(front_at, readiness_at, &settings.zone, &settings.node_name)
     };
-    let quay = DataPlane::new(about, purser.clone(), life);
+    let data_plane = DataPlane::new(about, lease_client.clone(), life);
     let news = {
-        let (quay, purser) = (quay.clone(), purser.clone());
+        let (data_plane, lease_client) = (data_plane.clone(), lease_client.clone());
         let mut known = (None, 0);
         move |news| match news {
-            Update::ConfigSnapshot(sheet) => match Config::parse(&sheet.body) {
+            Update::ConfigSnapshot(config_snapshot) => match Config::parse(&config_snapshot.body) {
                 Ok(config) => {
-                    purser.quotas(quotas(&config));
-                    quay.configure(Rc::new(config));
+                    lease_client.quotas(quotas(&config));
+                    data_plane.configure(Rc::new(config));
                 }
                 Err(fault) => {
-                    let version = sheet.version;
+                    let version = config_snapshot.version;
                     spdlog::error!("not read: {}", fault, kv: { step = "config", version });
                 }
             },
-            Update::Backends { whole, berths } => quay.berths(&berths, whole),
-            Update::Heartbeat(pulse) => {
-                let leader = (pulse.leader.clone(), pulse.epoch);
+            Update::Backends { whole, backends } => data_plane.backends(&backends, whole),
+            Update::Heartbeat(heartbeat) => {
+                let leader = (heartbeat.leader.clone(), heartbeat.epoch);
                 if leader != known {
                     // Once for each leader, and once when there is none: elections bound how often.
                     let (peer, version, epoch) =
-                        (pulse.leader.as_deref().unwrap_or("none"), pulse.version, pulse.epoch);
+                        (heartbeat.leader.as_deref().unwrap_or("none"), heartbeat.version, heartbeat.epoch);
                     spdlog::info!("the counts are drawn from another leader", kv: { step = "leader", peer, version, epoch });
                     known = leader;
                 }
-                purser.fleet(pulse.fleet, pulse.fresh);
-                quay.fleet(pulse.fleet, pulse.number);
+                lease_client.fleet(heartbeat.fleet, heartbeat.fresh);
+                data_plane.fleet(heartbeat.fleet, heartbeat.number);
             }
-            Update::HolderAssignment(roster) => purser.roster(&roster),
+            Update::HolderAssignment(assignment) => lease_client.assignment(&assignment),
             Update::Follows(relay) => {
                 spdlog::info!("the news comes from another one", kv: { step = "relay", peer = relay.to_string().as_str() });
             }
-            Update::Grant(grant) => purser.granted(grant),
-            Update::Unanswered { number } => purser.unanswered(number),
+            Update::Grant(grant) => lease_client.granted(grant),
+            Update::Unanswered { number } => lease_client.unanswered(number),
         }
     };
-    let lookout = start::watch(&settings, true, life)?;
+    let neighbor_watch = start::watch(&settings, true, life)?;
     let seeds = start::seeds(&settings);
     let place = match settings.tuning.relays {
         true => Some(place(&settings)?),
         false => None,
     };
     let ways = settings.tuning.ways.clone();
-    *pilot.borrow_mut() = Some(ControlFollower::start(FollowerSettings { me, seeds, ways }, place, news));
-    let (watch, seeded) = (lookout.clone(), pilot.clone());
+    *follower.borrow_mut() = Some(ControlFollower::start(FollowerSettings { me, seeds, ways }, place, news));
+    let (watch, seeded) = (neighbor_watch.clone(), follower.clone());
     let mut end = signal(SignalKind::terminate()).map_err(|e| miette!("signals: {e}"))?;
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| miette!("signals: {e}"))?;
     tokio::task::spawn_local(async move {
         while hangup.recv().await.is_some() {
             match Settings::read(&path) {
                 Ok(settings) => {
-                    if let Some(pilot) = seeded.borrow().as_ref() {
-                        pilot.seeds(start::seeds(&settings));
+                    if let Some(follower) = seeded.borrow().as_ref() {
+                        follower.seeds(start::seeds(&settings));
                     }
                     if let Some(watch) = &watch {
                         watch.seeds(&start::watch_seeds(&settings));
@@ -123,23 +123,23 @@
     let ended = async move {
         end.recv().await;
     };
-    quay.serve(front, readiness, ended).await;
+    data_plane.serve(front, readiness, ended).await;
     // Only now: while it finishes its work it spends.
-    purser.close();
-    let pilot = pilot.borrow_mut().take();
-    if let Some(pilot) = pilot
-        && timeout(LEAVE_WAIT, pilot.leave()).await.is_err()
+    lease_client.close();
+    let follower = follower.borrow_mut().take();
+    if let Some(follower) = follower
+        && timeout(LEAVE_WAIT, follower.leave()).await.is_err()
     {
         spdlog::warn!("no process of control has accepted that this one ends", kv: { step = "end" });
     }
-    if let Some(lookout) = lookout {
-        lookout.leave();
+    if let Some(neighbor_watch) = neighbor_watch {
+        neighbor_watch.leave();
     }
     spdlog::info!("done", kv: { step = "end" });
     Ok(())
 }
 
-/// The second of the ports between gateways: the first is a harbourmaster's on the same machine.
+/// The second of the ports between gateways: the first is a control plane's on the same machine.
 fn place(settings: &Settings) -> Result<Place> {
     let port = start::peer_port(settings).saturating_add(1);
     let at = SocketAddr::new(settings.ip, port);
--- a/crates/reachlb/src/start.rs
+++ b/crates/reachlb/src/start.rs
@@ -28,7 +28,7 @@
     settings.port_range.0
 }
 
-/// Where the seeds take connections of other processes: settings name their control sockets, all machines of a harbour
+/// Where the seeds take connections of other processes: settings name their control sockets, all machines of a fleet
 /// have the same ports.
 pub fn seeds(settings: &Settings) -> Vec<SocketAddr> {
     settings.seed_list.iter().map(|seed| SocketAddr::new(seed.ip(), peer_port(settings))).collect()
@@ -41,9 +41,9 @@
 
 /// Starts the watch, where the settings want it. DataPlanes take datagrams at the first of the ports that are theirs,
 /// processes that serve control at the second, so that two on one machine get along.
-pub fn watch(settings: &Settings, quay: bool, life: u64) -> Result<Option<Rc<NeighborWatch>>> {
+pub fn watch(settings: &Settings, data_plane: bool, life: u64) -> Result<Option<Rc<NeighborWatch>>> {
     let (first, last) = settings.port_range;
-    let port = if quay { first } else { first.saturating_add(1) };
+    let port = if data_plane { first } else { first.saturating_add(1) };
     let (true, IpAddr::V4(ip)) = (settings.tuning.watching && port <= last, settings.ip) else {
         return Ok(None);
     };
@@ -54,7 +54,7 @@
         UdpSocket::from_std(socket)
     };
     let socket = open().into_diagnostic().wrap_err_with(|| format!("take datagrams at {at}"))?;
-    let card = transport::card(at, &settings.node_name, quay, life);
+    let card = transport::card(at, &settings.node_name, data_plane, life);
     Ok(Some(NeighborWatch::start(socket, card, watch_seeds(settings), life)))
 }
 
--- a/crates/reachlb/tests/founder.rs
+++ b/crates/reachlb/tests/founder.rs
@@ -42,7 +42,7 @@
         let path = folder.join(format!("{machine}.toml"));
         std::fs::write(&path, settings).expect("written");
         let child = Command::new(env!("CARGO_BIN_EXE_reachlb"))
-            .args(["--settings", &path.display().to_string(), "harbourmaster"])
+            .args(["--settings", &path.display().to_string(), "control-plane"])
             .stderr(Stdio::null())
             .spawn()
             .expect("the program starts");
--- a/crates/reachlb/tests/relays.rs
+++ b/crates/reachlb/tests/relays.rs
@@ -1,4 +1,4 @@
-//! Real processes: a quay that is fed through another one, and what becomes of it when that is killed.
+//! Real processes: a data plane that is fed through another one, and what becomes of it when that is killed.
 
 use std::fmt::Write as _;
 use std::io::{BufRead as _, BufReader, Read as _, Write as _};
@@ -35,7 +35,7 @@
             PEERS + 9,
             ip(1),
         );
-        if plane == "harbourmaster" {
+        if plane == "control-plane" {
             let _ = write!(settings, "in_quorum = true\ndata_path = {:?}\n", folder.join("data"));
         }
         let _ = write!(
@@ -122,18 +122,18 @@
 }
 
 #[test]
-fn a_quay_is_fed_through_another_and_finds_a_place_when_that_is_killed() {
+fn a_data_plane_is_fed_through_another_and_finds_a_place_when_that_is_killed() {
     let folder = tempfile::tempdir().expect("a folder");
-    let _master = Process::start("harbourmaster", 1, folder.path());
+    let _control_plane = Process::start("control-plane", 1, folder.path());
     replace(0, 1);
     let root = SocketAddr::from((ip(1), PEERS));
     let relay = |machine| SocketAddr::from((ip(machine), RELAYS));
     // Each link bears one, so each that comes is sent on to the last one.
-    let mut first = Process::start("quay", 2, folder.path());
+    let mut first = Process::start("data-plane", 2, folder.path());
     first.follows(root);
-    let second = Process::start("quay", 3, folder.path());
+    let second = Process::start("data-plane", 3, folder.path());
     second.follows(relay(2));
-    let third = Process::start("quay", 4, folder.path());
+    let third = Process::start("data-plane", 4, folder.path());
     third.follows(relay(3));
     third.takes(1);
     replace(1, 2);
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Who is there: backends by their beats, quays by those that hear them.
+//! Who is there: backends by their beats, data planes by those that hear them.
 //!
 //! Both tables are state machines without I/O or clock. What different processes know of one backend is merged by rules
 //! that don't depend on order or repeats: a life's phase only goes forward, and of two words of one life the one with
--- a/crates/registry/src/register.rs
+++ b/crates/registry/src/register.rs
@@ -16,7 +16,7 @@
 const MOST: usize = 20_000;
 
 struct Registration {
-    berth: Backend,
+    backend: Backend,
     /// When it was last heard, here or elsewhere.
     heard: Millis,
     /// When the word that is kept was said: its warm-up counts from then.
@@ -38,19 +38,19 @@
 
 /// All lives of backends that are known.
 pub struct Register {
-    moorings: BTreeMap<String, Registration>,
+    registrations: BTreeMap<String, Registration>,
     overdue_after: Millis,
 }
 
 impl Register {
     /// An empty register of backends that beat this often.
     pub fn new(beat_interval: Millis) -> Self {
-        Self { moorings: BTreeMap::new(), overdue_after: beat_interval * MISSED + ON_THE_WAY }
+        Self { registrations: BTreeMap::new(), overdue_after: beat_interval * MISSED + ON_THE_WAY }
     }
 
     /// A beat came here.
-    pub fn beat(&mut self, now: Millis, berth: Backend) -> Judgement {
-        let judgement = self.merge(now, berth, true);
+    pub fn beat(&mut self, now: Millis, backend: Backend) -> Judgement {
+        let judgement = self.merge(now, backend, true);
         match judgement {
             changed if changed.is_empty() => Judgement::Alive,
             changed => Judgement::Changed(changed),
@@ -59,30 +59,30 @@
 
     /// A backend says that it ends. One that nobody knows has ended all the same: a late beat must not bring it up.
     pub fn departed(&mut self, now: Millis, id: &str) -> Judgement {
-        let Some(mooring) = self.moorings.get_mut(id) else { return Judgement::Ignored };
-        mooring.heard = now;
-        if mooring.berth.phase == Phase::Gone {
+        let Some(registration) = self.registrations.get_mut(id) else { return Judgement::Ignored };
+        registration.heard = now;
+        if registration.backend.phase == Phase::Gone {
             return Judgement::Alive;
         }
-        mooring.berth.phase = Phase::Gone;
-        Judgement::Changed(vec![mooring.berth.clone()])
+        registration.backend.phase = Phase::Gone;
+        Judgement::Changed(vec![registration.backend.clone()])
     }
 
     /// Words of another process; gives what they change.
-    pub fn hear(&mut self, now: Millis, berths: Vec<Backend>) -> Vec<Backend> {
-        berths.into_iter().flat_map(|berth| self.merge(now, berth, false)).collect()
+    pub fn hear(&mut self, now: Millis, backends: Vec<Backend>) -> Vec<Backend> {
+        backends.into_iter().flat_map(|backend| self.merge(now, backend, false)).collect()
     }
 
     /// Another process has heard these since its last round; gives those that were overdue here.
     pub fn alive(&mut self, now: Millis, heard: &[(String, u64)]) -> Vec<Backend> {
         let mut back = Vec::new();
         for (id, calls) in heard {
-            let Some(mooring) = self.moorings.get_mut(id) else { continue };
-            if *calls > mooring.berth.call_count {
-                mooring.berth.call_count = *calls;
-                mooring.heard = now;
-                if std::mem::take(&mut mooring.berth.overdue) {
-                    back.push(mooring.shown(now));
+            let Some(registration) = self.registrations.get_mut(id) else { continue };
+            if *calls > registration.backend.call_count {
+                registration.backend.call_count = *calls;
+                registration.heard = now;
+                if std::mem::take(&mut registration.backend.overdue) {
+                    back.push(registration.shown(now));
                 }
             }
         }
@@ -92,26 +92,26 @@
     /// Those that were heard here since the last round, for the other processes.
     pub fn round(&mut self) -> Vec<(String, u64)> {
         let heard = |(id, m): (&String, &mut Registration)| {
-            std::mem::take(&mut m.news).then(|| (id.clone(), m.berth.call_count))
+            std::mem::take(&mut m.news).then(|| (id.clone(), m.backend.call_count))
         };
-        self.moorings.iter_mut().filter_map(heard).collect()
+        self.registrations.iter_mut().filter_map(heard).collect()
     }
 
     /// Marks those whose beats are missed, and ends and forgets old lives; gives what changed.
     pub fn sweep(&mut self, now: Millis) -> Vec<Backend> {
         let mut changed = Vec::new();
-        self.moorings.retain(|_, mooring| {
-            let silent = now.saturating_sub(mooring.heard);
-            if mooring.berth.phase == Phase::Gone {
+        self.registrations.retain(|_, registration| {
+            let silent = now.saturating_sub(registration.heard);
+            if registration.backend.phase == Phase::Gone {
                 return silent < REMEMBERED;
             }
             if silent >= OVER {
-                mooring.berth.phase = Phase::Gone;
-                mooring.heard = now;
-                changed.push(mooring.shown(now));
-            } else if silent >= self.overdue_after && !mooring.berth.overdue {
-                mooring.berth.overdue = true;
-                changed.push(mooring.shown(now));
+                registration.backend.phase = Phase::Gone;
+                registration.heard = now;
+                changed.push(registration.shown(now));
+            } else if silent >= self.overdue_after && !registration.backend.overdue {
+                registration.backend.overdue = true;
+                changed.push(registration.shown(now));
             }
             true
         });
@@ -120,37 +120,38 @@
 
     /// All lives that are not over, as they stand now.
     pub fn all(&self, now: Millis) -> Vec<Backend> {
-        self.moorings.values().filter(|m| m.berth.phase != Phase::Gone).map(|m| m.shown(now)).collect()
+        self.registrations.values().filter(|m| m.backend.phase != Phase::Gone).map(|m| m.shown(now)).collect()
     }
 
     /// All lives, those that are over too: another process has to learn of these as well.
     pub fn everything(&self, now: Millis) -> Vec<Backend> {
-        self.moorings.values().map(|m| m.shown(now)).collect()
+        self.registrations.values().map(|m| m.shown(now)).collect()
     }
 
-    fn merge(&mut self, now: Millis, mut berth: Backend, here: bool) -> Vec<Backend> {
+    fn merge(&mut self, now: Millis, mut backend: Backend, here: bool) -> Vec<Backend> {
         let mut changed = Vec::new();
-        berth.overdue = false;
-        let full = self.moorings.len() >= MOST;
-        match self.moorings.get_mut(&berth.id) {
+        backend.overdue = false;
+        let full = self.registrations.len() >= MOST;
+        match self.registrations.get_mut(&backend.id) {
             None if full => return changed,
             None => {
-                changed.extend(self.evict(now, &berth));
-                changed.push(berth.clone());
-                let mooring = Registration { heard: now, said: now, news: here, berth: berth.clone() };
-                self.moorings.insert(berth.id, mooring);
+                changed.extend(self.evict(now, &backend));
+                changed.push(backend.clone());
+                let registration =
+                    Registration { heard: now, said: now, news: here, backend: backend.clone() };
+                self.registrations.insert(backend.id, registration);
             }
             Some(known) => {
-                let old = known.berth.clone();
-                let phase = old.phase.max(berth.phase);
-                if berth.call_count > old.call_count {
+                let old = known.backend.clone();
+                let phase = old.phase.max(backend.phase);
+                if backend.call_count > old.call_count {
                     (known.heard, known.said) = (now, now);
                     known.news |= here;
-                    known.berth = berth;
+                    known.backend = backend;
                 }
-                known.berth.phase = phase;
+                known.backend.phase = phase;
                 let plain = |b: &Backend| Backend { call_count: 0, warmup_left_ms: 0, ..b.clone() };
-                if plain(&known.berth) != plain(&old) {
+                if plain(&known.backend) != plain(&old) {
                     changed.push(known.shown(now));
                 }
             }
@@ -165,13 +166,14 @@
             return Vec::new();
         }
         let mut ended = Vec::new();
-        for mooring in self.moorings.values_mut() {
-            let silent = now.saturating_sub(mooring.heard);
-            let same = mooring.berth.address == newcomer.address && mooring.berth.phase != Phase::Gone;
+        for registration in self.registrations.values_mut() {
+            let silent = now.saturating_sub(registration.heard);
+            let same =
+                registration.backend.address == newcomer.address && registration.backend.phase != Phase::Gone;
             if same && silent >= self.overdue_after / MISSED {
-                mooring.berth.phase = Phase::Gone;
-                mooring.heard = now;
-                ended.push(mooring.berth.clone());
+                registration.backend.phase = Phase::Gone;
+                registration.heard = now;
+                ended.push(registration.backend.clone());
             }
         }
         ended
@@ -181,7 +183,7 @@
 impl Registration {
     fn shown(&self, now: Millis) -> Backend {
         let since = now.saturating_sub(self.said).min(u64::from(u32::MAX)) as u32;
-        let warmup_left_ms = self.berth.warmup_left_ms.saturating_sub(since);
-        Backend { warmup_left_ms, ..self.berth.clone() }
+        let warmup_left_ms = self.backend.warmup_left_ms.saturating_sub(since);
+        Backend { warmup_left_ms, ..self.backend.clone() }
     }
 }
--- a/crates/registry/tests/register.rs
+++ b/crates/registry/tests/register.rs
@@ -6,7 +6,7 @@
 
 const BEAT: u64 = 1300;
 
-fn berth(id: &str, address: &str, phase: Phase, calls: u64) -> Backend {
+fn backend(id: &str, address: &str, phase: Phase, calls: u64) -> Backend {
     Backend {
         id: id.into(),
         service: "s".into(),
@@ -36,7 +36,7 @@
     let mut register = Register::new(BEAT);
     for &at in order {
         let (phase, calls) = words[at];
-        register.beat(10, berth("i-1", "10.0.0.1:80", phase, calls));
+        register.beat(10, backend("i-1", "10.0.0.1:80", phase, calls));
     }
     let known = register.all(10);
     assert_eq!((known[0].phase, known[0].call_count), (Phase::Draining, 7));
@@ -45,9 +45,9 @@
 #[test]
 fn what_is_over_does_not_come_back_by_a_late_beat() {
     let mut register = Register::new(BEAT);
-    register.beat(0, berth("i-1", "10.0.0.1:80", Phase::Draining, 4));
+    register.beat(0, backend("i-1", "10.0.0.1:80", Phase::Draining, 4));
     assert!(matches!(register.departed(5, "i-1"), Judgement::Changed(_)));
-    assert_eq!(register.beat(6, berth("i-1", "10.0.0.1:80", Phase::Serving, 9)), Judgement::Alive);
+    assert_eq!(register.beat(6, backend("i-1", "10.0.0.1:80", Phase::Serving, 9)), Judgement::Alive);
     assert!(register.all(6).is_empty());
     assert_eq!(register.departed(7, "i-2"), Judgement::Ignored);
 }
@@ -56,11 +56,11 @@
 fn a_plain_beat_is_no_news_but_is_told_of_once_a_round() {
     let mut register = Register::new(BEAT);
     assert!(matches!(
-        register.beat(0, berth("i-1", "10.0.0.1:80", Phase::Serving, 1)),
+        register.beat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1)),
         Judgement::Changed(_)
     ));
     assert_eq!(register.round(), vec![("i-1".to_owned(), 1)]);
-    assert_eq!(register.beat(900, berth("i-1", "10.0.0.1:80", Phase::Serving, 2)), Judgement::Alive);
+    assert_eq!(register.beat(900, backend("i-1", "10.0.0.1:80", Phase::Serving, 2)), Judgement::Alive);
     assert_eq!(register.round(), vec![("i-1".to_owned(), 2)]);
     assert_eq!(register.round(), vec![]);
 }
@@ -68,7 +68,7 @@
 #[test]
 fn missed_beats_make_overdue_and_one_heard_elsewhere_ends_that() {
     let mut register = Register::new(BEAT);
-    register.beat(0, berth("i-1", "10.0.0.1:80", Phase::Serving, 1));
+    register.beat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
     assert!(register.sweep(3 * BEAT).is_empty(), "a beat may be on its way");
     let overdue = register.sweep(3 * BEAT + 800);
     assert!(overdue.len() == 1 && overdue[0].overdue && overdue[0].phase == Phase::Serving);
@@ -80,7 +80,7 @@
 #[test]
 fn silence_for_long_ends_a_life_and_the_table_forgets_it() {
     let mut register = Register::new(BEAT);
-    register.beat(0, berth("i-1", "10.0.0.1:80", Phase::Serving, 1));
+    register.beat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
     register.sweep(10_000);
     assert_eq!(register.sweep(60_000)[0].phase, Phase::Gone);
     assert_eq!(phase(&register, "i-1"), Some(Phase::Gone));
@@ -91,10 +91,10 @@
 #[test]
 fn an_address_used_again_ends_the_life_before_but_not_one_heard_just_now() {
     let mut register = Register::new(BEAT);
-    register.beat(0, berth("i-1", "10.0.0.1:80", Phase::Serving, 5));
-    register.beat(100, berth("i-0", "10.0.0.1:80", Phase::Serving, 1));
+    register.beat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 5));
+    register.beat(100, backend("i-0", "10.0.0.1:80", Phase::Serving, 1));
     assert_eq!(phase(&register, "i-1"), Some(Phase::Serving), "a late word of an older life ends nobody");
-    register.beat(4000, berth("i-2", "10.0.0.1:80", Phase::Serving, 1));
+    register.beat(4000, backend("i-2", "10.0.0.1:80", Phase::Serving, 1));
     assert_eq!(phase(&register, "i-1"), Some(Phase::Gone));
     assert_eq!(phase(&register, "i-2"), Some(Phase::Serving));
 }
@@ -102,7 +102,7 @@
 #[test]
 fn warm_up_runs_on_from_when_it_was_said() {
     let mut register = Register::new(BEAT);
-    register.beat(1000, berth("i-1", "10.0.0.1:80", Phase::Serving, 1));
+    register.beat(1000, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
     assert_eq!(register.all(2500)[0].warmup_left_ms, 1500);
     assert_eq!(register.all(9000)[0].warmup_left_ms, 0);
 }
@@ -110,9 +110,9 @@
 #[test]
 fn two_registers_that_tell_each_other_agree() {
     let (mut one, mut other) = (Register::new(BEAT), Register::new(BEAT));
-    one.beat(0, berth("i-1", "10.0.0.1:80", Phase::Serving, 1));
-    other.beat(0, berth("i-1", "10.0.0.1:80", Phase::Draining, 2));
-    other.beat(0, berth("i-2", "10.0.0.2:80", Phase::Serving, 1));
+    one.beat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
+    other.beat(0, backend("i-1", "10.0.0.1:80", Phase::Draining, 2));
+    other.beat(0, backend("i-2", "10.0.0.2:80", Phase::Serving, 1));
     other.departed(1, "i-2");
     let (ours, theirs) = (one.everything(2), other.everything(2));
     assert_eq!(one.hear(2, theirs).len(), 2);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_quay_that_is_silent_counts_on_for_a_while() {
+fn a_data_plane_that_is_silent_counts_on_for_a_while() {
     let mut fleet = Fleet::default();
     for (at, name) in ["b", "a", "c"].into_iter().enumerate() {
         fleet.heard(at as u64, name, 1);
--- a/crates/relay-tree/src/above.rs
+++ b/crates/relay-tree/src/above.rs
@@ -2,8 +2,8 @@
 
 use crate::chart::Order;
 use crate::{
-    ADRIFT, AGAIN, ANSWER, ASK, AVOIDED, BEHIND, DEEPEST, LATER, Millis, NAMED, Output, Relay, SIGN, SILENT,
-    SOON,
+    AGAIN, ANSWER, ASK, AVOIDED, BEHIND, DEEPEST, ISOLATED, LATER, Millis, NAMED, Output, Relay, SIGN,
+    SILENT, SOON,
 };
 use protocol::relay::{Place, Word};
 use std::collections::BTreeMap;
@@ -26,12 +26,12 @@
     state: State,
     /// From the root to the one that is followed.
     pub(crate) path: Vec<String>,
-    /// The root's last pulse: its number, and the root's epoch.
+    /// The root's last heartbeat: its number, and the root's epoch.
     pub(crate) beat: u64,
     pub(crate) epoch: u64,
-    pub(crate) next_pulse: Millis,
+    pub(crate) next_heartbeat: Millis,
     /// The one that is followed looks for another place itself.
-    adrift: bool,
+    isolated: bool,
     pub(crate) told: protocol::Heartbeat,
     /// Since when the root has not heard the leader just now.
     behind: Option<Millis>,
@@ -55,7 +55,7 @@
     /// Whether the root is heard here.
     pub(crate) fn is_rooted(&self, now: Millis) -> bool {
         let heard = matches!(self.above.state, State::Following(_, heard) if now < heard + SILENT);
-        self.is_root() || heard && !self.above.adrift
+        self.is_root() || heard && !self.above.isolated
     }
 
     pub(crate) fn tick_above(&mut self, now: Millis) {
@@ -145,10 +145,10 @@
                 let above = &mut self.above;
                 above.state = State::Following(from, now);
                 above.named.clear();
-                (above.hops, above.tries, above.next_sign, above.adrift) = (0, 0, now, false);
-                // What is missing comes behind this pulse, without being asked for.
+                (above.hops, above.tries, above.next_sign, above.isolated) = (0, 0, now, false);
+                // What is missing comes behind this heartbeat, without being asked for.
                 above.next_missed = now + ASK;
-                self.on_pulse(now, from, word);
+                self.on_heartbeat(now, from, word);
             }
             word if self.following() == Some(from) => self.on_stream(now, from, word),
             _ => {}
@@ -177,28 +177,28 @@
 
     fn on_stream(&mut self, now: Millis, from: SocketAddr, word: Word) {
         match word {
-            Word::Heartbeat { .. } => self.on_pulse(now, from, word),
-            Word::Adrift if !self.above.adrift => {
-                self.above.adrift = true;
-                self.above.state = State::Following(from, now + ADRIFT);
+            Word::Heartbeat { .. } => self.on_heartbeat(now, from, word),
+            Word::Adrift if !self.above.isolated => {
+                self.above.isolated = true;
+                self.above.state = State::Following(from, now + ISOLATED);
                 self.tell(&Word::Adrift);
             }
             Word::Batch(batch) => match self.chart.order(batch.mark) {
                 Order::Next => {
                     self.tell(&Word::Batch(batch.clone()));
-                    let (mark, berths) = (batch.mark, batch.berths.clone());
+                    let (mark, backends) = (batch.mark, batch.backends.clone());
                     self.chart.take(batch);
-                    self.outputs.push(Output::Backends { whole: false, mark, berths });
+                    self.outputs.push(Output::Backends { whole: false, mark, backends });
                 }
                 Order::Old => {}
                 Order::Gap => self.miss(now, from),
             },
             Word::Whole(all) if self.chart.replace(&all) => {
-                let (mark, berths) = (all.mark, all.berths.clone());
+                let (mark, backends) = (all.mark, all.backends.clone());
                 self.tell(&Word::Whole(all));
-                self.outputs.push(Output::Backends { whole: true, mark, berths });
+                self.outputs.push(Output::Backends { whole: true, mark, backends });
             }
-            Word::ConfigSnapshot(sheet) => self.take_sheet(sheet),
+            Word::ConfigSnapshot(config_snapshot) => self.take_config_snapshot(config_snapshot),
             Word::Roots(roots) => {
                 self.take_roots(roots.iter().filter_map(|root| root.parse().ok()).collect())
             }
@@ -206,18 +206,18 @@
         }
     }
 
-    fn on_pulse(&mut self, now: Millis, from: SocketAddr, word: Word) {
+    fn on_heartbeat(&mut self, now: Millis, from: SocketAddr, word: Word) {
         let Word::Heartbeat { epoch, beat, path, mark, version, told } = word else { return };
         if path.contains(&self.settings.me.to_string()) || path.len() > DEEPEST {
             return self.lost(now, from);
         }
         self.above.path = path;
-        // A pulse of before says nothing of now: in a circle there is no other kind, so silence ends the circle.
+        // A heartbeat of before says nothing of now: in a circle there is no other kind, so silence ends the circle.
         if epoch == self.above.epoch && beat <= self.above.beat {
             return;
         }
         let above = &mut self.above;
-        (above.epoch, above.beat, above.adrift) = (epoch, beat, false);
+        (above.epoch, above.beat, above.isolated) = (epoch, beat, false);
         above.state = State::Following(from, now);
         above.told = told;
         above.behind = if above.told.fresh { None } else { above.behind.or(Some(now)) };
@@ -227,7 +227,7 @@
             return self.lost(now, from);
         }
         let told = above.told.clone();
-        self.pass_pulse();
+        self.pass_heartbeat();
         self.outputs.push(Output::Heartbeat(told));
         let own = self.chart.mark();
         let newer = mark.epoch != own.epoch || mark.sequence > own.sequence;
--- a/crates/relay-tree/src/below.rs
+++ b/crates/relay-tree/src/below.rs
@@ -1,6 +1,6 @@
 //! Those that follow this process.
 
-use crate::{DEEPEST, GONE, Millis, NAMED, Output, PATIENT, PRESSED, PULSE, Relay};
+use crate::{DEEPEST, GONE, HEARTBEAT, Millis, NAMED, Output, PATIENT, PRESSED, Relay};
 use protocol::relay::{Mark, Place, Word};
 use std::net::SocketAddr;
 
@@ -16,15 +16,15 @@
 impl Relay {
     pub(crate) fn tick_below(&mut self, now: Millis) {
         self.below.retain(|_, follower| now < follower.heard + GONE);
-        if self.is_root() && now >= self.above.next_pulse {
-            self.above.next_pulse = now + PULSE;
+        if self.is_root() && now >= self.above.next_heartbeat {
+            self.above.next_heartbeat = now + HEARTBEAT;
             self.above.beat += 1;
-            self.pass_pulse();
+            self.pass_heartbeat();
         }
     }
 
-    /// The root's last pulse, as this process passes it on.
-    pub(crate) fn pulse(&self) -> Word {
+    /// The root's last heartbeat, as this process passes it on.
+    pub(crate) fn heartbeat(&self) -> Word {
         let mut path = self.above.path.clone();
         path.push(self.settings.me.to_string());
         let (mark, version) = self.stands();
@@ -32,9 +32,9 @@
         Word::Heartbeat { epoch, beat: self.above.beat, path, mark, version, told: self.above.told.clone() }
     }
 
-    pub(crate) fn pass_pulse(&mut self) {
-        let pulse = self.pulse();
-        self.tell(&pulse);
+    pub(crate) fn pass_heartbeat(&mut self) {
+        let heartbeat = self.heartbeat();
+        self.tell(&heartbeat);
     }
 
     pub(crate) fn on_join(&mut self, now: Millis, from: SocketAddr, mark: Mark, version: u64, tries: u8) {
@@ -51,8 +51,8 @@
         let words = self.chart.since(mark, version);
         let version = version.max(self.chart.version());
         self.below.insert(from, Follower { heard: now, version, places: Vec::new() });
-        let pulse = self.pulse();
-        self.say(from, pulse);
+        let heartbeat = self.heartbeat();
+        self.say(from, heartbeat);
         let roots = self.roots();
         self.say(from, roots);
         for word in words {
--- a/crates/relay-tree/src/chart.rs
+++ b/crates/relay-tree/src/chart.rs
@@ -10,9 +10,9 @@
 #[derive(Debug)]
 pub(crate) struct Chart {
     mark: Mark,
-    berths: BTreeMap<String, Backend>,
+    backends: BTreeMap<String, Backend>,
     kept: VecDeque<Batch>,
-    sheet: Option<ConfigSnapshot>,
+    config_snapshot: Option<ConfigSnapshot>,
 }
 
 /// What becomes of a batch.
@@ -28,7 +28,7 @@
 
 impl Chart {
     pub(crate) fn new(mark: Mark) -> Self {
-        Self { mark, berths: BTreeMap::new(), kept: VecDeque::new(), sheet: None }
+        Self { mark, backends: BTreeMap::new(), kept: VecDeque::new(), config_snapshot: None }
     }
 
     pub(crate) fn mark(&self) -> Mark {
@@ -36,15 +36,15 @@
     }
 
     pub(crate) fn version(&self) -> u64 {
-        self.sheet.as_ref().map_or(0, |sheet| sheet.version)
+        self.config_snapshot.as_ref().map_or(0, |config_snapshot| config_snapshot.version)
     }
 
     /// A root's own change: it gets the next number.
-    pub(crate) fn change(&mut self, mut berths: Vec<Backend>) -> Batch {
+    pub(crate) fn change(&mut self, mut backends: Vec<Backend>) -> Batch {
         // A stable order: what must be sent nothing new is known before whatever may take its place.
-        berths.sort_by_key(|berth| berth.phase == Phase::Serving);
+        backends.sort_by_key(|backend| backend.phase == Phase::Serving);
         let mark = Mark { sequence: self.mark.sequence + 1, ..self.mark };
-        let batch = Batch { mark, berths };
+        let batch = Batch { mark, backends };
         self.take(batch.clone());
         batch
     }
@@ -62,8 +62,8 @@
     /// Takes the next batch.
     pub(crate) fn take(&mut self, batch: Batch) {
         self.mark = batch.mark;
-        for berth in &batch.berths {
-            self.put(berth.clone());
+        for backend in &batch.backends {
+            self.put(backend.clone());
         }
         self.kept.push_back(batch);
         if self.kept.len() > KEPT {
@@ -71,11 +71,11 @@
         }
     }
 
-    fn put(&mut self, berth: Backend) {
-        if berth.phase == Phase::Gone {
-            self.berths.remove(&berth.id);
+    fn put(&mut self, backend: Backend) {
+        if backend.phase == Phase::Gone {
+            self.backends.remove(&backend.id);
         } else {
-            self.berths.insert(berth.id.clone(), berth);
+            self.backends.insert(backend.id.clone(), backend);
         }
     }
 
@@ -86,16 +86,16 @@
         }
         self.mark = all.mark;
         self.kept.clear();
-        self.berths.clear();
-        all.berths.iter().for_each(|berth| self.put(berth.clone()));
+        self.backends.clear();
+        all.backends.iter().for_each(|backend| self.put(backend.clone()));
         true
     }
 
     /// Takes a configuration; false when it is none newer.
-    pub(crate) fn sheet(&mut self, sheet: &ConfigSnapshot) -> bool {
-        let newer = sheet.version > self.version();
+    pub(crate) fn config_snapshot(&mut self, config_snapshot: &ConfigSnapshot) -> bool {
+        let newer = config_snapshot.version > self.version();
         if newer {
-            self.sheet = Some(sheet.clone());
+            self.config_snapshot = Some(config_snapshot.clone());
         }
         newer
     }
@@ -103,8 +103,10 @@
     /// All that somebody lacks who has that much: the changes since, or where they are not kept, everything.
     pub(crate) fn since(&self, mark: Mark, version: u64) -> Vec<Word> {
         let mut words = Vec::new();
-        if let Some(sheet) = self.sheet.as_ref().filter(|sheet| sheet.version > version) {
-            words.push(Word::ConfigSnapshot(sheet.clone()));
+        if let Some(config_snapshot) =
+            self.config_snapshot.as_ref().filter(|config_snapshot| config_snapshot.version > version)
+        {
+            words.push(Word::ConfigSnapshot(config_snapshot.clone()));
         }
         if self.mark.epoch == 0 || mark.epoch == self.mark.epoch && mark.sequence >= self.mark.sequence {
             return words;
@@ -114,8 +116,8 @@
             let missed = self.kept.iter().filter(|batch| batch.mark.sequence > mark.sequence);
             words.extend(missed.cloned().map(Word::Batch));
         } else {
-            let berths = self.berths.values().cloned().collect();
-            words.push(Word::Whole(Batch { mark: self.mark, berths }));
+            let backends = self.backends.values().cloned().collect();
+            words.push(Word::Whole(Batch { mark: self.mark, backends }));
         }
         words
     }
--- a/crates/relay-tree/src/lib.rs
+++ b/crates/relay-tree/src/lib.rs
@@ -21,19 +21,19 @@
 pub type Millis = u64;
 
 /// A root gives a sign of life this often.
-pub const PULSE: Millis = 350;
+pub const HEARTBEAT: Millis = 350;
 /// A follower does.
 pub const SIGN: Millis = 800;
 /// ... and no more often than this, when there is room where there was none, or none any more.
 const SOON: Millis = 200;
-/// Whoever is followed has lost the root when no pulse comes for this long.
+/// Whoever is followed has lost the root when no heartbeat comes for this long.
 pub const SILENT: Millis = 1300;
 /// ... and so much longer for each relay between: who is nearer to the trouble mends it, with all below.
 const LATER: Millis = 100;
 /// A root that has not heard the leader for this long is left.
 const BEHIND: Millis = 900;
 /// A relay that looks for another place is given so much longer by those below it.
-const ADRIFT: Millis = 1500;
+const ISOLATED: Millis = 1500;
 /// A follower that says nothing for this long is none any more.
 const GONE: Millis = 2500;
 /// Whoever is asked answers by then or is passed over.
@@ -95,7 +95,7 @@
     Change(Vec<Backend>),
     /// A configuration is in force; of a root.
     ConfigSnapshot(ConfigSnapshot),
-    /// What goes with the next pulses; of a root.
+    /// What goes with the next heartbeats; of a root.
     Told(Heartbeat),
     /// These are the roots from now on; those that follow hear it.
     Roots(Vec<SocketAddr>),
@@ -118,11 +118,11 @@
         /// How far this process is with them.
         mark: Mark,
         /// The backends.
-        berths: Vec<Backend>,
+        backends: Vec<Backend>,
     },
     /// A configuration newer than all before.
     ConfigSnapshot(ConfigSnapshot),
-    /// A root lives, and says this of the harbour.
+    /// A root lives, and says this of the fleet.
     Heartbeat(Heartbeat),
 }
 
@@ -166,11 +166,13 @@
             Input::Left(peer) => {
                 self.below.remove(&peer);
             }
-            Input::Change(berths) if self.is_root() => {
-                let batch = self.chart.change(berths);
+            Input::Change(backends) if self.is_root() => {
+                let batch = self.chart.change(backends);
                 self.tell(&Word::Batch(batch));
             }
-            Input::ConfigSnapshot(sheet) if self.is_root() => self.take_sheet(sheet),
+            Input::ConfigSnapshot(config_snapshot) if self.is_root() => {
+                self.take_config_snapshot(config_snapshot)
+            }
             Input::Change(_) | Input::ConfigSnapshot(_) => {}
             Input::Told(told) => self.above.told = told,
             Input::Roots(roots) => self.take_roots(roots),
@@ -221,15 +223,16 @@
         }
     }
 
-    fn take_sheet(&mut self, sheet: ConfigSnapshot) {
-        if self.chart.sheet(&sheet) {
+    fn take_config_snapshot(&mut self, config_snapshot: ConfigSnapshot) {
+        if self.chart.config_snapshot(&config_snapshot) {
             for (to, follower) in &mut self.below {
-                if follower.version < sheet.version {
-                    follower.version = sheet.version;
-                    self.outputs.push(Output::Send { to: *to, word: Word::ConfigSnapshot(sheet.clone()) });
+                if follower.version < config_snapshot.version {
+                    follower.version = config_snapshot.version;
+                    self.outputs
+                        .push(Output::Send { to: *to, word: Word::ConfigSnapshot(config_snapshot.clone()) });
                 }
             }
-            self.outputs.push(Output::ConfigSnapshot(sheet));
+            self.outputs.push(Output::ConfigSnapshot(config_snapshot));
         }
     }
 
--- a/crates/relay-tree/tests/circle.rs
+++ b/crates/relay-tree/tests/circle.rs
@@ -9,7 +9,7 @@
     relays: Vec<(SocketAddr, Relay)>,
     /// Whoever is deaf hears nothing.
     deaf: Vec<SocketAddr>,
-    /// Whether pulses lose on the way by which they came.
+    /// Whether heartbeats lose on the way by which they came.
     pathless: bool,
 }
 
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_circle_hears_no_new_pulse_and_ends() {
+fn a_circle_hears_no_new_heartbeat_and_ends() {
     let mut row = Row::new(true);
     row.turn();
     assert_eq!((row.follows(1), row.follows(2)), (Some(2), Some(1)), "nobody saw the way");
--- a/crates/relay-tree/tests/drawn.rs
+++ b/crates/relay-tree/tests/drawn.rs
@@ -47,7 +47,7 @@
     world.run(10 * SECOND);
     world.delays.clear();
     world.last.clear();
-    world.sheet_delays.clear();
+    world.config_snapshot_delays.clear();
     world.sent();
     world
 }
@@ -76,11 +76,11 @@
     world.configure(2, 10_069);
     world.run(world.now + 5 * SECOND);
     let [(root, _), (relay, _)] = world.sent();
-    let mut sheets = std::mem::take(&mut world.sheet_delays);
+    let mut config_snapshots = std::mem::take(&mut world.config_snapshot_delays);
     println!(
         "{name} 350 routes more: median {:.1} ms, last {:.1} ms; busiest root sends {root} bytes, relay {relay}",
-        percentile(&mut sheets, 0.5),
-        percentile(&mut sheets, 1.0),
+        percentile(&mut config_snapshots, 0.5),
+        percentile(&mut config_snapshots, 1.0),
     );
     world.settled();
     assert_eq!(world.wrong, [""; 0]);
--- a/crates/relay-tree/tests/world/mod.rs
+++ b/crates/relay-tree/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A harbour of relays in one thread: links with a width and a delay, processes that die, freeze or are cut off, all
+//! A fleet of relays in one thread: links with a width and a delay, processes that die, freeze or are cut off, all
 //! drawn from a seed, on a clock of its own.
 
 use protocol::relay::{Mark, Word};
@@ -73,8 +73,8 @@
     /// For each change the time until each process knew.
     pub delays: Vec<Micros>,
     pub last: BTreeMap<u64, Micros>,
-    sheets: BTreeMap<u64, Micros>,
-    pub sheet_delays: Vec<Micros>,
+    config_snapshots: BTreeMap<u64, Micros>,
+    pub config_snapshot_delays: Vec<Micros>,
     pub wrong: Vec<String>,
     circle_since: Option<Micros>,
 }
@@ -126,8 +126,8 @@
             born: BTreeMap::new(),
             delays: Vec::new(),
             last: BTreeMap::new(),
-            sheets: BTreeMap::new(),
-            sheet_delays: Vec::new(),
+            config_snapshots: BTreeMap::new(),
+            config_snapshot_delays: Vec::new(),
             wrong: Vec::new(),
             circle_since: None,
         };
@@ -175,7 +175,7 @@
             // A root that starts hears from the others what there is.
             let all: Vec<_> = self.truth.values().cloned().collect();
             self.work(at, Input::Change(all));
-            if let Some((version, _)) = self.sheets.last_key_value() {
+            if let Some((version, _)) = self.config_snapshots.last_key_value() {
                 self.work(at, Input::ConfigSnapshot(ConfigSnapshot { version: *version, body: body(500) }));
             }
         }
@@ -190,15 +190,15 @@
         for output in outputs {
             match output {
                 Output::Send { to, word } => self.send(at, number(&to), word),
-                Output::Backends { whole, mark, berths } => self.told(at, whole, mark, &berths),
+                Output::Backends { whole, mark, backends } => self.told(at, whole, mark, &backends),
                 Output::Heartbeat(_) => {}
-                Output::ConfigSnapshot(sheet) => {
-                    if sheet.version <= self.nodes[at].version {
-                        self.wrong.push(format!("{at} goes back to r{}", sheet.version));
+                Output::ConfigSnapshot(config_snapshot) => {
+                    if config_snapshot.version <= self.nodes[at].version {
+                        self.wrong.push(format!("{at} goes back to r{}", config_snapshot.version));
                     }
-                    self.nodes[at].version = sheet.version;
-                    if let Some(born) = self.sheets.get(&sheet.version) {
-                        self.sheet_delays.push(self.now - born);
+                    self.nodes[at].version = config_snapshot.version;
+                    if let Some(born) = self.config_snapshots.get(&config_snapshot.version) {
+                        self.config_snapshot_delays.push(self.now - born);
                     }
                 }
             }
@@ -206,7 +206,7 @@
     }
 
     /// What the process does with its news, and whether that is what it should get.
-    fn told(&mut self, at: usize, whole: bool, mark: Mark, berths: &[Backend]) {
+    fn told(&mut self, at: usize, whole: bool, mark: Mark, backends: &[Backend]) {
         let now = self.now;
         let node = &mut self.nodes[at];
         if whole {
@@ -215,18 +215,18 @@
             self.wrong.push(format!("{at} takes changes of an epoch whose list it has not"));
         }
         node.mark = mark;
-        if !whole && !berths.is_sorted_by_key(|berth| berth.phase == Phase::Serving) {
+        if !whole && !backends.is_sorted_by_key(|backend| backend.phase == Phase::Serving) {
             self.wrong.push(format!("{at} hears of drains behind others"));
         }
-        for berth in berths {
-            let before = node.table.insert(berth.id.clone(), berth.clone());
-            if let Some(before) = before.filter(|before| before.call_count >= berth.call_count) {
-                let (id, old, new) = (&berth.id, before.call_count, berth.call_count);
+        for backend in backends {
+            let before = node.table.insert(backend.id.clone(), backend.clone());
+            if let Some(before) = before.filter(|before| before.call_count >= backend.call_count) {
+                let (id, old, new) = (&backend.id, before.call_count, backend.call_count);
                 self.wrong.push(format!("{at} hears {new} of {id} after {old}"));
             }
-            if !whole && let Some(born) = self.born.get(&berth.call_count) {
+            if !whole && let Some(born) = self.born.get(&backend.call_count) {
                 self.delays.push(now - born);
-                let last = self.last.entry(berth.call_count).or_default();
+                let last = self.last.entry(backend.call_count).or_default();
                 *last = (*last).max(now - born);
             }
         }
@@ -322,15 +322,15 @@
 
     /// Backends change, as every root hears.
     pub fn change(&mut self, how_many: u64) {
-        let mut berths = Vec::new();
+        let mut backends = Vec::new();
         for _ in 0..how_many {
             let id = format!("i-{:010}", self.below(231));
-            if berths.iter().any(|berth: &Backend| berth.id == id) {
+            if backends.iter().any(|backend: &Backend| backend.id == id) {
                 continue;
             }
             self.calls += 1;
             let phase = if self.below(3) == 0 { Phase::Draining } else { Phase::Serving };
-            let berth = Backend {
+            let backend = Backend {
                 id: id.clone(),
                 service: "service-a".into(),
                 address: "10.200.100.50:8000".into(),
@@ -343,18 +343,18 @@
                 overdue: false,
             };
             self.born.insert(self.calls, self.now);
-            self.truth.insert(id, berth.clone());
-            berths.push(berth);
+            self.truth.insert(id, backend.clone());
+            backends.push(backend);
         }
         for root in self.roots() {
             // A frozen one hears it when it wakes; that it does so at once here makes its followers' gap no smaller.
-            self.work(root, Input::Change(berths.clone()));
+            self.work(root, Input::Change(backends.clone()));
         }
     }
 
     /// The operator's configuration, of so many bytes on the way.
     pub fn configure(&mut self, version: u64, bytes: usize) {
-        self.sheets.insert(version, self.now);
+        self.config_snapshots.insert(version, self.now);
         for root in self.roots() {
             self.work(root, Input::ConfigSnapshot(ConfigSnapshot { version, body: body(bytes) }));
         }
@@ -466,7 +466,7 @@
 
     /// What must hold once all is well.
     pub fn settled(&mut self) {
-        let version = self.sheets.last_key_value().map_or(0, |(version, _)| *version);
+        let version = self.config_snapshots.last_key_value().map_or(0, |(version, _)| *version);
         for at in 0..self.size() {
             let level = self.level(at);
             if level.is_none_or(|level| level > DEEPEST) {
@@ -478,7 +478,7 @@
             }
             if node.table != self.truth {
                 let differ =
-                    self.truth.iter().filter(|(id, berth)| node.table.get(*id) != Some(*berth)).count();
+                    self.truth.iter().filter(|(id, backend)| node.table.get(*id) != Some(*backend)).count();
                 self.wrong.push(format!("{at} is wrong about {differ} backends"));
             }
             if node.version != version {
--- a/crates/testbed/src/backend.rs
+++ b/crates/testbed/src/backend.rs
@@ -346,7 +346,7 @@
         let warm = (self.born.elapsed().as_secs_f64() / WARMUP.as_secs_f64()).min(1.0);
         let cold = COLD - (COLD - 1.0) * warm;
         let full = if self.slots.available_permits() == 0 { 1.3 } else { 1.0 };
-        // Very long ones would say more about the draw than about the harbour.
+        // Very long ones would say more about the draw than about the fleet.
         self.mean.mul_f64((0.3 + 0.7 * drawn).min(6.0) * cold * full)
     }
 }
--- a/crates/testbed/src/capacity/costs.rs
+++ b/crates/testbed/src/capacity/costs.rs
@@ -9,7 +9,7 @@
 use protocol::{Held, Message, frame, unframe};
 use quota::{Cache, Epoch, HolderAssignment, QuotaService};
 use registry::{Fleet, Register};
-use transport::sheets::{ConfigEncoder, held, rebuild};
+use transport::config_snapshots::{ConfigEncoder, held, rebuild};
 
 /// Turns of steps that are short.
 const SHORT_TURNS: usize = 2_000;
@@ -84,8 +84,8 @@
         FEW_TURNS,
         || (),
         |(), _| {
-            if let Ok(Some((Message::ConfigDelta(splice), _))) = unframe(&sent) {
-                drop(std::hint::black_box(rebuild(Some(&before), &splice)));
+            if let Ok(Some((Message::ConfigDelta(config_delta), _))) = unframe(&sent) {
+                drop(std::hint::black_box(rebuild(Some(&before), &config_delta)));
             }
         },
     );
@@ -98,13 +98,13 @@
     let applied = measure(
         1,
         || {
-            let mut ledger = ConfigHistory::default();
-            ledger.apply(Place::default(), change(1, &before));
-            (ledger, Some(change(2, &after)))
+            let mut config_history = ConfigHistory::default();
+            config_history.apply(Place::default(), change(1, &before));
+            (config_history, Some(change(2, &after)))
         },
-        |(ledger, next), _| {
+        |(config_history, next), _| {
             if let Some(next) = next.take() {
-                ledger.apply(Place::default(), next);
+                config_history.apply(Place::default(), next);
             }
         },
     );
@@ -117,26 +117,26 @@
     ]
 }
 
-fn roster() -> HolderAssignment {
+fn assignment() -> HolderAssignment {
     HolderAssignment { epoch: Epoch::first(12), holders: vec![HOLDER.to_owned()] }
 }
 
 fn holder(size: &Size) -> QuotaService {
-    let mut office = QuotaService::new(HOLDER);
-    office.quotas(0.0, quotas(size));
-    office.fleet(0.0, size.gateways as u32);
-    office.assume(0.0, &roster(), true);
-    office.lease(LEASE_MS);
+    let mut quota_service = QuotaService::new(HOLDER);
+    quota_service.quotas(0.0, quotas(size));
+    quota_service.fleet(0.0, size.gateways as u32);
+    quota_service.assume(0.0, &assignment(), true);
+    quota_service.lease(LEASE_MS);
     for number in 0..size.gateways {
-        office.heard(0.0, &gateway_name(number), Epoch::first(12));
+        quota_service.heard(0.0, &gateway_name(number), Epoch::first(12));
     }
-    office
+    quota_service
 }
 
 fn lease_cache(size: &Size) -> Cache {
     let mut cache = Cache::new(7);
     cache.quotas(0.0, quotas(size));
-    cache.roster(&roster());
+    cache.assignment(&assignment());
     cache.fleet(size.gateways as u32);
     cache.word(0.0);
     cache
@@ -147,17 +147,17 @@
     let answered = measure(
         LONG_TURNS,
         || holder(size),
-        |office, turn| {
+        |quota_service, turn| {
             let request = lease_request(turn as u64, turn % size.tenants..turn % size.tenants + 1);
-            let _ = office.draw(turn as f64, &gateway_name(turn % size.gateways), &request);
+            let _ = quota_service.draw(turn as f64, &gateway_name(turn % size.gateways), &request);
         },
     );
     let floors = measure(
         LONG_TURNS,
         || holder(size),
-        |office, turn| {
-            let _ = office.floors_wanted(turn as f64);
-            let _ = office.presses();
+        |quota_service, turn| {
+            let _ = quota_service.floors_wanted(turn as f64);
+            let _ = quota_service.presses();
         },
     );
     // What a data plane does for each request that has no unit: ask, look what is to be sent, look when it is due.
--- a/crates/testbed/src/capacity/memory.rs
+++ b/crates/testbed/src/capacity/memory.rs
@@ -81,9 +81,13 @@
 }
 
 fn counts(inputs: &Inputs) -> QuotaService {
-    let mut office = QuotaService::new(HOLDER);
-    office.quotas(0.0, inputs.quotas.clone());
-    office.assume(0.0, &HolderAssignment { epoch: Epoch::first(1), holders: vec![HOLDER.to_owned()] }, true);
-    (0..inputs.size.gateways).for_each(|n| office.heard(0.0, &gateway_name(n), Epoch::first(1)));
-    office
+    let mut quota_service = QuotaService::new(HOLDER);
+    quota_service.quotas(0.0, inputs.quotas.clone());
+    quota_service.assume(
+        0.0,
+        &HolderAssignment { epoch: Epoch::first(1), holders: vec![HOLDER.to_owned()] },
+        true,
+    );
+    (0..inputs.size.gateways).for_each(|n| quota_service.heard(0.0, &gateway_name(n), Epoch::first(1)));
+    quota_service
 }
--- a/crates/testbed/src/capacity/messages.rs
+++ b/crates/testbed/src/capacity/messages.rs
@@ -5,7 +5,7 @@
 use protocol::{ControlPlaneAddress, Heartbeat, Held, Hello, Message, Order, Plane, frame};
 use quota::{Epoch, Grant, LeaseRequest, Share, Standing, Want};
 use raft::{Entry, Message as LogMessage, What};
-use transport::sheets::{ConfigEncoder, held};
+use transport::config_snapshots::{ConfigEncoder, held};
 
 /// The largest body that the control plane's HTTP interface takes, in bytes, and the log as well.
 pub const LARGEST_CONFIGURATION: usize = 4 << 20;
@@ -192,7 +192,7 @@
         of(kind::HEARD, Message::Heard(heard_in_a_round(size))),
         raw(kind::HTTP_HEARTBEAT, beat),
         raw(kind::HTTP_ANSWER, answer),
-        of(kind::BACKEND, Message::Backends { whole: false, berths: vec![backend(7)] }),
-        of(kind::ALL_BACKENDS, Message::Backends { whole: true, berths: backends(size) }),
+        of(kind::BACKEND, Message::Backends { whole: false, backends: vec![backend(7)] }),
+        of(kind::ALL_BACKENDS, Message::Backends { whole: true, backends: backends(size) }),
     ]
 }
--- a/crates/testbed/src/chance.rs
+++ b/crates/testbed/src/chance.rs
@@ -24,7 +24,7 @@
 impl Chance {
     /// The stream of this use under this seed.
     pub fn new(seed: u64, stream: u64) -> Self {
-        Self(Random::new(seed, "drydock", stream))
+        Self(Random::new(seed, "testbed", stream))
     }
 
     /// An index by shares.
--- a/crates/testbed/src/control.rs
+++ b/crates/testbed/src/control.rs
@@ -1,4 +1,4 @@
-//! Callers of control: backends and the operator go from one harbourmaster to the next until one answers.
+//! Callers of control: backends and the operator go from one control plane to the next until one answers.
 
 use crate::wire::{Answer, call};
 use bytes::Bytes;
@@ -119,7 +119,7 @@
         None
     }
 
-    /// How one harbourmaster stands.
+    /// How one control plane stands.
     pub async fn status(&self, at: SocketAddr) -> Option<Value> {
         let answer = self.once(Some(at), "GET", "/Harbour.Status", &[], Bytes::new(), SILENCE).await?;
         serde_json::from_slice(&answer.body).ok()
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: a harbour that is built, loaded, put in trouble, judged and taken down again.
+//! The demo: a fleet that is built, loaded, put in trouble, judged and taken down again.
 
 use crate::backend::{Cradle, StandInBackend};
 use crate::clients::Platform;
@@ -11,7 +11,7 @@
 use crate::operator::Operator;
 use crate::plan::{APPLY_MS, DRAIN_MS, FIRST, SERVICES};
 use crate::report::{Spent, Teller, judgement, print, tables};
-use crate::site::{MASTERS, Site, ZONES};
+use crate::site::{Site, VOTERS, ZONES};
 use crate::trouble::{GREED, Scene, Trouble};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// A harbour has this long to come up.
+/// A fleet has this long to come up.
 const COMES_UP: Duration = Duration::from_secs(30);
 /// How often it is looked at until then.
 const LOOKS: Duration = Duration::from_millis(20);
@@ -51,54 +51,54 @@
 }
 
 impl Program {
-    fn berth(&self, name: String, plane: &str, settings: PathBuf, log: PathBuf) -> Backend {
+    fn backend(&self, name: String, plane: &str, settings: PathBuf, log: PathBuf) -> Backend {
         let plane = std::iter::once(plane.to_owned());
         let arguments = self.before.iter().cloned().chain(plane).chain(self.after.iter().cloned()).collect();
         Backend { name, program: self.file.clone(), arguments, settings, log }
     }
 
-    /// A harbourmaster's place in a folder.
-    pub fn master(&self, folder: &Path, machine: usize) -> Backend {
-        let name = format!("machine-{}-harbourmaster", machine + 1);
+    /// A control plane's place in a folder.
+    pub fn control_plane(&self, folder: &Path, machine: usize) -> Backend {
+        let name = format!("machine-{}-control-plane", machine + 1);
         let (settings, log) = files(folder, &name);
-        self.berth(name, "harbourmaster", settings, log)
+        self.backend(name, "control-plane", settings, log)
     }
 
-    /// Writes all settings and starts all processes of a new harbour: the harbourmasters, and the quays.
+    /// Writes all settings and starts all processes of a new fleet: the control planes, and the data planes.
     ///
     /// # Errors
     /// When a file can't be written or a process started.
     pub fn start_all(&self, folder: &Path, site: &Site) -> Result<(Vec<Process>, Vec<Process>), Fault> {
         make_folders(folder)?;
-        let mut masters = Vec::new();
-        let mut quays = Vec::new();
-        for machine in 0..MASTERS {
-            let berth = self.master(folder, machine);
-            let text = site.master_settings(machine, &data(folder, machine), true);
-            std::fs::write(&berth.settings, text).map_err(Fault::file(&berth.settings))?;
-            masters.push(Process::start(berth)?);
+        let mut control_planes = Vec::new();
+        let mut data_planes = Vec::new();
+        for machine in 0..VOTERS {
+            let backend = self.control_plane(folder, machine);
+            let text = site.control_plane_settings(machine, &data(folder, machine), true);
+            std::fs::write(&backend.settings, text).map_err(Fault::file(&backend.settings))?;
+            control_planes.push(Process::start(backend)?);
         }
         for machine in 0..ZONES.len() {
-            let berth = self.quay(folder, machine);
-            std::fs::write(&berth.settings, site.quay_settings(machine))
-                .map_err(Fault::file(&berth.settings))?;
-            quays.push(Process::start(berth)?);
+            let backend = self.data_plane(folder, machine);
+            std::fs::write(&backend.settings, site.data_plane_settings(machine))
+                .map_err(Fault::file(&backend.settings))?;
+            data_planes.push(Process::start(backend)?);
         }
-        Ok((masters, quays))
+        Ok((control_planes, data_planes))
     }
 
     /// The place of a process of hollow data planes in a folder.
     pub fn hollow(&self, folder: &Path, number: usize, settings: PathBuf) -> Backend {
         let name = format!("hollow-{number}");
         let (_, log) = files(folder, &name);
-        self.berth(name, "hollow", settings, log)
+        self.backend(name, "hollow", settings, log)
     }
 
-    /// A quay's place in a folder.
-    pub fn quay(&self, folder: &Path, machine: usize) -> Backend {
-        let name = format!("machine-{}-quay", machine + 1);
+    /// A data plane's place in a folder.
+    pub fn data_plane(&self, folder: &Path, machine: usize) -> Backend {
+        let name = format!("machine-{}-data-plane", machine + 1);
         let (settings, log) = files(folder, &name);
-        self.berth(name, "quay", settings, log)
+        self.backend(name, "data-plane", settings, log)
     }
 }
 
@@ -106,18 +106,18 @@
     (folder.join("settings").join(format!("{name}.toml")), folder.join("logs").join(format!("{name}.log")))
 }
 
-/// Where a harbourmaster keeps what outlives it.
+/// Where a control plane keeps what outlives it.
 pub fn data(folder: &Path, machine: usize) -> PathBuf {
     folder.join("data").join(format!("machine-{}", machine + 1))
 }
 
-/// The folders of a harbour.
+/// The folders of a fleet.
 ///
 /// # Errors
 /// When one can't be made.
 pub fn make_folders(folder: &Path) -> Result<(), Fault> {
     let inner = ["settings", "logs"].map(|name| folder.join(name));
-    for folder in inner.into_iter().chain((0..MASTERS).map(|machine| data(folder, machine))) {
+    for folder in inner.into_iter().chain((0..VOTERS).map(|machine| data(folder, machine))) {
         std::fs::create_dir_all(&folder).map_err(Fault::file(&folder))?;
     }
     Ok(())
@@ -148,7 +148,7 @@
     Ok(backends)
 }
 
-/// Waits until all quays are ready, and gives up when a process ends.
+/// Waits until all data planes are ready, and gives up when a process ends.
 ///
 /// # Errors
 /// When one does, or when time is over.
@@ -172,7 +172,7 @@
             return Ok(());
         }
         if Instant::now() > until {
-            let what = format!("{ready} of {wanted} quays are ready");
+            let what = format!("{ready} of {wanted} data planes are ready");
             return Err(Fault::Late { what, within: COMES_UP, logs: folder.join("logs") });
         }
         sleep(LOOKS).await;
@@ -197,14 +197,14 @@
     }
 }
 
-/// Once the harbour stands, a harbourmaster that starts again is none of the first start's.
+/// Once the fleet stands, a control plane that starts again is none of the first start's.
 ///
 /// # Errors
 /// When a settings file can't be written.
 pub fn settle(program: &Program, site: &Site, folder: &Path) -> Result<(), Fault> {
-    for machine in 0..MASTERS {
-        let settings = program.master(folder, machine).settings;
-        let text = site.master_settings(machine, &data(folder, machine), false);
+    for machine in 0..VOTERS {
+        let settings = program.control_plane(folder, machine).settings;
+        let text = site.control_plane_settings(machine, &data(folder, machine), false);
         std::fs::write(&settings, text).map_err(Fault::file(&settings))?;
     }
     Ok(())
@@ -243,7 +243,7 @@
     /// Runs it. True when the judge found nothing.
     ///
     /// # Errors
-    /// When the harbour can't be built, or is told to end.
+    /// When the fleet can't be built, or is told to end.
     pub async fn run(&self) -> Result<bool, Fault> {
         fault_injection::running::end_with_panics();
         tokio::select! {
@@ -258,17 +258,17 @@
         let place = place.map_err(Fault::file(std::env::temp_dir()))?;
         let folder = place.path();
         let teller = Teller::default();
-        // Another harbour on this machine has other addresses, whatever its ports.
+        // Another fleet on this machine has other addresses, whatever its ports.
         let pid = std::process::id();
         let site = Site::find(64 + (pid >> 8) as u8 % 128, pid as u8, u64::from(pid))?;
-        let (mut masters, mut quays) = self.program.start_all(folder, &site)?;
+        let (mut control_planes, mut data_planes) = self.program.start_all(folder, &site)?;
         teller.say(format!(
-            "{} harbourmasters and {} quays start; logs in {}",
-            MASTERS,
+            "{} control planes and {} data planes start; logs in {}",
+            VOTERS,
             ZONES.len(),
             folder.join("logs").display()
         ));
-        let control: Vec<_> = (0..MASTERS).map(|machine| site.control(machine)).collect();
+        let control: Vec<_> = (0..VOTERS).map(|machine| site.control(machine)).collect();
         let control = Control::new(control);
         let history = Arc::new(History::default());
         let services = SERVICES.map(|(label, _)| label);
@@ -279,15 +279,18 @@
         teller.say(format!("r{FIRST} is acknowledged"));
         let readiness = (0..ZONES.len()).map(|machine| site.readiness(machine)).collect();
         let platform = Arc::new(Platform::new(fronts, readiness));
-        let mut all: Vec<_> = masters.iter_mut().chain(&mut quays).collect();
+        let mut all: Vec<_> = control_planes.iter_mut().chain(&mut data_planes).collect();
         wait_ready(&platform, &mut all, folder).await?;
         settle(&self.program, &site, folder)?;
-        teller.say(format!("all quays are ready; {} requests a second for {} s", self.rate, self.seconds));
+        teller.say(format!(
+            "all data planes are ready; {} requests a second for {} s",
+            self.rate, self.seconds
+        ));
         let lasts = Duration::from_secs(self.seconds);
         let mut scene = Scene {
-            masters,
-            data: (0..MASTERS).map(|machine| data(folder, machine)).collect(),
-            quays,
+            control_planes,
+            data: (0..VOTERS).map(|machine| data(folder, machine)).collect(),
+            data_planes,
             control,
             operator,
             backends,
@@ -296,7 +299,7 @@
             lasts,
             seed: self.seed,
         };
-        let before = [spent(&scene.masters), spent(&scene.quays)];
+        let before = [spent(&scene.control_planes), spent(&scene.data_planes)];
         let greed = Greed::new(if self.trouble == Trouble::Quota { GREED } else { 1.0 });
         let load = Load { seed: self.seed, rate: self.rate, lasts, greed };
         let tallies = Tallies::default();
@@ -313,13 +316,13 @@
             () = tell(teller, tallies.clone()) => {}
         }
         platform_watch.abort();
-        let after = [spent(&scene.masters), spent(&scene.quays)];
+        let after = [spent(&scene.control_planes), spent(&scene.data_planes)];
         teller.say("the load is over");
         scene.operator.read_back().await;
-        let Scene { mut masters, mut quays, backends, .. } = scene;
-        look_for_ends(&mut masters, &mut quays, &history);
-        masters.append(&mut quays);
-        let killed = fleet::end(&mut masters.iter_mut().collect::<Vec<_>>()).await;
+        let Scene { mut control_planes, mut data_planes, backends, .. } = scene;
+        look_for_ends(&mut control_planes, &mut data_planes, &history);
+        control_planes.append(&mut data_planes);
+        let killed = fleet::end(&mut control_planes.iter_mut().collect::<Vec<_>>()).await;
         if !killed.is_empty() {
             teller.say(format!(
                 "had to be killed, {} s after SIGTERM: {}",
@@ -331,8 +334,8 @@
         let (lines, full) = history.take();
         let verdict = judge(&lines, &TERMS, full.then(|| "the history is full".to_owned()));
         let spent = [
-            Spent { name: "quays", count: ZONES.len(), time: after[1].saturating_sub(before[1]) },
-            Spent { name: "harbourmasters", count: MASTERS, time: after[0].saturating_sub(before[0]) },
+            Spent { name: "data_planes", count: ZONES.len(), time: after[1].saturating_sub(before[1]) },
+            Spent { name: "control planes", count: VOTERS, time: after[0].saturating_sub(before[0]) },
         ];
         let told = tables(&tallies, &spent, &verdict.uses) + &judgement(&verdict);
         print(told);
@@ -341,12 +344,12 @@
 }
 
 /// Notes which processes have ended by themselves.
-pub fn look_for_ends(masters: &mut [Process], quays: &mut [Process], history: &History) {
-    for (quay, processes) in [(false, masters), (true, quays)] {
+pub fn look_for_ends(control_planes: &mut [Process], data_planes: &mut [Process], history: &History) {
+    for (data_plane, processes) in [(false, control_planes), (true, data_planes)] {
         for (machine, process) in processes.iter_mut().enumerate() {
             if let Some(status) = process.ended() {
                 let deed = Deed::Wrong(format!("ended by itself: {status}"));
-                history.note(Seen::Process { machine, quay, deed });
+                history.note(Seen::Process { machine, data_plane, deed });
             }
         }
     }
--- a/crates/testbed/src/fault.rs
+++ b/crates/testbed/src/fault.rs
@@ -1,4 +1,4 @@
-//! What can keep a harbour from being built.
+//! What can keep a fleet from being built.
 
 use miette::Diagnostic;
 use std::io;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why there is no harbour, or none any more.
+/// Why there is no fleet, or none any more.
 #[derive(Debug, Error, Diagnostic)]
 pub enum Fault {
     /// A file or folder.
@@ -33,7 +33,7 @@
     #[error("no free ports on the loopback addresses {0}")]
     #[diagnostic(
         code(testbed::ports),
-        help("each machine of the harbour needs the same ports on an address of its own")
+        help("each machine of the fleet needs the same ports on an address of its own")
     )]
     Ports(String),
     /// A socket.
@@ -57,7 +57,7 @@
         /// Where the processes write.
         logs: PathBuf,
     },
-    /// A process ended before the harbour stood.
+    /// A process ended before the fleet stood.
     #[error("{name} ended by itself ({status}): {words}")]
     #[diagnostic(code(testbed::died), help("its log is {}", log.display()))]
     Died {
@@ -79,8 +79,8 @@
         /// What is wrong.
         wrong: String,
     },
-    /// Another harbour is up in this folder.
-    #[error("a harbour is up in {} already (process {pid})", dir.display())]
+    /// Another fleet is up in this folder.
+    #[error("a fleet is up in {} already (process {pid})", dir.display())]
     #[diagnostic(code(testbed::up), help("`testbed down --dir {}` ends it", dir.display()))]
     Already {
         /// The folder.
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -29,9 +29,9 @@
     pub log: PathBuf,
 }
 
-/// A process at its berth, or the empty berth.
+/// A process at its backend, or the empty backend.
 pub struct Process {
-    berth: Backend,
+    backend: Backend,
     child: Option<Child>,
     pid: u32,
     spent: Duration,
@@ -42,23 +42,23 @@
     ///
     /// # Errors
     /// When it cannot be started.
-    pub fn start(berth: Backend) -> Result<Self, Fault> {
-        let mut process = Self { berth, child: None, pid: 0, spent: Duration::ZERO };
+    pub fn start(backend: Backend) -> Result<Self, Fault> {
+        let mut process = Self { backend, child: None, pid: 0, spent: Duration::ZERO };
         process.restart()?;
         Ok(process)
     }
 
-    /// Starts it again at the same berth, with the settings in effect now.
+    /// Starts it again at the same backend, with the settings in effect now.
     ///
     /// # Errors
     /// When it cannot be started.
     pub fn restart(&mut self) -> Result<(), Fault> {
-        let log = OpenOptions::new().create(true).append(true).open(&self.berth.log);
-        let log = log.map_err(Fault::file(&self.berth.log))?;
-        let failed = |error| Fault::Start { name: self.berth.name.clone(), error };
-        let child = Command::new(&self.berth.program)
-            .args(&self.berth.arguments)
-            .env(reachlb::SETTINGS, &self.berth.settings)
+        let log = OpenOptions::new().create(true).append(true).open(&self.backend.log);
+        let log = log.map_err(Fault::file(&self.backend.log))?;
+        let failed = |error| Fault::Start { name: self.backend.name.clone(), error };
+        let child = Command::new(&self.backend.program)
+            .args(&self.backend.arguments)
+            .env(reachlb::SETTINGS, &self.backend.settings)
             .stdin(Stdio::null())
             .stdout(log.try_clone().map_err(failed)?)
             .stderr(log)
@@ -75,7 +75,7 @@
 
     /// Its name.
     pub fn name(&self) -> &str {
-        &self.berth.name
+        &self.backend.name
     }
 
     /// Its number with the system.
@@ -85,7 +85,7 @@
 
     /// Its settings file.
     pub fn settings(&self) -> &Path {
-        &self.berth.settings
+        &self.backend.settings
     }
 
     /// How it ended, if it has without being told to.
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -169,7 +169,7 @@
         /// The status.
         status: u16,
     },
-    /// A harbourmaster says at the end what holds; without a version it said nothing.
+    /// A control plane says at the end what holds; without a version it said nothing.
     Read {
         /// Which.
         machine: usize,
@@ -183,7 +183,7 @@
         /// On which machine.
         machine: usize,
         /// Which plane.
-        quay: bool,
+        data_plane: bool,
         /// What.
         deed: Deed,
     },
@@ -201,7 +201,7 @@
         /// Its number.
         fault: usize,
     },
-    /// How a harbourmaster stands.
+    /// How a control plane stands.
     Stands {
         /// Which.
         machine: usize,
--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -10,7 +10,7 @@
 use crate::changes::Changes;
 use crate::history::{Deed, End, Line, Seen};
 use crate::plan::{KINDS, SERVICES, TENANTS};
-use crate::site::MASTERS;
+use crate::site::VOTERS;
 use crate::windows::{QUOTA_WINDOW, beyond, most_sent_and_run, most_within, over_budget, quota_bound};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
@@ -176,14 +176,14 @@
                 Seen::Ends { fault } => {
                     faults.get(fault).into_iter().for_each(|index| all[*index].end = at);
                 }
-                Seen::Process { machine, quay, deed: Deed::Started | Deed::Continued } => {
-                    if let Some(index) = away.remove(&(*machine, *quay)) {
+                Seen::Process { machine, data_plane, deed: Deed::Started | Deed::Continued } => {
+                    if let Some(index) = away.remove(&(*machine, *data_plane)) {
                         all[index].end = at;
                     }
                 }
-                Seen::Process { machine, quay, deed } => {
-                    away.entry((*machine, *quay)).or_insert_with(|| {
-                        let plane = if *quay { "quay" } else { "harbourmaster" };
+                Seen::Process { machine, data_plane, deed } => {
+                    away.entry((*machine, *data_plane)).or_insert_with(|| {
+                        let plane = if *data_plane { "data-plane" } else { "control-plane" };
                         let text = format!("{deed:?} {plane} {machine}").to_lowercase();
                         let planned = *deed == Deed::Told;
                         all.push(Trouble {
@@ -209,7 +209,7 @@
 
     /// Whether a machine, or any where none is named, was in touch all the while.
     pub(crate) fn in_touch(&self, machine: Option<usize>, from: u64, to: u64) -> bool {
-        let counts = |m: &usize| *m < MASTERS || machine.is_none_or(|machine| machine == *m);
+        let counts = |m: &usize| *m < VOTERS || machine.is_none_or(|machine| machine == *m);
         !self.near(from, to).any(|trouble| trouble.machines.iter().any(counts))
     }
 
@@ -259,7 +259,7 @@
     tries: HashMap<u64, Try>,
     backends: HashMap<u32, (String, Option<usize>)>,
     drained: HashMap<u32, u64>,
-    /// When quays were told to end.
+    /// When data planes were told to end.
     told: HashMap<usize, u64>,
     asked: [u64; TENANTS.len()],
     /// When requests of tenants were sent and had arrived, of those that ran.
@@ -336,14 +336,14 @@
             Seen::Cut { id } => self.cut(at, *id),
             Seen::Done { kind, owed, due, end, .. } => self.done(at, *kind, *owed, *due, *end),
             Seen::Drained { backend } => drop(self.drained.entry(*backend).or_insert(at)),
-            Seen::Process { machine, quay, deed } => {
+            Seen::Process { machine, data_plane, deed } => {
                 match deed {
-                    Deed::Told if *quay => drop(self.told.insert(*machine, at)),
-                    Deed::Started if *quay => drop(self.told.remove(machine)),
+                    Deed::Told if *data_plane => drop(self.told.insert(*machine, at)),
+                    Deed::Started if *data_plane => drop(self.told.remove(machine)),
                     _ => {}
                 }
                 if let Deed::Wrong(how) = deed {
-                    let plane = if *quay { "quay" } else { "harbourmaster" };
+                    let plane = if *data_plane { "data-plane" } else { "control-plane" };
                     self.breaks.add(Rule::Ended, at, || format!("{plane} of machine {}: {how}", machine + 1));
                 }
             }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,4 @@
-//! A small harbour on one machine, for whoever has no platform: the real programs as processes of their own, and
+//! A small fleet on one machine, for whoever has no platform: the real programs as processes of their own, and
 //! stand-ins for all that they meet (backends, the operator, clients). It can be looked at ([`up`]) or shown at work
 //! under load and trouble, with a judge that knows what was sent, what ran and what was answered ([`demo`]).
 //!
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -14,7 +14,7 @@
 
 /// Clients.
 const CLIENTS: usize = 64;
-/// Requests that are out at once; beyond that they count as failed, so that a harbour that hangs can't fill memory.
+/// Requests that are out at once; beyond that they count as failed, so that a fleet that hangs can't fill memory.
 const MOST_OUT: usize = 4096;
 /// The longest time that is told apart, in microseconds.
 const LONGEST_US: u64 = 60_000_000;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `testbed`: shows a small harbour at work on one machine, or keeps it up to look at.
+//! `testbed`: shows a small fleet at work on one machine, or keeps it up to look at.
 
 #![forbid(unsafe_code)]
 
@@ -18,7 +18,7 @@
 
 /// Faults were found.
 const FAULTS: u8 = 1;
-/// The arguments, or a file, can't be used, or the harbour can't be built.
+/// The arguments, or a file, can't be used, or the fleet can't be built.
 const UNUSABLE: u8 = 2;
 /// Some trial has no verdict, and no other one found a fault.
 const NO_VERDICT: u8 = 3;
@@ -32,7 +32,7 @@
 /// Hollow data planes of one measurement.
 const MOST_HOLLOW: usize = 2000;
 
-/// testbed: a small harbour on one machine.
+/// testbed: a small fleet on one machine.
 #[derive(Debug, Options)]
 struct Arguments {
     /// print this help
@@ -43,19 +43,19 @@
 
 #[derive(Debug, Options)]
 enum Command {
-    /// build a harbour, load it, put it in trouble, judge it and take it down
+    /// build a fleet, load it, put it in trouble, judge it and take it down
     Demo(DemoArguments),
     /// play trials: a relay on every link, faults, and a judge of what was seen from outside
     Trial(TrialArguments),
     /// how the second of two files of trials' figures differs from the first
     Compare(CompareArguments),
-    /// build a harbour and keep it up until Ctrl-C or `testbed down`
+    /// build a fleet and keep it up until Ctrl-C or `testbed down`
     Up(UpArguments),
     /// measure what state, messages and steps cost at the sizes to design for
     Capacity(CapacityArguments),
     /// measure real processes among hollow data planes at several sizes
     Scale(ScaleArguments),
-    /// end the harbour that `testbed up` keeps up
+    /// end the fleet that `testbed up` keeps up
     Down(DownArguments),
 }
 
@@ -139,7 +139,7 @@
     /// print this help
     help: bool,
     /// where its files are, kept and used again when they are there
-    #[options(meta = "DIR", default = ".harbour")]
+    #[options(meta = "DIR", default = ".testbed")]
     dir: PathBuf,
     /// a `reachlb` to try, instead of what is built into this program
     #[options(meta = "FILE")]
@@ -197,7 +197,7 @@
     /// print this help
     help: bool,
     /// where its files are
-    #[options(meta = "DIR", default = ".harbour")]
+    #[options(meta = "DIR", default = ".testbed")]
     dir: PathBuf,
 }
 
@@ -399,10 +399,10 @@
     }
     let program = match plane {
         "hollow" => return hollow(),
-        "quay" => reachlb::Program::DataPlane,
-        "harbourmaster" => reachlb::Program::ControlPlane,
+        "data-plane" => reachlb::Program::DataPlane,
+        "control-plane" => reachlb::Program::ControlPlane,
         other => {
-            eprintln!("{other:?} is neither quay nor harbourmaster");
+            eprintln!("{other:?} is neither data plane nor control plane");
             return ExitCode::from(UNUSABLE);
         }
     };
--- a/crates/testbed/src/operator.rs
+++ b/crates/testbed/src/operator.rs
@@ -16,7 +16,7 @@
 
 /// A change has to be acknowledged within this.
 pub const ACK: Duration = Duration::from_secs(5);
-/// At the end each harbourmaster has this long to say what it holds.
+/// At the end each control plane has this long to say what it holds.
 const READ: Duration = Duration::from_secs(20);
 /// Time between two changes.
 const PACE: Duration = Duration::from_millis(350);
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Once a configuration has to be in force, asks every quay for its own route.
+    /// Once a configuration has to be in force, asks every data plane for its own route.
     fn check(&self, version: u64) -> impl Future<Output = ()> + Send + 'static {
         let (fronts, history) = (self.fronts.clone(), self.history.clone());
         async move {
@@ -247,7 +247,7 @@
         }
     }
 
-    /// At the end: notes what each harbourmaster says that holds.
+    /// At the end: notes what each control plane says that holds.
     pub async fn read_back(&self) {
         for (machine, address) in self.control.addresses().iter().enumerate() {
             let read = Control::new([*address]).read(Instant::now() + READ).await;
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -3,7 +3,7 @@
 use serde_json::{Map, Value, json};
 
 /// Host of all routes.
-pub const HOST: &str = "harbour.example";
+pub const HOST: &str = "testbed.example";
 /// Time in which a drained backend has to be left alone, in ms; it goes into the settings files as well.
 pub const DRAIN_MS: u64 = 2000;
 /// Time in which an acknowledged configuration has to be in force, in ms.
@@ -49,8 +49,8 @@
         share: 0.35,
     },
     Kind {
-        label: "berth",
-        prefix: "/berth/",
+        label: "backend",
+        prefix: "/backend/",
         pure: false,
         deadline_ms: 2000,
         goal_ms: 300,
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -86,7 +86,7 @@
     }
     let late = tallies.late().as_secs_f64() * 1000.0;
     let note = if late > BUSY_MS {
-        ": the machine is busy, and times say more about it than about the harbour"
+        ": the machine is busy, and times say more about it than about the fleet"
     } else {
         ""
     };
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -53,7 +53,7 @@
 
 /// One hollow data plane.
 struct Hollow {
-    pilot: RefCell<Option<ControlFollower>>,
+    follower: RefCell<Option<ControlFollower>>,
     leader: RefCell<Option<String>>,
     /// Lease requests under way, and when they were sent.
     sent: RefCell<HashMap<u64, Instant>>,
@@ -64,14 +64,16 @@
     fn on_news(&self, news: Update) {
         let mut report = self.report.borrow_mut();
         match news {
-            Update::ConfigSnapshot(sheet) => report.arrived(sheet.version, steady_seconds()),
-            Update::Backends { whole, berths } => {
+            Update::ConfigSnapshot(config_snapshot) => {
+                report.arrived(config_snapshot.version, steady_seconds())
+            }
+            Update::Backends { whole, backends } => {
                 let kind = if whole { "all backends" } else { "backends that changed" };
-                report.count(kind, frame(&Message::Backends { whole, berths }).len());
+                report.count(kind, frame(&Message::Backends { whole, backends }).len());
             }
-            Update::Heartbeat(pulse) => {
-                self.leader.borrow_mut().clone_from(&pulse.leader);
-                report.count("state of things", frame(&Message::Heartbeat(pulse)).len());
+            Update::Heartbeat(heartbeat) => {
+                self.leader.borrow_mut().clone_from(&heartbeat.leader);
+                report.count("state of things", frame(&Message::Heartbeat(heartbeat)).len());
             }
             Update::Grant(grant) => {
                 if let Some(sent) = self.sent.borrow_mut().remove(&grant.number) {
@@ -93,7 +95,7 @@
         let request = lease_request(number, std::iter::once(tenant));
         self.report.borrow_mut().count("lease request", frame(&Message::LeaseRequest(request.clone())).len());
         self.sent.borrow_mut().insert(number, Instant::now());
-        let sent = self.pilot.borrow().as_ref().is_some_and(|pilot| pilot.draw(&leader, request));
+        let sent = self.follower.borrow().as_ref().is_some_and(|follower| follower.draw(&leader, request));
         if !sent {
             self.on_news(Update::Unanswered { number });
         }
@@ -113,7 +115,8 @@
         };
         let about = FollowerSettings { me, seeds: settings.seeds.clone(), ways: Detours::default() };
         let hears = self.clone();
-        *self.pilot.borrow_mut() = Some(ControlFollower::start(about, None, move |news| hears.on_news(news)));
+        *self.follower.borrow_mut() =
+            Some(ControlFollower::start(about, None, move |news| hears.on_news(news)));
         let mut requests = 0;
         loop {
             let pause = -(1.0 - chance.unit()).ln() / settings.requests_per_s.max(1e-3);
@@ -151,7 +154,7 @@
     let (settings, control) = (Rc::new(settings.clone()), Control::new(settings.control));
     for number in settings.first..settings.first + settings.gateways {
         let hollow = Rc::new(Hollow {
-            pilot: RefCell::default(),
+            follower: RefCell::default(),
             leader: RefCell::default(),
             sent: RefCell::default(),
             report: report.clone(),
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -10,7 +10,7 @@
 use crate::fault::Fault;
 use crate::fleet::{self, Process};
 use crate::report::Teller;
-use crate::site::{MASTERS, Site, ZONES};
+use crate::site::{Site, VOTERS, ZONES};
 use bytes::Bytes;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -128,14 +128,14 @@
         let pid = std::process::id();
         let site = Site::find(64 + (pid >> 8) as u8 % 128, pid as u8, u64::from(pid))?;
         let (mut control, data) = self.program.start_all(folder, &site)?;
-        for machine in MASTERS..CONTROL_PLANES {
-            let berth = self.program.master(folder, machine);
-            std::fs::write(&berth.settings, site.diskless_control_settings(machine))
-                .map_err(Fault::file(&berth.settings))?;
-            control.push(Process::start(berth)?);
+        for machine in VOTERS..CONTROL_PLANES {
+            let backend = self.program.control_plane(folder, machine);
+            std::fs::write(&backend.settings, site.diskless_control_settings(machine))
+                .map_err(Fault::file(&backend.settings))?;
+            control.push(Process::start(backend)?);
         }
         let addresses: Vec<_> = (0..CONTROL_PLANES).map(|machine| site.control(machine)).collect();
-        let seeds: Vec<_> = (0..MASTERS).map(|machine| site.peers(machine)).collect();
+        let seeds: Vec<_> = (0..VOTERS).map(|machine| site.peers(machine)).collect();
         let part = |whole: usize, n: usize| whole * n / self.processes;
         let backends = (self.backends_each * self.gateways as f64) as usize;
         let mut reports = Vec::new();
@@ -163,8 +163,8 @@
 
     fn start_hollow(&self, folder: &Path, running: &mut Running) -> Result<(), Fault> {
         for n in 0..self.processes {
-            let berth = self.own.hollow(folder, n, hollow_settings(folder, n));
-            running.hollow.push(Process::start(berth)?);
+            let backend = self.own.hollow(folder, n, hollow_settings(folder, n));
+            running.hollow.push(Process::start(backend)?);
         }
         Ok(())
     }
@@ -282,7 +282,7 @@
 fn role_of(place: usize, leader: usize) -> usize {
     match place {
         _ if place == leader => 0,
-        _ if place < MASTERS => 1,
+        _ if place < VOTERS => 1,
         _ if place < CONTROL_PLANES => 2,
         _ => 3,
     }
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -1,4 +1,4 @@
-//! The machines of the harbour: loopback addresses with the same ports on each, and a settings file for each process.
+//! The machines of the fleet: loopback addresses with the same ports on each, and a settings file for each process.
 
 use crate::fault::Fault;
 use crate::plan::{APPLY_MS, DRAIN_MS};
@@ -6,7 +6,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 
-/// Zones of the machines: two in the first one. Each has a quay, the first three a harbourmaster as well.
+/// Zones of the machines: two in the first one. Each has a data plane, the first three a control plane as well.
 pub const ZONES: [&str; 4] = ["north", "south", "east", "north"];
 /// Backends that there are at once, each with an address of its own where there are ways.
 pub const SLOTS: usize = 6;
@@ -14,8 +14,8 @@
 const BACKENDS: u8 = 20;
 const SENDERS: u8 = 100;
 const OTHERS: u8 = 200;
-/// How many machines have a harbourmaster.
-pub const MASTERS: usize = 3;
+/// How many machines have a control plane.
+pub const VOTERS: usize = 3;
 /// Ports that one machine needs: front, readiness, control, and one for the other processes.
 const PORTS: u16 = 4;
 /// Candidates for the first port, below those that systems give to outgoing connections.
@@ -96,7 +96,7 @@
         if !self.ways {
             return String::new();
         }
-        let others = (0..MASTERS).filter(|other| *other != machine).map(|other| IpAddr::V4(self.ips[other]));
+        let others = (0..VOTERS).filter(|other| *other != machine).map(|other| IpAddr::V4(self.ips[other]));
         let all = others.chain((0..SLOTS).map(|slot| self.backend(slot)));
         let ways: Vec<_> = all.map(|ip| format!("\"{ip}={}\"", self.way(machine, ip))).collect();
         format!("ways = [{}]\n", ways.join(", "))
@@ -117,32 +117,32 @@
         self.at(machine, 2)
     }
 
-    /// The settings file of a quay.
-    pub fn quay_settings(&self, machine: usize) -> String {
+    /// The settings file of a data plane.
+    pub fn data_plane_settings(&self, machine: usize) -> String {
         let bind =
             format!("front = \"{}\"\nreadiness = \"{}\"\n", self.front(machine), self.readiness(machine));
-        self.settings(machine, "quay", "edge", "", &bind)
+        self.settings(machine, "data-plane", "edge", "", &bind)
     }
 
-    /// The settings file of a harbourmaster.
-    pub fn master_settings(&self, machine: usize, data: &Path, bootstrap: bool) -> String {
+    /// The settings file of a control plane.
+    pub fn control_plane_settings(&self, machine: usize, data: &Path, bootstrap: bool) -> String {
         let own = format!(
-            "# true at the first start of the whole harbour only, when no disk holds anything\nbootstrap = {bootstrap}\n\
+            "# true at the first start of the whole fleet only, when no disk holds anything\nbootstrap = {bootstrap}\n\
              in_quorum = true\ndata_path = {:?}\n",
             data.display().to_string()
         );
         let bind = format!("control = \"{}\"\n", self.control(machine));
-        self.settings(machine, "harbourmaster", "control", &own, &bind)
+        self.settings(machine, "control-plane", "control", &own, &bind)
     }
 
     /// The settings file of a control plane without a disk.
     pub fn diskless_control_settings(&self, machine: usize) -> String {
         let bind = format!("control = \"{}\"\n", self.control(machine));
-        self.settings(machine, "harbourmaster", "control", "bootstrap = false\nin_quorum = false\n", &bind)
+        self.settings(machine, "control-plane", "control", "bootstrap = false\nin_quorum = false\n", &bind)
     }
 
     fn settings(&self, machine: usize, role: &str, serves: &str, own: &str, bind: &str) -> String {
-        let seeds: Vec<_> = (0..MASTERS).map(|m| format!("\"{}\"", self.control(m))).collect();
+        let seeds: Vec<_> = (0..VOTERS).map(|m| format!("\"{}\"", self.control(m))).collect();
         let peers = self.base + 3;
         let (ip, zone, seeds) = (self.ips[machine], ZONES[machine], seeds.join(", "));
         format!(
@@ -169,17 +169,17 @@
     /// Reads back from settings files where everything is; a person may have changed them.
     ///
     /// # Errors
-    /// When a file lacks something that the harbour needs, or the files do not fit together.
-    pub fn read(masters: &[PathBuf], quays: &[PathBuf]) -> Result<Addresses, Fault> {
+    /// When a file lacks something that the fleet needs, or the files do not fit together.
+    pub fn read(control_planes: &[PathBuf], data_planes: &[PathBuf]) -> Result<Addresses, Fault> {
         let wrong =
             |path: &Path, wrong: &str| Fault::Settings { path: path.to_owned(), wrong: wrong.to_owned() };
         let read = |path: &Path| Settings::read(path).map_err(|fault| wrong(path, &fault.to_string()));
         let mut addresses = Addresses::default();
-        for path in masters {
+        for path in control_planes {
             let settings = read(path)?;
             addresses.control.push(settings.control.ok_or_else(|| wrong(path, "bind.control is missing"))?);
         }
-        for path in quays {
+        for path in data_planes {
             let settings = read(path)?;
             addresses.fronts.push(settings.front.ok_or_else(|| wrong(path, "bind.front is missing"))?);
             addresses
@@ -193,11 +193,11 @@
 /// Where callers find the processes.
 #[derive(Clone, Debug, Default)]
 pub struct Addresses {
-    /// Control of each harbourmaster.
+    /// Control of each control plane.
     pub control: Vec<SocketAddr>,
-    /// Front of each quay.
+    /// Front of each data plane.
     pub fronts: Vec<SocketAddr>,
-    /// Readiness of each quay.
+    /// Readiness of each data plane.
     pub readiness: Vec<SocketAddr>,
 }
 
@@ -216,16 +216,16 @@
     fn settings_are_what_the_programs_read() {
         let site =
             Site { ips: (1..=4).map(|n| Ipv4Addr::new(127, 0, 1, n)).collect(), base: 18_400, ways: true };
-        let quay = Settings::parse(&site.quay_settings(3)).expect("valid");
-        assert_eq!((quay.front, quay.port_range.0), (Some(site.front(3)), 18_403));
-        assert_eq!(quay.seed_list.len(), MASTERS);
+        let data_plane = Settings::parse(&site.data_plane_settings(3)).expect("valid");
+        assert_eq!((data_plane.front, data_plane.port_range.0), (Some(site.front(3)), 18_403));
+        assert_eq!(data_plane.seed_list.len(), VOTERS);
         let (own, far) = (site.peers(0), SocketAddr::new(site.backend(5), 7));
-        assert_eq!(quay.tuning.ways.to(own).ip(), site.way(3, own.ip()));
-        assert_eq!(quay.tuning.ways.to(far).to_string(), "127.0.5.25:7");
-        let master = site.master_settings(0, Path::new("/tmp/a \"b\""), true);
-        let master = Settings::parse(&master).expect("valid");
-        assert!(master.bootstrap && master.in_quorum);
-        assert_eq!(master.data_path.as_deref(), Some(Path::new("/tmp/a \"b\"")));
-        assert_eq!(master.bounds.drain.as_millis(), u128::from(DRAIN_MS));
+        assert_eq!(data_plane.tuning.ways.to(own).ip(), site.way(3, own.ip()));
+        assert_eq!(data_plane.tuning.ways.to(far).to_string(), "127.0.5.25:7");
+        let control_plane = site.control_plane_settings(0, Path::new("/tmp/a \"b\""), true);
+        let control_plane = Settings::parse(&control_plane).expect("valid");
+        assert!(control_plane.bootstrap && control_plane.in_quorum);
+        assert_eq!(control_plane.data_path.as_deref(), Some(Path::new("/tmp/a \"b\"")));
+        assert_eq!(control_plane.bounds.drain.as_millis(), u128::from(DRAIN_MS));
     }
 }
--- a/crates/testbed/src/trial/draw.rs
+++ b/crates/testbed/src/trial/draw.rs
@@ -1,7 +1,7 @@
 //! Faults that a seed draws.
 
 use super::schedule::{Disk, Kind, Row};
-use crate::site::{MASTERS, SLOTS, ZONES};
+use crate::site::{SLOTS, VOTERS, ZONES};
 use fault_injection::{Random, Span};
 use serde::Deserialize;
 
@@ -25,7 +25,7 @@
     Stalls,
     /// Processes are killed.
     Kills,
-    /// A harbourmaster, or the leading one, is killed and loses its disk.
+    /// A control plane, or the leading one, is killed and loses its disk.
     Disks,
     /// Processes are restarted in order, one after the other.
     Rolling,
@@ -94,10 +94,12 @@
         let at = random.within(span(first, (first + last) / 2.0));
         let lasts = random.within(span(0.5, last - at));
         let machine = |random: &mut Random| format!("m{}", 1 + random.below(ZONES.len()));
-        let master = |random: &mut Random| format!("h{}", 1 + random.below(MASTERS));
-        let quay = |random: &mut Random| format!("q{}", 1 + random.below(ZONES.len()));
+        let control_plane = |random: &mut Random| format!("h{}", 1 + random.below(VOTERS));
+        let data_plane = |random: &mut Random| format!("q{}", 1 + random.below(ZONES.len()));
         let backend = |random: &mut Random| format!("b{}", 1 + random.below(SLOTS));
-        let process = |random: &mut Random| if random.happens(0.5) { master(random) } else { quay(random) };
+        let process = |random: &mut Random| {
+            if random.happens(0.5) { control_plane(random) } else { data_plane(random) }
+        };
         let zone = |random: &mut Random| format!("zone:{}", ZONES[random.below(3)]);
         match self {
             Self::Cuts => {
@@ -117,7 +119,7 @@
                     let to = *random.one_of(&["backends", "clients", "operator", "*", "h1", "h2", "h3"]);
                     let all = random.happens(0.3) && ["backends", "clients", "operator"].contains(&to);
                     let from = if all { "machines".to_owned() } else { machine(random) };
-                    // A machine does not connect to its own harbourmaster; all others do.
+                    // A machine does not connect to its own control plane; all others do.
                     let to = if from[1..] == to[1..] { "*" } else { to };
                     let to = if to == "operator" && from == "m4" { "clients" } else { to };
                     Row {
@@ -170,14 +172,14 @@
                 vec![on(at, lasts, Kind::Kill, &who)]
             }
             Self::Disks => {
-                let who = if random.happens(0.5) { "leader".to_owned() } else { master(random) };
+                let who = if random.happens(0.5) { "leader".to_owned() } else { control_plane(random) };
                 vec![Row { disk: Disk::Empty, ..on(at, lasts, Kind::Kill, &who) }]
             }
             Self::Rolling => {
-                let quays = random.happens(0.6);
-                let number = if quays { ZONES.len() } else { MASTERS };
+                let data_planes = random.happens(0.6);
+                let number = if data_planes { ZONES.len() } else { VOTERS };
                 let each = (seconds * 0.8 - first) / number as f64;
-                let name = if quays { "q" } else { "h" };
+                let name = if data_planes { "q" } else { "h" };
                 let one =
                     |n: usize| on(first + each * n as f64, 0.0, Kind::Restart, &format!("{name}{}", n + 1));
                 (0..number).map(one).collect()
--- a/crates/testbed/src/trial/mod.rs
+++ b/crates/testbed/src/trial/mod.rs
@@ -75,7 +75,7 @@
 /// When something cannot be started or written.
 pub async fn play(schedule: Schedule, options: &Options) -> Result<Played, Failure> {
     match whole(schedule.clone(), options).await {
-        // A harbour that does not come up says more about the machine than about the harbour: demos look after that.
+        // A fleet that does not come up says more about the machine than about the fleet: demos look after that.
         Err(Failure::Late { what, within, .. }) => {
             let void = Some(format!("not played: after {} s {what}", within.as_secs()));
             let verdict = Verdict { void, ..Verdict::default() };
@@ -97,7 +97,7 @@
     let platform = Arc::new(Platform::new(stage.fronts.to_vec(), readiness));
     {
         let mut held = Vec::new();
-        for process in stage.masters.iter().chain(&stage.quays) {
+        for process in stage.control_planes.iter().chain(&stage.data_planes) {
             held.push(process.lock().await);
         }
         let mut all: Vec<_> = held.iter_mut().map(|process| &mut **process).collect();
@@ -107,7 +107,7 @@
     let late = Arc::new(AtomicU64::new(0));
     let punctual = tokio::spawn(keeps_time(late.clone()));
     let stuck = Arc::new(AtomicU64::new(0));
-    let writes = tokio::spawn(keeps_disk(folder.join("pulse"), stuck.clone()));
+    let writes = tokio::spawn(keeps_disk(folder.join("heartbeat"), stuck.clone()));
     let watched = platform.clone();
     let watch = tokio::spawn(async move { watched.watch().await });
     let lasts = Duration::from_secs_f64(schedule.seconds);
@@ -128,17 +128,17 @@
     stage.look_for_ends();
     stage.operator.lock().await.read_back().await;
     let mut processes = Vec::new();
-    for process in stage.masters.iter().chain(&stage.quays) {
+    for process in stage.control_planes.iter().chain(&stage.data_planes) {
         processes.push(process.lock().await);
     }
     let mut all: Vec<_> = processes.iter_mut().map(|process| &mut **process).collect();
     let names: Vec<_> = all.iter().map(|process| process.name().to_owned()).collect();
     for killed in fleet::end(&mut all).await {
         let Some(number) = names.iter().position(|name| *name == killed) else { continue };
-        let (quay, masters) = (number >= stage.masters.len(), stage.masters.len());
-        let machine = if quay { number - masters } else { number };
+        let (data_plane, control_planes) = (number >= stage.control_planes.len(), stage.control_planes.len());
+        let machine = if data_plane { number - control_planes } else { number };
         let deed = Deed::Wrong("did not end when told to".to_owned());
-        stage.history.note(Seen::Process { machine, quay, deed });
+        stage.history.note(Seen::Process { machine, data_plane, deed });
     }
     drop(processes);
     writes.abort();
@@ -154,7 +154,7 @@
     } else if late > MOST_LATE {
         Some(format!("the tool itself was {} ms late", late.as_millis()))
     } else if stuck > MOST_STUCK {
-        // Votes, changes and ends of harbourmasters wait for it.
+        // Votes, changes and ends of control planes wait for it.
         Some(format!("the disk took {} ms for a few bytes of the tool", stuck.as_millis()))
     } else if stage.net.failed() > 0 {
         Some(format!("the tool's own relays failed {} times: {}", stage.net.failed(), stage.net.failure()))
--- a/crates/testbed/src/trial/page.rs
+++ b/crates/testbed/src/trial/page.rs
@@ -3,7 +3,7 @@
 use super::schedule::Schedule;
 use crate::history::{End, Line, Seen};
 use crate::judge::{BUCKET, RULES, Verdict};
-use crate::site::MASTERS;
+use crate::site::VOTERS;
 use fault_injection::plot::{PlotError, Series, escaped, lines as plotted};
 use fault_injection::timeline::Timeline;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -36,7 +36,7 @@
     html.push_str(&plotted("Further tries", "each second", &tries(lines, begun))?);
     let (leads, versions) = standing(lines, begun);
     html.push_str(&plotted("Who leads", "machine (0: nobody says so)", &leads)?);
-    html.push_str(&plotted("Versions by harbourmaster", "newest known", &versions)?);
+    html.push_str(&plotted("Versions by control plane", "newest known", &versions)?);
     html.push_str("<h2>The judge</h2>\n<table>\n");
     for (rule, name) in RULES {
         let count = verdict.counts.get(&rule).copied().unwrap_or_default();
@@ -126,20 +126,20 @@
     vec![("by clients".to_owned(), of(|both| both.0)), ("by gateways".to_owned(), of(|both| both.1))]
 }
 
-/// Who leads, as harbourmasters say it, and which version each knows.
+/// Who leads, as control planes say it, and which version each knows.
 fn standing(lines: &[Line], begun: u64) -> (Vec<Series>, Vec<Series>) {
     let mut leads: Vec<Series> = Vec::new();
     let mut versions: Vec<Series> = Vec::new();
-    for master in 0..MASTERS {
+    for control_plane in 0..VOTERS {
         let of = lines.iter().filter_map(|line| match &line.seen {
-            Seen::Stands { machine, leads, version } if *machine == master => {
+            Seen::Stands { machine, leads, version } if *machine == control_plane => {
                 Some((seconds(line.at, begun), *leads, *version))
             }
             _ => None,
         });
         let of: Vec<_> = of.collect();
-        let name = format!("machine {}", master + 1);
-        let height = |leads: bool| if leads { (master + 1) as f64 } else { 0.0 };
+        let name = format!("machine {}", control_plane + 1);
+        let height = |leads: bool| if leads { (control_plane + 1) as f64 } else { 0.0 };
         leads.push((name.clone(), of.iter().map(|(at, leads, _)| (*at, height(*leads))).collect()));
         versions.push((name, of.iter().map(|(at, _, version)| (*at, *version as f64)).collect()));
     }
--- a/crates/testbed/src/trial/parties.rs
+++ b/crates/testbed/src/trial/parties.rs
@@ -1,6 +1,6 @@
 //! Who is connected in a trial, and how schedules name them.
 
-use crate::site::{MASTERS, SLOTS, ZONES};
+use crate::site::{SLOTS, VOTERS, ZONES};
 use std::fmt;
 
 /// Zones of backends, by slot: one backend of each service in each.
@@ -15,9 +15,9 @@
     Operator,
     /// A machine, as it connects to others.
     Machine(usize),
-    /// Its quay, as clients find it.
+    /// Its data plane, as clients find it.
     DataPlane(usize),
-    /// Its harbourmaster, as all others find it.
+    /// Its control plane, as all others find it.
     ControlPlane(usize),
     /// A backend's place.
     StandInBackend(usize),
@@ -47,9 +47,9 @@
     pub fn all() -> Vec<Self> {
         let machines =
             (0..ZONES.len()).flat_map(|machine| [Self::Machine(machine), Self::DataPlane(machine)]);
-        let masters = (0..MASTERS).map(Self::ControlPlane);
+        let control_planes = (0..VOTERS).map(Self::ControlPlane);
         let backends = (0..SLOTS).map(Self::StandInBackend);
-        machines.chain(masters).chain(backends).chain([Self::Clients, Self::Operator]).collect()
+        machines.chain(control_planes).chain(backends).chain([Self::Clients, Self::Operator]).collect()
     }
 
     /// Whether the one connects to the other.
--- a/crates/testbed/src/trial/results.rs
+++ b/crates/testbed/src/trial/results.rs
@@ -30,7 +30,7 @@
     pub took: [f64; 2],
     /// Tries of clients beyond the first, and arrivals at backends beyond the first, for each request.
     pub tries: [f64; 2],
-    /// Seconds in which no harbourmaster said that it leads.
+    /// Seconds in which no control plane said that it leads.
     pub leaderless: f64,
 }
 
--- a/crates/testbed/src/trial/stage.rs
+++ b/crates/testbed/src/trial/stage.rs
@@ -14,7 +14,7 @@
 use crate::mood::Mood;
 use crate::operator::Operator;
 use crate::plan::SERVICES;
-use crate::site::{MASTERS, SLOTS, Site, ZONES};
+use crate::site::{SLOTS, Site, VOTERS, ZONES};
 use fault_injection::relay::Net;
 use rustix::process::Signal;
 use std::cell::{Cell, RefCell};
@@ -28,7 +28,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-/// How often harbourmasters are asked how they stand, and processes are looked at.
+/// How often control planes are asked how they stand, and processes are looked at.
 const LOOKS: Duration = Duration::from_millis(200);
 /// The first port of backends; each life has a port of its own.
 const PORTS: u16 = 9_000;
@@ -42,10 +42,10 @@
     /// The addresses.
     pub site: Site,
     folder: PathBuf,
-    /// Harbourmasters and quays. Whoever holds one is at work on its process, and notes what becomes of it.
-    pub masters: Vec<Mutex<Process>>,
+    /// Control planes and data planes. Whoever holds one is at work on its process, and notes what becomes of it.
+    pub control_planes: Vec<Mutex<Process>>,
     /// See there.
-    pub quays: Vec<Mutex<Process>>,
+    pub data_planes: Vec<Mutex<Process>>,
     /// By place.
     pub backends: Vec<Mutex<Arc<StandInBackend>>>,
     controls: Vec<Control>,
@@ -74,7 +74,7 @@
         let (history, net) = (Arc::new(History::default()), Net::default());
         let others = site.source(None);
         for from in 0..ZONES.len() {
-            for to in (0..MASTERS).filter(|to| *to != from) {
+            for to in (0..VOTERS).filter(|to| *to != from) {
                 let target = site.peers(to);
                 let at = SocketAddr::new(site.way(from, target.ip()), target.port());
                 let (parties, source) =
@@ -87,8 +87,8 @@
                 let (parties, target) = ((of, Party::ControlPlane(machine)), site.control(machine));
                 net.way(parties, SocketAddr::new(others, 0), others, target, true).map_err(failed)
             };
-            let ways: Vec<_> = (0..MASTERS).map(way).collect::<Result<_, _>>()?;
-            let own: Vec<_> = (0..MASTERS).map(|machine| site.control(machine)).collect();
+            let ways: Vec<_> = (0..VOTERS).map(way).collect::<Result<_, _>>()?;
+            let own: Vec<_> = (0..VOTERS).map(|machine| site.control(machine)).collect();
             Ok(Control::by_ways(ways, own))
         };
         let front = |machine| {
@@ -99,14 +99,14 @@
         let operator = Operator::new(controls(Party::Operator)?, fronts.to_vec(), history.clone());
         let of_backends: Vec<_> =
             (0..SLOTS).map(|slot| controls(Party::StandInBackend(slot))).collect::<Result<_, _>>()?;
-        let (masters, quays) = program.start_all(folder, &site)?;
+        let (control_planes, data_planes) = program.start_all(folder, &site)?;
         let mut stage = Self {
             history,
             net,
             site,
             folder: folder.to_owned(),
-            masters: masters.into_iter().map(Mutex::new).collect(),
-            quays: quays.into_iter().map(Mutex::new).collect(),
+            control_planes: control_planes.into_iter().map(Mutex::new).collect(),
+            data_planes: data_planes.into_iter().map(Mutex::new).collect(),
             backends: Vec::new(),
             controls: of_backends,
             fronts,
@@ -151,14 +151,14 @@
 
     fn process(&self, of: Party) -> Option<(usize, bool, &Mutex<Process>)> {
         match of {
-            Party::DataPlane(machine) => Some((machine, true, self.quays.get(machine)?)),
-            Party::ControlPlane(machine) => Some((machine, false, self.masters.get(machine)?)),
+            Party::DataPlane(machine) => Some((machine, true, self.data_planes.get(machine)?)),
+            Party::ControlPlane(machine) => Some((machine, false, self.control_planes.get(machine)?)),
             _ => None,
         }
     }
 
-    fn deed(&self, machine: usize, quay: bool, deed: Deed) {
-        self.history.note(Seen::Process { machine, quay, deed });
+    fn deed(&self, machine: usize, data_plane: bool, deed: Deed) {
+        self.history.note(Seen::Process { machine, data_plane, deed });
     }
 
     /// All faults, each at its time; done when everything has been put right again.
@@ -207,9 +207,9 @@
         }
     }
 
-    /// How harbourmasters are asked without relays: the tool's own eyes.
+    /// How control planes are asked without relays: the tool's own eyes.
     async fn operator_control(&self) -> Control {
-        let own: Vec<_> = (0..MASTERS).map(|machine| self.site.control(machine)).collect();
+        let own: Vec<_> = (0..VOTERS).map(|machine| self.site.control(machine)).collect();
         Control::new(own)
     }
 
@@ -228,34 +228,34 @@
     }
 
     async fn to_process(&self, party: Party, fault: &Fault, until: Instant) -> Result<(), Failure> {
-        let Some((machine, quay, process)) = self.process(party) else { return Ok(()) };
+        let Some((machine, data_plane, process)) = self.process(party) else { return Ok(()) };
         // Another fault may be at work on it: then this one waits for its turn.
         let mut process = process.lock().await;
         match fault.kind {
             Kind::Stop => {
-                self.deed(machine, quay, Deed::Stopped);
+                self.deed(machine, data_plane, Deed::Stopped);
                 process.signal(Signal::STOP);
                 sleep_until(until).await;
                 process.signal(Signal::CONT);
-                self.deed(machine, quay, Deed::Continued);
+                self.deed(machine, data_plane, Deed::Continued);
                 return Ok(());
             }
             Kind::Kill => {
-                self.deed(machine, quay, Deed::Killed);
+                self.deed(machine, data_plane, Deed::Killed);
                 self.net.set_up(party, false);
                 process.kill().await;
             }
             _ => {
-                self.deed(machine, quay, Deed::Told);
+                self.deed(machine, data_plane, Deed::Told);
                 process.signal(Signal::TERM);
                 if !process.ends(GRACE).await {
                     let deed = Deed::Wrong(format!("did not end {} s after SIGTERM", GRACE.as_secs()));
-                    self.deed(machine, quay, deed);
+                    self.deed(machine, data_plane, deed);
                 }
                 self.net.set_up(party, false);
             }
         }
-        if fault.disk == Disk::Empty && !quay {
+        if fault.disk == Disk::Empty && !data_plane {
             let folder = data(&self.folder, machine);
             std::fs::remove_dir_all(&folder).map_err(Failure::file(&folder))?;
             std::fs::create_dir_all(&folder).map_err(Failure::file(&folder))?;
@@ -263,7 +263,7 @@
         sleep_until(until).await;
         process.restart()?;
         self.net.set_up(party, true);
-        self.deed(machine, quay, Deed::Started);
+        self.deed(machine, data_plane, Deed::Started);
         Ok(())
     }
 
@@ -296,7 +296,7 @@
             }
             return Ok(());
         }
-        let mut strangers = Vec::new();
+        let mut learners = Vec::new();
         for (slot, backend) in &mut places {
             backend.end();
             if fault.kind == Kind::Reuse {
@@ -304,12 +304,12 @@
                 sleep(Duration::from_millis(30)).await;
                 let other = SERVICES.iter().find(|(label, _)| *label != backend.service);
                 let service = other.map_or("", |(label, _)| *label);
-                strangers.push(self.life(*slot, service, Some(backend.address.port()), true)?);
+                learners.push(self.life(*slot, service, Some(backend.address.port()), true)?);
             }
         }
         sleep_until(until).await;
-        for stranger in strangers {
-            stranger.leave().await;
+        for learner in learners {
+            learner.leave().await;
         }
         for (slot, backend) in &mut places {
             **backend = self.life(*slot, &backend.service, None, false)?;
@@ -345,7 +345,7 @@
             sleep(LOOKS).await;
             self.look_for_ends();
             let mut asked = JoinSet::new();
-            for machine in 0..MASTERS {
+            for machine in 0..VOTERS {
                 let control = control.clone();
                 asked.spawn(async move { (machine, control.status(control.addresses()[machine]).await) });
             }
@@ -362,12 +362,14 @@
 
     /// Notes which processes have ended by themselves.
     pub fn look_for_ends(&self) {
-        let masters = self.masters.iter().enumerate().map(|(machine, process)| (machine, false, process));
-        let quays = self.quays.iter().enumerate().map(|(machine, process)| (machine, true, process));
-        for (machine, quay, process) in masters.chain(quays) {
+        let control_planes =
+            self.control_planes.iter().enumerate().map(|(machine, process)| (machine, false, process));
+        let data_planes =
+            self.data_planes.iter().enumerate().map(|(machine, process)| (machine, true, process));
+        for (machine, data_plane, process) in control_planes.chain(data_planes) {
             let Ok(mut process) = process.try_lock() else { continue };
             if let Some(status) = process.ended() {
-                self.deed(machine, quay, Deed::Wrong(format!("ended by itself: {status}")));
+                self.deed(machine, data_plane, Deed::Wrong(format!("ended by itself: {status}")));
             }
         }
     }
--- a/crates/testbed/src/trouble.rs
+++ b/crates/testbed/src/trouble.rs
@@ -21,7 +21,7 @@
 
 /// How often it is looked whether something has come to pass.
 const LOOKS: Duration = Duration::from_millis(20);
-/// A killed harbourmaster comes back after this.
+/// A killed control plane comes back after this.
 const BACK_AFTER: Duration = Duration::from_secs(2);
 /// Zones stop for this long.
 const STOPPED: Duration = Duration::from_secs(3);
@@ -36,7 +36,7 @@
     /// Everything is calm.
     #[default]
     None,
-    /// The leading harbourmaster is killed and comes back.
+    /// The leading control plane is killed and comes back.
     Leader,
     /// The same, and its disk is lost.
     Disk,
@@ -75,12 +75,12 @@
 
 /// Everything that a trouble can get at.
 pub struct Scene {
-    /// The harbourmasters.
-    pub masters: Vec<Process>,
+    /// The control planes.
+    pub control_planes: Vec<Process>,
     /// Their folders.
     pub data: Vec<PathBuf>,
-    /// The quays, one on each machine.
-    pub quays: Vec<Process>,
+    /// The data planes, one on each machine.
+    pub data_planes: Vec<Process>,
     /// Whom backends and the operator call.
     pub control: Control,
     /// The operator.
@@ -125,20 +125,20 @@
         }
     }
 
-    fn deed(&self, machine: usize, quay: bool, deed: Deed) {
-        self.history.note(Seen::Process { machine, quay, deed });
+    fn deed(&self, machine: usize, data_plane: bool, deed: Deed) {
+        self.history.note(Seen::Process { machine, data_plane, deed });
     }
 
     async fn leader(&mut self, start: Instant, disk: bool) -> Result<(), Fault> {
         sleep_until(start + self.lasts.div_f64(4.0).min(Duration::from_secs(3))).await;
         let Some(leader) = self.control.leader().await else {
-            self.history.late("no harbourmaster says that it leads".to_owned());
+            self.history.late("no control plane says that it leads".to_owned());
             return Ok(());
         };
         let killed = Instant::now();
         self.deed(leader, false, Deed::Killed);
-        self.masters[leader].kill().await;
-        let name = self.masters[leader].name().to_owned();
+        self.control_planes[leader].kill().await;
+        let name = self.control_planes[leader].name().to_owned();
         if disk {
             let folder = &self.data[leader];
             std::fs::remove_dir_all(folder).map_err(Fault::file(folder))?;
@@ -153,7 +153,7 @@
                 if let Some(next) = control.leader().await {
                     let ms = killed.elapsed().as_millis();
                     teller.say(format!(
-                        "the harbourmaster of machine {} leads, {ms} ms after the kill",
+                        "the control plane of machine {} leads, {ms} ms after the kill",
                         next + 1
                     ));
                     return;
@@ -171,7 +171,7 @@
         }
         sleep_until(killed + BACK_AFTER).await;
         let back = Instant::now();
-        self.masters[leader].restart()?;
+        self.control_planes[leader].restart()?;
         self.deed(leader, false, Deed::Started);
         self.teller.say(format!("{name} starts again"));
         let due = format!("r{}", self.operator.version);
@@ -201,14 +201,22 @@
         sleep_until(start + self.lasts.div_f64(4.0).min(Duration::from_secs(3))).await;
         let zone = ZONES[0];
         let there = |machine: &usize| ZONES[*machine] == zone;
-        let quays = || self.quays.iter().enumerate().filter(|(m, _)| there(m)).map(|(_, quay)| quay);
-        let masters = || self.masters.iter().enumerate().filter(|(m, _)| there(m)).map(|(_, master)| master);
-        quays().chain(masters()).for_each(|process| process.signal(Signal::STOP));
-        let names: Vec<_> = quays().chain(masters()).map(Process::name).collect();
+        let data_planes = || {
+            self.data_planes.iter().enumerate().filter(|(m, _)| there(m)).map(|(_, data_plane)| data_plane)
+        };
+        let control_planes = || {
+            self.control_planes
+                .iter()
+                .enumerate()
+                .filter(|(m, _)| there(m))
+                .map(|(_, control_plane)| control_plane)
+        };
+        data_planes().chain(control_planes()).for_each(|process| process.signal(Signal::STOP));
+        let names: Vec<_> = data_planes().chain(control_planes()).map(Process::name).collect();
         let all = |deed: Deed| {
             for machine in (0..ZONES.len()).filter(there) {
                 self.deed(machine, true, deed.clone());
-                if machine < self.masters.len() {
+                if machine < self.control_planes.len() {
                     self.deed(machine, false, deed.clone());
                 }
             }
@@ -216,7 +224,7 @@
         all(Deed::Stopped);
         self.teller.say(format!("zone {zone} stops: {}", names.join(", ")));
         sleep(STOPPED).await;
-        quays().chain(masters()).for_each(|process| process.signal(Signal::CONT));
+        data_planes().chain(control_planes()).for_each(|process| process.signal(Signal::CONT));
         all(Deed::Continued);
         self.teller.say(format!("zone {zone} goes on"));
     }
--- a/crates/testbed/src/up.rs
+++ b/crates/testbed/src/up.rs
@@ -1,4 +1,4 @@
-//! A harbour to look at: it stays up until it is told to end, and its files can be changed by hand.
+//! A fleet to look at: it stays up until it is told to end, and its files can be changed by hand.
 
 use crate::backend::StandInBackend;
 use crate::clients::Platform;
@@ -8,7 +8,7 @@
 use crate::fleet::{self, Process, started};
 use crate::plan::{FIRST, configuration};
 use crate::report::{Teller, print};
-use crate::site::{Addresses, MASTERS, Site, ZONES};
+use crate::site::{Addresses, Site, VOTERS, ZONES};
 use bytes::Bytes;
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -29,7 +29,7 @@
 /// The file with the ids of all processes.
 const IDS: &str = "processes.json";
 
-/// A harbour that stays up.
+/// A fleet that stays up.
 #[derive(Clone, Debug)]
 pub struct Up {
     /// What starts the processes.
@@ -42,7 +42,7 @@
     /// Runs it until it is told to end.
     ///
     /// # Errors
-    /// When the harbour can't be built.
+    /// When the fleet can't be built.
     pub async fn run(&self) -> Result<(), Fault> {
         fault_injection::running::end_with_panics();
         std::fs::create_dir_all(&self.dir).map_err(Fault::file(&self.dir))?;
@@ -83,18 +83,20 @@
     ) -> Result<Vec<Arc<StandInBackend>>, Fault> {
         let teller = Teller::default();
         make_folders(dir)?;
-        let masters: Vec<_> = (0..MASTERS).map(|machine| self.program.master(dir, machine)).collect();
-        let quays: Vec<_> = (0..ZONES.len()).map(|machine| self.program.quay(dir, machine)).collect();
-        let missing = masters.iter().chain(&quays).any(|berth| !berth.settings.exists());
+        let control_planes: Vec<_> =
+            (0..VOTERS).map(|machine| self.program.control_plane(dir, machine)).collect();
+        let data_planes: Vec<_> =
+            (0..ZONES.len()).map(|machine| self.program.data_plane(dir, machine)).collect();
+        let missing = control_planes.iter().chain(&data_planes).any(|backend| !backend.settings.exists());
         if missing {
             // Files that are there already name addresses of their own: all are written anew, or none.
             let site = Site::find(0, 1, 0)?;
-            let first = (0..MASTERS).all(|machine| empty(&data(dir, machine)));
-            for (machine, berth) in masters.iter().enumerate() {
-                write(&berth.settings, &site.master_settings(machine, &data(dir, machine), first))?;
+            let first = (0..VOTERS).all(|machine| empty(&data(dir, machine)));
+            for (machine, backend) in control_planes.iter().enumerate() {
+                write(&backend.settings, &site.control_plane_settings(machine, &data(dir, machine), first))?;
             }
-            for (machine, berth) in quays.iter().enumerate() {
-                write(&berth.settings, &site.quay_settings(machine))?;
+            for (machine, backend) in data_planes.iter().enumerate() {
+                write(&backend.settings, &site.data_plane_settings(machine))?;
             }
             teller.say(format!("settings files written into {}", dir.join("settings").display()));
         }
@@ -106,13 +108,14 @@
         let body = std::fs::read(&order).map_err(Fault::file(&order))?;
         let config = config::Config::parse(&body)
             .map_err(|fault| Fault::Settings { path: order.clone(), wrong: fault.to_string() })?;
-        let paths = |berths: &[crate::fleet::Backend]| -> Vec<_> {
-            berths.iter().map(|b| b.settings.clone()).collect()
+        let paths = |backends: &[crate::fleet::Backend]| -> Vec<_> {
+            backends.iter().map(|b| b.settings.clone()).collect()
         };
-        let master_files = paths(&masters);
-        let Addresses { control, fronts, readiness } = Site::read(&master_files, &paths(&quays))?;
-        for berth in masters.into_iter().chain(quays) {
-            processes.push(Process::start(berth)?);
+        let control_plane_files = paths(&control_planes);
+        let Addresses { control, fronts, readiness } =
+            Site::read(&control_plane_files, &paths(&data_planes))?;
+        for backend in control_planes.into_iter().chain(data_planes) {
+            processes.push(Process::start(backend)?);
         }
         record(dir, processes)?;
         let caller = Control::new(control.clone());
@@ -128,12 +131,12 @@
         let platform = Platform::new(fronts.clone(), readiness);
         let mut all: Vec<_> = processes.iter_mut().collect();
         wait_ready(&platform, &mut all, dir).await?;
-        for file in &master_files {
+        for file in &control_plane_files {
             // From now on the disks hold something.
             let text = std::fs::read_to_string(file).map_err(Fault::file(file))?;
             write(file, &text.replace("bootstrap = true", "bootstrap = false"))?;
         }
-        teller.say("the harbour is up");
+        teller.say("the fleet is up");
         self.tell(&fronts, &control, &config, dir);
         Ok(backends)
     }
@@ -183,7 +186,7 @@
     }
 }
 
-/// Gives the harbour the configuration of the file, unless it holds a newer one.
+/// Gives the fleet the configuration of the file, unless it holds a newer one.
 async fn put(control: &Control, body: &[u8], version: u64, file: &Path, teller: Teller) -> Result<(), Fault> {
     let until = Instant::now() + ACK;
     let body = Bytes::copy_from_slice(body);
@@ -207,7 +210,7 @@
             } else {
                 "and not this file: raise its generation to change it"
             };
-            teller.say(format!("the harbour holds r{base} {words}"));
+            teller.say(format!("the fleet holds r{base} {words}"));
             return Ok(());
         }
         if answer.status.as_u16() != 412 {
@@ -251,7 +254,7 @@
     entries.iter().filter_map(entry).collect()
 }
 
-/// Ends the harbour of a folder. The number of processes that were still there.
+/// Ends the fleet of a folder. The number of processes that were still there.
 ///
 /// # Errors
 /// When the list of processes can't be removed.
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -66,8 +66,8 @@
         self.see(Seen::Done { kind: 3, owed: true, due, end, tries: 1 });
     }
 
-    fn process(&mut self, machine: usize, quay: bool, deed: Deed) {
-        self.see(Seen::Process { machine, quay, deed });
+    fn process(&mut self, machine: usize, data_plane: bool, deed: Deed) {
+        self.see(Seen::Process { machine, data_plane, deed });
     }
 
     /// A change; acknowledged, refused, or neither.
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -80,7 +80,7 @@
     let all = said.join("\n");
     assert!(status.success(), "{status}\n{all}");
     assert!(all.contains(" leads: killed"), "{all}");
-    for kind in ["tide", "berth", "cargo", "duty"] {
+    for kind in ["tide", "backend", "cargo", "duty"] {
         let line = said.iter().find(|line| line.starts_with(kind)).expect("each kind has a line");
         let served: u64 = line.split_whitespace().nth(3).and_then(|n| n.parse().ok()).expect("a count");
         assert!(served > 0, "{all}");
@@ -155,7 +155,7 @@
         assert!(wait(&mut down).success());
         assert!(wait(&mut child).success());
         all_gone(&children);
-        let settings = std::fs::read_to_string(place.path().join("settings/machine-1-harbourmaster.toml"));
+        let settings = std::fs::read_to_string(place.path().join("settings/machine-1-control-plane.toml"));
         assert!(settings.expect("it is kept").contains("bootstrap = false"));
         assert!(!place.path().join("processes.json").exists());
     }
--- a/crates/testbed/tests/schedule.rs
+++ b/crates/testbed/tests/schedule.rs
@@ -13,7 +13,7 @@
     late = { "at = 7.0\nfor = 2.0\nfault = \"hot\"", "t:3:1: a fault lies within the 8 seconds" },
     never = { "at = nan\nfault = \"hot\"", "t:3:1: a fault lies within the 8 seconds" },
     nobody = { "at = 1.0\nfault = \"kill\"", "t:3:1: on is missing" },
-    stranger = { "at = 1.0\nfault = \"kill\"\non = \"q5\"", "t:3:1: on: nobody is named q5" },
+    learner = { "at = 1.0\nfault = \"kill\"\non = \"q5\"", "t:3:1: on: nobody is named q5" },
     wrong = { "at = 1.0\nfault = \"kill\"\non = \"b1\"", "t:3:1: on: this fault is not one of theirs" },
     silent = { "at = 1.0\nfault = \"cut\"\nfrom = \"q1\"\nto = \"q2\"", "t:3:1: nobody in from talks" },
     figure = { "at = 1.0\nfault = \"throttle\"\nfrom = \"m1\"\nto = \"*\"", "t:3:1: bytes, above 0, is missing" },
--- a/crates/transport/examples/weigh.rs
+++ b/crates/transport/examples/weigh.rs
@@ -2,9 +2,9 @@
 //!
 //! `cargo run --release -p transport --example weigh`
 
-use protocol::{Message, Held, unframe};
+use protocol::{Held, Message, unframe};
 use std::time::{Duration, Instant};
-use transport::sheets::{ConfigEncoder, held, rebuild};
+use transport::config_snapshots::{ConfigEncoder, held, rebuild};
 
 /// Words that don't repeat, the same in each run.
 struct Draw(u64);
@@ -103,8 +103,12 @@
     let has = if base.is_empty() { Held::default() } else { held(1, base) };
     let frame = ConfigEncoder::new(2, whole).frame(has, Some(base), whole);
     let made = span(ROUNDS, || ConfigEncoder::new(2, whole).frame(has, Some(base), whole));
-    let Ok(Some((Message::ConfigDelta(splice), _))) = unframe(&frame) else { return println!("{what}: whole") };
-    let rebuilt = span(ROUNDS, || rebuild(Some(base), &splice).map(|sheet| assert_eq!(sheet.body, whole)));
+    let Ok(Some((Message::ConfigDelta(config_delta), _))) = unframe(&frame) else {
+        return println!("{what}: whole");
+    };
+    let rebuilt = span(ROUNDS, || {
+        rebuild(Some(base), &config_delta).map(|config_snapshot| assert_eq!(config_snapshot.body, whole))
+    });
     println!("{what}: {} bytes as {}; made in {made:?}, rebuilt in {rebuilt:?}", whole.len(), frame.len());
 }
 
--- a/crates/transport/src/sheets.rs
+++ b/crates/transport/src/config_snapshots.rs
@@ -85,8 +85,10 @@
 
     /// The frame for whoever asked for the whole.
     pub fn whole(&mut self, body: &[u8]) -> Rc<[u8]> {
-        let sheet = || ConfigSnapshot { version: self.version, body: body.to_vec() };
-        self.whole.get_or_insert_with(|| protocol::frame(&Message::ConfigSnapshot(sheet())).into()).clone()
+        let config_snapshot = || ConfigSnapshot { version: self.version, body: body.to_vec() };
+        self.whole
+            .get_or_insert_with(|| protocol::frame(&Message::ConfigSnapshot(config_snapshot())).into())
+            .clone()
     }
 
     /// The frame for a follower that has `has`; `base` is the body of that version, if it is kept here.
@@ -100,9 +102,9 @@
         if let Some(made) = self.made.get(&key) {
             return made.clone();
         }
-        let made = match splice(key.version, base, self.version, self.digest, body) {
-            Ok(splice) if splice.bytes.len() < body.len() => {
-                protocol::frame(&Message::ConfigDelta(splice)).into()
+        let made = match config_delta(key.version, base, self.version, self.digest, body) {
+            Ok(config_delta) if config_delta.bytes.len() < body.len() => {
+                protocol::frame(&Message::ConfigDelta(config_delta)).into()
             }
             _ => self.whole(body),
         };
@@ -111,7 +113,7 @@
     }
 }
 
-fn splice(
+fn config_delta(
     base: u64, of: &[u8], version: u64, digest: [u8; 32], body: &[u8],
 ) -> Result<ConfigDelta, std::io::Error> {
     let bytes = zstd::bulk::Compressor::with_dictionary(LEVEL, of)?.compress(body)?;
@@ -122,18 +124,18 @@
 ///
 /// # Errors
 /// When it can't be made, or is another one: never anything but what the sender has.
-pub fn rebuild(base: Option<&[u8]>, splice: &ConfigDelta) -> Result<ConfigSnapshot, Unfit> {
-    let (version, length) = (splice.version, splice.length as usize);
+pub fn rebuild(base: Option<&[u8]>, config_delta: &ConfigDelta) -> Result<ConfigSnapshot, Unfit> {
+    let (version, length) = (config_delta.version, config_delta.length as usize);
     if length > LONGEST {
         return Err(Unfit::TooLong { version, length });
     }
-    let empty = (splice.base == 0).then_some(&[][..]);
-    let of = empty.or(base).ok_or(Unfit::NoBase { version, base: splice.base })?;
-    let broken = |source| Unfit::Broken { version, base: splice.base, source };
+    let empty = (config_delta.base == 0).then_some(&[][..]);
+    let of = empty.or(base).ok_or(Unfit::NoBase { version, base: config_delta.base })?;
+    let broken = |source| Unfit::Broken { version, base: config_delta.base, source };
     let mut library = zstd::bulk::Decompressor::with_dictionary(of).map_err(broken)?;
-    let body = library.decompress(&splice.bytes, length).map_err(broken)?;
-    if Sha256::digest(&body).as_slice() != splice.digest {
-        return Err(Unfit::Digest { version, base: splice.base });
+    let body = library.decompress(&config_delta.bytes, length).map_err(broken)?;
+    if Sha256::digest(&body).as_slice() != config_delta.digest {
+        return Err(Unfit::Digest { version, base: config_delta.base });
     }
     Ok(ConfigSnapshot { version, body })
 }
