--- a/crates/transport/src/pilot.rs
+++ b/crates/transport/src/follower.rs
@@ -1,10 +1,10 @@
 //! Follows the news: one process that serves control at a time, another one when that falls silent or behind; and a
 //! connection to the holder of the counts.
 
-use crate::course::PeerChoice;
+use crate::config_snapshots;
 use crate::leaving::Leaving;
 use crate::line::{Line, LineError, Reader, Received, dial};
-use crate::sheets;
+use crate::peer_choice::PeerChoice;
 use crate::spawn;
 use crate::tree::{self, Tree};
 use crate::unanswered::Unanswered;
@@ -38,7 +38,7 @@
         /// Whether there are no others.
         whole: bool,
         /// The backends.
-        berths: Vec<Backend>,
+        backends: Vec<Backend>,
     },
     /// How things stand.
     Heartbeat(Heartbeat),
@@ -138,17 +138,17 @@
 
 /// A holder of counts, and the draws that it has not answered.
 struct QuotaHolder {
-    voyage: Upstream,
+    upstream: Upstream,
     drawn: Unanswered,
 }
 
 struct FollowerTask {
     settings: FollowerSettings,
     news: Box<dyn FnMut(Update)>,
-    course: PeerChoice,
+    peer_choice: PeerChoice,
     began: Instant,
     numbers: u64,
-    master: Option<Upstream>,
+    control_plane: Option<Upstream>,
     tree: Option<Tree>,
     holders: Vec<QuotaHolder>,
     /// What was taken last, and its body: what comes next may be a change of it.
@@ -160,7 +160,7 @@
     /// The version of the last root heard of, if it said that it is of this moment, with a place in the tree.
     root_version: Option<u64>,
     signed: Instant,
-    roster: HolderAssignment,
+    assignment: HolderAssignment,
     /// This process has ended and says so.
     leaving: Option<Leaving>,
     events: mpsc::Sender<Event>,
@@ -175,15 +175,16 @@
         let (events, mut inbox) = mpsc::channel(256);
         let (lines, mut up) = mpsc::channel(8);
         let (me, began) = (&settings.me, Instant::now());
-        let (tree, mut said) = place.map(|place| moored(place, &settings)).unzip();
-        let course = PeerChoice::new(0, &me.name, &me.zone, me.address.parse().ok(), settings.seeds.clone());
-        let mut helm = Self {
+        let (tree, mut said) = place.map(|place| placed(place, &settings)).unzip();
+        let peer_choice =
+            PeerChoice::new(0, &me.name, &me.zone, me.address.parse().ok(), settings.seeds.clone());
+        let mut task = Self {
             settings,
             news,
-            course,
+            peer_choice,
             began,
             numbers: 0,
-            master: None,
+            control_plane: None,
             tree,
             holders: Vec::new(),
             have: Held::default(),
@@ -192,7 +193,7 @@
             above: None,
             root_version: None,
             signed: began,
-            roster: HolderAssignment::default(),
+            assignment: HolderAssignment::default(),
             leaving: None,
             events,
             lines,
@@ -201,16 +202,16 @@
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                Some((number, line)) = up.recv() => helm.on_up(number, line),
-                Some((number, event)) = inbox.recv() => helm.on_event(number, event),
-                Some(event) = next(&mut said) => helm.on_tree(event),
+                Some((number, line)) = up.recv() => task.on_up(number, line),
+                Some((number, event)) = inbox.recv() => task.on_event(number, event),
+                Some(event) = next(&mut said) => task.on_tree(event),
                 order = orders.recv() => match order {
-                    Some(Order::LeaseRequest(to, draw)) => helm.on_draw(to, draw),
-                    Some(Order::Seeds(seeds)) => helm.on_seeds(seeds),
-                    Some(Order::Leave(done)) => helm.on_leave(done),
+                    Some(Order::LeaseRequest(to, draw)) => task.on_draw(to, draw),
+                    Some(Order::Seeds(seeds)) => task.on_seeds(seeds),
+                    Some(Order::Leave(done)) => task.on_leave(done),
                     None => return,
                 },
-                _ = tick.tick() => helm.on_tick(),
+                _ = tick.tick() => task.on_tick(),
             }
         }
     }
@@ -219,10 +220,10 @@
         self.began.elapsed().as_millis() as u64
     }
 
-    fn voyage(&mut self, to: SocketAddr) -> Upstream {
+    fn upstream(&mut self, to: SocketAddr) -> Upstream {
         self.numbers += 1;
         let (number, events, lines) = (self.numbers, self.events.clone(), self.lines.clone());
-        let hail = Message::Hello(self.settings.me.clone());
+        let hello = Message::Hello(self.settings.me.clone());
         let ways = self.settings.ways.clone();
         spawn(async move {
             let (line, mut reader): (Line, Reader) = match dial(to, &ways).await {
@@ -232,7 +233,7 @@
                     return;
                 }
             };
-            line.send(&hail);
+            line.send(&hello);
             if lines.send((number, line)).await.is_err() {
                 return;
             }
@@ -256,33 +257,34 @@
 
     fn leave(&mut self) {
         let now = self.now();
-        self.course.failed(now);
-        self.master = None;
+        self.peer_choice.failed(now);
+        self.control_plane = None;
     }
 
     fn on_tick(&mut self) {
         let now = self.now();
         if self.tree.is_some() {
             self.tend_tree(now);
-        } else if self.course.is_over(now) || self.master.as_ref().is_some_and(Upstream::is_lost) {
+        } else if self.peer_choice.is_over(now) || self.control_plane.as_ref().is_some_and(Upstream::is_lost)
+        {
             self.leave();
         }
         // Also a process in the tree of relays says its last word to one that serves control.
         if (self.tree.is_none() || self.leaving.is_some())
-            && let Some(to) = self.course.choose(now)
+            && let Some(to) = self.peer_choice.choose(now)
         {
-            self.master = Some(self.voyage(to));
+            self.control_plane = Some(self.upstream(to));
         }
         self.take_doubtful();
         if self.signed.elapsed() > SIGN {
             self.signed = Instant::now();
             let sign = Message::Follow { have: self.have };
             // Only a sign of life on a connection that has its news already.
-            if let Some(line) = self.master.as_ref().and_then(|v| v.line.as_ref()) {
+            if let Some(line) = self.control_plane.as_ref().and_then(|v| v.line.as_ref()) {
                 line.send(&sign);
             }
-            let here = Message::Here { epoch: self.roster.epoch };
-            for line in self.holders.iter().filter_map(|holder| holder.voyage.line.as_ref()) {
+            let here = Message::Here { epoch: self.assignment.epoch };
+            for line in self.holders.iter().filter_map(|holder| holder.upstream.line.as_ref()) {
                 line.send(&here);
             }
         }
@@ -293,10 +295,10 @@
 
     fn on_leave(&mut self, done: oneshot::Sender<()>) {
         let mut leaving = Leaving::new(done);
-        let voyages = self.master.iter().chain(self.holders.iter().map(|holder| &holder.voyage));
-        for voyage in voyages {
-            if voyage.line.as_ref().is_some_and(|line| line.send(&Message::Leave)) {
-                leaving.said(voyage.number);
+        let upstreams = self.control_plane.iter().chain(self.holders.iter().map(|holder| &holder.upstream));
+        for upstream in upstreams {
+            if upstream.line.as_ref().is_some_and(|line| line.send(&Message::Leave)) {
+                leaving.said(upstream.number);
             }
         }
         self.leaving = Some(leaving);
@@ -325,12 +327,12 @@
     }
 
     fn tend_holders(&mut self) {
-        let wanted: Vec<SocketAddr> = self.course.holders().collect();
-        self.part(|holder| holder.voyage.is_lost() || !wanted.contains(&holder.voyage.to));
+        let wanted: Vec<SocketAddr> = self.peer_choice.holders().collect();
+        self.part(|holder| holder.upstream.is_lost() || !wanted.contains(&holder.upstream.to));
         for to in wanted {
-            if self.holders.iter().all(|holder| holder.voyage.to != to) {
-                let voyage = self.voyage(to);
-                self.holders.push(QuotaHolder { voyage, drawn: Unanswered::default() });
+            if self.holders.iter().all(|holder| holder.upstream.to != to) {
+                let upstream = self.upstream(to);
+                self.holders.push(QuotaHolder { upstream, drawn: Unanswered::default() });
             }
         }
     }
@@ -341,15 +343,15 @@
         {
             leaving.said(number);
         }
-        if let Some(voyage) = self.master.as_mut().filter(|v| v.number == number) {
+        if let Some(upstream) = self.control_plane.as_mut().filter(|v| v.number == number) {
             line.send(&Message::Follow { have: self.have });
-            voyage.line = Some(line);
-        } else if let Some(holder) = self.holders.iter_mut().find(|holder| holder.voyage.number == number) {
+            upstream.line = Some(line);
+        } else if let Some(holder) = self.holders.iter_mut().find(|holder| holder.upstream.number == number) {
             // Among several holders only one that says which assignment it knows counts as heard.
-            if self.roster.epoch.number > 1 {
-                line.send(&Message::Here { epoch: self.roster.epoch });
+            if self.assignment.epoch.number > 1 {
+                line.send(&Message::Here { epoch: self.assignment.epoch });
             }
-            holder.voyage.line = Some(line);
+            holder.upstream.line = Some(line);
         }
     }
 
@@ -357,20 +359,20 @@
         if let (Err(_), Some(leaving)) = (&event, &mut self.leaving) {
             leaving.lost(number);
         }
-        let from_master = self.master.as_ref().is_some_and(|v| v.number == number);
-        let mut holder = self.holders.iter_mut().find(|holder| holder.voyage.number == number);
+        let from_control_plane = self.control_plane.as_ref().is_some_and(|v| v.number == number);
+        let mut holder = self.holders.iter_mut().find(|holder| holder.upstream.number == number);
         // Whatever answers no draw of this connection is nobody's.
         let mut is_answer = |number| holder.as_mut().is_some_and(|holder| holder.drawn.answered(number));
         match event {
-            Err(_) if from_master => {
+            Err(_) if from_control_plane => {
                 self.leave();
                 self.on_tick();
             }
-            Err(_) => self.part(|holder| holder.voyage.number == number),
+            Err(_) => self.part(|holder| holder.upstream.number == number),
             Ok(Received::Message(Message::LeaveAccepted)) => self.on_leave_accepted(number),
-            Ok(received) if from_master => {
+            Ok(received) if from_control_plane => {
                 let now = self.now();
-                self.course.heard(now);
+                self.peer_choice.heard(now);
                 if let Received::Message(flag) = received {
                     self.on_news(flag, now);
                 }
@@ -387,45 +389,46 @@
 
     fn on_news(&mut self, flag: Message, now: u64) {
         match flag {
-            Message::Heartbeat(pulse) => {
-                self.course.pulse(now, &pulse);
+            Message::Heartbeat(heartbeat) => {
+                self.peer_choice.heartbeat(now, &heartbeat);
                 self.take_doubtful();
-                if self.roster != *self.course.roster() {
-                    self.roster = self.course.roster().clone();
-                    (self.news)(Update::HolderAssignment(self.roster.clone()));
+                if self.assignment != *self.peer_choice.assignment() {
+                    self.assignment = self.peer_choice.assignment().clone();
+                    (self.news)(Update::HolderAssignment(self.assignment.clone()));
                 }
                 self.tend_holders();
-                (self.news)(Update::Heartbeat(pulse));
+                (self.news)(Update::Heartbeat(heartbeat));
             }
-            Message::ConfigSnapshot(sheet) => {
-                self.doubtful = Some(sheet);
+            Message::ConfigSnapshot(config_snapshot) => {
+                self.doubtful = Some(config_snapshot);
                 self.take_doubtful();
             }
-            Message::ConfigDelta(splice) => self.on_splice(&splice),
-            Message::Backends { whole, berths } => (self.news)(Update::Backends { whole, berths }),
+            Message::ConfigDelta(config_delta) => self.on_config_delta(&config_delta),
+            Message::Backends { whole, backends } => (self.news)(Update::Backends { whole, backends }),
             Message::ControlPlanes(cards) => {
                 let read = |card: ControlPlaneAddress| Some((card.address.parse().ok()?, card.zone));
-                self.course.masters(cards.into_iter().filter_map(read));
+                self.peer_choice.control_planes(cards.into_iter().filter_map(read));
             }
             _ => {}
         }
     }
 
     /// A configuration as a difference. Whoever sent one that makes nothing here is asked for the whole.
-    fn on_splice(&mut self, splice: &ConfigDelta) {
-        if splice.version <= self.have.version {
+    fn on_config_delta(&mut self, config_delta: &ConfigDelta) {
+        if config_delta.version <= self.have.version {
             return;
         }
-        let doubtful = self.doubtful.as_ref().filter(|sheet| sheet.version == splice.base);
-        let taken = (splice.base == self.have.version).then_some(&self.body);
-        let base = doubtful.map(|sheet| &sheet.body).or(taken).map(Vec::as_slice);
-        match sheets::rebuild(base, splice) {
-            Ok(sheet) => {
-                self.doubtful = Some(sheet);
+        let doubtful =
+            self.doubtful.as_ref().filter(|config_snapshot| config_snapshot.version == config_delta.base);
+        let taken = (config_delta.base == self.have.version).then_some(&self.body);
+        let base = doubtful.map(|config_snapshot| &config_snapshot.body).or(taken).map(Vec::as_slice);
+        match config_snapshots::rebuild(base, config_delta) {
+            Ok(config_snapshot) => {
+                self.doubtful = Some(config_snapshot);
                 self.take_doubtful();
             }
             Err(_) => {
-                if let Some(line) = self.master.as_ref().and_then(|v| v.line.as_ref()) {
+                if let Some(line) = self.control_plane.as_ref().and_then(|v| v.line.as_ref()) {
                     line.send(&Message::Whole);
                 }
             }
@@ -433,14 +436,18 @@
     }
 
     fn take_doubtful(&mut self) {
-        let Some(version) = self.doubtful.as_ref().map(|sheet| sheet.version) else { return };
+        let Some(version) = self.doubtful.as_ref().map(|config_snapshot| config_snapshot.version) else {
+            return;
+        };
         if self.have.version == 0 && !self.may_begin(version) {
             return;
         }
-        if let Some(sheet) = self.doubtful.take().filter(|sheet| sheet.version > self.have.version) {
-            self.have = sheets::held(sheet.version, &sheet.body);
-            self.body.clone_from(&sheet.body);
-            (self.news)(Update::ConfigSnapshot(sheet));
+        if let Some(config_snapshot) =
+            self.doubtful.take().filter(|config_snapshot| config_snapshot.version > self.have.version)
+        {
+            self.have = config_snapshots::held(config_snapshot.version, &config_snapshot.body);
+            self.body.clone_from(&config_snapshot.body);
+            (self.news)(Update::ConfigSnapshot(config_snapshot));
         }
     }
 
@@ -448,12 +455,12 @@
         if self.tree.is_some() {
             self.work_tree(self.now(), Input::Roots(seeds.clone()));
         }
-        self.course.seeds(seeds);
+        self.peer_choice.seeds(seeds);
     }
 
     fn may_begin(&self, version: u64) -> bool {
         let vouched = self.root_version.is_some_and(|newest| version >= newest);
-        vouched || self.course.may_begin(self.now(), version)
+        vouched || self.peer_choice.may_begin(self.now(), version)
     }
 
     fn tend_tree(&mut self, now: u64) {
@@ -479,16 +486,16 @@
         self.above = above;
         for output in news.into_iter().flatten() {
             let flag = match output {
-                Output::Heartbeat(mut pulse) => {
-                    self.root_version = pulse.fresh.then_some(pulse.version);
+                Output::Heartbeat(mut heartbeat) => {
+                    self.root_version = heartbeat.fresh.then_some(heartbeat.version);
                     // The root does not count those that it does not know one by one.
                     let mut hasher = DefaultHasher::new();
                     self.settings.me.name.hash(&mut hasher);
-                    pulse.number = (hasher.finish() % u64::from(pulse.fleet.max(1))) as u32;
-                    Message::Heartbeat(pulse)
+                    heartbeat.number = (hasher.finish() % u64::from(heartbeat.fleet.max(1))) as u32;
+                    Message::Heartbeat(heartbeat)
                 }
-                Output::ConfigSnapshot(sheet) => Message::ConfigSnapshot(sheet),
-                Output::Backends { whole, berths, .. } => Message::Backends { whole, berths },
+                Output::ConfigSnapshot(config_snapshot) => Message::ConfigSnapshot(config_snapshot),
+                Output::Backends { whole, backends, .. } => Message::Backends { whole, backends },
                 Output::Send { .. } => continue,
             };
             self.on_news(flag, now);
@@ -497,9 +504,9 @@
 
     fn on_draw(&mut self, to: SocketAddr, draw: quota::LeaseRequest) {
         let (number, now) = (draw.number, self.now());
-        let holder = self.holders.iter_mut().find(|holder| holder.voyage.to == to);
+        let holder = self.holders.iter_mut().find(|holder| holder.upstream.to == to);
         let sent = holder
-            .filter(|h| h.voyage.line.as_ref().is_some_and(|line| line.send(&Message::LeaseRequest(draw))));
+            .filter(|h| h.upstream.line.as_ref().is_some_and(|line| line.send(&Message::LeaseRequest(draw))));
         let unanswered = match sent {
             Some(holder) => holder.drawn.sent(number, now),
             None => Some(number),
@@ -510,7 +517,7 @@
     }
 }
 
-fn moored(place: Place, settings: &FollowerSettings) -> (Tree, mpsc::Receiver<tree::Event>) {
+fn placed(place: Place, settings: &FollowerSettings) -> (Tree, mpsc::Receiver<tree::Event>) {
     let Place { at, listener, room } = place;
     let (roots, seed) = (settings.seeds.clone(), settings.me.life | 1);
     let about = relay_tree::Settings { me: at, room, epoch: None, roots, seed };
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -6,19 +6,19 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod course;
+pub mod config_snapshots;
+mod follower;
 mod leaving;
 mod line;
-mod lookout;
-mod pilot;
-pub mod sheets;
+mod neighbor_watch;
+mod peer_choice;
 mod tree;
 mod unanswered;
 
-pub use course::PeerChoice;
+pub use follower::{ControlFollower, FollowerSettings, Place, Update};
 pub use line::{Line, LineError, Reader, Received, attach, dial, write_while_taken};
-pub use lookout::{NeighborWatch, card};
-pub use pilot::{ControlFollower, FollowerSettings, Place, Update};
+pub use neighbor_watch::{NeighborWatch, card};
+pub use peer_choice::PeerChoice;
 pub use tree::{Signals, word_of};
 pub use unanswered::Unanswered;
 
--- a/crates/transport/src/line.rs
+++ b/crates/transport/src/line.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// So many frames wait for a peer at most; a pulse every 100 ms and a herd's changes fit.
+/// So many frames wait for a peer at most; a heartbeat every 100 ms and a herd's changes fit.
 const WAITING: usize = 512;
 /// A peer that takes nothing for this long has lost its connection. The kernel is told as well: a machine behind a cut
 /// says nothing, and what waits for it would wait for minutes.
--- a/crates/transport/src/lookout.rs
+++ b/crates/transport/src/neighbor_watch.rs
@@ -25,9 +25,9 @@
     /// Watches from now on at a socket that is bound to the card's address; `seed` is drawn for this life.
     pub fn start(socket: UdpSocket, card: Card, seeds: Vec<SocketAddr>, seed: u64) -> Rc<Self> {
         let keeper = RefCell::new(Keeper::new(card, marks(&seeds), seed, 0));
-        let lookout = Rc::new(Self { keeper, socket, began: Instant::now() });
-        spawn(Self::run(Rc::downgrade(&lookout)));
-        lookout
+        let neighbor_watch = Rc::new(Self { keeper, socket, began: Instant::now() });
+        spawn(Self::run(Rc::downgrade(&neighbor_watch)));
+        neighbor_watch
     }
 
     fn now(&self) -> Millis {
@@ -37,15 +37,15 @@
     async fn run(me: Weak<Self>) {
         let mut buffer = vec![0; LONGEST];
         loop {
-            let Some(lookout) = me.upgrade() else { return };
+            let Some(neighbor_watch) = me.upgrade() else { return };
             let mut out = Vec::new();
-            lookout.keeper.borrow_mut().step(lookout.now(), &mut out);
-            lookout.send(out);
-            let due = lookout.keeper.borrow().next_due().max(lookout.now() + 1);
+            neighbor_watch.keeper.borrow_mut().step(neighbor_watch.now(), &mut out);
+            neighbor_watch.send(out);
+            let due = neighbor_watch.keeper.borrow().next_due().max(neighbor_watch.now() + 1);
             tokio::select! {
                 // A socket in trouble says so at once, again and again: the next step looks again.
-                Ok(()) = lookout.socket.readable() => lookout.read(&mut buffer),
-                () = sleep_until(lookout.began + Duration::from_millis(due)) => {}
+                Ok(()) = neighbor_watch.socket.readable() => neighbor_watch.read(&mut buffer),
+                () = sleep_until(neighbor_watch.began + Duration::from_millis(due)) => {}
             }
         }
     }
@@ -76,8 +76,8 @@
     }
 
     /// Another machine was heard by other means.
-    pub fn ashore(&self) {
-        self.keeper.borrow_mut().ashore(self.now());
+    pub fn in_contact(&self) {
+        self.keeper.borrow_mut().in_contact(self.now());
     }
 
     /// The settings name other seeds.
@@ -98,8 +98,8 @@
     }
 
     /// Whether this process hears nobody: what it holds is of old.
-    pub fn is_adrift(&self) -> bool {
-        self.keeper.borrow().is_adrift()
+    pub fn is_isolated(&self) -> bool {
+        self.keeper.borrow().is_isolated()
     }
 
     /// How it stands, for operators.
@@ -120,6 +120,6 @@
 }
 
 /// The card of a process that takes datagrams at an address.
-pub fn card(at: SocketAddrV4, name: &str, quay: bool, life: u64) -> Card {
-    Card { at: at.into(), name: name.to_owned(), quay, life }
+pub fn card(at: SocketAddrV4, name: &str, data_plane: bool, life: u64) -> Card {
+    Card { at: at.into(), name: name.to_owned(), data_plane, life }
 }
--- a/crates/transport/src/course.rs
+++ b/crates/transport/src/peer_choice.rs
@@ -41,13 +41,13 @@
     zone: String,
     own: Option<SocketAddr>,
     seeds: Vec<SocketAddr>,
-    masters: BTreeMap<SocketAddr, String>,
+    control_planes: BTreeMap<SocketAddr, String>,
     /// When those failed that are not to be asked again yet.
     failed: BTreeMap<SocketAddr, Millis>,
     following: Option<Leading>,
     leader: Option<SocketAddr>,
     /// Who holds the counts.
-    roster: HolderAssignment,
+    assignment: HolderAssignment,
     started: Millis,
 }
 
@@ -59,11 +59,11 @@
             zone: zone.to_owned(),
             own,
             seeds,
-            masters: BTreeMap::new(),
+            control_planes: BTreeMap::new(),
             failed: BTreeMap::new(),
             following: None,
             leader: None,
-            roster: HolderAssignment::default(),
+            assignment: HolderAssignment::default(),
             started: now,
         }
     }
@@ -74,8 +74,8 @@
     }
 
     /// Who serves control, and in which zone.
-    pub fn masters(&mut self, masters: impl IntoIterator<Item = (SocketAddr, String)>) {
-        self.masters = masters.into_iter().take(MOST).collect();
+    pub fn control_planes(&mut self, control_planes: impl IntoIterator<Item = (SocketAddr, String)>) {
+        self.control_planes = control_planes.into_iter().take(MOST).collect();
     }
 
     /// Who is followed now.
@@ -84,8 +84,8 @@
     }
 
     /// Who holds the counts, as far as known.
-    pub fn roster(&self) -> &HolderAssignment {
-        &self.roster
+    pub fn assignment(&self) -> &HolderAssignment {
+        &self.assignment
     }
 
     /// Where the leader is, as far as known; it holds counts, alone or with others.
@@ -95,7 +95,7 @@
 
     /// Where the holders of the counts are.
     pub fn holders(&self) -> impl Iterator<Item = SocketAddr> {
-        let all = self.roster.holders.iter().filter_map(|holder| holder.parse().ok());
+        let all = self.assignment.holders.iter().filter_map(|holder| holder.parse().ok());
         all.filter(|_| self.leader.is_some())
     }
 
@@ -113,7 +113,7 @@
     /// follower has an order of its own and all together spread evenly.
     fn best(&self, now: Millis) -> Option<SocketAddr> {
         let seeds = self.seeds.iter().map(|seed| (*seed, ""));
-        let known = self.masters.iter().map(|(address, zone)| (*address, zone.as_str()));
+        let known = self.control_planes.iter().map(|(address, zone)| (*address, zone.as_str()));
         let rank = |(address, zone): &(SocketAddr, &str)| {
             let mut hasher = DefaultHasher::new();
             (&self.name, address).hash(&mut hasher);
@@ -144,25 +144,25 @@
     }
 
     /// The one that is followed says how things stand.
-    pub fn pulse(&mut self, now: Millis, pulse: &Heartbeat) {
-        let leader = pulse.leader.as_ref().and_then(|l| l.parse().ok());
+    pub fn heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
+        let leader = heartbeat.leader.as_ref().and_then(|l| l.parse().ok());
         // One that is cut off may go on naming a leader of old.
-        let epoch = Epoch { term: pulse.epoch, number: pulse.assignment.max(1) };
-        if pulse.fresh && epoch >= self.roster.epoch || self.leader.is_none() {
+        let epoch = Epoch { term: heartbeat.epoch, number: heartbeat.assignment.max(1) };
+        if heartbeat.fresh && epoch >= self.assignment.epoch || self.leader.is_none() {
             self.leader = leader;
-            if let Some(leader) = &pulse.leader
-                && epoch >= self.roster.epoch
+            if let Some(leader) = &heartbeat.leader
+                && epoch >= self.assignment.epoch
             {
-                let holders = std::iter::once(leader).chain(&pulse.deputies).cloned().collect();
-                self.roster = HolderAssignment { epoch, holders };
+                let holders = std::iter::once(leader).chain(&heartbeat.deputies).cloned().collect();
+                self.assignment = HolderAssignment { epoch, holders };
             }
         }
         if let Some(following) = &mut self.following {
-            if pulse.fresh {
+            if heartbeat.fresh {
                 following.fresh_at = now;
-                following.version = pulse.version;
+                following.version = heartbeat.version;
             }
-            following.fresh = pulse.fresh;
+            following.fresh = heartbeat.fresh;
         }
     }
 
@@ -170,7 +170,7 @@
     pub fn is_over(&self, now: Millis) -> bool {
         let Some(following) = &self.following else { return false };
         let spared = |address: &SocketAddr| self.failed_at(address, now).is_none();
-        let others = self.masters.keys().chain(&self.seeds);
+        let others = self.control_planes.keys().chain(&self.seeds);
         let others = others.filter(|a| **a != following.to && Some(**a) != self.own).any(spared);
         let behind = !following.fresh && now > following.fresh_at + BEHIND;
         now > following.heard + SILENT || behind && others
--- a/crates/transport/src/tree.rs
+++ b/crates/transport/src/tree.rs
@@ -1,7 +1,7 @@
 //! A place in the tree of relays: what the state machine decides, over real connections.
 
+use crate::config_snapshots::{ConfigEncoder, rebuild};
 use crate::line::{Line, LineError, Reader, attach, dial};
-use crate::sheets::{ConfigEncoder, rebuild};
 use crate::spawn;
 use config::Detours;
 use protocol::relay::Word;
@@ -32,11 +32,11 @@
             Some((last, frame)) if *last == word => frame.clone(),
             _ => {
                 let frame: Rc<[u8]> = match &word {
-                    Word::ConfigSnapshot(sheet) => ConfigEncoder::new(sheet.version, &sheet.body).frame(
-                        Held::default(),
-                        None,
-                        &sheet.body,
-                    ),
+                    Word::ConfigSnapshot(config_snapshot) => ConfigEncoder::new(
+                        config_snapshot.version,
+                        &config_snapshot.body,
+                    )
+                    .frame(Held::default(), None, &config_snapshot.body),
                     word => protocol::frame(&Message::Relay(word.clone())).into(),
                 };
                 self.last = Some((word, frame.clone()));
@@ -50,9 +50,9 @@
 pub fn word_of(flag: Message) -> Option<Word> {
     match flag {
         Message::Relay(word) => Some(word),
-        Message::ConfigSnapshot(sheet) => Some(Word::ConfigSnapshot(sheet)),
-        // It comes with no base: who can't make it out asks again, by the number in the next pulse.
-        Message::ConfigDelta(splice) => rebuild(None, &splice).ok().map(Word::ConfigSnapshot),
+        Message::ConfigSnapshot(config_snapshot) => Some(Word::ConfigSnapshot(config_snapshot)),
+        // It comes with no base: who can't make it out asks again, by the number in the next heartbeat.
+        Message::ConfigDelta(config_delta) => rebuild(None, &config_delta).ok().map(Word::ConfigSnapshot),
         _ => None,
     }
 }
@@ -85,7 +85,7 @@
 /// One process's place.
 pub(crate) struct Tree {
     relay: Relay,
-    hail: Hello,
+    hello: Hello,
     /// By which ways others are reached.
     ways: Detours,
     numbers: u64,
@@ -99,14 +99,14 @@
 impl Tree {
     /// Takes connections at `listener`; what happens on any comes out of the queue.
     pub(crate) fn start(
-        settings: Settings, hail: Hello, ways: Detours, listener: TcpListener,
+        settings: Settings, hello: Hello, ways: Detours, listener: TcpListener,
     ) -> (Self, mpsc::Receiver<Event>) {
         let (events, queue) = mpsc::channel(256);
         spawn(listen(listener, events.clone()));
         let (relay, callers) = (Relay::new(settings), BTreeMap::new());
         let signals = Signals::default();
         let outputs = Vec::new();
-        (Self { relay, hail, ways, numbers: 0, dialed: None, callers, signals, events, outputs }, queue)
+        (Self { relay, hello, ways, numbers: 0, dialed: None, callers, signals, events, outputs }, queue)
     }
 
     /// Whom this process follows.
@@ -153,8 +153,8 @@
     fn dial(&mut self, to: SocketAddr) {
         self.numbers += 2;
         let (number, events, ways) = (self.numbers, self.events.clone(), self.ways.clone());
-        let hail = protocol::frame(&Message::Hello(self.hail.clone())).into();
-        self.dialed = Some(Dialed { number, to, line: None, waiting: vec![hail] });
+        let hello = protocol::frame(&Message::Hello(self.hello.clone())).into();
+        self.dialed = Some(Dialed { number, to, line: None, waiting: vec![hello] });
         spawn(async move {
             match dial(to, &ways).await {
                 Ok((line, reader)) => {
--- a/crates/transport/tests/pilot.rs
+++ b/crates/transport/tests/follower.rs
@@ -29,7 +29,7 @@
 struct World {
     listener: TcpListener,
     address: SocketAddr,
-    pilot: ControlFollower,
+    follower: ControlFollower,
     heard: Rc<RefCell<Vec<Heard>>>,
 }
 
@@ -51,14 +51,14 @@
         let news = move |news| match news {
             Update::Grant(grant) => noted.borrow_mut().push(Heard::Granted(grant.number)),
             Update::Unanswered { number } => noted.borrow_mut().push(Heard::Unanswered(number)),
-            Update::ConfigSnapshot(sheet) => {
-                noted.borrow_mut().push(Heard::Configuration { version: sheet.version });
+            Update::ConfigSnapshot(config_snapshot) => {
+                noted.borrow_mut().push(Heard::Configuration { version: config_snapshot.version });
             }
             _ => {}
         };
         let settings = FollowerSettings { me, seeds: vec![address], ways: config::Detours::default() };
-        let pilot = ControlFollower::start(settings, None, news);
-        Self { listener, address, pilot, heard }
+        let follower = ControlFollower::start(settings, None, news);
+        Self { listener, address, follower, heard }
     }
 
     async fn accept(&self) -> (Line, Reader) {
@@ -66,14 +66,14 @@
         attach(stream, peer)
     }
 
-    fn pulse(&self) -> Message {
+    fn heartbeat(&self) -> Message {
         let leader = Some(self.address.to_string());
         Message::Heartbeat(Heartbeat { leader, epoch: 1, fresh: true, fleet: 1, ..Heartbeat::default() })
     }
 
     fn draw(&self, number: u64) {
         let draw = LeaseRequest { number, epoch: Epoch::first(1), wants: Vec::new() };
-        assert!(self.pilot.draw(&self.address.to_string(), draw));
+        assert!(self.follower.draw(&self.address.to_string(), draw));
     }
 
     /// Lets the others work; time goes on only where the test says so.
@@ -123,7 +123,7 @@
     on_held_clock(async {
         let world = World::start().await;
         let (news, _followed) = world.accept().await;
-        news.send(&world.pulse());
+        news.send(&world.heartbeat());
         let (holder, mut requests) = world.accept().await;
         world.settle().await;
         world.draw(1);
@@ -137,7 +137,7 @@
         // The other one is given up with its connection.
         for _ in 0..LONG {
             tokio::time::advance(STEP).await;
-            news.send(&world.pulse());
+            news.send(&world.heartbeat());
             world.settle().await;
         }
         assert_eq!(*world.heard.borrow(), [Heard::Granted(1), Heard::Unanswered(2)]);
@@ -162,7 +162,7 @@
         let world = World::start().await;
         let (mut link, _) = world.listener.accept().await.expect("a connection");
         let body = (0..40_000u32).flat_map(u32::to_le_bytes).collect();
-        let mut bytes = protocol::frame(&world.pulse());
+        let mut bytes = protocol::frame(&world.heartbeat());
         bytes.extend(protocol::frame(&Message::ConfigSnapshot(ConfigSnapshot { version: 1, body })));
         let parts = 40;
         for part in bytes.chunks(bytes.len().div_ceil(parts)) {
--- a/crates/transport/tests/leaving.rs
+++ b/crates/transport/tests/leaving.rs
@@ -25,7 +25,7 @@
     (listener, address)
 }
 
-fn pilot(seed: SocketAddr) -> ControlFollower {
+fn follower(seed: SocketAddr) -> ControlFollower {
     let me = Hello {
         name: "a".into(),
         life: 1,
@@ -53,12 +53,12 @@
 fn a_departure_is_said_to_the_one_that_is_followed_and_to_the_holder_and_both_have_to_accept_it() {
     run(async {
         let ((followed, to), (holder, leader)) = (listener().await, listener().await);
-        let pilot = pilot(to);
+        let follower = follower(to);
         let (line, mut reader) = accept(&followed).await;
         let leader = Some(leader.to_string());
         line.send(&Message::Heartbeat(Heartbeat { leader, epoch: 1, fresh: true, ..Heartbeat::default() }));
         let (holder_line, mut holder_reader) = accept(&holder).await;
-        let mut left = Box::pin(pilot.leave());
+        let mut left = Box::pin(follower.leave());
         assert!(timeout(AWHILE, &mut left).await.is_err(), "nobody has accepted it");
         until(&mut reader, &Message::Leave).await;
         until(&mut holder_reader, &Message::Leave).await;
@@ -73,9 +73,9 @@
 fn a_departure_is_said_again_on_the_next_connection() {
     run(async {
         let (listener, to) = listener().await;
-        let pilot = pilot(to);
+        let follower = follower(to);
         let first = accept(&listener).await;
-        let mut left = Box::pin(pilot.leave());
+        let mut left = Box::pin(follower.leave());
         assert!(timeout(AWHILE, &mut left).await.is_err());
         // It ends at the same moment.
         drop(first);
--- /dev/null
+++ b/crates/transport/tests/peer_choice.rs
@@ -0,0 +1,109 @@
+//! Whom a follower follows, by what it heard and when.
+
+use protocol::Heartbeat;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use transport::PeerChoice;
+
+fn at(number: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, number], 7000))
+}
+
+fn peer_choice(control_planes: &[(u8, &str)]) -> PeerChoice {
+    let mut peer_choice = PeerChoice::new(0, "edge-1", "a", None, vec![at(9)]);
+    peer_choice.control_planes(control_planes.iter().map(|(number, zone)| (at(*number), (*zone).to_owned())));
+    peer_choice
+}
+
+fn heartbeat(leader: u8, epoch: u64, fresh: bool) -> Heartbeat {
+    Heartbeat { leader: Some(at(leader).to_string()), epoch, fresh, ..Heartbeat::default() }
+}
+
+#[test]
+fn its_own_zone_first_then_the_others_then_those_that_failed() {
+    let mut peer_choice = peer_choice(&[(1, "b"), (2, "a"), (3, "c")]);
+    assert_eq!(peer_choice.choose(0), Some(at(2)));
+    assert_eq!(peer_choice.choose(0), None, "one at a time");
+    peer_choice.failed(10);
+    let second = peer_choice.choose(10).expect("another one");
+    assert_ne!(second, at(2));
+    peer_choice.failed(20);
+    peer_choice.choose(20);
+    peer_choice.failed(30);
+    peer_choice.choose(30);
+    peer_choice.failed(40);
+    // All have failed: the one that failed first is asked first, but not in a circle without a pause.
+    assert_eq!(peer_choice.choose(50), None);
+    assert_eq!(peer_choice.choose(210), Some(at(2)));
+}
+
+#[test]
+fn silence_ends_it_and_a_word_in_time_does_not() {
+    let mut peer_choice = peer_choice(&[(1, "a")]);
+    peer_choice.choose(0);
+    peer_choice.heartbeat(900, &heartbeat(1, 1, true));
+    peer_choice.heard(900);
+    assert!(!peer_choice.is_over(2200));
+    assert!(peer_choice.is_over(2201));
+}
+
+#[test]
+fn one_that_has_lost_the_leader_is_left_only_for_another() {
+    let mut alone = PeerChoice::new(0, "edge-1", "a", None, vec![at(1)]);
+    let mut choice = peer_choice(&[(1, "a"), (2, "a")]);
+    for peer_choice in [&mut alone, &mut choice] {
+        peer_choice.choose(0);
+        peer_choice.heartbeat(100, &heartbeat(5, 2, true));
+        peer_choice.heard(1200);
+        peer_choice.heartbeat(1200, &heartbeat(5, 2, false));
+    }
+    assert!(!alone.is_over(1300), "its news is better than none");
+    assert!(choice.is_over(1300));
+}
+
+#[test]
+fn a_leader_of_old_is_not_believed_again() {
+    let mut peer_choice = peer_choice(&[(1, "a"), (2, "a")]);
+    peer_choice.choose(0);
+    peer_choice.heartbeat(0, &heartbeat(1, 3, true));
+    peer_choice.heartbeat(10, &heartbeat(2, 4, true));
+    peer_choice.heartbeat(20, &heartbeat(1, 3, true));
+    assert_eq!(peer_choice.leader(), Some(at(2)));
+    peer_choice.heartbeat(30, &heartbeat(1, 5, false));
+    assert_eq!(peer_choice.leader(), Some(at(2)), "who is cut off knows nothing of leaders");
+}
+
+#[test]
+fn a_process_that_knows_nothing_waits_for_one_that_is_not_behind() {
+    let mut peer_choice = peer_choice(&[(1, "a")]);
+    peer_choice.choose(0);
+    peer_choice.heartbeat(10, &heartbeat(1, 1, false));
+    assert!(!peer_choice.may_begin(7000, 1));
+    assert!(peer_choice.may_begin(8001, 1), "at last an old configuration is better than none");
+    peer_choice.heartbeat(20, &heartbeat(1, 1, true));
+    assert!(peer_choice.may_begin(30, 1));
+}
+
+#[test]
+fn what_came_from_a_former_one_is_not_vouched_for_by_the_next() {
+    let mut peer_choice = peer_choice(&[(1, "a")]);
+    peer_choice.choose(0);
+    peer_choice.heartbeat(10, &heartbeat(1, 1, false));
+    peer_choice.failed(20);
+    peer_choice.choose(300);
+    // The next one says how new it is before its configuration comes.
+    peer_choice.heartbeat(310, &Heartbeat { version: 9, ..heartbeat(1, 1, true) });
+    assert!(!peer_choice.may_begin(320, 5), "r5 came from the one before");
+    assert!(peer_choice.may_begin(320, 9));
+}
+
+#[test]
+fn many_followers_spread_over_all() {
+    let mut followed = BTreeMap::new();
+    for number in 0..300 {
+        let mut peer_choice = PeerChoice::new(0, &format!("edge-{number}"), "z", None, Vec::new());
+        peer_choice.control_planes((1..=6).map(|number| (at(number), "a".to_owned())));
+        *followed.entry(peer_choice.choose(0)).or_insert(0) += 1;
+    }
+    assert!(followed.len() == 6 && followed.values().all(|n| (25..=80).contains(n)), "{followed:?}");
+}
