--- a/crates/control-plane/src/control_plane/status.rs
+++ b/crates/control-plane/src/control_plane/status.rs
@@ -117,7 +117,7 @@
 
     /// Metrics, as text.
     pub(super) fn metrics(&self, now: u64) -> Reply {
-        let mut page = Page::of("control plane", now);
+        let mut page = Page::of("control-plane", now);
         let (leader, epoch, fresh) = self.leader(now);
         let flag = |set: bool| f64::from(u8::from(set));
         page.gauge("leader_known", "1 while this process knows a leader", flag(leader.is_some()));
--- a/crates/control-plane/src/watch.rs
+++ b/crates/control-plane/src/watch.rs
@@ -20,7 +20,7 @@
 /// So many lines of one kind go to the log in so many ms; what is left out there is among the records.
 const LINES: (u32, u64) = (20, 10_000);
 /// The kinds of lines.
-const STEPS: [&str; 6] = ["leader", "quota_service", "config", "data-plane", "voters", "dial"];
+const STEPS: [&str; 6] = ["leader", "quota_service", "config", "data_plane", "voters", "dial"];
 
 /// What happened.
 #[derive(Clone, Debug)]
@@ -75,7 +75,7 @@
             Self::QuotaService(_) => "quota_service",
             Self::Change(_) | Self::Unread(_) => "config",
             Self::Backend(..) => "backend",
-            Self::DataPlane(_) => "data-plane",
+            Self::DataPlane(_) => "data_plane",
             Self::Voters(_) => "voters",
         }
     }
--- a/crates/protocol/src/relay.rs
+++ b/crates/protocol/src/relay.rs
@@ -69,7 +69,7 @@
     /// Down: where roots take connections.
     Roots(Vec<String>),
     /// Down: the sender has lost whom it follows, and looks for another.
-    Adrift,
+    Isolated,
     /// Up: a sign of life.
     Sign {
         /// Where there is room, at itself and below.
--- a/crates/relay-tree/src/above.rs
+++ b/crates/relay-tree/src/above.rs
@@ -126,7 +126,7 @@
     /// Looks for another place; those below come along.
     fn leave(&mut self, now: Millis) {
         self.above.tries = 0;
-        self.tell(&Word::Adrift);
+        self.tell(&Word::Isolated);
         self.pause(now);
     }
 
@@ -178,10 +178,10 @@
     fn on_stream(&mut self, now: Millis, from: SocketAddr, word: Word) {
         match word {
             Word::Heartbeat { .. } => self.on_heartbeat(now, from, word),
-            Word::Adrift if !self.above.isolated => {
+            Word::Isolated if !self.above.isolated => {
                 self.above.isolated = true;
                 self.above.state = State::Following(from, now + ISOLATED);
-                self.tell(&Word::Adrift);
+                self.tell(&Word::Isolated);
             }
             Word::Batch(batch) => match self.chart.order(batch.mark) {
                 Order::Next => {
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -334,7 +334,7 @@
         let (lines, full) = history.take();
         let verdict = judge(&lines, &TERMS, full.then(|| "the history is full".to_owned()));
         let spent = [
-            Spent { name: "data_planes", count: ZONES.len(), time: after[1].saturating_sub(before[1]) },
+            Spent { name: "data planes", count: ZONES.len(), time: after[1].saturating_sub(before[1]) },
             Spent { name: "control planes", count: VOTERS, time: after[0].saturating_sub(before[0]) },
         ];
         let told = tables(&tallies, &spent, &verdict.uses) + &judgement(&verdict);
