--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -15,6 +15,7 @@
 use crate::calls::{Call, Reply};
 use crate::config_history::{Change, ConfigHistory, Marks, Place, Verdict};
 use crate::contact::{Confirmation, Contact, ContactMessage};
+use crate::directory::Directory;
 use crate::disk::Disk;
 use crate::faults::Faults;
 use crate::lines::{Connect, ConnectTcp};
@@ -70,8 +71,8 @@
 const COMPACT_BYTES: usize = 4_000_000;
 /// A control plane this young may not have heard of all backends yet: its list says who is there, not who is not.
 const YOUNG: u64 = 4000;
-/// A data plane's connection that has said nothing for this long is no sign of life.
-const DATA_PLANE_SILENT: u64 = 2500;
+/// A connection that has said nothing for this long is no sign of life.
+const PEER_SILENT: u64 = 2500;
 
 /// Something for the owner to work through.
 #[derive(Debug)]
@@ -200,7 +201,7 @@
     numbers: Rc<dyn Fn() -> u64>,
     peers: BTreeMap<u64, Peer>,
     dialing: BTreeMap<SocketAddr, (u64, u64)>,
-    control_planes: BTreeMap<SocketAddr, String>,
+    control_planes: Directory,
     /// The incarnations of those with a disk that counts.
     incarnations: BTreeMap<SocketAddr, u64>,
     register: Register,
@@ -277,7 +278,7 @@
             numbers,
             peers: BTreeMap::new(),
             dialing: BTreeMap::new(),
-            control_planes: BTreeMap::new(),
+            control_planes: Directory::default(),
             incarnations: BTreeMap::new(),
             register: Register::new(settings.beat_interval),
             fleet: Fleet::default(),
--- a/crates/control-plane/src/control_plane/links.rs
+++ b/crates/control-plane/src/control_plane/links.rs
@@ -59,7 +59,7 @@
     }
 
     pub(super) fn other_control_planes(&self) -> BTreeSet<SocketAddr> {
-        let known = self.control_planes.keys().chain(&self.settings.seeds).copied();
+        let known = self.control_planes.addresses().chain(&self.settings.seeds).copied();
         // After a restart the settings may name none of the voters, and nobody else may be left to tell of them.
         let voters = self.node.iter().flat_map(|node| node.members());
         let voters = voters.filter_map(|voter| voter.address.parse().ok());
@@ -104,26 +104,52 @@
         }
     }
 
+    /// All processes that serve control, for followers: they go on to another one when this one is cut off.
     pub(super) fn cards(&self) -> Vec<ControlPlaneAddress> {
-        let me = (&self.settings.address, &self.settings.me.zone);
-        let known = self.control_planes.iter().chain([me]);
-        let cards: BTreeSet<_> = known
-            .map(|(a, zone)| ControlPlaneAddress { address: a.to_string(), zone: zone.clone() })
-            .collect();
+        self.cards_of(self.control_planes.all())
+    }
+
+    /// Those that other processes of control are told of.
+    pub(super) fn connected_cards(&self, now: u64) -> Vec<ControlPlaneAddress> {
+        self.cards_of(self.control_planes.lately_connected(now))
+    }
+
+    fn cards_of<'a>(
+        &'a self, known: impl Iterator<Item = (&'a SocketAddr, &'a str)>,
+    ) -> Vec<ControlPlaneAddress> {
+        let me = (&self.settings.address, self.settings.me.zone.as_str());
+        let card = |(address, zone): (&SocketAddr, &str)| ControlPlaneAddress {
+            address: address.to_string(),
+            zone: zone.to_owned(),
+        };
+        let cards: BTreeSet<_> = known.chain([me]).map(card).collect();
         cards.into_iter().collect()
     }
 
+    /// Notes with whom a connection stands, and forgets with whom none did for long.
+    pub(super) fn tend_directory(&mut self, now: u64) {
+        let heard = self.peers.values().filter(|peer| !peer.line.is_lost() && now < peer.heard + PEER_SILENT);
+        for hello in heard.filter_map(|peer| peer.hello.as_ref()) {
+            if hello.plane == Plane::ControlPlane
+                && let Ok(address) = hello.address.parse()
+            {
+                self.control_planes.connected(now, &address);
+            }
+        }
+        self.control_planes.sweep(now);
+        self.incarnations.retain(|address, _| self.control_planes.contains(address));
+    }
+
     /// What another control plane has to know of all that this one knows.
     pub(super) fn tell_everything(&self, number: u64, now: u64) {
         let Some(peer) = self.peers.get(&number) else { return };
-        peer.line.send(&Message::ControlPlanes(self.cards()));
+        peer.line.send(&Message::ControlPlanes(self.connected_cards(now)));
         peer.line.send(&Message::Backends { whole: false, backends: self.register.everything(now) });
         peer.line.send(&Message::DataPlanes(self.data_planes_here(now)));
     }
 
     pub(super) fn data_planes_here(&self, now: u64) -> Vec<(String, u64)> {
-        let hellos =
-            self.peers.values().filter(|p| (p.follows || p.here) && now < p.heard + DATA_PLANE_SILENT);
+        let hellos = self.peers.values().filter(|p| (p.follows || p.here) && now < p.heard + PEER_SILENT);
         let data_planes = hellos.filter_map(|p| p.hello.as_ref());
         let data_planes = data_planes.filter(|h| h.plane == Plane::DataPlane && !self.has_departed(h));
         data_planes.map(|h| (h.name.clone(), h.life)).collect()
@@ -215,17 +241,19 @@
     }
 
     pub(super) fn learn_control_plane(&mut self, address: SocketAddr, zone: String) {
-        // Machines that serve control are some dozens; more are somebody's fault.
-        if address != self.settings.address && self.control_planes.len() < 256 {
-            self.control_planes.insert(address, zone);
+        if address != self.settings.address {
+            let now = self.now();
+            self.control_planes.heard_of(now, address, zone);
         }
     }
 
     pub(super) fn meet(&mut self, hello: &Hello) {
         let Ok(address) = hello.address.parse() else { return };
         self.learn_control_plane(address, hello.zone.clone());
+        let now = self.now();
+        self.control_planes.connected(now, &address);
         if let Some(incarnation) =
-            hello.incarnation.filter(|_| hello.quorum && self.control_planes.contains_key(&address))
+            hello.incarnation.filter(|_| hello.quorum && self.control_planes.contains(&address))
         {
             self.incarnations.insert(address, incarnation);
         }
--- a/crates/control-plane/src/control_plane/membership.rs
+++ b/crates/control-plane/src/control_plane/membership.rs
@@ -46,7 +46,7 @@
     fn zones_of<'a>(&'a self, voters: &'a [VoterId]) -> Vec<&'a str> {
         let zone = |voter: &'a VoterId| match voter.address.parse() {
             Ok(address) if address == self.settings.address => self.settings.me.zone.as_str(),
-            Ok(address) => self.control_planes.get(&address).map_or(voter.address.as_str(), String::as_str),
+            Ok(address) => self.control_planes.zone(&address).unwrap_or(voter.address.as_str()),
             Err(_) => voter.address.as_str(),
         };
         voters.iter().map(zone).collect()
--- a/crates/control-plane/src/control_plane/quota_service.rs
+++ b/crates/control-plane/src/control_plane/quota_service.rs
@@ -34,7 +34,7 @@
                 self.quota_service.floors(self.config_history.floors().clone());
             }
             self.quota_service.assume(now as f64, &self.assignment, first);
-            let data_planes = self.peers.values().filter(|p| now < p.heard + DATA_PLANE_SILENT);
+            let data_planes = self.peers.values().filter(|p| now < p.heard + PEER_SILENT);
             for (peer, hello) in data_planes.filter_map(|p| Some((p, p.hello.as_ref()?))) {
                 if hello.plane == Plane::DataPlane && !self.has_departed(hello) {
                     self.quota_service.heard(peer.heard as f64, &hello.name, Epoch::first(term));
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -122,7 +122,8 @@
         self.tend_voters(now);
         self.count_data_planes(now);
         self.look_round(now);
-        self.to_control_planes(&Message::ControlPlanes(self.cards()));
+        self.tend_directory(now);
+        self.to_control_planes(&Message::ControlPlanes(self.connected_cards(now)));
         self.fleet.sweep(now);
         self.fleet.divides_by(now, self.slice_divisor(now));
         if !self.grown && now >= YOUNG {
@@ -137,7 +138,7 @@
     /// DataPlanes that are heard here, and those of which other control planes say so: their word stands while they are heard.
     fn count_data_planes(&mut self, now: u64) {
         let mut data_planes = self.data_planes_here(now);
-        let told = self.peers.values().filter(|peer| now < peer.heard + DATA_PLANE_SILENT);
+        let told = self.peers.values().filter(|peer| now < peer.heard + PEER_SILENT);
         for (name, life) in data_planes.iter().chain(told.flat_map(|peer| &peer.data_planes)) {
             self.fleet.heard(now, name, *life);
         }
@@ -152,7 +153,7 @@
     /// from them may go on spending, and counts on as one that is not heard. Who said that it ends does not.
     fn look_round(&mut self, now: u64) {
         let Some(neighbor_watch) = &self.neighbor_watch else { return };
-        if self.peers.values().any(|peer| peer.hello.is_some() && now < peer.heard + DATA_PLANE_SILENT) {
+        if self.peers.values().any(|peer| peer.hello.is_some() && now < peer.heard + PEER_SILENT) {
             neighbor_watch.in_contact();
         }
         if neighbor_watch.is_isolated() {
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -11,6 +11,7 @@
 mod config_history;
 mod contact;
 mod control_plane;
+mod directory;
 mod disk;
 mod faults;
 mod lines;
