--- a/crates/reachlb/src/run_control_plane.rs
+++ b/crates/reachlb/src/run_control_plane.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, oneshot};
-use tokio::time::timeout;
+use tokio::time::{sleep, timeout};
 
 /// So many commands wait for the owner of the tables.
 const COMMANDS: usize = 1024;
@@ -23,6 +23,8 @@
 const LEAST_SILENT_ELECTIONS: u64 = 4;
 /// A process that is to end waits at most this long for its successor as leader, and for the answers to its calls.
 const END_WAIT: Duration = Duration::from_millis(800);
+/// The last answers are written to their sockets meanwhile.
+const ANSWERS_LEAVE: Duration = Duration::from_millis(50);
 /// Descriptors kept for files, listeners and other processes.
 const KEPT: usize = 400;
 
@@ -132,6 +134,7 @@
     if !timeout(END_WAIT, in_order).await.unwrap_or(false) {
         spdlog::warn!("the lead was not handed over, or calls still wait", kv: { step = "end" });
     }
+    sleep(ANSWERS_LEAVE).await;
 }
 
 fn tolerance(settings: &Settings) -> Tolerance {
