--- /dev/null
+++ b/crates/protocol/tests/recorded.rs
@@ -0,0 +1,96 @@
+//! Frames as the version before the renaming of types and fields wrote them, one a line in hexadecimal: names may change,
+//! bytes may not.
+
+use protocol::{
+    Backend, ConfigDelta, ConfigSnapshot, ControlPlaneAddress, Departure, Heartbeat, Held, Hello, Message,
+    Order, Phase, Plane, frame, unframe,
+};
+use quota::{Epoch, Grant, HolderAssignment, LeaseRequest, Share, Standing, Want};
+
+const RECORDED: &str = include_str!("recorded/frames.txt");
+const EPOCH: Epoch = Epoch { term: 3, number: 2 };
+
+fn hello(plane: Plane, quorum: bool, incarnation: Option<u64>) -> Hello {
+    let (name, address, zone) = ("edge-1".into(), "10.0.0.1:7660".into(), "z".into());
+    Hello { name, life: 7, plane, address, zone, quorum, incarnation }
+}
+
+/// What was said, in the order of the recorded frames.
+fn messages() -> Vec<Message> {
+    let backend = Backend {
+        id: "i-1".into(),
+        service: "s".into(),
+        address: "10.1.0.1:80".into(),
+        zone: "z".into(),
+        generation: "v1".into(),
+        capacity: 6,
+        phase: Phase::Draining,
+        warmup_left_ms: 5,
+        call_count: 11,
+        overdue: true,
+    };
+    let heartbeat = Heartbeat {
+        leader: Some("10.0.0.1:7660".into()),
+        epoch: 3,
+        assignment: 2,
+        deputies: vec!["10.0.0.2:7660".into()],
+        fresh: true,
+        version: 12,
+        fleet: 13,
+        number: 4,
+    };
+    let want = Want { tenant: "t".into(), need: 1, add: 5, back: 2 };
+    let tenant = "t".into();
+    let share = Share { tenant, window: 4, granted: 5, left: 6, ends_in: 250.0, standing: Standing::Open };
+    let body = || b"{}".to_vec();
+    let assignment = HolderAssignment { epoch: EPOCH, holders: vec!["a".into()] };
+    let control_plane = ControlPlaneAddress { address: "10.0.0.1:7660".into(), zone: "z".into() };
+    vec![
+        Message::Hello(hello(Plane::ControlPlane, true, Some(9))),
+        Message::Welcome(hello(Plane::DataPlane, false, None)),
+        Message::Log { incarnation: 9, message: vec![1, 2, 3] },
+        Message::ControlPlanes(vec![control_plane]),
+        Message::Follow { have: Held { version: 12, mark: 77 } },
+        Message::ConfigSnapshot(ConfigSnapshot { version: 12, body: body() }),
+        Message::Backends { whole: true, backends: vec![backend] },
+        Message::Heard(vec![("i-1".into(), 12)]),
+        Message::DataPlanes(vec![("edge-1".into(), 7)]),
+        Message::Heartbeat(heartbeat),
+        Message::Here { epoch: EPOCH },
+        Message::LeaseRequest(LeaseRequest { number: 8, epoch: EPOCH, wants: vec![want] }),
+        Message::Grant(Grant { number: 8, epoch: EPOCH, shares: vec![share] }),
+        Message::NotHolder { number: 8 },
+        Message::Offer { number: 1, answered: 2, draws: 3.5 },
+        Message::Lease { number: 1, assignment, ends_in: 100.0 },
+        Message::Ask { token: 5, order: Order::Replace { base: 11, body: body() } },
+        Message::Ask { token: 6, order: Order::Read },
+        Message::Told { token: 5, status: 412, body: body() },
+        Message::ConfigDelta(ConfigDelta {
+            version: 12,
+            base: 11,
+            digest: [5; 32],
+            length: 2,
+            bytes: vec![9],
+        }),
+        Message::Whole,
+        Message::Leave,
+        Message::LeaveAccepted,
+        Message::Departures(vec![Departure { name: "edge-1".into(), incarnation: 7, ago_ms: 20 }]),
+    ]
+}
+
+fn bytes(line: &str) -> Vec<u8> {
+    let byte = |at: usize| u8::from_str_radix(&line[at..at + 2], 16).expect("two digits");
+    (0..line.len()).step_by(2).map(byte).collect()
+}
+
+#[test]
+fn frames_of_the_version_before_are_read_and_written_as_they_were() {
+    let recorded: Vec<_> = RECORDED.lines().map(bytes).collect();
+    assert_eq!(recorded.len(), messages().len());
+    for (message, recorded) in messages().into_iter().zip(recorded) {
+        assert_eq!(frame(&message), recorded, "{message:?}");
+        let read = unframe::<Message>(&recorded).expect("a frame").expect("a whole one");
+        assert_eq!(read, (message, recorded.len()));
+    }
+}
