--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -125,7 +125,11 @@
         self.tend_directory(now);
         self.to_control_planes(&Message::ControlPlanes(self.connected_cards(now)));
         self.fleet.sweep(now);
-        self.fleet.divides_by(now, self.slice_divisor(now));
+        let (.., current) = self.leader(now);
+        // A process that is behind may know of few, as one that has just started does; by its word no slice grows.
+        if current {
+            self.fleet.divides_by(now, self.slice_divisor(now));
+        }
         if !self.grown && now >= YOUNG {
             self.grown = true;
             self.to_followers(&Message::Backends { whole: true, backends: self.register.all(now) });
--- a/crates/quota/tests/returning.rs
+++ b/crates/quota/tests/returning.rs
@@ -49,3 +49,79 @@
         assert!(served > LEAST_SERVED, "seed {seed}: {served:.3} of the quotas served");
     }
 }
+
+/// Of a fleet that asks for less than its quotas so much is served right after one that was cut off is back.
+const SERVED_AFTER: f64 = 0.9;
+/// For so long it was cut off.
+const CUT_FOR: f64 = 5_400.0;
+
+/// The leader dies; `later` ms after that two of twelve are cut off from all, and are back after some seconds.
+#[parameterized(
+    before_another_one_leads = { 100.0 },
+    as_another_one_leads = { 450.0 },
+    just_after_another_one_leads = { 700.0 },
+    long_after_another_one_leads = { 3_000.0 },
+)]
+fn what_was_kept_back_is_not_charged_once_more(later: f64) {
+    for seed in 0..6 {
+        let rates = [150.0, 100.0, 60.0, 40.0];
+        let loads = rates.iter().enumerate().map(|(n, rate)| Load::new(n, *rate, rate * 0.5, 0.7));
+        let mut world =
+            World::new(seed * 11 + 2, CONTROL_PLANES, 12, loads.collect(), None, Faults::default())
+                .with_membership(MembershipFaults::default());
+        world.run_until(8_000.0).expect("one holder");
+        world.kill(Who::M(world.leader.expect("a leader")));
+        world.run_until(world.now + later).expect("one holder");
+        for (gateway, master) in
+            [0, 1].into_iter().flat_map(|gateway| (0..CONTROL_PLANES).map(move |m| (gateway, m)))
+        {
+            world.cut(Who::Q(gateway), Who::M(master));
+            world.cut(Who::M(master), Who::Q(gateway));
+        }
+        world.run_until(world.now + CUT_FOR).expect("one holder");
+        (0..CONTROL_PLANES).for_each(|master| world.start(Who::M(master)));
+        world.heal();
+        let before = world.judge.figures();
+        world.run_until(world.now + 4_000.0).expect("one holder");
+        let after = world.judge.figures();
+        let served = (after.ran - before.ran) / (after.allowed - before.allowed);
+        println!("seed {seed}: {served:.3} served, {:.3} of the judged bound", after.worst);
+        assert!(served > SERVED_AFTER, "seed {seed}: {served:.3} of the quotas served");
+        assert!(after.worst < MOST, "seed {seed}: {:.3} of the judged bound", after.worst);
+    }
+}
+
+/// A process of control starts anew, and knows of few gateways at first; two gateways are cut off meanwhile, and the leader dies.
+#[test]
+fn who_leads_soon_after_its_start_keeps_back_no_more_than_is_spent() {
+    for seed in 0..12 {
+        let rates = [150.0, 100.0, 60.0, 40.0];
+        let loads = rates.iter().enumerate().map(|(n, rate)| Load::new(n, *rate, rate * 0.5, 0.7));
+        let mut world =
+            World::new(seed * 11 + 2, CONTROL_PLANES, 12, loads.collect(), None, Faults::default())
+                .with_membership(MembershipFaults::default());
+        world.run_until(8_000.0).expect("one holder");
+        let leader = world.leader.expect("a leader");
+        let others: Vec<usize> = (0..CONTROL_PLANES).filter(|place| *place != leader).collect();
+        others.iter().for_each(|place| world.kill(Who::M(*place)));
+        world.run_until(world.now + 100.0).expect("one holder");
+        others.iter().for_each(|place| world.start(Who::M(*place)));
+        world.run_until(world.now + 1_500.0).expect("one holder");
+        for (gateway, master) in
+            [0, 1].into_iter().flat_map(|gateway| (0..CONTROL_PLANES).map(move |m| (gateway, m)))
+        {
+            world.cut(Who::Q(gateway), Who::M(master));
+            world.cut(Who::M(master), Who::Q(gateway));
+        }
+        world.run_until(world.now + 300.0).expect("one holder");
+        world.kill(Who::M(leader));
+        world.run_until(world.now + 3_000.0).expect("one holder");
+        let before = world.judge.figures();
+        world.run_until(world.now + 4_000.0).expect("one holder");
+        let after = world.judge.figures();
+        let served = (after.ran - before.ran) / (after.allowed - before.allowed);
+        println!("seed {seed}: {served:.3} served, {:.3} of the judged bound", after.worst);
+        assert!(served > SERVED_AFTER, "seed {seed}: {served:.3} of the quotas served");
+        assert!(after.worst < MOST, "seed {seed}: {:.3} of the judged bound", after.worst);
+    }
+}
--- a/crates/quota/tests/world/membership.rs
+++ b/crates/quota/tests/world/membership.rs
@@ -14,6 +14,8 @@
 const SETTLED: f64 = 30_000.0;
 /// The log is told of a smaller fleet after this long.
 const SETTLES: u64 = 5000;
+/// A process that has just started has read its log after this.
+const LOG_READ: f64 = 300.0;
 /// A leaving gateway says so again after this, and ends without an answer after that.
 const LEAVE_AGAIN: f64 = 50.0;
 const LEAVE_WAIT: f64 = 400.0;
@@ -256,7 +258,7 @@
             membership.logged = settled;
         }
         self.tell_control(place, &Word::Present(present));
-        if let Some(divisor) = self.divisor(place) {
+        if let Some(divisor) = self.divisor(place).filter(|_| self.is_current(place)) {
             self.membership().knows[place].fleet.divides_by(now as u64, divisor);
         }
         self.resize(place);
@@ -277,7 +279,17 @@
 
     fn logged_at(&self, place: usize) -> u32 {
         let Some(membership) = &self.membership else { return 0 };
-        if self.now < membership.knows[place].started + SETTLED { membership.logged } else { 0 }
+        let age = self.now - membership.knows[place].started;
+        if (LOG_READ..SETTLED).contains(&age) { membership.logged } else { 0 }
+    }
+
+    /// Whether what a process says is of this moment: it has heard the leader just now, and has read its log.
+    pub(super) fn is_current(&self, place: usize) -> bool {
+        let hears = self.leader.is_some_and(|leader| {
+            self.now < self.lease && !self.cuts.contains(&(Who::M(leader), Who::M(place)))
+        });
+        let started = self.membership.as_ref().map_or(f64::NEG_INFINITY, |all| all.knows[place].started);
+        hears && (started == 0.0 || self.now >= started + LOG_READ)
     }
 
     /// By what gateways divide their slices, as this process tells them.
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -483,9 +483,7 @@
             return;
         }
         let assignment = self.control_planes[place].known.clone();
-        let fresh = self.leader.is_some_and(|leader| {
-            self.now < self.lease && !self.cuts.contains(&(Who::M(leader), Who::M(place)))
-        });
+        let fresh = self.is_current(place);
         let gateways = self.divisor(place);
         for gateway in 0..self.gateways.len() {
             if self.gateways[gateway].follows == place {
