--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -64,7 +64,7 @@
 pub struct QuotaHolder {
     epoch: Epoch,
     /// Where the grid of windows begins.
-    quota_service: Millis,
+    grid_begin: Millis,
     /// When the present assignment came, and how long after it a former holder may still have granted.
     since: Millis,
     shut: Millis,
@@ -83,14 +83,14 @@
 }
 
 impl QuotaHolder {
-    /// Takes office under an epoch. Unless no holder was there before (`first`), nothing is granted for one window of
+    /// Holds counts from now on, under an epoch. Unless no holder was there before (`first`), nothing is granted for one window of
     /// each tenant after `shut`, for which a former holder may still have granted: by then every block of it has ended.
-    pub fn take_quota_service(epoch: Epoch, first: bool, now: Millis, shut: Millis) -> Self {
+    pub fn start(epoch: Epoch, first: bool, now: Millis, shut: Millis) -> Self {
         let (heard, counts) = (HashMap::new(), BTreeMap::new());
         let floors = BTreeMap::new();
         Self {
             epoch,
-            quota_service: now,
+            grid_begin: now,
             since: now,
             shut,
             first,
@@ -415,7 +415,7 @@
         if window <= 0.0 {
             return now;
         }
-        self.quota_service + (((now - self.quota_service) / window).floor() + 1.0) * window
+        self.grid_begin + (((now - self.grid_begin) / window).floor() + 1.0) * window
     }
 
     fn roll(&mut self, now: Millis, tenant: &str) {
@@ -438,7 +438,7 @@
             count.granted = 0.0;
             count.silent = silent;
         }
-        let first = count.terms.is_some_and(|terms| now < self.quota_service + terms.window);
+        let first = count.terms.is_some_and(|terms| now < self.grid_begin + terms.window);
         count.silent = if first { silent } else { count.silent.max(silent) };
         self.counts.insert(tenant.to_owned(), count);
     }
@@ -487,7 +487,7 @@
         let need = if owed > 0 { 0 } else { want.need };
         // In the first window of an office all are silent until they ask, and what they have spent of slices until then
         // comes off their first block: to keep their slices back would refuse most of what the floor left.
-        let silent = if now < self.quota_service + terms.window { 0.0 } else { count.silent };
+        let silent = if now < self.grid_begin + terms.window { 0.0 } else { count.silent };
         let left = count.free - terms.refill * silent;
         count.floor.seen(left);
         let (all, free) = (left.max(0.0).floor(), (left - count.floor.held()).max(0.0).floor());
--- a/crates/quota/src/quota_service.rs
+++ b/crates/quota/src/quota_service.rs
@@ -140,7 +140,7 @@
                 holder.goes_on(now, assignment.epoch, shut);
                 holder
             }
-            None => QuotaHolder::take_quota_service(assignment.epoch, opens, now, shut),
+            None => QuotaHolder::start(assignment.epoch, opens, now, shut),
         };
         if self.faults.opens_at_once {
             holder.opens_at_once();
--- a/crates/quota/tests/departures.rs
+++ b/crates/quota/tests/departures.rs
@@ -79,7 +79,7 @@
 
 /// What a gateway gets in a window, with another one cut off and a third that leaves at its begin, if at all.
 fn beside_one_cut_off(leaves: bool) -> u32 {
-    let mut holder = QuotaHolder::take_quota_service(Epoch::first(1), true, 0.0, 0.0);
+    let mut holder = QuotaHolder::start(Epoch::first(1), true, 0.0, 0.0);
     holder.fleet(0.0, 3);
     holder.quotas(0.0, &[quota()]);
     holder.heard(0.0, "cut off");
--- a/crates/quota/tests/floors.rs
+++ b/crates/quota/tests/floors.rs
@@ -69,7 +69,7 @@
             refused: 0,
         };
         world.caches = (0..DATA_PLANES).map(|data_plane| world.cache(0.0, data_plane as u64)).collect();
-        world.takes_quota_service(0.0);
+        world.takes_over(0.0);
         world
     }
 
@@ -80,10 +80,10 @@
         cache
     }
 
-    fn takes_quota_service(&mut self, now: f64) {
+    fn takes_over(&mut self, now: f64) {
         self.epoch += 1;
         let floors = self.log.floors.clone();
-        let mut holder = QuotaHolder::take_quota_service(Epoch::first(self.epoch), self.epoch == 1, now, 0.0);
+        let mut holder = QuotaHolder::start(Epoch::first(self.epoch), self.epoch == 1, now, 0.0);
         holder.floors(floors);
         holder.fleet(now, DATA_PLANES as u32);
         holder.quotas(now, &[quota()]);
@@ -178,7 +178,7 @@
             back = now + 50.0 + long * world.lots.next();
             dies = f64::INFINITY;
         } else if now >= back {
-            world.takes_quota_service(now);
+            world.takes_over(now);
             back = f64::INFINITY;
             let soon = if world.lots.next() < 0.9 { 300.0 } else { 9000.0 };
             dies = now + 100.0 + soon * world.lots.next();
@@ -213,7 +213,7 @@
     }
     world.dies(now, true);
     now += 1000.0;
-    world.takes_quota_service(now);
+    world.takes_over(now);
     (world.refused, world.spent) = (0, Vec::new());
     let until = now + 400.0;
     while now < until {
@@ -232,7 +232,7 @@
 
 #[test]
 fn a_floor_that_may_yet_be_decided_is_kept_to() {
-    let mut holder = QuotaHolder::take_quota_service(Epoch::first(1), true, 0.0, 0.0);
+    let mut holder = QuotaHolder::start(Epoch::first(1), true, 0.0, 0.0);
     holder.fleet(0.0, 1);
     holder.quotas(0.0, &[quota()]);
     let draw = |holder: &mut QuotaHolder, now: f64, add: u32| {
