--- a/crates/control-plane/src/control_plane/ending.rs
+++ b/crates/control-plane/src/control_plane/ending.rs
@@ -6,7 +6,21 @@
 impl ControlPlane {
     /// Whether this process leads and goes on to: one that ends takes no further order into its log.
     pub(super) fn takes_orders(&self) -> bool {
-        !self.is_ending && self.node.as_ref().is_some_and(|node| node.is_leader())
+        !self.is_ending && self.leads()
+    }
+
+    fn leads(&self) -> bool {
+        self.node.as_ref().is_some_and(|node| node.is_leader())
+    }
+
+    /// Orders that are in the log are answered first. Deputies hold counts by leases that rest on the leader's, and that
+    /// it can't call back: with them the lead is not handed over, so that these have ended when another one leads.
+    fn hand_over_lead(&mut self) {
+        if !self.proposed.is_empty() || self.settings.draws_a_holder > 0.0 {
+            return;
+        }
+        // The counts are given up with the lead, before anything else is worked through (`on_role`).
+        self.log(Input::TransferLeadership);
     }
 
     /// Hands over the lead as soon as that is possible, and tells who waits for the end when nothing is left to do.
@@ -14,11 +28,10 @@
         if self.ended.is_none() {
             return;
         }
-        // Orders that are in the log are answered first.
-        if self.node.as_ref().is_some_and(|node| node.is_leader()) {
-            if self.proposed.is_empty() {
-                self.log(Input::TransferLeadership);
-            }
+        if self.leads() {
+            self.hand_over_lead();
+        }
+        if self.leads() {
             return;
         }
         if self.waiting.is_empty()
--- a/crates/control-plane/tests/ending.rs
+++ b/crates/control-plane/tests/ending.rs
@@ -25,7 +25,8 @@
         r#"{{"generation":"r{version}","route_table":{{"r":{{"authority":"h.example","path_prefix":"/",
         "variant":"pure","deadline_ms":1000,"goal_ms":500,"rank":1,"target":"s","max_tries":2,"public":true}}}},
         "service_table":{{"s":{{"health_path":"/h","max_conns":10,"protocol":"h1","tls_mode":false}}}},
-        "limits":{{"max_header_bytes":16384,"max_body_bytes":1000000,"header_wait_ms":3000,"idle_timeout_ms":15000}}}}"#
+        "limits":{{"max_header_bytes":16384,"max_body_bytes":1000000,"header_wait_ms":3000,"idle_timeout_ms":15000}},
+        "tenant_table":{{"t":{{"api_keys":["key"],"rank":1,"rate_per_s":10,"burst_size":10}}}}}}"#
     )
     .into_bytes()
 }
@@ -35,13 +36,16 @@
     simulation.call(process, Call::Order(order), ANSWER_WITHIN).await
 }
 
+async fn status(simulation: &Simulation, process: usize) -> serde_json::Value {
+    let status = simulation.call(process, Call::Status, ANSWER_WITHIN).await.expect("a status");
+    serde_json::from_slice(&status.body).expect("JSON")
+}
+
 /// Who leads, as each process says of itself.
 async fn leader(simulation: &Simulation) -> usize {
     loop {
         for process in 0..VOTERS {
-            let status = simulation.call(process, Call::Status, ANSWER_WITHIN).await.expect("a status");
-            let status: serde_json::Value = serde_json::from_slice(&status.body).expect("JSON");
-            if status["log"]["holds_lease"] == true {
+            if status(simulation, process).await["log"]["holds_lease"] == true {
                 return process;
             }
         }
@@ -77,11 +81,31 @@
     assert_ne!(leader(&simulation).await, ends, "seed {seed}: it leads on");
 }
 
+fn on_simulated_clock(play: impl Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
+    LocalSet::new().block_on(&runtime.expect("a runtime"), play);
+}
+
 #[test]
 fn orders_go_on_while_the_leader_ends() {
     for (seed, through_the_leader) in (0..10).flat_map(|seed| [(seed, false), (seed, true)]) {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-        let play = changes_while_the_leader_ends(seed, through_the_leader);
-        LocalSet::new().block_on(&runtime.expect("a runtime"), play);
+        on_simulated_clock(changes_while_the_leader_ends(seed, through_the_leader));
+    }
+}
+
+/// A former leader that granted units on beside its successor would break quotas.
+#[test]
+fn counts_are_given_up_with_the_lead() {
+    for seed in 0..20 {
+        on_simulated_clock(async move {
+            let simulation = Simulation::start(VOTERS, WITHOUT_LOG, seed, Faults::default());
+            let ends = leader(&simulation).await;
+            change(&simulation, ends, 1).await.expect("an answer");
+            let counts = |status: serde_json::Value| status["counts"].as_array().map(Vec::len);
+            assert_eq!(counts(status(&simulation, ends).await), Some(1), "seed {seed}: it holds no count");
+            let ended = simulation.end(ends).await;
+            assert!(timeout(HANDED_OVER_WITHIN, ended).await.is_ok(), "seed {seed}: not ended");
+            assert_eq!(counts(status(&simulation, ends).await), Some(0), "seed {seed}: it holds counts on");
+        });
     }
 }
