--- a/crates/control-plane/src/control_plane/orders.rs
+++ b/crates/control-plane/src/control_plane/orders.rs
@@ -214,6 +214,9 @@
             );
         }
         // It would join again by itself as long as it runs.
+        if !node.has_listened(now) {
+            return under_way;
+        }
         if node.hears(&voter, now) {
             return Reply::why(409, &format!("{address} lives: end its process first"));
         }
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -261,6 +261,11 @@
         answered.is_some_and(|at| at.saturating_add(self.timing.election) > now)
     }
 
+    /// Whether this leader has led for an election without a break: before, who is not heard may not have been asked yet.
+    pub fn has_listened(&self, now: Millis) -> bool {
+        self.lead.as_ref().is_some_and(|lead| lead.steady_since.saturating_add(self.timing.election) <= now)
+    }
+
     /// When `Tick` is wanted next.
     pub fn next_due(&self) -> Millis {
         self.lead.as_ref().map_or(self.election_due, |lead| lead.heartbeat_due)
