--- a/crates/quota/tests/returning.rs
+++ b/crates/quota/tests/returning.rs
@@ -17,13 +17,24 @@
 /// The pause between two cuts: time enough for a few draws.
 const PAUSE: f64 = 250.0;
 
-fn world(seed: u64) -> World {
+/// A world whose tenants ask for so much of their quotas.
+fn world(seed: u64, gateways: usize, asks: f64) -> World {
     let rates = [150.0, 100.0, 60.0, 40.0];
-    let loads = rates.iter().enumerate().map(|(n, rate)| Load::new(n, *rate, rate * 0.5, 3.0));
-    World::new(seed, CONTROL_PLANES, GATEWAYS, loads.collect(), None, Faults::default())
+    let loads = rates.iter().enumerate().map(|(n, rate)| Load::new(n, *rate, rate * 0.5, asks));
+    World::new(seed * 11 + 2, CONTROL_PLANES, gateways, loads.collect(), None, Faults::default())
         .with_membership(MembershipFaults::default())
 }
 
+/// Control hears these gateways no more, nor the other way round.
+fn cut_off(world: &mut World, gateways: std::ops::Range<usize>) {
+    for (gateway, place) in
+        gateways.flat_map(|gateway| (0..CONTROL_PLANES).map(move |place| (gateway, place)))
+    {
+        world.cut(Who::Q(gateway), Who::M(place));
+        world.cut(Who::M(place), Who::Q(gateway));
+    }
+}
+
 #[parameterized(
     before_it_is_noticed = { 1_000.0 },
     about_when_it_is_noticed = { 1_400.0 },
@@ -31,7 +42,7 @@
 )]
 fn slices_of_short_silences_are_charged(cut_for: f64) {
     for seed in 0..3 {
-        let mut world = world(seed * 11 + 2);
+        let mut world = world(seed, GATEWAYS, 3.0);
         world.run_until(5_000.0).expect("one holder");
         while world.now < 30_000.0 {
             for control_plane in (0..CONTROL_PLANES).map(Who::M) {
@@ -64,20 +75,11 @@
 )]
 fn what_was_kept_back_is_not_charged_once_more(later: f64) {
     for seed in 0..6 {
-        let rates = [150.0, 100.0, 60.0, 40.0];
-        let loads = rates.iter().enumerate().map(|(n, rate)| Load::new(n, *rate, rate * 0.5, 0.7));
-        let mut world =
-            World::new(seed * 11 + 2, CONTROL_PLANES, 12, loads.collect(), None, Faults::default())
-                .with_membership(MembershipFaults::default());
+        let mut world = world(seed, 12, 0.7);
         world.run_until(8_000.0).expect("one holder");
         world.kill(Who::M(world.leader.expect("a leader")));
         world.run_until(world.now + later).expect("one holder");
-        for (gateway, master) in
-            [0, 1].into_iter().flat_map(|gateway| (0..CONTROL_PLANES).map(move |m| (gateway, m)))
-        {
-            world.cut(Who::Q(gateway), Who::M(master));
-            world.cut(Who::M(master), Who::Q(gateway));
-        }
+        cut_off(&mut world, 0..2);
         world.run_until(world.now + CUT_FOR).expect("one holder");
         (0..CONTROL_PLANES).for_each(|master| world.start(Who::M(master)));
         world.heal();
@@ -95,11 +97,7 @@
 #[test]
 fn who_leads_soon_after_its_start_keeps_back_no_more_than_is_spent() {
     for seed in 0..12 {
-        let rates = [150.0, 100.0, 60.0, 40.0];
-        let loads = rates.iter().enumerate().map(|(n, rate)| Load::new(n, *rate, rate * 0.5, 0.7));
-        let mut world =
-            World::new(seed * 11 + 2, CONTROL_PLANES, 12, loads.collect(), None, Faults::default())
-                .with_membership(MembershipFaults::default());
+        let mut world = world(seed, 12, 0.7);
         world.run_until(8_000.0).expect("one holder");
         let leader = world.leader.expect("a leader");
         let others: Vec<usize> = (0..CONTROL_PLANES).filter(|place| *place != leader).collect();
@@ -107,12 +105,7 @@
         world.run_until(world.now + 100.0).expect("one holder");
         others.iter().for_each(|place| world.start(Who::M(*place)));
         world.run_until(world.now + 1_500.0).expect("one holder");
-        for (gateway, master) in
-            [0, 1].into_iter().flat_map(|gateway| (0..CONTROL_PLANES).map(move |m| (gateway, m)))
-        {
-            world.cut(Who::Q(gateway), Who::M(master));
-            world.cut(Who::M(master), Who::Q(gateway));
-        }
+        cut_off(&mut world, 0..2);
         world.run_until(world.now + 300.0).expect("one holder");
         world.kill(Who::M(leader));
         world.run_until(world.now + 3_000.0).expect("one holder");
