--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -31,7 +31,7 @@
     Plane,
 };
 use quota::{HolderAssignment, Placer, Quota, QuotaService};
-use raft::{Input, Node, Output, Role, Saved, Snapshot, Timing, VoterId, What};
+use raft::{Input, Node, Output, Payload, PersistentState, Role, Snapshot, Timing, VoterId};
 use registry::{Fleet, Judgement, Register};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -230,8 +230,8 @@
 impl ControlPlane {
     /// A control plane; `log` is what a voter has on its disk.
     pub fn new(
-        settings: ControlPlaneSettings, log: Option<(Disk, Saved)>, commands: mpsc::Sender<Command>,
-        numbers: Rc<dyn Fn() -> u64>,
+        settings: ControlPlaneSettings, log: Option<(Disk, PersistentState)>,
+        commands: mpsc::Sender<Command>, numbers: Rc<dyn Fn() -> u64>,
     ) -> Self {
         let (mut node, mut disk, mut state) = (None, None, State::default());
         if let Some((opened, saved)) = log {
--- a/crates/control-plane/src/control_plane/entries.rs
+++ b/crates/control-plane/src/control_plane/entries.rs
@@ -43,7 +43,7 @@
             }
             Output::Committed { entry } => {
                 let at = Place { index: entry.index, epoch: entry.term };
-                self.on_committed(at, entry.what);
+                self.on_committed(at, entry.payload);
             }
             Output::Install { snapshot } => self.install(&snapshot),
             Output::Accepted { token, index, .. } => {
@@ -55,7 +55,7 @@
                 self.drains_undecided(token, &refused);
                 self.answer_proposed(token, refused);
             }
-            Output::Unclear { token } => {
+            Output::OutcomeUnknown { token } => {
                 let unclear = Reply::why(503, "another process leads now: ask again");
                 self.drains_undecided(token, &unclear);
                 self.answer_proposed(token, unclear);
@@ -99,20 +99,20 @@
         }
     }
 
-    pub(super) fn on_committed(&mut self, at: Place, what: What) {
+    pub(super) fn on_committed(&mut self, at: Place, what: Payload) {
         let (now, index) = (self.now(), at.index);
         let change = match what {
-            What::Change(change) => change,
-            What::Members(voters) => {
+            Payload::Change(change) => change,
+            Payload::Members(voters) => {
                 let list = voters.iter().map(|voter| voter.address.clone().into()).collect();
                 return self.watch.note(now, "voters", Happened::Voters(list));
             }
             // The first entry of this leader: all that others left in the log has been taken in, so that the counts can
             // be held from here on.
-            What::Nothing if self.node.as_ref().is_some_and(|node| node.term() == at.epoch) => {
+            Payload::Noop if self.node.as_ref().is_some_and(|node| node.term() == at.epoch) => {
                 return self.tend_quota_service(now);
             }
-            What::Nothing => return,
+            Payload::Noop => return,
         };
         self.change_bytes += change.len();
         if let Some(marks) = Marks::read(&change) {
--- a/crates/control-plane/src/control_plane/links.rs
+++ b/crates/control-plane/src/control_plane/links.rs
@@ -276,7 +276,7 @@
         let Some(hello) = self.peers.get(&number).and_then(|p| p.hello.as_ref()) else { return };
         let from = VoterId { address: hello.address.clone(), incarnation };
         if let Ok(message) = bitcode::decode(message) {
-            self.log(Input::Heard { from, message });
+            self.log(Input::Received { from, message });
         }
     }
 
--- a/crates/control-plane/src/control_plane/membership.rs
+++ b/crates/control-plane/src/control_plane/membership.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::tolerance::Losses;
 use observability::Page;
-use raft::{RetirementPolicy, Standing};
+use raft::{MembershipStatus, RetirementPolicy};
 use serde_json::{Value, json};
 
 /// A process that has said nothing for so long, in ms, is not offered to the log as a voter.
@@ -22,7 +22,10 @@
             Vec::new()
         };
         if let Some(node) = &mut self.node {
-            node.retire_by(RetirementPolicy { silence, least_voters });
+            node.set_retirement_policy(RetirementPolicy {
+                silence_timeout: silence,
+                min_voters: least_voters,
+            });
         }
         for voter in missing {
             self.log(Input::AddVoter(voter));
@@ -35,7 +38,7 @@
             peer.is_ending = true;
         }
         if let Some(incarnation) = hello.incarnation.filter(|_| hello.quorum) {
-            self.log(Input::VoterEnds(VoterId { address: hello.address.clone(), incarnation }));
+            self.log(Input::VoterShuttingDown(VoterId { address: hello.address.clone(), incarnation }));
         }
     }
 
@@ -62,30 +65,30 @@
         voters.iter().map(zone).collect()
     }
 
-    fn borne(&self, standing: &Standing) -> Losses {
-        let borne = self.settings.tolerance.borne(standing.voters, &self.zones_of(&standing.counted));
+    fn borne(&self, standing: &MembershipStatus) -> Losses {
+        let borne = self.settings.tolerance.borne(standing.voters, &self.zones_of(&standing.healthy));
         Losses { machines: borne.machines.min(standing.further_losses), ..borne }
     }
 
     /// What the list of voters bears, as its leader knows it; nothing at any other process.
     pub(super) fn standing(&self, now: u64) -> Value {
-        let Some(standing) = self.node.as_ref().and_then(|node| node.standing(now)) else {
+        let Some(standing) = self.node.as_ref().and_then(|node| node.membership_status(now)) else {
             return Value::Null;
         };
         let figures = |losses: &Losses| json!({ "machines": losses.machines, "zones": losses.zones, "regions": losses.regions });
-        let unheard: Vec<_> = standing.unheard.iter().map(|voter| voter.address.as_str()).collect();
+        let unheard: Vec<_> = standing.unresponsive.iter().map(|voter| voter.address.as_str()).collect();
         let learners: Vec<_> = standing
             .learners
             .iter()
             .map(|learner| json!({ "address": learner.id.address, "caught_up": learner.caught_up }))
             .collect();
-        json!({ "voters": standing.voters, "counted": standing.counted.len(), "unheard": unheard,
+        json!({ "voters": standing.voters, "counted": standing.healthy.len(), "unheard": unheard,
             "learners": learners, "further_losses": figures(&self.borne(&standing)),
             "tolerated": figures(&self.settings.tolerance.losses) })
     }
 
     pub(super) fn standing_metrics(&self, page: &mut Page, now: u64) {
-        let Some(standing) = self.node.as_ref().and_then(|node| node.standing(now)) else { return };
+        let Some(standing) = self.node.as_ref().and_then(|node| node.membership_status(now)) else { return };
         let rows = |losses: Losses| {
             let kinds = [("machine", losses.machines), ("zone", losses.zones), ("region", losses.regions)];
             kinds.map(|(kind, figure)| (vec![("of", kind.to_owned())], figure as f64))
@@ -95,7 +98,7 @@
         let help = "How many the settings want to be borne";
         page.gauges("tolerated_losses", help, rows(self.settings.tolerance.losses));
         let help = "Voters that have not answered the leader within an election";
-        page.gauge("voters_unheard", help, standing.unheard.len() as f64);
+        page.gauge("voters_unheard", help, standing.unresponsive.len() as f64);
         let help = "Processes that receive the log to become voters";
         page.gauge("learners", help, standing.learners.len() as f64);
     }
--- a/crates/control-plane/src/control_plane/orders.rs
+++ b/crates/control-plane/src/control_plane/orders.rs
@@ -251,7 +251,7 @@
         let Some(voter) = node.members().iter().find(|voter| voter.address == address).cloned() else {
             let voters: Vec<_> = node.members().iter().map(|voter| voter.address.as_str()).collect();
             let why = format!("{address} is no voter; the voters are {}", voters.join(", "));
-            return if node.voters_settled() { Reply::why(404, &why) } else { under_way };
+            return if node.membership_committed() { Reply::why(404, &why) } else { under_way };
         };
         if voter == *node.me() {
             return Reply::why(
@@ -260,10 +260,10 @@
             );
         }
         // It would join again by itself as long as it runs.
-        if !node.has_listened(now) {
+        if !node.has_led_for_election_timeout(now) {
             return under_way;
         }
-        if node.hears(&voter, now) {
+        if node.is_responsive(&voter, now) {
             return Reply::why(409, &format!("{address} lives: end its process first"));
         }
         self.log(Input::RemoveVoter(voter));
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -4,7 +4,7 @@
 use crate::state::State;
 use miette::Diagnostic;
 use raft::store::Store;
-use raft::{Save, Saved, Told, VoterId, Writer};
+use raft::{PersistentState, Save, VoterId, Writer, WriterEvent};
 use std::path::Path;
 use thiserror::Error;
 use tokio::sync::mpsc;
@@ -39,7 +39,7 @@
     pub fn open(
         folder: &Path, newcomer: impl FnOnce(bool) -> (VoterId, Vec<VoterId>),
         commands: mpsc::Sender<Command>,
-    ) -> Result<(Self, Saved), DiskError> {
+    ) -> Result<(Self, PersistentState), DiskError> {
         let unusable = |step: &'static str, path: &Path, why: String| DiskError::Unusable {
             step,
             path: path.display().to_string(),
@@ -84,11 +84,11 @@
                 }
             }
         });
-        let told = move |told: Told| match told {
+        let told = move |told: WriterEvent| match told {
             // Unbounded, since whoever ends the writer waits for it; there are no more tickets than saves.
-            Told::Saved(ticket) => drop(done.send(ticket)),
-            Told::Refused(error) => spdlog::error!("{}", error, kv: { step = "save" }),
-            Told::Lost(error) => {
+            WriterEvent::Saved(ticket) => drop(done.send(ticket)),
+            WriterEvent::WriteFailed(error) => spdlog::error!("{}", error, kv: { step = "save" }),
+            WriterEvent::StoreLost(error) => {
                 spdlog::error!("{}", error, kv: { step = "save" });
                 spdlog::error!("this voter falls silent until it is started anew", kv: { step = "save" });
             }
--- a/crates/control-plane/src/tolerance.rs
+++ b/crates/control-plane/src/tolerance.rs
@@ -1,6 +1,6 @@
 //! What the deployment says may be lost at once, and what a list of voters in these places bears.
 
-use raft::{least_voters, majority_of};
+use raft::{majority_of, min_voters};
 use std::collections::BTreeMap;
 
 /// Whatever is tolerated, a leader does not go on with fewer voters than this of its own accord.
@@ -32,7 +32,7 @@
         let machines = self.losses.machines;
         let in_zones: usize = largest(zones, self.losses.zones).into_iter().sum();
         let in_regions: usize = largest(&self.regions(zones), self.losses.regions).into_iter().sum();
-        least_voters(machines.max(in_zones).max(in_regions)).max(SHORTEST_LIST)
+        min_voters(machines.max(in_zones).max(in_regions)).max(SHORTEST_LIST)
     }
 
     /// What a list of so many voters bears, if those that count stand in these zones: any so many machines, zones or
--- a/crates/control-plane/tests/calls.rs
+++ b/crates/control-plane/tests/calls.rs
@@ -49,7 +49,7 @@
     let body = (0..replace().longest).map(|at| at as u8).collect();
     let change = Change { base: u64::MAX - 1, version: u64::MAX, digest: [7; 32], body };
     let bytes = bitcode::encode(&change).len();
-    assert!(bytes <= raft::LARGEST_CHANGE, "{bytes} bytes");
+    assert!(bytes <= raft::MAX_CHANGE_BYTES, "{bytes} bytes");
 }
 
 /// Longer than an answer may take.
--- a/crates/control-plane/tests/orders/drawn.rs
+++ b/crates/control-plane/tests/orders/drawn.rs
@@ -2,14 +2,14 @@
 //! state that their log makes. Copies of orders come late, to any machine.
 
 #[allow(dead_code, reason = "the log's own tests use the rest")]
-#[path = "../../../raft/tests/world/mod.rs"]
+#[path = "../../../raft/tests/simulation/mod.rs"]
 mod nodes;
 
 use crate::linearizability::{Answer, ConfigRegister, History, Order as Operation, check};
 use crate::orders::{Order, Promises};
 use control_plane::{Change, ConfigHistory, Decision, Place, Verdict, reply_to};
 use nodes::World;
-use raft::{Faults, Input, What};
+use raft::{Faults, Input, Payload};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use yare::parameterized;
@@ -96,7 +96,7 @@
     /// Time goes on, and what is due happens.
     fn step(&mut self) -> Result<(), String> {
         self.world.run_until(self.world.now + STEP)?;
-        self.world.chores()?;
+        self.world.run_maintenance()?;
         self.commit();
         self.answer();
         let now = self.world.now;
@@ -111,7 +111,7 @@
         while let Some((entry, _)) = self.world.committed.get(&(self.states.len() as u64)) {
             let mut state = self.states.last().expect("the first").clone();
             let mut verdict = None;
-            if let What::Change(bytes) = &entry.what
+            if let Payload::Change(bytes) = &entry.payload
                 && let Ok(change) = Change::read(bytes)
             {
                 let (base, version) = (change.base, change.version);
@@ -160,7 +160,7 @@
     }
 
     fn answer_call(&mut self, sent: Sent, answer: Answer) {
-        if !self.world.draw.chance(LOST) && self.answered.insert(sent.call) {
+        if !self.world.rng.chance(LOST) && self.answered.insert(sent.call) {
             self.history.answer(sent.call, answer);
         }
     }
@@ -217,7 +217,7 @@
 
     /// An operator sends a new order, or one of the earlier ones again.
     fn send(&mut self) {
-        let draw = &mut self.world.draw;
+        let draw = &mut self.world.rng;
         let newest = self.states.last().expect("the first").version();
         let again = draw.chance(40) && !self.orders.is_empty();
         let order = if again {
@@ -243,7 +243,7 @@
 
     fn call(&mut self, operation: Operation, order: Option<usize>) {
         let call = self.history.invoke(operation);
-        let draw = &mut self.world.draw;
+        let draw = &mut self.world.rng;
         let late = if draw.chance(10) { 10 } else { 1 };
         let (host, due) = (draw.below(VOTERS as u64) as usize, self.world.now + draw.below(DELAY * late));
         self.copies.push(Sent { call, order, host, due });
@@ -254,9 +254,8 @@
         if world.settled() {
             *wiped = 0;
         }
-        let (kind, span) = (world.draw.below(100), world.draw.below(1_500));
-        let (at, other) =
-            (world.draw.below(VOTERS as u64) as usize, world.draw.below(VOTERS as u64) as usize);
+        let (kind, span) = (world.rng.below(100), world.rng.below(1_500));
+        let (at, other) = (world.rng.below(VOTERS as u64) as usize, world.rng.below(VOTERS as u64) as usize);
         match kind {
             0..20 => world.kill(at, span),
             20..25 => (0..VOTERS).for_each(|at| world.kill(at, span / 2)),
@@ -276,13 +275,13 @@
         let end = self.world.now + TROUBLE;
         while self.world.now < end {
             self.step()?;
-            if self.world.draw.chance(25) {
+            if self.world.rng.chance(25) {
                 self.send();
             }
-            if self.world.draw.chance(5) {
+            if self.world.rng.chance(5) {
                 self.call(Operation::Read, None);
             }
-            if self.world.draw.chance(2) {
+            if self.world.rng.chance(2) {
                 self.trouble(&mut wiped);
             }
         }
--- a/crates/control-plane/tests/orders/main.rs
+++ b/crates/control-plane/tests/orders/main.rs
@@ -2,13 +2,13 @@
 //! a depth, and in drawn worlds on real nodes of the log. Planted faults are found by both.
 
 mod drawn;
-#[path = "../../../raft/tests/kept/mod.rs"]
-mod kept;
+#[path = "../../../raft/tests/fake_disk/mod.rs"]
+mod fake_disk;
 #[path = "../support/linearizability.rs"]
 mod linearizability;
 mod orders;
 #[allow(dead_code, reason = "the log's own search counts more")]
-#[path = "../../../raft/src/agreement/search.rs"]
+#[path = "../../../raft/src/bounded_model_check/search.rs"]
 mod search;
 mod world;
 
--- a/crates/control-plane/tests/orders/world.rs
+++ b/crates/control-plane/tests/orders/world.rs
@@ -146,7 +146,7 @@
     }
 
     /// An event in words.
-    pub fn told(&self, event: &Event, _: bool) -> String {
+    pub fn describe(&self, event: &Event, _: bool) -> String {
         match event {
             Event::Arrive(order) | Event::ArriveAtFormer(order) => {
                 format!("{event:?}: {:?}", self.orders[*order])
--- a/crates/control-plane/tests/processes.rs
+++ b/crates/control-plane/tests/processes.rs
@@ -5,7 +5,7 @@
 
 use control_plane::{Change, ControlPlane, ControlPlaneSettings, Disk, Losses, Tolerance};
 use protocol::{ConfigSnapshot, Heartbeat, Held, Hello, Message, Plane};
-use raft::{Entry, Message as LogMessage, Snapshot, Timing, VoterId, What};
+use raft::{Entry, Message as LogMessage, Payload, Snapshot, Timing, VoterId};
 use std::cell::Cell;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -678,7 +678,7 @@
 }
 
 /// What a process that was killed has on its disk.
-fn on_disk(fleet: &TestFleet, at: usize) -> raft::Saved {
+fn on_disk(fleet: &TestFleet, at: usize) -> raft::PersistentState {
     let opened = raft::store::Store::open(fleet.disk(at).join("log.redb"));
     opened.expect("the file is whole").1.expect("it is a voter's")
 }
@@ -691,7 +691,7 @@
     let entry = |index: u64| {
         let change =
             Change { base: index - 1, version: index, digest: [index as u8; 32], body: config(index).into() };
-        Entry { index, term: 1, what: What::Change(bitcode::encode(&change)) }
+        Entry { index, term: 1, payload: Payload::Change(bitcode::encode(&change)) }
     };
     let entries = (1..=20).map(entry).collect();
     let append = LogMessage::Append { term: 1, prev_index: 0, prev_term: 0, entries, commit: 20 };
--- a/crates/control-plane/tests/support/simulation.rs
+++ b/crates/control-plane/tests/support/simulation.rs
@@ -5,7 +5,7 @@
     Command, Connect, ControlPlane, ControlPlaneSettings, Disk, Faults, Losses, Reply, Tolerance,
 };
 use protocol::{Hello, Message, Plane};
-use raft::{Save, Saved, Timing, VoterId};
+use raft::{PersistentState, Save, Timing, VoterId};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -332,7 +332,8 @@
     let log = votes.then(|| {
         let founders = (0..voters).map(voter).collect();
         let me = voter(process);
-        let saved = Saved { me, term: 0, vote: None, snapshot: None, entries: Vec::new(), founders };
+        let saved =
+            PersistentState { me, term: 0, vote: None, snapshot: None, entries: Vec::new(), founders };
         (disk(process, network.clone(), commands.clone()), saved)
     });
     let me = Hello {
--- a/crates/raft/src/agreement/mod.rs
+++ b/crates/raft/src/bounded_model_check/mod.rs
@@ -1,7 +1,7 @@
 //! Agreement, checked: all orders of what may happen to a few voters, up to a depth.
 
-#[path = "../../tests/kept/mod.rs"]
-mod kept;
+#[path = "../../tests/fake_disk/mod.rs"]
+mod fake_disk;
 mod search;
 mod without_time;
 mod world;
@@ -146,13 +146,13 @@
     from_returning = { returning, 5, (2, 3) },
 )]
 fn nothing_that_must_never_be_is_within_reach(
-    start: fn(Plant) -> World, depth: usize, lists: (usize, usize),
+    start: fn(Plant) -> World, depth: usize, list_lengths: (usize, usize),
 ) {
     let reach = search(start(Plant::Nothing), depth, usize::MAX).unwrap_or_else(|fault| panic!("{fault}"));
     println!("{:?} {reach:?}", std::thread::current().name());
     assert!(reach.depth == depth && reach.committed > 0, "{reach:?}");
     // Changes of the list that are never reached would prove nothing.
-    assert_eq!(reach.lists, lists, "{reach:?}");
+    assert_eq!(reach.list_lengths, list_lengths, "{reach:?}");
 }
 
 /// How deep a million states of each are.
--- a/crates/raft/src/agreement/search.rs
+++ b/crates/raft/src/bounded_model_check/search.rs
@@ -15,11 +15,11 @@
     /// All states so many events from the start were looked at.
     pub depth: usize,
     /// Whether there are no others.
-    pub whole: bool,
+    pub exhausted: bool,
     /// The most entries that were committed in any of them.
     pub committed: usize,
     /// The shortest and the longest list of voters that any node went by.
-    pub lists: (usize, usize),
+    pub list_lengths: (usize, usize),
 }
 
 /// By what a state was reached first: from which, and whether the disk is still busy with it.
@@ -31,8 +31,14 @@
 /// What must never be, and the events that lead there.
 pub fn search(start: World, depth: usize, most: usize) -> Result<Reach, String> {
     let mut seen: Seen = HashMap::from([(start.digest(), None)]);
-    let mut reach =
-        Reach { states: 1, events: 0, depth: 0, whole: false, committed: 0, lists: (usize::MAX, 0) };
+    let mut reach = Reach {
+        states: 1,
+        events: 0,
+        depth: 0,
+        exhausted: false,
+        committed: 0,
+        list_lengths: (usize::MAX, 0),
+    };
     let mut level = vec![(start.digest(), start.clone())];
     while reach.depth < depth && !level.is_empty() && seen.len() <= most {
         let mut next = Vec::new();
@@ -59,7 +65,7 @@
         reach.depth += 1;
         level = next;
     }
-    (reach.states, reach.whole) = (seen.len(), level.is_empty());
+    (reach.states, reach.exhausted) = (seen.len(), level.is_empty());
     Ok(reach)
 }
 
@@ -73,7 +79,7 @@
     let mut lines = vec![fault.to_owned()];
     let mut world = start.clone();
     for (event, busy) in path.into_iter().rev() {
-        lines.push(world.told(&event, busy));
+        lines.push(world.describe(&event, busy));
         let Ok((done, later)) = world.after(&event) else { break };
         world = later.filter(|_| busy).unwrap_or(done);
     }
--- a/crates/raft/src/agreement/world.rs
+++ b/crates/raft/src/bounded_model_check/world.rs
@@ -7,12 +7,14 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
 
-use super::kept::{apply, empty};
+use super::fake_disk::{apply, empty};
 use super::search::Reach;
 use crate::node::Node;
 use crate::tolerance::RetirementPolicy;
 use crate::transfer::TransferLimits;
-use crate::types::{Entry, Input, Message, Millis, Output, Save, Saved, Snapshot, Timing, VoterId, What};
+use crate::types::{
+    Entry, Input, Message, Millis, Output, Payload, PersistentState, Save, Snapshot, Timing, VoterId,
+};
 
 /// Elections are over, leases have ended, and a leader's own patience has not.
 pub(super) const NOW: Millis = 150;
@@ -82,7 +84,7 @@
 
 #[derive(Clone)]
 struct Host {
-    disk: Rc<Saved>,
+    disk: Rc<PersistentState>,
     node: Rc<Node>,
     saves: VecDeque<Save>,
     digest: u64,
@@ -124,7 +126,7 @@
         let hosts = (0..founders + learners).map(|at| {
             let founders = if at < founders { list.clone() } else { Vec::new() };
             let me = voter(at, if founders.is_empty() { 9 } else { 0 });
-            Host::start(empty(me, founders), TransferLimits::SERVICE)
+            Host::start(empty(me, founders), TransferLimits::PRODUCTION)
         });
         World {
             hosts: hosts.collect(),
@@ -132,7 +134,7 @@
             past: Rc::default(),
             past_digest: 0,
             budget: Budget::default(),
-            limits: TransferLimits::SERVICE,
+            limits: TransferLimits::PRODUCTION,
             plant,
         }
     }
@@ -150,7 +152,7 @@
         let lists = self.hosts.iter().map(|host| host.node.members().len());
         // A host that is no voter yet has no list.
         for length in lists.filter(|length| *length > 0) {
-            reach.lists = (reach.lists.0.min(length), reach.lists.1.max(length));
+            reach.list_lengths = (reach.list_lengths.0.min(length), reach.list_lengths.1.max(length));
         }
     }
 
@@ -218,7 +220,7 @@
             Event::Deliver(number) => {
                 let sent = self.net[*number].clone();
                 let (from, message) = (sent.from.clone(), sent.message.clone());
-                self.give(host_of(&sent.to), NOW, Input::Heard { from, message })
+                self.give(host_of(&sent.to), NOW, Input::Received { from, message })
             }
             Event::RequestVote(at) => {
                 self.change(*at).election_due = 0;
@@ -236,7 +238,7 @@
             Event::Propose(at) if self.plant == Plant::SecondList => {
                 self.budget.proposals -= 1;
                 let node = self.change(*at);
-                node.write(What::Members(vec![voter(0, 0), voter(1, 0)]));
+                node.write(Payload::Members(vec![voter(0, 0), voter(1, 0)]));
                 self.give(*at, NOW, Input::Tick)
             }
             Event::Propose(at) => {
@@ -261,7 +263,7 @@
                 let host = &mut self.hosts[*at];
                 let saves = std::mem::take(&mut host.saves);
                 saves.iter().take(*kept).for_each(|save| apply(Rc::make_mut(&mut host.disk), save));
-                *host = Host::start(Saved::clone(&host.disk), self.limits);
+                *host = Host::start(PersistentState::clone(&host.disk), self.limits);
                 Ok(())
             }
             Event::Wipe(at) => {
@@ -326,7 +328,7 @@
                 let term = self.hosts[at].node.term();
                 let message = Message::PreVoteAnswer { round, term, granted: true };
                 self.change(at).rounds = round;
-                self.give(at, NOW, Input::Heard { from, message })?;
+                self.give(at, NOW, Input::Received { from, message })?;
             }
         }
         early.into_iter().try_for_each(|ticket| self.give(at, NOW, Input::Saved { ticket }))
@@ -437,7 +439,7 @@
         }
         let node = &self.hosts[at].node;
         let pending = (self.past.committed.len() as u64 + 1..=mine.last())
-            .filter(|index| matches!(mine.get(*index), Some(Entry { what: What::Members(_), .. })));
+            .filter(|index| matches!(mine.get(*index), Some(Entry { payload: Payload::Members(_), .. })));
         if pending.count() > 1 {
             return Err(format!("two changes of the list are pending with {}", node.me()));
         }
@@ -445,7 +447,7 @@
     }
 
     fn hurt_input(&mut self, at: usize, input: Input) -> Result<Input, String> {
-        let Input::Heard { mut from, message } = input else { return Ok(input) };
+        let Input::Received { mut from, message } = input else { return Ok(input) };
         if self.plant == Plant::OldTermCounts
             && let Message::AppendAccepted { term, index } = &message
             && let Some(leader) =
@@ -464,7 +466,7 @@
             let me = self.hosts[at].node.me();
             from = members.iter().find(|member| *member != me).cloned().unwrap_or(from);
         }
-        Ok(Input::Heard { from, message })
+        Ok(Input::Received { from, message })
     }
 
     /// A leader may send entries one by one; with a planted fault it does.
@@ -522,9 +524,9 @@
 
     /// All that is longer than a few bytes goes in pieces from here on.
     pub fn in_pieces(mut self) -> World {
-        self.limits = TransferLimits { piece_bytes: 24, least_window_bytes: 4, largest_window_bytes: 100 };
+        self.limits = TransferLimits { chunk_bytes: 24, min_window_bytes: 4, max_window_bytes: 100 };
         for host in &mut self.hosts {
-            Rc::make_mut(&mut host.node).limit_transfers(self.limits);
+            Rc::make_mut(&mut host.node).set_transfer_limits(self.limits);
             host.counts();
         }
         self
@@ -535,7 +537,7 @@
     }
 
     /// What an event is, told.
-    pub fn told(&self, event: &Event, busy: bool) -> String {
+    pub fn describe(&self, event: &Event, busy: bool) -> String {
         let what = match event {
             Event::Deliver(number) => {
                 let Sent { from, to, message, .. } = &*self.net[*number];
@@ -563,11 +565,11 @@
         self.digest = digest(&(&self.disk, &self.node, &self.saves));
     }
 
-    fn start(disk: Saved, limits: TransferLimits) -> Host {
+    fn start(disk: PersistentState, limits: TransferLimits) -> Host {
         let mut node = Node::start(disk.clone(), TIMING, 0, NOW);
-        node.limit_transfers(limits);
+        node.set_transfer_limits(limits);
         // Whoever is silent is so for long enough; who is taken off a list, and when, is the search's choice.
-        node.retire_by(RetirementPolicy { silence: 0, least_voters: 1 });
+        node.set_retirement_policy(RetirementPolicy { silence_timeout: 0, min_voters: 1 });
         node.forget_time();
         let mut host = Host { disk: Rc::new(disk), node: Rc::new(node), saves: VecDeque::new(), digest: 0 };
         host.counts();
@@ -581,7 +583,7 @@
     hasher.finish()
 }
 
-fn last(disk: &Saved) -> u64 {
+fn last(disk: &PersistentState) -> u64 {
     disk.snapshot.as_ref().map_or(0, |snapshot| snapshot.index) + disk.entries.len() as u64
 }
 
--- a/crates/raft/src/election.rs
+++ b/crates/raft/src/election.rs
@@ -3,7 +3,7 @@
 use crate::campaign::Campaign;
 use crate::lead::Lead;
 use crate::node::Node;
-use crate::types::{Message, Millis, Output, VoterId, What};
+use crate::types::{Message, Millis, Output, Payload, VoterId};
 
 /// Elections lost in a row that make the next one wait for longer, twice as long each: two syncs of a second fit then.
 const MOST_LOST: u32 = 3;
@@ -27,7 +27,7 @@
         if !self.is_voter() {
             return;
         }
-        if self.faults.without_pre_vote {
+        if self.faults.skip_pre_vote {
             return self.stand(now);
         }
         self.rounds += 1;
@@ -52,7 +52,7 @@
     /// The leader of this term has said that it gave up its lead to this node.
     pub(crate) fn stand_as_successor(&mut self, now: Millis) {
         let (term, last_index, last_term) = self.become_candidate(now);
-        self.ask_for_votes(Message::RequestVoteOfSuccessor { term, last_index, last_term });
+        self.ask_for_votes(Message::RequestVoteAfterTransfer { term, last_index, last_term });
     }
 
     /// Begins the next term with a vote for itself. Gives that term, and index and term of the last entry.
@@ -82,7 +82,7 @@
 
     /// Whether a vote now could break a lease that a leader may still count on.
     fn bound(&self, now: Millis) -> bool {
-        if self.faults.fickle {
+        if self.faults.vote_despite_leader {
             return false;
         }
         match &self.lead {
@@ -208,7 +208,7 @@
         self.lost_elections = 0;
         self.lead = Some(Lead::new(now));
         self.follow_members(now);
-        self.write(What::Nothing);
+        self.write(Payload::Noop);
         self.heartbeat(now, out);
         self.pump_all(now, out);
     }
--- a/crates/raft/src/leadership_transfer.rs
+++ b/crates/raft/src/leadership_transfer.rs
@@ -13,7 +13,7 @@
     pub(crate) fn transfer_leadership(&mut self, now: Millis, out: &mut Vec<Output>) {
         let Some(to) = self.successor(now) else { return };
         out.push(Output::Send { to, message: Message::TimeoutNow { term: self.term } });
-        if !self.faults.leads_after_transfer {
+        if !self.faults.keep_leading_after_transfer {
             self.stop(now, out);
         }
     }
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -8,7 +8,7 @@
 #![warn(missing_docs)]
 
 #[cfg(test)]
-mod agreement;
+mod bounded_model_check;
 mod campaign;
 mod checksum;
 mod election;
@@ -30,11 +30,11 @@
 extern crate self as raft;
 
 pub use node::{Faults, Node};
-pub use replication::LARGEST_CHANGE;
-pub use tolerance::{Learner, RetirementPolicy, Standing, further_losses, least_voters, majority_of};
+pub use replication::MAX_CHANGE_BYTES;
+pub use tolerance::{Learner, MembershipStatus, RetirementPolicy, further_losses, majority_of, min_voters};
 pub use transfer::TransferLimits;
 pub use types::{
-    Entry, Input, Message, Millis, Output, PayloadKind, Role, Save, Saved, Snapshot, Timing, TransferId,
-    VoterId, What,
+    Entry, Input, Message, Millis, Output, Payload, PersistentState, Role, Save, Snapshot, Timing,
+    TransferId, TransferKind, VoterId,
 };
-pub use writer::{Told, Writer};
+pub use writer::{Writer, WriterEvent};
--- a/crates/raft/src/log.rs
+++ b/crates/raft/src/log.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::types::{Entry, Snapshot, VoterId, What};
+use crate::types::{Entry, Payload, Snapshot, VoterId};
 
 #[derive(Debug)]
 #[cfg_attr(test, derive(Clone, Hash))]
@@ -39,7 +39,7 @@
     }
 
     fn push(&mut self, entry: Entry) {
-        self.bytes += entry.what.size();
+        self.bytes += entry.payload.size();
         self.entries.push_back(entry);
     }
 
@@ -47,14 +47,14 @@
         while self.bytes > most_bytes
             && let Some(oldest) = self.entries.pop_front()
         {
-            self.bytes -= oldest.what.size();
+            self.bytes -= oldest.payload.size();
             (self.before_index, self.before_term) = (oldest.index, oldest.term);
         }
     }
 }
 
 impl Log {
-    /// Entries that do not follow each other are cut off: the store has checked them, a host's own `Saved` may differ.
+    /// Entries that do not follow each other are cut off: the store has checked them, a host's own `PersistentState` may differ.
     pub(crate) fn new(founders: Vec<VoterId>, snapshot: Option<Snapshot>, entries: Vec<Entry>) -> Log {
         let base = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let entries = entries
@@ -121,7 +121,7 @@
         let mut bytes = 0;
         let mut index = from;
         while let Some(entry) = self.get(index) {
-            bytes += entry.what.size();
+            bytes += entry.payload.size();
             if !taken.is_empty() && (taken.len() >= most || bytes > most_bytes) {
                 break;
             }
@@ -132,7 +132,7 @@
     }
 
     pub(crate) fn push(&mut self, entry: Entry) {
-        if let What::Members(list) = &entry.what {
+        if let Payload::Members(list) = &entry.payload {
             self.members = list.clone();
             self.members_index = entry.index;
         }
@@ -168,7 +168,7 @@
     /// The list as of an index that is in the log.
     pub(crate) fn members_as_of(&self, index: u64) -> (Vec<VoterId>, u64) {
         let newest = self.entries.iter().rev().skip_while(|entry| entry.index > index).find_map(|entry| {
-            let What::Members(list) = &entry.what else { return None };
+            let Payload::Members(list) = &entry.payload else { return None };
             Some((list.clone(), entry.index))
         });
         newest.unwrap_or_else(|| match &self.snapshot {
--- a/crates/raft/src/members.rs
+++ b/crates/raft/src/members.rs
@@ -3,9 +3,10 @@
 use crate::lead::{Lead, Peer};
 use crate::node::Node;
 use crate::tolerance::{
-    Learner, RetirementPolicy, Standing, departure_helps, further_losses, promotion_helps, retirement_helps,
+    Learner, MembershipStatus, RetirementPolicy, departure_helps, further_losses, promotion_helps,
+    retirement_helps,
 };
-use crate::types::{Millis, Output, VoterId, What};
+use crate::types::{Millis, Output, Payload, VoterId};
 
 /// How many entries a node that has caught up may lack, and how many bytes of them: what is under way while changes
 /// go on, and what a link of 2 Mbit/s carries in half a second.
@@ -77,7 +78,7 @@
 
     /// A voter is about to end. Off an even list it leaves what is borne as it is, without waiting for its silence.
     pub(crate) fn voter_ends(&mut self, now: Millis, voter: &VoterId, out: &mut Vec<Output>) {
-        let helps = departure_helps(self.members().len(), self.retirement.least_voters);
+        let helps = departure_helps(self.members().len(), self.retirement.min_voters);
         if helps && self.holds_lease(now) {
             self.remove_voter(now, voter, out);
         }
@@ -107,7 +108,7 @@
     fn is_ready(&self, learner: &VoterId, now: Millis) -> bool {
         let peer = self.lead.iter().flat_map(|lead| &lead.peers).find(|peer| peer.id == *learner);
         let wanted = peer.is_some_and(|peer| peer.wanted && self.has_caught_up(peer));
-        wanted && !self.members().contains(learner) && self.hears(learner, now)
+        wanted && !self.members().contains(learner) && self.is_responsive(learner, now)
     }
 
     /// The voter whose disk this one's address had before.
@@ -122,12 +123,12 @@
     }
 
     fn has_room(&self, now: Millis) -> bool {
-        let unheard = self.other_voters().filter(|voter| !self.hears(voter, now)).count();
-        promotion_helps(self.members().len(), unheard, self.silent_voters(now).len())
+        let unresponsive = self.other_voters().filter(|voter| !self.is_responsive(voter, now)).count();
+        promotion_helps(self.members().len(), unresponsive, self.silent_voters(now).len())
     }
 
     fn has_caught_up(&self, peer: &Peer) -> bool {
-        if self.faults.promote_early {
+        if self.faults.promote_lagging_learners {
             return true;
         }
         let last = self.log.last();
@@ -135,7 +136,7 @@
             return false;
         }
         let lacking = (peer.matched + 1..=last).filter_map(|index| self.log.get(index));
-        lacking.map(|entry| entry.what.size()).sum::<usize>() <= MOST_LACKING_BYTES
+        lacking.map(|entry| entry.payload.size()).sum::<usize>() <= MOST_LACKING_BYTES
     }
 
     fn other_voters(&self) -> impl Iterator<Item = &VoterId> {
@@ -143,7 +144,7 @@
     }
 
     /// Sets when silent voters are taken off the list.
-    pub fn retire_by(&mut self, policy: RetirementPolicy) {
+    pub fn set_retirement_policy(&mut self, policy: RetirementPolicy) {
         self.retirement = policy;
     }
 
@@ -165,7 +166,7 @@
         let mut silent: Vec<(Millis, &VoterId)> = self
             .other_voters()
             .map(|voter| (lead.answered_by(voter).max(lead.steady_since), voter))
-            .filter(|(heard, _)| heard.saturating_add(self.retirement.silence) <= now)
+            .filter(|(heard, _)| heard.saturating_add(self.retirement.silence_timeout) <= now)
             .collect();
         silent.sort_unstable();
         silent.into_iter().map(|(_, voter)| voter.clone()).collect()
@@ -178,28 +179,32 @@
         }
         let silent = self.silent_voters(now);
         let Some(first) = silent.first() else { return };
-        let least = self.retirement.least_voters;
-        if self.faults.retire_freely || retirement_helps(self.members().len(), silent.len(), least) {
+        let least = self.retirement.min_voters;
+        if self.faults.retire_unconditionally || retirement_helps(self.members().len(), silent.len(), least) {
             self.remove_voter(now, first, out);
         }
     }
 
     /// What this leader knows of its voters; nothing if it does not hold the lease.
-    pub fn standing(&self, now: Millis) -> Option<Standing> {
+    pub fn membership_status(&self, now: Millis) -> Option<MembershipStatus> {
         let lead = self.lead.as_ref().filter(|_| self.holds_lease(now))?;
-        let (voters, counted) = (self.members(), self.counted(self.members(), now));
-        let mut losses = further_losses(voters.len(), counted.len());
-        if !self.voters_settled() {
+        let (voters, healthy) = (self.members(), self.healthy(self.members(), now));
+        let mut losses = further_losses(voters.len(), healthy.len());
+        if !self.membership_committed() {
             // If the leader is lost now, the list before this one may be in force again.
             let (before, _) = self.log.members_as_of(self.log.members_index() - 1);
-            losses = losses.min(further_losses(before.len(), self.counted(&before, now).len()));
+            losses = losses.min(further_losses(before.len(), self.healthy(&before, now).len()));
         }
         let learners = lead.peers.iter().filter(|peer| peer.wanted && !voters.contains(&peer.id));
-        Some(Standing {
+        Some(MembershipStatus {
             voters: voters.len(),
-            counted,
+            healthy,
             further_losses: losses,
-            unheard: self.other_voters().filter(|voter| !self.hears(voter, now)).cloned().collect(),
+            unresponsive: self
+                .other_voters()
+                .filter(|voter| !self.is_responsive(voter, now))
+                .cloned()
+                .collect(),
             learners: learners
                 .map(|peer| Learner { id: peer.id.clone(), caught_up: self.has_caught_up(peer) })
                 .collect(),
@@ -207,12 +212,13 @@
     }
 
     /// Those of these voters that are heard and have caught up.
-    fn counted(&self, voters: &[VoterId], now: Millis) -> Vec<VoterId> {
+    fn healthy(&self, voters: &[VoterId], now: Millis) -> Vec<VoterId> {
         let caught_up = |voter: &VoterId| {
             let peer = self.lead.iter().flat_map(|lead| &lead.peers).find(|peer| peer.id == *voter);
             peer.is_some_and(|peer| self.has_caught_up(peer))
         };
-        let counts = |voter: &&VoterId| **voter == self.me || self.hears(voter, now) && caught_up(voter);
+        let counts =
+            |voter: &&VoterId| **voter == self.me || self.is_responsive(voter, now) && caught_up(voter);
         voters.iter().filter(counts).cloned().collect()
     }
 
@@ -220,11 +226,13 @@
     /// one has an entry of its own term committed first.
     fn may_change_members(&self) -> bool {
         let committed = self.log.term_at(self.commit) == Some(self.term);
-        self.lead.is_some() && committed && (self.voters_settled() || self.faults.two_changes)
+        self.lead.is_some()
+            && committed
+            && (self.membership_committed() || self.faults.overlapping_list_changes)
     }
 
     fn write_members(&mut self, now: Millis, list: Vec<VoterId>, out: &mut Vec<Output>) {
-        self.write(What::Members(list));
+        self.write(Payload::Members(list));
         self.follow_members(now);
         self.pump_all(now, out);
         // The new list counts at once: without a lost voter what was written may be committed already.
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -5,9 +5,11 @@
 use crate::campaign::Campaign;
 use crate::lead::Lead;
 use crate::log::Log;
-use crate::tolerance::{RetirementPolicy, departure_helps, least_voters};
+use crate::tolerance::{RetirementPolicy, departure_helps, min_voters};
 use crate::transfer::{IncomingTransfer, TransferLimits};
-use crate::types::{Entry, Input, Message, Millis, Output, Role, Save, Saved, Timing, VoterId, What};
+use crate::types::{
+    Entry, Input, Message, Millis, Output, Payload, PersistentState, Role, Save, Timing, VoterId,
+};
 
 /// Faults that tests plant to see that they are found. All off in service.
 #[doc(hidden)]
@@ -15,58 +17,58 @@
 #[cfg_attr(test, derive(Hash))]
 pub struct Faults {
     /// Votes are not written to disk.
-    pub vote_unsaved: bool,
+    pub unsaved_votes: bool,
     /// Entries of older terms count as committed once a majority has them.
-    pub old_terms_count: bool,
+    pub commit_old_terms: bool,
     /// A voter that lost its disk is taken for the one that it was.
-    pub any_birth: bool,
+    pub ignore_incarnation: bool,
     /// Voters vote although they hear a leader, and right after a start.
-    pub fickle: bool,
+    pub vote_despite_leader: bool,
     /// Answers do not wait for the disk.
-    pub hasty: bool,
+    pub reply_before_sync: bool,
     /// Elections without a sounding before them. Not wrong in itself, but it hides other faults.
-    pub without_pre_vote: bool,
+    pub skip_pre_vote: bool,
     /// A transfer in pieces starts from its first byte whenever a piece is lost.
-    pub transfers_restart: bool,
+    pub restart_transfers: bool,
     /// Pieces of several transfers are put together, without a look at their checksum.
-    pub transfers_mixed: bool,
+    pub mix_transfers: bool,
     /// A compaction ends transfers of the snapshot before.
-    pub transfers_follow_compaction: bool,
+    pub compaction_aborts_transfers: bool,
     /// No entry that a snapshot stands for is retained.
-    pub nothing_retained: bool,
+    pub retain_no_entries: bool,
     /// Entries and pieces count as lost after a fixed time, however slow the link is.
-    pub impatient: bool,
+    pub fixed_loss_timeout: bool,
     /// Leader and followers answer before an entry of the leader's term is committed.
-    pub early_answers: bool,
+    pub serve_before_own_commit: bool,
     /// A learner is added to the list whatever it lacks.
-    pub promote_early: bool,
+    pub promote_lagging_learners: bool,
     /// A silent voter is taken off the list whether or not that helps.
-    pub retire_freely: bool,
+    pub retire_unconditionally: bool,
     /// A list is changed while the change before it is not committed.
-    pub two_changes: bool,
+    pub overlapping_list_changes: bool,
     /// A leader goes on leading after it has handed its lead to another voter.
-    pub leads_after_transfer: bool,
+    pub keep_leading_after_transfer: bool,
 }
 
 impl Faults {
     /// As in service.
     pub const NONE: Faults = Faults {
-        vote_unsaved: false,
-        old_terms_count: false,
-        any_birth: false,
-        fickle: false,
-        hasty: false,
-        without_pre_vote: false,
-        transfers_restart: false,
-        transfers_mixed: false,
-        transfers_follow_compaction: false,
-        nothing_retained: false,
-        impatient: false,
-        early_answers: false,
-        promote_early: false,
-        retire_freely: false,
-        two_changes: false,
-        leads_after_transfer: false,
+        unsaved_votes: false,
+        commit_old_terms: false,
+        ignore_incarnation: false,
+        vote_despite_leader: false,
+        reply_before_sync: false,
+        skip_pre_vote: false,
+        restart_transfers: false,
+        mix_transfers: false,
+        compaction_aborts_transfers: false,
+        retain_no_entries: false,
+        fixed_loss_timeout: false,
+        serve_before_own_commit: false,
+        promote_lagging_learners: false,
+        retire_unconditionally: false,
+        overlapping_list_changes: false,
+        keep_leading_after_transfer: false,
     };
 }
 
@@ -140,16 +142,16 @@
 
 impl Node {
     /// A node with what its disk has. The host has restored its own state from the snapshot.
-    pub fn start(saved: Saved, timing: Timing, seed: u64, now: Millis) -> Node {
-        let Saved { me, term, vote, snapshot, entries, founders } = saved;
+    pub fn start(saved: PersistentState, timing: Timing, seed: u64, now: Millis) -> Node {
+        let PersistentState { me, term, vote, snapshot, entries, founders } = saved;
         let first_start = term == 0 && entries.is_empty() && snapshot.is_none() && !founders.is_empty();
         let log = Log::new(founders, snapshot, entries);
         let mut node = Node {
             me,
             timing,
             retirement: RetirementPolicy {
-                silence: timing.election.saturating_mul(SILENT_ELECTIONS),
-                least_voters: least_voters(1),
+                silence_timeout: timing.election.saturating_mul(SILENT_ELECTIONS),
+                min_voters: min_voters(1),
             },
             faults: Faults::default(),
             term,
@@ -187,19 +189,19 @@
     }
 
     #[doc(hidden)]
-    pub fn plant(&mut self, faults: Faults) {
+    pub fn inject_faults(&mut self, faults: Faults) {
         self.faults = faults;
     }
 
     /// Takes one input and says what is to be done.
     pub fn handle(&mut self, now: Millis, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Heard { from, message } => self.heard(now, from, message, out),
+            Input::Received { from, message } => self.heard(now, from, message, out),
             Input::Tick => {}
             Input::Propose { token, change } => self.propose(now, token, change, out),
             Input::AddVoter(voter) => self.add_voter(now, voter, out),
             Input::RemoveVoter(voter) => self.remove_voter(now, &voter, out),
-            Input::VoterEnds(voter) => self.voter_ends(now, &voter, out),
+            Input::VoterShuttingDown(voter) => self.voter_ends(now, &voter, out),
             Input::TransferLeadership => self.transfer_leadership(now, out),
             Input::Saved { ticket } => self.on_disk(now, ticket, out),
             Input::Compact { index, state } => self.compact(index, state),
@@ -236,7 +238,7 @@
     /// had committed, and names its snapshot only. With its own first entry all of that is applied here.
     pub fn lags(&self) -> bool {
         let of_this_term = self.log.term_at(self.commit) == Some(self.term);
-        self.told_commit > self.commit || !(of_this_term || self.faults.early_answers)
+        self.told_commit > self.commit || !(of_this_term || self.faults.serve_before_own_commit)
     }
 
     /// The voters, as of the newest list in the log.
@@ -256,23 +258,23 @@
 
     /// Whether it had better leave the list before it ends: what is left then bears more.
     pub fn should_leave(&self) -> bool {
-        self.is_voter() && departure_helps(self.members().len(), self.retirement.least_voters)
+        self.is_voter() && departure_helps(self.members().len(), self.retirement.min_voters)
     }
 
     /// Whether the newest list of voters is committed.
-    pub fn voters_settled(&self) -> bool {
+    pub fn membership_committed(&self) -> bool {
         self.log.members_index() <= self.commit
     }
 
     /// Whether this leader has heard a voter: it has answered a heartbeat that was sent within an election before now.
-    pub fn hears(&self, voter: &VoterId, now: Millis) -> bool {
+    pub fn is_responsive(&self, voter: &VoterId, now: Millis) -> bool {
         let answered = |lead: &Lead| lead.peers.iter().find(|peer| peer.id == *voter)?.answered;
         let answered = self.lead.as_ref().and_then(answered);
         answered.is_some_and(|at| at.saturating_add(self.timing.election) > now)
     }
 
     /// Whether this leader has led for an election without a break: before, who is not heard may not have been asked yet.
-    pub fn has_listened(&self, now: Millis) -> bool {
+    pub fn has_led_for_election_timeout(&self, now: Millis) -> bool {
         self.lead.as_ref().is_some_and(|lead| lead.steady_since.saturating_add(self.timing.election) <= now)
     }
 
@@ -296,7 +298,7 @@
             Message::RequestVote { term, last_index, last_term } => {
                 self.vote_requested(now, from, term, (last_term, last_index), out);
             }
-            Message::RequestVoteOfSuccessor { term, last_index, last_term } => {
+            Message::RequestVoteAfterTransfer { term, last_index, last_term } => {
                 self.successor_requested(now, from, term, (last_term, last_index), out);
             }
             Message::VoteAnswer { term, granted } => self.vote_answered(now, from, term, granted, out),
@@ -318,10 +320,10 @@
             Message::AppendRejected { term, prev_index, hint } => {
                 self.append_rejected(now, from, term, prev_index, hint, out)
             }
-            Message::Piece { term, transfer, offset, bytes } => {
+            Message::Chunk { term, transfer, offset, bytes } => {
                 self.piece_came(now, from, term, (transfer, offset, bytes), out);
             }
-            Message::PieceReceived { term, transfer, offset, received } => {
+            Message::ChunkReceived { term, transfer, offset, received } => {
                 self.piece_answered(now, &from, term, (transfer, offset, received), out);
             }
             Message::TimeoutNow { term } => self.timeout_now_came(now, &from, term),
@@ -357,10 +359,10 @@
         let (members, _) = self.log.members_as_of(index);
         self.log.replace(crate::types::Snapshot { index, term, members, state });
         self.unsaved.snapshot = true;
-        if self.faults.nothing_retained {
+        if self.faults.retain_no_entries {
             self.log.forget_retained();
         }
-        if self.faults.transfers_follow_compaction {
+        if self.faults.compaction_aborts_transfers {
             self.lead.iter_mut().flat_map(|lead| &mut lead.peers).for_each(|peer| peer.transfer = None);
         }
     }
@@ -384,7 +386,7 @@
                 .first_entry
                 .map(|from| self.log.slice(from, usize::MAX, usize::MAX))
                 .unwrap_or_default();
-            let vote = if self.faults.vote_unsaved { None } else { self.vote.clone() };
+            let vote = if self.faults.unsaved_votes { None } else { self.vote.clone() };
             out.push(Output::Save(Save {
                 ticket: self.tickets,
                 term: self.term,
@@ -403,7 +405,7 @@
         }
         match self.waiting.back_mut() {
             // A stuck disk must not make an endless queue; who asks again is answered again.
-            Some(waiting) if !self.faults.hasty => {
+            Some(waiting) if !self.faults.reply_before_sync => {
                 waiting.answers.extend(answers);
                 let surplus = waiting.answers.len().saturating_sub(MOST_ANSWERS);
                 waiting.answers.drain(..surplus);
@@ -443,15 +445,17 @@
         self.campaign = None;
         self.leader = None;
         if let Some(lead) = self.lead.take() {
-            out.extend(lead.tokens.into_iter().map(|accepted| Output::Unclear { token: accepted.token }));
+            out.extend(
+                lead.tokens.into_iter().map(|accepted| Output::OutcomeUnknown { token: accepted.token }),
+            );
             self.draw_election(now);
         }
     }
 
-    pub(crate) fn write(&mut self, what: What) -> u64 {
+    pub(crate) fn write(&mut self, payload: Payload) -> u64 {
         let index = self.log.last() + 1;
         self.unsaved.first_entry.get_or_insert(index);
-        self.log.push(Entry { index, term: self.term, what });
+        self.log.push(Entry { index, term: self.term, payload });
         index
     }
 
@@ -478,7 +482,7 @@
     }
 
     pub(crate) fn same(&self, one: &VoterId, other: &VoterId) -> bool {
-        one == other || (self.faults.any_birth && one.address == other.address)
+        one == other || (self.faults.ignore_incarnation && one.address == other.address)
     }
 
     pub(crate) fn draw_election(&mut self, now: Millis) {
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -3,7 +3,7 @@
 use crate::lead::{Accepted, Peer, UnderWay};
 use crate::node::Node;
 use crate::transfer::{HEARTBEATS_UNTIL_LOST, HEARTBEATS_UNTIL_SNAPSHOT_LOST};
-use crate::types::{Entry, Message, Millis, Output, PayloadKind, Snapshot, VoterId, What};
+use crate::types::{Entry, Message, Millis, Output, Payload, Snapshot, TransferKind, VoterId};
 
 /// How many entries one `Append` holds at most; their bytes are bounded by the window.
 const MOST_ENTRIES: usize = 64;
@@ -11,7 +11,7 @@
 const MOST_UNCOMMITTED: u64 = 1024;
 const MOST_UNCOMMITTED_BYTES: usize = 7 << 20;
 /// The largest change that a leader accepts, in bytes: a body of 6 MiB, and what its host writes around it.
-pub const LARGEST_CHANGE: usize = (6 << 20) + (4 << 10);
+pub const MAX_CHANGE_BYTES: usize = (6 << 20) + (4 << 10);
 /// How many of the newest heartbeats can still be answered.
 const MOST_ECHOES: usize = 256;
 
@@ -30,7 +30,7 @@
 
     /// When the lease of this leader ends or has ended, unless it is renewed; nothing if it never had one.
     pub fn lease_until(&self, now: Millis) -> Option<Millis> {
-        let own = self.log.term_at(self.commit) == Some(self.term) || self.faults.early_answers;
+        let own = self.log.term_at(self.commit) == Some(self.term) || self.faults.serve_before_own_commit;
         let answered = self.answered_at(now).filter(|_| own);
         answered.map(|at| at.saturating_add(self.timing.lease))
     }
@@ -91,13 +91,13 @@
         let size = change.len();
         let bytes: usize = self.lead.iter().flat_map(|lead| &lead.tokens).map(|accepted| accepted.size).sum();
         let full = self.log.last() - self.commit >= MOST_UNCOMMITTED
-            || size > LARGEST_CHANGE
+            || size > MAX_CHANGE_BYTES
             || bytes + size > MOST_UNCOMMITTED_BYTES;
         if self.lead.is_none() || full {
             out.push(Output::Refused { token, leader: self.leader.clone() });
             return;
         }
-        let index = self.write(What::Change(change));
+        let index = self.write(Payload::Change(change));
         if let Some(lead) = &mut self.lead {
             lead.tokens.push_back(Accepted { index, token, size });
         }
@@ -125,7 +125,7 @@
                 return;
             }
             let (previous, probing) = (peer.next - 1, peer.probing);
-            let room = self.limits.least_window_bytes.saturating_sub(peer.bytes_under_way());
+            let room = self.limits.min_window_bytes.saturating_sub(peer.bytes_under_way());
             let goes_on = match self.log.term_at(previous) {
                 Some(term) => self.send_entries(now, id, (previous, term), probing, room, out),
                 None => self.send_snapshot(now, id, previous, out),
@@ -143,8 +143,8 @@
     ) -> bool {
         let (term, commit) = (self.term, self.commit);
         let mut entries = self.log.slice(prev_index + 1, MOST_ENTRIES, room);
-        let mut bytes: usize = entries.iter().map(|entry| entry.what.size()).sum();
-        let window_is_empty = room == self.limits.least_window_bytes;
+        let mut bytes: usize = entries.iter().map(|entry| entry.payload.size()).sum();
+        let window_is_empty = room == self.limits.min_window_bytes;
         if bytes > room && !window_is_empty {
             return false;
         }
@@ -203,18 +203,19 @@
         let matched = matched.min(self.log.last());
         let Some(lead) = &mut self.lead else { return };
         let sent = lead.echoes.iter().find(|(number, _)| *number == echo).map(|(_, sent)| *sent);
-        let found =
-            |peer: &&mut Peer| peer.id == from || (faults.any_birth && peer.id.address == from.address);
+        let found = |peer: &&mut Peer| {
+            peer.id == from || (faults.ignore_incarnation && peer.id.address == from.address)
+        };
         let Some(peer) = lead.peers.iter_mut().find(found) else { return };
         peer.answered = peer.answered.max(sent);
         let id = peer.id.clone();
         // It has answered what was sent later, so what it has not answered was lost. Nothing is repeated to one that is
         // silent, nor to one whose link is slow.
-        let heartbeat_sent_at = if faults.impatient { now } else { sent.unwrap_or(0) };
+        let heartbeat_sent_at = if faults.fixed_loss_timeout { now } else { sent.unwrap_or(0) };
         if peer.under_way.front().is_some_and(|first| first.lost_at <= heartbeat_sent_at) {
             peer.under_way.clear();
             // An entry that follows on lost ones fits nowhere.
-            peer.transfer.take_if(|transfer| transfer.id.kind == PayloadKind::Entry);
+            peer.transfer.take_if(|transfer| transfer.id.kind == TransferKind::Entry);
             peer.probing = true;
             peer.next = peer.matched.max(matched) + 1;
         }
@@ -293,7 +294,7 @@
         };
         let Some(index) = majority(self.members().iter().map(figure).collect()) else { return };
         // An entry of an older term can be on a majority and still be overwritten: it counts with one of this term.
-        let own = self.log.term_at(index) == Some(self.term) || self.faults.old_terms_count;
+        let own = self.log.term_at(index) == Some(self.term) || self.faults.commit_old_terms;
         if index <= self.commit || !own {
             return;
         }
--- a/crates/raft/src/store.rs
+++ b/crates/raft/src/store.rs
@@ -12,7 +12,7 @@
 };
 
 use crate::checksum::checksum;
-use crate::types::{Entry, Save, Saved, Snapshot, VoterId};
+use crate::types::{Entry, PersistentState, Save, Snapshot, VoterId};
 
 /// Rises with each change of what is written here.
 const SCHEMA: u64 = 1;
@@ -59,7 +59,7 @@
     #[diagnostic(code(raft::store::damaged), help("set the file aside and join as a new voter"))]
     Damaged {
         /// What is damaged.
-        what: String,
+        reason: String,
         /// The file.
         path: PathBuf,
     },
@@ -73,13 +73,13 @@
     },
     /// A file that already belongs to a node was to be created again.
     #[diagnostic(code(raft::store::taken))]
-    Taken {
+    AlreadyInitialized {
         /// The file.
         path: PathBuf,
     },
     /// The file could not be moved out of the way.
     #[diagnostic(code(raft::store::set_aside))]
-    SetAside {
+    SetAsideFailed {
         /// The file.
         path: PathBuf,
         /// Why.
@@ -91,12 +91,14 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             StoreError::Failed { step, path, cause } => write!(f, "{step} of {}: {cause}", path.display()),
-            StoreError::Damaged { what, path } => write!(f, "{} is damaged: {what}", path.display()),
+            StoreError::Damaged { reason, path } => write!(f, "{} is damaged: {reason}", path.display()),
             StoreError::Schema { found, path } => {
                 write!(f, "{} has contents of version {found}, not {SCHEMA}", path.display())
             }
-            StoreError::Taken { path } => write!(f, "{} already belongs to a node", path.display()),
-            StoreError::SetAside { path, cause } => {
+            StoreError::AlreadyInitialized { path } => {
+                write!(f, "{} already belongs to a node", path.display())
+            }
+            StoreError::SetAsideFailed { path, cause } => {
                 write!(f, "{} stays where it is: {cause}", path.display())
             }
         }
@@ -107,7 +109,7 @@
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
             StoreError::Failed { cause, .. } => Some(cause.as_ref()),
-            StoreError::SetAside { cause, .. } => Some(cause),
+            StoreError::SetAsideFailed { cause, .. } => Some(cause),
             _ => None,
         }
     }
@@ -123,7 +125,7 @@
 impl Store {
     /// Opens the file, or makes an empty one, and checks all that is in it. An empty one has nothing saved yet: see
     /// [`Store::create`].
-    pub fn open(path: impl AsRef<Path>) -> Result<(Store, Option<Saved>), StoreError> {
+    pub fn open(path: impl AsRef<Path>) -> Result<(Store, Option<PersistentState>), StoreError> {
         let path = path.as_ref();
         let new = !path.exists();
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path);
@@ -132,13 +134,13 @@
             // A file that is on disk while its name is not would be gone with all that it had promised.
             File::open(folder).and_then(|folder| folder.sync_all()).map_err(fail(path, "beginning"))?;
         }
-        Store::on(FileBackend::new(file).map_err(fail(path, "opening"))?, path)
+        Store::open_backend(FileBackend::new(file).map_err(fail(path, "opening"))?, path)
     }
 
     /// As above, on what need not be a file; `path` is what errors call it.
-    pub fn on(
+    pub fn open_backend(
         backend: impl StorageBackend, path: impl Into<PathBuf>,
-    ) -> Result<(Store, Option<Saved>), StoreError> {
+    ) -> Result<(Store, Option<PersistentState>), StoreError> {
         let path = path.into();
         if half_made(&backend).map_err(fail(&path, "opening"))? {
             clear(&backend).map_err(fail(&path, "beginning"))?;
@@ -159,9 +161,9 @@
     }
 
     /// Writes who this node is. `founders` are the founding voters, none for a node that joins.
-    pub fn create(&self, me: VoterId, founders: Vec<VoterId>) -> Result<Saved, StoreError> {
+    pub fn create(&self, me: VoterId, founders: Vec<VoterId>) -> Result<PersistentState, StoreError> {
         if self.read()?.is_some() {
-            return Err(StoreError::Taken { path: self.path.clone() });
+            return Err(StoreError::AlreadyInitialized { path: self.path.clone() });
         }
         let hard_state: (u64, Option<VoterId>) = (0, None);
         self.write("creating", |tables| {
@@ -171,16 +173,18 @@
             tables.meta.insert(HARD_STATE_KEY, sealed(&hard_state).as_slice())?;
             Ok(())
         })?;
-        Ok(Saved { me, term: 0, vote: None, snapshot: None, entries: Vec::new(), founders })
+        Ok(PersistentState { me, term: 0, vote: None, snapshot: None, entries: Vec::new(), founders })
     }
 
     /// Writes who this node is, and a snapshot that its log begins with: for a log whose voters were not known when
     /// the file was made, and for the last voter of one that goes on alone under another incarnation. The term only rises;
     /// the vote in it stays if it does not. A file that has a log already is left as it is.
-    pub fn begin(&self, me: VoterId, term: u64, snapshot: Snapshot) -> Result<Saved, StoreError> {
+    pub fn create_from_snapshot(
+        &self, me: VoterId, term: u64, snapshot: Snapshot,
+    ) -> Result<PersistentState, StoreError> {
         let found = self.read()?;
         if found.as_ref().is_some_and(|saved| saved.snapshot.is_some() || !saved.entries.is_empty()) {
-            return Err(StoreError::Taken { path: self.path.clone() });
+            return Err(StoreError::AlreadyInitialized { path: self.path.clone() });
         }
         let (known, vote) = found.map_or((0, None), |saved| (saved.term, saved.vote));
         let term = term.max(known).max(snapshot.term);
@@ -193,7 +197,14 @@
             tables.meta.insert(HARD_STATE_KEY, sealed(&(term, vote.clone())).as_slice())?;
             tables.replace(&snapshot)
         })?;
-        Ok(Saved { me, term, vote, snapshot: Some(snapshot), entries: Vec::new(), founders: Vec::new() })
+        Ok(PersistentState {
+            me,
+            term,
+            vote,
+            snapshot: Some(snapshot),
+            entries: Vec::new(),
+            founders: Vec::new(),
+        })
     }
 
     /// Writes a save: it is on disk when this returns.
@@ -224,7 +235,7 @@
         name.push(".damaged");
         let aside = PathBuf::from(name);
         std::fs::rename(path, &aside)
-            .map_err(|cause| StoreError::SetAside { path: path.to_path_buf(), cause })?;
+            .map_err(|cause| StoreError::SetAsideFailed { path: path.to_path_buf(), cause })?;
         Ok(aside)
     }
 
@@ -244,7 +255,7 @@
         transaction.commit().map_err(fail(&self.path, step))
     }
 
-    fn read(&self) -> Result<Option<Saved>, StoreError> {
+    fn read(&self) -> Result<Option<PersistentState>, StoreError> {
         let transaction = self.db.begin_read().map_err(fail(&self.path, "reading"))?;
         let meta = match transaction.open_table(META) {
             Err(TableError::TableDoesNotExist(_)) => return Ok(None),
@@ -296,11 +307,11 @@
             before = entry.term;
             entries.push(entry);
         }
-        Ok(Some(Saved { me, term, vote, snapshot, entries, founders }))
+        Ok(Some(PersistentState { me, term, vote, snapshot, entries, founders }))
     }
 
-    fn damaged(&self, what: String) -> StoreError {
-        StoreError::Damaged { what, path: self.path.clone() }
+    fn damaged(&self, reason: String) -> StoreError {
+        StoreError::Damaged { reason, path: self.path.clone() }
     }
 
     fn number(&self, what: &str, bytes: &[u8]) -> Result<u64, StoreError> {
@@ -378,13 +389,13 @@
 fn fail<E: Into<redb::Error>>(path: &Path, step: &'static str) -> impl FnOnce(E) -> StoreError {
     let path = path.to_path_buf();
     move |cause| match cause.into() {
-        redb::Error::Corrupted(what) => StoreError::Damaged { what, path },
+        redb::Error::Corrupted(reason) => StoreError::Damaged { reason, path },
         // This program never wrote a file of an older format.
         redb::Error::UpgradeRequired(found) => {
-            StoreError::Damaged { what: format!("it has the file format {found}"), path }
+            StoreError::Damaged { reason: format!("it has the file format {found}"), path }
         }
         redb::Error::Io(cause) if cause.kind() == std::io::ErrorKind::InvalidData => {
-            StoreError::Damaged { what: cause.to_string(), path }
+            StoreError::Damaged { reason: cause.to_string(), path }
         }
         cause => StoreError::Failed { step, path, cause: Box::new(cause) },
     }
--- a/crates/raft/src/transfer.rs
+++ b/crates/raft/src/transfer.rs
@@ -13,7 +13,7 @@
 
 use bitcode::{Decode, Encode};
 
-use crate::types::{Entry, Millis, PayloadKind, Snapshot, TransferId};
+use crate::types::{Entry, Millis, Snapshot, TransferId, TransferKind};
 
 /// Of entries or a piece that is not answered: it was lost if the heartbeat is answered that is sent after so many others.
 /// All go over one connection in order, so that a slow link alone makes nobody send anything twice.
@@ -27,37 +27,37 @@
 #[cfg_attr(test, derive(Hash))]
 pub struct TransferLimits {
     /// The length of a piece, in bytes.
-    pub piece_bytes: usize,
+    pub chunk_bytes: usize,
     /// What may always be in flight, in bytes: 131 ms of a link of 2 Mbit/s, less than an election or a lease.
-    pub least_window_bytes: usize,
+    pub min_window_bytes: usize,
     /// What may be in flight on a fast link, in bytes.
-    pub largest_window_bytes: usize,
+    pub max_window_bytes: usize,
 }
 
 impl TransferLimits {
     /// As they are in service.
-    pub const SERVICE: TransferLimits =
-        TransferLimits { piece_bytes: 8 << 10, least_window_bytes: 32 << 10, largest_window_bytes: 1 << 20 };
+    pub const PRODUCTION: TransferLimits =
+        TransferLimits { chunk_bytes: 8 << 10, min_window_bytes: 32 << 10, max_window_bytes: 1 << 20 };
 }
 
 impl Default for TransferLimits {
     fn default() -> TransferLimits {
-        TransferLimits::SERVICE
+        TransferLimits::PRODUCTION
     }
 }
 
 /// What a transfer carries.
 #[derive(Debug, Encode, Decode)]
-pub(crate) enum Payload {
+pub(crate) enum TransferPayload {
     Snapshot(Snapshot),
     Entry { previous_term: u64, entry: Entry },
 }
 
-impl Payload {
-    pub(crate) fn place(&self) -> (PayloadKind, u64, u64) {
+impl TransferPayload {
+    pub(crate) fn place(&self) -> (TransferKind, u64, u64) {
         match self {
-            Payload::Snapshot(snapshot) => (PayloadKind::Snapshot, snapshot.index, snapshot.term),
-            Payload::Entry { entry, .. } => (PayloadKind::Entry, entry.index, entry.term),
+            TransferPayload::Snapshot(snapshot) => (TransferKind::Snapshot, snapshot.index, snapshot.term),
+            TransferPayload::Entry { entry, .. } => (TransferKind::Entry, entry.index, entry.term),
         }
     }
 }
@@ -104,7 +104,7 @@
             acknowledged: 0,
             next: 0,
             in_flight: VecDeque::new(),
-            window: limits.least_window_bytes,
+            window: limits.min_window_bytes,
             least_delay: None,
         }
     }
@@ -115,9 +115,9 @@
 
     /// The next piece, if the window has room for it.
     pub(crate) fn next_piece(
-        &mut self, now: Millis, heartbeat: Millis, piece_bytes: usize,
+        &mut self, now: Millis, heartbeat: Millis, chunk_bytes: usize,
     ) -> Option<(u64, Vec<u8>)> {
-        let end = (self.next + piece_bytes.max(1)).min(self.payload.len());
+        let end = (self.next + chunk_bytes.max(1)).min(self.payload.len());
         let has_room = self.in_flight.is_empty() || end - self.acknowledged <= self.window;
         if self.next >= end || !has_room {
             return None;
@@ -160,9 +160,9 @@
         self.least_delay = Some(least);
         let queueing = delay - least;
         if queueing < heartbeat / 2 {
-            self.window = (self.window + limits.piece_bytes).min(limits.largest_window_bytes);
+            self.window = (self.window + limits.chunk_bytes).min(limits.max_window_bytes);
         } else if queueing > heartbeat {
-            self.window = (self.window / 2).max(limits.least_window_bytes);
+            self.window = (self.window / 2).max(limits.min_window_bytes);
         }
     }
 
@@ -184,16 +184,16 @@
             return false;
         }
         // Nobody answered that it is on disk: the last piece asks again.
-        let last_piece = self.payload.len().saturating_sub(limits.piece_bytes.max(1));
+        let last_piece = self.payload.len().saturating_sub(limits.chunk_bytes.max(1));
         self.rewind(if self.is_complete() { last_piece } else { self.acknowledged });
-        self.window = limits.least_window_bytes;
+        self.window = limits.min_window_bytes;
         true
     }
 
     #[cfg(test)]
     pub(crate) fn forget_time(&mut self, limits: TransferLimits) {
         self.in_flight.iter_mut().for_each(|piece| (piece.sent_at, piece.lost_at) = (0, 0));
-        (self.window, self.least_delay) = (limits.least_window_bytes, None);
+        (self.window, self.least_delay) = (limits.min_window_bytes, None);
     }
 }
 
--- a/crates/raft/src/transfers.rs
+++ b/crates/raft/src/transfers.rs
@@ -2,8 +2,8 @@
 
 use crate::checksum::checksum;
 use crate::node::Node;
-use crate::transfer::{IncomingTransfer, OutgoingTransfer, Payload, PieceSupport, TransferLimits};
-use crate::types::{Entry, Message, Millis, Output, PayloadKind, Snapshot, TransferId, VoterId};
+use crate::transfer::{IncomingTransfer, OutgoingTransfer, PieceSupport, TransferLimits, TransferPayload};
+use crate::types::{Entry, Message, Millis, Output, Snapshot, TransferId, TransferKind, VoterId};
 
 /// The longest payload that a follower assembles, in bytes: a configuration of the largest size, its predecessors and
 /// what is remembered of versions and floors.
@@ -14,7 +14,7 @@
 
 impl Node {
     #[doc(hidden)]
-    pub fn limit_transfers(&mut self, limits: TransferLimits) {
+    pub fn set_transfer_limits(&mut self, limits: TransferLimits) {
         self.limits = limits;
     }
 
@@ -22,20 +22,20 @@
     pub(crate) fn goes_in_pieces(&self, id: &VoterId, length: usize) -> bool {
         let peer = self.lead.iter().flat_map(|lead| &lead.peers).find(|peer| peer.id == *id);
         let supported = peer.is_some_and(|peer| peer.pieces != PieceSupport::Missing);
-        supported && length > self.limits.least_window_bytes
+        supported && length > self.limits.min_window_bytes
     }
 
     /// Begins to send the snapshot that stands for what this follower lacks.
     pub(crate) fn transfer_snapshot(&mut self, to: &VoterId, snapshot: Snapshot) {
-        self.begin_transfer(to, &Payload::Snapshot(snapshot));
+        self.begin_transfer(to, &TransferPayload::Snapshot(snapshot));
     }
 
     /// Begins to send an entry that is too long for one message.
     pub(crate) fn transfer_entry(&mut self, to: &VoterId, previous_term: u64, entry: Entry) {
-        self.begin_transfer(to, &Payload::Entry { previous_term, entry });
+        self.begin_transfer(to, &TransferPayload::Entry { previous_term, entry });
     }
 
-    fn begin_transfer(&mut self, to: &VoterId, payload: &Payload) {
+    fn begin_transfer(&mut self, to: &VoterId, payload: &TransferPayload) {
         let limits = self.limits;
         let (kind, index, term) = payload.place();
         let Some(lead) = &mut self.lead else { return };
@@ -57,12 +57,12 @@
 
     /// Sends what the window of a transfer has room for; false if none is under way.
     pub(crate) fn continue_transfer(&mut self, now: Millis, to: &VoterId, out: &mut Vec<Output>) -> bool {
-        let (term, heartbeat, piece_bytes) =
-            (self.term, self.timing.heartbeat.max(1), self.limits.piece_bytes);
+        let (term, heartbeat, chunk_bytes) =
+            (self.term, self.timing.heartbeat.max(1), self.limits.chunk_bytes);
         let Some(peer) = self.lead.as_mut().and_then(|lead| lead.peer(to)) else { return false };
         let Some(transfer) = &mut peer.transfer else { return false };
-        while let Some((offset, bytes)) = transfer.next_piece(now, heartbeat, piece_bytes) {
-            let message = Message::Piece { term, transfer: transfer.id, offset, bytes };
+        while let Some((offset, bytes)) = transfer.next_piece(now, heartbeat, chunk_bytes) {
+            let message = Message::Chunk { term, transfer: transfer.id, offset, bytes };
             out.push(Output::Send { to: to.clone(), message });
         }
         true
@@ -76,7 +76,7 @@
         if !transfer.resume_if_lost(heartbeat_sent_at, limits) {
             return;
         }
-        if faults.transfers_restart {
+        if faults.restart_transfers {
             transfer.rewind(0);
         }
         if peer.pieces == PieceSupport::Unknown {
@@ -88,7 +88,9 @@
             }
         }
         // Nothing of it is there yet, so that the newest snapshot may as well go instead.
-        if transfer.acknowledged == 0 && transfer.id.kind == PayloadKind::Snapshot && transfer.id.index < base
+        if transfer.acknowledged == 0
+            && transfer.id.kind == TransferKind::Snapshot
+            && transfer.id.index < base
         {
             peer.transfer = None;
         }
@@ -116,7 +118,7 @@
     ) {
         if !self.follows(now, &from, term, out) {
             if term < self.term {
-                let message = Message::PieceReceived { term: self.term, transfer: id, offset, received: 0 };
+                let message = Message::ChunkReceived { term: self.term, transfer: id, offset, received: 0 };
                 self.answer(from, message);
             }
             return;
@@ -128,7 +130,7 @@
             return;
         }
         let received = self.assemble(id, offset, &bytes);
-        let message = Message::PieceReceived { term: self.term, transfer: id, offset, received };
+        let message = Message::ChunkReceived { term: self.term, transfer: id, offset, received };
         out.push(Output::Send { to: from.clone(), message });
         if received == id.length {
             self.take_payload(now, from, out);
@@ -138,8 +140,8 @@
     /// Whether this log has what a transfer would bring: by the log matching property all before it as well.
     fn has(&self, id: TransferId) -> bool {
         match id.kind {
-            PayloadKind::Snapshot => id.index <= self.commit,
-            PayloadKind::Entry => self.log.term_at(id.index) == Some(id.term),
+            TransferKind::Snapshot => id.index <= self.commit,
+            TransferKind::Entry => self.log.term_at(id.index) == Some(id.term),
         }
     }
 
@@ -154,8 +156,8 @@
             return 0;
         }
         let other = self.incoming.as_ref().is_none_or(|incoming| incoming.id != id);
-        let begins_again = offset == 0 && self.faults.transfers_restart;
-        if other && !self.faults.transfers_mixed || begins_again {
+        let begins_again = offset == 0 && self.faults.restart_transfers;
+        if other && !self.faults.mix_transfers || begins_again {
             self.incoming = None;
         }
         let incoming = self.incoming.get_or_insert_with(|| IncomingTransfer { id, received: Vec::new() });
@@ -171,17 +173,17 @@
     fn take_payload(&mut self, now: Millis, from: VoterId, out: &mut Vec<Output>) {
         let Some(IncomingTransfer { id, received }) = self.incoming.take() else { return };
         // Otherwise it is sent again from its first byte.
-        if checksum(&received) != id.checksum && !self.faults.transfers_mixed {
+        if checksum(&received) != id.checksum && !self.faults.mix_transfers {
             return;
         }
-        let Ok(payload) = bitcode::decode::<Payload>(&received) else { return };
-        if payload.place() != (id.kind, id.index, id.term) && !self.faults.transfers_mixed {
+        let Ok(payload) = bitcode::decode::<TransferPayload>(&received) else { return };
+        if payload.place() != (id.kind, id.index, id.term) && !self.faults.mix_transfers {
             return;
         }
         let term = self.term;
         match payload {
-            Payload::Snapshot(snapshot) => self.snapshot_came(now, from, term, snapshot, out),
-            Payload::Entry { previous_term, entry } => {
+            TransferPayload::Snapshot(snapshot) => self.snapshot_came(now, from, term, snapshot, out),
+            TransferPayload::Entry { previous_term, entry } => {
                 let previous = (entry.index.saturating_sub(1), previous_term);
                 let commit = self.told_commit;
                 if let Some(answer) = self.append_came(now, &from, term, previous, vec![entry], commit, out) {
--- a/crates/raft/src/types.rs
+++ b/crates/raft/src/types.rs
@@ -36,7 +36,7 @@
 /// What is on disk when a node starts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[cfg_attr(test, derive(Hash))]
-pub struct Saved {
+pub struct PersistentState {
     /// Who this node is.
     pub me: VoterId,
     /// The newest term seen.
@@ -74,27 +74,27 @@
     /// The term of the leader that wrote it.
     pub term: u64,
     /// What it holds.
-    pub what: What,
+    pub payload: Payload,
 }
 
 /// What an entry holds.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[cfg_attr(test, derive(Hash))]
-pub enum What {
+pub enum Payload {
     /// A new leader's first: with it the entries of former terms are committed.
-    Nothing,
+    Noop,
     /// A change of the host's state, opaque here.
     Change(Vec<u8>),
     /// The voters from this entry on, in force as soon as it is in a log.
     Members(Vec<VoterId>),
 }
 
-impl What {
+impl Payload {
     pub(crate) fn size(&self) -> usize {
         match self {
-            What::Nothing => 16,
-            What::Change(bytes) => 16 + bytes.len(),
-            What::Members(list) => 16 + list.iter().map(|voter| voter.address.len() + 16).sum::<usize>(),
+            Payload::Noop => 16,
+            Payload::Change(bytes) => 16 + bytes.len(),
+            Payload::Members(list) => 16 + list.iter().map(|voter| voter.address.len() + 16).sum::<usize>(),
         }
     }
 }
@@ -102,7 +102,7 @@
 /// What a transfer in pieces carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cfg_attr(test, derive(Hash))]
-pub enum PayloadKind {
+pub enum TransferKind {
     /// A snapshot.
     Snapshot,
     /// One entry of the log.
@@ -114,7 +114,7 @@
 #[cfg_attr(test, derive(Hash))]
 pub struct TransferId {
     /// What it carries.
-    pub kind: PayloadKind,
+    pub kind: TransferKind,
     /// The last entry that the payload holds.
     pub index: u64,
     /// The term of that entry.
@@ -128,7 +128,7 @@
 impl TransferId {
     /// Whether it carries the entry right after that one.
     pub(crate) fn follows_on(&self, prev_index: u64) -> bool {
-        self.kind == PayloadKind::Entry && prev_index.checked_add(1) == Some(self.index)
+        self.kind == TransferKind::Entry && prev_index.checked_add(1) == Some(self.index)
     }
 }
 
@@ -228,7 +228,7 @@
         hint: u64,
     },
     /// A piece of a snapshot or an entry that is too long for one message.
-    Piece {
+    Chunk {
         /// The leader's term.
         term: u64,
         /// Of which transfer.
@@ -238,8 +238,8 @@
         /// The piece.
         bytes: Vec<u8>,
     },
-    /// The answer to `Piece`. It promises nothing: pieces are not on disk.
-    PieceReceived {
+    /// The answer to `Chunk`. It promises nothing: pieces are not on disk.
+    ChunkReceived {
         /// The answerer's own term.
         term: u64,
         /// Of which transfer.
@@ -255,7 +255,7 @@
         term: u64,
     },
     /// Vote for me: the leader of the term before has given up its lead, so that no lease of it stands any more.
-    RequestVoteOfSuccessor {
+    RequestVoteAfterTransfer {
         /// The term that it stands in.
         term: u64,
         /// Its last entry's index.
@@ -278,10 +278,10 @@
             | Message::InstallSnapshot { term, .. }
             | Message::AppendAccepted { term, .. }
             | Message::AppendRejected { term, .. }
-            | Message::Piece { term, .. }
-            | Message::PieceReceived { term, .. }
+            | Message::Chunk { term, .. }
+            | Message::ChunkReceived { term, .. }
             | Message::TimeoutNow { term }
-            | Message::RequestVoteOfSuccessor { term, .. } => *term,
+            | Message::RequestVoteAfterTransfer { term, .. } => *term,
         }
     }
 }
@@ -290,7 +290,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
     /// A message came in.
-    Heard {
+    Received {
         /// Who sent it.
         from: VoterId,
         /// What it says.
@@ -300,7 +300,7 @@
     Tick,
     /// The host wants a change in the log.
     Propose {
-        /// The host's name for it in `Accepted`, `Refused` and `Unclear`.
+        /// The host's name for it in `Accepted`, `Refused` and `OutcomeUnknown`.
         token: u64,
         /// The change.
         change: Vec<u8>,
@@ -311,7 +311,7 @@
     RemoveVoter(VoterId),
     /// This voter is about to end: it goes off the list if what is left bears more without it. The host repeats it until it
     /// has ended.
-    VoterEnds(VoterId),
+    VoterShuttingDown(VoterId),
     /// This node is about to end: if it leads, another one is to. The host repeats it until it leads no more.
     TransferLeadership,
     /// The save with this ticket, and all before it, are on disk.
@@ -368,7 +368,7 @@
         leader: Option<VoterId>,
     },
     /// The leader lost its place before an accepted proposal was committed: it may still come or never.
-    Unclear {
+    OutcomeUnknown {
         /// The host's name for it.
         token: u64,
     },
--- a/crates/raft/src/writer.rs
+++ b/crates/raft/src/writer.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use crate::store::{Store, StoreError};
-use crate::types::{Save, Saved, VoterId};
+use crate::types::{PersistentState, Save, VoterId};
 
 /// Enough for a transaction; the memory of a thread that mostly sleeps is better spent elsewhere.
 const STACK: usize = 256 * 1024;
@@ -14,14 +14,14 @@
 
 /// What a writer tells its host.
 #[derive(Debug)]
-pub enum Told {
+pub enum WriterEvent {
     /// The save with this ticket, and all before it, are on disk.
     Saved(u64),
     /// The disk refused a write, which is made again until the disk takes it. Told once a trouble.
-    Refused(StoreError),
+    WriteFailed(StoreError),
     /// The file is not what was written to it any more. Nothing more is written, and the host has to fall silent: it
     /// can't say what it has promised.
-    Lost(StoreError),
+    StoreLost(StoreError),
 }
 
 /// The way to a disk that is written by a thread of its own.
@@ -38,7 +38,7 @@
     /// # Errors
     /// When there can be no thread.
     pub fn start(
-        store: Store, me: VoterId, mut told: impl FnMut(Told) + Send + 'static,
+        store: Store, me: VoterId, mut told: impl FnMut(WriterEvent) + Send + 'static,
     ) -> std::io::Result<Writer> {
         let (saves, queue) = channel::<Save>();
         let run = move || {
@@ -48,14 +48,14 @@
                 if goes_on(found.as_ref(), &me, save) {
                     return Ok(store);
                 }
-                Err(StoreError::Damaged { what: "another process wrote to it".into(), path: path.clone() })
+                Err(StoreError::Damaged { reason: "another process wrote to it".into(), path: path.clone() })
             };
             let mut store = store;
             while let Ok(save) = queue.recv() {
                 let ticket;
                 (store, ticket) =
                     insist(store, save, Store::save, &mut open, &mut told, |save| pause(&queue, save))?;
-                told(Told::Saved(ticket));
+                told(WriterEvent::Saved(ticket));
             }
             Some(store)
         };
@@ -95,7 +95,7 @@
 /// lost, or when `pause` says that nobody waits any more.
 fn insist<S>(
     store: S, mut save: Save, write: impl Fn(&S, &Save) -> Result<(), StoreError>,
-    mut open: impl FnMut(&Save) -> Result<S, StoreError>, mut told: impl FnMut(Told),
+    mut open: impl FnMut(&Save) -> Result<S, StoreError>, mut told: impl FnMut(WriterEvent),
     mut pause: impl FnMut(&mut Save) -> bool,
 ) -> Option<(S, u64)> {
     let mut store = Some(store);
@@ -105,7 +105,7 @@
             match write(&opened, &save) {
                 Ok(()) => return Some((opened, save.ticket)),
                 // Once a trouble is enough: it lasts as long as the disk's.
-                Err(error) if std::mem::take(&mut first) => told(Told::Refused(error)),
+                Err(error) if std::mem::take(&mut first) => told(WriterEvent::WriteFailed(error)),
                 Err(_) => {}
             }
         }
@@ -115,7 +115,7 @@
         match open(&save) {
             Ok(opened) => store = Some(opened),
             Err(error) if error.is_lost() => {
-                told(Told::Lost(error));
+                told(WriterEvent::StoreLost(error));
                 return None;
             }
             Err(_) => {}
@@ -138,8 +138,8 @@
 
 /// Whether what a file holds is this voter's, from before a save or from the save itself. While it was closed it was
 /// nobody's: a file that was put in its place, or written by another process, may have promised other things.
-fn goes_on(found: Option<&Saved>, me: &VoterId, save: &Save) -> bool {
-    let promised = |found: &Saved| match found.term.cmp(&save.term) {
+fn goes_on(found: Option<&PersistentState>, me: &VoterId, save: &Save) -> bool {
+    let promised = |found: &PersistentState| match found.term.cmp(&save.term) {
         std::cmp::Ordering::Less => true,
         std::cmp::Ordering::Equal => found.vote.is_none() || found.vote == save.vote,
         std::cmp::Ordering::Greater => false,
@@ -163,11 +163,11 @@
     }
 
     fn refused() -> StoreError {
-        StoreError::SetAside { path: PathBuf::from("log"), cause: std::io::Error::other("no room") }
+        StoreError::SetAsideFailed { path: PathBuf::from("log"), cause: std::io::Error::other("no room") }
     }
 
     fn damaged() -> StoreError {
-        StoreError::Damaged { what: "entry 3".into(), path: PathBuf::from("log") }
+        StoreError::Damaged { reason: "entry 3".into(), path: PathBuf::from("log") }
     }
 
     /// Up to which ticket was written, how often it paused and told. With each pause one more save comes in, until the
@@ -214,7 +214,7 @@
         another_voter = { 4, None, 2, false },
     )]
     fn a_file_that_another_process_wrote_to_is_lost(term: u64, vote: Option<u64>, me: u64, goes: bool) {
-        let found = Saved {
+        let found = PersistentState {
             me: voter(me),
             term,
             vote: vote.map(voter),
--- a/crates/raft/tests/catch_up.rs
+++ b/crates/raft/tests/catch_up.rs
@@ -1,7 +1,7 @@
 //! A voter that was away for up to thousands of changes catches up over a slow link that also carries other traffic, while
 //! changes go on: in a time that a formula gives.
 
-mod kept;
+mod fake_disk;
 mod slow_links;
 
 use raft::{Faults, Millis, TransferLimits};
@@ -40,7 +40,7 @@
     killed_after: None,
     needed: false,
     knows_no_pieces: false,
-    limits: TransferLimits::SERVICE,
+    limits: TransferLimits::PRODUCTION,
     faults: Faults::NONE,
 };
 
@@ -158,19 +158,19 @@
 const LATE: &str = "entries after";
 
 #[parameterized(
-    transfers_restart = {
-        Faults { transfers_restart: true, ..Faults::NONE },
+    restart_transfers = {
+        Faults { restart_transfers: true, ..Faults::NONE },
         Case { change_bytes: 100_000, breaks_every: Some(3_000), ..PLAIN }, LATE
     },
-    transfers_follow_compaction = {
-        Faults { transfers_follow_compaction: true, ..Faults::NONE },
+    compaction_aborts_transfers = {
+        Faults { compaction_aborts_transfers: true, ..Faults::NONE },
         Case { missed: 5_000, change_bytes: 2_000, ..PLAIN }, LATE
     },
-    nothing_retained = {
-        Faults { nothing_retained: true, ..Faults::NONE },
+    retain_no_entries = {
+        Faults { retain_no_entries: true, ..Faults::NONE },
         Case { missed: 5_000, change_bytes: 2_000, ..PLAIN }, LATE
     },
-    impatient = { Faults { impatient: true, ..Faults::NONE }, Case { change_bytes: 100_000, ..PLAIN }, LATE },
+    fixed_loss_timeout = { Faults { fixed_loss_timeout: true, ..Faults::NONE }, Case { change_bytes: 100_000, ..PLAIN }, LATE },
 )]
 fn planted_faults_are_found(faults: Faults, case: Case, what: &str) {
     assert!(catch_up(case).is_ok(), "it is found without the fault as well");
@@ -184,7 +184,7 @@
 fn a_snapshot_in_one_message_is_found() {
     let case = Case { change_bytes: 100_000, needed: true, ..PLAIN };
     assert!(catch_up(case).is_ok(), "it is found without the fault as well");
-    let limits = TransferLimits { least_window_bytes: 8 << 20, ..TransferLimits::SERVICE };
+    let limits = TransferLimits { min_window_bytes: 8 << 20, ..TransferLimits::PRODUCTION };
     let fault = catch_up(Case { limits, ..case }).err().expect("it is not found");
     println!("{fault}");
     assert!(fault.contains("another term") || fault.contains("nobody leads"), "{fault}");
@@ -215,8 +215,9 @@
         world.acknowledged,
         world.answerable
     );
-    let fault =
-        all_start_again(Faults { early_answers: true, ..Faults::NONE }).err().expect("it is not found");
+    let fault = all_start_again(Faults { serve_before_own_commit: true, ..Faults::NONE })
+        .err()
+        .expect("it is not found");
     println!("{fault}");
     assert!(fault.contains("that were acknowledged"), "{fault}");
 }
--- a/crates/raft/tests/disk.rs
+++ b/crates/raft/tests/disk.rs
@@ -3,7 +3,10 @@
 use std::io::{Seek, SeekFrom, Write};
 
 use raft::store::{Store, StoreError};
-use raft::{Entry, Input, Node, Output, Save, Saved, Snapshot, Timing, Told, VoterId, What, Writer};
+use raft::{
+    Entry, Input, Node, Output, Payload, PersistentState, Save, Snapshot, Timing, VoterId, Writer,
+    WriterEvent,
+};
 use yare::parameterized;
 
 fn voter(number: u64) -> VoterId {
@@ -11,7 +14,7 @@
 }
 
 fn entry(index: u64, term: u64) -> Entry {
-    Entry { index, term, what: What::Change(vec![index as u8; 100]) }
+    Entry { index, term, payload: Payload::Change(vec![index as u8; 100]) }
 }
 
 fn save(ticket: u64, term: u64) -> Save {
@@ -27,7 +30,7 @@
     (0..size as u32).map(|at| (at.wrapping_mul(2_654_435_761) >> 13) as u8).collect()
 }
 
-fn reopened(path: &std::path::Path) -> Saved {
+fn reopened(path: &std::path::Path) -> PersistentState {
     Store::open(path).unwrap().1.unwrap()
 }
 
@@ -38,7 +41,7 @@
     let (store, saved) = Store::open(&path).unwrap();
     assert_eq!(saved, None);
     store.create(voter(1), vec![voter(1), voter(2)]).unwrap();
-    assert!(matches!(store.create(voter(3), Vec::new()), Err(StoreError::Taken { .. })));
+    assert!(matches!(store.create(voter(3), Vec::new()), Err(StoreError::AlreadyInitialized { .. })));
     store.save(&Save { entries: (1..=9).map(|index| entry(index, 1)).collect(), ..save(1, 1) }).unwrap();
     drop(store);
     let saved = reopened(&path);
@@ -101,7 +104,7 @@
     store.create(voter(1), Vec::new()).unwrap();
     let (mut longest, mut ticket, mut kept) = (0, 0, 0);
     for index in 1..=changes {
-        let entries = vec![Entry { index, term: 1, what: What::Change(state(change)) }];
+        let entries = vec![Entry { index, term: 1, payload: Payload::Change(state(change)) }];
         store.save(&Save { entries, ..save(ticket + 1, 1) }).unwrap();
         ticket += 2;
         kept += 1;
@@ -125,13 +128,16 @@
     // One that joined and has voted, but has no log yet.
     store.create(voter(1), Vec::new()).unwrap();
     store.save(&save(1, 5)).unwrap();
-    let begun = store.begin(voter(1), 2, snapshot(4, 200_000)).unwrap();
+    let begun = store.create_from_snapshot(voter(1), 2, snapshot(4, 200_000)).unwrap();
     assert_eq!((begun.term, &begun.vote), (5, &Some(voter(2))), "what it promised stands");
     drop(store);
     assert_eq!(reopened(&path), begun);
 
     let (store, _) = Store::open(&path).unwrap();
-    assert!(matches!(store.begin(voter(1), 9, snapshot(7, 10)), Err(StoreError::Taken { .. })));
+    assert!(matches!(
+        store.create_from_snapshot(voter(1), 9, snapshot(7, 10)),
+        Err(StoreError::AlreadyInitialized { .. })
+    ));
     drop(store);
     assert_eq!(reopened(&path), begun);
 
@@ -139,7 +145,10 @@
     let (store, _) = Store::open(&path).unwrap();
     store.create(voter(1), Vec::new()).unwrap();
     store.save(&Save { entries: vec![entry(1, 1)], ..save(1, 1) }).unwrap();
-    assert!(matches!(store.begin(voter(1), 9, snapshot(7, 10)), Err(StoreError::Taken { .. })));
+    assert!(matches!(
+        store.create_from_snapshot(voter(1), 9, snapshot(7, 10)),
+        Err(StoreError::AlreadyInitialized { .. })
+    ));
 }
 
 #[test]
@@ -149,7 +158,7 @@
     let (store, _) = Store::open(&path).unwrap();
     let me = VoterId { incarnation: 7, ..voter(1) };
     let before = Snapshot { members: vec![me.clone()], term: 3, ..snapshot(40, 100) };
-    let saved = store.begin(me.clone(), 4, before).unwrap();
+    let saved = store.create_from_snapshot(me.clone(), 4, before).unwrap();
     assert_eq!((saved.term, &saved.vote), (4, &None));
     let timing = Timing { heartbeat: 20, election: 100, lease: 80 };
     let mut node = Node::start(saved, timing, 1, 0);
@@ -219,7 +228,7 @@
     store.create(voter(1), Vec::new()).unwrap();
     let (told, tickets) = std::sync::mpsc::channel();
     let writer = Writer::start(store, voter(1), move |done| match done {
-        Told::Saved(ticket) => told.send(ticket).unwrap(),
+        WriterEvent::Saved(ticket) => told.send(ticket).unwrap(),
         other => panic!("{other:?}"),
     });
     let writer = writer.unwrap();
--- a/crates/raft/tests/drawn.rs
+++ b/crates/raft/tests/drawn.rs
@@ -1,11 +1,11 @@
 //! The log in drawn worlds: what must never be, over some hundred seeds, and planted faults that must be found.
 
-mod kept;
+mod fake_disk;
 mod membership;
-mod world;
+mod simulation;
 
 use raft::{Faults, Input, Node, TransferLimits};
-use world::{TIMING, World};
+use simulation::{TIMING, World};
 use yare::parameterized;
 
 const TROUBLE: u64 = 9_000;
@@ -28,9 +28,8 @@
     limits: TransferLimits,
 }
 
-const SERVICE: TransferLimits = TransferLimits::SERVICE;
-const SMALL: TransferLimits =
-    TransferLimits { piece_bytes: 24, least_window_bytes: 4, largest_window_bytes: 100 };
+const PRODUCTION: TransferLimits = TransferLimits::PRODUCTION;
+const SMALL: TransferLimits = TransferLimits { chunk_bytes: 24, min_window_bytes: 4, max_window_bytes: 100 };
 
 const ALL: Weather = Weather {
     often: 20,
@@ -41,7 +40,7 @@
     slow: (2, 3),
     busy: 100,
     transfers: 0,
-    limits: SERVICE,
+    limits: PRODUCTION,
 };
 const POWER: Weather = Weather {
     often: 40,
@@ -52,7 +51,7 @@
     slow: (40, 10),
     busy: 100,
     transfers: 0,
-    limits: SERVICE,
+    limits: PRODUCTION,
 };
 const PIECES: Weather = Weather { limits: SMALL, ..ALL };
 /// Leaders that hand over their lead all the time, amid all troubles; and on links where that gets lost and comes late.
@@ -69,7 +68,7 @@
     slow: (2, 3),
     busy: 3,
     transfers: 0,
-    limits: SERVICE,
+    limits: PRODUCTION,
 };
 
 fn live(seed: u64, size: usize, weather: Weather, faults: Faults) -> Result<World, String> {
@@ -79,11 +78,11 @@
     let mut wiped = 0;
     let end = world.now + TROUBLE;
     while world.now < end {
-        let pause = 10 + world.draw.below(60);
+        let pause = 10 + world.rng.below(60);
         world.run_until(world.now + pause)?;
-        world.chores()?;
-        let proposes = world.draw.chance(weather.busy);
-        let at = world.draw.below(size as u64) as usize;
+        world.run_maintenance()?;
+        let proposes = world.rng.chance(weather.busy);
+        let at = world.rng.below(size as u64) as usize;
         let token = world.now;
         if proposes {
             world.input(at, Input::Propose { token, change: token.to_be_bytes().to_vec() })?;
@@ -92,25 +91,25 @@
             if proposes {
                 world.input(leader, Input::Propose { token, change: vec![7; 20] })?;
             }
-            if world.draw.chance(weather.transfers) {
+            if world.rng.chance(weather.transfers) {
                 world.input(leader, Input::TransferLeadership)?;
             }
             if world.settled() {
                 wiped = 0;
             }
         }
-        if !world.draw.chance(weather.often) {
+        if !world.rng.chance(weather.often) {
             continue;
         }
-        let (span, trouble) = (world.draw.below(1_500), world.draw.below(100));
-        let at = world.draw.below(size as u64) as usize;
+        let (span, trouble) = (world.rng.below(1_500), world.rng.below(100));
+        let at = world.rng.below(size as u64) as usize;
         let mut from = 0;
         let mut comes = |chance: u64| {
             from += chance;
             (from - chance..from).contains(&trouble)
         };
         if comes(weather.kills) {
-            if world.draw.chance(15) {
+            if world.rng.chance(15) {
                 (0..size).for_each(|at| world.kill(at, span / 2));
             } else {
                 world.kill(at, span);
@@ -124,7 +123,7 @@
         } else if comes(weather.freezes) {
             world.freeze(at, span);
         } else if comes(weather.cuts) {
-            let other = world.draw.below(size as u64) as usize;
+            let other = world.rng.below(size as u64) as usize;
             world.cut[at][other] = true;
         } else {
             world.cut.iter_mut().flatten().for_each(|cut| *cut = false);
@@ -139,7 +138,7 @@
     let calm = world.now + 6_000;
     while world.now < calm {
         world.run_until(world.now + 100)?;
-        world.chores()?;
+        world.run_maintenance()?;
     }
     let leader = world.leader().ok_or("nobody leads after the trouble")?;
     let before = world.committed.len();
@@ -198,17 +197,17 @@
 }
 
 // Some faults hide behind guards that are not needed for what they break: those guards are off here.
-const UNGUARDED: Faults = Faults { fickle: true, without_pre_vote: true, ..Faults::NONE };
+const UNGUARDED: Faults = Faults { vote_despite_leader: true, skip_pre_vote: true, ..Faults::NONE };
 
 #[parameterized(
-    vote_unsaved = { Faults { vote_unsaved: true, ..UNGUARDED }, POWER, TWO_LEADERS },
-    any_birth = { Faults { any_birth: true, ..Faults::default() }, ALL, LOST },
-    fickle = { Faults { fickle: true, ..Faults::default() }, LINKS, TWO_LEASES },
-    transfers_mixed = { Faults { transfers_mixed: true, ..Faults::default() }, PIECES, STRANGE },
-    leads_after_transfer = {
-        Faults { leads_after_transfer: true, ..Faults::default() }, QUIET_TRANSFERS, TWO_LEASES
+    unsaved_votes = { Faults { unsaved_votes: true, ..UNGUARDED }, POWER, TWO_LEADERS },
+    ignore_incarnation = { Faults { ignore_incarnation: true, ..Faults::default() }, ALL, LOST },
+    vote_despite_leader = { Faults { vote_despite_leader: true, ..Faults::default() }, LINKS, TWO_LEASES },
+    mix_transfers = { Faults { mix_transfers: true, ..Faults::default() }, PIECES, STRANGE },
+    keep_leading_after_transfer = {
+        Faults { keep_leading_after_transfer: true, ..Faults::default() }, QUIET_TRANSFERS, TWO_LEASES
     },
-    hasty_entries = { Faults { hasty: true, ..Faults::default() }, POWER, LOST },
+    hasty_entries = { Faults { reply_before_sync: true, ..Faults::default() }, POWER, LOST },
 )]
 fn planted_faults_are_found(faults: Faults, weather: Weather, what: &str) {
     let (seed, fault) = find(faults, weather, what).expect("no world finds it");
@@ -218,7 +217,7 @@
 /// What was found above is not there without the fault, also with the guards off.
 #[parameterized(power = { POWER }, links = { LINKS })]
 fn nothing_is_found_where_nothing_is_planted(weather: Weather) {
-    let unguarded = Faults { fickle: false, ..UNGUARDED };
+    let unguarded = Faults { vote_despite_leader: false, ..UNGUARDED };
     for (seed, faults) in (0..60).flat_map(|seed| [(seed, Faults::default()), (seed, unguarded)]) {
         let mut world = live(seed, 3 + seed as usize % 2 * 2, weather, faults)
             .unwrap_or_else(|fault| panic!("seed {seed}: {fault}"));
--- a/crates/raft/tests/kept/mod.rs
+++ b/crates/raft/tests/fake_disk/mod.rs
@@ -1,12 +1,12 @@
 //! What a disk has after a save, told without one.
 
-use raft::{Save, Saved, VoterId};
+use raft::{PersistentState, Save, VoterId};
 
-pub fn empty(me: VoterId, founders: Vec<VoterId>) -> Saved {
-    Saved { me, term: 0, vote: None, snapshot: None, entries: Vec::new(), founders }
+pub fn empty(me: VoterId, founders: Vec<VoterId>) -> PersistentState {
+    PersistentState { me, term: 0, vote: None, snapshot: None, entries: Vec::new(), founders }
 }
 
-pub fn apply(disk: &mut Saved, save: &Save) {
+pub fn apply(disk: &mut PersistentState, save: &Save) {
     disk.term = save.term;
     disk.vote = save.vote.clone();
     if let Some(from) = save.truncate {
--- a/crates/raft/tests/losses_at_once.rs
+++ b/crates/raft/tests/losses_at_once.rs
@@ -1,11 +1,11 @@
 //! Right after an acknowledgement as many voters lose their disks as is tolerated, and all others lose power in the same
 //! moment: what was acknowledged is there when they are back.
 
-mod kept;
-mod world;
+mod fake_disk;
+mod simulation;
 
 use raft::{Faults, Input};
-use world::World;
+use simulation::World;
 use yare::parameterized;
 
 /// Losses of one world, each after all voters of the one before count again.
@@ -29,7 +29,7 @@
     let end = world.now + span;
     while world.now < end {
         world.run_until((world.now + 20).min(end))?;
-        world.chores()?;
+        world.run_maintenance()?;
     }
     Ok(())
 }
@@ -52,14 +52,14 @@
     let token = world.now;
     world.input(leader, Input::Propose { token, change: token.to_be_bytes().to_vec() })?;
     if let Moment::AfterProposal = moment {
-        let span = world.draw.below(40);
+        let span = world.rng.below(40);
         return world.run_until(world.now + span);
     }
     let end = world.now + COMMITS_WITHIN;
     while world.committed.len() == before && world.now < end {
         world.run_until(world.now + 1)?;
     }
-    let span = world.draw.below(4);
+    let span = world.rng.below(4);
     world.run_until(world.now + span)
 }
 
@@ -67,17 +67,17 @@
 fn strike(world: &mut World, losses: usize) {
     let size = world.hosts.len() as u64;
     let mut wiped = Vec::new();
-    if world.draw.chance(50) {
+    if world.rng.chance(50) {
         wiped.extend(world.leader());
     }
     while wiped.len() < losses {
-        let at = world.draw.below(size) as usize;
+        let at = world.rng.below(size) as usize;
         if !wiped.contains(&at) {
             wiped.push(at);
         }
     }
     for at in 0..world.hosts.len() {
-        let span = 100 + world.draw.below(1_200);
+        let span = 100 + world.rng.below(1_200);
         match wiped.contains(&at) {
             true => world.wipe(at, span),
             false => world.kill(at, span),
@@ -114,8 +114,8 @@
 }
 
 #[parameterized(
-    taken_for_who_it_was = { Faults { any_birth: true, ..Faults::default() } },
-    answers_before_the_disk = { Faults { hasty: true, ..Faults::default() } },
+    taken_for_who_it_was = { Faults { ignore_incarnation: true, ..Faults::default() } },
+    answers_before_the_disk = { Faults { reply_before_sync: true, ..Faults::default() } },
 )]
 fn planted_faults_are_found(faults: Faults) {
     let lost = |fault: String| fault.contains("was committed as");
--- a/crates/raft/tests/membership/mod.rs
+++ b/crates/raft/tests/membership/mod.rs
@@ -1,8 +1,8 @@
 //! Voters that are lost, repaired and replaced, as many at once as are tolerated: control works all the while, and once
 //! everybody has had its time to catch up, as many again may be lost.
 
-use crate::world::World;
-use raft::{Faults, Input, Millis, RetirementPolicy, further_losses, least_voters, majority_of};
+use crate::simulation::World;
+use raft::{Faults, Input, Millis, RetirementPolicy, further_losses, majority_of, min_voters};
 use yare::parameterized;
 
 /// How long a machine still counts as lost after it is back, or after its start if it is new.
@@ -48,9 +48,10 @@
 impl Fleet {
     fn new(seed: u64, founders: usize, learners: usize, tolerated: usize, faults: Faults) -> Fleet {
         let mut world = World::new(seed, founders, faults);
-        world.policy = RetirementPolicy { silence: SILENCE, least_voters: least_voters(tolerated) };
+        world.policy = RetirementPolicy { silence_timeout: SILENCE, min_voters: min_voters(tolerated) };
         world.lossy = false;
-        (0..founders).for_each(|at| world.hosts[at].node.as_mut().unwrap().retire_by(world.policy));
+        (0..founders)
+            .for_each(|at| world.hosts[at].node.as_mut().unwrap().set_retirement_policy(world.policy));
         for _ in 0..learners {
             world.newcomer(0);
         }
@@ -69,7 +70,7 @@
 
     fn lose(&mut self, at: usize, loss: Loss) {
         let now = self.world.now;
-        let span = self.world.draw.below(1_500);
+        let span = self.world.rng.below(1_500);
         let back = now + span;
         match loss {
             Loss::Restarted => self.world.kill(at, span),
@@ -105,7 +106,7 @@
             self.world.lose(at);
         }
         self.world.run_until(now + STEP)?;
-        self.world.chores()?;
+        self.world.run_maintenance()?;
         if let Some(leader) = self.world.leader() {
             self.world.input(leader, Input::Propose { token: now, change: vec![7; 20] })?;
         }
@@ -120,9 +121,9 @@
 
     fn bears_enough(&self) -> Result<(), String> {
         let leader = self.world.leader().and_then(|at| self.world.hosts[at].node.as_ref());
-        let standing = leader.and_then(|leader| leader.standing(self.world.now));
-        match standing {
-            Some(standing) if standing.further_losses >= self.tolerated => Ok(()),
+        let status = leader.and_then(|leader| leader.membership_status(self.world.now));
+        match status {
+            Some(status) if status.further_losses >= self.tolerated => Ok(()),
             other => Err(format!("too few further losses are borne: {other:?}: {}", self.told())),
         }
     }
@@ -145,13 +146,13 @@
             while self.world.now < self.lost_until + STEP {
                 self.step()?;
             }
-            for _ in 0..self.world.draw.below(20) {
+            for _ in 0..self.world.rng.below(20) {
                 self.step()?;
             }
             let mut left = self.present.clone();
-            for _ in 0..=self.world.draw.below(self.tolerated as u64) {
-                let at = left.remove(self.world.draw.below(left.len() as u64) as usize);
-                let loss = LOSSES[self.world.draw.below(LOSSES.len() as u64) as usize];
+            for _ in 0..=self.world.rng.below(self.tolerated as u64) {
+                let at = left.remove(self.world.rng.below(left.len() as u64) as usize);
+                let loss = LOSSES[self.world.rng.below(LOSSES.len() as u64) as usize];
                 self.lose(at, loss);
             }
         }
@@ -187,9 +188,10 @@
 fn without_retirement_replacements_use_up_what_is_borne(founders: usize, tolerated: usize) {
     let found = (0..60).find_map(|seed| {
         let mut fleet = Fleet::new(seed, founders, 0, tolerated, Faults::default());
-        fleet.world.policy.silence = Millis::MAX;
+        fleet.world.policy.silence_timeout = Millis::MAX;
         let never = fleet.world.policy;
-        (0..founders).for_each(|at| fleet.world.hosts[at].node.as_mut().unwrap().retire_by(never));
+        (0..founders)
+            .for_each(|at| fleet.world.hosts[at].node.as_mut().unwrap().set_retirement_policy(never));
         fleet.live().err()
     });
     let fault = found.expect("no world shows it");
@@ -198,9 +200,9 @@
 }
 
 #[parameterized(
-    promote_early = { Faults { promote_early: true, ..Faults::default() }, 2, "is added with" },
-    retire_freely = { Faults { retire_freely: true, ..Faults::default() }, 0, "too short without it" },
-    two_changes = { Faults { two_changes: true, ..Faults::default() }, 2, "two changes" },
+    promote_lagging_learners = { Faults { promote_lagging_learners: true, ..Faults::default() }, 2, "is added with" },
+    retire_unconditionally = { Faults { retire_unconditionally: true, ..Faults::default() }, 0, "too short without it" },
+    overlapping_list_changes = { Faults { overlapping_list_changes: true, ..Faults::default() }, 2, "two changes" },
 )]
 fn planted_faults_are_found(faults: Faults, learners: usize, what: &str) {
     let found = (0..200).find_map(|seed| {
@@ -216,16 +218,16 @@
 fn a_list_bears_as_many_as_stay_beyond_its_majority() {
     for voters in 1..=15 {
         assert_eq!(further_losses(voters, voters), (voters - 1) / 2);
-        for counted in majority_of(voters)..=voters {
-            let borne = further_losses(voters, counted);
-            assert!(counted - borne >= majority_of(voters));
-            if counted < voters {
-                assert!(further_losses(voters - 1, counted) >= borne, "a silent one leaves");
+        for healthy in majority_of(voters)..=voters {
+            let borne = further_losses(voters, healthy);
+            assert!(healthy - borne >= majority_of(voters));
+            if healthy < voters {
+                assert!(further_losses(voters - 1, healthy) >= borne, "a silent one leaves");
             }
-            if counted == voters || voters % 2 == 0 {
-                assert!(further_losses(voters + 1, counted + 1) >= borne, "one joins");
+            if healthy == voters || voters % 2 == 0 {
+                assert!(further_losses(voters + 1, healthy + 1) >= borne, "one joins");
             }
         }
     }
-    assert_eq!([0, 1, 2, 3].map(least_voters), [1, 3, 5, 7]);
+    assert_eq!([0, 1, 2, 3].map(min_voters), [1, 3, 5, 7]);
 }
--- a/crates/raft/tests/power.rs
+++ b/crates/raft/tests/power.rs
@@ -1,23 +1,23 @@
 //! The disk when power goes at any of its writes, and when a byte of its file changes later.
 
-mod kept;
+mod fake_disk;
 mod tape;
 
 use std::collections::VecDeque;
 use std::panic::catch_unwind;
 
-use kept::{apply, empty};
+use fake_disk::{apply, empty};
 use raft::store::{Store, StoreError};
-use raft::{Entry, Input, Node, Output, Save, Saved, Snapshot, Timing, VoterId, What};
+use raft::{Entry, Input, Node, Output, Payload, PersistentState, Save, Snapshot, Timing, VoterId};
 use tape::{Op, Tape, put};
 
 fn voter(number: u64) -> VoterId {
     VoterId { address: format!("10.0.0.{number}:7000"), incarnation: number }
 }
 
-struct Draw(u64);
+struct Rng(u64);
 
-impl Draw {
+impl Rng {
     fn below(&mut self, limit: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -33,24 +33,24 @@
 /// Votes, appends, a truncation, a large entry, snapshots that drop entries: `rounds` times over, each a term later.
 fn life(rounds: u64) -> Vec<Save> {
     let mut saves: Vec<Save> = Vec::new();
-    let mut draw = Draw(7);
+    let mut rng = Rng(7);
     let mut save =
         |term, vote: Option<u64>, truncate, sizes: &[usize], from: u64, snapshot: Option<(u64, usize)>| {
-            let entry = |(at, size): (u64, &usize), draw: &mut Draw| Entry {
+            let entry = |(at, size): (u64, &usize), rng: &mut Rng| Entry {
                 index: from + at,
                 term,
-                what: if at == 2 {
-                    What::Members(vec![voter(1), voter(2)])
+                payload: if at == 2 {
+                    Payload::Members(vec![voter(1), voter(2)])
                 } else {
-                    What::Change(draw.bytes(*size))
+                    Payload::Change(rng.bytes(*size))
                 },
             };
-            let entries = (0..).zip(sizes).map(|one| entry(one, &mut draw)).collect();
+            let entries = (0..).zip(sizes).map(|one| entry(one, &mut rng)).collect();
             let snapshot = snapshot.map(|(index, size)| Snapshot {
                 index,
                 term,
                 members: vec![voter(1)],
-                state: draw.bytes(size),
+                state: rng.bytes(size),
             });
             let ticket = saves.len() as u64 + 1;
             saves.push(Save { ticket, term, vote: vote.map(voter), truncate, entries, snapshot });
@@ -69,17 +69,17 @@
     saves
 }
 
-fn open(bytes: Vec<u8>) -> (Tape, Result<(Store, Option<Saved>), StoreError>) {
+fn open(bytes: Vec<u8>) -> (Tape, Result<(Store, Option<PersistentState>), StoreError>) {
     let tape = Tape::with(bytes);
-    let opened = Store::on(tape.clone(), "tape");
+    let opened = Store::open_backend(tape.clone(), "tape");
     (tape, opened)
 }
 
 /// The tape of a life, closed properly halfway and at the end, and what is to be found after so many acknowledged
 /// writes: nothing after none.
-fn recorded(rounds: u64) -> (Tape, Vec<Option<Saved>>) {
+fn recorded(rounds: u64) -> (Tape, Vec<Option<PersistentState>>) {
     let tape = Tape::default();
-    let (mut store, _) = Store::on(tape.clone(), "tape").unwrap();
+    let (mut store, _) = Store::open_backend(tape.clone(), "tape").unwrap();
     let founders = vec![voter(1), voter(2)];
     let mut disk = empty(voter(1), founders.clone());
     assert_eq!(store.create(voter(1), founders).unwrap(), disk);
@@ -89,7 +89,7 @@
     for (at, save) in saves.iter().enumerate() {
         if at == saves.len() / 2 {
             drop(store);
-            store = Store::on(tape.clone(), "tape").unwrap().0;
+            store = Store::open_backend(tape.clone(), "tape").unwrap().0;
         }
         store.save(save).unwrap();
         apply(&mut disk, save);
@@ -116,17 +116,17 @@
 const LOSSES: [Left; 5] = [Left::Nothing, Left::All, Left::Torn, Left::Any, Left::Whole];
 
 /// What a disk has when power goes within the last of these operations; `synced` is what it surely has.
-fn after_loss(synced: &[u8], unsynced: &[Op], left: Left, draw: &mut Draw) -> Vec<u8> {
+fn after_loss(synced: &[u8], unsynced: &[Op], left: Left, rng: &mut Rng) -> Vec<u8> {
     let mut bytes = synced.to_vec();
     for (at, op) in unsynced.iter().enumerate() {
         let last = at + 1 == unsynced.len();
-        let whole = draw.below(2) == 0;
-        let upto = if last { draw.below(tape::sectors(op) as u64 + 1) as usize } else { usize::MAX };
+        let whole = rng.below(2) == 0;
+        let upto = if last { rng.below(tape::sectors(op) as u64 + 1) as usize } else { usize::MAX };
         put(&mut bytes, op, |sector| match left {
             Left::Nothing => false,
             Left::All => true,
             Left::Torn => sector < upto,
-            Left::Any => draw.below(2) == 0,
+            Left::Any => rng.below(2) == 0,
             Left::Whole => whole,
         });
     }
@@ -135,7 +135,7 @@
 
 /// Calls with each disk that a power loss can leave, with how many writes were acknowledged by then.
 fn each_loss(
-    begun: &[u8], ops: &[Op], losses: &[Left], draw: &mut Draw,
+    begun: &[u8], ops: &[Op], losses: &[Left], rng: &mut Rng,
     mut call: impl FnMut(Vec<u8>, usize, &str) -> Result<(), String>,
 ) -> Result<(), String> {
     let (mut synced, mut unsynced, mut acknowledged) = (begun.to_vec(), Vec::new(), 0);
@@ -147,30 +147,32 @@
         }
         for left in losses {
             let what = format!("power goes in step {step} of {}, {left:?} is left", ops.len());
-            call(after_loss(&synced, &unsynced, *left, draw), acknowledged, &what)?;
+            call(after_loss(&synced, &unsynced, *left, rng), acknowledged, &what)?;
         }
     }
     Ok(())
 }
 
 /// Whether the state is the one of all acknowledged writes, or that of the next one, which was under way.
-fn fits(found: &Option<Saved>, states: &[Option<Saved>], acknowledged: usize) -> bool {
+fn fits(found: &Option<PersistentState>, states: &[Option<PersistentState>], acknowledged: usize) -> bool {
     states[acknowledged..states.len().min(acknowledged + 2)].contains(found)
 }
 
 /// One more save, as a voter that has started again makes it.
-fn next(disk: &Saved) -> Save {
+fn next(disk: &PersistentState) -> Save {
     let base = disk.snapshot.as_ref().map_or(0, |kept| kept.index);
     let (index, term) = (base + disk.entries.len() as u64 + 1, disk.term + 1);
-    let entries = vec![Entry { index, term, what: What::Nothing }];
+    let entries = vec![Entry { index, term, payload: Payload::Noop }];
     Save { ticket: 1, term, vote: Some(voter(3)), truncate: None, entries, snapshot: None }
 }
 
 /// One loss after the other in a life, and after one in `seldom` of them one more at any write of what follows.
-fn power_goes(seed: u64, seldom: u64, ops: &[Op], states: &[Option<Saved>]) -> Result<(u64, u64), String> {
-    let (mut draw, mut again) = (Draw(seed), Draw(seed + 100));
+fn power_goes(
+    seed: u64, seldom: u64, ops: &[Op], states: &[Option<PersistentState>],
+) -> Result<(u64, u64), String> {
+    let (mut rng, mut again) = (Rng(seed), Rng(seed + 100));
     let (mut losses, mut later) = (0, 0);
-    each_loss(&[], ops, &LOSSES, &mut draw, |bytes, acknowledged, what| {
+    each_loss(&[], ops, &LOSSES, &mut rng, |bytes, acknowledged, what| {
         losses += 1;
         let (second, opened) = open(bytes.clone());
         let (store, found) = opened.map_err(|fault| format!("{what}: {fault}"))?;
@@ -223,12 +225,12 @@
 #[test]
 #[ignore = "a minute: cargo test --release -p raft --test power -- --ignored"]
 fn power_may_go_while_a_file_is_made_smaller() {
-    let (tape, mut draw) = (Tape::default(), Draw(3));
-    let (store, _) = Store::on(tape.clone(), "tape").unwrap();
+    let (tape, mut rng) = (Tape::default(), Rng(3));
+    let (store, _) = Store::open_backend(tape.clone(), "tape").unwrap();
     let mut disk = store.create(voter(1), Vec::new()).unwrap();
     for index in 1..=8 {
-        let entries = vec![Entry { index, term: 1, what: What::Change(draw.bytes(4 << 20)) }];
-        let snapshot = Snapshot { index: 7, term: 1, members: vec![voter(1)], state: draw.bytes(100_000) };
+        let entries = vec![Entry { index, term: 1, payload: Payload::Change(rng.bytes(4 << 20)) }];
+        let snapshot = Snapshot { index: 7, term: 1, members: vec![voter(1)], state: rng.bytes(100_000) };
         let snapshot = (index == 8).then_some(snapshot);
         let save = Save { ticket: index, term: 1, vote: None, truncate: None, entries, snapshot };
         store.save(&save).unwrap();
@@ -242,7 +244,7 @@
     let (states, ops) = ([opened.unwrap().1], tape.ops());
     assert!(states[0].as_ref() == Some(&disk) && bytes.len() > 24 << 20);
     let mut losses = 0;
-    each_loss(&bytes, &ops, &[Left::Any, Left::Whole], &mut draw, |bytes, _, what| {
+    each_loss(&bytes, &ops, &[Left::Any, Left::Whole], &mut rng, |bytes, _, what| {
         losses += 1;
         let found = open(bytes).1.map_err(|fault| format!("{what}: {fault}"))?.1;
         if fits(&found, &states, 0) { Ok(()) } else { Err(format!("{what}: another state")) }
@@ -274,14 +276,14 @@
 
 /// A leader whose log begins with a snapshot that goes in pieces, and an entry that does.
 fn leader_of_two() -> Node {
-    let mut draw = Draw(11);
+    let mut rng = Rng(11);
     let members = vec![voter(1), voter(2)];
-    let snapshot = Snapshot { index: 40, term: 3, members, state: draw.bytes(70_000) };
+    let snapshot = Snapshot { index: 40, term: 3, members, state: rng.bytes(70_000) };
     let entries = vec![
-        Entry { index: 41, term: 3, what: What::Change(draw.bytes(500)) },
-        Entry { index: 42, term: 3, what: What::Change(draw.bytes(50_000)) },
+        Entry { index: 41, term: 3, payload: Payload::Change(rng.bytes(500)) },
+        Entry { index: 42, term: 3, payload: Payload::Change(rng.bytes(50_000)) },
     ];
-    let saved = Saved { term: 3, snapshot: Some(snapshot), entries, ..empty(voter(2), Vec::new()) };
+    let saved = PersistentState { term: 3, snapshot: Some(snapshot), entries, ..empty(voter(2), Vec::new()) };
     Node::start(saved, TIMING, 1, 0)
 }
 
@@ -290,7 +292,7 @@
 /// Two voters of which the first has a disk that is recorded, until it has all that the second one has; the second one's
 /// is as quick as none. What the first one has on disk after each of its saves is added to `states`.
 fn caught_up(
-    store: &Store, tape: &Tape, found: Saved, states: &mut Vec<Option<Saved>>,
+    store: &Store, tape: &Tape, found: PersistentState, states: &mut Vec<Option<PersistentState>>,
 ) -> Result<(), String> {
     let mut nodes = [Node::start(found.clone(), TIMING, 2, 0), leader_of_two()];
     let (mut disk, mut due) = (found, VecDeque::new());
@@ -302,7 +304,7 @@
             for output in out {
                 match output {
                     Output::Send { message, .. } => {
-                        due.push_back((1 - at, Input::Heard { from: voter(at as u64 + 1), message }));
+                        due.push_back((1 - at, Input::Received { from: voter(at as u64 + 1), message }));
                     }
                     Output::Save(save) => {
                         if at == 0 {
@@ -329,12 +331,13 @@
 /// to it: it has the state of before or after, and catches up from there.
 #[test]
 fn power_may_go_while_a_snapshot_comes_in_pieces() {
-    let mut draw = Draw(5);
+    let mut rng = Rng(5);
     let tape = Tape::default();
-    let (store, _) = Store::on(tape.clone(), "tape").unwrap();
-    let old = Snapshot { index: 4, term: 1, members: vec![voter(1), voter(2)], state: draw.bytes(5_000) };
-    let begun = store.begin(voter(1), 1, old).unwrap();
-    let odd = (5..9).map(|index| Entry { index, term: 2, what: What::Change(draw.bytes(300)) }).collect();
+    let (store, _) = Store::open_backend(tape.clone(), "tape").unwrap();
+    let old = Snapshot { index: 4, term: 1, members: vec![voter(1), voter(2)], state: rng.bytes(5_000) };
+    let begun = store.create_from_snapshot(voter(1), 1, old).unwrap();
+    let odd =
+        (5..9).map(|index| Entry { index, term: 2, payload: Payload::Change(rng.bytes(300)) }).collect();
     let save = Save { ticket: 1, term: 2, vote: None, truncate: None, entries: odd, snapshot: None };
     store.save(&save).unwrap();
     let mut disk = begun.clone();
@@ -348,26 +351,20 @@
     let mut begin = Vec::new();
     tape.ops()[..before].iter().for_each(|op| put(&mut begin, op, |_| true));
     let ops = [&[Op::Acknowledged(1)], &tape.ops()[before..]].concat();
-    each_loss(
-        &begin,
-        &ops,
-        &[Left::Nothing, Left::Any, Left::All],
-        &mut draw,
-        |bytes, acknowledged, what| {
-            losses += 1;
-            let (tape, opened) = open(bytes);
-            let (store, found) = opened.map_err(|fault| format!("{what}: {fault}"))?;
-            if !fits(&found, &states, acknowledged) {
-                return Err(format!("{what}: {acknowledged} writes were acknowledged, found {found:?}"));
-            }
-            let found = found.ok_or(format!("{what}: an empty disk"))?;
-            // As seldom as the losses after a loss above: each takes a whole transfer.
-            if losses % 10 > 0 {
-                return Ok(());
-            }
-            caught_up(&store, &tape, found, &mut Vec::new()).map_err(|fault| format!("{what}: {fault}"))
-        },
-    )
+    each_loss(&begin, &ops, &[Left::Nothing, Left::Any, Left::All], &mut rng, |bytes, acknowledged, what| {
+        losses += 1;
+        let (tape, opened) = open(bytes);
+        let (store, found) = opened.map_err(|fault| format!("{what}: {fault}"))?;
+        if !fits(&found, &states, acknowledged) {
+            return Err(format!("{what}: {acknowledged} writes were acknowledged, found {found:?}"));
+        }
+        let found = found.ok_or(format!("{what}: an empty disk"))?;
+        // As seldom as the losses after a loss above: each takes a whole transfer.
+        if losses % 10 > 0 {
+            return Ok(());
+        }
+        caught_up(&store, &tape, found, &mut Vec::new()).map_err(|fault| format!("{what}: {fault}"))
+    })
     .unwrap();
     println!("{losses} losses of power");
     assert!(losses > 100, "{losses}");
@@ -383,7 +380,7 @@
 }
 
 impl Found {
-    fn look(&mut self, what: &str, bytes: Vec<u8>, states: &[Option<Saved>]) {
+    fn look(&mut self, what: &str, bytes: Vec<u8>, states: &[Option<PersistentState>]) {
         match catch_unwind(|| open(bytes).1.map(|(_, found)| found)) {
             Ok(Ok(found)) if found.as_ref() == states.last().and_then(Option::as_ref) => self.whole += 1,
             Ok(Ok(found)) if states.contains(&found) => self.older += 1,
@@ -393,7 +390,7 @@
     }
 
     /// Changes one bit in the file at each of these places; in its first bytes, which no sum covers, each bit.
-    fn flip(bytes: &[u8], states: &[Option<Saved>], step: usize) -> Found {
+    fn flip(bytes: &[u8], states: &[Option<PersistentState>], step: usize) -> Found {
         let mut found = Found::default();
         let first = (0..64).flat_map(|at| (0..8).map(move |bit| (at, bit)));
         let others = (64..320).chain((320..bytes.len()).step_by(step));
@@ -407,7 +404,7 @@
 }
 
 /// A file as its process leaves it when it ends, or (with its last save acknowledged) when it is killed.
-fn left_behind(closed: bool) -> (Vec<u8>, Vec<Option<Saved>>) {
+fn left_behind(closed: bool) -> (Vec<u8>, Vec<Option<PersistentState>>) {
     let (tape, states) = recorded(1);
     let ops = tape.ops();
     let last = ops.iter().rposition(|op| matches!(op, Op::Acknowledged(_))).unwrap();
--- a/crates/raft/tests/rules.rs
+++ b/crates/raft/tests/rules.rs
@@ -1,7 +1,8 @@
 //! Single rules of one node.
 
 use raft::{
-    Entry, Faults, Input, Message, Node, Output, RetirementPolicy, Role, Saved, Timing, VoterId, What,
+    Entry, Faults, Input, Message, Node, Output, Payload, PersistentState, RetirementPolicy, Role, Timing,
+    VoterId,
 };
 use yare::parameterized;
 
@@ -11,8 +12,8 @@
     VoterId { address: format!("n{host}"), incarnation }
 }
 
-fn saved(founders: Vec<VoterId>) -> Saved {
-    Saved { me: voter(0, 0), term: 0, vote: None, snapshot: None, entries: Vec::new(), founders }
+fn saved(founders: Vec<VoterId>) -> PersistentState {
+    PersistentState { me: voter(0, 0), term: 0, vote: None, snapshot: None, entries: Vec::new(), founders }
 }
 
 fn three() -> Vec<VoterId> {
@@ -26,7 +27,7 @@
 }
 
 fn heard(from: usize, message: Message) -> Input {
-    Input::Heard { from: voter(from, 0), message }
+    Input::Received { from: voter(from, 0), message }
 }
 
 fn messages(out: &[Output]) -> Vec<&Message> {
@@ -72,7 +73,7 @@
 
 #[test]
 fn who_has_started_again_or_hears_a_leader_does_not_vote() {
-    let mut node = Node::start(Saved { term: 4, ..saved(three()) }, TIMING, 1, 0);
+    let mut node = Node::start(PersistentState { term: 4, ..saved(three()) }, TIMING, 1, 0);
     let stand = |term| heard(1, Message::RequestVote { term, last_index: 0, last_term: 0 });
     let refused = Message::VoteAnswer { term: 4, granted: false };
     assert_eq!(messages(&step(&mut node, 299, stand(5))), [&refused]);
@@ -108,11 +109,11 @@
 /// An entry of an older term on a majority may still be overwritten. (The drawn worlds do not find this fault: the
 /// entry and the leader's own first one go out in one message.)
 #[parameterized(as_it_is = { false, 0 }, planted = { true, 1 })]
-fn an_older_term_counts_only_with_one_of_the_own(old_terms_count: bool, early: u64) {
-    let entry = Entry { index: 1, term: 2, what: What::Change(vec![1]) };
-    let disk = Saved { term: 3, entries: vec![entry], ..saved(three()) };
+fn an_older_term_counts_only_with_one_of_the_own(commit_old_terms: bool, early: u64) {
+    let entry = Entry { index: 1, term: 2, payload: Payload::Change(vec![1]) };
+    let disk = PersistentState { term: 3, entries: vec![entry], ..saved(three()) };
     let mut node = Node::start(disk, TIMING, 1, 0);
-    node.plant(Faults { old_terms_count, ..Faults::default() });
+    node.inject_faults(Faults { commit_old_terms, ..Faults::default() });
     let round = pre_vote_round(&step(&mut node, 700, Input::Tick));
     step(&mut node, 701, heard(1, Message::PreVoteAnswer { round, term: 3, granted: true }));
     step(&mut node, 702, Input::Saved { ticket: 1 });
@@ -136,7 +137,7 @@
     step(&mut node, 204, Input::Propose { token: 7, change: vec![1] });
     assert!(node.is_leader() && !node.holds_lease(204));
     let out = step(&mut node, 204 + 2 * TIMING.election, Input::Tick);
-    assert!(out.contains(&Output::Unclear { token: 7 }) && !node.is_leader(), "{out:?}");
+    assert!(out.contains(&Output::OutcomeUnknown { token: 7 }) && !node.is_leader(), "{out:?}");
     let out = step(&mut node, 900, Input::Propose { token: 8, change: vec![1] });
     assert!(out.contains(&Output::Refused { token: 8, leader: None }), "{out:?}");
 }
@@ -145,7 +146,7 @@
 #[test]
 fn who_hears_of_commits_but_gets_no_entries_knows_that_it_lags() {
     let mut node = Node::start(saved(three()), TIMING, 1, 0);
-    let entry = |index| Entry { index, term: 1, what: What::Change(vec![1]) };
+    let entry = |index| Entry { index, term: 1, payload: Payload::Change(vec![1]) };
     let append = |at, entries, commit| {
         let prev_term = u64::from(at > 0);
         heard(1, Message::Append { term: 1, prev_index: at, prev_term, entries, commit })
@@ -166,7 +167,7 @@
 
 /// When three nodes whose disks take this long for each save have a leader.
 fn leader_with_disks_of(sync: u64, seed: u64) -> Option<u64> {
-    let one = |at: usize| Saved { me: voter(at, 0), ..saved(three()) };
+    let one = |at: usize| PersistentState { me: voter(at, 0), ..saved(three()) };
     let mut nodes: Vec<_> = (0..3).map(|at| Node::start(one(at), TIMING, seed * 3 + at as u64, 0)).collect();
     // What comes when, at whom; a disk makes one save after the other.
     let mut due: Vec<(u64, usize, Input)> = Vec::new();
@@ -242,7 +243,7 @@
     fn new() -> Self {
         let founders = (0..4).map(|at| voter(at, 0)).collect();
         let mut node = Node::start(saved(founders), TIMING, 1, 0);
-        node.retire_by(RetirementPolicy { silence: 1_000, least_voters: 3 });
+        node.set_retirement_policy(RetirementPolicy { silence_timeout: 1_000, min_voters: 3 });
         let round = pre_vote_round(&step(&mut node, 200, Input::Tick));
         for from in 1..3 {
             step(&mut node, 201, heard(from, Message::PreVoteAnswer { round, term: 0, granted: true }));
@@ -282,16 +283,16 @@
 fn a_silent_voter_of_four_is_retired_and_one_of_three_is_not() {
     let mut leader = LeaderOfFour::new();
     leader.lead(2_000, &[1, 2, 3]);
-    assert_eq!(leader.node.standing(leader.now).map(|standing| standing.further_losses), Some(1));
+    assert_eq!(leader.node.membership_status(leader.now).map(|status| status.further_losses), Some(1));
     leader.lead(900, &[1, 2]);
-    let standing = leader.node.standing(leader.now).expect("it holds the lease");
-    assert_eq!((standing.further_losses, standing.unheard), (0, vec![voter(3, 0)]));
+    let status = leader.node.membership_status(leader.now).expect("it holds the lease");
+    assert_eq!((status.further_losses, status.unresponsive), (0, vec![voter(3, 0)]));
     leader.lead(200, &[1, 2]);
     assert_eq!(leader.node.members(), three());
     for from in 1..3 {
         step(&mut leader.node, leader.now, heard(from, Message::AppendAccepted { term: 1, index: 2 }));
     }
-    assert_eq!(leader.node.standing(leader.now).map(|standing| standing.further_losses), Some(1));
+    assert_eq!(leader.node.membership_status(leader.now).map(|status| status.further_losses), Some(1));
     leader.lead(5_000, &[1]);
     assert_eq!(leader.node.members(), three(), "a list of two bears no more than this one");
 }
--- a/crates/raft/tests/world/mod.rs
+++ b/crates/raft/tests/simulation/mod.rs
@@ -4,22 +4,22 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
 use raft::{
-    Entry, Faults, Input, Message, Millis, Node, Output, RetirementPolicy, Save, Saved, Snapshot, Timing,
-    TransferLimits, VoterId, What,
+    Entry, Faults, Input, Message, Millis, Node, Output, Payload, PersistentState, RetirementPolicy, Save,
+    Snapshot, Timing, TransferLimits, VoterId,
 };
 
-use crate::kept::{apply, empty};
+use crate::fake_disk::{apply, empty};
 
 /// How many entries a voter may lack when it is added to a list, beside those that are on their way to its disk.
 const MOST_LACKING: u64 = 64;
 
 pub const TIMING: Timing = Timing { heartbeat: 50, election: 300, lease: 220 };
 
-pub struct Draw(u64);
+pub struct Rng(u64);
 
-impl Draw {
-    pub fn new(seed: u64) -> Draw {
-        Draw(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
+impl Rng {
+    pub fn new(seed: u64) -> Rng {
+        Rng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
 
     pub fn below(&mut self, limit: u64) -> u64 {
@@ -35,7 +35,7 @@
 }
 
 pub struct Host {
-    pub disk: Saved,
+    pub disk: PersistentState,
     pub node: Option<Node>,
     saves: VecDeque<Save>,
     life: u64,
@@ -47,7 +47,7 @@
 }
 
 impl Host {
-    fn with(disk: Saved) -> Host {
+    fn with(disk: PersistentState) -> Host {
         Host {
             disk,
             node: None,
@@ -69,7 +69,7 @@
 pub struct World {
     pub now: Millis,
     pub hosts: Vec<Host>,
-    pub draw: Draw,
+    pub rng: Rng,
     pub cut: Vec<Vec<bool>>,
     pub lossy: bool,
     /// How many saves, and messages, of a hundred take long.
@@ -92,8 +92,8 @@
 }
 
 fn after(state: u64, entry: &Entry) -> u64 {
-    let bytes = match &entry.what {
-        What::Change(bytes) => bytes.as_slice(),
+    let bytes = match &entry.payload {
+        Payload::Change(bytes) => bytes.as_slice(),
         _ => &[],
     };
     bytes.iter().fold(state ^ entry.index, |sum, byte| (sum ^ u64::from(*byte)).wrapping_mul(0x100_0000_01b3))
@@ -114,12 +114,12 @@
         let mut world = World {
             now: 1000,
             hosts: founders.iter().map(host).collect(),
-            draw: Draw::new(seed + 1),
+            rng: Rng::new(seed + 1),
             cut: vec![vec![false; size]; size],
             lossy: true,
             slow: (2, 3),
             hung_until: BTreeMap::new(),
-            policy: RetirementPolicy { silence: 6 * TIMING.election, least_voters: size },
+            policy: RetirementPolicy { silence_timeout: 6 * TIMING.election, min_voters: size },
             faults,
             limits,
             events: BTreeMap::new(),
@@ -142,13 +142,13 @@
     }
 
     fn restart(&mut self, at: usize) {
-        let seed = self.draw.below(1 << 40);
+        let seed = self.rng.below(1 << 40);
         let (now, faults, limits, policy) = (self.now, self.faults, self.limits, self.policy);
         let host = &mut self.hosts[at];
         let mut node = Node::start(host.disk.clone(), TIMING, seed, now);
-        node.plant(faults);
-        node.limit_transfers(limits);
-        node.retire_by(policy);
+        node.inject_faults(faults);
+        node.set_transfer_limits(limits);
+        node.set_retirement_policy(policy);
         host.node = Some(node);
         host.frozen_until = 0;
         (host.applied, host.state) = match &host.disk.snapshot {
@@ -159,7 +159,7 @@
 
     /// Power goes: of what was being saved, some first part may be on disk.
     pub fn kill(&mut self, at: usize, back_after: Millis) {
-        let kept = self.draw.below(self.hosts[at].saves.len() as u64 + 1);
+        let kept = self.rng.below(self.hosts[at].saves.len() as u64 + 1);
         let host = &mut self.hosts[at];
         if host.node.take().is_none() {
             return;
@@ -174,7 +174,7 @@
 
     pub fn wipe(&mut self, at: usize, back_after: Millis) {
         self.kill(at, back_after);
-        let incarnation = 1 + self.draw.below(1 << 40);
+        let incarnation = 1 + self.rng.below(1 << 40);
         let host = &mut self.hosts[at];
         host.disk = empty(voter(at, incarnation), Vec::new());
     }
@@ -193,7 +193,7 @@
     #[allow(dead_code)] // As above.
     pub fn newcomer(&mut self, after: Millis) -> usize {
         let at = self.hosts.len();
-        let incarnation = 1 + self.draw.below(1 << 40);
+        let incarnation = 1 + self.rng.below(1 << 40);
         self.hosts.push(Host::with(empty(voter(at, incarnation), Vec::new())));
         self.cut.iter_mut().for_each(|row| row.push(false));
         self.cut.push(vec![false; at + 1]);
@@ -239,7 +239,8 @@
         let mut out = Vec::new();
         let now = self.now;
         let Some(node) = &mut self.hosts[at].node else { return Ok(()) };
-        let led = node.is_leader().then(|| (node.term(), node.members().to_vec(), node.voters_settled()));
+        let led =
+            node.is_leader().then(|| (node.term(), node.members().to_vec(), node.membership_committed()));
         node.handle(now, input, &mut out);
         if node.is_leader() {
             let (term, me) = (node.term(), node.me().clone());
@@ -251,7 +252,7 @@
         if let Some((term, list, settled)) = led {
             let settled = settled
                 || out.iter().any(|output| {
-                    matches!(output, Output::Committed { entry } if entry.what == What::Members(list.clone()))
+                    matches!(output, Output::Committed { entry } if entry.payload == Payload::Members(list.clone()))
                 });
             self.list_changes_by_the_rules(at, term, &list, settled)?;
         }
@@ -299,7 +300,7 @@
             let exchanged = self.hosts.iter().any(|host| {
                 host.disk.me.address == voter.address && host.disk.me.incarnation != voter.incarnation
             });
-            if !exchanged && node.members().len() < self.policy.least_voters {
+            if !exchanged && node.members().len() < self.policy.min_voters {
                 return Err(format!("{voter} is taken off a list that is too short without it"));
             }
         }
@@ -310,12 +311,12 @@
         match output {
             Output::Send { to, message } => self.send(at, &to, message),
             Output::Save(save) => {
-                let slow = if self.draw.chance(self.slow.0) { 300 } else { 15 };
+                let slow = if self.rng.chance(self.slow.0) { 300 } else { 15 };
                 // The disk does one after the other.
                 let ticket = save.ticket;
                 self.hosts[at].saves.push_back(save);
                 let hung_until = self.hung_until.get(&at).copied().unwrap_or(0);
-                let at_time = (self.now + 1 + self.draw.below(slow)).max(hung_until);
+                let at_time = (self.now + 1 + self.rng.below(slow)).max(hung_until);
                 let life = self.hosts[at].life;
                 self.schedule(
                     at_time,
@@ -344,7 +345,7 @@
                 (self.hosts[at].applied, self.hosts[at].state) = (index, state);
             }
             Output::Accepted { index, term, .. } => self.accepted.push((at, index, term)),
-            Output::Refused { .. } | Output::Unclear { .. } | Output::Role(_) => {}
+            Output::Refused { .. } | Output::OutcomeUnknown { .. } | Output::Role(_) => {}
         }
         Ok(())
     }
@@ -352,17 +353,17 @@
     fn send(&mut self, from: usize, to: &VoterId, message: Message) {
         self.sent += 1;
         let to: usize = to.address[1..].parse().unwrap();
-        let copies = match self.draw.below(100) {
+        let copies = match self.rng.below(100) {
             0..4 if self.lossy => 0,
             4..7 if self.lossy => 2,
             _ => 1,
         };
         for _ in 0..copies {
-            let slow = if self.lossy && self.draw.chance(self.slow.1) { 400 } else { 20 };
-            let at = self.now + 1 + self.draw.below(slow);
+            let slow = if self.lossy && self.rng.chance(self.slow.1) { 400 } else { 20 };
+            let at = self.now + 1 + self.rng.below(slow);
             if !self.cut[from][to] {
                 let from = self.hosts[from].disk.me.clone();
-                let input = Input::Heard { from, message: message.clone() };
+                let input = Input::Received { from, message: message.clone() };
                 self.schedule(at, Event::Input { host: to, life: None, input });
             }
         }
@@ -412,7 +413,7 @@
     }
 
     /// What the hosts do by themselves: the leader's takes in learners, all of them compact.
-    pub fn chores(&mut self) -> Result<(), String> {
+    pub fn run_maintenance(&mut self) -> Result<(), String> {
         if let Some(leader) = self.leader() {
             for learner in self.learners() {
                 self.input(leader, Input::AddVoter(learner))?;
@@ -421,7 +422,7 @@
         for at in 0..self.hosts.len() {
             let host = &self.hosts[at];
             let base = host.disk.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-            if host.node.is_some() && host.applied > base + 40 && self.draw.chance(30) {
+            if host.node.is_some() && host.applied > base + 40 && self.rng.chance(30) {
                 let (index, state) = (host.applied, host.state.to_be_bytes().to_vec());
                 self.input(at, Input::Compact { index, state })?;
             }
--- a/crates/raft/tests/slow_links/mod.rs
+++ b/crates/raft/tests/slow_links/mod.rs
@@ -8,11 +8,11 @@
 use std::sync::LazyLock;
 
 use raft::{
-    Entry, Faults, Input, Message, Millis, Node, Output, Save, Saved, Snapshot, Timing, TransferLimits,
-    VoterId, What,
+    Entry, Faults, Input, Message, Millis, Node, Output, Payload, PersistentState, Save, Snapshot, Timing,
+    TransferLimits, VoterId,
 };
 
-use crate::kept::{apply, empty};
+use crate::fake_disk::{apply, empty};
 
 /// As in service.
 pub const TIMING: Timing = Timing { heartbeat: 60, election: 320, lease: 230 };
@@ -85,7 +85,7 @@
 }
 
 struct Host {
-    disk: Saved,
+    disk: PersistentState,
     node: Option<Node>,
     saves: VecDeque<Save>,
     disk_free_at: Millis,
@@ -145,15 +145,15 @@
 }
 
 fn bytes_of(message: &Message) -> usize {
-    let entry = |entry: &Entry| match &entry.what {
-        What::Change(bytes) => bytes.len() + 24,
+    let entry = |entry: &Entry| match &entry.payload {
+        Payload::Change(bytes) => bytes.len() + 24,
         _ => 64,
     };
     HEADER_BYTES
         + match message {
             Message::Append { entries, .. } => entries.iter().map(entry).sum(),
             Message::InstallSnapshot { snapshot, .. } => snapshot.state.len(),
-            Message::Piece { bytes, .. } => bytes.len(),
+            Message::Chunk { bytes, .. } => bytes.len(),
             _ => 0,
         }
 }
@@ -218,8 +218,8 @@
         let (faults, limits, now) = (self.faults, self.limits, self.now);
         let host = &mut self.hosts[at];
         let mut node = Node::start(host.disk.clone(), TIMING, now * 7 + at as u64, now);
-        node.plant(faults);
-        node.limit_transfers(limits);
+        node.inject_faults(faults);
+        node.set_transfer_limits(limits);
         host.node = Some(node);
         (host.disk_free_at, host.since_compaction) = (now, (0, 0));
         (host.applied, host.state) = match &host.disk.snapshot {
@@ -301,10 +301,10 @@
                     return Ok(());
                 }
                 link.waiting -= 1;
-                if self.knows_no_pieces == Some(to) && matches!(message, Message::Piece { .. }) {
+                if self.knows_no_pieces == Some(to) && matches!(message, Message::Chunk { .. }) {
                     return Ok(());
                 }
-                self.input(to, Input::Heard { from: sender, message })
+                self.input(to, Input::Received { from: sender, message })
             }
             Event::Saved { host: at, incarnation, ticket } => {
                 let host = &mut self.hosts[at];
@@ -342,7 +342,7 @@
             Output::Accepted { token, index, term } => {
                 self.accepted.insert((index, term), token);
             }
-            Output::Refused { .. } | Output::Unclear { .. } | Output::Role(_) => {}
+            Output::Refused { .. } | Output::OutcomeUnknown { .. } | Output::Role(_) => {}
         }
         Ok(())
     }
@@ -363,8 +363,8 @@
 
     /// A sync takes 5 ms, and a megabyte 20 ms more.
     fn save(&mut self, at: usize, save: Save) {
-        let entries = save.entries.iter().map(|entry| match &entry.what {
-            What::Change(bytes) => bytes.len(),
+        let entries = save.entries.iter().map(|entry| match &entry.payload {
+            Payload::Change(bytes) => bytes.len(),
             _ => 16,
         });
         let bytes =
@@ -383,7 +383,7 @@
             return Err(format!("n{at} is told entry {} after {}", entry.index, host.applied));
         }
         host.applied = entry.index;
-        if let What::Change(change) = &entry.what {
+        if let Payload::Change(change) = &entry.payload {
             host.state.apply(change);
             host.since_compaction.0 += 1;
             host.since_compaction.1 += change.len();
--- a/crates/raft/tests/transfer.rs
+++ b/crates/raft/tests/transfer.rs
@@ -1,10 +1,10 @@
 //! Single rules of a follower that is sent pieces.
 
-use raft::{Input, Message, Node, Output, PayloadKind, Saved, Timing, TransferId, VoterId};
+use raft::{Input, Message, Node, Output, PersistentState, Timing, TransferId, TransferKind, VoterId};
 
 const TIMING: Timing = Timing { heartbeat: 60, election: 320, lease: 230 };
 const SNAPSHOT: TransferId =
-    TransferId { kind: PayloadKind::Snapshot, index: 9, term: 1, length: 100, checksum: 7 };
+    TransferId { kind: TransferKind::Snapshot, index: 9, term: 1, length: 100, checksum: 7 };
 
 fn voter(host: usize) -> VoterId {
     VoterId { address: format!("n{host}"), incarnation: 0 }
@@ -13,20 +13,20 @@
 fn follower() -> Node {
     let founders = (0..3).map(voter).collect();
     let (term, vote, snapshot, entries) = (0, None, None, Vec::new());
-    Node::start(Saved { me: voter(0), term, vote, snapshot, entries, founders }, TIMING, 1, 0)
+    Node::start(PersistentState { me: voter(0), term, vote, snapshot, entries, founders }, TIMING, 1, 0)
 }
 
 /// How many bytes it says are there after a piece, as it says so at once; none if it says nothing.
 fn received(
     node: &mut Node, from: usize, term: u64, transfer: TransferId, offset: u64, length: usize,
 ) -> Option<u64> {
-    let message = Message::Piece { term, transfer, offset, bytes: vec![5; length] };
+    let message = Message::Chunk { term, transfer, offset, bytes: vec![5; length] };
     let mut out = Vec::new();
-    node.handle(10, Input::Heard { from: voter(from), message }, &mut out);
+    node.handle(10, Input::Received { from: voter(from), message }, &mut out);
     assert!(!out.iter().any(|output| matches!(output, Output::Install { .. })), "no payload is whole here");
     out.into_iter().find_map(|output| match output {
         Output::Send {
-            message: Message::PieceReceived { transfer: of, offset: at, received, .. }, ..
+            message: Message::ChunkReceived { transfer: of, offset: at, received, .. }, ..
         } => {
             assert_eq!((of, at), (transfer, offset));
             Some(received)
--- a/crates/raft/tests/wire.rs
+++ b/crates/raft/tests/wire.rs
@@ -2,7 +2,7 @@
 //! can't know it does not take for something else.
 
 use bitcode::{Decode, Encode};
-use raft::{Entry, Message, PayloadKind, Snapshot, TransferId, VoterId, What};
+use raft::{Entry, Message, Payload, Snapshot, TransferId, TransferKind, VoterId};
 
 /// The messages of the version before, as it declared them.
 #[derive(Debug, PartialEq, Encode, Decode)]
@@ -21,8 +21,9 @@
 
 fn entries(number: u64) -> Vec<Entry> {
     let list = vec![VoterId { address: format!("n{number}"), incarnation: number }];
-    let kinds = [What::Nothing, What::Change(vec![number as u8; number as usize % 40]), What::Members(list)];
-    kinds.into_iter().map(|what| Entry { index: number, term: number, what }).collect()
+    let kinds =
+        [Payload::Noop, Payload::Change(vec![number as u8; number as usize % 40]), Payload::Members(list)];
+    kinds.into_iter().map(|payload| Entry { index: number, term: number, payload }).collect()
 }
 
 fn snapshot(number: u64) -> Snapshot {
@@ -66,11 +67,11 @@
 #[test]
 fn the_version_before_takes_no_piece_for_anything_else() {
     for number in NUMBERS {
-        for kind in [PayloadKind::Snapshot, PayloadKind::Entry] {
+        for kind in [TransferKind::Snapshot, TransferKind::Entry] {
             let transfer = TransferId { kind, index: number, term: 3, length: number / 2, checksum: number };
             let bytes = vec![number as u8; 20];
-            let piece = Message::Piece { term: number, transfer, offset: number, bytes };
-            let answer = Message::PieceReceived { term: number, transfer, offset: 0, received: number };
+            let piece = Message::Chunk { term: number, transfer, offset: number, bytes };
+            let answer = Message::ChunkReceived { term: number, transfer, offset: 0, received: number };
             for message in [piece, answer] {
                 let bytes = bitcode::encode(&message);
                 assert!(bitcode::decode::<Former>(&bytes).is_err(), "{message:?}");
--- a/crates/reachlb/src/operate/state.rs
+++ b/crates/reachlb/src/operate/state.rs
@@ -4,7 +4,7 @@
 use control_plane::{Change, DrainEntry, Marks, State};
 use gumdrop::Options;
 use raft::store::{Store, StoreError};
-use raft::{Entry, Saved, What};
+use raft::{Entry, Payload, PersistentState};
 use serde_json::{Value, json};
 use std::fs::{File, TryLockError};
 use std::path::{Path, PathBuf};
@@ -59,7 +59,7 @@
     })
 }
 
-fn read(path: &Path) -> Result<Option<Saved>, Trouble> {
+fn read(path: &Path) -> Result<Option<PersistentState>, Trouble> {
     let unusable =
         |step: &'static str, why: String| Trouble::Unusable { step, what: path.display().to_string(), why };
     let mut original = File::open(path).map_err(|error| unusable("open", error.to_string()))?;
@@ -75,7 +75,7 @@
     drop(to);
     match Store::open(&copy) {
         Ok((_, saved)) => Ok(saved),
-        Err(StoreError::Damaged { what, .. }) => Err(damaged(path, what)),
+        Err(StoreError::Damaged { reason, .. }) => Err(damaged(path, reason)),
         Err(error) => Err(unusable("read", error.to_string())),
     }
 }
@@ -84,7 +84,7 @@
     Trouble::Damaged { what: path.display().to_string(), why }
 }
 
-fn described(saved: &Saved, path: &Path) -> Result<Value, Trouble> {
+fn described(saved: &PersistentState, path: &Path) -> Result<Value, Trouble> {
     let snapshot = match &saved.snapshot {
         Some(snapshot) => {
             let state = State::restore(&snapshot.state)
@@ -96,24 +96,24 @@
         None => None,
     };
     let entry = |entry: &Entry| -> Result<Value, Trouble> {
-        let what = match &entry.what {
-            What::Nothing => "the first of a leader".to_owned(),
-            What::Members(list) => {
+        let what = match &entry.payload {
+            Payload::Noop => "the first of a leader".to_owned(),
+            Payload::Members(list) => {
                 let list: Vec<_> = list.iter().map(ToString::to_string).collect();
                 format!("voters {}", list.join(" "))
             }
-            What::Change(change) if let Some(marks) = Marks::read(change) => {
+            Payload::Change(change) if let Some(marks) = Marks::read(change) => {
                 let marks = marks
                     .map_err(|error| damaged(path, format!("the marks in entry {}: {error}", entry.index)))?;
                 format!("marks: {} floors of counts, {} data planes", marks.floors.len(), marks.fleet)
             }
-            What::Change(change) if let Some(drains) = DrainEntry::read(change) => {
+            Payload::Change(change) if let Some(drains) = DrainEntry::read(change) => {
                 let drains = drains.map_err(|error| {
                     damaged(path, format!("the drains in entry {}: {error}", entry.index))
                 })?;
                 format!("backends that leave: {}", drains.ids.join(" "))
             }
-            What::Change(change) => {
+            Payload::Change(change) => {
                 let change = Change::read(change).map_err(|error| {
                     damaged(path, format!("the change in entry {}: {error}", entry.index))
                 })?;
@@ -123,8 +123,8 @@
         Ok(json!({ "index": entry.index, "term": entry.term, "what": what }))
     };
     let entries = saved.entries.iter().map(entry).collect::<Result<Vec<_>, _>>()?;
-    let newest = saved.entries.iter().rev().find_map(|entry| match &entry.what {
-        What::Members(list) => Some(list),
+    let newest = saved.entries.iter().rev().find_map(|entry| match &entry.payload {
+        Payload::Members(list) => Some(list),
         _ => None,
     });
     let members = newest.or(saved.snapshot.as_ref().map(|s| &s.members)).unwrap_or(&saved.founders);
@@ -183,8 +183,8 @@
             bitcode::encode(&(5u64, b"body".to_vec(), std::collections::BTreeMap::<u64, [u8; 32]>::new()));
         let change = Change { base: 5, version: 6, digest: [6; 32], body: b"marked body".to_vec() };
         let snapshot = Snapshot { index: 2, term: 3, members: vec![me], state };
-        let what = What::Change(bitcode::encode(&change));
-        let entries = vec![Entry { index: 3, term: 3, what }];
+        let what = Payload::Change(bitcode::encode(&change));
+        let entries = vec![Entry { index: 3, term: 3, payload: what }];
         let save = Save { ticket: 1, term: 3, vote: None, truncate: None, entries, snapshot: Some(snapshot) };
         store.save(&save).expect("saved");
         (folder, path)
--- a/crates/testbed/src/capacity/messages.rs
+++ b/crates/testbed/src/capacity/messages.rs
@@ -4,7 +4,7 @@
 use super::size::Size;
 use protocol::{ControlPlaneAddress, Heartbeat, Held, Hello, Message, Order, Plane, frame};
 use quota::{Epoch, Grant, LeaseRequest, Share, Standing, Want};
-use raft::{Entry, Message as LogMessage, What};
+use raft::{Entry, Message as LogMessage, Payload};
 use transport::config_snapshots::{ConfigEncoder, held};
 
 /// The largest body that the control plane's HTTP interface takes, in bytes, and the log as well.
@@ -102,7 +102,7 @@
 }
 
 fn append(change: Vec<u8>) -> LogMessage {
-    let entry = Entry { index: 90_000, term: 12, what: What::Change(change) };
+    let entry = Entry { index: 90_000, term: 12, payload: Payload::Change(change) };
     LogMessage::Append { term: 12, prev_index: 89_999, prev_term: 12, entries: vec![entry], commit: 89_999 }
 }
 
--- a/group/src/store.rs
+++ b/group/src/store.rs
@@ -6,7 +6,7 @@
 //! has forgotten: the old number's vote is counted for nobody.
 
 use crate::machine::{Command, Reply, State};
-use raft::{Entry, Saved, Snapshot, VoterId, What};
+use raft::{Entry, Payload, PersistentState, Snapshot, VoterId};
 use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -111,7 +111,7 @@
     ///
     /// # Errors
     /// When the snapshot's state cannot be read.
-    pub fn of(saved: &Saved) -> Result<Self, StoreError> {
+    pub fn of(saved: &PersistentState) -> Result<Self, StoreError> {
         saved.snapshot.as_ref().map_or_else(
             || Ok(Self { voters: saved.founders.clone(), ..Self::default() }),
             |snapshot| Self::restored(snapshot).ok_or(StoreError::State),
@@ -134,15 +134,15 @@
     /// Takes the next entry.
     pub fn take(&mut self, entry: &Entry) -> Reply {
         (self.index, self.term) = (entry.index, entry.term);
-        match &entry.what {
-            What::Nothing => Reply::Done,
-            What::Members(voters) => {
+        match &entry.payload {
+            Payload::Noop => Reply::Done,
+            Payload::Members(voters) => {
                 self.voters = voters.clone();
                 self.state.voters(&voters.iter().map(name).collect::<Vec<_>>());
                 Reply::Done
             }
             // One that cannot be read is void, and so at every voter.
-            What::Change(bytes) => match postcard::from_bytes::<Command>(bytes) {
+            Payload::Change(bytes) => match postcard::from_bytes::<Command>(bytes) {
                 Ok(command) => self.state.apply(entry.term, &command),
                 Err(_) => Reply::Done,
             },
@@ -155,7 +155,7 @@
     /// The file.
     pub disk: raft::store::Store,
     /// What the log goes on from.
-    pub saved: Saved,
+    pub saved: PersistentState,
     /// What stands for the entries before.
     pub applied: Applied,
 }
@@ -290,7 +290,7 @@
     let (begun, _) = raft::store::Store::open(&new)?;
     let id = me.incarnation;
     // Terms go on above all that this voter has seen: an older one may have been another leader's.
-    begun.begin(me, saved.term + 1, snapshot)?;
+    begun.create_from_snapshot(me, saved.term + 1, snapshot)?;
     drop((disk, begun));
     set_aside(&path)?;
     std::fs::rename(&new, &path)?;
--- a/group/src/voter.rs
+++ b/group/src/voter.rs
@@ -194,7 +194,7 @@
             let snapshot = applied.snapshot().ok_or(VoterError::State)?;
             let disk = core.writer.take().and_then(Writer::stop).ok_or(VoterError::State)?;
             let term = core.node.term().max(1);
-            let begun = disk.begin(core.node.me().clone(), term, snapshot);
+            let begun = disk.create_from_snapshot(core.node.me().clone(), term, snapshot);
             let saved = begun.map_err(|error| VoterError::Store(error.into()))?;
             // Nobody can lead a group that did not exist, so nobody is bound to one: it may stand as if it had waited.
             let timing = self.times.timing();
--- a/group/src/voter/driver.rs
+++ b/group/src/voter/driver.rs
@@ -4,7 +4,7 @@
 use super::{Voter, millis};
 use crate::machine::{Command, Reply};
 use crate::store::{Applied, StoreError};
-use raft::{Entry, Input, Output, Snapshot, Told, Writer};
+use raft::{Entry, Input, Output, Snapshot, Writer, WriterEvent};
 use std::collections::HashMap;
 use std::fmt;
 use std::rc::Rc;
@@ -80,12 +80,12 @@
                     return;
                 }
                 match saved {
-                    Told::Saved(ticket) => voter.feed(Input::Saved { ticket }),
-                    Told::Refused(error) => (voter.tell)(format!(
+                    WriterEvent::Saved(ticket) => voter.feed(Input::Saved { ticket }),
+                    WriterEvent::WriteFailed(error) => (voter.tell)(format!(
                         "group {}: voter {} votes and acknowledges nothing until its disk takes writes: {error}",
                         voter.group, voter.me.name
                     )),
-                    Told::Lost(error) => voter.fall_silent(&error),
+                    WriterEvent::StoreLost(error) => voter.fall_silent(&error),
                 }
             }
         });
@@ -139,7 +139,7 @@
                     Output::Accepted { token, index, term } => {
                         core.accepted.insert(index, (term, token));
                     }
-                    Output::Refused { token, .. } | Output::Unclear { token } => {
+                    Output::Refused { token, .. } | Output::OutcomeUnknown { token } => {
                         core.asked.remove(&token);
                     }
                     Output::Role(_) => {
--- a/group/src/voter/mail.rs
+++ b/group/src/voter/mail.rs
@@ -122,7 +122,7 @@
         self.hear_of(name(&from), mail.at);
         for bytes in mail.messages {
             let message = bitcode::decode(&bytes).map_err(|_| StatusCode::BAD_REQUEST)?;
-            self.feed(Input::Heard { from: from.clone(), message });
+            self.feed(Input::Received { from: from.clone(), message });
         }
         Ok(())
     }
