--- a/crates/raft/src/bounded_model_check/mod.rs
+++ b/crates/raft/src/bounded_model_check/mod.rs
@@ -3,7 +3,7 @@
 #[path = "../../tests/fake_disk/mod.rs"]
 mod fake_disk;
 mod search;
-mod without_time;
+mod time_abstraction;
 mod world;
 
 use search::search;
@@ -127,8 +127,8 @@
 }
 
 /// ... and has begun to send its snapshot piece by piece.
-fn in_pieces(plant: Plant) -> World {
-    compacted(plant).in_pieces().then(Event::Heartbeat(0)).hear(2, 0).hear(0, 2)
+fn in_chunks(plant: Plant) -> World {
+    compacted(plant).in_chunks().then(Event::Heartbeat(0)).hear(2, 0).hear(0, 2)
 }
 
 #[parameterized(
@@ -139,7 +139,7 @@
     from_leaving = { leaving, 5, (1, 3) },
     from_exchanged = { exchanged, 8, (2, 3) },
     from_compacted = { compacted, 5, (3, 3) },
-    from_in_pieces = { in_pieces, 6, (3, 3) },
+    from_in_pieces = { in_chunks, 6, (3, 3) },
     from_replaced = { replaced, 6, (3, 4) },
     from_three_left = { three_left, 7, (3, 3) },
     from_leaving_itself = { leaving_itself, 4, (2, 3) },
@@ -164,7 +164,7 @@
     from_leaving = { leaving },
     from_exchanged = { exchanged },
     from_compacted = { compacted },
-    from_in_pieces = { in_pieces },
+    from_in_pieces = { in_chunks },
     from_replaced = { replaced },
     from_three_left = { three_left },
     from_leaving_itself = { leaving_itself },
--- a/crates/raft/src/bounded_model_check/world.rs
+++ b/crates/raft/src/bounded_model_check/world.rs
@@ -223,11 +223,11 @@
                 self.give(host_of(&sent.to), NOW, Input::Received { from, message })
             }
             Event::RequestVote(at) => {
-                self.change(*at).election_due = 0;
+                self.change(*at).election_deadline = 0;
                 self.give(*at, NOW, Input::Tick)
             }
             Event::Heartbeat(at) => {
-                self.change(*at).lead.iter_mut().for_each(|lead| lead.heartbeat_due = 0);
+                self.change(*at).leader_state.iter_mut().for_each(|leader| leader.next_heartbeat_at = 0);
                 self.give(*at, NOW, Input::Tick)
             }
             Event::GiveWay(at) => {
@@ -238,7 +238,7 @@
             Event::Propose(at) if self.plant == Plant::SecondList => {
                 self.budget.proposals -= 1;
                 let node = self.change(*at);
-                node.write(Payload::Members(vec![voter(0, 0), voter(1, 0)]));
+                node.append(Payload::Members(vec![voter(0, 0), voter(1, 0)]));
                 self.give(*at, NOW, Input::Tick)
             }
             Event::Propose(at) => {
@@ -286,8 +286,8 @@
             apply(Rc::make_mut(&mut self.hosts[at].disk), &save);
             self.give(at, NOW, Input::Saved { ticket: save.ticket })?;
         }
-        if self.hosts[at].node.tickets > 0 {
-            self.change(at).tickets = 0;
+        if self.hosts[at].node.last_ticket > 0 {
+            self.change(at).last_ticket = 0;
         }
         Ok(())
     }
@@ -324,10 +324,10 @@
         }
         self.logs_match(at)?;
         for (from, round) in soundings {
-            if self.hosts[at].node.campaign.as_ref().is_some_and(|campaign| !campaign.binding) {
+            if self.hosts[at].node.campaign.as_ref().is_some_and(|campaign| !campaign.is_election) {
                 let term = self.hosts[at].node.term();
                 let message = Message::PreVoteAnswer { round, term, granted: true };
-                self.change(at).rounds = round;
+                self.change(at).pre_vote_round = round;
                 self.give(at, NOW, Input::Received { from, message })?;
             }
         }
@@ -523,7 +523,7 @@
     }
 
     /// All that is longer than a few bytes goes in pieces from here on.
-    pub fn in_pieces(mut self) -> World {
+    pub fn in_chunks(mut self) -> World {
         self.limits = TransferLimits { chunk_bytes: 24, min_window_bytes: 4, max_window_bytes: 100 };
         for host in &mut self.hosts {
             Rc::make_mut(&mut host.node).set_transfer_limits(self.limits);
--- a/crates/raft/src/campaign.rs
+++ b/crates/raft/src/campaign.rs
@@ -7,7 +7,7 @@
 #[cfg_attr(test, derive(Clone, Hash))]
 pub(crate) struct Campaign {
     /// Whether this is the election itself, not the sounding out before it.
-    pub(crate) binding: bool,
+    pub(crate) is_election: bool,
     pub(crate) granted: Vec<VoterId>,
     /// Whether a voter has said that its vote of this term is another one's.
     pub(crate) refused: bool,
--- a/crates/raft/src/leadership_transfer.rs
+++ b/crates/raft/src/leadership_transfer.rs
@@ -14,25 +14,27 @@
         let Some(to) = self.successor(now) else { return };
         out.push(Output::Send { to, message: Message::TimeoutNow { term: self.term } });
         if !self.faults.keep_leading_after_transfer {
-            self.stop(now, out);
+            self.step_down(now, out);
         }
     }
 
     /// Of the voters that have all entries, the one that was heard last.
     fn successor(&self, now: Millis) -> Option<VoterId> {
         let last = self.log.last();
-        let lead = self.lead.as_ref().filter(|_| self.commit == last)?;
-        let is_heard = |at: Millis| at.saturating_add(self.timing.election) > now;
-        let able = lead.peers.iter().filter(|peer| peer.matched >= last && self.is_member(&peer.id));
-        let heard = able.filter_map(|peer| Some((peer.answered.filter(|at| is_heard(*at))?, &peer.id)));
-        heard.max_by_key(|(at, _)| *at).map(|(_, id)| id.clone())
+        let leader = self.leader_state.as_ref().filter(|_| self.commit == last)?;
+        let is_recent = |at: Millis| at.saturating_add(self.timing.election) > now;
+        let up_to_date =
+            leader.peers.iter().filter(|peer| peer.match_index >= last && self.is_member(&peer.id));
+        let responsive = up_to_date
+            .filter_map(|peer| Some((peer.answered_heartbeat_at.filter(|at| is_recent(*at))?, &peer.id)));
+        responsive.max_by_key(|(at, _)| *at).map(|(_, id)| id.clone())
     }
 
     /// The leader of this term has given up its lead to this node.
-    pub(crate) fn timeout_now_came(&mut self, now: Millis, from: &VoterId, term: u64) {
+    pub(crate) fn on_timeout_now(&mut self, now: Millis, from: &VoterId, term: u64) {
         if term == self.term && self.leader.as_ref() == Some(from) && self.is_voter() {
             self.leader = None;
-            self.stand_as_successor(now);
+            self.start_election_after_transfer(now);
         }
     }
 }
--- a/crates/raft/src/log.rs
+++ b/crates/raft/src/log.rs
@@ -29,13 +29,13 @@
 }
 
 impl Retained {
-    fn none_after(before_index: u64, before_term: u64) -> Retained {
+    fn empty_after(before_index: u64, before_term: u64) -> Retained {
         Retained { entries: VecDeque::new(), bytes: 0, before_index, before_term }
     }
 
     fn get(&self, index: u64) -> Option<&Entry> {
-        let at = index.checked_sub(self.before_index + 1)?;
-        self.entries.get(usize::try_from(at).ok()?)
+        let position = index.checked_sub(self.before_index + 1)?;
+        self.entries.get(usize::try_from(position).ok()?)
     }
 
     fn push(&mut self, entry: Entry) {
@@ -43,8 +43,8 @@
         self.entries.push_back(entry);
     }
 
-    fn trim(&mut self, most_bytes: usize) {
-        while self.bytes > most_bytes
+    fn trim(&mut self, max_bytes: usize) {
+        while self.bytes > max_bytes
             && let Some(oldest) = self.entries.pop_front()
         {
             self.bytes -= oldest.payload.size();
@@ -60,13 +60,13 @@
         let entries = entries
             .into_iter()
             .enumerate()
-            .take_while(|(at, entry)| entry.index == base + 1 + *at as u64)
+            .take_while(|(position, entry)| entry.index == base + 1 + *position as u64)
             .map(|(_, entry)| entry)
             .collect();
         let base_term = snapshot.as_ref().map_or(0, |snapshot| snapshot.term);
-        let retained = Retained::none_after(base, base_term);
+        let retained = Retained::empty_after(base, base_term);
         let mut log = Log { founders, snapshot, entries, retained, members: Vec::new(), members_index: 0 };
-        log.find_members();
+        log.refresh_members();
         log
     }
 
@@ -99,7 +99,7 @@
     /// An entry of the log, or one before it that is still in memory.
     pub(crate) fn get(&self, index: u64) -> Option<&Entry> {
         match index.checked_sub(self.base() + 1) {
-            Some(at) => self.entries.get(usize::try_from(at).ok()?),
+            Some(position) => self.entries.get(usize::try_from(position).ok()?),
             None => self.retained.get(index),
         }
     }
@@ -116,13 +116,13 @@
     }
 
     /// Consecutive entries from an index on: at least one if there is one, then as many as the bounds allow.
-    pub(crate) fn slice(&self, from: u64, most: usize, most_bytes: usize) -> Vec<Entry> {
+    pub(crate) fn slice(&self, from: u64, max_entries: usize, max_bytes: usize) -> Vec<Entry> {
         let mut taken = Vec::new();
         let mut bytes = 0;
         let mut index = from;
         while let Some(entry) = self.get(index) {
             bytes += entry.payload.size();
-            if !taken.is_empty() && (taken.len() >= most || bytes > most_bytes) {
+            if !taken.is_empty() && (taken.len() >= max_entries || bytes > max_bytes) {
                 break;
             }
             taken.push(entry.clone());
@@ -142,27 +142,27 @@
     pub(crate) fn truncate(&mut self, from: u64) {
         self.entries.truncate(from.saturating_sub(self.base() + 1) as usize);
         // The list that was in force before the entries that go away counts again.
-        self.find_members();
+        self.refresh_members();
     }
 
     /// The snapshot takes the place of the entries up to its index. The later ones stay if they follow on it.
-    pub(crate) fn replace(&mut self, snapshot: Snapshot) {
+    pub(crate) fn replace_with_snapshot(&mut self, snapshot: Snapshot) {
         if self.term_at(snapshot.index) == Some(snapshot.term) {
-            let gone = snapshot.index.saturating_sub(self.base()) as usize;
-            let compacted = self.entries.drain(..gone.min(self.entries.len()));
+            let compacted_count = snapshot.index.saturating_sub(self.base()) as usize;
+            let compacted = self.entries.drain(..compacted_count.min(self.entries.len()));
             compacted.for_each(|entry| self.retained.push(entry));
             self.retained.trim(snapshot.state.len());
         } else {
             self.entries.clear();
-            self.retained = Retained::none_after(snapshot.index, snapshot.term);
+            self.retained = Retained::empty_after(snapshot.index, snapshot.term);
         }
         self.snapshot = Some(snapshot);
-        self.find_members();
+        self.refresh_members();
     }
 
     /// Drops the entries that the snapshot stands for.
-    pub(crate) fn forget_retained(&mut self) {
-        self.retained = Retained::none_after(self.base(), self.term_at(self.base()).unwrap_or(0));
+    pub(crate) fn clear_retained(&mut self) {
+        self.retained = Retained::empty_after(self.base(), self.term_at(self.base()).unwrap_or(0));
     }
 
     /// The list as of an index that is in the log.
@@ -177,7 +177,7 @@
         })
     }
 
-    fn find_members(&mut self) {
+    fn refresh_members(&mut self) {
         (self.members, self.members_index) = self.members_as_of(self.last());
     }
 }
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use crate::campaign::Campaign;
-use crate::lead::Lead;
+use crate::leader_state::LeaderState;
 use crate::log::Log;
 use crate::tolerance::{RetirementPolicy, departure_helps, min_voters};
 use crate::transfer::{IncomingTransfer, TransferLimits};
@@ -21,7 +21,7 @@
     /// Entries of older terms count as committed once a majority has them.
     pub commit_old_terms: bool,
     /// A voter that lost its disk is taken for the one that it was.
-    pub ignore_incarnation: bool,
+    pub any_incarnation: bool,
     /// Voters vote although they hear a leader, and right after a start.
     pub vote_despite_leader: bool,
     /// Answers do not wait for the disk.
@@ -55,7 +55,7 @@
     pub const NONE: Faults = Faults {
         unsaved_votes: false,
         commit_old_terms: false,
-        ignore_incarnation: false,
+        any_incarnation: false,
         vote_despite_leader: false,
         reply_before_sync: false,
         skip_pre_vote: false,
@@ -73,17 +73,17 @@
 }
 
 /// Each life of a node begins to number its rounds of pre-votes somewhere below this.
-const ROUNDS_BEGIN_BELOW: u64 = (1 << 48) - 1;
+const MAX_INITIAL_PRE_VOTE_ROUND: u64 = (1 << 48) - 1;
 
 /// What waits for a save.
 #[derive(Debug)]
 #[cfg_attr(test, derive(Clone, Hash))]
-pub(crate) struct Waiting {
+pub(crate) struct PendingSave {
     ticket: u64,
     /// Up to where the log is on disk with it.
-    upto: u64,
+    last_index: u64,
     term: u64,
-    answers: Vec<Output>,
+    replies: Vec<Output>,
     /// The term in which the own vote for itself is on disk with it.
     own_vote: Option<u64>,
 }
@@ -91,7 +91,7 @@
 /// What one input has changed of what must be on disk.
 #[derive(Debug, Default)]
 #[cfg_attr(test, derive(Clone, Hash))]
-pub(crate) struct Unsaved {
+pub(crate) struct UnsavedChanges {
     pub(crate) hard_state: bool,
     pub(crate) truncate: Option<u64>,
     pub(crate) first_entry: Option<u64>,
@@ -112,32 +112,32 @@
     pub(crate) log: Log,
     pub(crate) commit: u64,
     /// Up to where a leader has said that the log is committed.
-    pub(crate) told_commit: u64,
+    pub(crate) leader_commit: u64,
     pub(crate) leader: Option<VoterId>,
     /// Present while this node leads.
-    pub(crate) lead: Option<Lead>,
+    pub(crate) leader_state: Option<LeaderState>,
     /// Present while it asks for votes.
     pub(crate) campaign: Option<Campaign>,
-    pub(crate) rounds: u64,
-    pub(crate) election_due: Millis,
+    pub(crate) pre_vote_round: u64,
+    pub(crate) election_deadline: Millis,
     /// Elections in a row that ended without a leader.
-    pub(crate) lost_elections: u32,
+    pub(crate) failed_elections: u32,
     /// Until then no vote is given: a leader's lease may rest on what this node answered.
-    pub(crate) bound_until: Millis,
+    pub(crate) votes_withheld_until: Millis,
     /// Up to where the log is surely that of this term's leader.
-    pub(crate) verified: u64,
+    pub(crate) verified_index: u64,
     /// Up to where the log is on disk.
-    pub(crate) durable: u64,
+    pub(crate) durable_index: u64,
     pub(crate) durable_term: u64,
-    pub(crate) tickets: u64,
-    pub(crate) waiting: VecDeque<Waiting>,
-    pub(crate) unsaved: Unsaved,
-    answers: Vec<Output>,
+    pub(crate) last_ticket: u64,
+    pub(crate) pending_saves: VecDeque<PendingSave>,
+    pub(crate) unsaved: UnsavedChanges,
+    replies: Vec<Output>,
     /// A payload whose pieces are coming in.
     pub(crate) incoming: Option<IncomingTransfer>,
     pub(crate) limits: TransferLimits,
-    pub(crate) told: Role,
-    pub(crate) random: u64,
+    pub(crate) reported_role: Role,
+    pub(crate) rng_state: u64,
 }
 
 impl Node {
@@ -150,40 +150,40 @@
             me,
             timing,
             retirement: RetirementPolicy {
-                silence_timeout: timing.election.saturating_mul(SILENT_ELECTIONS),
+                silence_timeout: timing.election.saturating_mul(DEFAULT_SILENCE_ELECTIONS),
                 min_voters: min_voters(1),
             },
             faults: Faults::default(),
             term,
             vote,
             commit: log.base(),
-            told_commit: 0,
+            leader_commit: 0,
             leader: None,
-            lead: None,
+            leader_state: None,
             campaign: None,
             // Late answers to rounds of an earlier life of this node are to none of this one.
-            rounds: seed & ROUNDS_BEGIN_BELOW,
-            election_due: 0,
-            lost_elections: 0,
+            pre_vote_round: seed & MAX_INITIAL_PRE_VOTE_ROUND,
+            election_deadline: 0,
+            failed_elections: 0,
             // What it answered before it went down is forgotten, so it keeps still for as long as that could count.
-            bound_until: if first_start { now } else { now.saturating_add(timing.election) },
-            verified: 0,
-            durable: log.last(),
+            votes_withheld_until: if first_start { now } else { now.saturating_add(timing.election) },
+            verified_index: 0,
+            durable_index: log.last(),
             durable_term: term,
             log,
-            tickets: 0,
-            waiting: VecDeque::new(),
-            unsaved: Unsaved::default(),
-            answers: Vec::new(),
+            last_ticket: 0,
+            pending_saves: VecDeque::new(),
+            unsaved: UnsavedChanges::default(),
+            replies: Vec::new(),
             incoming: None,
             limits: TransferLimits::default(),
-            told: Role::Follower { term, leader: None },
-            random: seed,
+            reported_role: Role::Follower { term, leader: None },
+            rng_state: seed,
         };
-        node.draw_election(now);
+        node.reset_election_deadline(now);
         if first_start {
             let half = timing.election / 2;
-            node.election_due = now + half / 4 + node.draw(half - half / 4);
+            node.election_deadline = now + half / 4 + node.random_below(half - half / 4);
         }
         node
     }
@@ -196,24 +196,24 @@
     /// Takes one input and says what is to be done.
     pub fn handle(&mut self, now: Millis, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Received { from, message } => self.heard(now, from, message, out),
+            Input::Received { from, message } => self.receive(now, from, message, out),
             Input::Tick => {}
             Input::Propose { token, change } => self.propose(now, token, change, out),
             Input::AddVoter(voter) => self.add_voter(now, voter, out),
             Input::RemoveVoter(voter) => self.remove_voter(now, &voter, out),
-            Input::VoterShuttingDown(voter) => self.voter_ends(now, &voter, out),
+            Input::VoterShuttingDown(voter) => self.on_voter_shutdown(now, &voter, out),
             Input::TransferLeadership => self.transfer_leadership(now, out),
-            Input::Saved { ticket } => self.on_disk(now, ticket, out),
+            Input::Saved { ticket } => self.on_saved(now, ticket, out),
             Input::Compact { index, state } => self.compact(index, state),
         }
         self.tick(now, out);
         self.flush(out);
-        self.tell_role(out);
+        self.report_role(out);
     }
 
     /// Whether this node leads, as far as it knows.
     pub fn is_leader(&self) -> bool {
-        self.lead.is_some()
+        self.leader_state.is_some()
     }
 
     /// Who leads, as far as known.
@@ -238,7 +238,7 @@
     /// had committed, and names its snapshot only. With its own first entry all of that is applied here.
     pub fn lags(&self) -> bool {
         let of_this_term = self.log.term_at(self.commit) == Some(self.term);
-        self.told_commit > self.commit || !(of_this_term || self.faults.serve_before_own_commit)
+        self.leader_commit > self.commit || !(of_this_term || self.faults.serve_before_own_commit)
     }
 
     /// The voters, as of the newest list in the log.
@@ -268,83 +268,86 @@
 
     /// Whether this leader has heard a voter: it has answered a heartbeat that was sent within an election before now.
     pub fn is_responsive(&self, voter: &VoterId, now: Millis) -> bool {
-        let answered = |lead: &Lead| lead.peers.iter().find(|peer| peer.id == *voter)?.answered;
-        let answered = self.lead.as_ref().and_then(answered);
+        let answered =
+            |leader: &LeaderState| leader.peers.iter().find(|peer| peer.id == *voter)?.answered_heartbeat_at;
+        let answered = self.leader_state.as_ref().and_then(answered);
         answered.is_some_and(|at| at.saturating_add(self.timing.election) > now)
     }
 
     /// Whether this leader has led for an election without a break: before, who is not heard may not have been asked yet.
     pub fn has_led_for_election_timeout(&self, now: Millis) -> bool {
-        self.lead.as_ref().is_some_and(|lead| lead.steady_since.saturating_add(self.timing.election) <= now)
+        self.leader_state
+            .as_ref()
+            .is_some_and(|leader| leader.stable_since.saturating_add(self.timing.election) <= now)
     }
 
     /// When `Tick` is wanted next.
     pub fn next_due(&self) -> Millis {
-        self.lead.as_ref().map_or(self.election_due, |lead| lead.heartbeat_due)
+        self.leader_state.as_ref().map_or(self.election_deadline, |leader| leader.next_heartbeat_at)
     }
 
-    fn heard(&mut self, now: Millis, from: VoterId, message: Message, out: &mut Vec<Output>) {
+    fn receive(&mut self, now: Millis, from: VoterId, message: Message, out: &mut Vec<Output>) {
         // No fleet gets to such a term; counting on from there would overflow.
         if from == self.me || message.term() > u64::MAX / 2 {
             return;
         }
         match message {
             Message::PreVote { round, term, last_index, last_term } => {
-                self.pre_vote_requested(now, from, round, term, (last_term, last_index), out);
+                self.on_pre_vote(now, from, round, term, (last_term, last_index), out);
             }
             Message::PreVoteAnswer { round, term, granted } => {
-                self.pre_vote_answered(now, from, round, term, granted, out)
+                self.on_pre_vote_answer(now, from, round, term, granted, out)
             }
             Message::RequestVote { term, last_index, last_term } => {
-                self.vote_requested(now, from, term, (last_term, last_index), out);
+                self.on_request_vote(now, from, term, (last_term, last_index), out);
             }
             Message::RequestVoteAfterTransfer { term, last_index, last_term } => {
-                self.successor_requested(now, from, term, (last_term, last_index), out);
+                self.on_request_vote_after_transfer(now, from, term, (last_term, last_index), out);
             }
-            Message::VoteAnswer { term, granted } => self.vote_answered(now, from, term, granted, out),
+            Message::VoteAnswer { term, granted } => self.on_vote_answer(now, from, term, granted, out),
             Message::Heartbeat { term, echo, commit } => {
-                self.heartbeat_came(now, from, term, echo, commit, out)
+                self.on_heartbeat(now, from, term, echo, commit, out)
             }
             Message::HeartbeatAnswer { term, echo, matched } => {
-                self.heartbeat_answered(now, from, term, echo, matched, out)
+                self.on_heartbeat_answer(now, from, term, echo, matched, out)
             }
             Message::Append { term, prev_index, prev_term, entries, commit } => {
                 if let Some(matched) =
-                    self.append_came(now, &from, term, (prev_index, prev_term), entries, commit, out)
+                    self.on_append(now, &from, term, (prev_index, prev_term), entries, commit, out)
                 {
-                    self.answer(from, matched);
+                    self.reply_after_sync(from, matched);
                 }
             }
-            Message::InstallSnapshot { term, snapshot } => self.snapshot_came(now, from, term, snapshot, out),
-            Message::AppendAccepted { term, index } => self.matched(now, from, term, index, out),
+            Message::InstallSnapshot { term, snapshot } => self.on_snapshot(now, from, term, snapshot, out),
+            Message::AppendAccepted { term, index } => self.on_append_accepted(now, from, term, index, out),
             Message::AppendRejected { term, prev_index, hint } => {
-                self.append_rejected(now, from, term, prev_index, hint, out)
+                self.on_append_rejected(now, from, term, prev_index, hint, out)
             }
             Message::Chunk { term, transfer, offset, bytes } => {
-                self.piece_came(now, from, term, (transfer, offset, bytes), out);
+                self.on_chunk(now, from, term, (transfer, offset, bytes), out);
             }
             Message::ChunkReceived { term, transfer, offset, received } => {
-                self.piece_answered(now, &from, term, (transfer, offset, received), out);
+                self.on_chunk_received(now, &from, term, (transfer, offset, received), out);
             }
-            Message::TimeoutNow { term } => self.timeout_now_came(now, &from, term),
+            Message::TimeoutNow { term } => self.on_timeout_now(now, &from, term),
         }
     }
 
     fn tick(&mut self, now: Millis, out: &mut Vec<Output>) {
-        if self.lead.is_some() {
-            self.lead_on(now, out);
-        } else if now >= self.election_due {
-            self.look_for_leader(now, out);
+        if self.leader_state.is_some() {
+            self.tick_leader(now, out);
+        } else if now >= self.election_deadline {
+            self.start_pre_vote(now, out);
         }
     }
 
-    fn on_disk(&mut self, now: Millis, ticket: u64, out: &mut Vec<Output>) {
-        while self.waiting.front().is_some_and(|waiting| waiting.ticket <= ticket) {
-            let Some(waiting) = self.waiting.pop_front() else { break };
-            self.durable = self.durable.max(waiting.upto);
-            self.durable_term = self.durable_term.max(waiting.term);
-            out.extend(waiting.answers);
-            if waiting.own_vote.is_some_and(|term| term == self.term) {
+    fn on_saved(&mut self, now: Millis, ticket: u64, out: &mut Vec<Output>) {
+        while self.pending_saves.front().is_some_and(|pending| pending.ticket <= ticket) {
+            let Some(pending) = self.pending_saves.pop_front() else { break };
+            self.durable_index = self.durable_index.max(pending.last_index);
+            self.durable_term = self.durable_term.max(pending.term);
+            out.extend(pending.replies);
+            if pending.own_vote.is_some_and(|term| term == self.term) {
                 self.count_vote(now, self.me.clone(), out);
             }
         }
@@ -357,102 +360,108 @@
         }
         let Some(term) = self.log.term_at(index) else { return };
         let (members, _) = self.log.members_as_of(index);
-        self.log.replace(crate::types::Snapshot { index, term, members, state });
+        self.log.replace_with_snapshot(crate::types::Snapshot { index, term, members, state });
         self.unsaved.snapshot = true;
         if self.faults.retain_no_entries {
-            self.log.forget_retained();
+            self.log.clear_retained();
         }
         if self.faults.compaction_aborts_transfers {
-            self.lead.iter_mut().flat_map(|lead| &mut lead.peers).for_each(|peer| peer.transfer = None);
+            self.leader_state
+                .iter_mut()
+                .flat_map(|leader| &mut leader.peers)
+                .for_each(|peer| peer.transfer = None);
         }
     }
 
     /// An answer that depends on what this node has promised: it leaves once all of that is on disk.
-    pub(crate) fn answer(&mut self, to: VoterId, message: Message) {
-        self.answers.push(Output::Send { to, message });
+    pub(crate) fn reply_after_sync(&mut self, to: VoterId, message: Message) {
+        self.replies.push(Output::Send { to, message });
     }
 
     /// One save for all that an input has changed, and what waits for it.
     fn flush(&mut self, out: &mut Vec<Output>) {
-        let answers = std::mem::take(&mut self.answers);
+        let replies = std::mem::take(&mut self.replies);
         let unsaved = std::mem::take(&mut self.unsaved);
         let any = unsaved.hard_state
             || unsaved.truncate.is_some()
             || unsaved.first_entry.is_some()
             || unsaved.snapshot;
         if any {
-            self.tickets += 1;
+            self.last_ticket += 1;
             let entries = unsaved
                 .first_entry
                 .map(|from| self.log.slice(from, usize::MAX, usize::MAX))
                 .unwrap_or_default();
             let vote = if self.faults.unsaved_votes { None } else { self.vote.clone() };
             out.push(Output::Save(Save {
-                ticket: self.tickets,
+                ticket: self.last_ticket,
                 term: self.term,
                 vote,
                 truncate: unsaved.truncate,
                 entries,
                 snapshot: if unsaved.snapshot { self.log.snapshot().cloned() } else { None },
             }));
-            self.waiting.push_back(Waiting {
-                ticket: self.tickets,
-                upto: self.log.last(),
+            self.pending_saves.push_back(PendingSave {
+                ticket: self.last_ticket,
+                last_index: self.log.last(),
                 term: self.term,
-                answers: Vec::new(),
+                replies: Vec::new(),
                 own_vote: unsaved.own_vote,
             });
         }
-        match self.waiting.back_mut() {
+        match self.pending_saves.back_mut() {
             // A stuck disk must not make an endless queue; who asks again is answered again.
-            Some(waiting) if !self.faults.reply_before_sync => {
-                waiting.answers.extend(answers);
-                let surplus = waiting.answers.len().saturating_sub(MOST_ANSWERS);
-                waiting.answers.drain(..surplus);
+            Some(pending) if !self.faults.reply_before_sync => {
+                pending.replies.extend(replies);
+                let surplus = pending.replies.len().saturating_sub(MAX_DEFERRED_REPLIES);
+                pending.replies.drain(..surplus);
             }
-            _ => out.extend(answers),
+            _ => out.extend(replies),
         }
     }
 
-    fn tell_role(&mut self, out: &mut Vec<Output>) {
+    fn report_role(&mut self, out: &mut Vec<Output>) {
         let term = self.term;
-        let role = if self.lead.is_some() {
+        let role = if self.leader_state.is_some() {
             Role::Leader { term }
-        } else if self.campaign.as_ref().is_some_and(|campaign| campaign.binding) {
+        } else if self.campaign.as_ref().is_some_and(|campaign| campaign.is_election) {
             Role::Candidate { term }
         } else {
             Role::Follower { term, leader: self.leader.clone() }
         };
-        if role != self.told {
-            self.told = role.clone();
+        if role != self.reported_role {
+            self.reported_role = role.clone();
             out.push(Output::Role(role));
         }
     }
 
     /// A newer term ends whatever this node was in the old one.
-    pub(crate) fn see_term(&mut self, now: Millis, term: u64, out: &mut Vec<Output>) {
+    pub(crate) fn observe_term(&mut self, now: Millis, term: u64, out: &mut Vec<Output>) {
         if term > self.term {
             self.term = term;
             self.vote = None;
-            self.verified = 0;
+            self.verified_index = 0;
             self.unsaved.hard_state = true;
-            self.stop(now, out);
+            self.step_down(now, out);
         }
     }
 
     /// Neither leads nor stands any longer, and knows of no leader.
-    pub(crate) fn stop(&mut self, now: Millis, out: &mut Vec<Output>) {
+    pub(crate) fn step_down(&mut self, now: Millis, out: &mut Vec<Output>) {
         self.campaign = None;
         self.leader = None;
-        if let Some(lead) = self.lead.take() {
+        if let Some(leader) = self.leader_state.take() {
             out.extend(
-                lead.tokens.into_iter().map(|accepted| Output::OutcomeUnknown { token: accepted.token }),
+                leader
+                    .pending_proposals
+                    .into_iter()
+                    .map(|proposal| Output::OutcomeUnknown { token: proposal.token }),
             );
-            self.draw_election(now);
+            self.reset_election_deadline(now);
         }
     }
 
-    pub(crate) fn write(&mut self, payload: Payload) -> u64 {
+    pub(crate) fn append(&mut self, payload: Payload) -> u64 {
         let index = self.log.last() + 1;
         self.unsaved.first_entry.get_or_insert(index);
         self.log.push(Entry { index, term: self.term, payload });
@@ -460,16 +469,16 @@
     }
 
     /// Entries from this index on go away, in memory and on disk.
-    pub(crate) fn cut(&mut self, from: u64) {
+    pub(crate) fn truncate_log(&mut self, from: u64) {
         self.log.truncate(from);
         let last = from.saturating_sub(1);
-        self.durable = self.durable.min(last);
+        self.durable_index = self.durable_index.min(last);
         // A save under way may still bring entries to disk that the one after it takes away.
-        self.waiting.iter_mut().for_each(|waiting| waiting.upto = waiting.upto.min(last));
+        self.pending_saves.iter_mut().for_each(|pending| pending.last_index = pending.last_index.min(last));
         self.unsaved.truncate = Some(self.unsaved.truncate.map_or(from, |before| before.min(from)));
     }
 
-    pub(crate) fn commit_to(&mut self, index: u64, out: &mut Vec<Output>) {
+    pub(crate) fn mark_committed(&mut self, index: u64, out: &mut Vec<Output>) {
         while self.commit < index {
             let Some(entry) = self.log.get(self.commit + 1) else { return };
             self.commit += 1;
@@ -478,28 +487,28 @@
     }
 
     pub(crate) fn is_member(&self, voter: &VoterId) -> bool {
-        self.members().iter().any(|member| self.same(member, voter))
+        self.members().iter().any(|member| self.is_same_voter(member, voter))
     }
 
-    pub(crate) fn same(&self, one: &VoterId, other: &VoterId) -> bool {
-        one == other || (self.faults.ignore_incarnation && one.address == other.address)
+    pub(crate) fn is_same_voter(&self, one: &VoterId, other: &VoterId) -> bool {
+        one == other || (self.faults.any_incarnation && one.address == other.address)
     }
 
-    pub(crate) fn draw_election(&mut self, now: Millis) {
+    pub(crate) fn reset_election_deadline(&mut self, now: Millis) {
         let least = self.timing.election;
-        self.election_due = now.saturating_add(least).saturating_add(self.draw(least));
+        self.election_deadline = now.saturating_add(least).saturating_add(self.random_below(least));
     }
 
     /// A number below `limit` (splitmix64): all it must do is to differ between nodes.
-    pub(crate) fn draw(&mut self, limit: u64) -> u64 {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut mixed = self.random;
+    pub(crate) fn random_below(&mut self, limit: u64) -> u64 {
+        self.rng_state = self.rng_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.rng_state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         (mixed ^ (mixed >> 31)) % limit.max(1)
     }
 }
 
-const MOST_ANSWERS: usize = 256;
+const MAX_DEFERRED_REPLIES: usize = 256;
 /// A voter counts as gone after a silence of so many elections, unless the host says otherwise.
-const SILENT_ELECTIONS: u64 = 6;
+const DEFAULT_SILENCE_ELECTIONS: u64 = 6;
--- a/crates/raft/src/store.rs
+++ b/crates/raft/src/store.rs
@@ -17,17 +17,17 @@
 /// Rises with each change of what is written here.
 const SCHEMA: u64 = 1;
 /// A small cache: what is needed often is in the node's memory.
-const CACHE: usize = 1 << 20;
+const CACHE_BYTES: usize = 1 << 20;
 /// Snapshots are cut into pieces, so that the file can reuse the room of an old one piece by piece.
-const PIECE: usize = 48 << 10;
+const SNAPSHOT_CHUNK_BYTES: usize = 48 << 10;
 /// A file that is longer than this is made smaller when it is opened.
-const LONG: u64 = 24 << 20;
+const COMPACT_ABOVE_BYTES: u64 = 24 << 20;
 
 /// `redb`'s own: the bytes of its mark at the start, of the header that they are in, and (at most) of a file before
 /// its first transaction.
-const MARK: usize = 9;
-const HEADER: usize = 512;
-const LONGEST_HALF_MADE: u64 = 1 << 20;
+const MAGIC_BYTES: usize = 9;
+const HEADER_BYTES: usize = 512;
+const MAX_UNINITIALIZED_BYTES: u64 = 1 << 20;
 
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
@@ -96,7 +96,7 @@
                 write!(f, "{} has contents of version {found}, not {SCHEMA}", path.display())
             }
             StoreError::AlreadyInitialized { path } => {
-                write!(f, "{} already belongs to a node", path.display())
+                write!(f, "{} already holds a node", path.display())
             }
             StoreError::SetAsideFailed { path, cause } => {
                 write!(f, "{} stays where it is: {cause}", path.display())
@@ -127,14 +127,18 @@
     /// [`Store::create`].
     pub fn open(path: impl AsRef<Path>) -> Result<(Store, Option<PersistentState>), StoreError> {
         let path = path.as_ref();
-        let new = !path.exists();
+        let is_new = !path.exists();
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path);
-        let file = file.map_err(fail(path, "opening"))?;
-        if new && let Some(folder) = path.parent().filter(|folder| !folder.as_os_str().is_empty()) {
+        let file = file.map_err(store_error(path, "opening"))?;
+        if is_new
+            && let Some(parent_dir) = path.parent().filter(|parent_dir| !parent_dir.as_os_str().is_empty())
+        {
             // A file that is on disk while its name is not would be gone with all that it had promised.
-            File::open(folder).and_then(|folder| folder.sync_all()).map_err(fail(path, "beginning"))?;
+            File::open(parent_dir)
+                .and_then(|parent_dir| parent_dir.sync_all())
+                .map_err(store_error(path, "beginning"))?;
         }
-        Store::open_backend(FileBackend::new(file).map_err(fail(path, "opening"))?, path)
+        Store::open_backend(FileBackend::new(file).map_err(store_error(path, "opening"))?, path)
     }
 
     /// As above, on what need not be a file; `path` is what errors call it.
@@ -142,20 +146,20 @@
         backend: impl StorageBackend, path: impl Into<PathBuf>,
     ) -> Result<(Store, Option<PersistentState>), StoreError> {
         let path = path.into();
-        if half_made(&backend).map_err(fail(&path, "opening"))? {
-            clear(&backend).map_err(fail(&path, "beginning"))?;
+        if is_uninitialized(&backend).map_err(store_error(&path, "opening"))? {
+            erase_if_uninitialized(&backend).map_err(store_error(&path, "beginning"))?;
         }
-        let long = backend.len().map_err(fail(&path, "opening"))? > LONG;
+        let needs_compaction = backend.len().map_err(store_error(&path, "opening"))? > COMPACT_ABOVE_BYTES;
         let mut builder = Database::builder();
         // Otherwise `redb` trusts a file that was closed properly: a byte changed in it later would end this process
         // in the midst of the library, at each start anew.
-        builder.set_cache_size(CACHE).set_check_integrity_on_open(true);
-        let db = builder.create_with_backend(backend).map_err(fail(&path, "opening"))?;
+        builder.set_cache_size(CACHE_BYTES).set_check_integrity_on_open(true);
+        let db = builder.create_with_backend(backend).map_err(store_error(&path, "opening"))?;
         let mut store = Store { db, path };
         let saved = store.read()?;
-        if long {
+        if needs_compaction {
             // Room that is free inside the file goes back to the disk, which is small.
-            store.db.compact().map_err(fail(&store.path, "making smaller"))?;
+            store.db.compact().map_err(store_error(&store.path, "making smaller"))?;
         }
         Ok((store, saved))
     }
@@ -168,9 +172,9 @@
         let hard_state: (u64, Option<VoterId>) = (0, None);
         self.write("creating", |tables| {
             tables.meta.insert("schema", SCHEMA.to_be_bytes().as_slice())?;
-            tables.meta.insert("me", sealed(&me).as_slice())?;
-            tables.meta.insert("founders", sealed(&founders).as_slice())?;
-            tables.meta.insert(HARD_STATE_KEY, sealed(&hard_state).as_slice())?;
+            tables.meta.insert("me", encode_with_checksum(&me).as_slice())?;
+            tables.meta.insert("founders", encode_with_checksum(&founders).as_slice())?;
+            tables.meta.insert(HARD_STATE_KEY, encode_with_checksum(&hard_state).as_slice())?;
             Ok(())
         })?;
         Ok(PersistentState { me, term: 0, vote: None, snapshot: None, entries: Vec::new(), founders })
@@ -186,16 +190,16 @@
         if found.as_ref().is_some_and(|saved| saved.snapshot.is_some() || !saved.entries.is_empty()) {
             return Err(StoreError::AlreadyInitialized { path: self.path.clone() });
         }
-        let (known, vote) = found.map_or((0, None), |saved| (saved.term, saved.vote));
-        let term = term.max(known).max(snapshot.term);
-        let vote = vote.filter(|_| term == known);
+        let (stored_term, vote) = found.map_or((0, None), |saved| (saved.term, saved.vote));
+        let term = term.max(stored_term).max(snapshot.term);
+        let vote = vote.filter(|_| term == stored_term);
         // All of it in one step: half of it would be a voter that has forgotten its log.
         self.write("beginning", |tables| {
             tables.meta.insert("schema", SCHEMA.to_be_bytes().as_slice())?;
-            tables.meta.insert("me", sealed(&me).as_slice())?;
-            tables.meta.insert("founders", sealed(&Vec::<VoterId>::new()).as_slice())?;
-            tables.meta.insert(HARD_STATE_KEY, sealed(&(term, vote.clone())).as_slice())?;
-            tables.replace(&snapshot)
+            tables.meta.insert("me", encode_with_checksum(&me).as_slice())?;
+            tables.meta.insert("founders", encode_with_checksum(&Vec::<VoterId>::new()).as_slice())?;
+            tables.meta.insert(HARD_STATE_KEY, encode_with_checksum(&(term, vote.clone())).as_slice())?;
+            tables.replace_snapshot(&snapshot)
         })?;
         Ok(PersistentState {
             me,
@@ -210,15 +214,17 @@
     /// Writes a save: it is on disk when this returns.
     pub fn save(&self, save: &Save) -> Result<(), StoreError> {
         self.write("saving", |tables| {
-            tables.meta.insert(HARD_STATE_KEY, sealed(&(save.term, save.vote.clone())).as_slice())?;
+            tables
+                .meta
+                .insert(HARD_STATE_KEY, encode_with_checksum(&(save.term, save.vote.clone())).as_slice())?;
             if let Some(from) = save.truncate {
                 tables.entries.retain_in(from.., |_, _| false)?;
             }
             for entry in &save.entries {
-                tables.entries.insert(entry.index, sealed(entry).as_slice())?;
+                tables.entries.insert(entry.index, encode_with_checksum(entry).as_slice())?;
             }
             if let Some(snapshot) = &save.snapshot {
-                tables.replace(snapshot)?;
+                tables.replace_snapshot(snapshot)?;
             }
             Ok(())
         })
@@ -242,68 +248,70 @@
     fn write(
         &self, step: &'static str, work: impl FnOnce(&mut Tables<'_>) -> Result<(), redb::StorageError>,
     ) -> Result<(), StoreError> {
-        let mut transaction = self.db.begin_write().map_err(fail(&self.path, step))?;
-        transaction.set_durability(Durability::Immediate).map_err(fail(&self.path, step))?;
+        let mut transaction = self.db.begin_write().map_err(store_error(&self.path, step))?;
+        transaction.set_durability(Durability::Immediate).map_err(store_error(&self.path, step))?;
         {
             let mut tables = Tables {
-                meta: transaction.open_table(META).map_err(fail(&self.path, step))?,
-                entries: transaction.open_table(ENTRIES).map_err(fail(&self.path, step))?,
-                snapshot: transaction.open_table(SNAPSHOT).map_err(fail(&self.path, step))?,
+                meta: transaction.open_table(META).map_err(store_error(&self.path, step))?,
+                entries: transaction.open_table(ENTRIES).map_err(store_error(&self.path, step))?,
+                snapshot: transaction.open_table(SNAPSHOT).map_err(store_error(&self.path, step))?,
             };
-            work(&mut tables).map_err(fail(&self.path, step))?;
+            work(&mut tables).map_err(store_error(&self.path, step))?;
         }
-        transaction.commit().map_err(fail(&self.path, step))
+        transaction.commit().map_err(store_error(&self.path, step))
     }
 
     fn read(&self) -> Result<Option<PersistentState>, StoreError> {
-        let transaction = self.db.begin_read().map_err(fail(&self.path, "reading"))?;
+        let transaction = self.db.begin_read().map_err(store_error(&self.path, "reading"))?;
         let meta = match transaction.open_table(META) {
             Err(TableError::TableDoesNotExist(_)) => return Ok(None),
-            opened => opened.map_err(fail(&self.path, "reading"))?,
+            opened => opened.map_err(store_error(&self.path, "reading"))?,
         };
-        let bytes = |key: &str| -> Result<Option<Vec<u8>>, StoreError> {
-            let value = meta.get(key).map_err(fail(&self.path, "reading"))?;
+        let value_of = |key: &str| -> Result<Option<Vec<u8>>, StoreError> {
+            let value = meta.get(key).map_err(store_error(&self.path, "reading"))?;
             Ok(value.map(|value| value.value().to_vec()))
         };
-        let needed = |key: &str| bytes(key)?.ok_or_else(|| self.damaged(format!("it has no {key}")));
-        let schema = self.number("schema", &needed("schema")?)?;
+        let required = |key: &str| value_of(key)?.ok_or_else(|| self.damaged(format!("it has no {key}")));
+        let schema = self.decode_u64("schema", &required("schema")?)?;
         if schema != SCHEMA {
             return Err(StoreError::Schema { found: schema, path: self.path.clone() });
         }
-        let me: VoterId = self.unseal("me", &needed("me")?)?;
-        let founders: Vec<VoterId> = self.unseal("founders", &needed("founders")?)?;
-        let (term, vote): (u64, Option<VoterId>) = self.unseal(HARD_STATE_KEY, &needed(HARD_STATE_KEY)?)?;
+        let me: VoterId = self.decode_checked("me", &required("me")?)?;
+        let founders: Vec<VoterId> = self.decode_checked("founders", &required("founders")?)?;
+        let (term, vote): (u64, Option<VoterId>) =
+            self.decode_checked(HARD_STATE_KEY, &required(HARD_STATE_KEY)?)?;
 
         let mut snapshot: Option<Snapshot> = None;
-        if let Some(length) = bytes("snapshot")? {
-            let length = self.number("snapshot", &length)?;
-            let pieces = transaction.open_table(SNAPSHOT).map_err(fail(&self.path, "reading"))?;
-            let mut whole = Vec::new();
-            for piece in pieces.iter().map_err(fail(&self.path, "reading"))? {
-                let (_, piece) = piece.map_err(fail(&self.path, "reading"))?;
-                whole.extend_from_slice(piece.value());
+        if let Some(length) = value_of("snapshot")? {
+            let length = self.decode_u64("snapshot", &length)?;
+            let chunks = transaction.open_table(SNAPSHOT).map_err(store_error(&self.path, "reading"))?;
+            let mut encoded = Vec::new();
+            for chunk in chunks.iter().map_err(store_error(&self.path, "reading"))? {
+                let (_, chunk) = chunk.map_err(store_error(&self.path, "reading"))?;
+                encoded.extend_from_slice(chunk.value());
             }
-            if whole.len() as u64 != length {
-                return Err(self.damaged(format!("the snapshot has {} of {length} bytes", whole.len())));
+            if encoded.len() as u64 != length {
+                return Err(self.damaged(format!("the snapshot has {} of {length} bytes", encoded.len())));
             }
-            snapshot = Some(self.unseal("snapshot", &whole)?);
+            snapshot = Some(self.decode_checked("snapshot", &encoded)?);
         }
 
         let (base, mut before) = snapshot.as_ref().map_or((0, 0), |kept| (kept.index, kept.term));
         let mut entries: Vec<Entry> = Vec::new();
-        let table = transaction.open_table(ENTRIES).map_err(fail(&self.path, "reading"))?;
-        for row in table.iter().map_err(fail(&self.path, "reading"))? {
-            let (key, value) = row.map_err(fail(&self.path, "reading"))?;
-            let due = base + 1 + entries.len() as u64;
-            if key.value() != due {
-                return Err(self.damaged(format!("entry {} stands where entry {due} should", key.value())));
-            }
-            let entry: Entry = self.unseal(&format!("entry {due}"), value.value())?;
-            if entry.index != due || entry.term < before || entry.term > term {
+        let table = transaction.open_table(ENTRIES).map_err(store_error(&self.path, "reading"))?;
+        for row in table.iter().map_err(store_error(&self.path, "reading"))? {
+            let (key, value) = row.map_err(store_error(&self.path, "reading"))?;
+            let expected = base + 1 + entries.len() as u64;
+            if key.value() != expected {
                 return Err(
-                    self.damaged(format!("entry {due} has index {} and term {}", entry.index, entry.term))
+                    self.damaged(format!("entry {} stands where entry {expected} should", key.value()))
                 );
             }
+            let entry: Entry = self.decode_checked(&format!("entry {expected}"), value.value())?;
+            if entry.index != expected || entry.term < before || entry.term > term {
+                return Err(self
+                    .damaged(format!("entry {expected} has index {} and term {}", entry.index, entry.term)));
+            }
             before = entry.term;
             entries.push(entry);
         }
@@ -314,12 +322,12 @@
         StoreError::Damaged { reason, path: self.path.clone() }
     }
 
-    fn number(&self, what: &str, bytes: &[u8]) -> Result<u64, StoreError> {
+    fn decode_u64(&self, what: &str, bytes: &[u8]) -> Result<u64, StoreError> {
         let bytes = bytes.try_into().map_err(|_| self.damaged(format!("{what} is no number")))?;
         Ok(u64::from_be_bytes(bytes))
     }
 
-    fn unseal<T: DecodeOwned>(&self, what: &str, bytes: &[u8]) -> Result<T, StoreError> {
+    fn decode_checked<T: DecodeOwned>(&self, what: &str, bytes: &[u8]) -> Result<T, StoreError> {
         let Some((sum, body)) = bytes.split_first_chunk::<8>() else {
             return Err(self.damaged(format!("{what} is too short")));
         };
@@ -338,11 +346,11 @@
 
 impl Tables<'_> {
     /// The snapshot takes the place of the former one, and of the entries up to its index.
-    fn replace(&mut self, snapshot: &Snapshot) -> Result<(), redb::StorageError> {
-        let bytes = sealed(snapshot);
+    fn replace_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), redb::StorageError> {
+        let bytes = encode_with_checksum(snapshot);
         self.snapshot.retain(|_, _| false)?;
-        for (number, piece) in bytes.chunks(PIECE).enumerate() {
-            self.snapshot.insert(number as u64, piece)?;
+        for (number, chunk) in bytes.chunks(SNAPSHOT_CHUNK_BYTES).enumerate() {
+            self.snapshot.insert(number as u64, chunk)?;
         }
         // As many bytes must come back: a lost piece would otherwise only show in the sum.
         self.meta.insert("snapshot", (bytes.len() as u64).to_be_bytes().as_slice())?;
@@ -351,7 +359,7 @@
 }
 
 /// With a checksum in front: `redb` looks at its own sums only after it was not closed properly.
-fn sealed<T: Encode>(value: &T) -> Vec<u8> {
+fn encode_with_checksum<T: Encode>(value: &T) -> Vec<u8> {
     let body = bitcode::encode(value);
     let mut bytes = Vec::with_capacity(body.len() + 8);
     bytes.extend_from_slice(&checksum(&body).to_be_bytes());
@@ -361,22 +369,22 @@
 
 /// Whether power went while `redb` made the file: it writes its mark last, and nobody was told anything before. Taken for
 /// damaged, founders that lose their power at the first start would not be founders any more.
-fn half_made(backend: &impl StorageBackend) -> std::io::Result<bool> {
+fn is_uninitialized(backend: &impl StorageBackend) -> std::io::Result<bool> {
     let length = backend.len()?;
-    if length == 0 || length > LONGEST_HALF_MADE {
+    if length == 0 || length > MAX_UNINITIALIZED_BYTES {
         return Ok(false);
     }
     let mut bytes = vec![0; length as usize];
     backend.read(0, &mut bytes)?;
-    let (mark, rest) = (bytes.iter().take(MARK), bytes.iter().skip(HEADER));
-    Ok(mark.chain(rest).all(|byte| *byte == 0))
+    let (magic, rest) = (bytes.iter().take(MAGIC_BYTES), bytes.iter().skip(HEADER_BYTES));
+    Ok(magic.chain(rest).all(|byte| *byte == 0))
 }
 
 /// Empties a half made file, unless another process is making it right now.
-fn clear(backend: &impl StorageBackend) -> std::io::Result<()> {
+fn erase_if_uninitialized(backend: &impl StorageBackend) -> std::io::Result<()> {
     let all = (Bound::Unbounded, Bound::Unbounded);
     let locked = backend.try_lock_range(all.0, all.1);
-    if !matches!(locked, Ok(false)) && half_made(backend)? {
+    if !matches!(locked, Ok(false)) && is_uninitialized(backend)? {
         backend.set_len(0)?;
     }
     if matches!(locked, Ok(true)) {
@@ -386,7 +394,7 @@
 }
 
 /// A failure of the file, told as damage where that is what `redb` says.
-fn fail<E: Into<redb::Error>>(path: &Path, step: &'static str) -> impl FnOnce(E) -> StoreError {
+fn store_error<E: Into<redb::Error>>(path: &Path, step: &'static str) -> impl FnOnce(E) -> StoreError {
     let path = path.to_path_buf();
     move |cause| match cause.into() {
         redb::Error::Corrupted(reason) => StoreError::Damaged { reason, path },
--- a/crates/raft/src/transfer.rs
+++ b/crates/raft/src/transfer.rs
@@ -54,7 +54,7 @@
 }
 
 impl TransferPayload {
-    pub(crate) fn place(&self) -> (TransferKind, u64, u64) {
+    pub(crate) fn identity(&self) -> (TransferKind, u64, u64) {
         match self {
             TransferPayload::Snapshot(snapshot) => (TransferKind::Snapshot, snapshot.index, snapshot.term),
             TransferPayload::Entry { entry, .. } => (TransferKind::Entry, entry.index, entry.term),
@@ -65,7 +65,7 @@
 /// Whether a follower is known to take pieces.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[cfg_attr(test, derive(Hash))]
-pub(crate) enum PieceSupport {
+pub(crate) enum ChunkSupport {
     #[default]
     Unknown,
     Known,
@@ -75,11 +75,11 @@
 
 #[derive(Debug)]
 #[cfg_attr(test, derive(Clone, Hash))]
-pub(crate) struct PieceInFlight {
+pub(crate) struct ChunkInFlight {
     pub(crate) offset: usize,
     pub(crate) sent_at: Millis,
     /// It was lost if a heartbeat was answered that was sent no earlier than this.
-    pub(crate) lost_at: Millis,
+    pub(crate) presumed_lost_at: Millis,
 }
 
 /// A payload on its way to one follower.
@@ -89,11 +89,11 @@
     pub(crate) id: TransferId,
     pub(crate) payload: Arc<[u8]>,
     pub(crate) acknowledged: usize,
-    pub(crate) next: usize,
-    pub(crate) in_flight: VecDeque<PieceInFlight>,
-    pub(crate) window: usize,
+    pub(crate) next_offset: usize,
+    pub(crate) in_flight: VecDeque<ChunkInFlight>,
+    pub(crate) window_bytes: usize,
     /// The shortest time from a piece to its answer: what exceeds it is spent in queues.
-    pub(crate) least_delay: Option<Millis>,
+    pub(crate) min_delay: Option<Millis>,
 }
 
 impl OutgoingTransfer {
@@ -102,10 +102,10 @@
             id,
             payload,
             acknowledged: 0,
-            next: 0,
+            next_offset: 0,
             in_flight: VecDeque::new(),
-            window: limits.min_window_bytes,
-            least_delay: None,
+            window_bytes: limits.min_window_bytes,
+            min_delay: None,
         }
     }
 
@@ -114,27 +114,27 @@
     }
 
     /// The next piece, if the window has room for it.
-    pub(crate) fn next_piece(
+    pub(crate) fn next_chunk(
         &mut self, now: Millis, heartbeat: Millis, chunk_bytes: usize,
     ) -> Option<(u64, Vec<u8>)> {
-        let end = (self.next + chunk_bytes.max(1)).min(self.payload.len());
-        let has_room = self.in_flight.is_empty() || end - self.acknowledged <= self.window;
-        if self.next >= end || !has_room {
+        let end = (self.next_offset + chunk_bytes.max(1)).min(self.payload.len());
+        let window_has_room = self.in_flight.is_empty() || end - self.acknowledged <= self.window_bytes;
+        if self.next_offset >= end || !window_has_room {
             return None;
         }
-        let offset = self.next;
-        let lost_at = now + heartbeat * HEARTBEATS_UNTIL_LOST;
-        self.in_flight.push_back(PieceInFlight { offset, sent_at: now, lost_at });
-        self.next = end;
+        let offset = self.next_offset;
+        let presumed_lost_at = now + heartbeat * HEARTBEATS_UNTIL_LOST;
+        self.in_flight.push_back(ChunkInFlight { offset, sent_at: now, presumed_lost_at });
+        self.next_offset = end;
         Some((offset as u64, self.payload[offset..end].to_vec()))
     }
 
     /// The follower has `received` bytes from the beginning on, after it was sent the piece at `offset`.
-    pub(crate) fn answered(
+    pub(crate) fn on_chunk_received(
         &mut self, now: Millis, heartbeat: Millis, limits: TransferLimits, offset: u64, received: u64,
     ) {
         let (offset, received) = (offset as usize, received as usize);
-        let Some(piece) = self.in_flight.iter().find(|piece| piece.offset == offset) else { return };
+        let Some(chunk) = self.in_flight.iter().find(|chunk| chunk.offset == offset) else { return };
         if received > self.payload.len() {
             return;
         }
@@ -145,55 +145,59 @@
             }
             return;
         }
-        let delay = now.saturating_sub(piece.sent_at);
+        let delay = now.saturating_sub(chunk.sent_at);
         self.adapt_window(delay, heartbeat, limits);
         self.acknowledged = self.acknowledged.max(received);
-        self.next = self.next.max(self.acknowledged);
-        self.in_flight.retain(|piece| piece.offset >= received);
+        self.next_offset = self.next_offset.max(self.acknowledged);
+        self.in_flight.retain(|chunk| chunk.offset >= received);
         if self.is_complete() {
-            self.await_disk(now, heartbeat);
+            self.await_durable(now, heartbeat);
         }
     }
 
     fn adapt_window(&mut self, delay: Millis, heartbeat: Millis, limits: TransferLimits) {
-        let least = self.least_delay.map_or(delay, |least| least.min(delay));
-        self.least_delay = Some(least);
-        let queueing = delay - least;
+        let min_delay = self.min_delay.map_or(delay, |known| known.min(delay));
+        self.min_delay = Some(min_delay);
+        let queueing = delay - min_delay;
         if queueing < heartbeat / 2 {
-            self.window = (self.window + limits.chunk_bytes).min(limits.max_window_bytes);
+            self.window_bytes = (self.window_bytes + limits.chunk_bytes).min(limits.max_window_bytes);
         } else if queueing > heartbeat {
-            self.window = (self.window / 2).max(limits.min_window_bytes);
+            self.window_bytes = (self.window_bytes / 2).max(limits.min_window_bytes);
         }
     }
 
     /// All pieces are there; what they make is yet to be on the follower's disk.
-    pub(crate) fn await_disk(&mut self, now: Millis, heartbeat: Millis) {
-        let lost_at = now + heartbeat * HEARTBEATS_UNTIL_SNAPSHOT_LOST;
+    pub(crate) fn await_durable(&mut self, now: Millis, heartbeat: Millis) {
+        let presumed_lost_at = now + heartbeat * HEARTBEATS_UNTIL_SNAPSHOT_LOST;
         self.in_flight.clear();
-        self.in_flight.push_back(PieceInFlight { offset: self.payload.len(), sent_at: now, lost_at });
+        self.in_flight.push_back(ChunkInFlight {
+            offset: self.payload.len(),
+            sent_at: now,
+            presumed_lost_at,
+        });
     }
 
     pub(crate) fn rewind(&mut self, to: usize) {
         self.in_flight.clear();
-        (self.acknowledged, self.next) = (to, to);
+        (self.acknowledged, self.next_offset) = (to, to);
     }
 
     /// Whether what is in flight was lost, by an answered heartbeat that was sent after it. It is sent again then.
     pub(crate) fn resume_if_lost(&mut self, heartbeat_sent_at: Millis, limits: TransferLimits) -> bool {
-        if self.in_flight.front().is_none_or(|first| first.lost_at > heartbeat_sent_at) {
+        if self.in_flight.front().is_none_or(|first| first.presumed_lost_at > heartbeat_sent_at) {
             return false;
         }
         // Nobody answered that it is on disk: the last piece asks again.
-        let last_piece = self.payload.len().saturating_sub(limits.chunk_bytes.max(1));
-        self.rewind(if self.is_complete() { last_piece } else { self.acknowledged });
-        self.window = limits.min_window_bytes;
+        let last_chunk = self.payload.len().saturating_sub(limits.chunk_bytes.max(1));
+        self.rewind(if self.is_complete() { last_chunk } else { self.acknowledged });
+        self.window_bytes = limits.min_window_bytes;
         true
     }
 
     #[cfg(test)]
     pub(crate) fn forget_time(&mut self, limits: TransferLimits) {
-        self.in_flight.iter_mut().for_each(|piece| (piece.sent_at, piece.lost_at) = (0, 0));
-        (self.window, self.least_delay) = (limits.min_window_bytes, None);
+        self.in_flight.iter_mut().for_each(|chunk| (chunk.sent_at, chunk.presumed_lost_at) = (0, 0));
+        (self.window_bytes, self.min_delay) = (limits.min_window_bytes, None);
     }
 }
 
--- a/crates/raft/src/transfers.rs
+++ b/crates/raft/src/transfer_protocol.rs
@@ -2,15 +2,15 @@
 
 use crate::checksum::checksum;
 use crate::node::Node;
-use crate::transfer::{IncomingTransfer, OutgoingTransfer, PieceSupport, TransferLimits, TransferPayload};
+use crate::transfer::{ChunkSupport, IncomingTransfer, OutgoingTransfer, TransferLimits, TransferPayload};
 use crate::types::{Entry, Message, Millis, Output, Snapshot, TransferId, TransferKind, VoterId};
 
 /// The longest payload that a follower assembles, in bytes: a configuration of the largest size, its predecessors and
 /// what is remembered of versions and floors.
-const LARGEST_PAYLOAD_BYTES: u64 = 24 << 20;
+const MAX_PAYLOAD_BYTES: u64 = 24 << 20;
 /// First pieces without any answer, while heartbeats are answered, after which a follower is taken for a process of the
 /// version before, which knows no pieces and ignores them.
-const ATTEMPTS_BEFORE_WHOLE: u32 = 3;
+const MAX_UNANSWERED_CHUNK_ATTEMPTS: u32 = 3;
 
 impl Node {
     #[doc(hidden)]
@@ -19,9 +19,9 @@
     }
 
     /// Whether a message of this length goes to this follower in pieces.
-    pub(crate) fn goes_in_pieces(&self, id: &VoterId, length: usize) -> bool {
-        let peer = self.lead.iter().flat_map(|lead| &lead.peers).find(|peer| peer.id == *id);
-        let supported = peer.is_some_and(|peer| peer.pieces != PieceSupport::Missing);
+    pub(crate) fn needs_chunking(&self, id: &VoterId, length: usize) -> bool {
+        let peer = self.leader_state.iter().flat_map(|leader| &leader.peers).find(|peer| peer.id == *id);
+        let supported = peer.is_some_and(|peer| peer.chunk_support != ChunkSupport::Missing);
         supported && length > self.limits.min_window_bytes
     }
 
@@ -37,12 +37,12 @@
 
     fn begin_transfer(&mut self, to: &VoterId, payload: &TransferPayload) {
         let limits = self.limits;
-        let (kind, index, term) = payload.place();
-        let Some(lead) = &mut self.lead else { return };
-        let same =
+        let (kind, index, term) = payload.identity();
+        let Some(leader) = &mut self.leader_state else { return };
+        let is_same_payload =
             |other: &&OutgoingTransfer| (other.id.kind, other.id.index, other.id.term) == (kind, index, term);
-        let others = lead.peers.iter().filter_map(|peer| peer.transfer.as_ref());
-        let (id, bytes) = match others.clone().find(same) {
+        let others = leader.peers.iter().filter_map(|peer| peer.transfer.as_ref());
+        let (id, bytes) = match others.clone().find(is_same_payload) {
             Some(other) => (other.id, other.payload.clone()),
             None => {
                 let bytes = bitcode::encode(payload);
@@ -50,7 +50,7 @@
                 (TransferId { kind, index, term, length, checksum }, bytes.into())
             }
         };
-        if let Some(peer) = lead.peer(to) {
+        if let Some(peer) = leader.peer(to) {
             peer.transfer = Some(OutgoingTransfer::new(id, bytes, limits));
         }
     }
@@ -59,9 +59,9 @@
     pub(crate) fn continue_transfer(&mut self, now: Millis, to: &VoterId, out: &mut Vec<Output>) -> bool {
         let (term, heartbeat, chunk_bytes) =
             (self.term, self.timing.heartbeat.max(1), self.limits.chunk_bytes);
-        let Some(peer) = self.lead.as_mut().and_then(|lead| lead.peer(to)) else { return false };
+        let Some(peer) = self.leader_state.as_mut().and_then(|leader| leader.peer(to)) else { return false };
         let Some(transfer) = &mut peer.transfer else { return false };
-        while let Some((offset, bytes)) = transfer.next_piece(now, heartbeat, chunk_bytes) {
+        while let Some((offset, bytes)) = transfer.next_chunk(now, heartbeat, chunk_bytes) {
             let message = Message::Chunk { term, transfer: transfer.id, offset, bytes };
             out.push(Output::Send { to: to.clone(), message });
         }
@@ -71,7 +71,7 @@
     /// A heartbeat that was sent then was answered: pieces from before it that were not are sent again.
     pub(crate) fn resume_transfer(&mut self, id: &VoterId, heartbeat_sent_at: Millis) {
         let (limits, faults, base) = (self.limits, self.faults, self.log.base());
-        let Some(peer) = self.lead.as_mut().and_then(|lead| lead.peer(id)) else { return };
+        let Some(peer) = self.leader_state.as_mut().and_then(|leader| leader.peer(id)) else { return };
         let Some(transfer) = &mut peer.transfer else { return };
         if !transfer.resume_if_lost(heartbeat_sent_at, limits) {
             return;
@@ -79,10 +79,10 @@
         if faults.restart_transfers {
             transfer.rewind(0);
         }
-        if peer.pieces == PieceSupport::Unknown {
-            peer.piece_attempts += 1;
-            if peer.piece_attempts >= ATTEMPTS_BEFORE_WHOLE {
-                peer.pieces = PieceSupport::Missing;
+        if peer.chunk_support == ChunkSupport::Unknown {
+            peer.unanswered_chunk_attempts += 1;
+            if peer.unanswered_chunk_attempts >= MAX_UNANSWERED_CHUNK_ATTEMPTS {
+                peer.chunk_support = ChunkSupport::Missing;
                 peer.transfer = None;
                 return;
             }
@@ -96,49 +96,49 @@
         }
     }
 
-    pub(crate) fn piece_answered(
+    pub(crate) fn on_chunk_received(
         &mut self, now: Millis, from: &VoterId, term: u64, (id, offset, received): (TransferId, u64, u64),
         out: &mut Vec<Output>,
     ) {
-        if !self.answer_counts(now, from, term, out) {
+        if !self.accept_answer(now, from, term, out) {
             return;
         }
         let (heartbeat, limits) = (self.timing.heartbeat.max(1), self.limits);
-        let Some(peer) = self.lead.as_mut().and_then(|lead| lead.peer(from)) else { return };
-        peer.pieces = PieceSupport::Known;
+        let Some(peer) = self.leader_state.as_mut().and_then(|leader| leader.peer(from)) else { return };
+        peer.chunk_support = ChunkSupport::Known;
         if let Some(transfer) = peer.transfer.as_mut().filter(|transfer| transfer.id == id) {
-            transfer.answered(now, heartbeat, limits, offset, received);
+            transfer.on_chunk_received(now, heartbeat, limits, offset, received);
         }
-        self.pump(now, from, out);
+        self.replicate_to(now, from, out);
     }
 
-    pub(crate) fn piece_came(
+    pub(crate) fn on_chunk(
         &mut self, now: Millis, from: VoterId, term: u64, (id, offset, bytes): (TransferId, u64, Vec<u8>),
         out: &mut Vec<Output>,
     ) {
-        if !self.follows(now, &from, term, out) {
+        if !self.accept_leader(now, &from, term, out) {
             if term < self.term {
                 let message = Message::ChunkReceived { term: self.term, transfer: id, offset, received: 0 };
-                self.answer(from, message);
+                self.reply_after_sync(from, message);
             }
             return;
         }
-        if self.has(id) {
+        if self.already_has(id) {
             self.incoming = None;
-            self.verified = self.verified.max(id.index);
-            self.answer(from, Message::AppendAccepted { term: self.term, index: id.index });
+            self.verified_index = self.verified_index.max(id.index);
+            self.reply_after_sync(from, Message::AppendAccepted { term: self.term, index: id.index });
             return;
         }
         let received = self.assemble(id, offset, &bytes);
         let message = Message::ChunkReceived { term: self.term, transfer: id, offset, received };
         out.push(Output::Send { to: from.clone(), message });
         if received == id.length {
-            self.take_payload(now, from, out);
+            self.finish_incoming(now, from, out);
         }
     }
 
     /// Whether this log has what a transfer would bring: by the log matching property all before it as well.
-    fn has(&self, id: TransferId) -> bool {
+    fn already_has(&self, id: TransferId) -> bool {
         match id.kind {
             TransferKind::Snapshot => id.index <= self.commit,
             TransferKind::Entry => self.log.term_at(id.index) == Some(id.term),
@@ -146,48 +146,48 @@
     }
 
     /// Drops what has come of a transfer that this log no longer needs.
-    pub(crate) fn drop_incoming(&mut self, upto: u64) {
-        self.incoming.take_if(|incoming| incoming.id.index <= upto);
+    pub(crate) fn drop_incoming(&mut self, last_index: u64) {
+        self.incoming.take_if(|incoming| incoming.id.index <= last_index);
     }
 
     /// Adds a piece if it is the next one; says how many bytes are there, from the first on.
     fn assemble(&mut self, id: TransferId, offset: u64, bytes: &[u8]) -> u64 {
-        if id.length > LARGEST_PAYLOAD_BYTES || bytes.len() as u64 > id.length {
+        if id.length > MAX_PAYLOAD_BYTES || bytes.len() as u64 > id.length {
             return 0;
         }
-        let other = self.incoming.as_ref().is_none_or(|incoming| incoming.id != id);
-        let begins_again = offset == 0 && self.faults.restart_transfers;
-        if other && !self.faults.mix_transfers || begins_again {
+        let is_other_transfer = self.incoming.as_ref().is_none_or(|incoming| incoming.id != id);
+        let restarts = offset == 0 && self.faults.restart_transfers;
+        if is_other_transfer && !self.faults.mix_transfers || restarts {
             self.incoming = None;
         }
         let incoming = self.incoming.get_or_insert_with(|| IncomingTransfer { id, received: Vec::new() });
         incoming.id = id;
-        let have = incoming.received.len() as u64;
-        if offset == have && have + bytes.len() as u64 <= id.length {
+        let received_bytes = incoming.received.len() as u64;
+        if offset == received_bytes && received_bytes + bytes.len() as u64 <= id.length {
             incoming.received.extend_from_slice(bytes);
         }
         incoming.received.len() as u64
     }
 
     /// All pieces are there: they count as the message that they make.
-    fn take_payload(&mut self, now: Millis, from: VoterId, out: &mut Vec<Output>) {
+    fn finish_incoming(&mut self, now: Millis, from: VoterId, out: &mut Vec<Output>) {
         let Some(IncomingTransfer { id, received }) = self.incoming.take() else { return };
         // Otherwise it is sent again from its first byte.
         if checksum(&received) != id.checksum && !self.faults.mix_transfers {
             return;
         }
         let Ok(payload) = bitcode::decode::<TransferPayload>(&received) else { return };
-        if payload.place() != (id.kind, id.index, id.term) && !self.faults.mix_transfers {
+        if payload.identity() != (id.kind, id.index, id.term) && !self.faults.mix_transfers {
             return;
         }
         let term = self.term;
         match payload {
-            TransferPayload::Snapshot(snapshot) => self.snapshot_came(now, from, term, snapshot, out),
+            TransferPayload::Snapshot(snapshot) => self.on_snapshot(now, from, term, snapshot, out),
             TransferPayload::Entry { previous_term, entry } => {
                 let previous = (entry.index.saturating_sub(1), previous_term);
-                let commit = self.told_commit;
-                if let Some(answer) = self.append_came(now, &from, term, previous, vec![entry], commit, out) {
-                    self.answer(from, answer);
+                let commit = self.leader_commit;
+                if let Some(answer) = self.on_append(now, &from, term, previous, vec![entry], commit, out) {
+                    self.reply_after_sync(from, answer);
                 }
             }
         }
--- a/crates/raft/src/writer.rs
+++ b/crates/raft/src/writer.rs
@@ -8,9 +8,9 @@
 use crate::types::{PersistentState, Save, VoterId};
 
 /// Enough for a transaction; the memory of a thread that mostly sleeps is better spent elsewhere.
-const STACK: usize = 256 * 1024;
+const STACK_BYTES: usize = 256 * 1024;
 /// A disk that refuses a write is asked again after this.
-const AGAIN: Duration = Duration::from_millis(250);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What a writer tells its host.
 #[derive(Debug)]
@@ -38,14 +38,14 @@
     /// # Errors
     /// When there can be no thread.
     pub fn start(
-        store: Store, me: VoterId, mut told: impl FnMut(WriterEvent) + Send + 'static,
+        store: Store, me: VoterId, mut emit: impl FnMut(WriterEvent) + Send + 'static,
     ) -> std::io::Result<Writer> {
         let (saves, queue) = channel::<Save>();
         let run = move || {
             let path = store.path().to_path_buf();
             let mut open = |save: &Save| {
                 let (store, found) = Store::open(&path)?;
-                if goes_on(found.as_ref(), &me, save) {
+                if belongs_to_voter(found.as_ref(), &me, save) {
                     return Ok(store);
                 }
                 Err(StoreError::Damaged { reason: "another process wrote to it".into(), path: path.clone() })
@@ -54,12 +54,12 @@
             while let Ok(save) = queue.recv() {
                 let ticket;
                 (store, ticket) =
-                    insist(store, save, Store::save, &mut open, &mut told, |save| pause(&queue, save))?;
-                told(WriterEvent::Saved(ticket));
+                    retry_write(store, save, Store::save, &mut open, &mut emit, |save| pause(&queue, save))?;
+                emit(WriterEvent::Saved(ticket));
             }
             Some(store)
         };
-        let thread = Builder::new().name("disk".into()).stack_size(STACK).spawn(run)?;
+        let thread = Builder::new().name("disk".into()).stack_size(STACK_BYTES).spawn(run)?;
         Ok(Writer { saves: Some(saves), thread: Some(thread) })
     }
 
@@ -73,10 +73,10 @@
 
     /// Ends the thread once all that is queued is written, and gives the disk back; none if it refuses that.
     pub fn stop(mut self) -> Option<Store> {
-        self.end()
+        self.close()
     }
 
-    fn end(&mut self) -> Option<Store> {
+    fn close(&mut self) -> Option<Store> {
         self.saves = None;
         self.thread.take()?.join().ok()?
     }
@@ -85,7 +85,7 @@
 impl Drop for Writer {
     /// The file is closed when this returns: the next one to open it may be waiting already.
     fn drop(&mut self) {
-        self.end();
+        self.close();
     }
 }
 
@@ -93,19 +93,19 @@
 /// nothing is acknowledged, so that the others see a voter that is away. After a refusal the library takes no more
 /// writes, so the file is opened anew; the same write again does no harm if it was there already. None when the file is
 /// lost, or when `pause` says that nobody waits any more.
-fn insist<S>(
+fn retry_write<S>(
     store: S, mut save: Save, write: impl Fn(&S, &Save) -> Result<(), StoreError>,
-    mut open: impl FnMut(&Save) -> Result<S, StoreError>, mut told: impl FnMut(WriterEvent),
+    mut open: impl FnMut(&Save) -> Result<S, StoreError>, mut emit: impl FnMut(WriterEvent),
     mut pause: impl FnMut(&mut Save) -> bool,
 ) -> Option<(S, u64)> {
     let mut store = Some(store);
-    let mut first = true;
+    let mut first_failure = true;
     loop {
         if let Some(opened) = store.take() {
             match write(&opened, &save) {
                 Ok(()) => return Some((opened, save.ticket)),
                 // Once a trouble is enough: it lasts as long as the disk's.
-                Err(error) if std::mem::take(&mut first) => told(WriterEvent::WriteFailed(error)),
+                Err(error) if std::mem::take(&mut first_failure) => emit(WriterEvent::WriteFailed(error)),
                 Err(_) => {}
             }
         }
@@ -115,7 +115,7 @@
         match open(&save) {
             Ok(opened) => store = Some(opened),
             Err(error) if error.is_lost() => {
-                told(WriterEvent::StoreLost(error));
+                emit(WriterEvent::StoreLost(error));
                 return None;
             }
             Err(_) => {}
@@ -126,9 +126,9 @@
 /// Lets the disk be for a while. What comes in meanwhile joins the write, as a disk that refuses for long must not make an
 /// endless queue. False when nobody waits for the writer any more.
 fn pause(queue: &Receiver<Save>, save: &mut Save) -> bool {
-    let until = Instant::now() + AGAIN;
+    let deadline = Instant::now() + RETRY_INTERVAL;
     loop {
-        match queue.recv_timeout(until.saturating_duration_since(Instant::now())) {
+        match queue.recv_timeout(deadline.saturating_duration_since(Instant::now())) {
             Ok(next) => save.join(next),
             Err(RecvTimeoutError::Timeout) => return true,
             Err(RecvTimeoutError::Disconnected) => return false,
@@ -138,7 +138,7 @@
 
 /// Whether what a file holds is this voter's, from before a save or from the save itself. While it was closed it was
 /// nobody's: a file that was put in its place, or written by another process, may have promised other things.
-fn goes_on(found: Option<&PersistentState>, me: &VoterId, save: &Save) -> bool {
+fn belongs_to_voter(found: Option<&PersistentState>, me: &VoterId, save: &Save) -> bool {
     let promised = |found: &PersistentState| match found.term.cmp(&save.term) {
         std::cmp::Ordering::Less => true,
         std::cmp::Ordering::Equal => found.vote.is_none() || found.vote == save.vote,
@@ -173,7 +173,7 @@
     /// Up to which ticket was written, how often it paused and told. With each pause one more save comes in, until the
     /// host goes.
     fn played(refusals: u32, closed: u32, lost: bool, host_stays: u32) -> (Option<u64>, u32, u32) {
-        let (writes, opens, pauses, told) = (Cell::new(0), Cell::new(0), Cell::new(0), Cell::new(0));
+        let (writes, opens, pauses, events) = (Cell::new(0), Cell::new(0), Cell::new(0), Cell::new(0));
         let write = |_: &(), _: &Save| {
             writes.set(writes.get() + 1);
             if writes.get() <= refusals { Err(refused()) } else { Ok(()) }
@@ -188,8 +188,8 @@
             waiting.join(save(waiting.ticket + 1));
             pauses.get() <= host_stays
         };
-        let written = insist((), save(1), write, open, |_| told.set(told.get() + 1), pause);
-        (written.map(|(_, ticket)| ticket), pauses.get(), told.get())
+        let written = retry_write((), save(1), write, open, |_| events.set(events.get() + 1), pause);
+        (written.map(|(_, ticket)| ticket), pauses.get(), events.get())
     }
 
     #[yare::parameterized(
@@ -222,7 +222,7 @@
             entries: Vec::new(),
             founders: Vec::new(),
         };
-        assert_eq!(goes_on(Some(&found), &voter(1), &save(1)), goes);
-        assert!(!goes_on(None, &voter(1), &save(1)), "an empty file in its place");
+        assert_eq!(belongs_to_voter(Some(&found), &voter(1), &save(1)), goes);
+        assert!(!belongs_to_voter(None, &voter(1), &save(1)), "an empty file in its place");
     }
 }
--- a/crates/raft/tests/drawn.rs
+++ b/crates/raft/tests/drawn.rs
@@ -201,7 +201,7 @@
 
 #[parameterized(
     unsaved_votes = { Faults { unsaved_votes: true, ..UNGUARDED }, POWER, TWO_LEADERS },
-    ignore_incarnation = { Faults { ignore_incarnation: true, ..Faults::default() }, ALL, LOST },
+    any_incarnation = { Faults { any_incarnation: true, ..Faults::default() }, ALL, LOST },
     vote_despite_leader = { Faults { vote_despite_leader: true, ..Faults::default() }, LINKS, TWO_LEASES },
     mix_transfers = { Faults { mix_transfers: true, ..Faults::default() }, PIECES, STRANGE },
     keep_leading_after_transfer = {
--- a/crates/raft/tests/losses_at_once.rs
+++ b/crates/raft/tests/losses_at_once.rs
@@ -114,7 +114,7 @@
 }
 
 #[parameterized(
-    taken_for_who_it_was = { Faults { ignore_incarnation: true, ..Faults::default() } },
+    taken_for_who_it_was = { Faults { any_incarnation: true, ..Faults::default() } },
     answers_before_the_disk = { Faults { reply_before_sync: true, ..Faults::default() } },
 )]
 fn planted_faults_are_found(faults: Faults) {
