--- a/crates/raft/src/checksum.rs
+++ b/crates/raft/src/checksum.rs
@@ -1,6 +1,6 @@
-//! The checksum of what is on disk and of what goes over links in pieces.
+//! The checksum of records on disk and of chunked transfers.
 
-/// FNV-1a over 64 bits: against faults, not against forgery.
+/// 64-bit FNV-1a: detects corruption, not tampering.
 pub(crate) fn checksum(bytes: &[u8]) -> u64 {
     bytes
         .iter()
--- a/crates/raft/src/election.rs
+++ b/crates/raft/src/election.rs
@@ -1,29 +1,34 @@
-//! Elections: a round that binds nobody, then votes that do.
+//! Elections: a non-binding pre-vote, followed by the vote.
 
 use crate::campaign::Campaign;
 use crate::leader_state::LeaderState;
 use crate::node::Node;
 use crate::types::{Message, Millis, Output, Payload, VoterId};
 
-/// Elections lost in a row that make the next one wait for longer, twice as long each: two syncs of a second fit then.
+/// The maximum number of times that lost elections double the next election timeout. With three doublings, two disk
+/// syncs of one second each fit into an election.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// An election that another one split is held again after one to three of so many parts of the time that a leader may be
-/// silent.
+/// After a split vote the next election starts after one to three times the minimum election timeout divided by this
+/// value.
 const SPLIT_VOTE_RETRY_DIVISOR: Millis = 4;
 
 impl Node {
-    /// Nothing was heard of a leader for too long.
+    /// Starts a pre-vote after an election timeout without a leader.
     pub(crate) fn start_pre_vote(&mut self, now: Millis, out: &mut Vec<Output>) {
-        // Votes were not there in time: on slow disks the next election has to wait for longer, or none is ever won. Where
-        // several stood in the same moment that would only hold up the next one.
-        let lost = self.campaign.as_ref().is_some_and(|campaign| campaign.is_election && !campaign.refused);
-        self.failed_elections =
-            if lost { (self.failed_elections + 1).min(MAX_BACKOFF_DOUBLINGS) } else { self.failed_elections };
+        // Votes did not arrive in time: with slow disks the next election needs a longer timeout, or no election ever
+        // succeeds. After a split vote a longer timeout would only delay the next election.
+        let timed_out =
+            self.campaign.as_ref().is_some_and(|campaign| campaign.is_election && !campaign.refused);
+        self.failed_elections = if timed_out {
+            (self.failed_elections + 1).min(MAX_BACKOFF_DOUBLINGS)
+        } else {
+            self.failed_elections
+        };
         self.reset_election_deadline(now);
         self.leader = None;
         self.campaign = None;
-        // Who is not on the list would only disturb those who are.
+        // A node that is not a voter would only disrupt the voters.
         if !self.is_voter() {
             return;
         }
@@ -49,22 +54,22 @@
         self.request_votes(Message::RequestVote { term, last_index, last_term });
     }
 
-    /// The leader of this term has said that it gave up its lead to this node.
+    /// Starts an election after the leader of this term has transferred its leadership to this node.
     pub(crate) fn start_election_after_transfer(&mut self, now: Millis) {
         let (term, last_index, last_term) = self.become_candidate(now);
         self.request_votes(Message::RequestVoteAfterTransfer { term, last_index, last_term });
     }
 
-    /// Begins the next term with a vote for itself. Gives that term, and index and term of the last entry.
+    /// Enters the next term and votes for itself. Returns the new term, and the index and term of the last log entry.
     fn become_candidate(&mut self, now: Millis) -> (u64, u64, u64) {
         self.reset_election_deadline(now);
-        let longer = (self.election_deadline - now).saturating_mul((1 << self.failed_elections) - 1);
-        self.election_deadline = self.election_deadline.saturating_add(longer);
+        let extension = (self.election_deadline - now).saturating_mul((1 << self.failed_elections) - 1);
+        self.election_deadline = self.election_deadline.saturating_add(extension);
         self.term += 1;
         self.vote = Some(self.me.clone());
         self.verified_index = 0;
         self.unsaved.hard_state = true;
-        // The own vote counts like any other: once it is on disk.
+        // A vote for itself counts only once it is on disk, like any other vote.
         self.unsaved.own_vote = Some(self.term);
         self.campaign = Some(Campaign { is_election: true, granted: Vec::new(), refused: false });
         (self.term, self.log.last(), self.log.last_term())
@@ -80,7 +85,7 @@
         self.members().iter().filter(|member| **member != self.me).cloned().collect()
     }
 
-    /// Whether a vote now could break a lease that a leader may still count on.
+    /// Whether granting a vote now could violate a leader's lease.
     fn withholds_vote(&self, now: Millis) -> bool {
         if self.faults.vote_despite_leader {
             return false;
@@ -91,16 +96,17 @@
         }
     }
 
-    /// Whether a log that ends there has all that could be committed in this one.
+    /// Whether a log with the given last term and index is at least as up to date as this log.
     fn is_up_to_date(&self, (term, index): (u64, u64)) -> bool {
         (term, index) >= (self.log.last_term(), self.log.last())
     }
 
-    /// The asker need not be on the list known here: this list may be the older one.
+    /// Answers a pre-vote request. The sender need not be on this node's list of members, which may be outdated.
     pub(crate) fn on_pre_vote(
-        &mut self, now: Millis, from: VoterId, round: u64, term: u64, end: (u64, u64), out: &mut Vec<Output>,
+        &mut self, now: Millis, from: VoterId, round: u64, term: u64, log_end: (u64, u64),
+        out: &mut Vec<Output>,
     ) {
-        let granted = term > self.term && self.is_up_to_date(end) && !self.withholds_vote(now);
+        let granted = term > self.term && self.is_up_to_date(log_end) && !self.withholds_vote(now);
         let message = Message::PreVoteAnswer { round, term: self.term, granted };
         out.push(Output::Send { to: from, message });
     }
@@ -120,32 +126,37 @@
     }
 
     pub(crate) fn on_request_vote(
-        &mut self, now: Millis, from: VoterId, term: u64, end: (u64, u64), out: &mut Vec<Output>,
+        &mut self, now: Millis, from: VoterId, term: u64, log_end: (u64, u64), out: &mut Vec<Output>,
     ) {
-        // Whoever is bound does not even take the newer term: that would end a leader that works.
+        // A node that withholds its vote does not adopt the higher term either, since that would depose a working
+        // leader.
         if self.withholds_vote(now) {
             self.reply_after_sync(from, Message::VoteAnswer { term: self.term, granted: false });
             return;
         }
-        self.decide_vote(now, from, term, end, out);
+        self.decide_vote(now, from, term, log_end, out);
     }
 
-    /// The leader of the term before has given up its lead to the one that asks: what this node is bound to is over.
+    /// Answers a vote request after a leadership transfer. The leader of the previous term has stepped down in favor
+    /// of the sender, so the lease that this node may have granted is void.
     pub(crate) fn on_request_vote_after_transfer(
-        &mut self, now: Millis, from: VoterId, term: u64, end: (u64, u64), out: &mut Vec<Output>,
+        &mut self, now: Millis, from: VoterId, term: u64, log_end: (u64, u64), out: &mut Vec<Output>,
     ) {
-        self.decide_vote(now, from, term, end, out);
+        self.decide_vote(now, from, term, log_end, out);
     }
 
-    /// Votes if it may: once a term, and for nobody whose log lacks what could be committed here.
-    fn decide_vote(&mut self, now: Millis, from: VoterId, term: u64, end: (u64, u64), out: &mut Vec<Output>) {
+    /// Grants a vote at most once per term, and only to a candidate whose log is at least as up to date as this log.
+    fn decide_vote(
+        &mut self, now: Millis, from: VoterId, term: u64, log_end: (u64, u64), out: &mut Vec<Output>,
+    ) {
         self.observe_term(now, term, out);
-        let free = self.vote.as_ref().is_none_or(|vote| *vote == from);
-        let granted = term == self.term && free && self.is_up_to_date(end) && self.leader_state.is_none();
+        let can_vote = self.vote.as_ref().is_none_or(|vote| *vote == from);
+        let granted =
+            term == self.term && can_vote && self.is_up_to_date(log_end) && self.leader_state.is_none();
         if granted && self.vote.is_none() {
             self.vote = Some(from.clone());
             self.unsaved.hard_state = true;
-            // Gives the one voted for the time to win.
+            // Gives the candidate time to win the election.
             self.campaign = None;
             self.reset_election_deadline(now);
         }
@@ -171,17 +182,18 @@
         }
     }
 
-    /// Another one stands in the same moment. If neither wins, both wait for as long as for a leader that is silent, unless one
-    /// of them stands again before: whoever has its own vote on disk does so after a part of that which is drawn. A winner's
-    /// heartbeat comes sooner.
+    /// Retries soon after a split vote. If neither of two concurrent candidates wins, both would wait for a whole
+    /// election timeout. A candidate whose own vote is on disk retries after a random fraction of the timeout
+    /// instead. If another candidate wins, its heartbeat arrives before the retry.
     fn retry_election_soon(&mut self, now: Millis) {
-        let is_saved = self.campaign.as_ref().is_some_and(|campaign| campaign.granted.contains(&self.me));
-        if !is_saved || self.failed_elections > 0 {
+        let own_vote_saved =
+            self.campaign.as_ref().is_some_and(|campaign| campaign.granted.contains(&self.me));
+        if !own_vote_saved || self.failed_elections > 0 {
             return;
         }
-        let part = self.timing.election / SPLIT_VOTE_RETRY_DIVISOR;
-        let again = now + part + self.random_below(part * 2);
-        self.election_deadline = self.election_deadline.min(again);
+        let step = self.timing.election / SPLIT_VOTE_RETRY_DIVISOR;
+        let retry_at = now + step + self.random_below(step * 2);
+        self.election_deadline = self.election_deadline.min(retry_at);
     }
 
     pub(crate) fn count_vote(&mut self, now: Millis, from: VoterId, out: &mut Vec<Output>) {
@@ -194,7 +206,7 @@
         let votes = self
             .members()
             .iter()
-            .filter(|member| granted.iter().any(|one| self.is_same_voter(member, one)))
+            .filter(|member| granted.iter().any(|voter| self.is_same_voter(member, voter)))
             .count();
         if votes <= self.members().len() / 2 {
             return;
--- a/crates/raft/src/leader_state.rs
+++ b/crates/raft/src/leader_state.rs
@@ -1,27 +1,27 @@
-//! What a leader keeps: of itself, of its proposals and of the other nodes.
+//! The state of a leader: its leadership, its pending proposals and the progress of its peers.
 
 use std::collections::VecDeque;
 
 use crate::transfer::{ChunkSupport, OutgoingTransfer};
 use crate::types::{Millis, VoterId};
 
-/// How many messages of entries may be under way to one follower.
+/// The maximum number of unanswered `Append` or `InstallSnapshot` messages to one follower.
 const MAX_IN_FLIGHT_MESSAGES: usize = 4;
 
-/// What a leader keeps.
+/// The state of a leader.
 #[derive(Debug)]
 #[cfg_attr(test, derive(Clone, Hash))]
 pub(crate) struct LeaderState {
     pub(crate) elected_at: Millis,
-    /// Since when it has led without a break, and when that was looked at last.
+    /// Since when the leader has held its lease without a gap, and when that was last checked.
     pub(crate) stable_since: Millis,
     pub(crate) stability_checked_at: Millis,
     pub(crate) next_heartbeat_at: Millis,
     pub(crate) peers: Vec<Peer>,
-    /// Proposals that wait for their commitment.
+    /// Proposals that are not committed yet.
     pub(crate) pending_proposals: VecDeque<PendingProposal>,
     pub(crate) last_echo: u64,
-    /// When the newest heartbeats were sent.
+    /// The numbers and send times of the newest heartbeats.
     pub(crate) sent_heartbeats: VecDeque<(u64, Millis)>,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// A proposal in the leader's log.
+/// A proposal in the leader's log that is not committed yet.
 #[derive(Debug)]
 #[cfg_attr(test, derive(Clone, Hash))]
 pub(crate) struct PendingProposal {
@@ -53,29 +53,30 @@
     pub(crate) size: usize,
 }
 
-/// What a leader knows of another node.
+/// The replication progress of one peer.
 #[derive(Debug)]
 #[cfg_attr(test, derive(Clone, Hash))]
 pub(crate) struct Peer {
     pub(crate) id: VoterId,
-    /// Up to where its disk has this log.
+    /// The highest index up to which the peer's disk is known to match this log.
     pub(crate) match_index: u64,
     pub(crate) next_index: u64,
-    /// Whether `next` is a guess: one message at a time then.
+    /// Whether `next_index` is a guess. While probing, the leader sends one message at a time.
     pub(crate) probing: bool,
     pub(crate) in_flight: VecDeque<InFlightMessage>,
-    /// What goes to it in pieces now; nothing else of the log does meanwhile.
+    /// The chunked transfer in progress, if any. The leader sends no other log data to the peer meanwhile.
     pub(crate) transfer: Option<OutgoingTransfer>,
     pub(crate) chunk_support: ChunkSupport,
-    /// How often first pieces were lost before any was answered.
+    /// The number of lost attempts before the peer acknowledged any chunk.
     pub(crate) unanswered_chunk_attempts: u32,
-    /// When the newest heartbeat was sent that it has answered.
+    /// The send time of the newest heartbeat that the peer has answered.
     pub(crate) answered_heartbeat_at: Option<Millis>,
-    /// For those who are not on the list: when they are forgotten, and whether they want to be on it.
+    /// For peers that are not members: when the leader forgets the peer, and whether the peer is to become a voter.
     pub(crate) expires_at: Millis,
     pub(crate) promotion_requested: bool,
 }
 
+/// An unanswered message that carries log data.
 #[derive(Debug)]
 #[cfg_attr(test, derive(Clone, Hash))]
 pub(crate) struct InFlightMessage {
@@ -106,7 +107,7 @@
         self.in_flight.iter().map(|message| message.bytes).sum()
     }
 
-    /// Whether it lacks entries, or is not known to have them, and may be sent a message now.
+    /// Whether the peer lacks entries up to `last`, or may lack them, and the window allows another message.
     pub(crate) fn can_send(&self, last: u64) -> bool {
         let max_in_flight = if self.probing { 1 } else { MAX_IN_FLIGHT_MESSAGES };
         let lacks = self.next_index <= last || (self.probing && self.match_index < last);
--- a/crates/raft/src/leadership_transfer.rs
+++ b/crates/raft/src/leadership_transfer.rs
@@ -1,15 +1,16 @@
-//! A leader that is about to end hands its lead to another voter (section 3.10 of Ongaro's dissertation on Raft).
+//! Leadership transfer before a shutdown (section 3.10 of Ongaro's dissertation on Raft).
 //!
-//! Without it the others find out by silence, and nobody orders changes or holds counts for an election. The leader gives
-//! up its lead, and with it its lease, before it says so; it leads no more in this term. That is why voters may elect
-//! the successor at once, though they have just answered heartbeats of the leader: no lease rests on those any more.
+//! Without a transfer the followers notice the loss of the leader only after an election timeout, during which
+//! nobody accepts changes or holds quota. The leader steps down, and thus gives up its lease, before it sends
+//! `TimeoutNow`, and does not lead again in this term. Voters may therefore elect the successor at once, even if
+//! they have just answered a heartbeat of the former leader: no lease depends on that response any more.
 
 use crate::node::Node;
 use crate::types::{Message, Millis, Output, VoterId};
 
 impl Node {
-    /// Gives up the lead to a voter that has the whole log. Nothing happens while entries wait for their commitment, or
-    /// while there is no such voter: the host repeats it.
+    /// Steps down in favor of a voter that has the whole log. Does nothing while entries are uncommitted or no voter
+    /// qualifies; the host repeats the request.
     pub(crate) fn transfer_leadership(&mut self, now: Millis, out: &mut Vec<Output>) {
         let Some(to) = self.successor(now) else { return };
         out.push(Output::Send { to, message: Message::TimeoutNow { term: self.term } });
@@ -18,7 +19,7 @@
         }
     }
 
-    /// Of the voters that have all entries, the one that was heard last.
+    /// The voter with the most recent heartbeat response among the responsive voters that have all entries.
     fn successor(&self, now: Millis) -> Option<VoterId> {
         let last = self.log.last();
         let leader = self.leader_state.as_ref().filter(|_| self.commit == last)?;
@@ -30,7 +31,7 @@
         responsive.max_by_key(|(at, _)| *at).map(|(_, id)| id.clone())
     }
 
-    /// The leader of this term has given up its lead to this node.
+    /// Starts an election if the leader of this term has transferred its leadership to this node.
     pub(crate) fn on_timeout_now(&mut self, now: Millis, from: &VoterId, term: u64) {
         if term == self.term && self.leader.as_ref() == Some(from) && self.is_voter() {
             self.leader = None;
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -1,8 +1,9 @@
-//! The elected log of control changes: a state machine without I/O or clock, and its disk.
+//! A Raft log that replicates control changes: a deterministic state machine without I/O or a clock, and its storage.
 //!
-//! [`Node`] is the state machine: it is handed what happened together with the host's steady clock, and says what is to
-//! be done. [`store`] keeps what must outlive the process. The host carries messages, calls the disk and tells when a
-//! [`Save`] is on it; whatever depends on that save is held back until then.
+//! [`Node`] is the state machine: it takes an [`Input`] with the host's monotonic time and returns the [`Output`]s that
+//! the host must carry out. [`store`] keeps the state that must survive a restart. The host transports messages, writes
+//! each [`Save`] to disk and reports when the write is durable; the node holds back every message that depends on the
+//! save until then.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -25,7 +26,7 @@
 mod types;
 mod writer;
 
-// What tests share names this crate as they do.
+// Test code shared with the integration tests refers to this crate as `raft`.
 #[cfg(test)]
 extern crate self as raft;
 
--- a/crates/raft/src/log.rs
+++ b/crates/raft/src/log.rs
@@ -1,4 +1,4 @@
-//! The entries in memory, on top of the snapshot that stands for the older ones.
+//! The in-memory log: the latest snapshot and the entries after it.
 
 use std::collections::VecDeque;
 
@@ -15,15 +15,16 @@
     members_index: u64,
 }
 
-/// The newest entries that the snapshot stands for, in memory only: a follower that was just sent the snapshot before it
-/// goes on with them. Otherwise the log could be compacted again during each transfer, and catching up would never end.
-/// There are never more bytes of them than of the snapshot's state, which is sent instead of them then.
+/// The newest entries covered by the snapshot, kept in memory only. A follower that has just received the previous
+/// snapshot continues with these entries. Without them, a compaction during each transfer would require yet another
+/// snapshot, and the follower would never catch up. The retained entries never take more bytes than the snapshot's
+/// state, since sending the snapshot is cheaper beyond that size.
 #[derive(Debug)]
 #[cfg_attr(test, derive(Clone, Hash))]
 struct Retained {
     entries: VecDeque<Entry>,
     bytes: usize,
-    /// The entry before the first of them.
+    /// The index and term of the entry before the first retained entry.
     before_index: u64,
     before_term: u64,
 }
@@ -54,7 +55,8 @@
 }
 
 impl Log {
-    /// Entries that do not follow each other are cut off: the store has checked them, a host's own `PersistentState` may differ.
+    /// Creates the log. Drops the entries after a gap: the store rejects such gaps, but a host may pass a
+    /// `PersistentState` from elsewhere.
     pub(crate) fn new(founders: Vec<VoterId>, snapshot: Option<Snapshot>, entries: Vec<Entry>) -> Log {
         let base = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let entries = entries
@@ -86,17 +88,17 @@
         self.term_at(self.last()).unwrap_or(0)
     }
 
-    /// The list in force: the newest in the log, committed or not.
+    /// The list of members in use: the newest list in the log, committed or not.
     pub(crate) fn members(&self) -> &[VoterId] {
         &self.members
     }
 
-    /// Where that list stands in the log.
+    /// The index of the entry that holds the list of members in use.
     pub(crate) fn members_index(&self) -> u64 {
         self.members_index
     }
 
-    /// An entry of the log, or one before it that is still in memory.
+    /// An entry of the log or a retained entry.
     pub(crate) fn get(&self, index: u64) -> Option<&Entry> {
         match index.checked_sub(self.base() + 1) {
             Some(position) => self.entries.get(usize::try_from(position).ok()?),
@@ -104,7 +106,7 @@
         }
     }
 
-    /// None for entries that are not here any more, or not yet.
+    /// The term of an entry; `None` if the entry has been compacted or does not exist yet.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.base() {
             return Some(self.snapshot.as_ref().map_or(0, |snapshot| snapshot.term));
@@ -115,7 +117,7 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// Consecutive entries from an index on: at least one if there is one, then as many as the bounds allow.
+    /// Consecutive entries from an index on: at least one if it exists, then as many as the limits allow.
     pub(crate) fn slice(&self, from: u64, max_entries: usize, max_bytes: usize) -> Vec<Entry> {
         let mut taken = Vec::new();
         let mut bytes = 0;
@@ -141,11 +143,12 @@
 
     pub(crate) fn truncate(&mut self, from: u64) {
         self.entries.truncate(from.saturating_sub(self.base() + 1) as usize);
-        // The list that was in force before the entries that go away counts again.
+        // Removing an entry with a list of members restores the previous list.
         self.refresh_members();
     }
 
-    /// The snapshot takes the place of the entries up to its index. The later ones stay if they follow on it.
+    /// Replaces the entries up to the snapshot's index. Later entries remain if the log matches the snapshot at its
+    /// index.
     pub(crate) fn replace_with_snapshot(&mut self, snapshot: Snapshot) {
         if self.term_at(snapshot.index) == Some(snapshot.term) {
             let compacted_count = snapshot.index.saturating_sub(self.base()) as usize;
@@ -160,12 +163,12 @@
         self.refresh_members();
     }
 
-    /// Drops the entries that the snapshot stands for.
+    /// Drops the retained entries.
     pub(crate) fn clear_retained(&mut self) {
         self.retained = Retained::empty_after(self.base(), self.term_at(self.base()).unwrap_or(0));
     }
 
-    /// The list as of an index that is in the log.
+    /// The members as of an index of the log, and the index of the entry that holds the list.
     pub(crate) fn members_as_of(&self, index: u64) -> (Vec<VoterId>, u64) {
         let newest = self.entries.iter().rev().skip_while(|entry| entry.index > index).find_map(|entry| {
             let Payload::Members(list) = &entry.payload else { return None };
--- a/crates/raft/src/membership.rs
+++ b/crates/raft/src/membership.rs
@@ -1,4 +1,4 @@
-//! Who votes: one change at a time, so that the majorities before and after it overlap.
+//! Membership changes: one voter at a time, so that the majorities before and after a change overlap.
 
 use crate::leader_state::{LeaderState, Peer};
 use crate::node::Node;
@@ -8,16 +8,16 @@
 };
 use crate::types::{Millis, Output, Payload, VoterId};
 
-/// How many entries a node that has caught up may lack, and how many bytes of them: what is under way while changes
-/// go on, and what a link of 2 Mbit/s carries in half a second.
+/// The maximum lag of a node that counts as caught up, in entries and in bytes. The entry limit covers entries that are
+/// in flight while changes continue; the byte limit is what a 2 Mbit/s link carries in half a second.
 const MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 8;
 const MAX_CAUGHT_UP_LAG_BYTES: usize = 128 << 10;
-/// How many of those that are not on the list are kept in mind, and for how many elections.
+/// The maximum number of learners, and how long the leader keeps a peer that is not a member, in election timeouts.
 const MAX_LEARNERS: usize = 8;
 const PEER_RETENTION_ELECTIONS: u64 = 10;
 
 impl Node {
-    /// Keeps in mind who is on the list, and for a while who has left it: it is to learn that.
+    /// Tracks a peer for each member. A removed member remains a peer for a while so that it learns of its removal.
     pub(crate) fn sync_peers_with_members(&mut self, now: Millis) {
         let next = self.log.last() + 1;
         let expires_at = now + self.timing.election * PEER_RETENTION_ELECTIONS;
@@ -76,7 +76,8 @@
         }
     }
 
-    /// A voter is about to end. Off an even list it leaves what is borne as it is, without waiting for its silence.
+    /// Removes a voter that is about to shut down, if the number of voters is even. Removing it keeps the number of
+    /// tolerated losses, without waiting for the silence timeout.
     pub(crate) fn on_voter_shutdown(&mut self, now: Millis, voter: &VoterId, out: &mut Vec<Output>) {
         let helps = departure_helps(self.members().len(), self.retirement.min_voters);
         if helps && self.holds_lease(now) {
@@ -84,15 +85,17 @@
         }
     }
 
-    /// Adds a learner to the list, if it has caught up, no other change is under way and the list bears no less with
-    /// it. Whoever was at its address goes first, in an entry of its own: a list with one voter exchanged may have a
-    /// majority that the old list lacks. That voter never comes back, so the list loses nothing without it.
+    /// Promotes a learner to a voter if the learner has caught up, no other change is pending and the promotion does
+    /// not reduce the number of tolerated losses. A voter with the same address and another incarnation is removed
+    /// first, in a separate entry: replacing a voter in one step may form a majority that does not overlap with an
+    /// old majority. The replaced voter never returns, so removing it costs nothing.
     pub(crate) fn promote_learner(&mut self, now: Millis, voter: &VoterId, out: &mut Vec<Output>) {
         if !self.is_ready_to_join(voter, now) || !self.may_change_members() {
             return;
         }
         if let Some(predecessor) = self.predecessor_of(voter).cloned() {
-            // With several lost disks at once the list would shrink by all of them before it grows again.
+            // After several simultaneous disk losses the list would otherwise shrink by all of them before it grows
+            // again.
             if !self.other_learner_joins_first(voter, now) {
                 self.remove_voter(now, &predecessor, out);
             }
@@ -103,15 +106,15 @@
         }
     }
 
-    /// Whether a node wants to be a voter, has caught up and has answered a heartbeat lately: one that is silent would
-    /// take the majority with it from a leader that has few others.
+    /// Whether a learner has requested promotion, has caught up and is responsive. Adding an unresponsive voter
+    /// could cost the leader of a small list its majority.
     fn is_ready_to_join(&self, learner: &VoterId, now: Millis) -> bool {
         let peer = self.leader_state.iter().flat_map(|leader| &leader.peers).find(|peer| peer.id == *learner);
         let requested = peer.is_some_and(|peer| peer.promotion_requested && self.has_caught_up(peer));
         requested && !self.members().contains(learner) && self.is_responsive(learner, now)
     }
 
-    /// The voter whose disk this one's address had before.
+    /// The current voter at the same address, whose disk was replaced.
     fn predecessor_of(&self, voter: &VoterId) -> Option<&VoterId> {
         self.members().iter().find(|member| member.address == voter.address)
     }
@@ -143,13 +146,13 @@
         self.members().iter().filter(|member| **member != self.me)
     }
 
-    /// Sets when silent voters are taken off the list.
+    /// Sets the policy for removing silent voters.
     pub fn set_retirement_policy(&mut self, policy: RetirementPolicy) {
         self.retirement = policy;
     }
 
-    /// Notes whether this leader has led without a break. Only while it does is a voter's silence the voter's own: a
-    /// leader that was frozen, or cut off from a majority, hears all others late.
+    /// Records whether the leader has held its lease without a gap. Only then does a voter's silence indicate a
+    /// problem of the voter: a leader that was frozen, or partitioned from a majority, receives all responses late.
     pub(crate) fn update_stable_since(&mut self, now: Millis) {
         let holds = self.holds_lease(now);
         let max_gap = self.timing.lease;
@@ -160,7 +163,7 @@
         leader.stability_checked_at = now;
     }
 
-    /// Voters that have answered nothing for as long as the policy says, the one that is silent longest first.
+    /// Voters that have answered no heartbeat for the silence timeout, the longest silent voter first.
     fn silent_voters(&self, now: Millis) -> Vec<VoterId> {
         let Some(leader) = &self.leader_state else { return Vec::new() };
         let mut silent: Vec<(Millis, &VoterId)> = self
@@ -172,7 +175,7 @@
         silent.into_iter().map(|(_, voter)| voter.clone()).collect()
     }
 
-    /// Takes a silent voter off the list, if the list then bears one more loss than with it.
+    /// Removes a silent voter if the removal increases the number of tolerated losses.
     pub(crate) fn retire_silent_voter(&mut self, now: Millis, out: &mut Vec<Output>) {
         if !self.holds_lease(now) || !self.may_change_members() {
             return;
@@ -187,13 +190,13 @@
         }
     }
 
-    /// What this leader knows of its voters; nothing if it does not hold the lease.
+    /// The leader's view of the membership; `None` if this node does not hold the lease.
     pub fn membership_status(&self, now: Millis) -> Option<MembershipStatus> {
         let leader = self.leader_state.as_ref().filter(|_| self.holds_lease(now))?;
         let (voters, healthy) = (self.members(), self.healthy_voters(self.members(), now));
         let mut losses = further_losses(voters.len(), healthy.len());
         if !self.membership_committed() {
-            // If the leader is lost now, the list before this one may be in force again.
+            // If the leader fails now, the previous list may become effective again.
             let (previous, _) = self.log.members_as_of(self.log.members_index() - 1);
             losses = losses.min(further_losses(previous.len(), self.healthy_voters(&previous, now).len()));
         }
@@ -214,7 +217,7 @@
         })
     }
 
-    /// Those of these voters that are heard and have caught up.
+    /// The voters that are responsive and have caught up.
     fn healthy_voters(&self, voters: &[VoterId], now: Millis) -> Vec<VoterId> {
         let caught_up = |voter: &VoterId| {
             let peer =
@@ -226,8 +229,9 @@
         voters.iter().filter(is_healthy).cloned().collect()
     }
 
-    /// Two leaders could each make a change that overlaps with the old list but not with the other's, unless the later
-    /// one has an entry of its own term committed first.
+    /// Whether this leader may change the list of voters: the previous change and an entry of its own term must be
+    /// committed. Without the latter, two successive leaders could make changes whose majorities overlap with the
+    /// old list but not with each other.
     fn may_change_members(&self) -> bool {
         let committed = self.log.term_at(self.commit) == Some(self.term);
         self.leader_state.is_some()
@@ -239,13 +243,13 @@
         self.append(Payload::Members(list));
         self.sync_peers_with_members(now);
         self.replicate_to_all(now, out);
-        // The new list counts at once: without a lost voter what was written may be committed already.
+        // The new list is effective at once. Removing a lost voter may already commit pending entries.
         self.advance_commit(now, out);
     }
 }
 
 impl LeaderState {
-    /// When the newest heartbeat was sent that this voter has answered; 0 if none was.
+    /// The send time of the newest heartbeat that `voter` has answered; 0 if there is none.
     fn answered_heartbeat_at(&self, voter: &VoterId) -> Millis {
         self.peers
             .iter()
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -1,4 +1,4 @@
-//! The state machine: what is common to all roles, and how what depends on the disk is held back.
+//! The Raft state machine: state and rules common to all roles, and the deferral of messages until saves are durable.
 
 use std::collections::VecDeque;
 
@@ -11,7 +11,7 @@
     Entry, Input, Message, Millis, Output, Payload, PersistentState, Role, Save, Timing, VoterId,
 };
 
-/// Faults that tests plant to see that they are found. All off in service.
+/// Faults that tests inject to verify that the checks detect them. All are off in production.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default)]
 #[cfg_attr(test, derive(Hash))]
@@ -20,38 +20,38 @@
     pub unsaved_votes: bool,
     /// Entries of older terms count as committed once a majority has them.
     pub commit_old_terms: bool,
-    /// A voter that lost its disk is taken for the one that it was.
+    /// A voter that lost its disk is treated as the voter with the former incarnation.
     pub any_incarnation: bool,
-    /// Voters vote although they hear a leader, and right after a start.
+    /// Voters grant votes while they receive heartbeats from a leader, and right after a start.
     pub vote_despite_leader: bool,
-    /// Answers do not wait for the disk.
+    /// Responses do not wait until the save is durable.
     pub reply_before_sync: bool,
-    /// Elections without a sounding before them. Not wrong in itself, but it hides other faults.
+    /// Elections start without a pre-vote. Correct by itself, but the pre-vote hides other faults.
     pub skip_pre_vote: bool,
-    /// A transfer in pieces starts from its first byte whenever a piece is lost.
+    /// A chunked transfer restarts from its first byte whenever a chunk is lost.
     pub restart_transfers: bool,
-    /// Pieces of several transfers are put together, without a look at their checksum.
+    /// Chunks of different transfers are assembled into one payload, without a checksum check.
     pub mix_transfers: bool,
-    /// A compaction ends transfers of the snapshot before.
+    /// A compaction aborts transfers of the previous snapshot.
     pub compaction_aborts_transfers: bool,
-    /// No entry that a snapshot stands for is retained.
+    /// Entries covered by a snapshot are not retained in memory.
     pub retain_no_entries: bool,
-    /// Entries and pieces count as lost after a fixed time, however slow the link is.
+    /// Entries and chunks count as lost after a fixed time, even on a slow link.
     pub fixed_loss_timeout: bool,
-    /// Leader and followers answer before an entry of the leader's term is committed.
+    /// The leader and its followers serve requests before an entry of the leader's term is committed.
     pub serve_before_own_commit: bool,
-    /// A learner is added to the list whatever it lacks.
+    /// A learner becomes a voter before it has caught up.
     pub promote_lagging_learners: bool,
-    /// A silent voter is taken off the list whether or not that helps.
+    /// A silent voter is removed even if its removal does not increase the tolerated losses.
     pub retire_unconditionally: bool,
-    /// A list is changed while the change before it is not committed.
+    /// The list of voters is changed while the previous change is not committed.
     pub overlapping_list_changes: bool,
-    /// A leader goes on leading after it has handed its lead to another voter.
+    /// A leader continues to lead after a leadership transfer.
     pub keep_leading_after_transfer: bool,
 }
 
 impl Faults {
-    /// As in service.
+    /// No faults, as in production.
     pub const NONE: Faults = Faults {
         unsaved_votes: false,
         commit_old_terms: false,
@@ -72,23 +72,23 @@
     };
 }
 
-/// Each life of a node begins to number its rounds of pre-votes somewhere below this.
+/// After each start a node numbers its pre-vote rounds from a random value up to this maximum.
 const MAX_INITIAL_PRE_VOTE_ROUND: u64 = (1 << 48) - 1;
 
-/// What waits for a save.
+/// A save that is not durable yet, and the messages that wait for the save.
 #[derive(Debug)]
 #[cfg_attr(test, derive(Clone, Hash))]
 pub(crate) struct PendingSave {
     ticket: u64,
-    /// Up to where the log is on disk with it.
+    /// The last log index on disk once the save is durable.
     last_index: u64,
     term: u64,
     replies: Vec<Output>,
-    /// The term in which the own vote for itself is on disk with it.
+    /// The term of the node's vote for itself, if the save contains that vote.
     own_vote: Option<u64>,
 }
 
-/// What one input has changed of what must be on disk.
+/// The changes of one input that must be written to disk.
 #[derive(Debug, Default)]
 #[cfg_attr(test, derive(Clone, Hash))]
 pub(crate) struct UnsavedChanges {
@@ -99,7 +99,7 @@
     pub(crate) own_vote: Option<u64>,
 }
 
-/// One voter, or one that wants to become one.
+/// A Raft node: a voter or a learner.
 #[derive(Debug)]
 #[cfg_attr(test, derive(Clone, Hash))]
 pub struct Node {
@@ -111,29 +111,30 @@
     pub(crate) vote: Option<VoterId>,
     pub(crate) log: Log,
     pub(crate) commit: u64,
-    /// Up to where a leader has said that the log is committed.
+    /// The highest commit index received from a leader.
     pub(crate) leader_commit: u64,
     pub(crate) leader: Option<VoterId>,
-    /// Present while this node leads.
+    /// Present while this node is the leader.
     pub(crate) leader_state: Option<LeaderState>,
-    /// Present while it asks for votes.
+    /// Present while this node requests pre-votes or votes.
     pub(crate) campaign: Option<Campaign>,
     pub(crate) pre_vote_round: u64,
     pub(crate) election_deadline: Millis,
-    /// Elections in a row that ended without a leader.
+    /// The elections that this node lost since it last knew a leader, except those in which a vote was refused.
     pub(crate) failed_elections: u32,
-    /// Until then no vote is given: a leader's lease may rest on what this node answered.
+    /// The node grants no vote before this time, because a leader's lease may depend on a heartbeat response of this
+    /// node.
     pub(crate) votes_withheld_until: Millis,
-    /// Up to where the log is surely that of this term's leader.
+    /// The highest index up to which the log is known to match the log of this term's leader.
     pub(crate) verified_index: u64,
-    /// Up to where the log is on disk.
+    /// The last log index on disk.
     pub(crate) durable_index: u64,
     pub(crate) durable_term: u64,
     pub(crate) last_ticket: u64,
     pub(crate) pending_saves: VecDeque<PendingSave>,
     pub(crate) unsaved: UnsavedChanges,
     replies: Vec<Output>,
-    /// A payload whose pieces are coming in.
+    /// The chunked payload that is being received.
     pub(crate) incoming: Option<IncomingTransfer>,
     pub(crate) limits: TransferLimits,
     pub(crate) reported_role: Role,
@@ -141,7 +142,7 @@
 }
 
 impl Node {
-    /// A node with what its disk has. The host has restored its own state from the snapshot.
+    /// Creates a node from the state on its disk. The host has already restored its own state from the snapshot.
     pub fn start(saved: PersistentState, timing: Timing, seed: u64, now: Millis) -> Node {
         let PersistentState { me, term, vote, snapshot, entries, founders } = saved;
         let first_start = term == 0 && entries.is_empty() && snapshot.is_none() && !founders.is_empty();
@@ -161,11 +162,12 @@
             leader: None,
             leader_state: None,
             campaign: None,
-            // Late answers to rounds of an earlier life of this node are to none of this one.
+            // A random start keeps late responses to rounds before a restart from matching a new round.
             pre_vote_round: seed & MAX_INITIAL_PRE_VOTE_ROUND,
             election_deadline: 0,
             failed_elections: 0,
-            // What it answered before it went down is forgotten, so it keeps still for as long as that could count.
+            // Heartbeat responses sent before the restart are forgotten, so the node withholds votes for as long as a
+            // lease could depend on them.
             votes_withheld_until: if first_start { now } else { now.saturating_add(timing.election) },
             verified_index: 0,
             durable_index: log.last(),
@@ -193,7 +195,7 @@
         self.faults = faults;
     }
 
-    /// Takes one input and says what is to be done.
+    /// Processes one input and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Millis, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Received { from, message } => self.receive(now, from, message, out),
@@ -211,52 +213,55 @@
         self.report_role(out);
     }
 
-    /// Whether this node leads, as far as it knows.
+    /// Whether this node considers itself the leader.
     pub fn is_leader(&self) -> bool {
         self.leader_state.is_some()
     }
 
-    /// Who leads, as far as known.
+    /// The current leader, if known.
     pub fn leader(&self) -> Option<&VoterId> {
         self.leader.as_ref()
     }
 
-    /// The newest term seen.
+    /// The highest term seen.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Up to where the log is committed, as far as known.
+    /// The commit index known to this node.
     pub fn commit(&self) -> u64 {
         self.commit
     }
 
-    /// Whether entries are committed that this node lacks. A leader sends no more of them than its window holds to one
-    /// whose answers do not reach it; its heartbeats still come, so that hearing them proves nothing about the log here.
+    /// Whether this node may lack committed entries. Receiving heartbeats does not prove that the log is current: if
+    /// the responses of this node do not reach the leader, the leader stops sending entries once its window is full,
+    /// but continues to send heartbeats.
     ///
-    /// So does a node that has not committed an entry of this term: a new leader does not know yet what its predecessors
-    /// had committed, and names its snapshot only. With its own first entry all of that is applied here.
+    /// A node that has not committed an entry of the current term also counts as lagging: a new leader does not know
+    /// yet which entries its predecessors committed, and announces only the index of its snapshot. Once the leader's
+    /// first entry is committed, this node has applied all those entries.
     pub fn lags(&self) -> bool {
-        let of_this_term = self.log.term_at(self.commit) == Some(self.term);
-        self.leader_commit > self.commit || !(of_this_term || self.faults.serve_before_own_commit)
+        let current_term_committed = self.log.term_at(self.commit) == Some(self.term);
+        self.leader_commit > self.commit || !(current_term_committed || self.faults.serve_before_own_commit)
     }
 
-    /// The voters, as of the newest list in the log.
+    /// The members according to the newest list in the log, committed or not.
     pub fn members(&self) -> &[VoterId] {
         self.log.members()
     }
 
-    /// Who this node is.
+    /// The identity of this node.
     pub fn me(&self) -> &VoterId {
         &self.me
     }
 
-    /// Whether it is a voter itself.
+    /// Whether this node is a voter.
     pub fn is_voter(&self) -> bool {
         self.is_member(&self.me)
     }
 
-    /// Whether it had better leave the list before it ends: what is left then bears more.
+    /// Whether this node should leave the list of voters before a shutdown, because the remaining voters then tolerate
+    /// more losses.
     pub fn should_leave(&self) -> bool {
         self.is_voter() && departure_helps(self.members().len(), self.retirement.min_voters)
     }
@@ -266,28 +271,29 @@
         self.log.members_index() <= self.commit
     }
 
-    /// Whether this leader has heard a voter: it has answered a heartbeat that was sent within an election before now.
+    /// Whether `voter` has answered a heartbeat that this leader sent within the last election timeout.
     pub fn is_responsive(&self, voter: &VoterId, now: Millis) -> bool {
-        let answered =
+        let answered_at =
             |leader: &LeaderState| leader.peers.iter().find(|peer| peer.id == *voter)?.answered_heartbeat_at;
-        let answered = self.leader_state.as_ref().and_then(answered);
-        answered.is_some_and(|at| at.saturating_add(self.timing.election) > now)
+        let answered_at = self.leader_state.as_ref().and_then(answered_at);
+        answered_at.is_some_and(|at| at.saturating_add(self.timing.election) > now)
     }
 
-    /// Whether this leader has led for an election without a break: before, who is not heard may not have been asked yet.
+    /// Whether this leader has held its lease without a gap for an election timeout. Earlier, an unresponsive voter may
+    /// simply not have received a heartbeat yet.
     pub fn has_led_for_election_timeout(&self, now: Millis) -> bool {
         self.leader_state
             .as_ref()
             .is_some_and(|leader| leader.stable_since.saturating_add(self.timing.election) <= now)
     }
 
-    /// When `Tick` is wanted next.
+    /// The time of the next required `Tick`.
     pub fn next_due(&self) -> Millis {
         self.leader_state.as_ref().map_or(self.election_deadline, |leader| leader.next_heartbeat_at)
     }
 
     fn receive(&mut self, now: Millis, from: VoterId, message: Message, out: &mut Vec<Output>) {
-        // No fleet gets to such a term; counting on from there would overflow.
+        // Terms never get this high in practice; incrementing such a term could overflow.
         if from == self.me || message.term() > u64::MAX / 2 {
             return;
         }
@@ -373,20 +379,20 @@
         }
     }
 
-    /// An answer that depends on what this node has promised: it leaves once all of that is on disk.
+    /// Queues a message that depends on unsaved state. The message is sent once that state is on disk.
     pub(crate) fn reply_after_sync(&mut self, to: VoterId, message: Message) {
         self.replies.push(Output::Send { to, message });
     }
 
-    /// One save for all that an input has changed, and what waits for it.
+    /// Emits one save for all changes of an input, and queues the replies that depend on pending saves.
     fn flush(&mut self, out: &mut Vec<Output>) {
         let replies = std::mem::take(&mut self.replies);
         let unsaved = std::mem::take(&mut self.unsaved);
-        let any = unsaved.hard_state
+        let has_changes = unsaved.hard_state
             || unsaved.truncate.is_some()
             || unsaved.first_entry.is_some()
             || unsaved.snapshot;
-        if any {
+        if has_changes {
             self.last_ticket += 1;
             let entries = unsaved
                 .first_entry
@@ -410,7 +416,7 @@
             });
         }
         match self.pending_saves.back_mut() {
-            // A stuck disk must not make an endless queue; who asks again is answered again.
+            // Bounds the queue while the disk is stuck. A peer that repeats its request gets another reply.
             Some(pending) if !self.faults.reply_before_sync => {
                 pending.replies.extend(replies);
                 let surplus = pending.replies.len().saturating_sub(MAX_DEFERRED_REPLIES);
@@ -435,7 +441,7 @@
         }
     }
 
-    /// A newer term ends whatever this node was in the old one.
+    /// Adopts a higher term, which ends the role of this node in the old term.
     pub(crate) fn observe_term(&mut self, now: Millis, term: u64, out: &mut Vec<Output>) {
         if term > self.term {
             self.term = term;
@@ -446,7 +452,7 @@
         }
     }
 
-    /// Neither leads nor stands any longer, and knows of no leader.
+    /// Stops leading or campaigning and forgets the known leader.
     pub(crate) fn step_down(&mut self, now: Millis, out: &mut Vec<Output>) {
         self.campaign = None;
         self.leader = None;
@@ -468,14 +474,14 @@
         index
     }
 
-    /// Entries from this index on go away, in memory and on disk.
+    /// Removes the entries from this index on, in memory and on disk.
     pub(crate) fn truncate_log(&mut self, from: u64) {
         self.log.truncate(from);
         let last = from.saturating_sub(1);
         self.durable_index = self.durable_index.min(last);
-        // A save under way may still bring entries to disk that the one after it takes away.
+        // A pending save may still write entries that the next save removes.
         self.pending_saves.iter_mut().for_each(|pending| pending.last_index = pending.last_index.min(last));
-        self.unsaved.truncate = Some(self.unsaved.truncate.map_or(from, |before| before.min(from)));
+        self.unsaved.truncate = Some(self.unsaved.truncate.map_or(from, |earlier| earlier.min(from)));
     }
 
     pub(crate) fn mark_committed(&mut self, index: u64, out: &mut Vec<Output>) {
@@ -490,16 +496,17 @@
         self.members().iter().any(|member| self.is_same_voter(member, voter))
     }
 
-    pub(crate) fn is_same_voter(&self, one: &VoterId, other: &VoterId) -> bool {
-        one == other || (self.faults.any_incarnation && one.address == other.address)
+    pub(crate) fn is_same_voter(&self, voter: &VoterId, other: &VoterId) -> bool {
+        voter == other || (self.faults.any_incarnation && voter.address == other.address)
     }
 
     pub(crate) fn reset_election_deadline(&mut self, now: Millis) {
-        let least = self.timing.election;
-        self.election_deadline = now.saturating_add(least).saturating_add(self.random_below(least));
+        let min_timeout = self.timing.election;
+        self.election_deadline =
+            now.saturating_add(min_timeout).saturating_add(self.random_below(min_timeout));
     }
 
-    /// A number below `limit` (splitmix64): all it must do is to differ between nodes.
+    /// A pseudo-random number below `limit` (splitmix64). The numbers only need to differ between nodes.
     pub(crate) fn random_below(&mut self, limit: u64) -> u64 {
         self.rng_state = self.rng_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.rng_state;
@@ -509,6 +516,7 @@
     }
 }
 
+/// The maximum number of replies that wait for one save; older replies are dropped.
 const MAX_DEFERRED_REPLIES: usize = 256;
-/// A voter counts as gone after a silence of so many elections, unless the host says otherwise.
+/// The default silence timeout of the retirement policy, in election timeouts.
 const DEFAULT_SILENCE_ELECTIONS: u64 = 6;
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -1,41 +1,41 @@
-//! How the leader's log gets to the others, and how a leader knows that it still is one.
+//! Log replication from the leader to its peers, and the leader lease.
 
 use crate::leader_state::{InFlightMessage, Peer, PendingProposal};
 use crate::node::Node;
 use crate::transfer::{HEARTBEATS_UNTIL_LOST, HEARTBEATS_UNTIL_SNAPSHOT_LOST};
 use crate::types::{Entry, Message, Millis, Output, Payload, Snapshot, TransferKind, VoterId};
 
-/// How many entries one `Append` holds at most; their bytes are bounded by the window.
+/// The maximum number of entries in one `Append`; the window limits their bytes.
 const MAX_ENTRIES_PER_APPEND: usize = 64;
-/// How many accepted entries may wait for their commitment, and how many bytes of changes.
+/// The maximum number of uncommitted entries, and the maximum bytes of uncommitted changes.
 const MAX_UNCOMMITTED_ENTRIES: u64 = 1024;
 const MAX_UNCOMMITTED_BYTES: usize = 7 << 20;
-/// The largest change that a leader accepts, in bytes: a body of 6 MiB, and what its host writes around it.
+/// The largest change that a leader accepts, in bytes: a configuration of 6 MiB plus the encoding overhead of the host.
 pub const MAX_CHANGE_BYTES: usize = (6 << 20) + (4 << 10);
-/// How many of the newest heartbeats can still be answered.
+/// The number of heartbeats whose send times the leader remembers. Responses to older heartbeats are ignored.
 const MAX_TRACKED_HEARTBEATS: usize = 256;
 
-/// What a majority has reached: of each voter's figure, the highest that more than half have.
+/// The highest value that more than half of the voters have reached.
 fn majority_value<T: Ord + Copy>(mut values: Vec<T>) -> Option<T> {
     values.sort_unstable_by(|one, other| other.cmp(one));
     values.get(values.len() / 2).copied()
 }
 
 impl Node {
-    /// Whether this leader is surely the only one now: a majority, itself counted, has answered a heartbeat that was sent
-    /// within `lease` before now, and an entry of its own term is committed.
+    /// Whether this node holds the leader lease, so that no other leader can exist now: a majority including itself has
+    /// answered a heartbeat sent within `lease` before `now`, and an entry of its own term is committed.
     pub fn holds_lease(&self, now: Millis) -> bool {
         self.lease_until(now).is_some_and(|until| until > now)
     }
 
-    /// When the lease of this leader ends or has ended, unless it is renewed; nothing if it never had one.
+    /// When the lease of this leader expires or expired; `None` if this node has never held a lease in this term.
     pub fn lease_until(&self, now: Millis) -> Option<Millis> {
         let own = self.log.term_at(self.commit) == Some(self.term) || self.faults.serve_before_own_commit;
         let answered = self.quorum_heartbeat_at(now).filter(|_| own);
         answered.map(|at| at.saturating_add(self.timing.lease))
     }
 
-    /// When the newest heartbeat was sent that a majority has answered.
+    /// The send time of the newest heartbeat that a majority has answered.
     fn quorum_heartbeat_at(&self, now: Millis) -> Option<Millis> {
         let leader = self.leader_state.as_ref()?;
         let figure = |member: &VoterId| {
@@ -53,14 +53,15 @@
         majority_value(self.members().iter().map(figure).collect()).flatten()
     }
 
-    /// As above, but a new leader has the benefit of the doubt.
+    /// The send time of the newest heartbeat that a majority has answered, or the time of the election if that is
+    /// later.
     pub(crate) fn last_quorum_contact(&self, now: Millis) -> Millis {
         let since = self.leader_state.as_ref().map_or(0, |leader| leader.elected_at);
         self.quorum_heartbeat_at(now).unwrap_or(0).max(since)
     }
 
     pub(crate) fn tick_leader(&mut self, now: Millis, out: &mut Vec<Output>) {
-        // Whoever reaches no majority gives way, so that its clients look elsewhere.
+        // A leader without contact to a majority steps down, so that its clients turn to another node.
         if self.last_quorum_contact(now).saturating_add(self.timing.election * 2) < now {
             self.step_down(now, out);
             return;
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Sends a follower what it lacks, as far as its window allows.
+    /// Sends a peer the log data that it lacks, as far as its window allows.
     pub(crate) fn replicate_to(&mut self, now: Millis, id: &VoterId, out: &mut Vec<Output>) {
         let last = self.log.last();
         loop {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Sends the entries that follow on one, as many as fit; false if the window has no room for them now.
+    /// Sends the entries after `prev_index`, as many as fit; returns false if the window has no room for them now.
     fn send_entries(
         &mut self, now: Millis, id: &VoterId, (prev_index, prev_term): (u64, u64), probing: bool,
         window_left: usize, out: &mut Vec<Output>,
@@ -160,7 +161,7 @@
                     self.transfer_entry(id, prev_term, entry);
                     return true;
                 }
-                // Whether it fits there is found out first, without it.
+                // Probes with an empty message first whether the logs match.
                 _ => (entries, bytes) = (Vec::new(), 0),
             }
         }
@@ -170,7 +171,7 @@
         true
     }
 
-    /// Sends the snapshot in place of entries that are not here any more.
+    /// Sends the snapshot in place of entries that have been compacted.
     fn send_snapshot(&mut self, now: Millis, id: &VoterId, previous: u64, out: &mut Vec<Output>) -> bool {
         let Some(snapshot) = self.log.snapshot().cloned() else { return false };
         let (term, index, bytes) = (self.term, snapshot.index, snapshot.state.len());
@@ -187,7 +188,7 @@
         true
     }
 
-    #[allow(clippy::too_many_arguments)] // What is remembered of one message.
+    #[allow(clippy::too_many_arguments)] // The fields of one in-flight message.
     fn send_tracked(
         &mut self, now: Millis, id: &VoterId, message: Message, (prev_index, last_index): (u64, u64),
         bytes: usize, loss_heartbeats: u64, out: &mut Vec<Output>,
@@ -214,12 +215,12 @@
         let Some(peer) = leader.peers.iter_mut().find(found) else { return };
         peer.answered_heartbeat_at = peer.answered_heartbeat_at.max(sent);
         let id = peer.id.clone();
-        // It has answered what was sent later, so what it has not answered was lost. Nothing is repeated to one that is
-        // silent, nor to one whose link is slow.
+        // The peer has answered a heartbeat that was sent later than an unanswered message, so that message was lost.
+        // Messages are not repeated to a silent peer, nor merely because a link is slow.
         let heartbeat_sent_at = if faults.fixed_loss_timeout { now } else { sent.unwrap_or(0) };
         if peer.in_flight.front().is_some_and(|first| first.presumed_lost_at <= heartbeat_sent_at) {
             peer.in_flight.clear();
-            // An entry that follows on lost ones fits nowhere.
+            // A chunked entry that follows lost entries can no longer be appended.
             peer.transfer.take_if(|transfer| transfer.id.kind == TransferKind::Entry);
             peer.probing = true;
             peer.next_index = peer.match_index.max(matched) + 1;
@@ -263,7 +264,7 @@
             return;
         }
         let Some(peer) = self.leader_state.as_mut().and_then(|leader| leader.peer(&from)) else { return };
-        // Of several messages under way that do not fit, only the first one's answer starts a new try.
+        // If several in-flight messages do not match, only the first rejection triggers a retry.
         let in_chunks = peer.transfer.as_ref().is_some_and(|transfer| transfer.id.follows_on(prev_index));
         if !in_chunks && !peer.in_flight.iter().any(|message| message.prev_index == prev_index) {
             return;
@@ -275,7 +276,7 @@
         self.replicate_to(now, &from, out);
     }
 
-    /// Whether an answer is meant for this leader, in this term, by one that it knows.
+    /// Whether a response comes from a known peer and belongs to this leader's current term. Adopts a higher term.
     pub(crate) fn accept_answer(
         &mut self, now: Millis, from: &VoterId, term: u64, out: &mut Vec<Output>,
     ) -> bool {
@@ -301,26 +302,27 @@
             same.map(|peer| peer.match_index).max().unwrap_or(0)
         };
         let Some(index) = majority_value(self.members().iter().map(figure).collect()) else { return };
-        // An entry of an older term can be on a majority and still be overwritten: it counts with one of this term.
+        // An entry of an older term can be on a majority and still be overwritten. It is committed only together
+        // with an entry of the current term.
         let own = self.log.term_at(index) == Some(self.term) || self.faults.commit_old_terms;
         if index <= self.commit || !own {
             return;
         }
         self.mark_committed(index, out);
         if let Some(leader) = &mut self.leader_state {
-            // The others learn of it soon, and of several in one go.
+            // Announces the new commit index soon, and several commits with one heartbeat.
             leader.next_heartbeat_at = leader.next_heartbeat_at.min(now + self.timing.heartbeat / 8);
             while leader.pending_proposals.front().is_some_and(|proposal| proposal.index <= index) {
                 leader.pending_proposals.pop_front();
             }
         }
-        // A leader that is off the list has done its work once that is committed.
+        // A leader that is no longer a voter steps down once its removal is committed.
         if !self.is_voter() && self.log.members_index() <= self.commit {
             self.step_down(now, out);
         }
     }
 
-    /// Whether the sender leads in the term that counts here; if so, this node follows it.
+    /// Follows the sender if it is the leader of the current or a higher term; returns whether this node follows.
     pub(crate) fn accept_leader(
         &mut self, now: Millis, from: &VoterId, term: u64, out: &mut Vec<Output>,
     ) -> bool {
@@ -347,8 +349,8 @@
         } else if term >= self.term {
             return;
         }
-        // This one does not wait for the disk: it promises only what this node keeps in mind, and after a start it
-        // keeps still for as long. So it names only what is on disk already.
+        // This response does not wait for the disk. The promise not to vote is kept in memory; after a restart the node
+        // withholds votes for just as long. The response therefore reports only log entries that are already on disk.
         let kept = self.durable_term == self.term;
         let matched = if kept { self.verified_index.min(self.durable_index) } else { 0 };
         out.push(Output::Send {
@@ -372,7 +374,7 @@
         if !well_formed(prev_index, prev_term, &entries, term) {
             return None;
         }
-        // What is committed here is in every leader's log, so all up to the snapshot fits without a look.
+        // Committed entries are in every leader's log, so the log matches up to the snapshot without a check.
         let base = self.log.base();
         let fits = prev_index < base || self.log.term_at(prev_index) == Some(prev_term);
         if !fits {
@@ -383,7 +385,7 @@
         for entry in entries.into_iter().filter(|entry| entry.index > base) {
             match self.log.term_at(entry.index) {
                 Some(term) if term == entry.term => continue,
-                // Never: a leader without a committed entry can't be elected. If it does come, it is not followed.
+                // Cannot happen: a leader without a committed entry cannot be elected. Ignore such a message.
                 Some(_) if entry.index <= self.commit => return None,
                 Some(_) => self.truncate_log(entry.index),
                 None => {}
@@ -402,7 +404,7 @@
         self.mark_committed(commit.min(self.verified_index), out);
     }
 
-    /// Up to where the logs may agree: not the entries of a term that the leader has not at that place.
+    /// The highest index at which the logs may match. Skips all entries of the conflicting term.
     fn conflict_hint(&self, prev_index: u64) -> u64 {
         let mut hint = prev_index.saturating_sub(1).min(self.log.last());
         if let Some(conflicting_term) = self.log.term_at(prev_index) {
@@ -424,7 +426,7 @@
             return;
         }
         let index = snapshot.index;
-        // No log gets that far; counting on from there would overflow.
+        // No log grows this long; incrementing such an index could overflow.
         if index > u64::MAX / 2 {
             return;
         }
@@ -442,7 +444,8 @@
     }
 }
 
-/// Whether these entries can stand in a log behind that one, written in this term or before.
+/// Whether the entries can follow the entry at `prev_index` in a log of this term: indexes are consecutive, and terms
+/// neither decrease nor exceed `term`.
 fn well_formed(prev_index: u64, prev_term: u64, entries: &[Entry], term: u64) -> bool {
     let mut previous = (prev_index, prev_term);
     entries.iter().all(|entry| {
--- a/crates/raft/src/store.rs
+++ b/crates/raft/src/store.rs
@@ -95,9 +95,7 @@
             StoreError::Schema { found, path } => {
                 write!(f, "{} has contents of version {found}, not {SCHEMA}", path.display())
             }
-            StoreError::AlreadyInitialized { path } => {
-                write!(f, "{} already holds a node", path.display())
-            }
+            StoreError::AlreadyInitialized { path } => write!(f, "{} already holds a node", path.display()),
             StoreError::SetAsideFailed { path, cause } => {
                 write!(f, "{} stays where it is: {cause}", path.display())
             }
@@ -181,8 +179,8 @@
     }
 
     /// Writes who this node is, and a snapshot that its log begins with: for a log whose voters were not known when
-    /// the file was made, and for the last voter of one that goes on alone under another incarnation. The term only rises;
-    /// the vote in it stays if it does not. A file that has a log already is left as it is.
+    /// the file was made, and for the last voter of one that goes on alone under another incarnation. The term only
+    /// rises; the vote in it stays if it does not. A file that has a log already is left as it is.
     pub fn create_from_snapshot(
         &self, me: VoterId, term: u64, snapshot: Snapshot,
     ) -> Result<PersistentState, StoreError> {
@@ -367,8 +365,8 @@
     bytes
 }
 
-/// Whether power went while `redb` made the file: it writes its mark last, and nobody was told anything before. Taken for
-/// damaged, founders that lose their power at the first start would not be founders any more.
+/// Whether power went while `redb` made the file: it writes its mark last, and nobody was told anything before.
+/// Taken for damaged, founders that lose their power at the first start would not be founders any more.
 fn is_uninitialized(backend: &impl StorageBackend) -> std::io::Result<bool> {
     let length = backend.len()?;
     if length == 0 || length > MAX_UNINITIALIZED_BYTES {
--- a/crates/raft/src/transfer.rs
+++ b/crates/raft/src/transfer.rs
@@ -1,12 +1,13 @@
-//! Long snapshots and entries, sent in pieces that resume after a lost connection.
+//! Chunked transfers of long snapshots and entries, which resume after a lost connection.
 //!
-//! One message of megabytes holds up every heartbeat behind it on its connection, and has to start again from its first
-//! byte when that connection breaks. Whatever is longer than a window is therefore encoded once and sent piece by piece,
-//! as in section 5.1 of Ongaro's dissertation on Raft. The window of bytes in flight follows the queueing delay that the
-//! answers show: a slow link has room for heartbeats between the pieces, a fast one is filled.
+//! A message of several megabytes delays every heartbeat behind it on the connection, and restarts from its first
+//! byte when the connection breaks. A payload longer than the minimum window is therefore encoded once and sent in
+//! chunks, as in section 5.1 of Ongaro's dissertation on Raft. The window of bytes in flight adapts to the queueing
+//! delay that the responses show: a slow link keeps room for heartbeats between the chunks, a fast link is filled.
 //!
-//! The follower keeps the pieces in memory only. It promises nothing by acknowledging them; a process that starts again
-//! is sent them from the beginning. Once all are there and the checksum fits, they count as the message that they make.
+//! The follower keeps chunks in memory only, so acknowledging a chunk does not guarantee durability; after a restart of
+//! the follower the transfer starts over. Once all chunks have arrived and the checksum matches, the payload is
+//! processed like the message that it replaces.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -15,27 +16,28 @@
 
 use crate::types::{Entry, Millis, Snapshot, TransferId, TransferKind};
 
-/// Of entries or a piece that is not answered: it was lost if the heartbeat is answered that is sent after so many others.
-/// All go over one connection in order, so that a slow link alone makes nobody send anything twice.
+/// An unanswered message or chunk counts as lost once the peer answers a heartbeat sent this many heartbeat intervals
+/// later. All messages use one connection in order, so a slow link alone never causes a retransmission.
 pub(crate) const HEARTBEATS_UNTIL_LOST: u64 = 3;
-/// The same of a whole snapshot, which takes its time to get to the disk.
+/// The same limit for a whole snapshot, which takes longer to be written to disk.
 pub(crate) const HEARTBEATS_UNTIL_SNAPSHOT_LOST: u64 = 20;
 
-/// Bounds of what is under way to one follower.
+/// Limits of the data in flight to one follower.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(test, derive(Hash))]
 pub struct TransferLimits {
-    /// The length of a piece, in bytes.
+    /// The length of a chunk, in bytes.
     pub chunk_bytes: usize,
-    /// What may always be in flight, in bytes: 131 ms of a link of 2 Mbit/s, less than an election or a lease.
+    /// The minimum window, in bytes. Takes 131 ms on a 2 Mbit/s link, which is less than an election timeout or a
+    /// lease.
     pub min_window_bytes: usize,
-    /// What may be in flight on a fast link, in bytes.
+    /// The maximum window, in bytes, reached on a fast link.
     pub max_window_bytes: usize,
 }
 
 impl TransferLimits {
-    /// As they are in service.
+    /// The production limits.
     pub const PRODUCTION: TransferLimits =
         TransferLimits { chunk_bytes: 8 << 10, min_window_bytes: 32 << 10, max_window_bytes: 1 << 20 };
 }
@@ -46,7 +48,7 @@
     }
 }
 
-/// What a transfer carries.
+/// The payload of a transfer.
 #[derive(Debug, Encode, Decode)]
 pub(crate) enum TransferPayload {
     Snapshot(Snapshot),
@@ -62,14 +64,14 @@
     }
 }
 
-/// Whether a follower is known to take pieces.
+/// Whether a follower supports chunked transfers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[cfg_attr(test, derive(Hash))]
 pub(crate) enum ChunkSupport {
     #[default]
     Unknown,
     Known,
-    /// A process of the version before: it is sent whole messages.
+    /// The follower runs the previous release and gets whole messages.
     Missing,
 }
 
@@ -78,11 +80,11 @@
 pub(crate) struct ChunkInFlight {
     pub(crate) offset: usize,
     pub(crate) sent_at: Millis,
-    /// It was lost if a heartbeat was answered that was sent no earlier than this.
+    /// The chunk was lost if the peer answers a heartbeat that was sent at this time or later.
     pub(crate) presumed_lost_at: Millis,
 }
 
-/// A payload on its way to one follower.
+/// The sending side of a chunked transfer to one follower.
 #[derive(Debug)]
 #[cfg_attr(test, derive(Clone, Hash))]
 pub(crate) struct OutgoingTransfer {
@@ -92,7 +94,7 @@
     pub(crate) next_offset: usize,
     pub(crate) in_flight: VecDeque<ChunkInFlight>,
     pub(crate) window_bytes: usize,
-    /// The shortest time from a piece to its answer: what exceeds it is spent in queues.
+    /// The shortest observed time from sending a chunk to its response. Any excess is queueing delay.
     pub(crate) min_delay: Option<Millis>,
 }
 
@@ -113,7 +115,7 @@
         self.acknowledged == self.payload.len()
     }
 
-    /// The next piece, if the window has room for it.
+    /// The next chunk, if the window has room for it.
     pub(crate) fn next_chunk(
         &mut self, now: Millis, heartbeat: Millis, chunk_bytes: usize,
     ) -> Option<(u64, Vec<u8>)> {
@@ -129,7 +131,7 @@
         Some((offset as u64, self.payload[offset..end].to_vec()))
     }
 
-    /// The follower has `received` bytes from the beginning on, after it was sent the piece at `offset`.
+    /// Handles a response: the follower has the first `received` bytes, after it got the chunk at `offset`.
     pub(crate) fn on_chunk_received(
         &mut self, now: Millis, heartbeat: Millis, limits: TransferLimits, offset: u64, received: u64,
     ) {
@@ -139,7 +141,7 @@
             return;
         }
         if received <= offset {
-            // It lacks what is before this piece: it has started again, or an earlier piece was lost.
+            // The follower lacks bytes before this chunk: it has restarted, or an earlier chunk was lost.
             if self.in_flight.front().is_some_and(|first| first.offset != received) {
                 self.rewind(received);
             }
@@ -166,7 +168,7 @@
         }
     }
 
-    /// All pieces are there; what they make is yet to be on the follower's disk.
+    /// All chunks have arrived; now waits until the payload is on the follower's disk.
     pub(crate) fn await_durable(&mut self, now: Millis, heartbeat: Millis) {
         let presumed_lost_at = now + heartbeat * HEARTBEATS_UNTIL_SNAPSHOT_LOST;
         self.in_flight.clear();
@@ -182,12 +184,13 @@
         (self.acknowledged, self.next_offset) = (to, to);
     }
 
-    /// Whether what is in flight was lost, by an answered heartbeat that was sent after it. It is sent again then.
+    /// Rewinds the transfer if the chunks in flight were lost, given the send time of an answered heartbeat. Returns
+    /// whether the transfer was rewound.
     pub(crate) fn resume_if_lost(&mut self, heartbeat_sent_at: Millis, limits: TransferLimits) -> bool {
         if self.in_flight.front().is_none_or(|first| first.presumed_lost_at > heartbeat_sent_at) {
             return false;
         }
-        // Nobody answered that it is on disk: the last piece asks again.
+        // The follower has not confirmed durability: resending the last chunk makes it respond again.
         let last_chunk = self.payload.len().saturating_sub(limits.chunk_bytes.max(1));
         self.rewind(if self.is_complete() { last_chunk } else { self.acknowledged });
         self.window_bytes = limits.min_window_bytes;
@@ -201,7 +204,7 @@
     }
 }
 
-/// A payload of which the first bytes have come.
+/// The receiving side of a chunked transfer, with the bytes received so far.
 #[derive(Debug)]
 #[cfg_attr(test, derive(Clone, Hash))]
 pub(crate) struct IncomingTransfer {
--- a/crates/raft/src/transfer_protocol.rs
+++ b/crates/raft/src/transfer_protocol.rs
@@ -1,15 +1,15 @@
-//! A node at both ends of a transfer in pieces.
+//! The sending and the receiving node of a chunked transfer.
 
 use crate::checksum::checksum;
 use crate::node::Node;
 use crate::transfer::{ChunkSupport, IncomingTransfer, OutgoingTransfer, TransferLimits, TransferPayload};
 use crate::types::{Entry, Message, Millis, Output, Snapshot, TransferId, TransferKind, VoterId};
 
-/// The longest payload that a follower assembles, in bytes: a configuration of the largest size, its predecessors and
-/// what is remembered of versions and floors.
+/// The longest payload that a follower assembles, in bytes: a configuration of maximum size, its predecessors, and the
+/// remembered versions and floors.
 const MAX_PAYLOAD_BYTES: u64 = 24 << 20;
-/// First pieces without any answer, while heartbeats are answered, after which a follower is taken for a process of the
-/// version before, which knows no pieces and ignores them.
+/// The number of unanswered transfer attempts, while heartbeats are answered, after which a follower is assumed to run
+/// the previous release, which ignores chunks.
 const MAX_UNANSWERED_CHUNK_ATTEMPTS: u32 = 3;
 
 impl Node {
@@ -18,19 +18,19 @@
         self.limits = limits;
     }
 
-    /// Whether a message of this length goes to this follower in pieces.
+    /// Whether a payload of this length must be sent to this follower in chunks.
     pub(crate) fn needs_chunking(&self, id: &VoterId, length: usize) -> bool {
         let peer = self.leader_state.iter().flat_map(|leader| &leader.peers).find(|peer| peer.id == *id);
         let supported = peer.is_some_and(|peer| peer.chunk_support != ChunkSupport::Missing);
         supported && length > self.limits.min_window_bytes
     }
 
-    /// Begins to send the snapshot that stands for what this follower lacks.
+    /// Starts a chunked transfer of a snapshot.
     pub(crate) fn transfer_snapshot(&mut self, to: &VoterId, snapshot: Snapshot) {
         self.begin_transfer(to, &TransferPayload::Snapshot(snapshot));
     }
 
-    /// Begins to send an entry that is too long for one message.
+    /// Starts a chunked transfer of an entry that is too long for one message.
     pub(crate) fn transfer_entry(&mut self, to: &VoterId, previous_term: u64, entry: Entry) {
         self.begin_transfer(to, &TransferPayload::Entry { previous_term, entry });
     }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Sends what the window of a transfer has room for; false if none is under way.
+    /// Sends as many chunks as the window allows; returns false if no transfer is in progress.
     pub(crate) fn continue_transfer(&mut self, now: Millis, to: &VoterId, out: &mut Vec<Output>) -> bool {
         let (term, heartbeat, chunk_bytes) =
             (self.term, self.timing.heartbeat.max(1), self.limits.chunk_bytes);
@@ -68,7 +68,7 @@
         true
     }
 
-    /// A heartbeat that was sent then was answered: pieces from before it that were not are sent again.
+    /// Resends unanswered chunks that were sent before an answered heartbeat.
     pub(crate) fn resume_transfer(&mut self, id: &VoterId, heartbeat_sent_at: Millis) {
         let (limits, faults, base) = (self.limits, self.faults, self.log.base());
         let Some(peer) = self.leader_state.as_mut().and_then(|leader| leader.peer(id)) else { return };
@@ -87,7 +87,7 @@
                 return;
             }
         }
-        // Nothing of it is there yet, so that the newest snapshot may as well go instead.
+        // The follower has no chunk of this snapshot yet, so the leader can send its newest snapshot instead.
         if transfer.acknowledged == 0
             && transfer.id.kind == TransferKind::Snapshot
             && transfer.id.index < base
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Whether this log has what a transfer would bring: by the log matching property all before it as well.
+    /// Whether this log already has the payload of a transfer. By the log matching property it then also has all
+    /// entries before it.
     fn already_has(&self, id: TransferId) -> bool {
         match id.kind {
             TransferKind::Snapshot => id.index <= self.commit,
@@ -145,12 +146,12 @@
         }
     }
 
-    /// Drops what has come of a transfer that this log no longer needs.
+    /// Drops an incoming transfer whose payload this log already contains.
     pub(crate) fn drop_incoming(&mut self, last_index: u64) {
         self.incoming.take_if(|incoming| incoming.id.index <= last_index);
     }
 
-    /// Adds a piece if it is the next one; says how many bytes are there, from the first on.
+    /// Appends a chunk if it is the next one; returns the number of contiguous bytes received.
     fn assemble(&mut self, id: TransferId, offset: u64, bytes: &[u8]) -> u64 {
         if id.length > MAX_PAYLOAD_BYTES || bytes.len() as u64 > id.length {
             return 0;
@@ -169,10 +170,10 @@
         incoming.received.len() as u64
     }
 
-    /// All pieces are there: they count as the message that they make.
+    /// Processes the complete payload like the message that it replaces.
     fn finish_incoming(&mut self, now: Millis, from: VoterId, out: &mut Vec<Output>) {
         let Some(IncomingTransfer { id, received }) = self.incoming.take() else { return };
-        // Otherwise it is sent again from its first byte.
+        // After a checksum mismatch the leader resends the payload from its first byte.
         if checksum(&received) != id.checksum && !self.faults.mix_transfers {
             return;
         }
--- a/crates/raft/src/types.rs
+++ b/crates/raft/src/types.rs
@@ -1,16 +1,18 @@
-//! What goes into the state machine, what comes out of it, and what is kept.
+//! Inputs, outputs, messages and persistent data of the state machine.
 
 use bitcode::{Decode, Encode};
 
-/// A point of the host's steady clock, or a span of it, in milliseconds.
+/// A point in time of the host's monotonic clock, or a duration, in milliseconds.
 pub type Millis = u64;
 
-/// A voter: its peer address and a number drawn when its disk was empty (0 for founding voters).
+/// Identifies a voter by its peer address and an incarnation, which is drawn at random when the voter starts with an
+/// empty disk (0 for founding voters).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct VoterId {
-    /// Where it is reached by its peers.
+    /// The address on which peers reach the voter.
     pub address: String,
-    /// Whoever comes back with an empty disk has another number: it has forgotten what it promised.
+    /// A node that returns with an empty disk gets another incarnation, because it no longer knows its votes and
+    /// acknowledgements.
     pub incarnation: u64,
 }
 
@@ -20,48 +22,48 @@
     }
 }
 
-/// Spans that all voters share.
+/// Timing parameters, the same on all voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(test, derive(Hash))]
 pub struct Timing {
-    /// How often a leader tells that it lives.
+    /// The interval between heartbeats of a leader.
     pub heartbeat: Millis,
-    /// The least silence after which a voter looks for another leader; drawn from this to twice this.
+    /// The minimum election timeout. The actual timeout is drawn at random between this value and twice this value.
     pub election: Millis,
-    /// For how long an answered heartbeat proves that no other leader can be; shorter than `election` by more than the
-    /// clocks of two machines can drift apart in it.
+    /// How long after sending a heartbeat that a majority answered the leader can rule out another leader. Shorter
+    /// than `election` by more than the clocks of two machines can drift apart during `election`.
     pub lease: Millis,
 }
 
-/// What is on disk when a node starts.
+/// The state on disk when a node starts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[cfg_attr(test, derive(Hash))]
 pub struct PersistentState {
-    /// Who this node is.
+    /// The identity of this node.
     pub me: VoterId,
-    /// The newest term seen.
+    /// The highest term seen.
     pub term: u64,
-    /// Whom it voted for in that term.
+    /// The candidate that this node voted for in that term.
     pub vote: Option<VoterId>,
-    /// What stands for all entries up to its index.
+    /// The snapshot that replaces all entries up to its index.
     pub snapshot: Option<Snapshot>,
-    /// The entries after the snapshot.
+    /// The log entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// The founding voters; empty for a node that joins.
+    /// The founding voters; empty for a node that joins an existing cluster.
     pub founders: Vec<VoterId>,
 }
 
-/// What stands for all entries up to an index.
+/// Replaces all log entries up to an index.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[cfg_attr(test, derive(Hash))]
 pub struct Snapshot {
-    /// The last entry that it contains.
+    /// The index of the last entry that the snapshot covers.
     pub index: u64,
     /// The term of that entry.
     pub term: u64,
-    /// The voters as of that entry.
+    /// The members as of that entry.
     pub members: Vec<VoterId>,
-    /// The host's state, opaque here.
+    /// The state of the host's state machine, opaque to this crate.
     pub state: Vec<u8>,
 }
 
@@ -69,23 +71,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[cfg_attr(test, derive(Hash))]
 pub struct Entry {
-    /// Its place, from 1 on without gaps.
+    /// The index in the log, counted from 1 without gaps.
     pub index: u64,
-    /// The term of the leader that wrote it.
+    /// The term of the leader that appended the entry.
     pub term: u64,
-    /// What it holds.
+    /// The payload.
     pub payload: Payload,
 }
 
-/// What an entry holds.
+/// The payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[cfg_attr(test, derive(Hash))]
 pub enum Payload {
-    /// A new leader's first: with it the entries of former terms are committed.
+    /// The first entry of a new leader. Committing it commits the entries of earlier terms.
     Noop,
-    /// A change of the host's state, opaque here.
+    /// A command for the host's state machine, opaque to this crate.
     Change(Vec<u8>),
-    /// The voters from this entry on, in force as soon as it is in a log.
+    /// The list of voters from this entry on. A node uses the list as soon as the entry is in its log.
     Members(Vec<VoterId>),
 }
 
@@ -99,7 +101,7 @@
     }
 }
 
-/// What a transfer in pieces carries.
+/// The kind of payload that a chunked transfer carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cfg_attr(test, derive(Hash))]
 pub enum TransferKind {
@@ -109,158 +111,161 @@
     Entry,
 }
 
-/// Tells one transfer in pieces from all others: pieces of two are never put together.
+/// Identifies a chunked transfer, so that a receiver never assembles chunks of different transfers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cfg_attr(test, derive(Hash))]
 pub struct TransferId {
-    /// What it carries.
+    /// The kind of payload.
     pub kind: TransferKind,
-    /// The last entry that the payload holds.
+    /// The index of the last entry that the payload covers.
     pub index: u64,
     /// The term of that entry.
     pub term: u64,
-    /// The bytes of the payload.
+    /// The length of the payload in bytes.
     pub length: u64,
-    /// Their checksum.
+    /// The checksum of the payload.
     pub checksum: u64,
 }
 
 impl TransferId {
-    /// Whether it carries the entry right after that one.
+    /// Whether the transfer carries the single entry that directly follows `prev_index`.
     pub(crate) fn follows_on(&self, prev_index: u64) -> bool {
         self.kind == TransferKind::Entry && prev_index.checked_add(1) == Some(self.index)
     }
 }
 
-/// What voters say to each other. Processes of the version before know the variants up to `AppendRejected`, and ignore messages
-/// of the later ones. New variants go to the end: `bitcode` tells them by their order.
+/// A message between nodes. The previous release knows the variants up to `AppendRejected` and ignores messages of
+/// later variants. Add new variants at the end: `bitcode` encodes a variant by its position.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[cfg_attr(test, derive(Hash))]
 pub enum Message {
-    /// Would you vote for me in this term? Binds nobody and changes no term.
+    /// Asks whether the receiver would vote for the sender in `term`. Changes neither the vote nor the term of the
+    /// receiver.
     PreVote {
-        /// Which of the asker's rounds this is.
+        /// The number of the sender's pre-vote round.
         round: u64,
-        /// The term that it would stand in.
+        /// The term in which the sender would be a candidate.
         term: u64,
-        /// Its last entry's index.
+        /// The index of the sender's last log entry.
         last_index: u64,
-        /// Its last entry's term.
+        /// The term of the sender's last log entry.
         last_term: u64,
     },
-    /// The answer to `PreVote`.
+    /// The response to `PreVote`.
     PreVoteAnswer {
-        /// The asker's round.
+        /// The round that the message answers.
         round: u64,
-        /// The answerer's own term.
+        /// The responder's term.
         term: u64,
-        /// Whether it would.
+        /// Whether the responder would grant its vote.
         granted: bool,
     },
-    /// Vote for me.
+    /// Requests a vote in an election.
     RequestVote {
-        /// The term that it stands in.
+        /// The term of the election.
         term: u64,
-        /// Its last entry's index.
+        /// The index of the sender's last log entry.
         last_index: u64,
-        /// Its last entry's term.
+        /// The term of the sender's last log entry.
         last_term: u64,
     },
-    /// The answer to `RequestVote`, sent once the vote is on disk.
+    /// The response to `RequestVote`, sent once the vote is on disk.
     VoteAnswer {
-        /// The answerer's own term.
+        /// The responder's term.
         term: u64,
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// The leader lives.
+    /// Announces that the leader is alive.
     Heartbeat {
         /// The leader's term.
         term: u64,
-        /// Comes back in the answer: the leader knows when it sent it.
+        /// The number of the heartbeat, returned in the response. The leader records when it sent each number.
         echo: u64,
-        /// Up to where its log is committed.
+        /// The commit index of the leader.
         commit: u64,
     },
-    /// The answer to `Heartbeat`.
+    /// The response to `Heartbeat`.
     HeartbeatAnswer {
-        /// The answerer's own term.
+        /// The responder's term.
         term: u64,
-        /// The heartbeat's number.
+        /// The number of the heartbeat that the message answers.
         echo: u64,
-        /// Up to where the answerer's disk surely has the leader's log: makes up for lost answers to `Append`.
+        /// The highest index up to which the responder's disk is known to match the leader's log. Compensates for
+        /// lost responses to `Append`.
         matched: u64,
     },
-    /// Entries.
+    /// Replicates log entries.
     Append {
         /// The leader's term.
         term: u64,
-        /// The entry before the first of them.
+        /// The index of the entry before the first one in `entries`.
         prev_index: u64,
-        /// Its term.
+        /// The term of the entry at `prev_index`.
         prev_term: u64,
-        /// Consecutive entries; none is a probe.
+        /// Consecutive entries. An empty list probes whether the logs match at `prev_index`.
         entries: Vec<Entry>,
-        /// Up to where the leader's log is committed.
+        /// The commit index of the leader.
         commit: u64,
     },
-    /// Instead of entries that the leader no longer has.
+    /// Sends a snapshot in place of entries that the leader has compacted.
     InstallSnapshot {
         /// The leader's term.
         term: u64,
-        /// What stands for them.
+        /// The snapshot that covers the missing entries.
         snapshot: Snapshot,
     },
-    /// The log up to this index is the leader's and on disk.
+    /// The log up to `index` matches the leader's log and is on disk.
     AppendAccepted {
-        /// The answerer's own term.
+        /// The responder's term.
         term: u64,
-        /// Up to where.
+        /// The highest matching index.
         index: u64,
     },
-    /// The entry before the first does not fit, or the leader's term is over.
+    /// The entry at `prev_index` does not match, or the leader's term is outdated.
     AppendRejected {
-        /// The answerer's own term.
+        /// The responder's term.
         term: u64,
-        /// The `prev_index` that did not fit.
+        /// The `prev_index` of the rejected message.
         prev_index: u64,
-        /// Up to where the logs may agree.
+        /// The highest index at which the logs may still match.
         hint: u64,
     },
-    /// A piece of a snapshot or an entry that is too long for one message.
+    /// One chunk of a snapshot or an entry that is too long for a single message.
     Chunk {
         /// The leader's term.
         term: u64,
-        /// Of which transfer.
+        /// The transfer to which the chunk belongs.
         transfer: TransferId,
-        /// Where in the payload it begins, in bytes.
+        /// The offset of the chunk in the payload, in bytes.
         offset: u64,
-        /// The piece.
+        /// The bytes of the chunk.
         bytes: Vec<u8>,
     },
-    /// The answer to `Chunk`. It promises nothing: pieces are not on disk.
+    /// The response to `Chunk`. Not a durability guarantee: the receiver keeps chunks in memory only.
     ChunkReceived {
-        /// The answerer's own term.
+        /// The responder's term.
         term: u64,
-        /// Of which transfer.
+        /// The transfer to which the chunk belongs.
         transfer: TransferId,
-        /// The offset of the piece that is answered.
+        /// The offset of the chunk that the message answers.
         offset: u64,
-        /// So many bytes of the payload are there, from the first on.
+        /// The number of contiguous payload bytes received, counted from the start.
         received: u64,
     },
-    /// The leader has given up its lead to the one that is told so.
+    /// The leader has stepped down in favor of the receiver, which starts an election at once.
     TimeoutNow {
-        /// The term that it led in.
+        /// The term in which the sender was the leader.
         term: u64,
     },
-    /// Vote for me: the leader of the term before has given up its lead, so that no lease of it stands any more.
+    /// Requests a vote in an election that follows a leadership transfer. The leader of the previous term has stepped
+    /// down, so its lease no longer holds and voters need not wait for the election timeout.
     RequestVoteAfterTransfer {
-        /// The term that it stands in.
+        /// The term of the election.
         term: u64,
-        /// Its last entry's index.
+        /// The index of the sender's last log entry.
         last_index: u64,
-        /// Its last entry's term.
+        /// The term of the sender's last log entry.
         last_term: u64,
     },
 }
@@ -286,145 +291,146 @@
     }
 }
 
-/// What happened.
+/// An event that the host reports to the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// A message came in.
+    /// A message has arrived.
     Received {
-        /// Who sent it.
+        /// The sender.
         from: VoterId,
-        /// What it says.
+        /// The message.
         message: Message,
     },
     /// Time has passed.
     Tick,
-    /// The host wants a change in the log.
+    /// The host proposes a change for the log.
     Propose {
-        /// The host's name for it in `Accepted`, `Refused` and `OutcomeUnknown`.
+        /// Identifies the proposal in `Accepted`, `Refused` and `OutcomeUnknown`.
         token: u64,
-        /// The change.
+        /// The encoded change.
         change: Vec<u8>,
     },
-    /// This node asks to be a voter; the host repeats it until the list has it.
+    /// Requests that the given node become a voter. The host repeats the request until the node is a member.
     AddVoter(VoterId),
-    /// This voter is to go; the host repeats it until the list is without it.
+    /// Requests the removal of the given voter. The host repeats the request until the voter is no longer a member.
     RemoveVoter(VoterId),
-    /// This voter is about to end: it goes off the list if what is left bears more without it. The host repeats it until it
-    /// has ended.
+    /// The given voter is about to shut down. The leader removes the voter from the list if the remaining voters then
+    /// tolerate more losses. The host repeats the input until the voter has shut down.
     VoterShuttingDown(VoterId),
-    /// This node is about to end: if it leads, another one is to. The host repeats it until it leads no more.
+    /// This node is about to shut down and hands over its leadership, if it has any. The host repeats the input until
+    /// this node is no longer the leader.
     TransferLeadership,
-    /// The save with this ticket, and all before it, are on disk.
+    /// The save with this ticket and all earlier saves are on disk.
     Saved {
-        /// The ticket.
+        /// The ticket of the save.
         ticket: u64,
     },
-    /// The host's state after this committed entry stands for all entries up to it.
+    /// The host's state after the given committed entry, which replaces all entries up to that entry.
     Compact {
-        /// The entry.
+        /// The index of the entry.
         index: u64,
-        /// The state.
+        /// The encoded state.
         state: Vec<u8>,
     },
 }
 
-/// What is to be done, in this order.
+/// An action that the host must carry out, in the order of the output list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[cfg_attr(test, derive(Hash))]
 pub enum Output {
-    /// Send a message; it may be lost.
+    /// Send a message. Delivery is not guaranteed.
     Send {
-        /// To whom.
+        /// The recipient.
         to: VoterId,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// Write this to disk, after all former ones.
+    /// Write this save to disk, after all earlier saves.
     Save(Save),
-    /// An entry is committed: in order, each once in a life.
+    /// An entry is committed. Reported in log order, once per entry between two starts of the node.
     Committed {
-        /// The entry.
+        /// The committed entry.
         entry: Entry,
     },
-    /// The host's state is to be replaced.
+    /// Replace the host's state with a snapshot.
     Install {
-        /// By this.
+        /// The snapshot.
         snapshot: Snapshot,
     },
-    /// A proposal is in the leader's log, and not committed yet.
+    /// A proposal is in the leader's log but not committed yet.
     Accepted {
-        /// The host's name for it.
+        /// The token of the proposal.
         token: u64,
-        /// Where it will be told as committed, if it is.
+        /// The index of the entry that holds the proposal.
         index: u64,
-        /// With which term: another one at this index means that it was lost.
+        /// The term of that entry. A committed entry of another term at this index means that the proposal was lost.
         term: u64,
     },
-    /// A proposal was not taken and never will be: not the leader, or its queue is full.
+    /// A proposal was rejected and will never be committed: this node is not the leader, or the queue is full.
     Refused {
-        /// The host's name for it.
+        /// The token of the proposal.
         token: u64,
-        /// Who leads, as far as known; this node itself when its queue is full.
+        /// The current leader, if known; this node itself when its queue is full.
         leader: Option<VoterId>,
     },
-    /// The leader lost its place before an accepted proposal was committed: it may still come or never.
+    /// This node stopped leading before an accepted proposal was committed. The proposal may still be committed later.
     OutcomeUnknown {
-        /// The host's name for it.
+        /// The token of the proposal.
         token: u64,
     },
-    /// The role has changed.
+    /// The role of this node has changed.
     Role(Role),
 }
 
-/// What a node is.
+/// The role of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[cfg_attr(test, derive(Hash))]
 pub enum Role {
-    /// It follows, or waits for a leader.
+    /// The node follows a leader or waits for one.
     Follower {
-        /// Its term.
+        /// The current term of the node.
         term: u64,
-        /// Whom it follows.
+        /// The leader that the node follows, if known.
         leader: Option<VoterId>,
     },
-    /// It stands for election.
+    /// The node is a candidate in an election.
     Candidate {
-        /// Its term.
+        /// The current term of the node.
         term: u64,
     },
-    /// It leads; whether it still does is told by [`crate::Node::holds_lease`] alone.
+    /// The node was elected leader. Only [`crate::Node::holds_lease`] tells whether the leadership is still valid.
     Leader {
-        /// Its term.
+        /// The current term of the node.
         term: u64,
     },
 }
 
-/// What goes to disk, in one step.
+/// The changes that one disk transaction writes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[cfg_attr(test, derive(Hash))]
 pub struct Save {
-    /// Rises with each save.
+    /// A number that increases with each save.
     pub ticket: u64,
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// The vote in that term.
+    /// The vote in that term, if any.
     pub vote: Option<VoterId>,
-    /// First, all entries from this index on go away.
+    /// First, remove all entries from this index on.
     pub truncate: Option<u64>,
-    /// Then these are appended.
+    /// Then append these entries.
     pub entries: Vec<Entry>,
-    /// Then this replaces the former one, and the entries up to its index go away.
+    /// Then replace the stored snapshot with this one and remove the entries up to its index.
     pub snapshot: Option<Snapshot>,
 }
 
 impl Save {
-    /// Makes one save of two, of which the other is the later one: the same is on disk after it as after both.
+    /// Merges a later save into this one. Writing the merged save leaves the same state on disk as writing both.
     pub fn join(&mut self, later: Save) {
         let Save { ticket, term, vote, truncate, entries, snapshot } = later;
         (self.ticket, self.term, self.vote) = (ticket, term, vote);
         if let Some(from) = truncate {
             self.entries.retain(|entry| entry.index < from);
-            self.truncate = Some(self.truncate.map_or(from, |before| before.min(from)));
+            self.truncate = Some(self.truncate.map_or(from, |earlier| earlier.min(from)));
         }
         self.entries.extend(entries);
         if let Some(snapshot) = snapshot {
--- a/crates/raft/src/writer.rs
+++ b/crates/raft/src/writer.rs
@@ -89,10 +89,10 @@
     }
 }
 
-/// Writes until it is on disk, and says up to which ticket. Disks refuse writes for seconds and take them again; meanwhile
-/// nothing is acknowledged, so that the others see a voter that is away. After a refusal the library takes no more
-/// writes, so the file is opened anew; the same write again does no harm if it was there already. None when the file is
-/// lost, or when `pause` says that nobody waits any more.
+/// Writes until it is on disk, and says up to which ticket. Disks refuse writes for seconds and take them again;
+/// meanwhile nothing is acknowledged, so that the others see a voter that is away. After a refusal the library takes
+/// no more writes, so the file is opened anew; the same write again does no harm if it was there already. None when
+/// the file is lost, or when `pause` says that nobody waits any more.
 fn retry_write<S>(
     store: S, mut save: Save, write: impl Fn(&S, &Save) -> Result<(), StoreError>,
     mut open: impl FnMut(&Save) -> Result<S, StoreError>, mut emit: impl FnMut(WriterEvent),
@@ -123,8 +123,8 @@
     }
 }
 
-/// Lets the disk be for a while. What comes in meanwhile joins the write, as a disk that refuses for long must not make an
-/// endless queue. False when nobody waits for the writer any more.
+/// Lets the disk be for a while. What comes in meanwhile joins the write, as a disk that refuses for long must not
+/// make an endless queue. False when nobody waits for the writer any more.
 fn pause(queue: &Receiver<Save>, save: &mut Save) -> bool {
     let deadline = Instant::now() + RETRY_INTERVAL;
     loop {
