--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -6,7 +6,7 @@
 use crate::watch::{Counts, Watch};
 use crate::{Admission, Conf, DataPlaneSettings, readiness};
 use config::Version;
-use doorcourse::{BackendEntry, Class, Effect, Event, Group, Name, Plan, Pool, Settings};
+use doorcourse::{BackendEntry, Class, DedupScope, Event, Idempotency, Name, Plan, Pool, Settings};
 use http_proxy::engine::Engine;
 use http_proxy::observe::figures::Figures;
 use http_proxy::planted::Faults;
@@ -74,14 +74,14 @@
 }
 
 fn class((pure, goal, rank): Kind) -> Class {
-    let effect = if pure { Effect::Safe } else { Effect::Unsafe };
+    let idempotency = if pure { Idempotency::Safe } else { Idempotency::Unsafe };
     let worth = 2.0 / (1.0 + 0.5 * f64::from(rank)) * if pure { 1.0 } else { 2.0 };
     Class {
         name: format!("{}-{goal}-{rank}", if pure { "pure" } else { "effectful" }).into(),
-        aim: (goal as f64).max(1.0),
-        effect,
-        group: Group::All,
-        memory: 0.0,
+        latency_target: (goal as f64).max(1.0),
+        idempotency,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0.0,
         worth,
         late_worth: 0.3,
     }
@@ -309,7 +309,7 @@
                 if let Some(slots) = life.works_on {
                     engine.works_on(&id, slots);
                 }
-                engine.post(Event::Word { backend: id, down: life.overdue });
+                engine.post(Event::HealthReport { backend: id, down: life.overdue });
             }
         }
     }
@@ -319,7 +319,7 @@
         if let Some(service) = self.service(name) {
             return Some(service);
         }
-        let (gateways, number) = self.fleet.get();
+        let (gateways, gateway_index) = self.fleet.get();
         let plan = Plan {
             name: PLAN.into(),
             rate: 0.0,
@@ -335,18 +335,18 @@
         let usual = (true, 1000, 0);
         let settings = Settings {
             gateways,
-            number,
+            gateway_index,
             zone: self.settings.zone.as_str().into(),
             tick: 1.0,
             classes: vec![class(usual)],
             plans: vec![plan],
-            most_units: 1.0,
-            cancel: self.settings.cancel,
-            most_attempts: MOST_ATTEMPTS,
-            longest_advice: LONGEST_ADVICE,
-            cold_share: COLD_SHARE,
-            cold_time: millis(COLD_TIME),
-            fall_multiple: 2.0,
+            max_units: 1.0,
+            may_cancel: self.settings.cancel,
+            max_attempts: MOST_ATTEMPTS,
+            max_retry_after: LONGEST_ADVICE,
+            cold_capacity: COLD_SHARE,
+            warmup_time: millis(COLD_TIME),
+            overload_factor: 2.0,
             price_cross_zone: self.settings.price_cross_zone,
             ..Settings::default()
         };
@@ -392,7 +392,7 @@
             };
             for (backend, service) in overdue {
                 if let Some(service) = data_plane.service(&service) {
-                    service.engine.post(Event::Word { backend, down: true });
+                    service.engine.post(Event::HealthReport { backend, down: true });
                 }
             }
             data_plane.forget();
--- a/crates/data-plane/src/front.rs
+++ b/crates/data-plane/src/front.rs
@@ -273,7 +273,7 @@
             units: 1.0,
             repeat: false,
             deadline,
-            first: 0,
+            first_gateway: 0,
             spread: 1,
         };
         let (id, reply) = engine.open(arrival, message.clone(), route.max_tries);
--- a/emulator/src/decider.rs
+++ b/emulator/src/decider.rs
@@ -3,8 +3,8 @@
 
 use crate::draw::{Customer, Micros};
 use doorcourse::{
-    Action, AttemptEnd, BackendEntry, BackendState, Effect, Event, Gateway, Millis, Name, Outcome, RequestId,
-    Settings, SettingsError,
+    Action, AttemptEnd, BackendEntry, BackendState, Event, Gateway, Idempotency, Millis, Name, Outcome,
+    RequestId, Settings, SettingsError,
 };
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -206,7 +206,7 @@
                 let salt = name.bytes().fold(window, |h, b| crate::draw::mix(h ^ u64::from(b)));
                 let granted = plan.burst;
                 self.asked.entry(salt >> 1).or_default().push((id, granted));
-                out.push(Action::Count { name: salt >> 1, amount: 1.0, keep: turn });
+                out.push(Action::AddToCounter { name: salt >> 1, amount: 1.0, ttl: turn });
                 return;
             }
             Gate::Seeing(seeing) => {
@@ -226,7 +226,7 @@
 
     fn refuse(&mut self, id: RequestId, out: &mut Vec<Action>) {
         self.requests.remove(&id);
-        out.push(Action::Refuse { id, retry_after: self.settings.longest_advice });
+        out.push(Action::Refuse { id, retry_after: self.settings.max_retry_after });
     }
 
     fn send(&mut self, now: Millis, id: RequestId, sight: &Sight<'_>, out: &mut Vec<Action>) {
@@ -253,7 +253,7 @@
                 best = Some((load, name.clone()));
             }
         }
-        let held = self.requests.get_mut(&id).filter(|held| held.attempts < self.settings.most_attempts);
+        let held = self.requests.get_mut(&id).filter(|held| held.attempts < self.settings.max_attempts);
         let (Some((load, name)), Some(held)) = (best, held) else { return self.refuse(id, out) };
         let top = self.settings.classes.iter().map(|c| c.worth).fold(0.0, f64::max);
         let prices = self.settings.plans.iter().map(|p| p.price).fold(0.0, f64::max);
@@ -267,7 +267,7 @@
         if let Some(known) = self.backends.get_mut(&name) {
             known.out += 1;
         }
-        out.push(Action::Send { id, backend: name, timeout, blocked: 0.0 });
+        out.push(Action::Send { id, backend: name, timeout, quota_wait: 0.0 });
     }
 
     fn ended(&mut self, now: Millis, end: AttemptEnd, sight: &Sight<'_>, out: &mut Vec<Action>) {
@@ -284,7 +284,7 @@
         }
         let never = matches!(end.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent);
         held.may_have_run |= !never;
-        let safe = self.settings.classes[held.class].effect == Effect::Safe;
+        let safe = self.settings.classes[held.class].idempotency == Idempotency::Safe;
         let time_left = held.arrival.deadline - now > 4.0 * self.settings.tick;
         if time_left && held.attempts < 2 && (safe || !held.may_have_run) {
             self.send(now, end.id, sight, out);
--- a/emulator/src/draw.rs
+++ b/emulator/src/draw.rs
@@ -2,7 +2,7 @@
 //! gateways do is drawn here, ahead of the day.
 
 use crate::scenario::{Backoff, Effect, Kind, Scenario, Shape, Span};
-use doorcourse::{Group, Name, Reports, Settings};
+use doorcourse::{DedupScope, Name, Reports, Settings};
 use fault_injection::Random;
 use serde::Serialize;
 use std::sync::Arc;
@@ -695,10 +695,14 @@
                 .iter()
                 .map(|c| doorcourse::Class {
                     name: c.name.clone(),
-                    aim: millis(c.aim),
-                    effect: if c.once { doorcourse::Effect::Unsafe } else { doorcourse::Effect::Safe },
-                    group: Group::All,
-                    memory: millis(c.deadline),
+                    latency_target: millis(c.aim),
+                    idempotency: if c.once {
+                        doorcourse::Idempotency::Unsafe
+                    } else {
+                        doorcourse::Idempotency::Safe
+                    },
+                    dedup_scope: DedupScope::All,
+                    dedup_window: millis(c.deadline),
                     worth: c.worth,
                     late_worth: 0.0,
                 })
@@ -706,16 +710,16 @@
             plans,
             counter: true,
             counter_timeout: site.counter.timeout_ms,
-            most_units: 1.0,
+            max_units: 1.0,
             reports: Reports::Answers,
             probes: true,
-            cancel: true,
-            most_attempts: site.rules.most_attempts,
-            longest_advice: site.clients.longest_advice,
-            cold_share: site.rules.told_cold_share,
-            cold_time: site.rules.told_cold_s * 1000.0,
-            fall_multiple: site.rules.fall_multiple,
-            fall_time: site.rules.fall_ms,
+            may_cancel: true,
+            max_attempts: site.rules.most_attempts,
+            max_retry_after: site.clients.longest_advice,
+            cold_capacity: site.rules.told_cold_share,
+            warmup_time: site.rules.told_cold_s * 1000.0,
+            overload_factor: site.rules.fall_multiple,
+            overload_window: site.rules.fall_ms,
             price_cross_zone: site.prices.cross_zone,
             ..Settings::default()
         };
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -390,7 +390,7 @@
                 if self.gates[gateway].up {
                     self.gates[gateway].ending = true;
                     self.gates[gateway].down_since = Some(self.now);
-                    self.tell(gateway, Event::Ending { by: EPOCH + millis(by) });
+                    self.tell(gateway, Event::ShuttingDown { deadline: EPOCH + millis(by) });
                 }
             }
             Happens::Boots(gateway) => self.boot(gateway),
@@ -418,7 +418,7 @@
             Happens::Ends(id, number, outcome) => self.end(id, number, outcome),
             Happens::Word(gateway, life, backend, down) if self.gates[gateway].life == life => {
                 let backend = self.day.backends[backend].name.clone();
-                self.tell(gateway, Event::Word { backend, down });
+                self.tell(gateway, Event::HealthReport { backend, down });
             }
             Happens::Word(..) => {}
             Happens::Probed(gateway, life, backend, up) => {
@@ -725,7 +725,7 @@
         }
         let zones = &self.day.scenario_of.site.net.zones;
         let settings = Settings {
-            number: gateway as u32,
+            gateway_index: gateway as u32,
             zone: zones[self.gates[gateway].zone].as_str().into(),
             ..self.day.settings.clone()
         };
@@ -906,10 +906,10 @@
                 }
                 self.expect(now + way, Happens::Probed(gateway, life, number, up));
             }
-            Action::Count { name, amount, keep } => self.count(gateway, name, amount, keep),
+            Action::AddToCounter { name, amount, ttl } => self.count(gateway, name, amount, ttl),
             Action::Log(_) => self.totals.log_lines += 1,
-            Action::Judged { backend, down, .. } => self.word(gateway, &backend, down),
-            Action::Tell { .. } | Action::WatchBackends => {}
+            Action::HealthObserved { backend, down, .. } => self.word(gateway, &backend, down),
+            Action::Broadcast { .. } | Action::WatchBackends => {}
         }
     }
 
@@ -1019,7 +1019,7 @@
             units: 1.0,
             repeat: number > 0,
             deadline: EPOCH + millis(gives_up),
-            first: customer.first as u32,
+            first_gateway: customer.first as u32,
             spread: customer.spread as u32,
         };
         self.tell(gateway, Event::Request(arrival));
@@ -1372,7 +1372,7 @@
             latency,
             true_units: None,
             finished,
-            spent: false,
+            body_consumed: false,
             load,
         }))
     }
@@ -1384,7 +1384,7 @@
         LoadReport {
             inflight: Some(server.held() as f64 * noise),
             queue: Some(server.line() as f64 * noise),
-            service: None,
+            service_time: None,
         }
     }
 
@@ -1533,7 +1533,7 @@
         latency: 0.0,
         true_units: None,
         finished,
-        spent: false,
+        body_consumed: false,
         load: None,
     })
 }
--- a/emulator/tests/judge.rs
+++ b/emulator/tests/judge.rs
@@ -61,7 +61,7 @@
         if end.outcome == Outcome::Error && out.iter().any(|a| matches!(a, Action::Fail { .. })) {
             out.retain(|a| !matches!(a, Action::Fail { .. }));
             let (id, backend) = (end.id, end.backend.clone());
-            out.push(Action::Send { id, backend, timeout: 100.0, blocked: 0.0 });
+            out.push(Action::Send { id, backend, timeout: 100.0, quota_wait: 0.0 });
         }
     };
     let failing = "[[trouble]]\nkind = \"fast-errors\"\nfrom_s = 1\nfor_s = 5\npart = 1\nsize = 0.3\n";
@@ -93,7 +93,7 @@
             Event::BackendList(list) => self.0.extend(list.into_iter().map(|entry| entry.name)),
             Event::Request(arrival) => {
                 let backend = self.0[arrival.id as usize % self.0.len()].clone();
-                out.push(Action::Send { id: arrival.id, backend, timeout: 400.0, blocked: 0.0 });
+                out.push(Action::Send { id: arrival.id, backend, timeout: 400.0, quota_wait: 0.0 });
             }
             Event::AttemptEnded(end) if !end.finished => out.push(Action::Fail { id: end.id }),
             _ => {}
@@ -164,7 +164,7 @@
             Event::Request(arrival) => {
                 let any = &self.0[arrival.id as usize % self.0.len()];
                 let backend = self.1.as_ref().unwrap_or(any).clone();
-                out.push(Action::Send { id: arrival.id, backend, timeout: 400.0, blocked: 0.0 });
+                out.push(Action::Send { id: arrival.id, backend, timeout: 400.0, quota_wait: 0.0 });
             }
             Event::AttemptEnded(end) if !end.finished => out.push(Action::Fail { id: end.id }),
             _ => {}
@@ -203,14 +203,14 @@
             |_, event, out| {
                 if let Event::Request(arrival) = event {
                     let (id, backend) = (arrival.id, "nobody".into());
-                    out.push(Action::Send { id, backend, timeout: 1.0, blocked: 0.0 });
+                    out.push(Action::Send { id, backend, timeout: 1.0, quota_wait: 0.0 });
                 }
             },
             "no list",
         ),
         (|_, _, out| out.push(Action::CallOff { id: 0, attempt: 99 }), "never made"),
         (|_, _, out| out.push(Action::Refuse { id: 1 << 40, retry_after: 0.0 }), "not given"),
-        (|_, _, out| out.push(Action::Count { name: 1 << 63, amount: 1.0, keep: 10.0 }), "counter"),
+        (|_, _, out| out.push(Action::AddToCounter { name: 1 << 63, amount: 1.0, ttl: 10.0 }), "counter"),
         (|_, _, out| out.push(Action::SetTimer { after: f64::NAN, token: 0 }), "timer"),
     ];
     for (twist, what) in twists {
--- a/emulator/tests/world.rs
+++ b/emulator/tests/world.rs
@@ -84,7 +84,7 @@
     for ((number, life), lines) in told.into_iter().rev() {
         let zones = &day.scenario_of.site.net.zones;
         let settings = Settings {
-            number: number as u32,
+            gateway_index: number as u32,
             zone: zones[day.gateways[number]].as_str().into(),
             ..day.settings.clone()
         };
@@ -187,7 +187,7 @@
         ) {
             // Every end of a send to nobody leads to the next.
             if let Event::Request(_) | Event::AttemptEnded(_) = event {
-                out.push(Action::Send { id: 0, backend: "nobody".into(), timeout: 1.0, blocked: 0.0 });
+                out.push(Action::Send { id: 0, backend: "nobody".into(), timeout: 1.0, quota_wait: 0.0 });
             }
         }
     }
--- a/examples/loop.rs
+++ b/examples/loop.rs
@@ -2,8 +2,8 @@
 //! Time is a plain number here; a real host uses a clock that agrees with those of the other gateways.
 
 use doorcourse::{
-    Action, Arrival, AttemptEnd, BackendEntry, BackendState, Class, CountOutcome, Effect, Event, Gateway,
-    Group, Millis, Outcome, Plan, Settings,
+    Action, Arrival, AttemptEnd, BackendEntry, BackendState, Class, CountOutcome, DedupScope, Event, Gateway,
+    Idempotency, Millis, Outcome, Plan, Settings,
 };
 use std::collections::BTreeMap;
 
@@ -13,10 +13,10 @@
 fn settings() -> Settings {
     let class = Class {
         name: "read".into(),
-        aim: 500.0,
-        effect: Effect::Safe,
-        group: Group::All,
-        memory: 0.0,
+        latency_target: 500.0,
+        idempotency: Idempotency::Safe,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0.0,
         worth: 1.0,
         late_worth: 0.0,
     };
@@ -40,10 +40,10 @@
         plans: vec![plan],
         counter: true,
         counter_timeout: 50.0,
-        most_attempts: 3,
-        longest_advice: 1000.0,
-        cold_share: 0.2,
-        cold_time: 10_000.0,
+        max_attempts: 3,
+        max_retry_after: 1000.0,
+        cold_capacity: 0.2,
+        warmup_time: 10_000.0,
         ..Settings::default()
     }
 }
@@ -73,7 +73,7 @@
             units: 1.0,
             repeat: false,
             deadline: id as Millis * 10.0 + 900.0,
-            first: 0,
+            first_gateway: 0,
             spread: 1,
         };
         plan(&mut agenda, id as Millis * 10.0, Event::Request(arrival));
@@ -97,7 +97,7 @@
         for action in actions {
             match action {
                 Action::SetTimer { after, token } => plan(&mut agenda, now + after, Event::Timer { token }),
-                Action::Count { name, amount, .. } => {
+                Action::AddToCounter { name, amount, .. } => {
                     let total = counts.entry(name).or_default();
                     *total += amount;
                     let outcome = CountOutcome::Total(*total);
@@ -115,7 +115,7 @@
                         latency,
                         true_units: None,
                         finished,
-                        spent: false,
+                        body_consumed: false,
                         load: None,
                     };
                     plan(&mut agenda, now + latency, Event::AttemptEnded(end));
@@ -127,8 +127,8 @@
                 Action::Log(line) => println!("{now:>5} ms  log: {line}"),
                 Action::CallOff { .. }
                 | Action::Probe { .. }
-                | Action::Judged { .. }
-                | Action::Tell { .. }
+                | Action::HealthObserved { .. }
+                | Action::Broadcast { .. }
                 | Action::WatchBackends => {}
             }
         }
--- a/gateway/src/clients/front.rs
+++ b/gateway/src/clients/front.rs
@@ -6,7 +6,7 @@
 use crate::time::budget::Budget;
 use crate::wire::body::{ClientBody, Content, Cut, HELD, LARGEST, Upload};
 use bytes::{Bytes, BytesMut};
-use doorcourse::{Arrival, Effect, Name, Settings};
+use doorcourse::{Arrival, Idempotency, Name, Settings};
 use http_proxy::guest::{Guest, Hall, LAST_CALL};
 use http_proxy::pool::{Answer, Payload};
 use hyper::body::{Body, Incoming};
@@ -84,7 +84,7 @@
 /// The front side of one gateway.
 pub struct Front {
     engine: Rc<Engine>,
-    classes: Vec<(Name, Effect)>,
+    classes: Vec<(Name, Idempotency)>,
     plans: Vec<Name>,
     most_units: f64,
     grace: Duration,
@@ -109,9 +109,9 @@
     ) -> Rc<Self> {
         Rc::new(Self {
             engine,
-            classes: settings.classes.iter().map(|c| (c.name.clone(), c.effect)).collect(),
+            classes: settings.classes.iter().map(|c| (c.name.clone(), c.idempotency)).collect(),
             plans: settings.plans.iter().map(|p| p.name.clone()).collect(),
-            most_units: settings.most_units,
+            most_units: settings.max_units,
             grace,
             hall: Hall::new(most_clients, figures.clone()),
             figures,
@@ -309,9 +309,9 @@
         let (class, effect) = class.cloned().ok_or(Fault::Bad("class"))?;
         let key = single(headers, "idempotency-key")?;
         let fits = match effect {
-            Effect::Safe => method == Method::GET && key.is_none(),
-            Effect::Keyed => method == Method::POST && key.is_some_and(|k| !k.is_empty()),
-            Effect::Unsafe => method == Method::POST && key.is_none(),
+            Idempotency::Safe => method == Method::GET && key.is_none(),
+            Idempotency::Keyed => method == Method::POST && key.is_some_and(|k| !k.is_empty()),
+            Idempotency::Unsafe => method == Method::POST && key.is_none(),
         };
         if !fits {
             return Err(Fault::Bad("method or Idempotency-Key, for this class"));
@@ -383,7 +383,8 @@
         let taken = self.figures.taken(&class);
         let upload = if message.rest.is_some() { UPLOAD } else { Duration::ZERO };
         let deadline = self.engine.at(message.budget.answer_by() + upload);
-        let arrival = |id| Arrival { id, customer, plan, class, units, repeat, deadline, first, spread };
+        let arrival =
+            |id| Arrival { id, customer, plan, class, units, repeat, deadline, first_gateway: first, spread };
         let (id, reply) = self.engine.open(arrival, message.clone(), u32::MAX);
         let waiting = Waiting::new(self.engine.clone(), id);
         // Guards the one final answer: should the decisions forget a request, it still gets one in time.
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -122,7 +122,7 @@
     let group = config.group.map(Group::start);
     if let Some(group) = group.clone().filter(|group| group.scouts()) {
         let told = engine.clone();
-        let tell = move |backend, down| told.post(Event::Word { backend, down });
+        let tell = move |backend, down| told.post(Event::HealthReport { backend, down });
         let scout = Scout::start(group, &settings.zone, tell);
         engine.tell_judged(Box::new(move |backend, zone, down| scout.judged(backend, zone, down)));
     }
--- a/gateway/src/state/handover.rs
+++ b/gateway/src/state/handover.rs
@@ -8,7 +8,7 @@
 use crate::control::discovery;
 use crate::control::engine::Engine;
 use crate::state::detached::{Detached, place};
-use doorcourse::Estate;
+use doorcourse::HandoverState;
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
@@ -47,7 +47,7 @@
 /// What one process leaves to the next.
 #[derive(Deserialize, Serialize)]
 struct Legacy {
-    estate: Estate,
+    estate: HandoverState,
     /// The time as it was handed over, by the clock that the estate's times are of.
     now: Option<f64>,
     list: Value,
--- a/http-proxy/src/engine.rs
+++ b/http-proxy/src/engine.rs
@@ -6,8 +6,8 @@
 use crate::time::clock::{Clock, millis, span};
 use crate::wire::link::{Carriers, Trace};
 use doorcourse::{
-    Action, Arrival, AttemptEnd, Class, CountOutcome, Estate, Event, Gateway, Millis, Name, Outcome, Pool,
-    RequestId, Settings, SettingsError,
+    Action, Arrival, AttemptEnd, Class, CountOutcome, Event, Gateway, HandoverState, Millis, Name, Outcome,
+    Pool, RequestId, Settings, SettingsError,
 };
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -145,7 +145,7 @@
 
     /// Backends that are gone are remembered no more.
     pub fn forget_gone(&self) {
-        self.state.borrow_mut().gateway.forget_gone();
+        self.state.borrow_mut().gateway.remove_gone_backends();
     }
 
     /// There are so many gateways from now on, of which this one has that number.
@@ -155,7 +155,7 @@
 
     /// A backend works on so many requests at once.
     pub fn works_on(&self, backend: &Name, slots: u32) {
-        self.state.borrow_mut().gateway.works_on(backend, slots);
+        self.state.borrow_mut().gateway.set_backend_slots(backend, slots);
     }
 
     /// How late the event loop runs.
@@ -170,7 +170,7 @@
 
     /// The process ends at this moment at the latest.
     pub fn ending(&self, by: Instant) {
-        self.post(Event::Ending { by: self.at(by) });
+        self.post(Event::ShuttingDown { deadline: self.at(by) });
     }
 
     /// Takes in a request that may go to so many backends at most; the reply comes once, unless the client leaves first.
@@ -226,12 +226,12 @@
     }
 
     /// What another process of this gateway goes on with, and the time by the clock that it stands in.
-    pub fn hand_over(&self) -> (Estate, Millis) {
+    pub fn hand_over(&self) -> (HandoverState, Millis) {
         (self.state.borrow_mut().gateway.hand_over(), self.clock.get().now())
     }
 
     /// Goes on where another process stopped, whose clock showed this time just now. Older versions do not tell.
-    pub fn take_over(&self, estate: Estate, told: Option<Millis>) {
+    pub fn take_over(&self, estate: HandoverState, told: Option<Millis>) {
         let clock = self.clock.get();
         if let Some((told, following)) = told.and_then(|told| Some((told, clock.following(told)?))) {
             let step = clock.now() - told;
@@ -282,7 +282,7 @@
 
     fn perform(&self, action: Action) {
         match action {
-            Action::Send { id, backend, timeout, blocked } => self.send(id, backend, timeout, blocked),
+            Action::Send { id, backend, timeout, quota_wait } => self.send(id, backend, timeout, quota_wait),
             Action::Refuse { id, retry_after: wait } => {
                 self.finish(id, |open| {
                     open.or_said(Reply::Refused { wait, may_have_run: open.may_have_run })
@@ -317,22 +317,22 @@
                     }
                 });
             }
-            Action::Count { name, amount, keep } => match &self.counter {
-                Some(counter) => counter.add(name, amount, keep),
+            Action::AddToCounter { name, amount, ttl } => match &self.counter {
+                Some(counter) => counter.add(name, amount, ttl),
                 None => self.post(Event::Counted {
                     name,
                     outcome: doorcourse::CountOutcome::NotAdded,
                     latency: 0.0,
                 }),
             },
-            Action::Judged { backend, zone, down } => {
+            Action::HealthObserved { backend, zone, down } => {
                 if let Some(judged) = self.judged.get() {
                     judged(backend, &zone, down);
                 }
             }
             Action::Log(text) => self.backends.dialect().log(None, format_args!("{text}")),
             // No peers to tell here, and the list is watched all the time.
-            Action::Tell { .. } | Action::WatchBackends => {}
+            Action::Broadcast { .. } | Action::WatchBackends => {}
         }
     }
 
@@ -361,7 +361,7 @@
                 latency: 0.0,
                 true_units: None,
                 finished,
-                spent: false,
+                body_consumed: false,
                 load: None,
             }));
         };
@@ -415,8 +415,8 @@
 
     #[allow(clippy::too_many_arguments, reason = "the end of an attempt, from one place")]
     fn ended(
-        &self, id: RequestId, attempt: u32, backend: Name, end: End, latency: Millis, mut spent: bool,
-        reached: bool,
+        &self, id: RequestId, attempt: u32, backend: Name, end: End, latency: Millis,
+        mut body_consumed: bool, reached: bool,
     ) {
         let End { outcome, answer, load, cut } = end;
         self.state.borrow_mut().out.remove(&id);
@@ -434,7 +434,7 @@
                 (open.timed_out, open.since) = (cut, Instant::now());
                 open.reached += u32::from(reached);
                 // To the decisions it looks as if its body were gone.
-                spent |= open.reached >= open.most_reached;
+                body_consumed |= open.reached >= open.most_reached;
                 let harmless = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent);
                 open.may_have_run |= !harmless;
                 open.said = said.or(open.said.take());
@@ -450,7 +450,7 @@
             latency,
             true_units,
             finished,
-            spent,
+            body_consumed,
             load,
         }));
     }
--- a/simhost/src/lib.rs
+++ b/simhost/src/lib.rs
@@ -120,7 +120,7 @@
     match key {
         "outstanding" => report.inflight = Some(value),
         "backlog" => report.queue = Some(value),
-        "recent_ms" => report.service = Some(value),
+        "recent_ms" => report.service_time = Some(value),
         _ => {}
     }
 }
@@ -259,11 +259,21 @@
                 let deadline = self.now.unwrap_or_default() + fields.millis("patience-left-ms")?;
                 let class = fields.name("band")?;
                 let repeat = fields.flag("again-by-client")?;
-                let first = fields.optional("base")?.unwrap_or(0);
+                let first_gateway = fields.optional("base")?.unwrap_or(0);
                 let spread = fields.optional("spread")?.unwrap_or(0);
                 let units = fields.optional("units")?.unwrap_or(1.0);
                 let plan = fields.name("package")?;
-                Event::Request(Arrival { id, customer, plan, class, units, repeat, deadline, first, spread })
+                Event::Request(Arrival {
+                    id,
+                    customer,
+                    plan,
+                    class,
+                    units,
+                    repeat,
+                    deadline,
+                    first_gateway,
+                    spread,
+                })
             }
             "UNDER_WAY" => Event::StreamStarted { id: fields.number("id")? },
             "ATTEMPT_END" => {
@@ -284,7 +294,7 @@
                     latency,
                     true_units,
                     finished,
-                    spent: false,
+                    body_consumed: false,
                     load,
                 })
             }
@@ -332,13 +342,13 @@
         Action::CallOff { id, attempt } => writeln!(reply, "CALL_OFF\t{i}\t{id}\t{attempt}"),
         Action::SetTimer { after, token } => writeln!(reply, "NOTIFY_ME\t{i}\t{after:.3}\t{token}"),
         Action::Probe { backend } => writeln!(reply, "TEST\t{i}\t{backend}"),
-        Action::Count { name, amount, keep } => {
-            writeln!(reply, "CHARGE_COUNTER\t{i}\t{name}\t{amount:.6}\t{keep:.3}")
+        Action::AddToCounter { name, amount, ttl } => {
+            writeln!(reply, "CHARGE_COUNTER\t{i}\t{name}\t{amount:.6}\t{ttl:.3}")
         }
-        Action::Tell { bytes } => writeln!(reply, "SHARE\t{i}\tall\t{}", STANDARD.encode(bytes)),
+        Action::Broadcast { bytes } => writeln!(reply, "SHARE\t{i}\tall\t{}", STANDARD.encode(bytes)),
         Action::WatchBackends => writeln!(reply, "WATCH\t{i}\t1"),
         // The simulator's gateways have nobody to tell.
-        Action::Judged { .. } => Ok(()),
+        Action::HealthObserved { .. } => Ok(()),
         Action::Log(text) => writeln!(reply, "SAY_LOG\t{i}\t{}", text.replace(['\n', '\t'], " ")),
     }
 }
--- a/simhost/src/settings.rs
+++ b/simhost/src/settings.rs
@@ -1,7 +1,7 @@
 //! Reads the settings object, of a `START` line or of a real gateway's configuration, into the library's
 //! `Settings`.
 
-use doorcourse::{Class, Effect, Group, Name, Plan, Reports, Settings};
+use doorcourse::{Class, DedupScope, Idempotency, Name, Plan, Reports, Settings};
 use serde_json::Value;
 
 /// One object of the settings; a missing key reads as its zero, a value of the wrong type is a fault.
@@ -80,26 +80,26 @@
     };
     Ok(Settings {
         gateways: top.count("fleet-size")?,
-        number: top.count("my-number")?,
+        gateway_index: top.count("my-number")?,
         zone: Name::from(top.text("locality")?),
         tick: top.number("period-ms")?,
         classes: top.list("classes")?.iter().map(class).collect::<Result<_, _>>()?,
         plans: top.list("plans")?.iter().map(plan).collect::<Result<_, _>>()?,
         counter: extra.flag("has-counter")?,
         counter_timeout: extra.number("count-limit-ms")?,
-        settles: extra.flag("trued-up")?,
-        most_units: extra.number("units-top")?,
+        reports_true_units: extra.flag("trued-up")?,
+        max_units: extra.number("units-top")?,
         reports,
         probes: permissions.flag("probes")?,
-        peers: permissions.flag("peers")?,
-        cancel: permissions.flag("may-cancel")?,
+        peer_messages: permissions.flag("peers")?,
+        may_cancel: permissions.flag("may-cancel")?,
         list_on_request: top.text("discovery")? == "on_request",
-        most_attempts: permissions.count("most-tries")?,
-        longest_advice: permissions.number("max-retry-after-ms")?,
-        cold_share: rules.number("cold-from")?,
-        cold_time: rules.number("cold-ms")?,
-        fall_multiple: rules.number("overload-factor")?,
-        fall_time: rules.number("fall-ms")?,
+        max_attempts: permissions.count("most-tries")?,
+        max_retry_after: permissions.number("max-retry-after-ms")?,
+        cold_capacity: rules.number("cold-from")?,
+        warmup_time: rules.number("cold-ms")?,
+        overload_factor: rules.number("overload-factor")?,
+        overload_window: rules.number("fall-ms")?,
         price_cross_zone: prices.number("cross-zone")?,
     })
 }
@@ -108,20 +108,20 @@
     let class = Object(value);
     Ok(Class {
         name: Name::from(class.text("name")?),
-        aim: class.number("goal-time-ms")?,
-        effect: match class.text("effect")? {
-            "idempotent" => Effect::Safe,
-            "deduplicated" => Effect::Keyed,
-            "at_most_once" => Effect::Unsafe,
+        latency_target: class.number("goal-time-ms")?,
+        idempotency: match class.text("effect")? {
+            "idempotent" => Idempotency::Safe,
+            "deduplicated" => Idempotency::Keyed,
+            "at_most_once" => Idempotency::Unsafe,
             other => return Err(format!("settings: unknown effect {other}")),
         },
-        group: match class.text("dedup-scope")? {
-            "all" | "" => Group::All,
-            "zone" => Group::Zone,
-            "cell" => Group::Cell,
+        dedup_scope: match class.text("dedup-scope")? {
+            "all" | "" => DedupScope::All,
+            "zone" => DedupScope::Zone,
+            "cell" => DedupScope::Cell,
             other => return Err(format!("settings: unknown dedup-scope {other}")),
         },
-        memory: class.number("window-ms")?,
+        dedup_window: class.number("window-ms")?,
         worth: class.number("worth")?,
         late_worth: class.number("late-value")?,
     })
--- a/src/check.rs
+++ b/src/check.rs
@@ -7,15 +7,15 @@
     if settings.classes.is_empty() {
         return Err(SettingsError::NoClasses);
     }
-    if settings.number >= settings.gateways {
-        return Err(SettingsError::NumberTooHigh);
+    if settings.gateway_index >= settings.gateways {
+        return Err(SettingsError::GatewayIndexTooHigh);
     }
     let figure = |value: f64, what| {
-        if value.is_finite() && value >= 0.0 { Ok(()) } else { Err(SettingsError::BadFigure(what)) }
+        if value.is_finite() && value >= 0.0 { Ok(()) } else { Err(SettingsError::InvalidValue(what)) }
     };
     for class in &settings.classes {
-        figure(class.aim, "a class's aim")?;
-        figure(class.memory, "a class's memory")?;
+        figure(class.latency_target, "a class's latency target")?;
+        figure(class.dedup_window, "a class's deduplication window")?;
         figure(class.worth, "a class's worth")?;
         figure(class.late_worth, "a class's late worth")?;
     }
@@ -27,16 +27,16 @@
         figure(plan.ceiling_slack, "a plan's ceiling slack")?;
         figure(plan.price, "a plan's price")?;
         if plan.rate > 0.0 && plan.burst <= 0.0 {
-            return Err(SettingsError::BadFigure("a plan's burst"));
+            return Err(SettingsError::InvalidValue("a plan's burst"));
         }
     }
     figure(settings.tick, "tick")?;
-    figure(settings.counter_timeout, "counter time-out")?;
-    figure(settings.most_units, "most units")?;
-    figure(settings.longest_advice, "longest advice")?;
-    figure(settings.cold_share, "cold share")?;
-    figure(settings.cold_time, "cold time")?;
-    figure(settings.fall_multiple, "fall multiple")?;
-    figure(settings.fall_time, "fall time")?;
-    figure(settings.price_cross_zone, "price of crossing zones")
+    figure(settings.counter_timeout, "counter timeout")?;
+    figure(settings.max_units, "maximum units")?;
+    figure(settings.max_retry_after, "maximum retry-after")?;
+    figure(settings.cold_capacity, "cold capacity")?;
+    figure(settings.warmup_time, "warm-up time")?;
+    figure(settings.overload_factor, "overload factor")?;
+    figure(settings.overload_window, "overload window")?;
+    figure(settings.price_cross_zone, "cross-zone price")
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -12,7 +12,7 @@
 
 /// What repeating a request may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat at any time.
     Safe,
     /// Carries a key: backends of one group drop a repeat for a stated time.
@@ -23,7 +23,7 @@
 
 /// The backends that share the memory of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All backends.
     All,
     /// The backends of one zone.
@@ -38,13 +38,13 @@
     /// The class's name.
     pub name: Name,
     /// An answer within this time has its full worth.
-    pub aim: Millis,
+    pub latency_target: Millis,
     /// What repeating it may do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Who drops a keyed repeat.
-    pub group: Group,
+    pub dedup_scope: DedupScope,
     /// For how long a keyed repeat is dropped, from the first send that may have run.
-    pub memory: Millis,
+    pub dedup_window: Millis,
     /// What an answer is worth.
     pub worth: f64,
     /// The share of the worth that an answer after the aim still has.
@@ -94,7 +94,7 @@
     /// How many gateways there are.
     pub gateways: u32,
     /// This gateway's number, from 0.
-    pub number: u32,
+    pub gateway_index: u32,
     /// The zone this gateway is in.
     pub zone: Name,
     /// The shortest time between two calls of `handle`.
@@ -108,31 +108,31 @@
     /// A counter call without an answer for this long is given up.
     pub counter_timeout: Millis,
     /// Whether the true units come with the answer.
-    pub settles: bool,
+    pub reports_true_units: bool,
     /// The most units of one request.
-    pub most_units: f64,
+    pub max_units: f64,
     /// Where load reports come from.
     pub reports: Reports,
     /// Whether probes are allowed.
     pub probes: bool,
     /// Whether gateways may send each other messages.
-    pub peers: bool,
+    pub peer_messages: bool,
     /// Whether attempts may be called off.
-    pub cancel: bool,
+    pub may_cancel: bool,
     /// Whether the list must be asked for.
     pub list_on_request: bool,
     /// The most attempts of one request.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// The longest advice that a client follows.
-    pub longest_advice: Millis,
+    pub max_retry_after: Millis,
     /// A backend starts with this share of its capacity or more.
-    pub cold_share: f64,
+    pub cold_capacity: f64,
     /// A backend is warm after this time at most.
-    pub cold_time: Millis,
+    pub warmup_time: Millis,
     /// A cold backend falls over when sent more than this multiple of its present capacity.
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// The time over which that is judged.
-    pub fall_time: Millis,
+    pub overload_window: Millis,
     /// The points taken off for one crossing of zones a request.
     pub price_cross_zone: f64,
 }
@@ -143,17 +143,17 @@
     /// There are no classes.
     NoClasses,
     /// A figure is negative, not finite, or zero where it may not be.
-    BadFigure(&'static str),
+    InvalidValue(&'static str),
     /// The gateway's own number is not below the number of gateways.
-    NumberTooHigh,
+    GatewayIndexTooHigh,
 }
 
 impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::NoClasses => write!(f, "settings name no request class"),
-            Self::BadFigure(what) => write!(f, "settings hold an unusable figure: {what}"),
-            Self::NumberTooHigh => write!(f, "the gateway's number is not below the number of gateways"),
+            Self::InvalidValue(what) => write!(f, "invalid value in settings: {what}"),
+            Self::GatewayIndexTooHigh => write!(f, "gateway index is not below the number of gateways"),
         }
     }
 }
@@ -208,7 +208,7 @@
     /// Requests that wait there.
     pub queue: Option<f64>,
     /// Its recent service time, without waiting.
-    pub service: Option<Millis>,
+    pub service_time: Option<Millis>,
 }
 
 /// How an attempt or a probe ended.
@@ -268,7 +268,7 @@
     /// When the client gives up, on the host's clock: it began to wait before this event is told.
     pub deadline: Millis,
     /// The number of the first gateway of the customer's set; the others follow in a row, counted round.
-    pub first: u32,
+    pub first_gateway: u32,
     /// How many gateways the customer's requests come in through.
     pub spread: u32,
 }
@@ -291,7 +291,7 @@
     /// Whether the request has had its final answer.
     pub finished: bool,
     /// Whether some of the request's body is gone with this attempt: it cannot be sent again.
-    pub spent: bool,
+    pub body_consumed: bool,
     /// A load report, where one came along.
     pub load: Option<LoadReport>,
 }
@@ -345,9 +345,9 @@
         latency: Millis,
     },
     /// The process ends at this time at the latest: whatever it holds has to be answered before.
-    Ending {
+    ShuttingDown {
         /// When.
-        by: Millis,
+        deadline: Millis,
     },
     /// Operators take a backend out of use, whatever the list says of it, until they give it back.
     Detach {
@@ -360,7 +360,7 @@
         backend: Name,
     },
     /// The gateway whose duty it is to try the backends of a zone says how one of them is.
-    Word {
+    HealthReport {
         /// Which one.
         backend: Name,
         /// Whether it gives no sign; else it answers again.
@@ -387,7 +387,7 @@
         /// How long it may take from now on, its connection included; never more than its client waits.
         timeout: Millis,
         /// How long the request had waited for its customer's block before it first asked for a backend.
-        blocked: Millis,
+        quota_wait: Millis,
     },
     /// Final answer: refused, harmless to try again.
     Refuse {
@@ -421,16 +421,16 @@
         backend: Name,
     },
     /// Add to a shared count and hear its total.
-    Count {
+    AddToCounter {
         /// The count's name, below 2^63.
         name: u64,
         /// What to add.
         amount: f64,
         /// How long a new name is kept.
-        keep: Millis,
+        ttl: Millis,
     },
     /// Send a message to all other gateways.
-    Tell {
+    Broadcast {
         /// What it says.
         bytes: Vec<u8>,
     },
@@ -438,7 +438,7 @@
     WatchBackends,
     /// This gateway's own evidence of a backend: it gives no sign, or answers again after that. For whoever has to
     /// tell the other gateways; nothing has to be done with it.
-    Judged {
+    HealthObserved {
         /// Which one.
         backend: Name,
         /// Its zone.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,15 +3,17 @@
 //! and when, and carries out the actions it gives back.
 //!
 //! ```
-//! use doorcourse::{Action, Arrival, BackendEntry, BackendState, Class, Effect, Event, Gateway, Group, Plan};
+//! use doorcourse::{
+//!     Action, Arrival, BackendEntry, BackendState, Class, DedupScope, Event, Gateway, Idempotency, Plan,
+//! };
 //!
 //! let settings = doorcourse::Settings {
-//!     gateways: 1, number: 0, zone: "a".into(), tick: 1.0,
-//!     classes: vec![Class { name: "read".into(), aim: 500.0, effect: Effect::Safe, group: Group::All,
-//!         memory: 0.0, worth: 1.0, late_worth: 0.0 }],
+//!     gateways: 1, gateway_index: 0, zone: "a".into(), tick: 1.0,
+//!     classes: vec![Class { name: "read".into(), latency_target: 500.0, idempotency: Idempotency::Safe,
+//!         dedup_scope: DedupScope::All, dedup_window: 0.0, worth: 1.0, late_worth: 0.0 }],
 //!     plans: vec![Plan { name: "basic".into(), rate: 5.0, burst: 10.0, open: 0, ceiling_rate: 0.0,
 //!         ceiling_burst: 0.0, ceiling_slack: 0.0, price: 1.0, over_worth: 0.0, over_cost: 1.0 }],
-//!     most_attempts: 3, longest_advice: 1000.0, ..Default::default()
+//!     max_attempts: 3, max_retry_after: 1000.0, ..Default::default()
 //! };
 //! let mut gateway = Gateway::new(settings, 7)?;
 //! let mut actions = Vec::new();
@@ -19,7 +21,8 @@
 //!     started: None };
 //! gateway.handle(0.0, Event::BackendList(vec![backend]), &mut actions);
 //! gateway.handle(1.0, Event::Request(Arrival { id: 1, customer: "c".into(), plan: "basic".into(),
-//!     class: "read".into(), units: 1.0, repeat: false, deadline: 1900.0, first: 0, spread: 1 }), &mut actions);
+//!     class: "read".into(), units: 1.0, repeat: false, deadline: 1900.0, first_gateway: 0, spread: 1 }),
+//!     &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: 1, .. })));
 //! # Ok::<(), doorcourse::SettingsError>(())
 //! ```
@@ -43,4 +46,4 @@
 mod logic;
 
 pub use interface::*;
-pub use logic::{Estate, Gateway};
+pub use logic::{Gateway, HandoverState};
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -138,7 +138,7 @@
 /// has learned. Whatever is out stays with the process that sent it.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Estate {
+pub struct HandoverState {
     customers: BTreeMap<Name, Customer>,
     backends: BTreeMap<Name, Backend>,
     plan_room: Vec<f64>,
@@ -216,9 +216,9 @@
             }
             Event::Detach { backend } => self.on_detach(backend, true, out),
             Event::Attach { backend } => self.on_detach(backend, false, out),
-            Event::Word { backend, down } => self.on_word(&backend, down, out),
+            Event::HealthReport { backend, down } => self.on_word(&backend, down, out),
             Event::ClientLeft { id } => self.forget(id),
-            Event::Ending { by } => self.on_ending(by, out),
+            Event::ShuttingDown { deadline } => self.on_ending(deadline, out),
             Event::Timer { token: SWEEP_TOKEN } => self.on_sweep(out),
             Event::Timer { token: ENDING_TOKEN } => self.on_end(out),
             Event::Timer { token } => self.on_hold_over(token / 2, out),
@@ -229,7 +229,7 @@
 
     /// Hands everything that can be used once over to another process. What still comes here finds no block
     /// and no slice in hand: the two are one gateway for every quota.
-    pub fn hand_over(&mut self) -> Estate {
+    pub fn hand_over(&mut self) -> HandoverState {
         let customers = self.customers.clone();
         for customer in self.customers.values_mut() {
             (customer.lease, customer.owed, customer.added) = (0.0, 0.0, 0.0);
@@ -237,14 +237,13 @@
         }
         let (backends, plan_room) = (self.backends.clone(), self.plan_room.clone());
         let (class_latency, ease, late) = (self.class_latency.clone(), self.ease, self.late);
-        Estate { customers, backends, plan_room, class_latency, ease, late }
+        HandoverState { customers, backends, plan_room, class_latency, ease, late }
     }
 
-    /// Goes on where another process stopped, in its time; its list comes along, what operators detached is
-    /// told anew.
-    pub fn take_over(&mut self, estate: Estate, now: Millis) {
+    /// Continues from another process's state and clock. The host sends the operators' detachments again.
+    pub fn take_over(&mut self, estate: HandoverState, now: Millis) {
         self.now = now;
-        let Estate { mut customers, backends, plan_room, class_latency, ease, late } = estate;
+        let HandoverState { mut customers, backends, plan_room, class_latency, ease, late } = estate;
         customers.retain(|_, customer| customer.plan < self.settings.plans.len());
         (self.customers, self.late) = (customers, late);
         self.ease = ease.clamp(EASE_LEAST, 1.0);
@@ -268,8 +267,7 @@
         ROOM_FIRST < ROOM_LEAST * f64::from(self.settings.gateways)
     }
 
-    /// Guards a large fleet against overload of any cause: the more answers are late, the fewer fresh
-    /// requests are taken, those worth less first.
+    /// Load shedding in a large fleet: the share of fresh requests to admit falls as more answers are late.
     fn take(&self) -> f64 {
         (1.0 - TAKE_SLOPE * (self.late - ROOM_LATE)).clamp(TAKE_LEAST, 1.0)
     }
--- a/src/logic/backends.rs
+++ b/src/logic/backends.rs
@@ -54,7 +54,7 @@
     }
 
     pub(super) fn judged(&self, name: &Name, down: bool) -> Action {
-        Action::Judged { backend: name.clone(), zone: self.zone.clone(), down }
+        Action::HealthObserved { backend: name.clone(), zone: self.zone.clone(), down }
     }
 
     pub(super) fn ready(&self) -> bool {
@@ -65,8 +65,8 @@
     pub(super) fn warmth(&self, now: Millis, settings: &Settings) -> f64 {
         let starts = [self.started, self.returned].into_iter().flatten();
         let Some(started) = starts.reduce(f64::max) else { return 1.0 };
-        let age = ((now - started) / settings.cold_time.max(1.0)).clamp(0.0, 1.0);
-        settings.cold_share + (1.0 - settings.cold_share) * age
+        let age = ((now - started) / settings.warmup_time.max(1.0)).clamp(0.0, 1.0);
+        settings.cold_capacity + (1.0 - settings.cold_capacity) * age
     }
 
     /// Guards against dead, stalled and failing backends, which show in outcomes long before the list does:
@@ -76,7 +76,7 @@
     pub(super) fn failed(&mut self, now: Millis, latency: Millis, settings: &Settings) -> bool {
         self.failures += 1;
         let share = EJECT_SHARE * f64::from(self.failures);
-        self.eject_until = now + latency.max(settings.cold_time * share);
+        self.eject_until = now + latency.max(settings.warmup_time * share);
         self.failures == EJECT_TOLD
     }
 }
@@ -105,7 +105,7 @@
     /// its number lies among all gateways. So every backend is the own one of equally many, which draws of
     /// each gateway by itself would not give, and one that comes or goes moves most by a place or none.
     pub(super) fn choose_own(&mut self) {
-        let (number, gateways) = (self.settings.number as usize, self.settings.gateways as usize);
+        let (number, gateways) = (self.settings.gateway_index as usize, self.settings.gateways as usize);
         let mut ready: Vec<_> = self.backends.iter_mut().filter(|(_, b)| b.ready()).collect();
         ready.sort_unstable_by_key(|(_, backend)| backend.salt);
         let count = ready.len();
@@ -132,7 +132,7 @@
     /// Another gateway, whose duty it is to tell, says that a backend is down, or answers again. Who has just
     /// had an answer believes its own eyes, and no word takes out more than half of all.
     pub(super) fn on_word(&mut self, name: &Name, down: bool, out: &mut Vec<Action>) {
-        let (now, holds) = (self.now, self.settings.cold_time * WORD_SHARE);
+        let (now, holds) = (self.now, self.settings.warmup_time * WORD_SHARE);
         let ready = self.backends.values().filter(|b| b.ready());
         let most = ready.clone().filter(|b| now < b.eject_until).count() * 2 >= ready.count();
         let Some(backend) = self.backends.get_mut(name) else { return };
@@ -160,7 +160,7 @@
     pub(super) fn pick(&mut self, id: RequestId) -> Option<Name> {
         let request = self.requests.get(&id)?;
         let class = &self.settings.classes[request.class];
-        let tied = request.may_have_run.as_ref().filter(|_| class.effect == Effect::Keyed);
+        let tied = request.may_have_run.as_ref().filter(|_| class.idempotency == Idempotency::Keyed);
         let home = tied.and_then(|(_, home)| self.backends.get(home));
         let (mut out, mut room, mut ready, mut capacity) = (0.0, 0.0, 0.0, 0.0);
         for backend in self.backends.values() {
@@ -181,15 +181,15 @@
         // but one of the hits be lost.
         let mut lot = unit(mix(salt)) * ready;
         let cold_share = if many {
-            (self.settings.fall_multiple * COLD_PART_MANY).min(ready / f64::max(capacity, 1e-9))
+            (self.settings.overload_factor * COLD_PART_MANY).min(ready / f64::max(capacity, 1e-9))
         } else {
             COLD_MULTIPLE * self.take()
         };
         let mut best: Option<(f64, &Name)> = None;
         for (name, backend) in &self.backends {
-            let (group, zone, cell) = (class.group, &backend.zone, backend.cell);
-            let same = |h: &Backend| if group == Group::Zone { h.zone == *zone } else { h.cell == cell };
-            let in_group = group == Group::All || home.is_none_or(same);
+            let (group, zone, cell) = (class.dedup_scope, &backend.zone, backend.cell);
+            let same = |h: &Backend| if group == DedupScope::Zone { h.zone == *zone } else { h.cell == cell };
+            let in_group = group == DedupScope::All || home.is_none_or(same);
             let full = f64::from(backend.out) >= backend.room.ceil();
             let luck = unit(salt ^ backend.salt);
             let warmth = backend.warmth(self.now, &self.settings);
@@ -235,7 +235,7 @@
                 let seen = &mut self.class_seen[class];
                 *seen += 1.0;
                 *usual += (latency - *usual) * USUAL_WEIGHT.max(1.0 / *seen);
-                latency > self.settings.classes[class].aim * ROOM_SHARE
+                latency > self.settings.classes[class].latency_target * ROOM_SHARE
             }
             Outcome::NeverSent => return,
             // Its client has left; else it was called off as stalled.
--- a/src/logic/counter.rs
+++ b/src/logic/counter.rs
@@ -25,8 +25,8 @@
         let count = mix(customer.salt ^ customer.window.wrapping_mul(0x9e37_79b9_7f4a_7c15)) >> 1;
         customer.call = Some((customer.window, block, owed));
         self.calls.insert(count, name.clone());
-        let keep = (Customer::turn(plan) * IDLE_TURNS).min(KEEP_MOST);
-        out.push(Action::Count { name: count, amount: block + owed, keep });
+        let ttl = (Customer::turn(plan) * IDLE_TURNS).min(KEEP_MOST);
+        out.push(Action::AddToCounter { name: count, amount: block + owed, ttl });
     }
 
     pub(super) fn on_counted(
--- a/src/logic/live.rs
+++ b/src/logic/live.rs
@@ -16,7 +16,7 @@
     }
 
     /// Backends that are gone and have nothing out are remembered no more: lives come and go as long as this one lasts.
-    pub fn forget_gone(&mut self) {
+    pub fn remove_gone_backends(&mut self) {
         self.backends.retain(|_, backend| backend.state != BackendState::Gone || backend.out > 0);
     }
 
@@ -25,7 +25,7 @@
     pub fn resize(&mut self, gateways: u32, number: u32) {
         let gateways = gateways.max(1);
         let part = f64::from(self.settings.gateways) / f64::from(gateways);
-        (self.settings.gateways, self.settings.number) = (gateways, number.min(gateways - 1));
+        (self.settings.gateways, self.settings.gateway_index) = (gateways, number.min(gateways - 1));
         for backend in self.backends.values_mut().filter(|backend| backend.room > 0.0) {
             backend.least *= part;
             backend.room = (backend.room * part).max(ROOM_LEAST.max(backend.least));
@@ -36,7 +36,7 @@
 
     /// A backend works on so many requests at once. All gateways together may always keep that many out there, and some
     /// more: what is waited for there is shorter than a way back to the client, and no gateway sees the others' share.
-    pub fn works_on(&mut self, name: &Name, slots: u32) {
+    pub fn set_backend_slots(&mut self, name: &Name, slots: u32) {
         let gateways = f64::from(self.settings.gateways);
         if let Some(backend) = self.backends.get_mut(name) {
             let told = std::mem::replace(&mut backend.least, f64::from(slots) * SLOTS_ROOM / gateways);
--- a/src/logic/quota.rs
+++ b/src/logic/quota.rs
@@ -91,8 +91,7 @@
         target.min(self.store * NEAR_SHARE / self.spread).floor()
     }
 
-    /// The block wanted now: an even part while there is plenty (so the first is burst over gateways), else
-    /// smoothed demand; near the total it falls to what waits.
+    /// The block to request: an even part of a plentiful store, else the smoothed demand; at least `need`.
     pub(super) fn block(&self, need: f64, plan: &Plan) -> f64 {
         let plenty = (self.store - plan.burst * NEAR_SHARE) / self.spread;
         let want =
@@ -188,7 +187,7 @@
         let Some(request) = self.requests.get(&id) else { return false };
         let Some(customer) = self.customers.get_mut(&request.customer) else { return false };
         customer.waiting.push_back(id);
-        let until = request.arrived + self.settings.classes[request.class].aim * BLOCK_WAIT;
+        let until = request.arrived + self.settings.classes[request.class].latency_target * BLOCK_WAIT;
         self.hold(id, Stage::Block, until, out);
         true
     }
--- a/src/logic/requests.rs
+++ b/src/logic/requests.rs
@@ -46,7 +46,8 @@
         });
         let gateways = self.settings.gateways;
         customer.spread = f64::from(arrival.spread.clamp(1, gateways));
-        customer.place = (self.settings.number + gateways - arrival.first % gateways) % gateways;
+        customer.place =
+            (self.settings.gateway_index + gateways - arrival.first_gateway % gateways) % gateways;
         let span = Customer::turn(&self.settings.plans[plan]) * DEMAND_SHARE;
         customer.demand = customer.demand * (-(now - customer.demand_at) / span).exp() + units / span;
         customer.demand_at = now;
@@ -84,7 +85,7 @@
             return;
         }
         let Some(request) = self.requests.get(&id) else { return };
-        let hold = self.settings.classes[request.class].aim * HOLD_SHARE;
+        let hold = self.settings.classes[request.class].latency_target * HOLD_SHARE;
         let until = if fresh { request.arrived } else { self.now } + hold;
         if until <= self.now || fresh && self.queue.len() as f64 >= self.room().max(1.0) {
             return self.give_up(id, out);
@@ -118,10 +119,10 @@
     pub(super) fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let class = &self.settings.classes[request.class];
-        let repeatable =
-            class.effect == Effect::Safe || class.effect == Effect::Keyed && class.group == Group::All;
+        let repeatable = class.idempotency == Idempotency::Safe
+            || class.idempotency == Idempotency::Keyed && class.dedup_scope == DedupScope::All;
         if request.may_have_run.is_none() || repeatable && self.now < request.answer_by {
-            let wait = self.settings.longest_advice * (0.3 + 0.4 * self.chance());
+            let wait = self.settings.max_retry_after * (0.3 + 0.4 * self.chance());
             self.refuse(id, wait, out);
         } else {
             self.forget(id);
@@ -131,7 +132,7 @@
 
     pub(super) fn refuse(&mut self, id: RequestId, wait: Millis, out: &mut Vec<Action>) {
         self.forget(id);
-        out.push(Action::Refuse { id, retry_after: wait.clamp(0.0, self.settings.longest_advice) });
+        out.push(Action::Refuse { id, retry_after: wait.clamp(0.0, self.settings.max_retry_after) });
     }
 
     /// Units of a request that was never sent go back to its customer's block.
@@ -161,8 +162,8 @@
         }
         (request.stage, request.sent_at, request.attempts) = (Stage::Out, self.now, request.attempts + 1);
         request.sent_to = Some(name.clone());
-        let (timeout, blocked) = (request.answer_by - self.now, request.placed.unwrap_or(self.now));
-        out.push(Action::Send { id, backend: name, timeout, blocked: blocked - request.arrived });
+        let (timeout, quota_wait) = (request.answer_by - self.now, request.placed.unwrap_or(self.now));
+        out.push(Action::Send { id, backend: name, timeout, quota_wait: quota_wait - request.arrived });
         request.hold_until = stalled_after.map_or(f64::INFINITY, |after| self.now + after);
         if let Some(after) = stalled_after {
             out.push(Action::SetTimer { after, token: id * 2 });
@@ -174,18 +175,20 @@
     /// within the aim or, if answers take longer and few are late, while its client waits.
     pub(super) fn stalled_after(&self, request: &Request) -> Option<Millis> {
         let (class, usual) = (&self.settings.classes[request.class], self.class_latency[request.class]);
-        let (left, aim) = (request.answer_by - self.now, request.arrived + class.aim - self.now);
+        let (left, aim) = (request.answer_by - self.now, request.arrived + class.latency_target - self.now);
         let share = |time: Millis| (time * TRY_SHARE).max(usual * TRY_LATENCIES);
         let times = [aim.min(left), self.useful_by(request) - self.now];
         let time = times.into_iter().find(|time| share(*time) + usual <= *time)?;
-        let tries = REPEAT_MOST.min(self.settings.most_attempts);
-        let again = class.effect != Effect::Unsafe && request.attempts + 1 < tries && self.settings.cancel;
+        let tries = REPEAT_MOST.min(self.settings.max_attempts);
+        let again = class.idempotency != Idempotency::Unsafe
+            && request.attempts + 1 < tries
+            && self.settings.may_cancel;
         again.then(|| share(time))
     }
 
     /// Until when another try's answer is worth the load: while many are late, only up to the aim.
     pub(super) fn useful_by(&self, request: &Request) -> Millis {
-        let aim = request.arrived + self.settings.classes[request.class].aim;
+        let aim = request.arrived + self.settings.classes[request.class].latency_target;
         if self.take() < 1.0 { aim.min(request.answer_by) } else { request.answer_by }
     }
 
@@ -230,7 +233,7 @@
             return self.forget(id);
         }
         customer.open = customer.open.saturating_sub(1);
-        (request.stage, request.spent) = (Stage::Queue, request.spent || end.spent);
+        (request.stage, request.spent) = (Stage::Queue, request.spent || end.body_consumed);
         let never_ran = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent);
         if !never_ran && request.may_have_run.is_none() {
             request.may_have_run = Some((request.sent_at, end.backend));
@@ -252,13 +255,13 @@
     pub(super) fn may_try_again(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let (class, last) = (&self.settings.classes[request.class], LAST_TICKS * self.settings.tick);
-        let allowed = match (&request.may_have_run, class.effect) {
+        let allowed = match (&request.may_have_run, class.idempotency) {
             (None, _) => true,
-            (_, Effect::Safe) => request.attempts < REPEAT_MOST,
-            (Some((sent, _)), Effect::Keyed) => self.now - sent < class.memory - last,
-            (Some(_), Effect::Unsafe) => false,
+            (_, Idempotency::Safe) => request.attempts < REPEAT_MOST,
+            (Some((sent, _)), Idempotency::Keyed) => self.now - sent < class.dedup_window - last,
+            (Some(_), Idempotency::Unsafe) => false,
         };
-        let left = request.attempts < self.settings.most_attempts && request.answer_by > self.now;
+        let left = request.attempts < self.settings.max_attempts && request.answer_by > self.now;
         allowed && left && !request.spent
     }
 
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -139,7 +139,7 @@
 
 #[test]
 fn a_backend_that_was_given_back_is_used_again_soon_however_cold() {
-    let settings = Settings { cold_share: 0.0, cold_time: 1e9, ..settings() };
+    let settings = Settings { cold_capacity: 0.0, warmup_time: 1e9, ..settings() };
     let mut door = Door::new(settings, &["a1", "a2"]);
     door.tell(Event::Detach { backend: "a1".into() });
     door.tell(Event::Attach { backend: "a1".into() });
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -70,9 +70,9 @@
         !called_off(&alone.pass(stalled(&did, 1).expect("a timer"), &[1]), 1),
         "there is no other backend"
     );
-    let mut only = Door::new(Settings { most_attempts: 1, ..settings() }, &["a1", "a2"]);
+    let mut only = Door::new(Settings { max_attempts: 1, ..settings() }, &["a1", "a2"]);
     assert_eq!(stalled(&let_in(&mut only, 1, "c", "safe"), 1), None);
-    let mut bound = Door::new(Settings { cancel: false, ..settings() }, &["a1", "a2"]);
+    let mut bound = Door::new(Settings { may_cancel: false, ..settings() }, &["a1", "a2"]);
     assert_eq!(stalled(&let_in(&mut bound, 1, "c", "safe"), 1), None);
     let mut door = Door::new(settings(), &["a1", "a2"]);
     let did = let_in(&mut door, 1, "c", "unsafe");
@@ -138,7 +138,7 @@
     door.now += 70.0;
     let did = door.total(name, amount);
     assert!(
-        matches!(did[..], [.., Action::Send { timeout, blocked, .. }] if timeout == 1930.0 - LAST && blocked == 70.0),
+        matches!(did[..], [.., Action::Send { timeout, quota_wait, .. }] if timeout == 1930.0 - LAST && quota_wait == 70.0),
         "{did:?}"
     );
 }
@@ -150,7 +150,7 @@
     door.now += 150.0;
     let did = door.tell(Event::BackendList(vec![backend("a1", BackendState::Ready, None)]));
     assert!(
-        matches!(did[..], [Action::Send { timeout, blocked: 0.0, .. }] if timeout == 1850.0 - LAST),
+        matches!(did[..], [Action::Send { timeout, quota_wait: 0.0, .. }] if timeout == 1850.0 - LAST),
         "{did:?}"
     );
 }
@@ -203,9 +203,9 @@
 fn further_tries_are_a_share_of_the_fresh_ones_over_the_whole_fleet() {
     const GATEWAYS: u32 = 300;
     let (mut fresh, mut further, mut denied) = (0, 0, 0);
-    for number in 0..GATEWAYS {
-        let settings = Settings { gateways: GATEWAYS, number, ..settings() };
-        let mut door = Door::seeded(settings, 1 + u64::from(number), &["a1", "a2", "a3", "a4", "a5"]);
+    for gateway_index in 0..GATEWAYS {
+        let settings = Settings { gateways: GATEWAYS, gateway_index, ..settings() };
+        let mut door = Door::seeded(settings, 1 + u64::from(gateway_index), &["a1", "a2", "a3", "a4", "a5"]);
         // What comes at once is no late answer then, which would speak for fewer fresh requests.
         let (at, _) = limit(&let_in(&mut door, 99, "first", "safe")).expect("sent");
         door.end_after(100.0, 99, 0, &at, Outcome::Served);
@@ -252,7 +252,7 @@
 fn no_request_outlives_the_process() {
     let mut door = Door::new(settings(), &["a1"]);
     let (at, _) = limit(&let_in(&mut door, 1, "c", "unsafe")).expect("sent");
-    let did = door.tell(Event::Ending { by: door.now + 500.0 });
+    let did = door.tell(Event::ShuttingDown { deadline: door.now + 500.0 });
     let timer = did.iter().find_map(|a| match a {
         Action::SetTimer { after: 500.0, token } => Some(*token),
         _ => None,
--- a/tests/effects.rs
+++ b/tests/effects.rs
@@ -45,7 +45,7 @@
 
 #[test]
 fn where_none_may_be_called_off_an_attempt_is_left_to_run_until_its_outcome() {
-    let mut door = Door::new(Settings { cancel: false, ..settings() }, &["a1", "a2"]);
+    let mut door = Door::new(Settings { may_cancel: false, ..settings() }, &["a1", "a2"]);
     let at = door.served(1, "c", "plain", "safe");
     for _ in 0..4 {
         let did = door.pass(450.0, &[1]);
@@ -104,7 +104,7 @@
         units: f64::NAN,
         repeat: false,
         deadline: -5.0,
-        first: 99,
+        first_gateway: 99,
         spread: 0,
     }));
     assert!(count(&did).is_some());
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -5,12 +5,12 @@
 
 /// One safe, one keyed and one unsafe class; a small plan, one under a ceiling and one with an open cap.
 pub fn settings() -> Settings {
-    let class = |name: &str, effect, group| Class {
+    let class = |name: &str, idempotency, dedup_scope| Class {
         name: name.into(),
-        aim: 800.0,
-        effect,
-        group,
-        memory: 4000.0,
+        latency_target: 800.0,
+        idempotency,
+        dedup_scope,
+        dedup_window: 4000.0,
         worth: 1.0,
         late_worth: 0.0,
     };
@@ -31,22 +31,22 @@
         zone: "z1".into(),
         tick: 4.0,
         classes: vec![
-            class("safe", Effect::Safe, Group::All),
-            class("keyed", Effect::Keyed, Group::Cell),
-            class("unsafe", Effect::Unsafe, Group::All),
+            class("safe", Idempotency::Safe, DedupScope::All),
+            class("keyed", Idempotency::Keyed, DedupScope::Cell),
+            class("unsafe", Idempotency::Unsafe, DedupScope::All),
         ],
         plans: vec![plan("plain", 0, 0.0), plan("ceiling", 0, 1.6), plan("capped", 2, 0.0)],
         counter: true,
         counter_timeout: 50.0,
-        most_units: 1.0,
+        max_units: 1.0,
         probes: true,
-        cancel: true,
-        most_attempts: 4,
-        longest_advice: 2000.0,
-        cold_share: 0.2,
-        cold_time: 18_000.0,
-        fall_multiple: 2.0,
-        fall_time: 3000.0,
+        may_cancel: true,
+        max_attempts: 4,
+        max_retry_after: 2000.0,
+        cold_capacity: 0.2,
+        warmup_time: 18_000.0,
+        overload_factor: 2.0,
+        overload_window: 3000.0,
         ..Settings::default()
     }
 }
@@ -115,7 +115,7 @@
             units: 1.0,
             repeat: false,
             deadline: self.now + 2000.0,
-            first: 0,
+            first_gateway: 0,
             spread: 2,
         }
     }
@@ -155,7 +155,7 @@
         latency,
         true_units: None,
         finished: outcome == Outcome::Served,
-        spent: false,
+        body_consumed: false,
         load: None,
     })
 }
@@ -163,7 +163,7 @@
 /// The first counter call among actions: its name and amount.
 pub fn count(actions: &[Action]) -> Option<(u64, f64)> {
     actions.iter().find_map(|a| match a {
-        Action::Count { name, amount, .. } => Some((*name, *amount)),
+        Action::AddToCounter { name, amount, .. } => Some((*name, *amount)),
         _ => None,
     })
 }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -36,7 +36,7 @@
 #[test]
 fn all_gateways_derive_the_same_name_and_it_changes_with_the_window() {
     let mut other = settings();
-    other.number = 1;
+    other.gateway_index = 1;
     let mut one = Door::new(settings(), &["a1"]);
     let mut two = Door::new(other, &["a1"]);
     let first = count(&one.ask(1, "c", "plain", "safe")).expect("call").0;
@@ -90,7 +90,7 @@
 #[test]
 fn settled_units_are_added_later() {
     let mut set = settings();
-    (set.settles, set.most_units) = (true, 4.0);
+    (set.reports_true_units, set.max_units) = (true, 4.0);
     let mut door = Door::new(set, &["a1", "a2"]);
     let backend = door.served(1, "c", "plain", "safe");
     let end = AttemptEnd {
@@ -101,7 +101,7 @@
         latency: 90.0,
         true_units: Some(4.0),
         finished: true,
-        spent: false,
+        body_consumed: false,
         load: None,
     };
     door.tell(Event::AttemptEnded(end));
@@ -159,7 +159,7 @@
 #[test]
 fn a_request_whose_body_is_gone_gets_no_further_attempt() {
     let mut door = Door::new(settings(), &["a1", "a2"]);
-    for (id, spent) in [(1, false), (2, true)] {
+    for (id, body_consumed) in [(1, false), (2, true)] {
         let at = door.served(id, &format!("c{id}"), "plain", "unsafe");
         let did = door.tell(Event::AttemptEnded(AttemptEnd {
             id,
@@ -169,10 +169,10 @@
             latency: 1.0,
             true_units: None,
             finished: false,
-            spent,
+            body_consumed,
             load: None,
         }));
-        assert_eq!((sends(&did) == 1, refused(&did, id)), (!spent, spent), "{did:?}");
+        assert_eq!((sends(&did) == 1, refused(&did, id)), (!body_consumed, body_consumed), "{did:?}");
         door.pass(1000.0, &[]);
     }
 }
--- a/tests/many.rs
+++ b/tests/many.rs
@@ -11,9 +11,9 @@
 fn fleet(gateways: u32, backends: &[String], cold: bool) -> Vec<Door> {
     let names: Vec<&str> = backends.iter().map(String::as_str).collect();
     (0..gateways)
-        .map(|number| {
-            let settings = Settings { gateways, number, ..settings() };
-            let mut door = Door::seeded(settings, 1000 + u64::from(number), &names);
+        .map(|gateway_index| {
+            let settings = Settings { gateways, gateway_index, ..settings() };
+            let mut door = Door::seeded(settings, 1000 + u64::from(gateway_index), &names);
             if cold {
                 let born = Some(door.now);
                 let last = backends.last().expect("a backend");
@@ -255,8 +255,8 @@
 }
 
 /// A door of a fleet that the total of a spent quota has just been told to.
-fn told_spent(number: usize) -> Door {
-    let mut door = fleet(GATEWAYS, &names(5), false).swap_remove(number);
+fn told_spent(gateway_index: usize) -> Door {
+    let mut door = fleet(GATEWAYS, &names(5), false).swap_remove(gateway_index);
     let (name, amount) = count(&door.ask_of(1, "c", "ceiling", "safe", false, 10)).expect("a call");
     let (_, at) = sent(&door.total(name, amount)).expect("sent on");
     door.end(1, 0, &at, Outcome::Served);
@@ -275,8 +275,8 @@
 fn the_gateways_of_a_spent_quota_do_not_all_ask_for_the_next_unit() {
     // Five units a second: after 0.3 s each believes one to be there for it.
     let mut calls = 0;
-    for number in 0..40 {
-        let mut door = told_spent(number);
+    for gateway_index in 0..40 {
+        let mut door = told_spent(gateway_index);
         door.pass(300.0, &[]);
         calls += u32::from(count(&door.ask_of(3, "c", "ceiling", "safe", false, 10)).is_some());
     }
@@ -340,9 +340,9 @@
 fn after_a_mass_return_cold_backends_take_work_off_the_warm_ones_but_not_what_would_fell_them() {
     let names = names(60);
     let list: Vec<&str> = names.iter().map(String::as_str).collect();
-    let door = |number| {
-        let settings = Settings { gateways: 100, number, fall_multiple: 3.0, ..settings() };
-        Door::seeded(settings, 1000 + u64::from(number), &list)
+    let door = |gateway_index| {
+        let settings = Settings { gateways: 100, gateway_index, overload_factor: 3.0, ..settings() };
+        Door::seeded(settings, 1000 + u64::from(gateway_index), &list)
     };
     let mut doors: Vec<Door> = (0..100).map(door).collect();
     // Six in ten started a moment ago at a fifth of their capacity, or half of the cold time ago at 0.6.
@@ -385,7 +385,7 @@
     };
     // What is handed over is written down and read again: what follows from the names is not among it.
     let estate = serde_json::to_string(&told().gateway.hand_over()).expect("written");
-    let mut next = Door::seeded(Settings { gateways: GATEWAYS, number: 3, ..settings() }, 1003, &[]);
+    let mut next = Door::seeded(Settings { gateways: GATEWAYS, gateway_index: 3, ..settings() }, 1003, &[]);
     next.gateway.take_over(serde_json::from_str(&estate).expect("read"), next.now);
     let picked = picks(&mut next);
     let several: std::collections::BTreeSet<_> = picked.iter().collect();
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -14,9 +14,12 @@
 fn unusable_settings_are_refused() {
     assert_eq!(error(|_| ()), None);
     assert_eq!(error(|s| s.classes.clear()), Some(SettingsError::NoClasses));
-    assert_eq!(error(|s| s.number = 2), Some(SettingsError::NumberTooHigh));
-    assert_eq!(error(|s| s.tick = -1.0), Some(SettingsError::BadFigure("tick")));
-    assert_eq!(error(|s| s.plans[0].rate = f64::NAN), Some(SettingsError::BadFigure("a plan's rate")));
-    assert_eq!(error(|s| s.plans[0].burst = 0.0), Some(SettingsError::BadFigure("a plan's burst")));
-    assert_eq!(error(|s| s.classes[0].aim = f64::INFINITY), Some(SettingsError::BadFigure("a class's aim")));
+    assert_eq!(error(|s| s.gateway_index = 2), Some(SettingsError::GatewayIndexTooHigh));
+    assert_eq!(error(|s| s.tick = -1.0), Some(SettingsError::InvalidValue("tick")));
+    assert_eq!(error(|s| s.plans[0].rate = f64::NAN), Some(SettingsError::InvalidValue("a plan's rate")));
+    assert_eq!(error(|s| s.plans[0].burst = 0.0), Some(SettingsError::InvalidValue("a plan's burst")));
+    assert_eq!(
+        error(|s| s.classes[0].latency_target = f64::INFINITY),
+        Some(SettingsError::InvalidValue("a class's latency target"))
+    );
 }
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -55,12 +55,12 @@
                     let order = self.timers.len() as u64;
                     self.timers.insert(((now + after).ceil() as u64, token << 8 | order & 0xff), token);
                 }
-                Action::Count { name, .. } => {
+                Action::AddToCounter { name, .. } => {
                     assert!(!self.calls.contains(&name), "two calls out for one name");
                     self.calls.push(name);
                     assert!(self.calls.len() <= 64, "calls are bounded");
                 }
-                Action::Judged { .. } | Action::Probe { .. } | Action::Tell { .. } => {}
+                Action::HealthObserved { .. } | Action::Probe { .. } | Action::Broadcast { .. } => {}
                 Action::WatchBackends | Action::Log(_) => {}
             }
         }
@@ -108,7 +108,7 @@
         units: 1.0,
         repeat: random.below(4) == 0,
         deadline,
-        first: random.below(2) as u32,
+        first_gateway: random.below(2) as u32,
         spread: random.below(3) as u32,
     })
 }
@@ -216,7 +216,7 @@
             latency,
             true_units: None,
             finished,
-            spent: false,
+            body_consumed: false,
             load: None,
         };
         events.push((*id, Event::AttemptEnded(end)));
--- a/tests/words.rs
+++ b/tests/words.rs
@@ -15,7 +15,7 @@
 }
 
 fn word(door: &mut Door, backend: &str, down: bool) {
-    door.tell(Event::Word { backend: backend.into(), down });
+    door.tell(Event::HealthReport { backend: backend.into(), down });
 }
 
 /// Which backends get so many requests one after the other, each served at once.
@@ -71,7 +71,8 @@
 fn what_is_found_out_of_a_backend_is_told_but_not_that_it_is_full_or_failing() {
     for (outcome, told) in [(Outcome::ConnectFailed, true), (Outcome::Full, false), (Outcome::Error, false)] {
         let mut door = door(&["a1"]);
-        let judged = |did: &[Action]| did.iter().any(|a| matches!(a, Action::Judged { down: true, .. }));
+        let judged =
+            |did: &[Action]| did.iter().any(|a| matches!(a, Action::HealthObserved { down: true, .. }));
         door.ask(1, "c", "plain", "unsafe");
         let mut did = door.did.clone();
         let call = count(&did).expect("a call");
@@ -84,6 +85,6 @@
         door.now += 4000.0;
         let third = door.served(3, "e", "plain", "safe");
         let back = door.end(3, 0, &third, Outcome::Served);
-        assert!(back.iter().any(|a| matches!(a, Action::Judged { down: false, .. })), "{back:?}");
+        assert!(back.iter().any(|a| matches!(a, Action::HealthObserved { down: false, .. })), "{back:?}");
     }
 }
