--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -4,7 +4,7 @@
 use crate::front::Front;
 use crate::speech::Speech;
 use crate::watch::{Counts, Watch};
-use crate::{Admission, Conf, DataPlaneSettings, readiness};
+use crate::{Admission, DataPlaneSettings, GatewayConfig, readiness};
 use config::Version;
 use doorcourse::{BackendEntry, Class, Effect, Event, Group, Name, Plan, Pool, Settings};
 use http_proxy::engine::Engine;
@@ -95,7 +95,7 @@
     settings: DataPlaneSettings,
     seed: u64,
     admission: Rc<dyn Admission>,
-    conf: RefCell<Option<Rc<Conf>>>,
+    conf: RefCell<Option<Rc<GatewayConfig>>>,
     configured: Notify,
     backends: Rc<Backends<Speech>>,
     services: RefCell<BTreeMap<Name, Rc<Service>>>,
@@ -135,7 +135,7 @@
                 configured: Notify::new(),
                 backends,
                 services: RefCell::default(),
-                lives: RefCell::new(Lives::by(settings.ways.clone())),
+                lives: RefCell::new(Lives::by(settings.detours.clone())),
                 fleet: Cell::new((1, 0)),
                 front: Front::new(most_clients, seed, figures.clone()),
                 figures,
@@ -147,12 +147,12 @@
     }
 
     #[doc(hidden)]
-    pub fn plant(&self, faults: Faults) {
+    pub fn inject_faults(&self, faults: Faults) {
         self.backends.plant(faults);
     }
 
     /// Puts a configuration into force, unless its version is not newer than the one in force.
-    pub fn configure(&self, config: Rc<Conf>) {
+    pub fn apply_config(&self, config: Rc<GatewayConfig>) {
         let newer = self.version().is_none_or(|version| version < config.version);
         if newer {
             self.watch.stands(config.version.0);
@@ -164,7 +164,7 @@
     }
 
     /// Applies a full list of backends (`whole`) or changes to the list.
-    pub fn backends(&self, changes: &[Backend], whole: bool) {
+    pub fn update_backends(&self, changes: &[Backend], whole: bool) {
         let changed = self.lives.borrow_mut().update(changes, whole);
         for (id, _) in changed.iter().filter(|(_, life)| life.phase == Phase::Draining) {
             self.watch.note("drain", format_args!("backend {id}: drains, nothing more is sent to it"));
@@ -173,12 +173,12 @@
     }
 
     /// Records that updates are received from this process of the control plane from now on.
-    pub fn follows(&self, upstream: SocketAddr) {
+    pub fn set_upstream(&self, upstream: SocketAddr) {
         self.watch.note("upstream", format_args!("updates come from {upstream}"));
     }
 
     /// Sets the number of gateways and the index of this gateway among them, counted from 0.
-    pub fn fleet(&self, gateways: u32, number: u32) {
+    pub fn set_fleet(&self, gateways: u32, number: u32) {
         let gateways = gateways.max(1);
         let fleet = (gateways, number.min(gateways - 1));
         if self.fleet.replace(fleet) != fleet {
@@ -210,7 +210,7 @@
     }
 
     /// The number of requests that are not answered yet.
-    pub fn active(&self) -> u64 {
+    pub fn active_requests(&self) -> u64 {
         self.figures.active()
     }
 
@@ -228,12 +228,12 @@
         &self.settings
     }
 
-    pub(crate) fn conf(&self) -> Option<Rc<Conf>> {
+    pub(crate) fn conf(&self) -> Option<Rc<GatewayConfig>> {
         self.conf.borrow().clone()
     }
 
     /// The configuration in force. If there is none yet, waits at most this long for the first one.
-    pub(crate) async fn configured_within(&self, wait: Duration) -> Option<Rc<Conf>> {
+    pub(crate) async fn configured_within(&self, wait: Duration) -> Option<Rc<GatewayConfig>> {
         let _ = timeout(wait, self.configured.notified()).await;
         self.conf()
     }
@@ -344,7 +344,7 @@
             classes: vec![class(usual)],
             plans: vec![plan],
             most_units: 1.0,
-            cancel: self.settings.cancel,
+            cancel: self.settings.cancel_stalled,
             most_attempts: MOST_ATTEMPTS,
             longest_advice: LONGEST_ADVICE,
             cold_share: COLD_SHARE,
--- a/crates/data-plane/src/front.rs
+++ b/crates/data-plane/src/front.rs
@@ -7,7 +7,7 @@
 use crate::order::{Fault, Order};
 use crate::speech::Speech;
 use crate::watch::{Trail, Why};
-use crate::{Admission, Asked, Conf};
+use crate::{Admission, AdmissionDecision, GatewayConfig};
 use bytes::{Bytes, BytesMut};
 use config::Route;
 use doorcourse::{Arrival, Name, RequestId};
@@ -99,8 +99,8 @@
         let ended = async {
             end.await;
             let (settings, now) = (data_plane.settings(), Instant::now());
-            let by = now + settings.grace - LAST_ANSWERS.min(settings.grace / 4);
-            let linger = settings.linger.min(settings.grace / 2);
+            let by = now + settings.grace_period - LAST_ANSWERS.min(settings.grace_period / 4);
+            let linger = settings.shutdown_delay.min(settings.grace_period / 2);
             data_plane.ending(by);
             data_plane
                 .watch()
@@ -129,7 +129,7 @@
         while hall.guests() > 0 && quiet.elapsed() < LAST_WORDS && Instant::now() < by + LAST_ANSWERS / 2 {
             let _ = timeout(SEE_OFF, hall.left()).await;
             hall.see_off(LAST_CALL);
-            if data_plane.active() > 0 {
+            if data_plane.active_requests() > 0 {
                 quiet = Instant::now();
             }
         }
@@ -221,11 +221,11 @@
     /// Waits for a unit of the tenant's quota. Fails with the time after which to retry.
     async fn admit(&self, tenant: &Name, goal: Duration) -> Result<Unit, Duration> {
         let wait = goal.mul_f64(UNIT_WAIT);
-        match self.admission().ask(tenant, wait) {
-            Asked::Granted => {}
-            Asked::Refused { retry_after } => return Err(retry_after),
+        match self.admission().acquire(tenant, wait) {
+            AdmissionDecision::Granted => {}
+            AdmissionDecision::Refused { retry_after } => return Err(retry_after),
             // The host decides within `wait`; the timeout guards against a host that does not.
-            Asked::Wait(unit) => match timeout(wait * 2, unit).await {
+            AdmissionDecision::Pending(unit) => match timeout(wait * 2, unit).await {
                 Ok(Ok(unit)) => unit?,
                 Ok(Err(_)) | Err(_) => return Err(NO_WORD),
             },
@@ -365,13 +365,13 @@
 impl Drop for Unit {
     fn drop(&mut self) {
         if self.request.as_ref().is_none_or(|(engine, id)| engine.is_unsent(*id)) {
-            self.admission.give_back(&self.tenant);
+            self.admission.refund(&self.tenant);
         }
     }
 }
 
 /// Reads a body whole, or the start of a body that is too long to be buffered.
-async fn read(body: Incoming, conf: &Conf) -> Result<(Bytes, Option<Rc<Upload>>), Fault> {
+async fn read(body: Incoming, conf: &GatewayConfig) -> Result<(Bytes, Option<Rc<Upload>>), Fault> {
     let limits = &conf.limits;
     if body.size_hint().lower() > limits.max_body_bytes {
         return Err(Fault::TooLarge);
--- a/crates/data-plane/src/lease_client.rs
+++ b/crates/data-plane/src/lease_client.rs
@@ -1,6 +1,6 @@
 //! Runs this gateway's quota lease cache: requests leases from their holders and lets client requests wait for them.
 
-use crate::{Admission, Asked};
+use crate::{Admission, AdmissionDecision};
 use quota::{Cache, Grant, HolderAssignment, LeaseRequest, Quota, Verdict};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -47,14 +47,14 @@
     }
 
     /// Applies the quotas of a newer configuration.
-    pub fn quotas(&self, quotas: Vec<Quota>) {
+    pub fn set_quotas(&self, quotas: Vec<Quota>) {
         self.cache.borrow_mut().quotas(self.now(), quotas);
         self.stir.notify_one();
     }
 
     /// Sets the number of gateways. `fresh` states whether the control plane process that reports the number has recent
     /// contact with the leader.
-    pub fn fleet(&self, gateways: u32, fresh: bool) {
+    pub fn set_gateway_count(&self, gateways: u32, fresh: bool) {
         self.cache.borrow_mut().fleet_told(self.now(), gateways, fresh);
     }
 
@@ -66,13 +66,13 @@
     }
 
     /// Applies a new assignment of quota holders.
-    pub fn assignment(&self, assignment: &HolderAssignment) {
+    pub fn apply_assignment(&self, assignment: &HolderAssignment) {
         self.cache.borrow_mut().assignment(assignment);
         self.stir.notify_one();
     }
 
     /// Applies the answer of a quota holder.
-    pub fn granted(&self, grant: Grant) {
+    pub fn apply_grant(&self, grant: Grant) {
         let mut verdicts = Vec::new();
         self.cache.borrow_mut().granted(self.now(), grant, &mut verdicts);
         self.tell(verdicts);
@@ -80,7 +80,7 @@
     }
 
     /// Gives up a lease request that received no answer.
-    pub fn unanswered(&self, number: u64) {
+    pub fn abandon_lease_request(&self, number: u64) {
         self.cache.borrow_mut().silent(self.now(), number);
         self.stir.notify_one();
     }
@@ -95,7 +95,7 @@
             let Some((tenant, waits)) = self.waiting.borrow_mut().remove(&request) else { continue };
             // The client may have disconnected meanwhile, in which case its unit is returned.
             if waits.send(word).is_err_and(|word| word.is_ok()) {
-                self.give_back(&tenant);
+                self.refund(&tenant);
             }
         }
     }
@@ -105,7 +105,7 @@
         for (to, draw) in draws {
             let number = draw.number;
             if !(self.send)(&to, draw) {
-                self.unanswered(number);
+                self.abandon_lease_request(number);
             }
         }
     }
@@ -129,29 +129,29 @@
 }
 
 impl Admission for LeaseClient {
-    fn ask(&self, tenant: &str, wait_at_most: Duration) -> Asked {
+    fn acquire(&self, tenant: &str, wait_at_most: Duration) -> AdmissionDecision {
         let (now, request) = (self.now(), self.requests.get());
         self.requests.set(request + 1);
         let most = wait_at_most.as_secs_f64() * 1000.0;
         let verdict = self.cache.borrow_mut().ask(now, request, tenant, most);
         let asked = match verdict {
-            Verdict::Granted => Asked::Granted,
-            Verdict::Refused { retry_after } => Asked::Refused { retry_after: span(retry_after) },
+            Verdict::Granted => AdmissionDecision::Granted,
+            Verdict::Refused { retry_after } => AdmissionDecision::Refused { retry_after: span(retry_after) },
             Verdict::Wait { .. } => {
                 let (word, told) = oneshot::channel();
                 self.waiting.borrow_mut().insert(request, (tenant.to_owned(), word));
-                Asked::Wait(told)
+                AdmissionDecision::Pending(told)
             }
         };
         // Leases are renewed before they are used up, and a waiting request needs a lease now.
         self.draw();
-        if matches!(asked, Asked::Wait(_)) {
+        if matches!(asked, AdmissionDecision::Pending(_)) {
             self.stir.notify_one();
         }
         asked
     }
 
-    fn give_back(&self, tenant: &str) {
+    fn refund(&self, tenant: &str) {
         self.cache.borrow_mut().give_back(self.now(), tenant);
     }
 }
@@ -173,10 +173,12 @@
             let number = sent.clone();
             let lease_client =
                 LeaseClient::start(1, Box::new(move |_, draw| number.replace(draw.number) == 0));
-            lease_client.fleet(3, true);
-            lease_client.quotas(vec![Quota { tenant: "t".into(), rate_per_s: 10.0, burst: 10.0 }]);
+            lease_client.set_gateway_count(3, true);
+            lease_client.set_quotas(vec![Quota { tenant: "t".into(), rate_per_s: 10.0, burst: 10.0 }]);
             let wait = Duration::from_secs(60);
-            let Asked::Wait(word) = lease_client.ask("t", wait) else { panic!("no block is in hand") };
+            let AdmissionDecision::Pending(word) = lease_client.acquire("t", wait) else {
+                panic!("no block is in hand")
+            };
             drop(word);
             // The only unit of the window.
             let share = Share {
@@ -187,9 +189,13 @@
                 ends_in: 60_000.0,
                 standing: Standing::Open,
             };
-            lease_client.granted(Grant { number: sent.get(), epoch: Epoch::first(1), shares: vec![share] });
-            assert!(matches!(lease_client.ask("t", wait), Asked::Granted));
-            assert!(matches!(lease_client.ask("t", wait), Asked::Refused { .. }));
+            lease_client.apply_grant(Grant {
+                number: sent.get(),
+                epoch: Epoch::first(1),
+                shares: vec![share],
+            });
+            assert!(matches!(lease_client.acquire("t", wait), AdmissionDecision::Granted));
+            assert!(matches!(lease_client.acquire("t", wait), AdmissionDecision::Refused { .. }));
         });
     }
 }
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -38,10 +38,10 @@
 use tokio::sync::oneshot;
 
 /// The operator's configuration: routes, services, tenants and limits.
-pub use config::Config as Conf;
+pub use config::Config as GatewayConfig;
 
 /// An entry for the process log.
-pub struct Line<'a> {
+pub struct LogLine<'a> {
     /// The subject of the line: `config`, `backend`, `decision`, `service`, `drain`, `upstream` or `end`.
     pub step: &'static str,
     /// The configuration version in force, or 0 before the first configuration.
@@ -53,15 +53,15 @@
 }
 
 /// Receives the entries for the process log.
-pub type Log = Rc<dyn Fn(Line<'_>)>;
+pub type LogSink = Rc<dyn Fn(LogLine<'_>)>;
 
 /// Settings of a data plane that are fixed when the process starts.
 #[derive(Clone)]
 pub struct DataPlaneSettings {
     /// The address that clients connect to.
-    pub front: SocketAddr,
+    pub client_address: SocketAddr,
     /// The address that serves readiness checks, metrics and operators' queries.
-    pub readiness: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// The zone of this gateway.
     pub zone: String,
     /// The name of this gateway, shown in answers to operators' queries.
@@ -69,36 +69,36 @@
     /// The limit of open file descriptors of the process.
     pub max_fds: usize,
     /// The time between the termination signal and the moment when the platform kills the process.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// How long new clients are accepted after the termination signal. The platform stops sending clients only after
     /// two failed readiness checks.
-    pub linger: Duration,
+    pub shutdown_delay: Duration,
     /// The cost of choosing a backend in another zone instead of a local one; small compared with one request.
     pub price_cross_zone: f64,
     /// Whether a pure attempt that appears stalled is cancelled in favour of another attempt. Cancelling can interrupt
     /// a request that is still running.
-    pub cancel: bool,
+    pub cancel_stalled: bool,
     /// Receives the entries for the process log.
-    pub log: Log,
+    pub log: LogSink,
     /// Replacement addresses for peers that are reached through an intermediary.
-    pub ways: Detours,
+    pub detours: Detours,
 }
 
 impl DataPlaneSettings {
     /// Settings with default values and without a log.
-    pub fn new(front: SocketAddr, readiness: SocketAddr, zone: &str, name: &str) -> Self {
+    pub fn new(client_address: SocketAddr, readiness_address: SocketAddr, zone: &str, name: &str) -> Self {
         Self {
-            front,
-            readiness,
+            client_address,
+            readiness_address,
             zone: zone.to_owned(),
             name: name.to_owned(),
             max_fds: 4100,
-            grace: Duration::from_secs(6),
-            linger: Duration::from_millis(2500),
+            grace_period: Duration::from_secs(6),
+            shutdown_delay: Duration::from_millis(2500),
             price_cross_zone: 0.04,
-            cancel: false,
+            cancel_stalled: false,
             log: Rc::new(|_| {}),
-            ways: Detours::default(),
+            detours: Detours::default(),
         }
     }
 }
@@ -106,14 +106,14 @@
 /// Decides whether a tenant has quota left. Each request costs one unit.
 pub trait Admission {
     /// Requests a unit of the tenant's quota. A decision that cannot be made at once arrives within `wait_at_most`.
-    fn ask(&self, tenant: &str, wait_at_most: Duration) -> Asked;
+    fn acquire(&self, tenant: &str, wait_at_most: Duration) -> AdmissionDecision;
     /// Returns the unit of a request that never ran.
-    fn give_back(&self, tenant: &str);
+    fn refund(&self, tenant: &str);
 }
 
 /// The decision on a request for a unit of quota.
 #[derive(Debug)]
-pub enum Asked {
+pub enum AdmissionDecision {
     /// The tenant gets the unit.
     Granted,
     /// The tenant has no quota left.
@@ -123,5 +123,5 @@
     },
     /// The decision arrives later: a unit, or the time until more quota is expected. If the receiver has been dropped
     /// by then, the unit stays with the host.
-    Wait(oneshot::Receiver<Result<(), Duration>>),
+    Pending(oneshot::Receiver<Result<(), Duration>>),
 }
--- a/crates/data-plane/src/watch.rs
+++ b/crates/data-plane/src/watch.rs
@@ -3,7 +3,7 @@
 use crate::data_plane::{DataPlane, Service};
 use crate::order::Fault;
 use crate::speech::Asking;
-use crate::{Line, Log};
+use crate::{LogLine, LogSink};
 use doorcourse::{Name, Outcome};
 use hyper::header::HeaderValue;
 use observability::{Page, Ring, Seldom};
@@ -132,7 +132,7 @@
 /// Keeps the request records, events and counters of a data plane.
 pub struct Watch {
     began: Instant,
-    log: Log,
+    log: LogSink,
     sent: RefCell<Ring<Record>>,
     unsent: RefCell<Ring<Record>>,
     notes: RefCell<Ring<Note>>,
@@ -159,7 +159,7 @@
 }
 
 impl Watch {
-    pub fn new(log: Log) -> Rc<Self> {
+    pub fn new(log: LogSink) -> Rc<Self> {
         Rc::new(Self {
             began: Instant::now(),
             log,
@@ -188,7 +188,7 @@
         let passes = limit.map_or(Some(0), |seldom| seldom.pass(self.began.elapsed().as_millis() as u64));
         drop(seldom);
         if let Some(left_out) = passes {
-            (self.log)(Line { step, version, left_out, text });
+            (self.log)(LogLine { step, version, left_out, text });
         }
     }
 
@@ -332,7 +332,11 @@
         let mut page = Page::of("data-plane", watch.began.elapsed().as_millis() as u64);
         page.gauge("ready", "1 while new clients should come here", f64::from(u8::from(self.is_ready())));
         page.gauge("config_version", "Version in force here", watch.version.get() as f64);
-        page.gauge("active_requests", "Requests that are taken and have not ended", self.active() as f64);
+        page.gauge(
+            "active_requests",
+            "Requests that are taken and have not ended",
+            self.active_requests() as f64,
+        );
         let services = self.services();
         let all = services.iter().flat_map(|(name, service)| rows(name, &service.counts));
         page.counters("requests", "Requests by service and what became of them", all.chain(watch.counts()));
--- a/crates/data-plane/tests/answers/history.rs
+++ b/crates/data-plane/tests/answers/history.rs
@@ -152,7 +152,7 @@
             backends.push(Unruly::start(&format!("i-{number}"), random, history.clone()).await);
         }
         let world = World::start(usual(), &backends.iter().collect::<Vec<_>>()).await;
-        world.data_plane.plant(faults);
+        world.data_plane.inject_faults(faults);
         let data_plane = world.data_plane.clone();
         let backends: Vec<Backend> = backends.iter().map(|backend| backend.backend.clone()).collect();
         let beats = spawn_local(async move {
@@ -161,7 +161,7 @@
                 // Whoever seems to be late and is heard again gets requests at once, whatever came from it before.
                 for (call_count, overdue) in [(call_count, true), (call_count + 1, false)] {
                     let of = |backend: &Backend| Backend { call_count, overdue, ..backend.clone() };
-                    data_plane.backends(&backends.iter().map(of).collect::<Vec<_>>(), false);
+                    data_plane.update_backends(&backends.iter().map(of).collect::<Vec<_>>(), false);
                 }
             }
         });
--- a/crates/data-plane/tests/forward.rs
+++ b/crates/data-plane/tests/forward.rs
@@ -235,8 +235,8 @@
         let mut client = Client::connect(world.front).await;
         let asked = request("GET", "/p/x", "", "");
         assert_eq!(client.ask(&asked).await.expect("an answer").status(), 200);
-        world.data_plane.configure(conf(5, &[route("p", "/p/", "pure", "two", "")]));
-        world.data_plane.configure(usual());
+        world.data_plane.apply_config(conf(5, &[route("p", "/p/", "pure", "two", "")]));
+        world.data_plane.apply_config(usual());
         assert_eq!(client.ask(&asked).await.expect("an answer").status(), 200);
         assert_eq!((one.count(), two.count()), (1, 1));
         assert_eq!(client.ask(&request("GET", "/e/x", "", "")).await.expect("an answer").status(), 404);
@@ -266,13 +266,13 @@
         }
         assert!((25..75).contains(&two.count()), "a quarter of 200: {}", two.count());
         let before = two.count();
-        world.data_plane.configure(split(2, [1, 0]));
+        world.data_plane.apply_config(split(2, [1, 0]));
         for _ in 0..10 {
             client.ask(&asked).await;
         }
         assert_eq!(two.count(), before);
-        world.data_plane.configure(split(3, [1, 1]));
-        world.data_plane.backends(&[one.told(protocol::Phase::Gone, 2)], false);
+        world.data_plane.apply_config(split(3, [1, 1]));
+        world.data_plane.update_backends(&[one.told(protocol::Phase::Gone, 2)], false);
         for _ in 0..10 {
             assert_eq!(client.ask(&asked).await.expect("an answer").status(), 200);
         }
@@ -293,7 +293,7 @@
         client.send(&request("GET", "/p/x", "", "")).await;
         let asked = || world.data_plane.figures().cost().told()["requests"].as_u64();
         until(|| asked() == Some(2)).await;
-        world.data_plane.configure(usual());
+        world.data_plane.apply_config(usual());
         assert_eq!(client.hear().await.expect("an answer").status(), 200);
     });
 }
--- a/crates/data-plane/tests/helper/mod.rs
+++ b/crates/data-plane/tests/helper/mod.rs
@@ -4,7 +4,7 @@
 
 pub mod script;
 
-use data_plane::{Admission, Asked, Conf, DataPlane, DataPlaneSettings};
+use data_plane::{Admission, AdmissionDecision, DataPlane, DataPlaneSettings, GatewayConfig};
 use protocol::{Backend, Phase};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -224,17 +224,19 @@
 }
 
 impl Admission for LeaseClient {
-    fn ask(&self, _: &str, _: Duration) -> Asked {
+    fn acquire(&self, _: &str, _: Duration) -> AdmissionDecision {
         self.asked.set(self.asked.get() + 1);
         if let Some(answer) = self.later.get() {
             let (sender, receiver) = oneshot::channel();
             spawn_local(async move { assert!(sender.send(answer).is_ok(), "it is waited for") });
-            return Asked::Wait(receiver);
+            return AdmissionDecision::Pending(receiver);
         }
-        self.refuses.get().map_or(Asked::Granted, |retry_after| Asked::Refused { retry_after })
+        self.refuses
+            .get()
+            .map_or(AdmissionDecision::Granted, |retry_after| AdmissionDecision::Refused { retry_after })
     }
 
-    fn give_back(&self, _: &str) {
+    fn refund(&self, _: &str) {
         self.back.set(self.back.get() + 1);
     }
 }
@@ -248,7 +250,7 @@
 }
 
 /// A configuration of some routes over the services `one` and `two`, and a tenant with the key `k1`.
-pub fn conf(version: u64, routes: &[String]) -> Rc<Conf> {
+pub fn conf(version: u64, routes: &[String]) -> Rc<GatewayConfig> {
     let routes = routes.join(",");
     let service = r#"{"health_path":"/health","max_conns":130,"protocol":"h1","tls_mode":false}"#;
     let text = format!(
@@ -256,11 +258,11 @@
         "limits":{{"max_header_bytes":16384,"max_body_bytes":1000000,"header_wait_ms":3000,"idle_timeout_ms":15000}},
         "tenant_table":{{"mira":{{"api_keys":["k1"],"rate_per_s":50,"burst_size":50}}}}}}"#
     );
-    Rc::new(Conf::parse(text.as_bytes()).expect("a configuration"))
+    Rc::new(GatewayConfig::parse(text.as_bytes()).expect("a configuration"))
 }
 
 /// A pure route `/p/`, an effectful one `/e/` and a public one `/open/`, all to `one`.
-pub fn usual() -> Rc<Conf> {
+pub fn usual() -> Rc<GatewayConfig> {
     conf(
         1,
         &[
@@ -282,9 +284,9 @@
 }
 
 impl World {
-    pub async fn start(conf: Rc<Conf>, backends: &[&ScriptedBackend]) -> Self {
+    pub async fn start(conf: Rc<GatewayConfig>, backends: &[&ScriptedBackend]) -> Self {
         let world = Self::blank(backends).await;
-        world.data_plane.configure(conf);
+        world.data_plane.apply_config(conf);
         world
     }
 
@@ -295,11 +297,13 @@
         let addresses =
             (front.local_addr().expect("an address"), readiness.local_addr().expect("an address"));
         let mut settings = DataPlaneSettings::new(addresses.0, addresses.1, "z1", "q1");
-        settings.linger = Duration::from_millis(100);
+        settings.shutdown_delay = Duration::from_millis(100);
         let lease_client = Rc::<LeaseClient>::default();
         let data_plane = DataPlane::new(settings, lease_client.clone(), 7);
-        data_plane
-            .backends(&backends.iter().map(|backend| backend.backend.clone()).collect::<Vec<_>>(), true);
+        data_plane.update_backends(
+            &backends.iter().map(|backend| backend.backend.clone()).collect::<Vec<_>>(),
+            true,
+        );
         let (end, ended) = oneshot::channel::<()>();
         let served =
             spawn_local(data_plane.clone().serve(front, readiness, async move { drop(ended.await) }));
--- a/crates/data-plane/tests/points.rs
+++ b/crates/data-plane/tests/points.rs
@@ -205,7 +205,7 @@
             // It is left out for a while after a failure, unless somebody says that it is well again.
             for (call_count, overdue) in [(2 * asked, true), (2 * asked + 1, false)] {
                 let backend = Backend { call_count, overdue, ..backend.backend.clone() };
-                world.data_plane.backends(&[backend], false);
+                world.data_plane.update_backends(&[backend], false);
             }
         }
     });
--- a/crates/data-plane/tests/tries.rs
+++ b/crates/data-plane/tests/tries.rs
@@ -119,12 +119,14 @@
         let asked = request("POST", "/e/x", "", "b");
         assert_eq!((world.ask(&asked).await.status(), learner.count()), (503, 1));
         let right = ScriptedBackend::start("i-2", "one", says_good).await;
-        world.data_plane.backends(&[right.backend.clone(), learner.backend.clone()], false);
+        world.data_plane.update_backends(&[right.backend.clone(), learner.backend.clone()], false);
         for _ in 0..4 {
             assert_eq!(world.ask(&asked).await.status(), 200);
         }
         assert_eq!(learner.count(), 1);
-        world.data_plane.backends(&[learner.told(Phase::Serving, 2), right.told(Phase::Draining, 2)], false);
+        world
+            .data_plane
+            .update_backends(&[learner.told(Phase::Serving, 2), right.told(Phase::Draining, 2)], false);
         world.ask(&asked).await;
         assert_eq!(learner.count(), 2);
     });
@@ -144,9 +146,9 @@
         client.send(&request("POST", "/e/x", "", "b")).await;
         until(|| one.count() == 1).await;
         let two = ScriptedBackend::start("i-2", "one", says_good).await;
-        world.data_plane.backends(&[one.told(Phase::Draining, 2), two.backend.clone()], false);
+        world.data_plane.update_backends(&[one.told(Phase::Draining, 2), two.backend.clone()], false);
         // Whoever has heard less takes nothing back.
-        world.data_plane.backends(&[one.backend.clone(), two.backend.clone()], true);
+        world.data_plane.update_backends(&[one.backend.clone(), two.backend.clone()], true);
         for _ in 0..3 {
             assert_eq!(world.ask(&request("POST", "/e/x", "", "b")).await.status(), 200);
         }
@@ -197,11 +199,11 @@
         let free = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
         dead.address = free.to_string();
         let world = World::start(usual(), &[]).await;
-        world.data_plane.backends(std::slice::from_ref(&dead), true);
+        world.data_plane.update_backends(std::slice::from_ref(&dead), true);
         let reply = world.ask(&request("POST", "/e/x", "", "b")).await;
         assert!(reply.status() == 503 && reply.wait().is_some(), "{reply:?}");
         let right = ScriptedBackend::start("i-2", "one", says_good).await;
-        world.data_plane.backends(std::slice::from_ref(&right.backend), false);
+        world.data_plane.update_backends(std::slice::from_ref(&right.backend), false);
         for _ in 0..4 {
             assert_eq!(world.ask(&request("POST", "/e/x", "", "b")).await.status(), 200);
         }
@@ -236,7 +238,7 @@
         drop(client);
         until(|| world.lease_client.back.get() == 2).await;
         drop(out);
-        until(|| world.data_plane.active() == 0).await;
+        until(|| world.data_plane.active_requests() == 0).await;
         assert_eq!((backend.count(), world.lease_client.back.get()), (2, 2));
     });
 }
--- a/crates/data-plane/tests/watch.rs
+++ b/crates/data-plane/tests/watch.rs
@@ -23,7 +23,7 @@
         let smooth = got(&world, "/requests/7f").await;
         assert_eq!(smooth, (200, r#"{"name":"q1","requests":[]}"#.to_owned()));
         assert_eq!(world.ask(&request("GET", "/none/", "", "").replace("7f", "8f")).await.status(), 404);
-        world.data_plane.backends(&[good.told(Phase::Gone, 2), full.told(Phase::Serving, 2)], false);
+        world.data_plane.update_backends(&[good.told(Phase::Gone, 2), full.told(Phase::Serving, 2)], false);
         assert_eq!(world.ask(&request("GET", "/p/x", "", "").replace("7f", "9f")).await.status(), 503);
         let (_, lost) = got(&world, "/requests/8f").await;
         assert!(lost.contains(r#""outcome":"no_route""#) && lost.contains(r#""status":404"#), "{lost}");
@@ -53,7 +53,7 @@
             assert_eq!(got(&world, path).await, (503, String::new()), "{path}");
         }
         let backend = ScriptedBackend::start("i-1", "one", says_good).await;
-        world.data_plane.backends(std::slice::from_ref(&backend.backend), false);
+        world.data_plane.update_backends(std::slice::from_ref(&backend.backend), false);
         assert_eq!(got(&world, "/readiness").await, (200, String::new()));
     });
 }
--- a/crates/reachlb/src/run_data_plane.rs
+++ b/crates/reachlb/src/run_data_plane.rs
@@ -49,8 +49,8 @@
     let lease_client = LeaseClient::start(life, Box::new(send));
     let about = DataPlaneSettings {
         max_fds: settings.max_fds as usize,
-        grace: settings.bounds.grace,
-        ways: settings.tuning.ways.clone(),
+        grace_period: settings.bounds.grace,
+        detours: settings.tuning.ways.clone(),
         log: Rc::new(|line| {
             let (step, version, left_out) = (line.step, line.version, line.left_out);
             spdlog::info!("{}", line.text, kv: { step, version, left_out });
@@ -64,15 +64,15 @@
         move |news| match news {
             Update::ConfigSnapshot(config_snapshot) => match Config::parse(&config_snapshot.body) {
                 Ok(config) => {
-                    lease_client.quotas(quotas(&config));
-                    data_plane.configure(Rc::new(config));
+                    lease_client.set_quotas(quotas(&config));
+                    data_plane.apply_config(Rc::new(config));
                 }
                 Err(fault) => {
                     let version = config_snapshot.version;
                     spdlog::error!("not read: {}", fault, kv: { step = "config", version });
                 }
             },
-            Update::Backends { whole, backends } => data_plane.backends(&backends, whole),
+            Update::Backends { whole, backends } => data_plane.update_backends(&backends, whole),
             Update::Heartbeat(heartbeat) => {
                 let leader = (heartbeat.leader.clone(), heartbeat.epoch);
                 if leader != known {
@@ -82,13 +82,13 @@
                     spdlog::info!("the counts are drawn from another leader", kv: { step = "leader", peer, version, epoch });
                     known = leader;
                 }
-                lease_client.fleet(heartbeat.fleet, heartbeat.fresh);
-                data_plane.fleet(heartbeat.fleet, heartbeat.number);
+                lease_client.set_gateway_count(heartbeat.fleet, heartbeat.fresh);
+                data_plane.set_fleet(heartbeat.fleet, heartbeat.number);
             }
-            Update::HolderAssignment(assignment) => lease_client.assignment(&assignment),
-            Update::Follows(upstream) => data_plane.follows(upstream),
-            Update::Grant(grant) => lease_client.granted(grant),
-            Update::Unanswered { number } => lease_client.unanswered(number),
+            Update::HolderAssignment(assignment) => lease_client.apply_assignment(&assignment),
+            Update::Follows(upstream) => data_plane.set_upstream(upstream),
+            Update::Grant(grant) => lease_client.apply_grant(grant),
+            Update::Unanswered { number } => lease_client.abandon_lease_request(number),
         }
     };
     let neighbor_watch = start::watch(&settings, true, life)?;
