--- a/crates/data-plane/src/speech.rs
+++ b/crates/data-plane/src/backend_protocol.rs
@@ -1,9 +1,10 @@
 //! The HTTP conventions between gateway and backends, and the interpretation of backend answers.
 
 use crate::headers::{
-    ATTEMPT_ID, DEADLINE_LEFT, INSTANCE_ID, NOT_EXECUTED, SEAL, TARGET_INSTANCE, TENANT, kept, strip,
+    ATTEMPT_ID, DEADLINE_LEFT, INSTANCE_ID, NOT_EXECUTED, SEAL, TARGET_INSTANCE, TENANT, keep_alive_timeout,
+    strip_hop_by_hop,
 };
-use crate::watch::{Try, Watch};
+use crate::recorder::{Attempt, Recorder};
 use doorcourse::{LoadReport, Name, Outcome};
 use http_proxy::pool::{Answer, Dialect, End, Payload};
 use hyper::header::{CONTENT_ENCODING, CONTENT_LENGTH, HeaderMap, HeaderValue, TRANSFER_ENCODING};
@@ -19,13 +20,13 @@
 
 /// The gateway keeps an idle connection for at most this share of the backend's own idle timeout, so that a request
 /// never crosses the backend's close.
-const KEPT_SHARE: f64 = 0.5;
+const IDLE_TIMEOUT_RATIO: f64 = 0.5;
 
 /// The longest idle timeout of a connection to a backend, since unused connections cost both sides resources.
-const KEPT_MOST: Duration = Duration::from_secs(60);
+const MAX_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A client's request without its body.
-pub struct Asking {
+pub struct ClientRequest {
     pub method: Method,
     pub target: PathAndQuery,
     /// The headers to forward, including the tenant's name.
@@ -36,21 +37,21 @@
     pub route: Arc<str>,
     pub tenant: Option<Arc<str>>,
     /// The attempts so far. Empty if the first attempt was successful.
-    pub tries: RefCell<Vec<Try>>,
+    pub attempts: RefCell<Vec<Attempt>>,
 }
 
 /// The dialect of HTTP that gateways and backends speak.
-pub struct Speech {
-    pub watch: Rc<Watch>,
+pub struct BackendProtocol {
+    pub recorder: Rc<Recorder>,
     /// Called when a backend's address is answered by another instance.
-    pub gone: Box<dyn Fn(&Name)>,
+    pub on_misdirected: Box<dyn Fn(&Name)>,
 }
 
-impl Speech {
+impl BackendProtocol {
     /// Whether the end of the answer's body is defined in exactly one way, or the answer has no body.
-    fn is_framed(ask: &Asking, head: &response::Parts) -> bool {
-        let bodiless = matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
-        if bodiless || ask.method == Method::HEAD {
+    fn is_framed(request: &ClientRequest, head: &response::Parts) -> bool {
+        let has_no_body = matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
+        if has_no_body || request.method == Method::HEAD {
             return true;
         }
         let mut codings = head.headers.get_all(TRANSFER_ENCODING).iter();
@@ -66,22 +67,22 @@
     }
 
     /// Whether the answer carries the id of the request and no other id.
-    fn echoes_id(ask: &Asking, head: &response::Parts) -> bool {
+    fn echoes_id(request: &ClientRequest, head: &response::Parts) -> bool {
         let mut ids = head.headers.get_all(ATTEMPT_ID).iter();
-        ids.next() == ask.id.as_ref() && ids.next().is_none()
+        ids.next() == request.id.as_ref() && ids.next().is_none()
     }
 
     /// Whether a successful answer was written by the backend itself and defines the end of its body.
-    fn is_own_success(ask: &Asking, head: &response::Parts) -> bool {
-        Self::is_framed(ask, head)
+    fn is_sealed_success(request: &ClientRequest, head: &response::Parts) -> bool {
+        Self::is_framed(request, head)
             && head.headers.contains_key(SEAL)
             && !head.headers.contains_key(CONTENT_ENCODING)
             && !head.headers.contains_key(NOT_EXECUTED)
     }
 }
 
-impl Dialect for Speech {
-    type Ask = Rc<Asking>;
+impl Dialect for BackendProtocol {
+    type Ask = Rc<ClientRequest>;
 
     // While a backend sends an answer, only the deadline of the request ends the wait, not the backend's silence.
     const SILENT: Duration = Duration::from_secs(60);
@@ -89,10 +90,12 @@
     const DEAD_AFTER: Option<Duration> = Some(Duration::from_secs(4));
     const ANSWERS_TWICE: bool = true;
 
-    fn request(&self, ask: &Rc<Asking>, to: &Name, _: SocketAddr, left: Duration) -> request::Builder {
-        let mut builder = Request::builder().method(ask.method.clone()).uri(ask.target.clone());
+    fn request(
+        &self, request: &Rc<ClientRequest>, to: &Name, _: SocketAddr, left: Duration,
+    ) -> request::Builder {
+        let mut builder = Request::builder().method(request.method.clone()).uri(request.target.clone());
         if let Some(headers) = builder.headers_mut() {
-            headers.clone_from(&ask.headers);
+            headers.clone_from(&request.headers);
             if let Ok(id) = HeaderValue::from_str(to) {
                 headers.insert(TARGET_INSTANCE, id);
             }
@@ -103,27 +106,29 @@
 
     /// An answer without an id may belong to another request, so that not even a refusal counts. A request without an
     /// id accepts only failures without an id.
-    fn belongs(&self, ask: &Rc<Asking>, head: &response::Parts) -> bool {
-        let sound = match head.status {
+    fn belongs(&self, request: &Rc<ClientRequest>, head: &response::Parts) -> bool {
+        let is_valid = match head.status {
             // The request asked for no upgrade, so that an informational status cannot answer the request.
             status if status.is_informational() => false,
-            status if status.is_success() => ask.id.is_some() && Self::is_own_success(ask, head),
+            status if status.is_success() => request.id.is_some() && Self::is_sealed_success(request, head),
             _ => true,
         };
-        sound && Self::echoes_id(ask, head)
+        is_valid && Self::echoes_id(request, head)
     }
 
     fn keeps(&self, head: &HeaderMap) -> Option<Duration> {
-        kept(head).map(|time| time.mul_f64(KEPT_SHARE).min(KEPT_MOST))
+        keep_alive_timeout(head).map(|timeout| timeout.mul_f64(IDLE_TIMEOUT_RATIO).min(MAX_IDLE_TIMEOUT))
     }
 
-    fn judge(&self, ask: &Rc<Asking>, from: &Name, mut head: response::Parts, body: Payload) -> End {
+    fn judge(
+        &self, request: &Rc<ClientRequest>, from: &Name, mut head: response::Parts, body: Payload,
+    ) -> End {
         let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
         if misdirected && head.headers.get(INSTANCE_ID).is_none_or(|id| id.as_bytes() != from.as_bytes()) {
-            (self.gone)(from);
+            (self.on_misdirected)(from);
         }
         let not_run = misdirected || head.headers.contains_key(NOT_EXECUTED);
-        let (outcome, passed_on) = match head.status {
+        let (outcome, forwarded) = match head.status {
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS if not_run => {
                 (Outcome::Full, false)
             }
@@ -140,12 +145,12 @@
             _ => (Outcome::Served, true),
         };
         // Without a defined end, a truncated answer could not be told from a complete one.
-        if passed_on && !Self::is_framed(ask, &head) {
+        if forwarded && !Self::is_framed(request, &head) {
             return if not_run { Outcome::Full } else { Outcome::Broken }.into();
         }
-        let answer = passed_on.then(|| {
-            let length = head.headers.remove(CONTENT_LENGTH).filter(|_| ask.method == Method::HEAD);
-            strip(&mut head.headers);
+        let answer = forwarded.then(|| {
+            let length = head.headers.remove(CONTENT_LENGTH).filter(|_| request.method == Method::HEAD);
+            strip_hop_by_hop(&mut head.headers);
             length.into_iter().for_each(|length| drop(head.headers.insert(CONTENT_LENGTH, length)));
             Answer { status: head.status, headers: head.headers, body }
         });
@@ -161,21 +166,21 @@
         None
     }
 
-    fn log(&self, ask: Option<&Rc<Asking>>, text: fmt::Arguments<'_>) {
-        match ask {
+    fn log(&self, request: Option<&Rc<ClientRequest>>, text: fmt::Arguments<'_>) {
+        match request {
             // An answer broke off. A log line for each such request would be unbounded, so a request record is kept.
-            Some(ask) => self.watch.broke_off(ask),
-            None => self.watch.note("decision", text),
+            Some(request) => self.recorder.record_broken_answer(request),
+            None => self.recorder.record_event("decision", text),
         }
     }
 
-    fn ended(&self, ask: &Rc<Asking>, with: &Name, outcome: Outcome) {
-        self.watch.tried(ask, with, outcome);
+    fn ended(&self, request: &Rc<ClientRequest>, with: &Name, outcome: Outcome) {
+        self.recorder.record_attempt(request, with, outcome);
     }
 }
 
 /// Sets the header with the tenant's name, and discards any value that the client sent.
-pub fn name_tenant(headers: &mut HeaderMap, tenant: Option<&str>) {
+pub fn set_tenant_header(headers: &mut HeaderMap, tenant: Option<&str>) {
     match tenant.and_then(|tenant| HeaderValue::from_str(tenant).ok()) {
         Some(tenant) => drop(headers.insert(TENANT, tenant)),
         None => drop(headers.remove(TENANT)),
--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -1,9 +1,9 @@
 //! The state of the data plane: the configuration in force, the backend instances and the engine of each service.
 
-use crate::backends::{COLD_TIME, Life, Lives};
-use crate::front::Front;
-use crate::speech::Speech;
-use crate::watch::{Counts, Watch};
+use crate::backend_protocol::BackendProtocol;
+use crate::frontend::Frontend;
+use crate::instances::{Instance, InstanceTable, MAX_WARMUP};
+use crate::recorder::{Recorder, RequestCounts};
 use crate::{Admission, DataPlaneSettings, GatewayConfig, readiness};
 use config::Version;
 use doorcourse::{BackendEntry, Class, Effect, Event, Group, Name, Plan, Pool, Settings};
@@ -27,56 +27,56 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The idle time after which a backend is assumed to close a connection if its answers carry no `Keep-Alive`. The
 /// connection pool reuses a connection only during the first half of this time.
-const USUAL_IDLE: Duration = Duration::from_secs(8);
+const DEFAULT_BACKEND_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 /// File descriptors reserved for everything other than connections to clients and backends.
-const OTHER_DESCRIPTORS: usize = 300;
+const RESERVED_FDS: usize = 300;
 /// The share of the remaining file descriptors for connections to clients; the rest is for backends.
-const CLIENT_SHARE: f64 = 0.55;
+const CLIENT_FD_RATIO: f64 = 0.55;
 /// The number of connections to one backend that is always allowed, however low `max_conns` is.
-const LEAST_EACH: usize = 2;
+const MIN_CONNECTIONS_PER_BACKEND: usize = 2;
 /// How often the engine is told again of backends whose heartbeats are overdue. Evidence of the engine's own takes
 /// precedence over such a notice, and that evidence may have changed meanwhile.
-const REMIND: Duration = Duration::from_secs(1);
+const OVERDUE_REMINDER_INTERVAL: Duration = Duration::from_secs(1);
 /// The maximum number of attempts per request, including attempts that never reached a backend. The bound of the route,
 /// `max_tries`, is lower and counts only the backends that were reached.
-const MOST_ATTEMPTS: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 /// The share of its full capacity that a backend has at the start of its warmup.
-const COLD_SHARE: f64 = 0.3;
+const COLD_CAPACITY_RATIO: f64 = 0.3;
 /// The longest retry delay that the engine suggests, in ms. The frontend adapts the delay to each request.
-const LONGEST_ADVICE: f64 = 1000.0;
+const MAX_RETRY_AFTER_MS: f64 = 1000.0;
 /// The name of the engine's only rate plan. Tenants are metered before, by the host's `Admission`.
-pub const PLAN: &str = "all";
+pub const PLAN_NAME: &str = "all";
 
-/// What distinguishes request classes: whether the route is pure, its goal in ms, and the rank up to [`LAST_RANK`].
-type Kind = (bool, u64, u32);
+/// What distinguishes request classes: whether the route is pure, its goal in ms, and the rank up to [`MAX_RANK`].
+type ClassKey = (bool, u64, u32);
 /// The engine gives the same value to all ranks from this one on.
-const LAST_RANK: u32 = 4;
+const MAX_RANK: u32 = 4;
 
 /// A service and the engine that decides for it.
 pub struct Service {
-    pub engine: Rc<Engine<Speech>>,
+    pub engine: Rc<Engine<BackendProtocol>>,
     /// How many backends of the service accept requests.
-    serving: Cell<usize>,
-    classes: RefCell<HashMap<Kind, Name>>,
-    pub counts: Counts,
+    serving_backends: Cell<usize>,
+    classes: RefCell<HashMap<ClassKey, Name>>,
+    pub counts: RequestCounts,
 }
 
 impl Service {
     /// The request class for the given route properties. The class is added to the engine on first use.
     pub fn class(&self, pure: bool, goal: Duration, rank: u32) -> Name {
-        let kind = (pure, goal.as_millis() as u64, rank.min(LAST_RANK));
-        if let Some(name) = self.classes.borrow().get(&kind) {
+        let key = (pure, goal.as_millis() as u64, rank.min(MAX_RANK));
+        if let Some(name) = self.classes.borrow().get(&key) {
             return name.clone();
         }
-        let class = class(kind);
+        let class = class_settings(key);
         let name = class.name.clone();
         self.engine.add_class(class);
-        self.classes.borrow_mut().insert(kind, name.clone());
+        self.classes.borrow_mut().insert(key, name.clone());
         name
     }
 }
 
-fn class((pure, goal, rank): Kind) -> Class {
+fn class_settings((pure, goal, rank): ClassKey) -> Class {
     let effect = if pure { Effect::Safe } else { Effect::Unsafe };
     let worth = 2.0 / (1.0 + 0.5 * f64::from(rank)) * if pure { 1.0 } else { 2.0 };
     Class {
@@ -95,52 +95,52 @@
     settings: DataPlaneSettings,
     seed: u64,
     admission: Rc<dyn Admission>,
-    conf: RefCell<Option<Rc<GatewayConfig>>>,
-    configured: Notify,
-    backends: Rc<Backends<Speech>>,
+    config: RefCell<Option<Rc<GatewayConfig>>>,
+    config_changed: Notify,
+    backends: Rc<Backends<BackendProtocol>>,
     services: RefCell<BTreeMap<Name, Rc<Service>>>,
-    lives: RefCell<Lives>,
+    instances: RefCell<InstanceTable>,
     fleet: Cell<(u32, u32)>,
     figures: Rc<Figures>,
-    front: Front,
-    ends: Cell<Option<Instant>>,
-    watch: Rc<Watch>,
+    frontend: Frontend,
+    shutdown_deadline: Cell<Option<Instant>>,
+    recorder: Rc<Recorder>,
 }
 
 impl DataPlane {
     /// A data plane without a configuration and backends. The seed must differ between processes.
     pub fn new(settings: DataPlaneSettings, admission: Rc<dyn Admission>, seed: u64) -> Rc<Self> {
         let figures = Figures::new(&Settings::default());
-        let left = settings.max_fds.saturating_sub(OTHER_DESCRIPTORS).max(64);
-        let most_clients = (left as f64 * CLIENT_SHARE) as usize;
-        Rc::new_cyclic(|me: &Weak<Self>| {
-            let (watch, me) = (Watch::new(settings.log.clone()), me.clone());
-            let gone = Box::new(move |id: &Name| {
-                if let Some(data_plane) = me.upgrade() {
-                    data_plane.missed(id);
+        let available_fds = settings.max_fds.saturating_sub(RESERVED_FDS).max(64);
+        let max_clients = (available_fds as f64 * CLIENT_FD_RATIO) as usize;
+        Rc::new_cyclic(|weak: &Weak<Self>| {
+            let (recorder, weak) = (Recorder::new(settings.log.clone()), weak.clone());
+            let on_misdirected = Box::new(move |id: &Name| {
+                if let Some(data_plane) = weak.upgrade() {
+                    data_plane.mark_misdirected(id);
                 }
             });
             let backends = Backends::new(
-                Speech { watch: watch.clone(), gone },
+                BackendProtocol { recorder: recorder.clone(), on_misdirected },
                 CONNECT_TIMEOUT,
-                USUAL_IDLE,
-                left - most_clients,
+                DEFAULT_BACKEND_IDLE_TIMEOUT,
+                available_fds - max_clients,
                 figures.cost().clone(),
             );
-            backends.limit_each(LEAST_EACH);
+            backends.limit_each(MIN_CONNECTIONS_PER_BACKEND);
             Self {
                 seed,
                 admission,
-                conf: RefCell::default(),
-                configured: Notify::new(),
+                config: RefCell::default(),
+                config_changed: Notify::new(),
                 backends,
                 services: RefCell::default(),
-                lives: RefCell::new(Lives::by(settings.detours.clone())),
+                instances: RefCell::new(InstanceTable::with_detours(settings.detours.clone())),
                 fleet: Cell::new((1, 0)),
-                front: Front::new(most_clients, seed, figures.clone()),
+                frontend: Frontend::new(max_clients, seed, figures.clone()),
                 figures,
-                ends: Cell::default(),
-                watch,
+                shutdown_deadline: Cell::default(),
+                recorder,
                 settings,
             }
         })
@@ -153,60 +153,61 @@
 
     /// Puts a configuration into force, unless its version is not newer than the one in force.
     pub fn apply_config(&self, config: Rc<GatewayConfig>) {
-        let newer = self.version().is_none_or(|version| version < config.version);
-        if newer {
-            self.watch.stands(config.version.0);
-            self.watch.note("config", format_args!("configuration {} in force", config.version));
-            self.conf.replace(Some(config));
-            self.configured.notify_waiters();
-            self.limit();
+        let is_newer = self.version().is_none_or(|version| version < config.version);
+        if is_newer {
+            self.recorder.set_version(config.version.0);
+            self.recorder.record_event("config", format_args!("configuration {} in force", config.version));
+            self.config.replace(Some(config));
+            self.config_changed.notify_waiters();
+            self.update_connection_limit();
         }
     }
 
     /// Applies a full list of backends (`whole`) or changes to the list.
     pub fn update_backends(&self, changes: &[Backend], whole: bool) {
-        let changed = self.lives.borrow_mut().update(changes, whole);
-        for (id, _) in changed.iter().filter(|(_, life)| life.phase == Phase::Draining) {
-            self.watch.note("drain", format_args!("backend {id}: drains, nothing more is sent to it"));
+        let changed = self.instances.borrow_mut().update(changes, whole);
+        for (id, _) in changed.iter().filter(|(_, instance)| instance.phase == Phase::Draining) {
+            self.recorder
+                .record_event("drain", format_args!("backend {id}: drains, nothing more is sent to it"));
         }
-        self.tell(changed);
+        self.publish_changes(changed);
     }
 
     /// Records that updates are received from this process of the control plane from now on.
-    pub fn set_upstream(&self, upstream: SocketAddr) {
-        self.watch.note("upstream", format_args!("updates come from {upstream}"));
+    pub fn record_upstream(&self, upstream: SocketAddr) {
+        self.recorder.record_event("upstream", format_args!("updates come from {upstream}"));
     }
 
     /// Sets the number of gateways and the index of this gateway among them, counted from 0.
-    pub fn set_fleet(&self, gateways: u32, number: u32) {
+    pub fn set_fleet(&self, gateways: u32, index: u32) {
         let gateways = gateways.max(1);
-        let fleet = (gateways, number.min(gateways - 1));
+        let fleet = (gateways, index.min(gateways - 1));
         if self.fleet.replace(fleet) != fleet {
             self.services.borrow().values().for_each(|service| service.engine.resize(fleet.0, fleet.1));
-            self.limit();
+            self.update_connection_limit();
         }
     }
 
     /// Serves requests until `end` resolves, and then until every accepted request is answered.
     pub async fn serve(
-        self: Rc<Self>, front: TcpListener, readiness: TcpListener, end: impl Future<Output = ()>,
+        self: Rc<Self>, clients: TcpListener, readiness: TcpListener, end: impl Future<Output = ()>,
     ) {
         spawn(self.backends.clone().keep_tidy());
-        spawn(Self::remind(Rc::downgrade(&self)));
+        spawn(Self::run_maintenance(Rc::downgrade(&self)));
         readiness::start(self.clone(), readiness);
-        Front::serve(&self, front, end).await;
+        Frontend::serve(&self, clients, end).await;
     }
 
     /// Whether the platform should send new clients to this gateway.
     pub fn is_ready(&self) -> bool {
-        self.conf.borrow().is_some()
-            && self.ends.get().is_none()
-            && self.services.borrow().values().any(|service| service.serving.get() > 0)
+        self.config.borrow().is_some()
+            && self.shutdown_deadline.get().is_none()
+            && self.services.borrow().values().any(|service| service.serving_backends.get() > 0)
     }
 
     /// The version of the configuration in force.
     pub fn version(&self) -> Option<Version> {
-        self.conf.borrow().as_ref().map(|conf| conf.version)
+        self.config.borrow().as_ref().map(|config| config.version)
     }
 
     /// The number of requests that are not answered yet.
@@ -228,22 +229,22 @@
         &self.settings
     }
 
-    pub(crate) fn conf(&self) -> Option<Rc<GatewayConfig>> {
-        self.conf.borrow().clone()
+    pub(crate) fn config(&self) -> Option<Rc<GatewayConfig>> {
+        self.config.borrow().clone()
     }
 
     /// The configuration in force. If there is none yet, waits at most this long for the first one.
-    pub(crate) async fn configured_within(&self, wait: Duration) -> Option<Rc<GatewayConfig>> {
-        let _ = timeout(wait, self.configured.notified()).await;
-        self.conf()
+    pub(crate) async fn wait_for_config(&self, wait: Duration) -> Option<Rc<GatewayConfig>> {
+        let _ = timeout(wait, self.config_changed.notified()).await;
+        self.config()
     }
 
     pub(crate) fn admission(&self) -> &Rc<dyn Admission> {
         &self.admission
     }
 
-    pub(crate) fn front(&self) -> &Front {
-        &self.front
+    pub(crate) fn frontend(&self) -> &Frontend {
+        &self.frontend
     }
 
     /// The service with this name, once it has had a backend.
@@ -252,12 +253,12 @@
     }
 
     /// Whether any backend of a service accepts requests.
-    pub(crate) fn serves(&self, name: &str) -> bool {
-        self.services.borrow().get(name).is_some_and(|service| service.serving.get() > 0)
+    pub(crate) fn has_serving_backend(&self, name: &str) -> bool {
+        self.services.borrow().get(name).is_some_and(|service| service.serving_backends.get() > 0)
     }
 
-    pub(crate) fn watch(&self) -> &Watch {
-        &self.watch
+    pub(crate) fn recorder(&self) -> &Recorder {
+        &self.recorder
     }
 
     /// All services that have an engine.
@@ -266,65 +267,69 @@
     }
 
     /// Begins the shutdown. The process ends at this moment at the latest.
-    pub(crate) fn ending(&self, by: Instant) {
-        self.ends.set(Some(by));
-        self.services.borrow().values().for_each(|service| service.engine.ending(by));
+    pub(crate) fn begin_shutdown(&self, deadline: Instant) {
+        self.shutdown_deadline.set(Some(deadline));
+        self.services.borrow().values().for_each(|service| service.engine.ending(deadline));
     }
 
-    pub(crate) fn is_ending(&self) -> bool {
-        self.ends.get().is_some()
+    pub(crate) fn is_shutting_down(&self) -> bool {
+        self.shutdown_deadline.get().is_some()
     }
 
     /// Excludes a backend whose address is answered by another instance.
-    fn missed(&self, id: &Name) {
-        let missed = self.lives.borrow_mut().missed(id);
-        if let Some(life) = missed {
-            self.watch.note("backend", format_args!("backend {id}: another one answers at {}", life.dial));
-            self.tell(vec![(id.clone(), life)]);
+    fn mark_misdirected(&self, id: &Name) {
+        let misdirected = self.instances.borrow_mut().mark_misdirected(id);
+        if let Some(instance) = misdirected {
+            self.recorder.record_event(
+                "backend",
+                format_args!("backend {id}: another one answers at {}", instance.address),
+            );
+            self.publish_changes(vec![(id.clone(), instance)]);
         }
     }
 
     /// Passes changes to the connection pool first, so that nothing is sent by outdated state, and then to the engines.
-    fn tell(&self, changed: Vec<(Name, Life)>) {
-        let mut by_service: BTreeMap<Name, Vec<(Name, Life)>> = BTreeMap::new();
-        for (id, life) in changed {
-            by_service.entry(life.service.clone()).or_default().push((id, life));
+    fn publish_changes(&self, changed: Vec<(Name, Instance)>) {
+        let mut by_service: BTreeMap<Name, Vec<(Name, Instance)>> = BTreeMap::new();
+        for (id, instance) in changed {
+            by_service.entry(instance.service.clone()).or_default().push((id, instance));
         }
         for (name, changed) in by_service {
-            let Some(service) = self.opened(&name) else { continue };
+            let Some(service) = self.get_or_start_service(&name) else { continue };
             let engine = &service.engine;
-            let serving = self.lives.borrow().serving().filter(|(_, life)| life.service == name).count();
-            service.serving.set(serving);
-            let host = |(id, life): &(Name, Life)| Host {
+            let serving =
+                self.instances.borrow().serving().filter(|(_, instance)| instance.service == name).count();
+            service.serving_backends.set(serving);
+            let host = |(id, instance): &(Name, Instance)| Host {
                 entry: BackendEntry {
                     name: id.clone(),
-                    zone: life.zone.clone(),
+                    zone: instance.zone.clone(),
                     cell: 0,
-                    state: life.state(),
-                    started: life.started.map(|at| engine.at(at)),
+                    state: instance.state(),
+                    started: instance.reduced_load_since.map(|at| engine.at(at)),
                 },
-                dial: life.dial,
+                dial: instance.address,
             };
             let hosts: Vec<_> = changed.iter().map(host).collect();
             self.backends.update(0, false, &hosts);
             engine.post(Event::BackendChanges(hosts.into_iter().map(|host| host.entry).collect()));
-            for (id, life) in changed {
-                if let Some(slots) = life.works_on {
+            for (id, instance) in changed {
+                if let Some(slots) = instance.initial_capacity {
                     engine.works_on(&id, slots);
                 }
-                engine.post(Event::Word { backend: id, down: life.overdue });
+                engine.post(Event::Word { backend: id, down: instance.overdue });
             }
         }
     }
 
     /// The service with this name. If there is none yet, starts its engine.
-    fn opened(&self, name: &Name) -> Option<Rc<Service>> {
+    fn get_or_start_service(&self, name: &Name) -> Option<Rc<Service>> {
         if let Some(service) = self.service(name) {
             return Some(service);
         }
         let (gateways, number) = self.fleet.get();
         let plan = Plan {
-            name: PLAN.into(),
+            name: PLAN_NAME.into(),
             rate: 0.0,
             burst: 0.0,
             open: 0,
@@ -335,20 +340,20 @@
             over_worth: 0.0,
             over_cost: 0.0,
         };
-        let usual = (true, 1000, 0);
+        let default_class = (true, 1000, 0);
         let settings = Settings {
             gateways,
             number,
             zone: self.settings.zone.as_str().into(),
             tick: 1.0,
-            classes: vec![class(usual)],
+            classes: vec![class_settings(default_class)],
             plans: vec![plan],
             most_units: 1.0,
             cancel: self.settings.cancel_stalled,
-            most_attempts: MOST_ATTEMPTS,
-            longest_advice: LONGEST_ADVICE,
-            cold_share: COLD_SHARE,
-            cold_time: millis(COLD_TIME),
+            most_attempts: MAX_ATTEMPTS,
+            longest_advice: MAX_RETRY_AFTER_MS,
+            cold_share: COLD_CAPACITY_RATIO,
+            cold_time: millis(MAX_WARMUP),
             fall_multiple: 2.0,
             price_cross_zone: self.settings.price_cross_zone,
             ..Settings::default()
@@ -360,55 +365,59 @@
         let engine = match engine {
             Ok(engine) => engine,
             Err(error) => {
-                self.watch.note("service", format_args!("service {name} can't be decided for: {error}"));
+                self.recorder
+                    .record_event("service", format_args!("service {name} can't be decided for: {error}"));
                 return None;
             }
         };
-        self.ends.get().into_iter().for_each(|by| engine.ending(by));
+        self.shutdown_deadline.get().into_iter().for_each(|deadline| engine.ending(deadline));
         let service = Rc::new(Service {
             engine,
-            serving: Cell::default(),
+            serving_backends: Cell::default(),
             classes: RefCell::default(),
-            counts: Counts::default(),
+            counts: RequestCounts::default(),
         });
         self.services.borrow_mut().insert(name.clone(), service.clone());
         Some(service)
     }
 
     /// Limits the connections to each backend, so that all gateways together open no more than the backend accepts.
-    fn limit(&self) {
-        let conf = self.conf.borrow();
-        let most = conf.iter().flat_map(|conf| conf.services.values()).map(|service| service.max_conns).min();
-        let each = most.map_or(LEAST_EACH, |most| (most / self.fleet.get().0) as usize);
-        self.backends.limit_each(each.max(LEAST_EACH));
+    fn update_connection_limit(&self) {
+        let config = self.config.borrow();
+        let limit =
+            config.iter().flat_map(|config| config.services.values()).map(|service| service.max_conns).min();
+        let per_backend =
+            limit.map_or(MIN_CONNECTIONS_PER_BACKEND, |limit| (limit / self.fleet.get().0) as usize);
+        self.backends.limit_each(per_backend.max(MIN_CONNECTIONS_PER_BACKEND));
     }
 
     /// Reminds the engines of overdue backends and removes what is no longer needed, until the data plane is dropped.
-    async fn remind(me: Weak<Self>) {
+    async fn run_maintenance(weak: Weak<Self>) {
         loop {
-            sleep(REMIND).await;
-            let Some(data_plane) = me.upgrade() else { return };
+            sleep(OVERDUE_REMINDER_INTERVAL).await;
+            let Some(data_plane) = weak.upgrade() else { return };
             let overdue: Vec<_> = {
-                let lives = data_plane.lives.borrow();
-                let overdue =
-                    lives.serving().filter(|(_, life)| life.overdue && life.phase == Phase::Serving);
-                overdue.map(|(id, life)| (id.clone(), life.service.clone())).collect()
+                let instances = data_plane.instances.borrow();
+                let overdue = instances
+                    .serving()
+                    .filter(|(_, instance)| instance.overdue && instance.phase == Phase::Serving);
+                overdue.map(|(id, instance)| (id.clone(), instance.service.clone())).collect()
             };
             for (backend, service) in overdue {
                 if let Some(service) = data_plane.service(&service) {
                     service.engine.post(Event::Word { backend, down: true });
                 }
             }
-            data_plane.forget();
+            data_plane.remove_unused_services();
         }
     }
 
     /// Removes services that are not configured, have no backends and have no waiting requests.
-    fn forget(&self) {
-        let (conf, lives) = (self.conf.borrow(), self.lives.borrow());
-        let known = |name: &str| conf.as_ref().is_none_or(|conf| conf.services.contains_key(name));
+    fn remove_unused_services(&self) {
+        let (config, instances) = (self.config.borrow(), self.instances.borrow());
+        let known = |name: &str| config.as_ref().is_none_or(|config| config.services.contains_key(name));
         let mut services = self.services.borrow_mut();
         services.values().for_each(|service| service.engine.forget_gone());
-        services.retain(|name, service| known(name) || lives.has(name) || service.engine.waiting() > 0);
+        services.retain(|name, service| known(name) || instances.has(name) || service.engine.waiting() > 0);
     }
 }
--- a/crates/data-plane/src/headers.rs
+++ b/crates/data-plane/src/headers.rs
@@ -14,7 +14,7 @@
 
 /// Headers that apply to a single connection. `Content-Length` is included because the HTTP library sets the header
 /// anew when the body is written.
-const ONE_HOP: [HeaderName; 9] = [
+const HOP_BY_HOP: [HeaderName; 9] = [
     CONNECTION,
     CONTENT_LENGTH,
     KEEP_ALIVE,
@@ -27,7 +27,7 @@
 ];
 
 /// Removes hop-by-hop headers: the well-known ones, those that `Connection` names, and `Proxy-*`.
-pub fn strip(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     // `collect` allocates only if `Connection` names further headers, which is rare.
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -40,19 +40,20 @@
         .filter(|name| !name.eq_ignore_ascii_case("host") && !name.eq_ignore_ascii_case(ATTEMPT_ID.as_str()))
         .filter_map(|name| name.parse().ok())
         .collect();
-    for name in ONE_HOP.iter().chain(&named) {
+    for name in HOP_BY_HOP.iter().chain(&named) {
         headers.remove(name);
     }
-    let proxy: Vec<_> = headers.keys().filter(|name| name.as_str().starts_with("proxy-")).cloned().collect();
-    for name in proxy {
+    let proxy_headers: Vec<_> =
+        headers.keys().filter(|name| name.as_str().starts_with("proxy-")).cloned().collect();
+    for name in proxy_headers {
         headers.remove(name);
     }
 }
 
 /// The time for which the peer keeps an idle connection open, from the `Keep-Alive` header.
-pub fn kept(headers: &HeaderMap) -> Option<Duration> {
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
-    let seconds = value.split(',').find_map(|word| word.trim().strip_prefix("timeout="))?;
+    let seconds = value.split(',').find_map(|directive| directive.trim().strip_prefix("timeout="))?;
     seconds.trim().parse().ok().map(|seconds: u32| Duration::from_secs(seconds.into()))
 }
 
@@ -62,7 +63,7 @@
     use hyper::header::HeaderValue;
 
     #[test]
-    fn what_concerns_one_connection_stays_on_it() {
+    fn hop_by_hop_headers_are_removed() {
         let mut headers = HeaderMap::new();
         for (name, value) in [
             ("connection", "close, X-Mine,host, x-attempt-id"),
@@ -76,20 +77,20 @@
         ] {
             headers.insert(HeaderName::from_static(name), HeaderValue::from_static(value));
         }
-        strip(&mut headers);
-        let mut left: Vec<_> = headers.keys().map(HeaderName::as_str).collect();
-        left.sort_unstable();
-        assert_eq!(left, ["host", "x-attempt-id", "x-other"]);
+        strip_hop_by_hop(&mut headers);
+        let mut remaining: Vec<_> = headers.keys().map(HeaderName::as_str).collect();
+        remaining.sort_unstable();
+        assert_eq!(remaining, ["host", "x-attempt-id", "x-other"]);
     }
 
     #[yare::parameterized(
-        plain = { "timeout=4", Some(4) },
-        with_more = { "max=3, timeout=20", Some(20) },
-        none = { "max=3", None },
-        junk = { "timeout=-1", None },
+        alone = { "timeout=4", Some(4) },
+        among_other_parameters = { "max=3, timeout=20", Some(20) },
+        missing =  { "max=3", None },
+        malformed = { "timeout=-1", None },
     )]
-    fn a_peer_says_how_long_it_keeps_a_connection(value: &'static str, seconds: Option<u64>) {
+    fn the_keep_alive_timeout_is_parsed(value: &'static str, seconds: Option<u64>) {
         let headers = HeaderMap::from_iter([(KEEP_ALIVE, HeaderValue::from_static(value))]);
-        assert_eq!(kept(&headers), seconds.map(Duration::from_secs));
+        assert_eq!(keep_alive_timeout(&headers), seconds.map(Duration::from_secs));
     }
 }
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -15,15 +15,15 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod backends;
+mod backend_protocol;
 mod data_plane;
-mod front;
+mod frontend;
 mod headers;
+mod instances;
 mod lease_client;
-mod order;
 mod readiness;
-mod speech;
-mod watch;
+mod recorder;
+mod routing;
 
 pub use data_plane::DataPlane;
 #[doc(hidden)]
@@ -105,8 +105,8 @@
 
 /// Decides whether a tenant has quota left. Each request costs one unit.
 pub trait Admission {
-    /// Requests a unit of the tenant's quota. A decision that cannot be made at once arrives within `wait_at_most`.
-    fn acquire(&self, tenant: &str, wait_at_most: Duration) -> AdmissionDecision;
+    /// Requests a unit of the tenant's quota. A decision that cannot be made at once arrives within `max_wait`.
+    fn acquire(&self, tenant: &str, max_wait: Duration) -> AdmissionDecision;
     /// Returns the unit of a request that never ran.
     fn refund(&self, tenant: &str);
 }
--- a/crates/reachlb/src/run_data_plane.rs
+++ b/crates/reachlb/src/run_data_plane.rs
@@ -86,7 +86,7 @@
                 data_plane.set_fleet(heartbeat.fleet, heartbeat.number);
             }
             Update::HolderAssignment(assignment) => lease_client.apply_assignment(&assignment),
-            Update::Follows(upstream) => data_plane.set_upstream(upstream),
+            Update::Follows(upstream) => data_plane.record_upstream(upstream),
             Update::Grant(grant) => lease_client.apply_grant(grant),
             Update::Unanswered { number } => lease_client.abandon_lease_request(number),
         }
