--- a/crates/data-plane/src/backend_protocol.rs
+++ b/crates/data-plane/src/backend_protocol.rs
@@ -33,8 +33,9 @@
     pub headers: HeaderMap,
     /// The attempt id, which answers have to echo.
     pub id: Option<HeaderValue>,
-    /// The labels of the route and the tenant.
+    /// The label of the route.
     pub route: Arc<str>,
+    /// The label of the tenant.
     pub tenant: Option<Arc<str>>,
     /// The attempts so far. Empty if the first attempt was successful.
     pub attempts: RefCell<Vec<Attempt>>,
@@ -104,8 +105,8 @@
         builder
     }
 
-    /// An answer without an id may belong to another request, so that not even a refusal counts. A request without an
-    /// id accepts only failures without an id.
+    /// Whether an answer belongs to the request. An answer without an id may belong to another request, so that even a
+    /// refusal without an id is not accepted. A request without an id accepts only failures without an id.
     fn belongs(&self, request: &Rc<ClientRequest>, head: &response::Parts) -> bool {
         let is_valid = match head.status {
             // The request asked for no upgrade, so that an informational status cannot answer the request.
@@ -144,7 +145,7 @@
             status if status.is_server_error() => (Outcome::Error, true),
             _ => (Outcome::Served, true),
         };
-        // Without a defined end, a truncated answer could not be told from a complete one.
+        // Without a defined end, a truncated answer would look complete.
         if forwarded && !Self::is_framed(request, &head) {
             return if not_run { Outcome::Full } else { Outcome::Broken }.into();
         }
--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -34,8 +34,8 @@
 const CLIENT_FD_RATIO: f64 = 0.55;
 /// The number of connections to one backend that is always allowed, however low `max_conns` is.
 const MIN_CONNECTIONS_PER_BACKEND: usize = 2;
-/// How often the engine is told again of backends whose heartbeats are overdue. Evidence of the engine's own takes
-/// precedence over such a notice, and that evidence may have changed meanwhile.
+/// How often the engine is notified again of backends with overdue heartbeats. The engine's own observations take
+/// precedence over such a notice, and those observations may have changed meanwhile.
 const OVERDUE_REMINDER_INTERVAL: Duration = Duration::from_secs(1);
 /// The maximum number of attempts per request, including attempts that never reached a backend. The bound of the route,
 /// `max_tries`, is lower and counts only the backends that were reached.
@@ -57,6 +57,7 @@
     pub engine: Rc<Engine<BackendProtocol>>,
     /// How many backends of the service accept requests.
     serving_backends: Cell<usize>,
+    /// The names of the request classes that the engine knows.
     classes: RefCell<HashMap<ClassKey, Name>>,
     pub counts: RequestCounts,
 }
@@ -76,6 +77,8 @@
     }
 }
 
+/// The engine's settings of a request class. The worth of an answer falls with the rank and is doubled for effectful
+/// requests.
 fn class_settings((pure, goal, rank): ClassKey) -> Class {
     let effect = if pure { Effect::Safe } else { Effect::Unsafe };
     let worth = 2.0 / (1.0 + 0.5 * f64::from(rank)) * if pure { 1.0 } else { 2.0 };
@@ -96,13 +99,16 @@
     seed: u64,
     admission: Rc<dyn Admission>,
     config: RefCell<Option<Rc<GatewayConfig>>>,
+    /// Notified when a configuration comes into force.
     config_changed: Notify,
     backends: Rc<Backends<BackendProtocol>>,
     services: RefCell<BTreeMap<Name, Rc<Service>>>,
     instances: RefCell<InstanceTable>,
+    /// The number of gateways and the index of this gateway.
     fleet: Cell<(u32, u32)>,
     figures: Rc<Figures>,
     frontend: Frontend,
+    /// When the process ends, once the shutdown has begun.
     shutdown_deadline: Cell<Option<Instant>>,
     recorder: Rc<Recorder>,
 }
@@ -146,6 +152,7 @@
         })
     }
 
+    /// Injects faults into the connection pool, for tests.
     #[doc(hidden)]
     pub fn inject_faults(&self, faults: Faults) {
         self.backends.plant(faults);
@@ -168,14 +175,14 @@
         let changed = self.instances.borrow_mut().update(changes, whole);
         for (id, _) in changed.iter().filter(|(_, instance)| instance.phase == Phase::Draining) {
             self.recorder
-                .record_event("drain", format_args!("backend {id}: drains, nothing more is sent to it"));
+                .record_event("drain", format_args!("backend {id}: draining, no new requests are sent"));
         }
         self.publish_changes(changed);
     }
 
     /// Records that updates are received from this process of the control plane from now on.
     pub fn record_upstream(&self, upstream: SocketAddr) {
-        self.recorder.record_event("upstream", format_args!("updates come from {upstream}"));
+        self.recorder.record_event("upstream", format_args!("receiving updates from {upstream}"));
     }
 
     /// Sets the number of gateways and the index of this gateway among them, counted from 0.
@@ -282,7 +289,7 @@
         if let Some(instance) = misdirected {
             self.recorder.record_event(
                 "backend",
-                format_args!("backend {id}: another one answers at {}", instance.address),
+                format_args!("backend {id}: another instance answers at {}", instance.address),
             );
             self.publish_changes(vec![(id.clone(), instance)]);
         }
@@ -365,8 +372,10 @@
         let engine = match engine {
             Ok(engine) => engine,
             Err(error) => {
-                self.recorder
-                    .record_event("service", format_args!("service {name} can't be decided for: {error}"));
+                self.recorder.record_event(
+                    "service",
+                    format_args!("service {name}: cannot start the decision engine: {error}"),
+                );
                 return None;
             }
         };
--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -70,6 +70,7 @@
 /// How long connections may stay open after the last answer before the shutdown completes anyway.
 const IDLE_SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
 
+/// Kept until an answer has been written completely.
 pub type ResponseGuard = guest::Keep<BackendProtocol>;
 type ClientResponse = Response<Content<ResponseGuard>>;
 
@@ -107,9 +108,10 @@
             let deadline = now + settings.grace_period - FINAL_ANSWER_RESERVE.min(settings.grace_period / 4);
             let delay = settings.shutdown_delay.min(settings.grace_period / 2);
             data_plane.begin_shutdown(deadline);
-            data_plane
-                .recorder()
-                .record_event("end", format_args!("ending: takes clients for {} ms more", delay.as_millis()));
+            data_plane.recorder().record_event(
+                "end",
+                format_args!("shutting down: accepting clients for another {} ms", delay.as_millis()),
+            );
             // The platform sends clients here until two readiness checks have failed. Connections that are idle for half
             // of the delay are closed, as their clients may never use them again.
             sleep(delay / 2).await;
@@ -141,12 +143,14 @@
                 last_active = Instant::now();
             }
         }
-        data_plane
-            .recorder()
-            .record_event("end", format_args!("ended with {} connections left", connections.guests()));
+        data_plane.recorder().record_event(
+            "end",
+            format_args!("shutdown complete, {} client connections still open", connections.guests()),
+        );
     }
 }
 
+/// Serves the requests of a client connection in a task of its own.
 fn serve_connection(data_plane: &Rc<DataPlane>, stream: TcpStream) {
     let config = data_plane.config();
     let limits = config.as_ref().map(|config| &config.limits);
@@ -197,6 +201,7 @@
         response
     }
 
+    /// Parses and admits a request, and forwards the request to a backend.
     async fn process(
         &self, request: Request<Incoming>, arrived: Instant, tracker: &mut RequestTracker<'_>,
     ) -> Result<ClientResponse, Rejection> {
@@ -449,6 +454,7 @@
     response
 }
 
+/// An answer with a plain text body.
 fn plain_text(status: StatusCode, text: &'static str) -> ClientResponse {
     let mut response =
         Response::new(Content::whole(Bytes::from_static(text.as_bytes()), ResponseGuard::default()));
--- a/crates/data-plane/src/instances.rs
+++ b/crates/data-plane/src/instances.rs
@@ -21,9 +21,12 @@
 pub struct Instance {
     pub service: Name,
     pub zone: Name,
+    /// The address to connect to, after detours.
     pub address: SocketAddr,
     pub phase: Phase,
+    /// The highest call count received; updates with a lower count are older.
     pub call_count: u64,
+    /// Whether the heartbeats of the instance are overdue.
     pub overdue: bool,
     /// How many requests the instance handles at once. Set only in the first update on the instance.
     pub initial_capacity: Option<u32>,
@@ -91,6 +94,7 @@
         changed
     }
 
+    /// Applies an update on one instance. Returns the instance if its effective state changed.
     fn apply(&mut self, backend: &Backend) -> Option<(Name, Instance)> {
         // If a source has only recorded that an instance is leaving, the update carries nothing but the id.
         let address = backend.address.parse().ok().map(|address| self.detours.to(address));
@@ -144,6 +148,7 @@
         is_changed.then_some((id, instance))
     }
 
+    /// Remembers an instance as ended or missing, and forgets the oldest such instance if there are too many.
     fn remember_ended(&mut self, id: &Name) {
         self.ended.push_back(id.clone());
         if self.ended.len() > MAX_ENDED_INSTANCES
--- a/crates/data-plane/src/lease_client.rs
+++ b/crates/data-plane/src/lease_client.rs
@@ -19,6 +19,7 @@
 pub struct LeaseClient {
     cache: RefCell<Cache>,
     started: Instant,
+    /// The number of the next client request.
     next_request: Cell<u64>,
     /// The waiting client requests by number, each with its tenant and the channel for its result.
     waiting: RefCell<HashMap<u64, (String, oneshot::Sender<WaitResult>)>>,
@@ -42,6 +43,7 @@
         lease_client
     }
 
+    /// The time since the start, in ms, which is the clock of the lease cache.
     fn now_ms(&self) -> f64 {
         self.started.elapsed().as_secs_f64() * 1000.0
     }
@@ -85,6 +87,7 @@
         self.wake.notify_one();
     }
 
+    /// Passes verdicts on to the waiting requests.
     fn deliver(&self, verdicts: Vec<(u64, Verdict)>) {
         for (request, verdict) in verdicts {
             let result = match verdict {
@@ -100,6 +103,7 @@
         }
     }
 
+    /// Sends the lease requests that are due.
     fn send_lease_requests(&self) {
         let lease_requests = self.cache.borrow_mut().draw(self.now_ms());
         for (holder, lease_request) in lease_requests {
@@ -110,6 +114,7 @@
         }
     }
 
+    /// Advances the lease cache whenever a timer of the cache is due or `wake` is notified.
     async fn run(weak: Weak<Self>) {
         loop {
             let Some(lease_client) = weak.upgrade() else { return };
--- a/crates/data-plane/src/recorder.rs
+++ b/crates/data-plane/src/recorder.rs
@@ -89,6 +89,7 @@
 /// An attempt: the backend, and how the attempt ended.
 pub type Attempt = (Name, Outcome);
 
+/// A record of a request that did not succeed at the first attempt.
 struct RequestRecord {
     at: Instant,
     took: Duration,
@@ -101,6 +102,7 @@
     outcome: RequestOutcome,
 }
 
+/// An event other than a request.
 struct EventRecord {
     at: Instant,
     step: &'static str,
@@ -136,16 +138,20 @@
 pub struct Recorder {
     started: Instant,
     log: LogSink,
+    /// Records of requests that were sent to a backend.
     sent: RefCell<Ring<RequestRecord>>,
+    /// Records of requests that were never sent to a backend.
     unsent: RefCell<Ring<RequestRecord>>,
     events: RefCell<Ring<EventRecord>>,
     version: Cell<u64>,
-    /// The log rate limit of each limited step.
+    /// A rate limiter for each limited step.
     log_limiters: RefCell<[(&'static str, Seldom); RATE_LIMITED_STEPS.len()]>,
+    /// The counters of requests that were assigned to no service.
     unrouted: RequestCounts,
     attempts: [Cell<u64>; ATTEMPT_OUTCOMES.len()],
 }
 
+/// The outcomes of attempts with their labels in metrics and records.
 const ATTEMPT_OUTCOMES: [(Outcome, &str); 8] = [
     (Outcome::Served, "served"),
     (Outcome::Error, "error"),
--- a/crates/data-plane/src/routing.rs
+++ b/crates/data-plane/src/routing.rs
@@ -116,6 +116,7 @@
     if values.next().is_some() { Err(Rejection::Malformed("a header twice")) } else { Ok(value) }
 }
 
+/// The API key of an `Authorization: Bearer` header.
 fn bearer_key(value: &HeaderValue) -> Option<&str> {
     let (scheme, key) = value.to_str().ok()?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
