--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -37,16 +37,17 @@
 const CLIENT_DEAD_AFTER: Duration = Duration::from_secs(10);
 /// A request waits for a unit of its tenant's quota for at most this share of the route's goal.
 const QUOTA_WAIT_RATIO: f64 = 0.12;
-/// A request waits for a backend with free capacity until this share of the route's goal has passed since its arrival,
-/// because later refusals are penalised.
+/// A request waits for a backend with free capacity until this share of the route's goal has passed since its arrival.
+/// A refusal that reaches the client later than a quarter of the goal counts against the service level.
 const CAPACITY_WAIT_RATIO: f64 = 0.2;
 /// The range of the retry delay after a refusal for lack of capacity, as shares of the route's goal.
 const RETRY_AFTER_GOAL_RATIO: (f64, f64) = (0.2, 0.6);
-/// The longest such retry delay, as a share of the client's deadline: no client follows a longer delay.
-const MAX_RETRY_AFTER_DEADLINE_RATIO: f64 = 0.33;
+/// The longest such retry delay, as a share of the request's timeout at its arrival. Clients honour `Retry-After` only
+/// up to a third of the time until their deadline.
+const MAX_RETRY_AFTER_TIMEOUT_RATIO: f64 = 0.33;
 /// How long a request waits for the first configuration. A process that has just started receives the configuration
-/// within moments if there is a leader, and a refusal after more than a quarter of the route's goal is penalised. The
-/// goal is not known at that point, but few goals are shorter than four times this value.
+/// within moments if there is a leader. A refusal after more than a quarter of the route's goal counts against the
+/// service level; the goal is not known at that point, but few goals are shorter than four times this value.
 const CONFIG_WAIT: Duration = Duration::from_millis(100);
 /// The range of the retry delay while there is no configuration. If all processes were down, a leader has to be elected
 /// first, and clients retry only a few times.
@@ -112,8 +113,8 @@
                 "end",
                 format_args!("shutting down: accepting clients for another {} ms", delay.as_millis()),
             );
-            // The platform sends clients here until two readiness checks have failed. Connections that are idle for half
-            // of the delay are closed, as their clients may never use them again.
+            // The platform sends clients here until two readiness checks have failed. Connections that are idle for
+            // half of the delay are closed, as their clients may never use them again.
             sleep(delay / 2).await;
             connections.see_off(delay / 2);
             sleep(delay / 2).await;
@@ -277,7 +278,7 @@
     fn retry_after(&self, routed: &RoutedRequest<'_>) -> Duration {
         let share = RETRY_AFTER_GOAL_RATIO.0
             + (RETRY_AFTER_GOAL_RATIO.1 - RETRY_AFTER_GOAL_RATIO.0) * self.frontend().random_fraction();
-        routed.route.goal.mul_f64(share).min(routed.timeout.mul_f64(MAX_RETRY_AFTER_DEADLINE_RATIO))
+        routed.route.goal.mul_f64(share).min(routed.timeout.mul_f64(MAX_RETRY_AFTER_TIMEOUT_RATIO))
     }
 
     /// Sends a request through the engine to a backend and waits for the answer.
