--- a/crates/data-plane/src/lease_client.rs
+++ b/crates/data-plane/src/lease_client.rs
@@ -1,6 +1,6 @@
-//! The lease cache of this gateway at work: asks for blocks, has requests wait for them, and tells what the cache says.
+//! Runs this gateway's quota lease cache: requests leases from their holders and lets client requests wait for them.
 
-use crate::{Admission, Asked};
+use crate::{Admission, AdmissionDecision};
 use quota::{Cache, Grant, HolderAssignment, LeaseRequest, Quota, Verdict};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -9,153 +9,161 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-/// What a request that waits for a block is told.
-type Word = Result<(), Duration>;
+/// The result for a client request that waits for a lease: a unit, or the time after which to retry.
+type WaitResult = Result<(), Duration>;
 
-/// Sends a draw to a holder of counts, by its name.
-type Send = Box<dyn Fn(&str, LeaseRequest) -> bool>;
+/// Sends a lease request to the quota holder with the given name. Returns false if the request cannot be sent.
+type SendLeaseRequest = Box<dyn Fn(&str, LeaseRequest) -> bool>;
 
-/// Runs the lease cache.
+/// Drives the lease cache and sends its lease requests.
 pub struct LeaseClient {
     cache: RefCell<Cache>,
-    began: Instant,
-    requests: Cell<u64>,
-    /// Who waits, and for a unit of which tenant.
-    waiting: RefCell<HashMap<u64, (String, oneshot::Sender<Word>)>>,
-    /// Sends a draw to a holder of counts; false when it can't be sent.
-    send: Send,
-    stir: Notify,
+    started: Instant,
+    /// The number of the next client request.
+    next_request: Cell<u64>,
+    /// The waiting client requests by number, each with its tenant and the channel for its result.
+    waiting: RefCell<HashMap<u64, (String, oneshot::Sender<WaitResult>)>>,
+    /// Sends a lease request to a quota holder. Returns false if the request cannot be sent.
+    send: SendLeaseRequest,
+    wake: Notify,
 }
 
 impl LeaseClient {
-    /// A cache that knows no tenants yet.
-    pub fn start(seed: u64, send: Send) -> Rc<Self> {
+    /// Starts a lease cache without tenants.
+    pub fn start(seed: u64, send: SendLeaseRequest) -> Rc<Self> {
         let lease_client = Rc::new(Self {
             cache: RefCell::new(Cache::new(seed)),
-            began: Instant::now(),
-            requests: Cell::new(0),
+            started: Instant::now(),
+            next_request: Cell::new(0),
             waiting: RefCell::default(),
             send,
-            stir: Notify::new(),
+            wake: Notify::new(),
         });
         tokio::task::spawn_local(Self::run(Rc::downgrade(&lease_client)));
         lease_client
     }
 
-    fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64() * 1000.0
+    /// The time since the start, in ms, which is the clock of the lease cache.
+    fn now_ms(&self) -> f64 {
+        self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The quotas of a newer configuration.
-    pub fn quotas(&self, quotas: Vec<Quota>) {
-        self.cache.borrow_mut().quotas(self.now(), quotas);
-        self.stir.notify_one();
+    /// Applies the quotas of a newer configuration.
+    pub fn set_quotas(&self, quotas: Vec<Quota>) {
+        self.cache.borrow_mut().quotas(self.now_ms(), quotas);
+        self.wake.notify_one();
     }
 
-    /// How many gateways there are, by a word of control that is of this moment or not.
-    pub fn fleet(&self, gateways: u32, fresh: bool) {
-        self.cache.borrow_mut().fleet_told(self.now(), gateways, fresh);
+    /// Sets the number of gateways. `fresh` states whether the control plane process that reports the number has recent
+    /// contact with the leader.
+    pub fn set_gateway_count(&self, gateways: u32, fresh: bool) {
+        self.cache.borrow_mut().fleet_told(self.now_ms(), gateways, fresh);
     }
 
-    /// Ends admission: from now on nothing is spent, so that this gateway may say that it has ended.
+    /// Ends admission for good. No unit is spent afterwards, so that the gateway may report that it has ended.
     pub fn close(&self) {
         let mut verdicts = Vec::new();
-        self.cache.borrow_mut().close(self.now(), &mut verdicts);
-        self.tell(verdicts);
+        self.cache.borrow_mut().close(self.now_ms(), &mut verdicts);
+        self.deliver(verdicts);
     }
 
-    /// Who holds the counts from now on.
-    pub fn assignment(&self, assignment: &HolderAssignment) {
+    /// Applies a new assignment of quota holders.
+    pub fn apply_assignment(&self, assignment: &HolderAssignment) {
         self.cache.borrow_mut().assignment(assignment);
-        self.stir.notify_one();
+        self.wake.notify_one();
     }
 
-    /// A holder answered.
-    pub fn granted(&self, grant: Grant) {
+    /// Applies the answer of a quota holder.
+    pub fn apply_grant(&self, grant: Grant) {
         let mut verdicts = Vec::new();
-        self.cache.borrow_mut().granted(self.now(), grant, &mut verdicts);
-        self.tell(verdicts);
-        self.draw();
+        self.cache.borrow_mut().granted(self.now_ms(), grant, &mut verdicts);
+        self.deliver(verdicts);
+        self.send_lease_requests();
     }
 
-    /// A draw gets no answer.
-    pub fn unanswered(&self, number: u64) {
-        self.cache.borrow_mut().silent(self.now(), number);
-        self.stir.notify_one();
+    /// Gives up a lease request that received no answer.
+    pub fn abandon_lease_request(&self, number: u64) {
+        self.cache.borrow_mut().silent(self.now_ms(), number);
+        self.wake.notify_one();
     }
 
-    fn tell(&self, verdicts: Vec<(u64, Verdict)>) {
+    /// Passes verdicts on to the waiting requests.
+    fn deliver(&self, verdicts: Vec<(u64, Verdict)>) {
         for (request, verdict) in verdicts {
-            let word = match verdict {
+            let result = match verdict {
                 Verdict::Granted => Ok(()),
-                Verdict::Refused { retry_after } => Err(span(retry_after)),
+                Verdict::Refused { retry_after } => Err(from_ms(retry_after)),
                 Verdict::Wait { .. } => continue,
             };
-            let Some((tenant, waits)) = self.waiting.borrow_mut().remove(&request) else { continue };
-            // Its client may have left meanwhile: what it was granted goes back.
-            if waits.send(word).is_err_and(|word| word.is_ok()) {
-                self.give_back(&tenant);
+            let Some((tenant, sender)) = self.waiting.borrow_mut().remove(&request) else { continue };
+            // The client may have disconnected meanwhile, in which case its unit is returned.
+            if sender.send(result).is_err_and(|result| result.is_ok()) {
+                self.refund(&tenant);
             }
         }
     }
 
-    fn draw(&self) {
-        let draws = self.cache.borrow_mut().draw(self.now());
-        for (to, draw) in draws {
-            let number = draw.number;
-            if !(self.send)(&to, draw) {
-                self.unanswered(number);
+    /// Sends the lease requests that are due.
+    fn send_lease_requests(&self) {
+        let lease_requests = self.cache.borrow_mut().draw(self.now_ms());
+        for (holder, lease_request) in lease_requests {
+            let number = lease_request.number;
+            if !(self.send)(&holder, lease_request) {
+                self.abandon_lease_request(number);
             }
         }
     }
 
-    async fn run(me: Weak<Self>) {
+    /// Advances the lease cache whenever a timer of the cache is due or `wake` is notified.
+    async fn run(weak: Weak<Self>) {
         loop {
-            let Some(lease_client) = me.upgrade() else { return };
+            let Some(lease_client) = weak.upgrade() else { return };
             let mut verdicts = Vec::new();
-            lease_client.cache.borrow_mut().tick(lease_client.now(), &mut verdicts);
-            lease_client.tell(verdicts);
-            lease_client.draw();
+            lease_client.cache.borrow_mut().tick(lease_client.now_ms(), &mut verdicts);
+            lease_client.deliver(verdicts);
+            lease_client.send_lease_requests();
             let due = lease_client.cache.borrow().next_due();
-            let due = due.map(|due| lease_client.began + span(due.max(lease_client.now() + 1.0)));
+            let due = due.map(|due| lease_client.started + from_ms(due.max(lease_client.now_ms() + 1.0)));
             let due = due.unwrap_or_else(|| Instant::now() + Duration::from_millis(500));
             tokio::select! {
                 () = sleep_until(due) => {}
-                () = lease_client.stir.notified() => {}
+                () = lease_client.wake.notified() => {}
             }
         }
     }
 }
 
 impl Admission for LeaseClient {
-    fn ask(&self, tenant: &str, wait_at_most: Duration) -> Asked {
-        let (now, request) = (self.now(), self.requests.get());
-        self.requests.set(request + 1);
-        let most = wait_at_most.as_secs_f64() * 1000.0;
-        let verdict = self.cache.borrow_mut().ask(now, request, tenant, most);
-        let asked = match verdict {
-            Verdict::Granted => Asked::Granted,
-            Verdict::Refused { retry_after } => Asked::Refused { retry_after: span(retry_after) },
+    fn acquire(&self, tenant: &str, max_wait: Duration) -> AdmissionDecision {
+        let (now, request) = (self.now_ms(), self.next_request.get());
+        self.next_request.set(request + 1);
+        let max_wait_ms = max_wait.as_secs_f64() * 1000.0;
+        let verdict = self.cache.borrow_mut().ask(now, request, tenant, max_wait_ms);
+        let decision = match verdict {
+            Verdict::Granted => AdmissionDecision::Granted,
+            Verdict::Refused { retry_after } => {
+                AdmissionDecision::Refused { retry_after: from_ms(retry_after) }
+            }
             Verdict::Wait { .. } => {
-                let (word, told) = oneshot::channel();
-                self.waiting.borrow_mut().insert(request, (tenant.to_owned(), word));
-                Asked::Wait(told)
+                let (sender, receiver) = oneshot::channel();
+                self.waiting.borrow_mut().insert(request, (tenant.to_owned(), sender));
+                AdmissionDecision::Pending(receiver)
             }
         };
-        // Blocks are renewed before they run dry, and who waits needs one now.
-        self.draw();
-        if matches!(asked, Asked::Wait(_)) {
-            self.stir.notify_one();
+        // Leases are renewed before they are used up, and a waiting request needs a lease now.
+        self.send_lease_requests();
+        if matches!(decision, AdmissionDecision::Pending(_)) {
+            self.wake.notify_one();
         }
-        asked
+        decision
     }
 
-    fn give_back(&self, tenant: &str) {
-        self.cache.borrow_mut().give_back(self.now(), tenant);
+    fn refund(&self, tenant: &str) {
+        self.cache.borrow_mut().give_back(self.now_ms(), tenant);
     }
 }
 
-fn span(millis: f64) -> Duration {
+fn from_ms(millis: f64) -> Duration {
     Duration::from_secs_f64(millis.max(0.0) / 1000.0)
 }
 
@@ -165,19 +173,24 @@
     use quota::{Epoch, Share, Standing};
 
     #[test]
-    fn what_was_granted_to_a_client_that_has_left_is_another_one_s() {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().expect("a runtime");
+    fn a_unit_granted_to_a_disconnected_client_goes_to_another_request() {
+        let runtime =
+            tokio::runtime::Builder::new_current_thread().enable_time().build().expect("the runtime starts");
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let sent: Rc<Cell<u64>> = Rc::default();
-            let number = sent.clone();
-            let lease_client =
-                LeaseClient::start(1, Box::new(move |_, draw| number.replace(draw.number) == 0));
-            lease_client.fleet(3, true);
-            lease_client.quotas(vec![Quota { tenant: "t".into(), rate_per_s: 10.0, burst: 10.0 }]);
+            let last_sent: Rc<Cell<u64>> = Rc::default();
+            let number = last_sent.clone();
+            let lease_client = LeaseClient::start(
+                1,
+                Box::new(move |_, lease_request| number.replace(lease_request.number) == 0),
+            );
+            lease_client.set_gateway_count(3, true);
+            lease_client.set_quotas(vec![Quota { tenant: "t".into(), rate_per_s: 10.0, burst: 10.0 }]);
             let wait = Duration::from_secs(60);
-            let Asked::Wait(word) = lease_client.ask("t", wait) else { panic!("no block is in hand") };
-            drop(word);
-            // The window's only unit.
+            let AdmissionDecision::Pending(receiver) = lease_client.acquire("t", wait) else {
+                panic!("the request did not wait for a lease")
+            };
+            drop(receiver);
+            // The only unit of the window.
             let share = Share {
                 tenant: "t".into(),
                 window: 1,
@@ -186,9 +199,13 @@
                 ends_in: 60_000.0,
                 standing: Standing::Open,
             };
-            lease_client.granted(Grant { number: sent.get(), epoch: Epoch::first(1), shares: vec![share] });
-            assert!(matches!(lease_client.ask("t", wait), Asked::Granted));
-            assert!(matches!(lease_client.ask("t", wait), Asked::Refused { .. }));
+            lease_client.apply_grant(Grant {
+                number: last_sent.get(),
+                epoch: Epoch::first(1),
+                shares: vec![share],
+            });
+            assert!(matches!(lease_client.acquire("t", wait), AdmissionDecision::Granted));
+            assert!(matches!(lease_client.acquire("t", wait), AdmissionDecision::Refused { .. }));
         });
     }
 }
