--- a/crates/control-plane/src/admission.rs
+++ b/crates/control-plane/src/admission.rs
@@ -30,7 +30,7 @@
         match self {
             Self::Propose(_) => None,
             Self::Decided { verdict, .. } => Some(reply_to(*verdict)),
-            Self::Invalid(why) => Some(Reply::why(400, why)),
+            Self::Invalid(why) => Some(Reply::error(400, why)),
         }
     }
 }
@@ -42,8 +42,8 @@
         Err(fault) => return decide_invalid(config_history, &body, fault.to_string()),
     };
     let (version, digest) = (config.version.0, config.digest());
-    match config_history.judge(base, version, &digest) {
-        Verdict::Taken => Decision::Propose(Change { base, version, digest, body }),
+    match config_history.evaluate(base, version, &digest) {
+        Verdict::Accepted => Decision::Propose(Change { base, version, digest, body }),
         verdict => Decision::Decided { version, verdict },
     }
 }
@@ -51,8 +51,8 @@
 /// A program whose checks were less strict may have taken what this one calls invalid: its repetition is acknowledged.
 fn decide_invalid(config_history: &ConfigHistory, body: &[u8], fault: String) -> Decision {
     match Config::identify(body) {
-        Some((version, digest)) if config_history.has_taken(version.0, &digest) => {
-            Decision::Decided { version: version.0, verdict: Verdict::TakenBefore }
+        Some((version, digest)) if config_history.has_accepted(version.0, &digest) => {
+            Decision::Decided { version: version.0, verdict: Verdict::AlreadyAccepted }
         }
         _ => Decision::Invalid(fault),
     }
@@ -61,17 +61,18 @@
 /// The answer to an order. Callers end at 409 and 412, and send the order again after a 503.
 pub fn reply_to(verdict: Verdict) -> Reply {
     match verdict {
-        Verdict::Taken | Verdict::TakenBefore => Reply::done(),
-        Verdict::Stale { current } => Reply::why(412, &format!("r{current} is in place")),
-        Verdict::NotAbove { current } => {
-            Reply::why(409, &format!("generation: not above r{current}, which is in place"))
+        Verdict::Accepted | Verdict::AlreadyAccepted => Reply::ok(),
+        Verdict::Stale { current } => Reply::error(412, &format!("r{current} is in place")),
+        Verdict::VersionNotHigher { current } => {
+            Reply::error(409, &format!("generation: not above r{current}, which is in place"))
         }
-        Verdict::Ahead { base, current } => Reply::why(
+        Verdict::BaseAhead { base, current } => Reply::error(
             503,
             &format!("r{base}, on which it builds, is not in place but r{current}: ask again"),
         ),
-        Verdict::Forgotten { oldest } => {
-            Reply::why(503, &format!("it may have been taken: versions before r{oldest} are not remembered"))
-        }
+        Verdict::DigestEvicted { oldest } => Reply::error(
+            503,
+            &format!("it may have been taken: versions before r{oldest} are not remembered"),
+        ),
     }
 }
--- a/crates/control-plane/src/call.rs
+++ b/crates/control-plane/src/call.rs
@@ -6,7 +6,7 @@
 #[derive(Debug)]
 pub enum Call {
     /// A backend beats.
-    Beat(Backend),
+    Heartbeat(Backend),
     /// A backend ends.
     Departure(String),
     /// The operator's.
@@ -16,7 +16,7 @@
     /// The last versions, and when they were taken.
     History,
     /// The body of one of the last versions.
-    Past(u64),
+    VersionBody(u64),
     /// Records about something, or all.
     Events(Option<String>),
     /// Metrics.
@@ -27,14 +27,14 @@
     /// Its kind, for metrics.
     pub fn kind(&self) -> &'static str {
         match self {
-            Self::Beat(_) => "beat",
+            Self::Heartbeat(_) => "beat",
             Self::Departure(_) => "departure",
             Self::Order(Order::Replace { .. }) => "replace",
             Self::Order(Order::Read) => "read",
             Self::Order(Order::Remove(_)) => "remove",
             Self::Order(Order::Drain(_)) => "drain",
             Self::Status => "status",
-            Self::History | Self::Past(_) => "history",
+            Self::History | Self::VersionBody(_) => "history",
             Self::Events(_) => "events",
             Self::Metrics => "metrics",
         }
@@ -52,12 +52,12 @@
 
 impl Reply {
     /// An answer that says why.
-    pub fn why(status: u16, why: &str) -> Self {
+    pub fn error(status: u16, why: &str) -> Self {
         Self { status, body: serde_json::json!({ "error": why }).to_string().into_bytes() }
     }
 
     /// Done, nothing to say.
-    pub fn done() -> Self {
+    pub fn ok() -> Self {
         Self { status: 200, body: b"{}".to_vec() }
     }
 }
--- a/crates/control-plane/src/calls.rs
+++ b/crates/control-plane/src/calls.rs
@@ -44,7 +44,7 @@
 const BASE_VERSION: &str = "x-base-version";
 
 /// One kind of call.
-pub struct Declared {
+pub struct Endpoint {
     /// Its method.
     pub method: Method,
     /// Its path; an id follows where it takes one.
@@ -52,112 +52,112 @@
     /// Whether an id follows.
     pub takes_id: bool,
     /// The longest body, in bytes.
-    pub longest: usize,
+    pub max_body_bytes: usize,
     /// How long its answer may take, from when it has been read whole.
-    pub within: Duration,
+    pub response_timeout: Duration,
     /// The type of its answer.
-    pub says: &'static str,
+    pub content_type: &'static str,
     /// Reads it: the id, or where none is taken the query; the headers; the body.
-    pub read: fn(&str, &HeaderMap, &[u8]) -> Result<Call, Reply>,
+    pub parse: fn(&str, &HeaderMap, &[u8]) -> Result<Call, Reply>,
 }
 
 /// All calls.
-pub const CALLS: [Declared; 10] = [
-    Declared {
+pub const ENDPOINTS: [Endpoint; 10] = [
+    Endpoint {
         method: Method::POST,
         path: "/Backends.Heartbeat/",
         takes_id: true,
-        longest: 16 * 1024,
-        within: ANSWER_WITHIN,
-        says: JSON,
-        read: beat,
+        max_body_bytes: 16 * 1024,
+        response_timeout: ANSWER_WITHIN,
+        content_type: JSON,
+        parse: beat,
     },
-    Declared {
+    Endpoint {
         method: Method::POST,
         path: "/Backends.Departure/",
         takes_id: true,
-        longest: 16 * 1024,
-        within: ANSWER_WITHIN,
-        says: JSON,
-        read: |id, _, _| Ok(Call::Departure(backend_id(id)?)),
+        max_body_bytes: 16 * 1024,
+        response_timeout: ANSWER_WITHIN,
+        content_type: JSON,
+        parse: |id, _, _| Ok(Call::Departure(backend_id(id)?)),
     },
-    Declared {
+    Endpoint {
         method: Method::POST,
         path: "/Config.Replace",
         takes_id: false,
-        longest: LONGEST_ORDER,
-        within: CHANGE_WITHIN,
-        says: JSON,
-        read: replace,
+        max_body_bytes: LONGEST_ORDER,
+        response_timeout: CHANGE_WITHIN,
+        content_type: JSON,
+        parse: replace,
     },
-    Declared {
+    Endpoint {
         method: Method::GET,
         path: "/Config.Read",
         takes_id: false,
-        longest: 0,
-        within: ANSWER_WITHIN,
-        says: JSON,
-        read: |_, _, _| Ok(Call::Order(Order::Read)),
+        max_body_bytes: 0,
+        response_timeout: ANSWER_WITHIN,
+        content_type: JSON,
+        parse: |_, _, _| Ok(Call::Order(Order::Read)),
     },
-    Declared {
+    Endpoint {
         method: Method::POST,
         path: "/Voters.Remove/",
         takes_id: true,
-        longest: 0,
-        within: CHANGE_WITHIN,
-        says: JSON,
-        read: |id, _, _| match id.parse::<std::net::SocketAddr>() {
+        max_body_bytes: 0,
+        response_timeout: CHANGE_WITHIN,
+        content_type: JSON,
+        parse: |id, _, _| match id.parse::<std::net::SocketAddr>() {
             Ok(address) => Ok(Call::Order(Order::Remove(address.to_string()))),
-            Err(_) => Err(Reply::why(400, &format!("{id:?} is no ip:port"))),
+            Err(_) => Err(Reply::error(400, &format!("{id:?} is no ip:port"))),
         },
     },
-    Declared {
+    Endpoint {
         method: Method::GET,
         path: "/Harbour.Status",
         takes_id: false,
-        longest: 0,
-        within: ANSWER_WITHIN,
-        says: JSON,
-        read: |_, _, _| Ok(Call::Status),
+        max_body_bytes: 0,
+        response_timeout: ANSWER_WITHIN,
+        content_type: JSON,
+        parse: |_, _, _| Ok(Call::Status),
     },
-    Declared {
+    Endpoint {
         method: Method::GET,
         path: "/Config.History",
         takes_id: false,
-        longest: 0,
-        within: ANSWER_WITHIN,
-        says: JSON,
-        read: |_, _, _| Ok(Call::History),
+        max_body_bytes: 0,
+        response_timeout: ANSWER_WITHIN,
+        content_type: JSON,
+        parse: |_, _, _| Ok(Call::History),
     },
-    Declared {
+    Endpoint {
         method: Method::GET,
         path: "/Config.History/",
         takes_id: true,
-        longest: 0,
-        within: ANSWER_WITHIN,
-        says: JSON,
-        read: |id, _, _| {
-            let version = id.parse::<Version>().map_err(|fault| Reply::why(400, &fault.to_string()))?;
-            Ok(Call::Past(version.0))
+        max_body_bytes: 0,
+        response_timeout: ANSWER_WITHIN,
+        content_type: JSON,
+        parse: |id, _, _| {
+            let version = id.parse::<Version>().map_err(|fault| Reply::error(400, &fault.to_string()))?;
+            Ok(Call::VersionBody(version.0))
         },
     },
-    Declared {
+    Endpoint {
         method: Method::GET,
         path: "/Harbour.Events",
         takes_id: false,
-        longest: 0,
-        within: ANSWER_WITHIN,
-        says: JSON,
-        read: |query, _, _| Ok(Call::Events(query.strip_prefix("about=").map(unescape))),
+        max_body_bytes: 0,
+        response_timeout: ANSWER_WITHIN,
+        content_type: JSON,
+        parse: |query, _, _| Ok(Call::Events(query.strip_prefix("about=").map(unescape))),
     },
-    Declared {
+    Endpoint {
         method: Method::GET,
         path: "/metrics",
         takes_id: false,
-        longest: 0,
-        within: ANSWER_WITHIN,
-        says: observability::TEXT,
-        read: |_, _, _| Ok(Call::Metrics),
+        max_body_bytes: 0,
+        response_timeout: ANSWER_WITHIN,
+        content_type: observability::TEXT,
+        parse: |_, _, _| Ok(Call::Metrics),
     },
 ];
 
@@ -207,14 +207,14 @@
 
 fn backend_id(id: &str) -> Result<String, Reply> {
     if id.len() > LONGEST_ID {
-        return Err(Reply::why(400, &format!("an id of {} bytes, at most {LONGEST_ID}", id.len())));
+        return Err(Reply::error(400, &format!("an id of {} bytes, at most {LONGEST_ID}", id.len())));
     }
     Ok(id.to_owned())
 }
 
 fn beat(id: &str, _: &HeaderMap, body: &[u8]) -> Result<Call, Reply> {
     let known_as = backend_id(id)?;
-    let unread = |why: String| Reply::why(400, &format!("beat of {id}: {why}"));
+    let unread = |why: String| Reply::error(400, &format!("beat of {id}: {why}"));
     let beat: BeatBody = serde_json::from_slice(body).map_err(|error| unread(error.to_string()))?;
     let phase = match beat.condition.phase.as_str() {
         "serving" => Phase::Serving,
@@ -224,7 +224,7 @@
     if beat.address.parse::<std::net::SocketAddr>().is_err() {
         return Err(unread(format!("address: {:?} is no ip:port", beat.address)));
     }
-    Ok(Call::Beat(Backend {
+    Ok(Call::Heartbeat(Backend {
         id: known_as,
         service: beat.summary.target,
         address: beat.address,
@@ -249,7 +249,7 @@
     let mut base = None;
     for value in headers.get_all(BASE_VERSION) {
         let text = String::from_utf8_lossy(value.as_bytes());
-        let unread = |why: &str| Reply::why(400, &format!("X-Base-Version: {text:?}: {why}"));
+        let unread = |why: &str| Reply::error(400, &format!("X-Base-Version: {text:?}: {why}"));
         let read = text.trim().parse::<Version>().map_err(|fault| unread(&fault.to_string()))?;
         if base.replace(read).is_some_and(|other| other != read) {
             return Err(unread("another one stands before it"));
@@ -343,64 +343,64 @@
 ) -> Response<Full<Bytes>> {
     let (head, body) = request.into_parts();
     let path = head.uri.path();
-    let fits = |call: &&Declared| {
+    let fits = |call: &&Endpoint| {
         if call.takes_id {
             path.len() > call.path.len() && path.starts_with(call.path)
         } else {
             path == call.path
         }
     };
-    let Some(call) = CALLS.iter().find(fits) else { return respond(Reply::why(404, "no such call")) };
+    let Some(call) = ENDPOINTS.iter().find(fits) else { return respond(Reply::error(404, "no such call")) };
     if head.method != call.method {
-        return respond(Reply::why(405, "another method is wanted"));
+        return respond(Reply::error(405, "another method is wanted"));
     }
-    let body = match read_body(body, call.longest, &mut reserved).await {
+    let body = match read_body(body, call.max_body_bytes, &mut reserved).await {
         Ok(body) => body,
         Err(reply) => return respond(reply),
     };
     // A large body may take longer to come than its answer may.
-    let due = Instant::now() + call.within;
+    let due = Instant::now() + call.response_timeout;
     let id = if call.takes_id {
         path.strip_prefix(call.path).unwrap_or_default()
     } else {
         head.uri.query().unwrap_or_default()
     };
-    let call_read = match (call.read)(id, &head.headers, &body) {
+    let call_read = match (call.parse)(id, &head.headers, &body) {
         Ok(read) => read,
         Err(reply) => return respond(reply),
     };
     let (reply, told) = oneshot::channel();
     if commands.send(Command::Call { call: call_read, reply }).await.is_err() {
-        return respond(Reply::why(503, "this process ends"));
+        return respond(Reply::error(503, "this process ends"));
     }
     match timeout_at(due, told).await {
-        Ok(Ok(reply)) => respond_as(if reply.status == 200 { call.says } else { JSON }, reply),
-        _ => respond(Reply::why(503, "no answer in time: ask again, here or at another gateway")),
+        Ok(Ok(reply)) => respond_as(if reply.status == 200 { call.content_type } else { JSON }, reply),
+        _ => respond(Reply::error(503, "no answer in time: ask again, here or at another gateway")),
     }
 }
 
 async fn read_body(mut body: Incoming, longest: usize, reserved: &mut Reserved) -> Result<Bytes, Reply> {
     let mut whole = BytesMut::new();
     if body.size_hint().lower() > longest as u64 {
-        return Err(Reply::why(413, "the body is too long"));
+        return Err(Reply::error(413, "the body is too long"));
     }
     while !body.is_end_stream() {
         match timeout(SLOW, body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 if let Some(data) = frame.data_ref() {
                     if longest > UNCOUNTED_BODY && !reserved.grow(data.len()) {
-                        return Err(Reply::why(503, "too many large bodies at a time: ask again"));
+                        return Err(Reply::error(503, "too many large bodies at a time: ask again"));
                     }
                     whole.extend_from_slice(data);
                 }
             }
             Ok(None) => break,
             // The same order, sent whole, may well be taken: a final answer would be wrong.
-            Ok(Some(Err(_))) => return Err(Reply::why(408, "the body broke off")),
-            Err(_) => return Err(Reply::why(408, "the body did not come in time")),
+            Ok(Some(Err(_))) => return Err(Reply::error(408, "the body broke off")),
+            Err(_) => return Err(Reply::error(408, "the body did not come in time")),
         }
         if whole.len() > longest {
-            return Err(Reply::why(413, "the body is too long"));
+            return Err(Reply::error(413, "the body is too long"));
         }
     }
     Ok(whole.freeze())
--- a/crates/control-plane/src/command.rs
+++ b/crates/control-plane/src/command.rs
@@ -47,5 +47,5 @@
     /// The settings file names other seeds.
     Seeds(Vec<SocketAddr>),
     /// This process is to end. The sender hears once another one leads, and no call waits here any more.
-    End(oneshot::Sender<()>),
+    Shutdown(oneshot::Sender<()>),
 }
--- a/crates/control-plane/src/config_history.rs
+++ b/crates/control-plane/src/config_history.rs
@@ -36,14 +36,14 @@
     ///
     /// # Errors
     /// When it holds something else.
-    pub fn read(entry: &[u8]) -> Result<Self, bitcode::Error> {
+    pub fn decode(entry: &[u8]) -> Result<Self, bitcode::Error> {
         bitcode::decode(entry)
     }
 }
 
 /// What the log says besides changes: facts of the counts and of who is there, for whoever holds them next.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Marks {
+pub struct QuotaCheckpoint {
     /// Floors of counts that are other ones from here on, in units: see [`quota::Floor`].
     pub floors: Vec<(String, u32)>,
     /// How many data planes there are.
@@ -53,16 +53,16 @@
 /// Entries that hold marks begin with this; no change of the versions so far does.
 const MARKS: &[u8] = b"harbour marks 1\n";
 
-impl Marks {
+impl QuotaCheckpoint {
     /// The marks as an entry.
-    pub fn entry(&self) -> Vec<u8> {
+    pub fn to_entry(&self) -> Vec<u8> {
         let mut entry = MARKS.to_vec();
         entry.extend_from_slice(&bitcode::encode(self));
         entry
     }
 
     /// Reads an entry that holds marks; none for others.
-    pub fn read(entry: &[u8]) -> Option<Result<Self, bitcode::Error>> {
+    pub fn decode(entry: &[u8]) -> Option<Result<Self, bitcode::Error>> {
         entry.strip_prefix(MARKS).map(bitcode::decode)
     }
 }
@@ -71,28 +71,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It is the newest one now.
-    Taken,
+    Accepted,
     /// It had been taken before, whether it still is the newest or not.
-    TakenBefore,
+    AlreadyAccepted,
     /// It builds on a version before the newest.
     Stale {
         /// The newest.
         current: u64,
     },
     /// Its own version is not above the newest.
-    NotAbove {
+    VersionNotHigher {
         /// The newest.
         current: u64,
     },
     /// It builds on a version that is not taken, but may be: by an entry in flight, for one.
-    Ahead {
+    BaseAhead {
         /// The version that it builds on.
         base: u64,
         /// The newest.
         current: u64,
     },
     /// Its version is one of those whose digests were dropped: it may have been taken, or another one of its number.
-    Forgotten {
+    DigestEvicted {
         /// The oldest version whose digest is remembered.
         oldest: u64,
     },
@@ -102,13 +102,13 @@
     /// Whether no entry that the log may still get can change it. Versions only rise: a base below the newest never
     /// is the newest again, and a version that is not above it never will be. A base above the newest may become it.
     pub fn is_final(self) -> bool {
-        !matches!(self, Self::Ahead { .. } | Self::Forgotten { .. })
+        !matches!(self, Self::BaseAhead { .. } | Self::DigestEvicted { .. })
     }
 }
 
 /// When a configuration was taken: no two machines share a clock, but all share the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Place {
+pub struct LogPosition {
     /// Its entry in the log.
     pub index: u64,
     /// The term of the leader that took it.
@@ -121,7 +121,7 @@
     version: u64,
     body: Vec<u8>,
     digests: BTreeMap<u64, [u8; 32]>,
-    places: BTreeMap<u64, Place>,
+    places: BTreeMap<u64, LogPosition>,
     /// The bodies of versions before the newest.
     bodies: BTreeMap<u64, Vec<u8>>,
     /// The version before the newest one and its body, if it is too long for these: followers have it, and get what makes
@@ -149,25 +149,25 @@
     }
 
     /// What would become of a change now.
-    pub fn judge(&self, base: u64, version: u64, digest: &[u8; 32]) -> Verdict {
+    pub fn evaluate(&self, base: u64, version: u64, digest: &[u8; 32]) -> Verdict {
         let current = self.version;
-        if self.has_taken(version, digest) {
-            Verdict::TakenBefore
+        if self.has_accepted(version, digest) {
+            Verdict::AlreadyAccepted
         } else if let Some(oldest) = self.oldest_remembered().filter(|oldest| version < *oldest) {
-            Verdict::Forgotten { oldest }
+            Verdict::DigestEvicted { oldest }
         } else if base < current {
             Verdict::Stale { current }
         } else if version <= current {
-            Verdict::NotAbove { current }
+            Verdict::VersionNotHigher { current }
         } else if base > current {
-            Verdict::Ahead { base, current }
+            Verdict::BaseAhead { base, current }
         } else {
-            Verdict::Taken
+            Verdict::Accepted
         }
     }
 
     /// Whether this very configuration has been taken, as far as is remembered.
-    pub fn has_taken(&self, version: u64, digest: &[u8; 32]) -> bool {
+    pub fn has_accepted(&self, version: u64, digest: &[u8; 32]) -> bool {
         self.digests.get(&version) == Some(digest)
     }
 
@@ -178,9 +178,9 @@
     }
 
     /// Takes a change from this place of the log.
-    pub fn apply(&mut self, at: Place, change: Change) -> Verdict {
-        let verdict = self.judge(change.base, change.version, &change.digest);
-        if verdict == Verdict::Taken {
+    pub fn apply(&mut self, at: LogPosition, change: Change) -> Verdict {
+        let verdict = self.evaluate(change.base, change.version, &change.digest);
+        if verdict == Verdict::Accepted {
             let before = std::mem::replace(&mut self.body, change.body);
             self.former = None;
             if self.version > 0 {
@@ -207,7 +207,7 @@
     }
 
     /// Takes marks in.
-    pub fn mark(&mut self, marks: Marks) {
+    pub fn apply_checkpoint(&mut self, marks: QuotaCheckpoint) {
         self.fleet = marks.fleet;
         for (tenant, units) in marks.floors {
             if units == 0 {
@@ -224,12 +224,12 @@
     }
 
     /// How many data planes there were when last it was said; 0 before that.
-    pub fn fleet(&self) -> u32 {
+    pub fn fleet_size(&self) -> u32 {
         self.fleet
     }
 
     /// The last versions that were taken, the newest first: number, digest, and when.
-    pub fn history(&self) -> impl Iterator<Item = (u64, &[u8; 32], Place)> {
+    pub fn history(&self) -> impl Iterator<Item = (u64, &[u8; 32], LogPosition)> {
         let dated = self.places.iter().rev();
         dated.filter_map(|(version, place)| Some((*version, self.digests.get(version)?, *place)))
     }
--- a/crates/control-plane/src/config_history/snapshot_format.rs
+++ b/crates/control-plane/src/config_history/snapshot_format.rs
@@ -8,7 +8,7 @@
 //! version before could not read it, and both run side by side while a system is upgraded. The version after this one
 //! writes it.
 
-use super::{ConfigHistory, Place};
+use super::{ConfigHistory, LogPosition};
 use bitcode::Decode;
 use std::collections::BTreeMap;
 use thiserror::Error;
@@ -46,7 +46,7 @@
     version: u64,
     body: Vec<u8>,
     digests: BTreeMap<u64, [u8; 32]>,
-    places: BTreeMap<u64, Place>,
+    places: BTreeMap<u64, LogPosition>,
     bodies: BTreeMap<u64, Vec<u8>>,
 }
 
@@ -58,7 +58,7 @@
 }
 
 /// Reads a state in one format; none if it is in another one.
-pub fn read_as(format: Format, state: &[u8]) -> Option<ConfigHistory> {
+pub fn decode_as(format: Format, state: &[u8]) -> Option<ConfigHistory> {
     match format {
         Format::Tagged => bitcode::decode(state.strip_prefix(TAG)?).ok(),
         Format::WithFloors => bitcode::decode(state).ok(),
@@ -74,12 +74,12 @@
 }
 
 /// The formats whose reader takes a state: one at most.
-pub fn formats_of(state: &[u8]) -> Vec<Format> {
-    FORMATS.into_iter().filter(|format| read_as(*format, state).is_some()).collect()
+pub fn matching_formats(state: &[u8]) -> Vec<Format> {
+    FORMATS.into_iter().filter(|format| decode_as(*format, state).is_some()).collect()
 }
 
 pub(super) fn read(state: &[u8]) -> Result<ConfigHistory, UnknownFormat> {
-    let read = FORMATS.into_iter().find_map(|format| read_as(format, state));
+    let read = FORMATS.into_iter().find_map(|format| decode_as(format, state));
     read.ok_or(UnknownFormat { length: state.len() })
 }
 
--- a/crates/control-plane/src/contact.rs
+++ b/crates/control-plane/src/contact.rs
@@ -71,14 +71,14 @@
 
 impl ContactMessage {
     /// The message as bytes.
-    pub(crate) fn encoded(&self) -> Vec<u8> {
+    pub(crate) fn encode(&self) -> Vec<u8> {
         let mut bytes = MARK.to_vec();
         bytes.extend_from_slice(&bitcode::encode(self));
         bytes
     }
 
     /// Reads such a message; none for others.
-    pub(crate) fn read(bytes: &[u8]) -> Option<Self> {
+    pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
         bitcode::decode(bytes.strip_prefix(MARK)?).ok()
     }
 }
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -15,13 +15,13 @@
 use crate::backend_batch::BackendBatch;
 use crate::call::{Call, Reply};
 use crate::command::Command;
-use crate::config_history::{Change, ConfigHistory, Marks, Place, Verdict};
+use crate::config_history::{Change, ConfigHistory, LogPosition, QuotaCheckpoint, Verdict};
 use crate::contact::{Confirmation, Contact, ContactMessage};
 use crate::directory::Directory;
 use crate::disk::Disk;
 use crate::faults::Faults;
-use crate::lines::{Connect, ConnectTcp};
-use crate::state::State;
+use crate::lines::{Connector, TcpConnector};
+use crate::state::SnapshotState;
 use crate::tolerance::Tolerance;
 use crate::watch::{Origin, Watch, What as Happened};
 use config::{Config, Detours};
@@ -69,7 +69,7 @@
 const CALLS_WAITING: usize = 256;
 /// After so many changes the log is compacted: each holds a whole configuration.
 const COMPACT_AFTER: f64 = 16.0;
-/// Marks weigh so much of a change then: they are some hundred bytes.
+/// QuotaCheckpoint weigh so much of a change then: they are some hundred bytes.
 const MARKS_WEIGH: f64 = 0.1;
 /// ... or so many bytes of them: the disk is small, and a change of 4 MB takes 8 of the file.
 const COMPACT_BYTES: usize = 4_000_000;
@@ -90,19 +90,19 @@
     /// Where the first other control planes take connections.
     pub seeds: Vec<SocketAddr>,
     /// How often backends beat, in ms.
-    pub beat_interval: u64,
+    pub heartbeat_interval_ms: u64,
     /// The log's times.
     pub timing: Timing,
     /// What may be lost at once.
     pub tolerance: Tolerance,
     /// A voter counts as gone after a silence of so many ms.
-    pub retire_after: u64,
+    pub retire_after_ms: u64,
     /// Draws a second that one holder of counts bears: more, and the leader shares the counts out. 0 for never.
-    pub draws_a_holder: f64,
+    pub max_lease_requests_per_holder: f64,
     /// A number drawn for this life.
     pub seed: u64,
     /// By which ways others are reached.
-    pub ways: Detours,
+    pub detours: Detours,
 }
 
 /// What this process has asked the leader for, to hold counts.
@@ -189,7 +189,7 @@
     contact: Contact,
     /// When what this process tells was of that moment last; its start, while it never was.
     current_at: u64,
-    connect: Rc<dyn Connect>,
+    connect: Rc<dyn Connector>,
     faults: Faults,
     tokens: u64,
     waiting: HashMap<u64, Waiting>,
@@ -202,7 +202,7 @@
     /// What to answer once entries come back, by their index: emptied when this process leads no more.
     accepted: BTreeMap<u64, u64>,
     changes: f64,
-    /// Marks that are on their way through the log, by their token: one entry of them at a time.
+    /// QuotaCheckpoint that are on their way through the log, by their token: one entry of them at a time.
     marking: Option<u64>,
     change_bytes: usize,
     grown: bool,
@@ -233,17 +233,17 @@
         settings: ControlPlaneSettings, log: Option<(Disk, Saved)>, commands: mpsc::Sender<Command>,
         numbers: Rc<dyn Fn() -> u64>,
     ) -> Self {
-        let (mut node, mut disk, mut state) = (None, None, State::default());
+        let (mut node, mut disk, mut state) = (None, None, SnapshotState::default());
         if let Some((opened, saved)) = log {
             // The log tells its entries again, but only those after its snapshot.
             // It was read before, when the disk was opened.
-            let restored = saved.snapshot.as_ref().map(|snapshot| State::restore(&snapshot.state));
+            let restored = saved.snapshot.as_ref().map(|snapshot| SnapshotState::restore(&snapshot.state));
             state = restored.and_then(Result::ok).unwrap_or_default();
             node = Some(Node::start(saved, settings.timing, settings.seed, 0));
             disk = Some(opened);
         }
-        let State { config_history, drains } = state;
-        let mut register = Register::new(settings.beat_interval);
+        let SnapshotState { config_history, drains } = state;
+        let mut register = Register::new(settings.heartbeat_interval_ms);
         register.restore_drains(&drains);
         let mut control_plane = Self {
             began: Instant::now(),
@@ -272,7 +272,7 @@
             told_at: 0,
             contact: Contact::default(),
             current_at: 0,
-            connect: Rc::new(ConnectTcp(settings.ways.clone())),
+            connect: Rc::new(TcpConnector(settings.detours.clone())),
             faults: Faults::default(),
             tokens: 0,
             waiting: HashMap::new(),
@@ -308,7 +308,7 @@
     }
 
     /// Reaches others in another way than by TCP.
-    pub fn with_connect(self, connect: Rc<dyn Connect>) -> Self {
+    pub fn with_connector(self, connect: Rc<dyn Connector>) -> Self {
         Self { connect, ..self }
     }
 
@@ -354,7 +354,7 @@
             Command::Closed { number, error } => self.on_closed(number, &error),
             Command::Saved { ticket } => self.log(Input::Saved { ticket }),
             Command::Seeds(seeds) => self.settings.seeds = seeds,
-            Command::End(ended) => (self.is_ending, self.ended) = (true, Some(ended)),
+            Command::Shutdown(ended) => (self.is_ending, self.ended) = (true, Some(ended)),
         }
     }
 
--- a/crates/control-plane/src/control_plane/contact.rs
+++ b/crates/control-plane/src/control_plane/contact.rs
@@ -85,7 +85,7 @@
             return None;
         }
         let leads = self.node.as_ref().is_some_and(Node::is_leader);
-        if leads || self.faults.trusts_heartbeats || self.faults.tells_no_age {
+        if leads || self.faults.trusts_heartbeats || self.faults.reports_zero_age {
             return Some(0);
         }
         self.contact.newest(now).map(|newest| now.saturating_sub(newest.asked_at))
@@ -171,5 +171,5 @@
 }
 
 fn contact_message(message: &ContactMessage) -> Message {
-    Message::Log { incarnation: 0, message: message.encoded() }
+    Message::Log { incarnation: 0, message: message.encode() }
 }
--- a/crates/control-plane/src/control_plane/departures.rs
+++ b/crates/control-plane/src/control_plane/departures.rs
@@ -115,7 +115,7 @@
     fn recorded_fleet(&self, now: u64) -> u32 {
         match &self.node {
             _ if now >= SETTLED => 0,
-            Some(_) => self.config_history.fleet(),
+            Some(_) => self.config_history.fleet_size(),
             None => self.told.fleet,
         }
     }
--- a/crates/control-plane/src/control_plane/drains.rs
+++ b/crates/control-plane/src/control_plane/drains.rs
@@ -73,13 +73,13 @@
 impl ControlPlane {
     /// A backend says that it drains, or that it has departed.
     pub(super) fn on_leaving(&mut self, id: String, reply: oneshot::Sender<Reply>, now: u64) {
-        if self.faults.acknowledges_drains {
-            return self.answer_leaving(&id, reply, Reply::done(), now);
+        if self.faults.acknowledges_drains_locally {
+            return self.answer_leaving(&id, reply, Reply::ok(), now);
         }
         // Whoever may be cut off sends the backend to another process at once.
         let (.., current) = self.leader(now);
         if !current {
-            let refused = Reply::why(503, "this process may be cut off: ask another one");
+            let refused = Reply::error(503, "this process may be cut off: ask another one");
             return self.answer_leaving(&id, reply, refused, now);
         }
         self.on_order_here(Order::Drain(id), reply, now);
@@ -94,12 +94,12 @@
     /// The leader records a backend, unless it has.
     pub(super) fn on_drain(&mut self, asker: Asker, id: String, now: u64) {
         if self.drain_proposals.queued.len() >= QUEUED {
-            let full = Reply::why(503, "too many backends leave at once: ask again");
+            let full = Reply::error(503, "too many backends leave at once: ask again");
             return self.answer_drain(Leaving { asker, id }, full, now);
         }
         // What is in the table is committed.
         if self.register.drains().contains(&id) {
-            return self.answer_drain(Leaving { asker, id }, Reply::done(), now);
+            return self.answer_drain(Leaving { asker, id }, Reply::ok(), now);
         }
         self.drain_proposals.queued.push(Leaving { asker, id });
         self.propose_drains();
@@ -108,7 +108,7 @@
     fn propose_drains(&mut self) {
         self.tokens += 1;
         if let Some(entry) = self.drain_proposals.next(self.tokens) {
-            self.log(Input::Propose { token: self.tokens, change: entry.encoded() });
+            self.log(Input::Propose { token: self.tokens, change: entry.encode() });
         }
     }
 
@@ -129,7 +129,7 @@
         if let Some(token) = self.accepted.remove(&index) {
             let now = self.now();
             for leaving in self.drain_proposals.decided(token) {
-                self.answer_drain(leaving, Reply::done(), now);
+                self.answer_drain(leaving, Reply::ok(), now);
             }
             self.propose_drains();
         }
@@ -148,7 +148,7 @@
     pub(super) fn give_up_drains(&mut self) {
         let now = self.now();
         for leaving in self.drain_proposals.take_all() {
-            self.answer_drain(leaving, Reply::why(503, "another process leads now: ask again"), now);
+            self.answer_drain(leaving, Reply::error(503, "another process leads now: ask again"), now);
         }
     }
 
--- a/crates/control-plane/src/control_plane/ending.rs
+++ b/crates/control-plane/src/control_plane/ending.rs
@@ -17,7 +17,9 @@
     /// Orders that are in the log are answered first. Deputies hold counts by leases that rest on the leader's, and that
     /// it can't call back: with them the lead is not handed over, so that these have ended when another one leads.
     fn hand_over_lead(&mut self) {
-        if !self.proposed.is_empty() || !self.drain_proposals.is_empty() || self.settings.draws_a_holder > 0.0
+        if !self.proposed.is_empty()
+            || !self.drain_proposals.is_empty()
+            || self.settings.max_lease_requests_per_holder > 0.0
         {
             return;
         }
--- a/crates/control-plane/src/control_plane/entries.rs
+++ b/crates/control-plane/src/control_plane/entries.rs
@@ -42,7 +42,7 @@
                 }
             }
             Output::Committed { entry } => {
-                let at = Place { index: entry.index, epoch: entry.term };
+                let at = LogPosition { index: entry.index, epoch: entry.term };
                 self.on_committed(at, entry.what);
             }
             Output::Install { snapshot } => self.install(&snapshot),
@@ -51,12 +51,12 @@
             }
             Output::Refused { token, .. } => {
                 self.marking.take_if(|marking| *marking == token);
-                let refused = Reply::why(503, "this process does not lead");
+                let refused = Reply::error(503, "this process does not lead");
                 self.drains_undecided(token, &refused);
                 self.answer_proposed(token, refused);
             }
             Output::Unclear { token } => {
-                let unclear = Reply::why(503, "another process leads now: ask again");
+                let unclear = Reply::error(503, "another process leads now: ask again");
                 self.drains_undecided(token, &unclear);
                 self.answer_proposed(token, unclear);
             }
@@ -67,8 +67,8 @@
     /// Takes over the leader's state. If it can't be read, this process takes no part in the log any more, and writes
     /// nothing of it: it would judge changes, and lead, by a state that is behind its log.
     fn install(&mut self, snapshot: &Snapshot) {
-        match State::restore(&snapshot.state) {
-            Ok(State { config_history, drains }) => {
+        match SnapshotState::restore(&snapshot.state) {
+            Ok(SnapshotState { config_history, drains }) => {
                 self.changed |= config_history.version() > self.config_history.version();
                 self.config_history = config_history;
                 (self.changes, self.change_bytes) = (0.0, 0);
@@ -99,7 +99,7 @@
         }
     }
 
-    pub(super) fn on_committed(&mut self, at: Place, what: What) {
+    pub(super) fn on_committed(&mut self, at: LogPosition, what: What) {
         let (now, index) = (self.now(), at.index);
         let change = match what {
             What::Change(change) => change,
@@ -115,28 +115,28 @@
             What::Nothing => return,
         };
         self.change_bytes += change.len();
-        if let Some(marks) = Marks::read(&change) {
+        if let Some(marks) = QuotaCheckpoint::decode(&change) {
             return self.on_marks(index, marks.ok());
         }
-        if let Some(entry) = DrainEntry::read(&change) {
+        if let Some(entry) = DrainEntry::decode(&change) {
             self.on_drain_entry(index, entry.ok());
             return self.written(index, MARKS_WEIGH);
         }
-        let Ok(change) = Change::read(&change) else { return };
+        let Ok(change) = Change::decode(&change) else { return };
         let version = change.version;
         let verdict = self.config_history.apply(at, change);
         self.watch.change(now, version, verdict);
-        self.changed |= verdict == Verdict::Taken;
+        self.changed |= verdict == Verdict::Accepted;
         if let Some(token) = self.accepted.remove(&index) {
             self.answer_proposed(token, reply_to(verdict));
         }
         self.written(index, 1.0);
     }
 
-    /// Marks are decided.
-    fn on_marks(&mut self, index: u64, marks: Option<Marks>) {
+    /// QuotaCheckpoint are decided.
+    fn on_marks(&mut self, index: u64, marks: Option<QuotaCheckpoint>) {
         if let Some(marks) = marks {
-            self.config_history.mark(marks);
+            self.config_history.apply_checkpoint(marks);
         }
         let token = self.accepted.remove(&index);
         if token.is_some() && token == self.marking.take_if(|marking| Some(*marking) == token) {
@@ -150,7 +150,7 @@
         self.changes += weight;
         if self.changes >= COMPACT_AFTER || self.change_bytes >= COMPACT_BYTES {
             (self.changes, self.change_bytes) = (0.0, 0);
-            let state = State::snapshot(&self.config_history, self.drains_for_snapshot());
+            let state = SnapshotState::snapshot(&self.config_history, self.drains_for_snapshot());
             self.log(Input::Compact { index, state });
         }
     }
--- a/crates/control-plane/src/control_plane/links.rs
+++ b/crates/control-plane/src/control_plane/links.rs
@@ -270,7 +270,7 @@
     }
 
     pub(super) fn on_log(&mut self, number: u64, incarnation: u64, message: &[u8]) {
-        if let Some(message) = ContactMessage::read(message) {
+        if let Some(message) = ContactMessage::decode(message) {
             return self.on_contact(number, &message);
         }
         let Some(hello) = self.peers.get(&number).and_then(|p| p.hello.as_ref()) else { return };
--- a/crates/control-plane/src/control_plane/membership.rs
+++ b/crates/control-plane/src/control_plane/membership.rs
@@ -13,9 +13,9 @@
     /// Tells the log when voters are gone for good, and offers it all that could vote and do not: it wants to be asked
     /// until they do.
     pub(super) fn tend_voters(&mut self, now: u64) {
-        let silence = self.settings.retire_after;
+        let silence = self.settings.retire_after_ms;
         let Some(node) = &self.node else { return };
-        let least_voters = self.settings.tolerance.least_voters(&self.zones_of(node.members()));
+        let least_voters = self.settings.tolerance.min_voters(&self.zones_of(node.members()));
         let missing: Vec<_> = if node.is_leader() {
             self.candidates(now).into_iter().filter(|voter| !node.members().contains(voter)).collect()
         } else {
@@ -63,7 +63,7 @@
     }
 
     fn borne(&self, standing: &Standing) -> Losses {
-        let borne = self.settings.tolerance.borne(standing.voters, &self.zones_of(&standing.counted));
+        let borne = self.settings.tolerance.tolerated(standing.voters, &self.zones_of(&standing.counted));
         Losses { machines: borne.machines.min(standing.further_losses), ..borne }
     }
 
--- a/crates/control-plane/src/control_plane/orders.rs
+++ b/crates/control-plane/src/control_plane/orders.rs
@@ -9,7 +9,7 @@
         let now = self.now();
         *self.watch.counted.calls.entry(call.kind()).or_default() += 1;
         match call {
-            Call::Beat(backend) => {
+            Call::Heartbeat(backend) => {
                 let leaving = (backend.phase == Phase::Draining).then(|| backend.id.clone());
                 let judgement = self.register.beat(now, backend);
                 self.on_judgement(judgement);
@@ -26,7 +26,7 @@
             Call::Order(order) => self.on_order_here(order, reply, now),
             Call::Status => drop(reply.send(self.status(now))),
             Call::History => drop(reply.send(self.history(now))),
-            Call::Past(version) => drop(reply.send(self.past(version))),
+            Call::VersionBody(version) => drop(reply.send(self.past(version))),
             Call::Events(about) => drop(reply.send(self.events(now, about.as_deref()))),
             Call::Metrics => drop(reply.send(self.metrics(now))),
         }
@@ -37,9 +37,9 @@
     fn answer_beat(&self, now: u64) -> Reply {
         let (.., current) = self.leader(now);
         if current || now < self.current_at + CUT_OFF {
-            Reply::done()
+            Reply::ok()
         } else {
-            Reply::why(503, "this process is cut off: call another one")
+            Reply::error(503, "this process is cut off: call another one")
         }
     }
 
@@ -55,7 +55,7 @@
         }
         let most = if matches!(order, Order::Drain(_)) { LEAVINGS_WAITING } else { CALLS_WAITING };
         if self.waiting.len() >= most {
-            let _ = reply.send(Reply::why(503, "too many calls wait"));
+            let _ = reply.send(Reply::error(503, "too many calls wait"));
             return;
         }
         self.tokens += 1;
@@ -159,13 +159,13 @@
             if let Some(waiting) = self.waiting.remove(&token) {
                 let why =
                     if waiting.passed.is_some() { "the leader gave no answer" } else { "no leader is known" };
-                self.answer_waiting(waiting, Reply::why(503, why));
+                self.answer_waiting(waiting, Reply::error(503, why));
             }
         }
         let late: Vec<u64> =
             self.proposed.iter().filter(|(_, p)| now > p.since + PASSED).map(|(token, _)| *token).collect();
         for token in late {
-            self.answer_proposed(token, Reply::why(503, "no majority has it on disk yet"));
+            self.answer_proposed(token, Reply::error(503, "no majority has it on disk yet"));
         }
     }
 
@@ -201,13 +201,13 @@
             .as_ref()
             .is_some_and(|node| node.is_leader() && (node.holds_lease(now) || self.faults.ignores_lease));
         if !leads {
-            return self.answer(asker, Reply::why(503, "this process does not lead"));
+            return self.answer(asker, Reply::error(503, "this process does not lead"));
         }
         match order {
             Order::Read => {
                 let reply = match self.config_history.body() {
                     Some(body) => Reply { status: 200, body: body.to_vec() },
-                    None => Reply::why(404, "no configuration was taken yet"),
+                    None => Reply::error(404, "no configuration was taken yet"),
                 };
                 self.answer(asker, reply);
             }
@@ -238,7 +238,7 @@
         self.proposed.insert(token, Proposed { asker, since: now });
         self.log(Input::Propose { token, change: bitcode::encode(change) });
         if self.faults.acknowledges_early {
-            self.answer_proposed(token, Reply::done());
+            self.answer_proposed(token, Reply::ok());
         }
     }
 
@@ -246,15 +246,15 @@
     /// caller repeats the call until it is told so: 202 is "under way", 404 "nobody of that address votes". Whoever holds
     /// the lease hears a majority of the list; one that it does not hear leaves a shorter list with the same voters heard.
     fn remove(&mut self, address: &str, now: u64) -> Reply {
-        let Some(node) = &self.node else { return Reply::why(503, "this process does not lead") };
-        let under_way = Reply::why(202, "under way: ask again");
+        let Some(node) = &self.node else { return Reply::error(503, "this process does not lead") };
+        let under_way = Reply::error(202, "under way: ask again");
         let Some(voter) = node.members().iter().find(|voter| voter.address == address).cloned() else {
             let voters: Vec<_> = node.members().iter().map(|voter| voter.address.as_str()).collect();
             let why = format!("{address} is no voter; the voters are {}", voters.join(", "));
-            return if node.voters_settled() { Reply::why(404, &why) } else { under_way };
+            return if node.voters_settled() { Reply::error(404, &why) } else { under_way };
         };
         if voter == *node.me() {
-            return Reply::why(
+            return Reply::error(
                 409,
                 &format!("{address} leads: end its process first, then another one does"),
             );
@@ -264,7 +264,7 @@
             return under_way;
         }
         if node.hears(&voter, now) {
-            return Reply::why(409, &format!("{address} lives: end its process first"));
+            return Reply::error(409, &format!("{address} lives: end its process first"));
         }
         self.log(Input::RemoveVoter(voter));
         under_way
--- a/crates/control-plane/src/control_plane/quota_service.rs
+++ b/crates/control-plane/src/control_plane/quota_service.rs
@@ -23,14 +23,14 @@
             self.offer(now);
         } else if holds && self.placer.as_ref().is_none_or(|p| p.assignment().epoch.term != term) {
             let first = term <= 1 && self.config_history.version() == 0;
-            let bears = self.settings.draws_a_holder;
+            let bears = self.settings.max_lease_requests_per_holder;
             let bears = if bears > 0.0 { bears } else { f64::INFINITY };
             let placer = Placer::new(&self.settings.address.to_string(), term, now as f64, bears);
             self.assignment = placer.assignment().clone();
             self.placer = Some(placer);
             self.resize_fleet(now);
             // Deputies' counts have no floors.
-            if self.settings.draws_a_holder <= 0.0 {
+            if self.settings.max_lease_requests_per_holder <= 0.0 {
                 self.quota_service.floors(self.config_history.floors().clone());
             }
             self.quota_service.assume(now as f64, &self.assignment, first);
@@ -63,9 +63,9 @@
         if self.placer.is_none() || self.marking.is_some() {
             return;
         }
-        let alone = self.settings.draws_a_holder <= 0.0;
+        let alone = self.settings.max_lease_requests_per_holder <= 0.0;
         let floors = if alone { self.quota_service.floors_wanted(now as f64) } else { Vec::new() };
-        let (fleet, said) = (self.fleet_to_record(now), self.config_history.fleet());
+        let (fleet, said) = (self.fleet_to_record(now), self.config_history.fleet_size());
         // A few more or less change nobody's part by much.
         let other = now >= YOUNG && fleet > 0 && fleet.abs_diff(said) * FLEET_MOVES > said;
         if floors.is_empty() && !other {
@@ -74,7 +74,7 @@
         self.tokens += 1;
         self.marking = Some(self.tokens);
         let fleet = if other { fleet } else { said };
-        let change = Marks { floors, fleet }.entry();
+        let change = QuotaCheckpoint { floors, fleet }.to_entry();
         self.log(Input::Propose { token: self.tokens, change });
     }
 
@@ -108,7 +108,7 @@
 
     /// A voter asks the leader for its lease, or offers itself.
     fn offer(&mut self, now: u64) {
-        if self.settings.draws_a_holder <= 0.0 || now < self.offers.next {
+        if self.settings.max_lease_requests_per_holder <= 0.0 || now < self.offers.next {
             return;
         }
         let (Some(leader), ..) = self.leader(now) else { return };
--- a/crates/control-plane/src/control_plane/status.rs
+++ b/crates/control-plane/src/control_plane/status.rs
@@ -91,7 +91,7 @@
     pub(super) fn past(&self, version: u64) -> Reply {
         match self.config_history.body_of(version) {
             Some(body) => Reply { status: 200, body: body.to_vec() },
-            None => Reply::why(404, &format!("r{version} is not kept here")),
+            None => Reply::error(404, &format!("r{version} is not kept here")),
         }
     }
 
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -61,7 +61,7 @@
                 digest: [0; 32],
                 body: config_snapshot.body,
             };
-            let verdict = self.config_history.apply(Place::default(), change);
+            let verdict = self.config_history.apply(LogPosition::default(), change);
             let now = self.now();
             self.watch.change(now, config_snapshot.version, verdict);
             self.renewed();
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -1,7 +1,7 @@
 //! The disk of a voter: its file, and the thread that writes to it.
 
 use crate::command::Command;
-use crate::state::State;
+use crate::state::SnapshotState;
 use miette::Diagnostic;
 use raft::store::Store;
 use raft::{Save, Saved, Told, VoterId, Writer};
@@ -62,7 +62,7 @@
         };
         // Whoever went on without its snapshot's state would decide on changes by another one than the others.
         if let Some(Err(error)) =
-            saved.as_ref().and_then(|saved| saved.snapshot.as_ref()).map(|s| State::restore(&s.state))
+            saved.as_ref().and_then(|saved| saved.snapshot.as_ref()).map(|s| SnapshotState::restore(&s.state))
         {
             let why = format!(
                 "its state is of no version known here ({error}): start the version that wrote it, or empty the folder"
@@ -95,11 +95,11 @@
         };
         let writer = Writer::start(store, saved.me.clone(), told)
             .map_err(|e| unusable("start the thread for", &path, e.to_string()))?;
-        Ok((Self::over(move |save| writer.save(save)), saved))
+        Ok((Self::from_fn(move |save| writer.save(save)), saved))
     }
 
     /// A disk that is written by this; it does not wait.
-    pub fn over(save: impl Fn(Save) + 'static) -> Self {
+    pub fn from_fn(save: impl Fn(Save) + 'static) -> Self {
         Self(Box::new(save))
     }
 
--- a/crates/control-plane/src/drain_entry.rs
+++ b/crates/control-plane/src/drain_entry.rs
@@ -14,14 +14,14 @@
 
 impl DrainEntry {
     /// The entry as bytes.
-    pub fn encoded(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let mut entry = TAG.to_vec();
         entry.extend_from_slice(&bitcode::encode(self));
         entry
     }
 
     /// Reads such an entry; none for others.
-    pub fn read(entry: &[u8]) -> Option<Result<Self, bitcode::Error>> {
+    pub fn decode(entry: &[u8]) -> Option<Result<Self, bitcode::Error>> {
         entry.strip_prefix(TAG).map(bitcode::decode)
     }
 }
--- a/crates/control-plane/src/faults.rs
+++ b/crates/control-plane/src/faults.rs
@@ -10,7 +10,7 @@
     /// Whoever hears a leader, or news of one, takes what it has for being of this moment.
     pub trusts_heartbeats: bool,
     /// A process that is cut off acknowledges that backends drain.
-    pub acknowledges_drains: bool,
+    pub acknowledges_drains_locally: bool,
     /// Data planes are told that the leader's answer is of this moment, however old it is.
-    pub tells_no_age: bool,
+    pub reports_zero_age: bool,
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -25,14 +25,14 @@
 
 pub use admission::{Decision, decide, reply_to};
 pub use call::{Call, Reply};
-pub use calls::{CALLS, Declared, serve};
+pub use calls::{ENDPOINTS, Endpoint, serve};
 pub use command::Command;
-pub use config_history::{Change, ConfigHistory, Marks, Place, Verdict, snapshot_format};
+pub use config_history::{Change, ConfigHistory, LogPosition, QuotaCheckpoint, Verdict, snapshot_format};
 pub use control_plane::{ControlPlane, ControlPlaneSettings};
 pub use disk::{Disk, DiskError};
 pub use drain_entry::DrainEntry;
 #[doc(hidden)]
 pub use faults::Faults;
-pub use lines::{Connect, ConnectTcp, listen};
-pub use state::State;
+pub use lines::{Connector, TcpConnector, listen};
+pub use state::SnapshotState;
 pub use tolerance::{Losses, Tolerance};
--- a/crates/control-plane/src/lines.rs
+++ b/crates/control-plane/src/lines.rs
@@ -14,7 +14,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// How a process comes to connections with others.
-pub trait Connect {
+pub trait Connector {
     /// Connects to a process. The owner hears of it under this number: that it stands, what comes on it, and its end;
     /// or its end alone.
     fn connect(&self, number: u64, to: SocketAddr, commands: mpsc::Sender<Command>);
@@ -22,9 +22,9 @@
 
 /// Connections over TCP, by the ways that lead to others.
 #[derive(Clone, Debug, Default)]
-pub struct ConnectTcp(pub Detours);
+pub struct TcpConnector(pub Detours);
 
-impl Connect for ConnectTcp {
+impl Connector for TcpConnector {
     fn connect(&self, number: u64, to: SocketAddr, commands: mpsc::Sender<Command>) {
         let ways = self.0.clone();
         transport::spawn(async move {
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -14,7 +14,7 @@
 
 /// What a snapshot holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct State {
+pub struct SnapshotState {
     /// The configurations.
     pub config_history: ConfigHistory,
     /// The records of backends that leave.
@@ -28,7 +28,7 @@
     drains: DrainRun,
 }
 
-impl State {
+impl SnapshotState {
     /// Reads a snapshot's state, also one of a version before this one.
     ///
     /// # Errors
--- a/crates/control-plane/src/tolerance.rs
+++ b/crates/control-plane/src/tolerance.rs
@@ -28,7 +28,7 @@
 
 impl Tolerance {
     /// The shortest list that a leader may come to by taking silent voters off, if its voters stand in these zones.
-    pub fn least_voters(&self, zones: &[&str]) -> usize {
+    pub fn min_voters(&self, zones: &[&str]) -> usize {
         let machines = self.losses.machines;
         let in_zones: usize = largest(zones, self.losses.zones).into_iter().sum();
         let in_regions: usize = largest(&self.regions(zones), self.losses.regions).into_iter().sum();
@@ -37,7 +37,7 @@
 
     /// What a list of so many voters bears, if those that count stand in these zones: any so many machines, zones or
     /// regions may be lost, and a majority is left.
-    pub fn borne(&self, voters: usize, counted: &[&str]) -> Losses {
+    pub fn tolerated(&self, voters: usize, counted: &[&str]) -> Losses {
         let spare = counted.len().saturating_sub(majority_of(voters));
         Losses {
             machines: spare,
--- a/crates/control-plane/src/watch.rs
+++ b/crates/control-plane/src/watch.rs
@@ -118,18 +118,18 @@
             Self::Leader(None) => write!(f, "no leader is known here"),
             Self::QuotaService(true) => write!(f, "this process holds the counts"),
             Self::QuotaService(false) => write!(f, "this process holds the counts no more"),
-            Self::Change(Verdict::Taken) => write!(f, "taken: in force from here on"),
-            Self::Change(Verdict::TakenBefore) => write!(f, "the same had been taken before"),
+            Self::Change(Verdict::Accepted) => write!(f, "taken: in force from here on"),
+            Self::Change(Verdict::AlreadyAccepted) => write!(f, "the same had been taken before"),
             Self::Change(Verdict::Stale { current }) => {
                 write!(f, "refused: it builds on another version than r{current}, which is in place")
             }
-            Self::Change(Verdict::NotAbove { current }) => {
+            Self::Change(Verdict::VersionNotHigher { current }) => {
                 write!(f, "refused: its number is not above r{current}, which is in place")
             }
-            Self::Change(Verdict::Ahead { base, current }) => {
+            Self::Change(Verdict::BaseAhead { base, current }) => {
                 write!(f, "not decided: it builds on r{base}, which is not in place but r{current}")
             }
-            Self::Change(Verdict::Forgotten { oldest }) => {
+            Self::Change(Verdict::DigestEvicted { oldest }) => {
                 write!(f, "not decided: versions before r{oldest} are not remembered")
             }
             Self::Unread(why) => write!(f, "refused: {why}"),
@@ -251,12 +251,12 @@
     /// A change was decided on.
     pub fn change(&mut self, at: u64, version: u64, verdict: Verdict) {
         let outcome = match verdict {
-            Verdict::Taken => "taken",
-            Verdict::TakenBefore => "taken_before",
+            Verdict::Accepted => "taken",
+            Verdict::AlreadyAccepted => "taken_before",
             Verdict::Stale { .. } => "stale",
-            Verdict::NotAbove { .. } => "not_above",
-            Verdict::Ahead { .. } => "ahead",
-            Verdict::Forgotten { .. } => "forgotten",
+            Verdict::VersionNotHigher { .. } => "not_above",
+            Verdict::BaseAhead { .. } => "ahead",
+            Verdict::DigestEvicted { .. } => "forgotten",
         };
         *self.counted.changes.entry(outcome).or_default() += 1;
         self.note(at, format!("r{version}"), What::Change(verdict));
--- a/crates/control-plane/tests/bytes.rs
+++ b/crates/control-plane/tests/bytes.rs
@@ -2,7 +2,7 @@
 //! few words, and what is taken for right is read the same again.
 
 use config::{Config, Settings};
-use control_plane::{CALLS, Call, Change, ConfigHistory, Place};
+use control_plane::{Call, Change, ConfigHistory, ENDPOINTS, LogPosition};
 use fault_injection::mutate::Mutator;
 use hyper::header::{HeaderMap, HeaderValue};
 use protocol::{Backend, ConfigDelta, Heartbeat, Held, Hello, Message, Phase, Plane, frame, unframe};
@@ -60,10 +60,11 @@
 
 #[test]
 fn beats() {
-    let heartbeat = CALLS.iter().find(|call| call.path == "/Backends.Heartbeat/").expect("it is declared");
+    let heartbeat =
+        ENDPOINTS.iter().find(|call| call.path == "/Backends.Heartbeat/").expect("it is declared");
     feed(3, corpus(&["beat.json", "beat-draining.json"]), |bytes| {
-        match (heartbeat.read)("i-1", &HeaderMap::new(), bytes) {
-            Ok(Call::Beat(backend)) => {
+        match (heartbeat.parse)("i-1", &HeaderMap::new(), bytes) {
+            Ok(Call::Heartbeat(backend)) => {
                 assert!(backend.capacity > 0 && backend.address.parse::<std::net::SocketAddr>().is_ok());
                 assert!(backend.warmup_left_ms <= 600_000);
                 true
@@ -83,8 +84,8 @@
         if let Ok(value) = HeaderValue::from_bytes(&base) {
             headers.insert("x-base-version", value);
         }
-        for call in &CALLS {
-            let _ = (call.read)(&String::from_utf8_lossy(&id), &headers, &body);
+        for call in &ENDPOINTS {
+            let _ = (call.parse)(&String::from_utf8_lossy(&id), &headers, &body);
         }
     }
 }
@@ -145,16 +146,16 @@
 fn records_of_the_disk() {
     let change = |base, version| Change { base, version, digest: [7; 32], body: b"{\"a\":1}".to_vec() };
     let changes = [change(0, 1), change(1, u64::MAX)];
-    feed(6, changes.iter().map(bitcode::encode).collect(), |bytes| Change::read(bytes).is_ok());
+    feed(6, changes.iter().map(bitcode::encode).collect(), |bytes| Change::decode(bytes).is_ok());
     let mut config_history = ConfigHistory::default();
     for version in 1..=9 {
-        config_history.apply(Place::default(), change(version - 1, version));
+        config_history.apply(LogPosition::default(), change(version - 1, version));
     }
     feed(7, vec![bitcode::encode(&config_history)], |bytes| match ConfigHistory::restore(bytes) {
         Ok(mut config_history) => {
             // What was restored can be used, whatever it is.
             config_history.apply(
-                Place::default(),
+                LogPosition::default(),
                 change(config_history.version(), config_history.version().saturating_add(1)),
             );
             let _ = (config_history.body(), config_history.history().count());
--- a/crates/control-plane/tests/calls.rs
+++ b/crates/control-plane/tests/calls.rs
@@ -1,6 +1,6 @@
 //! Orders as they come on the socket: the header that names their base, and how long they may be.
 
-use control_plane::{CALLS, Call, Change, Command, Declared, Reply, serve};
+use control_plane::{Call, Change, Command, ENDPOINTS, Endpoint, Reply, serve};
 use hyper::header::{HeaderMap, HeaderValue};
 use protocol::Order;
 use std::net::SocketAddr;
@@ -10,8 +10,8 @@
 use tokio::sync::mpsc;
 use yare::parameterized;
 
-fn replace() -> &'static Declared {
-    CALLS.iter().find(|call| call.path == "/Config.Replace").expect("it is declared")
+fn replace() -> &'static Endpoint {
+    ENDPOINTS.iter().find(|call| call.path == "/Config.Replace").expect("it is declared")
 }
 
 #[parameterized(
@@ -35,7 +35,7 @@
         let latin: Vec<u8> = value.chars().map(|letter| letter as u8).collect();
         headers.append("x-base-version", HeaderValue::from_bytes(&latin).expect("a value"));
     }
-    let read = match (replace().read)("", &headers, b"{}") {
+    let read = match (replace().parse)("", &headers, b"{}") {
         Ok(Call::Order(Order::Replace { base, .. })) => Ok(base),
         Ok(other) => panic!("{other:?}"),
         Err(reply) => Err(reply.status),
@@ -46,7 +46,7 @@
 #[test]
 fn the_longest_order_fits_into_the_log() {
     // Bytes that are all alike would be written shorter.
-    let body = (0..replace().longest).map(|at| at as u8).collect();
+    let body = (0..replace().max_body_bytes).map(|at| at as u8).collect();
     let change = Change { base: u64::MAX - 1, version: u64::MAX, digest: [7; 32], body };
     let bytes = bitcode::encode(&change).len();
     assert!(bytes <= raft::LARGEST_CHANGE, "{bytes} bytes");
@@ -66,7 +66,7 @@
             let Command::Call { reply, .. } = command else { continue };
             // Whoever owns the tables has other things to do before.
             tokio::task::yield_now().await;
-            drop(reply.send(Reply::done()));
+            drop(reply.send(Reply::ok()));
         }
     });
     address
@@ -102,7 +102,7 @@
 /// Three orders of the longest kind are on their way; another one is asked to come again, and is taken when it does.
 async fn four_large_orders() {
     let address = acknowledging_process(8).await;
-    let longest = replace().longest;
+    let longest = replace().max_body_bytes;
     let mut under_way = Vec::new();
     for _ in 0..3 {
         under_way.push(begin_upload(address, longest).await);
@@ -149,9 +149,10 @@
 
 #[test]
 fn ids_of_backends_are_bounded() {
-    let departure = CALLS.iter().find(|call| call.path == "/Backends.Departure/").expect("it is declared");
+    let departure =
+        ENDPOINTS.iter().find(|call| call.path == "/Backends.Departure/").expect("it is declared");
     let status = |length: usize| {
-        let read = (departure.read)(&"i".repeat(length), &HeaderMap::new(), b"");
+        let read = (departure.parse)(&"i".repeat(length), &HeaderMap::new(), b"");
         read.map_err(|reply| reply.status).map(|call| matches!(call, Call::Departure(_)))
     };
     assert_eq!((status(256), status(257)), (Ok(true), Err(400)));
--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/contact.rs
@@ -195,7 +195,7 @@
                 call_count: number,
                 overdue: false,
             };
-            let reply = self.simulation.call(process, Call::Beat(leaving), READ_WITHIN).await;
+            let reply = self.simulation.call(process, Call::Heartbeat(leaving), READ_WITHIN).await;
             if reply.is_some_and(|reply| reply.status == 200) {
                 let mut seen = self.seen.borrow_mut();
                 seen.clear_answer(process, "leave to end");
@@ -437,7 +437,7 @@
 
 #[test]
 fn leave_to_end_from_a_process_that_is_cut_off_is_found() {
-    let faults = Faults { acknowledges_drains: true, ..Faults::default() };
+    let faults = Faults { acknowledges_drains_locally: true, ..Faults::default() };
     is_found(faults, Trouble::CutBoth, Victims::WithoutLog, "leave to end by process");
 }
 
--- a/crates/control-plane/tests/drains.rs
+++ b/crates/control-plane/tests/drains.rs
@@ -135,7 +135,7 @@
         for (process, call_count) in processes.into_iter().zip(100..) {
             let call = match departs {
                 true => Call::Departure(id.into()),
-                false => Call::Beat(backend(id, Phase::Draining, call_count)),
+                false => Call::Heartbeat(backend(id, Phase::Draining, call_count)),
             };
             if self.call(process, call).await {
                 self.acknowledged.borrow_mut().entry(id.into()).or_insert_with(Instant::now);
@@ -207,7 +207,7 @@
 fn a_leaving_that_others_know_by_hearsay_is_told_to_all_before_it_is_acknowledged() {
     for departs in [false, true] {
         let wrong = run(1, |world| async move {
-            assert!(world.call(VOTERS, Call::Beat(backend("b", Phase::Serving, 1))).await);
+            assert!(world.call(VOTERS, Call::Heartbeat(backend("b", Phase::Serving, 1))).await);
             sleep(SETTLED).await;
             let victim = (world.leader().await + 1) % VOTERS;
             world.cut_from(victim, 0..VOTERS, true);
@@ -226,7 +226,7 @@
 fn a_leaving_is_known_to_others_before_the_process_that_acknowledges_it_is_lost() {
     for (seed, departs) in [(2, false), (3, true)] {
         let wrong = run(seed, |world| async move {
-            assert!(world.call(VOTERS, Call::Beat(backend("b", Phase::Serving, 1))).await);
+            assert!(world.call(VOTERS, Call::Heartbeat(backend("b", Phase::Serving, 1))).await);
             sleep(SETTLED).await;
             let by = world.leave("b", departs, [VOTERS]).await;
             assert_eq!(by, Some(VOTERS), "who acknowledges");
@@ -253,7 +253,7 @@
         }
         let id = format!("b-{round}");
         let born_at = draw(size) as usize;
-        world.call(born_at, Call::Beat(backend(&id, Phase::Serving, 1))).await;
+        world.call(born_at, Call::Heartbeat(backend(&id, Phase::Serving, 1))).await;
         // Some depart before anybody else has heard of them.
         sleep(Duration::from_millis([0, 40, 1500][draw(3) as usize])).await;
         let departs = draw(2) == 0;
@@ -269,7 +269,7 @@
     }
     sleep(SETTLED).await;
     let at = draw(size) as usize;
-    world.call(at, Call::Beat(backend("last", Phase::Serving, 1))).await;
+    world.call(at, Call::Heartbeat(backend("last", Phase::Serving, 1))).await;
     assert!(world.leave("last", false, [at]).await.is_some(), "seed {seed}: not acknowledged in calm times");
 }
 
@@ -281,7 +281,7 @@
     let wrong = run(4, |world| async move {
         for process in 0..VOTERS + OTHERS {
             let id = format!("b-{process}");
-            world.call(process, Call::Beat(backend(&id, Phase::Serving, 1))).await;
+            world.call(process, Call::Heartbeat(backend(&id, Phase::Serving, 1))).await;
             sleep(Duration::from_millis(70)).await;
             for repeated in [false, true] {
                 let asked = Instant::now();
@@ -295,7 +295,7 @@
 
 /// Another process was cut off just before: nobody waits for it.
 async fn cut_off_story(world: Rc<World>, victim: usize) {
-    assert!(world.call(VOTERS, Call::Beat(backend("b", Phase::Serving, 1))).await);
+    assert!(world.call(VOTERS, Call::Heartbeat(backend("b", Phase::Serving, 1))).await);
     sleep(SETTLED).await;
     world.cut_from(victim, 0..VOTERS + OTHERS, true);
     let asked = Instant::now();
@@ -314,7 +314,7 @@
         };
         let wrong = run(5, story);
         assert!(wrong.is_empty(), "voter: {is_voter}: {wrong:#?}");
-        let faults = Faults { tells_no_age: true, ..Faults::default() };
+        let faults = Faults { reports_zero_age: true, ..Faults::default() };
         assert!(!run_with(faults, 5, story).is_empty(), "voter: {is_voter}: the planted fault is not found");
     }
 }
@@ -327,7 +327,7 @@
 fn after_an_election_a_leaving_is_acknowledged_within_a_second_and_a_half_of_the_cut() {
     for seed in 6..12 {
         let wrong = run(seed, |world| async move {
-            assert!(world.call(VOTERS, Call::Beat(backend("b", Phase::Serving, 1))).await);
+            assert!(world.call(VOTERS, Call::Heartbeat(backend("b", Phase::Serving, 1))).await);
             sleep(SETTLED).await;
             world.cut_from(world.leader().await, 0..VOTERS + OTHERS, true);
             let cut = Instant::now();
--- a/crates/control-plane/tests/forwarded.rs
+++ b/crates/control-plane/tests/forwarded.rs
@@ -36,13 +36,13 @@
         me: hello("m1", addresses.0),
         address: addresses.0,
         seeds: vec![leader],
-        beat_interval: 500,
+        heartbeat_interval_ms: 500,
         timing: Timing { heartbeat: 40, election: 300, lease: 200 },
         tolerance: Tolerance::default(),
-        retire_after: 2000,
-        draws_a_holder: 0.0,
+        retire_after_ms: 2000,
+        max_lease_requests_per_holder: 0.0,
         seed: 5,
-        ways: config::Detours::default(),
+        detours: config::Detours::default(),
     };
     let (commands, queue) = mpsc::channel(64);
     let numbers = Rc::new(Cell::new(0));
--- a/crates/control-plane/tests/heartbeats.rs
+++ b/crates/control-plane/tests/heartbeats.rs
@@ -24,7 +24,7 @@
 const STEP: Duration = Duration::from_millis(100);
 
 fn heartbeat(id: &str, capacity: u32, call_count: u64) -> Call {
-    Call::Beat(Backend {
+    Call::Heartbeat(Backend {
         service: "s".into(),
         // Each at an address of its own, or the next one at it would end the one before.
         address: format!(
@@ -167,7 +167,7 @@
         let hears = told(&simulation, 0, Duration::from_millis(10)).await;
         let leaving = Backend { call_count: 2, ..Backend::leaving("old".into()) };
         let leaving = Backend { address: "10.1.0.1:80".into(), service: "s".into(), ..leaving };
-        let _ = simulation.call(0, Call::Beat(leaving), Duration::from_millis(1)).await;
+        let _ = simulation.call(0, Call::Heartbeat(leaving), Duration::from_millis(1)).await;
         assert!(hears.await.leaving.contains("old"));
     });
 }
--- a/crates/control-plane/tests/orders/drawn.rs
+++ b/crates/control-plane/tests/orders/drawn.rs
@@ -7,7 +7,7 @@
 
 use crate::linearizability::{Answer, ConfigRegister, History, Order as Operation, check};
 use crate::orders::{Order, Promises};
-use control_plane::{Change, ConfigHistory, Decision, Place, Verdict, reply_to};
+use control_plane::{Change, ConfigHistory, Decision, LogPosition, Verdict, reply_to};
 use nodes::World;
 use raft::{Faults, Input, What};
 use std::collections::BTreeSet;
@@ -76,7 +76,7 @@
         for version in 1..=before {
             let digest = [0; 32];
             config_history
-                .apply(Place::default(), Change { base: version - 1, version, digest, body: vec![0] });
+                .apply(LogPosition::default(), Change { base: version - 1, version, digest, body: vec![0] });
             promises.taken.push(Order::new(version - 1, version, 0));
         }
         Self {
@@ -112,7 +112,7 @@
             let mut state = self.states.last().expect("the first").clone();
             let mut verdict = None;
             if let What::Change(bytes) = &entry.what
-                && let Ok(change) = Change::read(bytes)
+                && let Ok(change) = Change::decode(bytes)
             {
                 let (base, version) = (change.base, change.version);
                 let known = |order: &&Order| {
@@ -120,9 +120,9 @@
                 };
                 let order = self.orders.iter().find(known).copied();
                 let mut config_history = ConfigHistory::clone(&state);
-                let at = Place { index: entry.index, epoch: entry.term };
+                let at = LogPosition { index: entry.index, epoch: entry.term };
                 let outcome = config_history.apply(at, change.clone());
-                if outcome == Verdict::Taken {
+                if outcome == Verdict::Accepted {
                     self.promises.taken.extend(order);
                 }
                 verdict = Some(outcome);
@@ -194,7 +194,8 @@
         match self.orders[number].decide(state) {
             Decision::Propose(change) if leads => self.propose(at, sent, &change),
             Decision::Decided { verdict, .. } => {
-                let planted = self.plant == Plant::AheadRefused && matches!(verdict, Verdict::Ahead { .. });
+                let planted =
+                    self.plant == Plant::AheadRefused && matches!(verdict, Verdict::BaseAhead { .. });
                 let verdict = if planted { Verdict::Stale { current: 0 } } else { verdict };
                 self.reply(sent, verdict);
                 Ok(())
@@ -209,7 +210,7 @@
         for (host, index, term) in std::mem::take(&mut self.world.accepted) {
             self.accepted.push(Accepted { host, index, term, sent });
             if self.plant == Plant::AnswerBeforeCommit {
-                self.reply(sent, Verdict::Taken);
+                self.reply(sent, Verdict::Accepted);
             }
         }
         Ok(())
--- a/crates/control-plane/tests/orders/main.rs
+++ b/crates/control-plane/tests/orders/main.rs
@@ -13,7 +13,7 @@
 mod world;
 
 use config::Config;
-use control_plane::{Change, ConfigHistory, Place, decide};
+use control_plane::{Change, ConfigHistory, LogPosition, decide};
 use orders::Order;
 use search::search;
 use world::{Budget, Plant, World};
@@ -73,7 +73,7 @@
     let mut config_history = ConfigHistory::default();
     assert_eq!(decide(&config_history, 0, body.clone()).reply().map(|reply| reply.status), Some(400));
     config_history
-        .apply(Place::default(), Change { base: 0, version: version.0, digest, body: body.clone() });
+        .apply(LogPosition::default(), Change { base: 0, version: version.0, digest, body: body.clone() });
     assert_eq!(decide(&config_history, 0, body).reply().map(|reply| reply.status), Some(200));
     let other = br#"{"generation":"r2","route_table":{},"x":1}"#.to_vec();
     assert_eq!(decide(&config_history, 0, other).reply().map(|reply| reply.status), Some(400));
--- a/crates/control-plane/tests/orders/orders.rs
+++ b/crates/control-plane/tests/orders/orders.rs
@@ -96,11 +96,11 @@
     pub fn check_leader(&self, config_history: &ConfigHistory, orders: &[Order]) -> Result<(), String> {
         let current = config_history.version();
         for order in orders {
-            let verdict = config_history.judge(order.base, order.version, &order.digest());
+            let verdict = config_history.evaluate(order.base, order.version, &order.digest());
             let proper = order.base == current && order.version > current;
             let right = match self.taken.contains(order) {
-                true => verdict == Verdict::TakenBefore,
-                false => !proper || verdict == Verdict::Taken,
+                true => verdict == Verdict::AlreadyAccepted,
+                false => !proper || verdict == Verdict::Accepted,
             };
             if !right {
                 return Err(format!("{order:?} on top of r{current} is found {verdict:?}"));
--- a/crates/control-plane/tests/orders/world.rs
+++ b/crates/control-plane/tests/orders/world.rs
@@ -5,7 +5,7 @@
 
 use super::search::Reach;
 use crate::orders::{Order, Promises};
-use control_plane::{Change, ConfigHistory, Decision, Place, Reply, Verdict, decide, reply_to};
+use control_plane::{Change, ConfigHistory, Decision, LogPosition, Reply, Verdict, decide, reply_to};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
 
@@ -164,7 +164,7 @@
         }
         leader.in_flight.push(number);
         if self.plant == Plant::AnswerBeforeCommit {
-            self.promises.answered(order, &Reply::done());
+            self.promises.answered(order, &Reply::ok());
         }
     }
 
@@ -185,22 +185,22 @@
     }
 
     fn planted_reply(&self, decision: &Decision, reply: Reply) -> Reply {
-        let ahead = matches!(decision, Decision::Decided { verdict: Verdict::Ahead { .. }, .. });
-        if ahead && self.plant == Plant::AheadRefused { Reply::why(412, "planted") } else { reply }
+        let ahead = matches!(decision, Decision::Decided { verdict: Verdict::BaseAhead { .. }, .. });
+        if ahead && self.plant == Plant::AheadRefused { Reply::error(412, "planted") } else { reply }
     }
 
     fn apply(&self, config_history: &mut ConfigHistory, number: usize) -> Verdict {
         let order = self.orders[number];
         let base = if self.plant == Plant::AnyBase { config_history.version() } else { order.base };
         let change = Change { base, version: order.version, digest: order.digest(), body: order.body() };
-        config_history.apply(Place::default(), change)
+        config_history.apply(LogPosition::default(), change)
     }
 
     fn commit(&mut self, number: usize) -> Verdict {
         let mut config_history = std::mem::take(&mut self.leader.config_history);
         let verdict = self.apply(&mut config_history, number);
         self.leader.config_history = config_history;
-        if verdict == Verdict::Taken {
+        if verdict == Verdict::Accepted {
             self.promises.taken.push(self.orders[number]);
         }
         verdict
@@ -221,7 +221,7 @@
             let change =
                 Change { base: 0, version: config_history.version(), digest: [0; 32], body: body.to_vec() };
             *config_history = ConfigHistory::default();
-            config_history.apply(Place::default(), change);
+            config_history.apply(LogPosition::default(), change);
         }
         let snapshot = config_history.snapshot();
         self.leader.config_history = ConfigHistory::restore(&snapshot).expect("what it wrote");
--- a/crates/control-plane/tests/processes.rs
+++ b/crates/control-plane/tests/processes.rs
@@ -70,13 +70,13 @@
                     me,
                     address,
                     seeds,
-                    beat_interval: 500,
+                    heartbeat_interval_ms: 500,
                     timing,
                     tolerance: tolerance(),
-                    retire_after: 1_000,
-                    draws_a_holder: 0.0,
+                    retire_after_ms: 1_000,
+                    max_lease_requests_per_holder: 0.0,
                     seed,
-                    ways: config::Detours::default(),
+                    detours: config::Detours::default(),
                 };
                 let numbers = Rc::new(Cell::new(0));
                 let numbers: Rc<dyn Fn() -> u64> = Rc::new(move || {
--- a/crates/control-plane/tests/support/simulation.rs
+++ b/crates/control-plane/tests/support/simulation.rs
@@ -2,7 +2,7 @@
 //! freeze, disks that hang.
 
 use control_plane::{
-    Command, Connect, ControlPlane, ControlPlaneSettings, Disk, Faults, Losses, Reply, Tolerance,
+    Command, Connector, ControlPlane, ControlPlaneSettings, Disk, Faults, Losses, Reply, Tolerance,
 };
 use protocol::{Hello, Message, Plane};
 use raft::{Save, Saved, Timing, VoterId};
@@ -159,7 +159,7 @@
     network: Rc<Network>,
 }
 
-impl Connect for Dialer {
+impl Connector for Dialer {
     fn connect(&self, number: u64, to: SocketAddr, commands: Sender<Command>) {
         let (own, network) = (self.own, self.network.clone());
         spawn_local(async move {
@@ -217,7 +217,7 @@
             let _ = commands.send(Command::Saved { ticket: save.ticket }).await;
         }
     });
-    Disk::over(move |save| drop(saves.send(save)))
+    Disk::from_fn(move |save| drop(saves.send(save)))
 }
 
 /// Control planes: the first ones vote, the others have no log.
@@ -289,7 +289,7 @@
     #[allow(dead_code)] // Not all that share this simulation end processes.
     pub async fn end(&self, process: usize) -> oneshot::Receiver<()> {
         let (ending, ended) = oneshot::channel();
-        let _ = self.commands[process].send(Command::End(ending)).await;
+        let _ = self.commands[process].send(Command::Shutdown(ending)).await;
         ended
     }
 
@@ -348,17 +348,17 @@
         me,
         address: own,
         seeds: (0..voters.min(3)).map(address).collect(),
-        beat_interval: 500,
+        heartbeat_interval_ms: 500,
         timing: TIMING,
         tolerance: Tolerance { losses: Losses { machines: 1, zones: 0, regions: 0 }, ..Tolerance::default() },
-        retire_after: 2000,
-        draws_a_holder: 0.0,
+        retire_after_ms: 2000,
+        max_lease_requests_per_holder: 0.0,
         seed: seed.wrapping_mul(31) + process as u64 + 1,
-        ways: config::Detours::default(),
+        detours: config::Detours::default(),
     };
     let numbers = network.clone();
     let control_plane = ControlPlane::new(settings, log, commands.clone(), Rc::new(move || numbers.number()))
-        .with_connect(Rc::new(Dialer { own: process, network: network.clone() }))
+        .with_connector(Rc::new(Dialer { own: process, network: network.clone() }))
         .with_faults(faults);
     let inner = Box::pin(control_plane.run(queue));
     spawn_local(Freezable { process, network: network.clone(), inner });
--- a/crates/control-plane/tests/tolerance.rs
+++ b/crates/control-plane/tests/tolerance.rs
@@ -22,7 +22,7 @@
 fn what_is_borne(voters: &str, counted: &str, figures: (usize, usize, usize)) {
     let (machines, zones, regions) = figures;
     let counted: Vec<&str> = counted.split_terminator("").skip(1).collect();
-    let borne = tolerance(0, 0, 0).borne(voters.len(), &counted);
+    let borne = tolerance(0, 0, 0).tolerated(voters.len(), &counted);
     assert_eq!(borne, Losses { machines, zones, regions });
 }
 
@@ -36,5 +36,5 @@
 fn a_list_is_not_cut_below_what_is_to_be_borne(figures: (usize, usize, usize), voters: &str, least: usize) {
     let (machines, zones, regions) = figures;
     let voters: Vec<&str> = voters.split_terminator("").skip(1).collect();
-    assert_eq!(tolerance(machines, zones, regions).least_voters(&voters), least);
+    assert_eq!(tolerance(machines, zones, regions).min_voters(&voters), least);
 }
--- a/crates/reachlb/src/operate/state.rs
+++ b/crates/reachlb/src/operate/state.rs
@@ -1,7 +1,7 @@
 //! What lies in a data folder, read from a copy: neither a repair nor a fault of this program changes the original.
 
 use super::Trouble;
-use control_plane::{Change, DrainEntry, Marks, State};
+use control_plane::{Change, DrainEntry, QuotaCheckpoint, SnapshotState};
 use gumdrop::Options;
 use raft::store::{Store, StoreError};
 use raft::{Entry, Saved, What};
@@ -87,7 +87,7 @@
 fn described(saved: &Saved, path: &Path) -> Result<Value, Trouble> {
     let snapshot = match &saved.snapshot {
         Some(snapshot) => {
-            let state = State::restore(&snapshot.state)
+            let state = SnapshotState::restore(&snapshot.state)
                 .map_err(|error| damaged(path, format!("the state in the snapshot: {error}")))?;
             Some(json!({ "index": snapshot.index, "term": snapshot.term, "bytes": snapshot.state.len(),
                 "members": snapshot.members.iter().map(ToString::to_string).collect::<Vec<_>>(),
@@ -102,19 +102,19 @@
                 let list: Vec<_> = list.iter().map(ToString::to_string).collect();
                 format!("voters {}", list.join(" "))
             }
-            What::Change(change) if let Some(marks) = Marks::read(change) => {
+            What::Change(change) if let Some(marks) = QuotaCheckpoint::decode(change) => {
                 let marks = marks
                     .map_err(|error| damaged(path, format!("the marks in entry {}: {error}", entry.index)))?;
                 format!("marks: {} floors of counts, {} data planes", marks.floors.len(), marks.fleet)
             }
-            What::Change(change) if let Some(drains) = DrainEntry::read(change) => {
+            What::Change(change) if let Some(drains) = DrainEntry::decode(change) => {
                 let drains = drains.map_err(|error| {
                     damaged(path, format!("the drains in entry {}: {error}", entry.index))
                 })?;
                 format!("backends that leave: {}", drains.ids.join(" "))
             }
             What::Change(change) => {
-                let change = Change::read(change).map_err(|error| {
+                let change = Change::decode(change).map_err(|error| {
                     damaged(path, format!("the change in entry {}: {error}", entry.index))
                 })?;
                 format!("change r{} on r{}, {} bytes", change.version, change.base, change.body.len())
--- a/crates/reachlb/src/run_control_plane.rs
+++ b/crates/reachlb/src/run_control_plane.rs
@@ -76,17 +76,17 @@
         me,
         address,
         seeds: start::seeds(&settings),
-        beat_interval: millis(settings.beat_interval),
+        heartbeat_interval_ms: millis(settings.beat_interval),
         timing: Timing {
             heartbeat: millis(settings.tuning.heartbeat),
             election: millis(settings.tuning.election),
             lease: millis(settings.tuning.lease),
         },
         tolerance: tolerance(&settings),
-        retire_after: retire_after(&settings),
-        draws_a_holder: settings.tuning.draws_a_holder,
+        retire_after_ms: retire_after(&settings),
+        max_lease_requests_per_holder: settings.tuning.draws_a_holder,
         seed: life,
-        ways: settings.tuning.ways.clone(),
+        detours: settings.tuning.ways.clone(),
     };
     let numbers = Rc::new(Cell::new(0));
     let numbers: Rc<dyn Fn() -> u64> = Rc::new(move || {
@@ -129,7 +129,7 @@
 /// Waits until another process leads and no call waits here any more, for as long as that may take.
 async fn end_in_order(commands: &mpsc::Sender<Command>) {
     let (ending, ended) = oneshot::channel();
-    let in_order = async { commands.send(Command::End(ending)).await.is_ok() && ended.await.is_ok() };
+    let in_order = async { commands.send(Command::Shutdown(ending)).await.is_ok() && ended.await.is_ok() };
     if !timeout(END_WAIT, in_order).await.unwrap_or(false) {
         spdlog::warn!("the lead was not handed over, this voter is still on the list, or calls still wait", kv: { step = "end" });
     }
--- a/crates/testbed/src/capacity/costs.rs
+++ b/crates/testbed/src/capacity/costs.rs
@@ -5,7 +5,7 @@
 use super::size::Size;
 use super::timing::{Spread, measure};
 use config::Config;
-use control_plane::{Change, ConfigHistory, Place};
+use control_plane::{Change, ConfigHistory, LogPosition};
 use protocol::{Held, Message, frame, unframe};
 use quota::{Cache, Epoch, HolderAssignment, QuotaService};
 use registry::{Fleet, Register};
@@ -99,12 +99,12 @@
         1,
         || {
             let mut config_history = ConfigHistory::default();
-            config_history.apply(Place::default(), change(1, &before));
+            config_history.apply(LogPosition::default(), change(1, &before));
             (config_history, Some(change(2, &after)))
         },
         |(config_history, next), _| {
             if let Some(next) = next.take() {
-                config_history.apply(Place::default(), next);
+                config_history.apply(LogPosition::default(), next);
             }
         },
     );
--- a/crates/testbed/src/capacity/memory.rs
+++ b/crates/testbed/src/capacity/memory.rs
@@ -4,7 +4,7 @@
 use super::samples::{backends, configuration_bytes, gateway_name, quotas};
 use super::size::Size;
 use config::Config;
-use control_plane::{Change, ConfigHistory, Place};
+use control_plane::{Change, ConfigHistory, LogPosition};
 use protocol::Backend;
 use quota::{Cache, Epoch, HolderAssignment, Quota, QuotaService};
 use registry::Register;
@@ -62,9 +62,9 @@
 fn history(inputs: &Inputs) -> ConfigHistory {
     let mut history = ConfigHistory::default();
     let first = Change { base: 0, version: 1, digest: [1; 32], body: inputs.body.clone() };
-    history.apply(Place::default(), first);
+    history.apply(LogPosition::default(), first);
     let second = Change { base: 1, version: 2, digest: [2; 32], body: inputs.changed.clone() };
-    history.apply(Place::default(), second);
+    history.apply(LogPosition::default(), second);
     history
 }
 
--- a/crates/testbed/src/capacity/size.rs
+++ b/crates/testbed/src/capacity/size.rs
@@ -1,6 +1,6 @@
 //! The sizes that capacity is worked out for.
 
-use control_plane::{Change, ConfigHistory, Place};
+use control_plane::{Change, ConfigHistory, LogPosition};
 
 /// How large a deployment is, at its peak.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -56,7 +56,8 @@
         let mut history = ConfigHistory::default();
         for version in 1..=2 {
             let body = vec![b' '; length];
-            history.apply(Place::default(), Change { base: version - 1, version, digest: [0; 32], body });
+            history
+                .apply(LogPosition::default(), Change { base: version - 1, version, digest: [0; 32], body });
         }
         history.body_of(1).is_some()
     }
