--- a/crates/control-plane/src/calls.rs
+++ b/crates/control-plane/src/calls.rs
@@ -23,23 +23,23 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 /// Callers move on after a second of silence: whoever has no answer by then gets a plain word instead.
-const ANSWER_WITHIN: Duration = Duration::from_millis(900);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
 /// A caller has this long for its head, and for each part of a body.
-const SLOW: Duration = Duration::from_secs(3);
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(3);
 /// A change of the operator may be large, and its answer waits for disks.
-const CHANGE_WITHIN: Duration = Duration::from_millis(2500);
+const CHANGE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// A failed accept is tried again after this: descriptors may have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 const JSON: &str = "application/json";
 /// The longest id of a backend, in bytes: ids of those that leave go into the log.
-const LONGEST_ID: usize = 256;
+const MAX_ID_BYTES: usize = 256;
 /// The longest body of an order, in bytes: a configuration at the size to design for has 5.1 MB.
-const LONGEST_ORDER: usize = 6 << 20;
+const MAX_ORDER_BYTES: usize = 6 << 20;
 /// The bodies that are being read at a time, in bytes. Orders come in numbers, and memory is short: three of the longest.
-const BODIES_BYTES: usize = 3 * LONGEST_ORDER;
+const MAX_BUFFERED_BODY_BYTES: usize = 3 * MAX_ORDER_BYTES;
 /// Calls whose bodies are no longer than this don't count: backends don't wait for orders.
-const UNCOUNTED_BODY: usize = 16 * 1024;
+const MAX_UNBUDGETED_BODY_BYTES: usize = 16 * 1024;
 /// The header that names the version on which an order builds.
 const BASE_VERSION: &str = "x-base-version";
 
@@ -68,34 +68,34 @@
         path: "/Backends.Heartbeat/",
         takes_id: true,
         max_body_bytes: 16 * 1024,
-        response_timeout: ANSWER_WITHIN,
+        response_timeout: RESPONSE_TIMEOUT,
         content_type: JSON,
-        parse: beat,
+        parse: parse_heartbeat,
     },
     Endpoint {
         method: Method::POST,
         path: "/Backends.Departure/",
         takes_id: true,
         max_body_bytes: 16 * 1024,
-        response_timeout: ANSWER_WITHIN,
+        response_timeout: RESPONSE_TIMEOUT,
         content_type: JSON,
-        parse: |id, _, _| Ok(Call::Departure(backend_id(id)?)),
+        parse: |id, _, _| Ok(Call::Departure(check_backend_id(id)?)),
     },
     Endpoint {
         method: Method::POST,
         path: "/Config.Replace",
         takes_id: false,
-        max_body_bytes: LONGEST_ORDER,
-        response_timeout: CHANGE_WITHIN,
+        max_body_bytes: MAX_ORDER_BYTES,
+        response_timeout: CHANGE_RESPONSE_TIMEOUT,
         content_type: JSON,
-        parse: replace,
+        parse: parse_replace,
     },
     Endpoint {
         method: Method::GET,
         path: "/Config.Read",
         takes_id: false,
         max_body_bytes: 0,
-        response_timeout: ANSWER_WITHIN,
+        response_timeout: RESPONSE_TIMEOUT,
         content_type: JSON,
         parse: |_, _, _| Ok(Call::Order(Order::Read)),
     },
@@ -104,7 +104,7 @@
         path: "/Voters.Remove/",
         takes_id: true,
         max_body_bytes: 0,
-        response_timeout: CHANGE_WITHIN,
+        response_timeout: CHANGE_RESPONSE_TIMEOUT,
         content_type: JSON,
         parse: |id, _, _| match id.parse::<std::net::SocketAddr>() {
             Ok(address) => Ok(Call::Order(Order::Remove(address.to_string()))),
@@ -116,7 +116,7 @@
         path: "/Harbour.Status",
         takes_id: false,
         max_body_bytes: 0,
-        response_timeout: ANSWER_WITHIN,
+        response_timeout: RESPONSE_TIMEOUT,
         content_type: JSON,
         parse: |_, _, _| Ok(Call::Status),
     },
@@ -125,7 +125,7 @@
         path: "/Config.History",
         takes_id: false,
         max_body_bytes: 0,
-        response_timeout: ANSWER_WITHIN,
+        response_timeout: RESPONSE_TIMEOUT,
         content_type: JSON,
         parse: |_, _, _| Ok(Call::History),
     },
@@ -134,7 +134,7 @@
         path: "/Config.History/",
         takes_id: true,
         max_body_bytes: 0,
-        response_timeout: ANSWER_WITHIN,
+        response_timeout: RESPONSE_TIMEOUT,
         content_type: JSON,
         parse: |id, _, _| {
             let version = id.parse::<Version>().map_err(|fault| Reply::error(400, &fault.to_string()))?;
@@ -146,7 +146,7 @@
         path: "/Harbour.Events",
         takes_id: false,
         max_body_bytes: 0,
-        response_timeout: ANSWER_WITHIN,
+        response_timeout: RESPONSE_TIMEOUT,
         content_type: JSON,
         parse: |query, _, _| Ok(Call::Events(query.strip_prefix("about=").map(unescape))),
     },
@@ -155,7 +155,7 @@
         path: "/metrics",
         takes_id: false,
         max_body_bytes: 0,
-        response_timeout: ANSWER_WITHIN,
+        response_timeout: RESPONSE_TIMEOUT,
         content_type: observability::TEXT,
         parse: |_, _, _| Ok(Call::Metrics),
     },
@@ -181,7 +181,7 @@
 }
 
 #[derive(Deserialize)]
-struct BeatBody {
+struct HeartbeatBody {
     address: String,
     summary: Summary,
     condition: Condition,
@@ -205,27 +205,27 @@
     warmup_left_ms: f64,
 }
 
-fn backend_id(id: &str) -> Result<String, Reply> {
-    if id.len() > LONGEST_ID {
-        return Err(Reply::error(400, &format!("an id of {} bytes, at most {LONGEST_ID}", id.len())));
+fn check_backend_id(id: &str) -> Result<String, Reply> {
+    if id.len() > MAX_ID_BYTES {
+        return Err(Reply::error(400, &format!("an id of {} bytes, at most {MAX_ID_BYTES}", id.len())));
     }
     Ok(id.to_owned())
 }
 
-fn beat(id: &str, _: &HeaderMap, body: &[u8]) -> Result<Call, Reply> {
-    let known_as = backend_id(id)?;
-    let unread = |why: String| Reply::error(400, &format!("beat of {id}: {why}"));
-    let beat: BeatBody = serde_json::from_slice(body).map_err(|error| unread(error.to_string()))?;
+fn parse_heartbeat(id: &str, _: &HeaderMap, body: &[u8]) -> Result<Call, Reply> {
+    let backend_id = check_backend_id(id)?;
+    let invalid = |why: String| Reply::error(400, &format!("beat of {id}: {why}"));
+    let beat: HeartbeatBody = serde_json::from_slice(body).map_err(|error| invalid(error.to_string()))?;
     let phase = match beat.condition.phase.as_str() {
         "serving" => Phase::Serving,
         "draining" => Phase::Draining,
-        other => return Err(unread(format!("condition.phase: {other:?} is neither serving nor draining"))),
+        other => return Err(invalid(format!("condition.phase: {other:?} is neither serving nor draining"))),
     };
     if beat.address.parse::<std::net::SocketAddr>().is_err() {
-        return Err(unread(format!("address: {:?} is no ip:port", beat.address)));
+        return Err(invalid(format!("address: {:?} is no ip:port", beat.address)));
     }
     Ok(Call::Heartbeat(Backend {
-        id: known_as,
+        id: backend_id,
         service: beat.summary.target,
         address: beat.address,
         zone: beat.summary.zone,
@@ -238,7 +238,7 @@
     }))
 }
 
-fn replace(_: &str, headers: &HeaderMap, body: &[u8]) -> Result<Call, Reply> {
+fn parse_replace(_: &str, headers: &HeaderMap, body: &[u8]) -> Result<Call, Reply> {
     let base = base_version(headers)?;
     Ok(Call::Order(Order::Replace { base: base.0, body: body.to_vec() }))
 }
@@ -249,10 +249,10 @@
     let mut base = None;
     for value in headers.get_all(BASE_VERSION) {
         let text = String::from_utf8_lossy(value.as_bytes());
-        let unread = |why: &str| Reply::error(400, &format!("X-Base-Version: {text:?}: {why}"));
-        let read = text.trim().parse::<Version>().map_err(|fault| unread(&fault.to_string()))?;
+        let invalid = |why: &str| Reply::error(400, &format!("X-Base-Version: {text:?}: {why}"));
+        let read = text.trim().parse::<Version>().map_err(|fault| invalid(&fault.to_string()))?;
         if base.replace(read).is_some_and(|other| other != read) {
-            return Err(unread("another one stands before it"));
+            return Err(invalid("another one stands before it"));
         }
     }
     Ok(base.unwrap_or_default())
@@ -263,22 +263,22 @@
 struct BodyBudget(Rc<Cell<usize>>);
 
 /// Bytes taken from the budget, given back when this is dropped.
-struct Reserved {
+struct Reservation {
     budget: BodyBudget,
     bytes: usize,
 }
 
 impl BodyBudget {
-    fn reserve(&self) -> Reserved {
-        Reserved { budget: self.clone(), bytes: 0 }
+    fn reserve(&self) -> Reservation {
+        Reservation { budget: self.clone(), bytes: 0 }
     }
 }
 
-impl Reserved {
+impl Reservation {
     /// Takes so many more bytes; false if there are not as many.
     fn grow(&mut self, bytes: usize) -> bool {
         let in_use = self.budget.0.get() + bytes;
-        let fits = in_use <= BODIES_BYTES;
+        let fits = in_use <= MAX_BUFFERED_BODY_BYTES;
         if fits {
             self.budget.0.set(in_use);
             self.bytes += bytes;
@@ -287,50 +287,52 @@
     }
 }
 
-impl Drop for Reserved {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.budget.0.set(self.budget.0.get() - self.bytes);
     }
 }
 
 /// Takes calls until the program ends.
-pub async fn serve(listener: TcpListener, commands: mpsc::Sender<Command>, most: usize) {
-    let open = Rc::new(Cell::new(0usize));
+pub async fn serve(listener: TcpListener, commands: mpsc::Sender<Command>, max_connections: usize) {
+    let open_connections = Rc::new(Cell::new(0usize));
     let budget = BodyBudget::default();
-    let (began, mut failed, mut full) = (Instant::now(), Seldom::new(1, 10_000), Seldom::new(1, 10_000));
+    let (started_at, mut accept_failures, mut rejections) =
+        (Instant::now(), Seldom::new(1, 10_000), Seldom::new(1, 10_000));
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if open.get() < most => {
-                let (commands, open, budget) = (commands.clone(), open.clone(), budget.clone());
+            Ok((stream, _)) if open_connections.get() < max_connections => {
+                let (commands, open_connections, budget) =
+                    (commands.clone(), open_connections.clone(), budget.clone());
                 transport::spawn(async move {
-                    open.set(open.get() + 1);
-                    connection(stream, commands, budget).await;
-                    open.set(open.get() - 1);
+                    open_connections.set(open_connections.get() + 1);
+                    serve_connection(stream, commands, budget).await;
+                    open_connections.set(open_connections.get() - 1);
                 });
             }
             // Whoever finds no room is turned away at once and tries the next gateway.
             Ok((_, peer)) => {
-                if let Some(left_out) = full.pass(began.elapsed().as_millis() as u64) {
+                if let Some(left_out) = rejections.pass(started_at.elapsed().as_millis() as u64) {
                     let peer = peer.to_string();
-                    spdlog::warn!("{} callers are here already: turned away", most,
+                    spdlog::warn!("{} callers are here already: turned away", max_connections,
                         kv: { step = "call", peer = peer.as_str(), left_out });
                 }
             }
             Err(error) => {
-                if let Some(left_out) = failed.pass(began.elapsed().as_millis() as u64) {
+                if let Some(left_out) = accept_failures.pass(started_at.elapsed().as_millis() as u64) {
                     spdlog::warn!("no caller can be taken: {}", error, kv: { step = "accept", left_out });
                 }
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn connection(stream: TcpStream, commands: mpsc::Sender<Command>, budget: BodyBudget) {
+async fn serve_connection(stream: TcpStream, commands: mpsc::Sender<Command>, budget: BodyBudget) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
-        let (commands, body) = (commands.clone(), budget.reserve());
-        async move { Ok::<_, Infallible>(answer(request, commands, body).await) }
+        let (commands, reservation) = (commands.clone(), budget.reserve());
+        async move { Ok::<_, Infallible>(handle_request(request, commands, reservation).await) }
     });
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(Duration::from_secs(20)).max_buf_size(32 * 1024);
@@ -338,57 +340,61 @@
     let _ = builder.serve_connection(TokioIo::new(stream), service).await;
 }
 
-async fn answer(
-    request: Request<Incoming>, commands: mpsc::Sender<Command>, mut reserved: Reserved,
+async fn handle_request(
+    request: Request<Incoming>, commands: mpsc::Sender<Command>, mut reservation: Reservation,
 ) -> Response<Full<Bytes>> {
     let (head, body) = request.into_parts();
     let path = head.uri.path();
-    let fits = |call: &&Endpoint| {
+    let matches = |call: &&Endpoint| {
         if call.takes_id {
             path.len() > call.path.len() && path.starts_with(call.path)
         } else {
             path == call.path
         }
     };
-    let Some(call) = ENDPOINTS.iter().find(fits) else { return respond(Reply::error(404, "no such call")) };
+    let Some(call) = ENDPOINTS.iter().find(matches) else {
+        return respond(Reply::error(404, "no such call"));
+    };
     if head.method != call.method {
         return respond(Reply::error(405, "another method is wanted"));
     }
-    let body = match read_body(body, call.max_body_bytes, &mut reserved).await {
+    let body = match read_body(body, call.max_body_bytes, &mut reservation).await {
         Ok(body) => body,
         Err(reply) => return respond(reply),
     };
     // A large body may take longer to come than its answer may.
-    let due = Instant::now() + call.response_timeout;
+    let deadline = Instant::now() + call.response_timeout;
     let id = if call.takes_id {
         path.strip_prefix(call.path).unwrap_or_default()
     } else {
         head.uri.query().unwrap_or_default()
     };
-    let call_read = match (call.parse)(id, &head.headers, &body) {
+    let parsed_call = match (call.parse)(id, &head.headers, &body) {
         Ok(read) => read,
         Err(reply) => return respond(reply),
     };
-    let (reply, told) = oneshot::channel();
-    if commands.send(Command::Call { call: call_read, reply }).await.is_err() {
+    let (reply, response) = oneshot::channel();
+    if commands.send(Command::Call { call: parsed_call, reply }).await.is_err() {
         return respond(Reply::error(503, "this process ends"));
     }
-    match timeout_at(due, told).await {
+    match timeout_at(deadline, response).await {
         Ok(Ok(reply)) => respond_as(if reply.status == 200 { call.content_type } else { JSON }, reply),
         _ => respond(Reply::error(503, "no answer in time: ask again, here or at another gateway")),
     }
 }
 
-async fn read_body(mut body: Incoming, longest: usize, reserved: &mut Reserved) -> Result<Bytes, Reply> {
+async fn read_body(
+    mut body: Incoming, max_bytes: usize, reservation: &mut Reservation,
+) -> Result<Bytes, Reply> {
     let mut whole = BytesMut::new();
-    if body.size_hint().lower() > longest as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(Reply::error(413, "the body is too long"));
     }
     while !body.is_end_stream() {
-        match timeout(SLOW, body.frame()).await {
+        match timeout(BODY_READ_TIMEOUT, body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 if let Some(data) = frame.data_ref() {
-                    if longest > UNCOUNTED_BODY && !reserved.grow(data.len()) {
+                    if max_bytes > MAX_UNBUDGETED_BODY_BYTES && !reservation.grow(data.len()) {
                         return Err(Reply::error(503, "too many large bodies at a time: ask again"));
                     }
                     whole.extend_from_slice(data);
@@ -399,7 +405,7 @@
             Ok(Some(Err(_))) => return Err(Reply::error(408, "the body broke off")),
             Err(_) => return Err(Reply::error(408, "the body did not come in time")),
         }
-        if whole.len() > longest {
+        if whole.len() > max_bytes {
             return Err(Reply::error(413, "the body is too long"));
         }
     }
@@ -410,10 +416,10 @@
     respond_as(JSON, reply)
 }
 
-fn respond_as(says: &'static str, reply: Reply) -> Response<Full<Bytes>> {
+fn respond_as(content_type: &'static str, reply: Reply) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(reply.body)));
     *response.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(says));
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
 
@@ -422,7 +428,7 @@
     use super::*;
 
     #[test]
-    fn a_query_is_read_whatever_is_in_it() {
+    fn malformed_percent_escapes_in_a_query_stay_as_they_are() {
         for (text, read) in
             [("m-1", "m-1"), ("10.0.0.1%3A7%2f", "10.0.0.1:7/"), ("%", "%"), ("%4", "%4"), ("%zz", "%zz")]
         {
--- a/crates/control-plane/src/command.rs
+++ b/crates/control-plane/src/command.rs
@@ -19,23 +19,23 @@
     /// A connection stands.
     Opened {
         /// Its number.
-        number: u64,
+        connection: u64,
         /// Where frames go.
         line: Line,
         /// Whom this process dialed, if it did.
         dialed: Option<SocketAddr>,
     },
     /// A message came.
-    Frame {
+    Message {
         /// The connection.
-        number: u64,
+        connection: u64,
         /// The message.
         message: Message,
     },
     /// A connection is over, or never came up.
     Closed {
         /// Its number.
-        number: u64,
+        connection: u64,
         /// Why.
         error: LineError,
     },
--- a/crates/control-plane/src/config_history.rs
+++ b/crates/control-plane/src/config_history.rs
@@ -8,15 +8,15 @@
 
 /// So many versions are remembered by their digest, of 32 bytes each. An order with an older number is left without a
 /// clear answer when it is sent again: it may have been taken.
-const REMEMBERED: usize = 4096;
+const MAX_DIGESTS: usize = 4096;
 /// Floors of more counts than this are not kept: their tenants begin with nothing under a new holder.
-const FLOORS: usize = 4096;
+const MAX_FLOORS: usize = 4096;
 /// Of so many versions it is remembered when they were taken.
-const DATED: usize = 64;
+const MAX_POSITIONS: usize = 64;
 /// Bodies before the newest one are kept for operators who compare: so many ...
-const BODIES: usize = 7;
+const MAX_FORMER_BODIES: usize = 7;
 /// ... of so many bytes in all. They lie in each snapshot and in the memory of each voter.
-const BODY_BYTES: usize = 1 << 20;
+const MAX_FORMER_BODY_BYTES: usize = 1 << 20;
 
 /// A change as it stands in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
@@ -47,23 +47,23 @@
     /// Floors of counts that are other ones from here on, in units: see [`quota::Floor`].
     pub floors: Vec<(String, u32)>,
     /// How many data planes there are.
-    pub fleet: u32,
+    pub fleet_size: u32,
 }
 
 /// Entries that hold marks begin with this; no change of the versions so far does.
-const MARKS: &[u8] = b"harbour marks 1\n";
+const CHECKPOINT_TAG: &[u8] = b"harbour marks 1\n";
 
 impl QuotaCheckpoint {
     /// The marks as an entry.
     pub fn to_entry(&self) -> Vec<u8> {
-        let mut entry = MARKS.to_vec();
+        let mut entry = CHECKPOINT_TAG.to_vec();
         entry.extend_from_slice(&bitcode::encode(self));
         entry
     }
 
     /// Reads an entry that holds marks; none for others.
     pub fn decode(entry: &[u8]) -> Option<Result<Self, bitcode::Error>> {
-        entry.strip_prefix(MARKS).map(bitcode::decode)
+        entry.strip_prefix(CHECKPOINT_TAG).map(bitcode::decode)
     }
 }
 
@@ -121,17 +121,17 @@
     version: u64,
     body: Vec<u8>,
     digests: BTreeMap<u64, [u8; 32]>,
-    places: BTreeMap<u64, LogPosition>,
+    positions: BTreeMap<u64, LogPosition>,
     /// The bodies of versions before the newest.
     bodies: BTreeMap<u64, Vec<u8>>,
     /// The version before the newest one and its body, if it is too long for these: followers have it, and get what makes
     /// the newest out of it. In memory only.
     #[bitcode(skip)]
-    former: Option<(u64, Vec<u8>)>,
+    oversized_predecessor: Option<(u64, Vec<u8>)>,
     /// Floors of counts; those that are not here are zero.
     floors: BTreeMap<String, u32>,
     /// How many data planes there were when last it was said.
-    fleet: u32,
+    fleet_size: u32,
 }
 
 impl ConfigHistory {
@@ -153,7 +153,7 @@
         let current = self.version;
         if self.has_accepted(version, digest) {
             Verdict::AlreadyAccepted
-        } else if let Some(oldest) = self.oldest_remembered().filter(|oldest| version < *oldest) {
+        } else if let Some(oldest) = self.oldest_digest().filter(|oldest| version < *oldest) {
             Verdict::DigestEvicted { oldest }
         } else if base < current {
             Verdict::Stale { current }
@@ -172,47 +172,47 @@
     }
 
     /// The oldest version whose digest is remembered, once older ones may have been dropped.
-    fn oldest_remembered(&self) -> Option<u64> {
-        let full = self.digests.len() >= REMEMBERED;
+    fn oldest_digest(&self) -> Option<u64> {
+        let full = self.digests.len() >= MAX_DIGESTS;
         self.digests.first_key_value().filter(|_| full).map(|(oldest, _)| *oldest)
     }
 
-    /// Takes a change from this place of the log.
+    /// Takes a change from this position of the log.
     pub fn apply(&mut self, at: LogPosition, change: Change) -> Verdict {
         let verdict = self.evaluate(change.base, change.version, &change.digest);
         if verdict == Verdict::Accepted {
             let before = std::mem::replace(&mut self.body, change.body);
-            self.former = None;
+            self.oversized_predecessor = None;
             if self.version > 0 {
                 self.bodies.insert(self.version, before);
             }
             let mut bytes: usize = self.bodies.values().map(Vec::len).sum();
-            while (self.bodies.len() > BODIES || bytes > BODY_BYTES)
+            while (self.bodies.len() > MAX_FORMER_BODIES || bytes > MAX_FORMER_BODY_BYTES)
                 && let Some((version, oldest)) = self.bodies.pop_first()
             {
                 bytes -= oldest.len();
-                self.former = (version == self.version).then_some((version, oldest));
+                self.oversized_predecessor = (version == self.version).then_some((version, oldest));
             }
             self.version = change.version;
             self.digests.insert(change.version, change.digest);
-            while self.digests.len() > REMEMBERED {
+            while self.digests.len() > MAX_DIGESTS {
                 self.digests.pop_first();
             }
-            self.places.insert(change.version, at);
-            while self.places.len() > DATED {
-                self.places.pop_first();
+            self.positions.insert(change.version, at);
+            while self.positions.len() > MAX_POSITIONS {
+                self.positions.pop_first();
             }
         }
         verdict
     }
 
     /// Takes marks in.
-    pub fn apply_checkpoint(&mut self, marks: QuotaCheckpoint) {
-        self.fleet = marks.fleet;
-        for (tenant, units) in marks.floors {
+    pub fn apply_checkpoint(&mut self, checkpoint: QuotaCheckpoint) {
+        self.fleet_size = checkpoint.fleet_size;
+        for (tenant, units) in checkpoint.floors {
             if units == 0 {
                 self.floors.remove(&tenant);
-            } else if self.floors.len() < FLOORS || self.floors.contains_key(&tenant) {
+            } else if self.floors.len() < MAX_FLOORS || self.floors.contains_key(&tenant) {
                 self.floors.insert(tenant, units);
             }
         }
@@ -225,13 +225,13 @@
 
     /// How many data planes there were when last it was said; 0 before that.
     pub fn fleet_size(&self) -> u32 {
-        self.fleet
+        self.fleet_size
     }
 
     /// The last versions that were taken, the newest first: number, digest, and when.
     pub fn history(&self) -> impl Iterator<Item = (u64, &[u8; 32], LogPosition)> {
-        let dated = self.places.iter().rev();
-        dated.filter_map(|(version, place)| Some((*version, self.digests.get(version)?, *place)))
+        let positions = self.positions.iter().rev();
+        positions.filter_map(|(version, position)| Some((*version, self.digests.get(version)?, *position)))
     }
 
     /// The body of a version, as long as it is kept.
@@ -239,7 +239,8 @@
         if version == self.version {
             return self.body();
         }
-        let former = self.former.as_ref().filter(|(known, _)| *known == version).map(|(_, body)| body);
+        let former =
+            self.oversized_predecessor.as_ref().filter(|(known, _)| *known == version).map(|(_, body)| body);
         self.bodies.get(&version).or(former).map(Vec::as_slice)
     }
 
--- a/crates/control-plane/src/config_history/snapshot_format.rs
+++ b/crates/control-plane/src/config_history/snapshot_format.rs
@@ -46,7 +46,7 @@
     version: u64,
     body: Vec<u8>,
     digests: BTreeMap<u64, [u8; 32]>,
-    places: BTreeMap<u64, LogPosition>,
+    positions: BTreeMap<u64, LogPosition>,
     bodies: BTreeMap<u64, Vec<u8>>,
 }
 
@@ -63,8 +63,8 @@
         Format::Tagged => bitcode::decode(state.strip_prefix(TAG)?).ok(),
         Format::WithFloors => bitcode::decode(state).ok(),
         Format::WithBodies => {
-            let WithBodies { version, body, digests, places, bodies } = bitcode::decode(state).ok()?;
-            Some(ConfigHistory { version, body, digests, places, bodies, ..ConfigHistory::default() })
+            let WithBodies { version, body, digests, positions, bodies } = bitcode::decode(state).ok()?;
+            Some(ConfigHistory { version, body, digests, positions, bodies, ..ConfigHistory::default() })
         }
         Format::Bare => {
             let Bare { version, body, digests } = bitcode::decode(state).ok()?;
--- a/crates/control-plane/src/contact.rs
+++ b/crates/control-plane/src/contact.rs
@@ -15,27 +15,27 @@
 type Millis = u64;
 
 /// An answer proves contact for so long after its question was sent.
-pub(crate) const CONTACT_SPAN: Millis = 800;
+pub(crate) const CONFIRMATION_TTL: Millis = 800;
 /// While contact is proved, the leader is asked this often: three answers may be lost.
-const ASK_EVERY: Millis = 200;
+const CONFIRMED_QUERY_INTERVAL: Millis = 200;
 /// ... and this often while it is not.
-const ASK_AGAIN: Millis = 50;
+const QUERY_RETRY_INTERVAL: Millis = 50;
 /// Of so many questions the answer still counts: more than are asked within the span.
-const QUESTIONS: usize = 32;
+const MAX_OUTSTANDING_QUERIES: usize = 32;
 
 /// What such messages begin with: they travel where messages of the log do, and no message of the log begins so.
-const MARK: &[u8] = b"\xffcontact 1\n";
+const MESSAGE_TAG: &[u8] = b"\xffcontact 1\n";
 
 /// What the leader and those that ask it say.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum ContactMessage {
     /// How far is the leader?
-    Question {
+    ReadIndexRequest {
         /// Chosen by the asker, each higher than the last.
         number: u64,
     },
     /// The answer of a leader that holds its lease.
-    Answer {
+    ReadIndexResponse {
         /// The question's number.
         number: u64,
         /// The leader's term.
@@ -46,14 +46,14 @@
         version: u64,
     },
     /// The question of a process that says which records of backends that leave it has.
-    RecordsQuestion {
+    DrainSyncRequest {
         /// Chosen by the asker, each higher than the last.
         number: u64,
         /// The number of the newest record of a backend that leaves, as the asker has them.
         drains: u64,
     },
     /// The answer to it.
-    RecordsAnswer {
+    DrainSyncResponse {
         /// The question's number.
         number: u64,
         /// The leader's term.
@@ -72,14 +72,14 @@
 impl ContactMessage {
     /// The message as bytes.
     pub(crate) fn encode(&self) -> Vec<u8> {
-        let mut bytes = MARK.to_vec();
+        let mut bytes = MESSAGE_TAG.to_vec();
         bytes.extend_from_slice(&bitcode::encode(self));
         bytes
     }
 
     /// Reads such a message; none for others.
     pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
-        bitcode::decode(bytes.strip_prefix(MARK)?).ok()
+        bitcode::decode(bytes.strip_prefix(MESSAGE_TAG)?).ok()
     }
 }
 
@@ -97,58 +97,62 @@
     /// The number of its newest record of a backend that leaves; 0 if it did not say.
     pub(crate) drains: u64,
     /// When the question was sent.
-    pub(crate) asked_at: Millis,
+    pub(crate) sent_at: Millis,
 }
 
 /// The questions of one process, and the newest answer.
 #[derive(Debug, Default)]
-pub(crate) struct Contact {
-    asked: VecDeque<(u64, Millis)>,
-    last_asked: Option<SocketAddr>,
+pub(crate) struct LeaderContact {
+    sent: VecDeque<(u64, Millis)>,
+    last_queried: Option<SocketAddr>,
     newest: Option<Confirmation>,
 }
 
-impl Contact {
+impl LeaderContact {
     /// The number of a question for this leader, if one is due.
-    pub(crate) fn question(&mut self, now: Millis, leader: SocketAddr) -> Option<u64> {
+    pub(crate) fn next_query(&mut self, now: Millis, leader: SocketAddr) -> Option<u64> {
         let proved = self.newest(now).is_some_and(|newest| newest.leader == leader);
-        let pause = if proved { ASK_EVERY } else { ASK_AGAIN };
-        let last = self.asked.back().copied();
+        let pause = if proved { CONFIRMED_QUERY_INTERVAL } else { QUERY_RETRY_INTERVAL };
+        let last = self.sent.back().copied();
         let waits = last.is_some_and(|(_, at)| now < at + pause);
-        if waits && self.last_asked == Some(leader) {
+        if waits && self.last_queried == Some(leader) {
             return None;
         }
         let number = last.map_or(1, |(number, _)| number + 1);
-        self.asked.push_back((number, now));
-        self.last_asked = Some(leader);
-        if self.asked.len() > QUESTIONS {
-            self.asked.pop_front();
+        self.sent.push_back((number, now));
+        self.last_queried = Some(leader);
+        if self.sent.len() > MAX_OUTSTANDING_QUERIES {
+            self.sent.pop_front();
         }
         Some(number)
     }
 
     /// An answer came from this process. It counts once, and from when its question was sent; whether it does.
-    pub(crate) fn answered(&mut self, leader: SocketAddr, answer: &ContactMessage) -> bool {
+    pub(crate) fn on_response(&mut self, leader: SocketAddr, answer: &ContactMessage) -> bool {
         let (number, term, commit, version, drains) = match answer {
-            ContactMessage::Answer { number, term, commit, version } => (number, term, *commit, version, 0),
-            ContactMessage::RecordsAnswer { number, term, commit, version, drains, .. } => {
+            ContactMessage::ReadIndexResponse { number, term, commit, version } => {
+                (number, term, *commit, version, 0)
+            }
+            ContactMessage::DrainSyncResponse { number, term, commit, version, drains, .. } => {
                 (number, term, *commit, version, *drains)
             }
-            ContactMessage::Question { .. } | ContactMessage::RecordsQuestion { .. } => return false,
+            ContactMessage::ReadIndexRequest { .. } | ContactMessage::DrainSyncRequest { .. } => {
+                return false;
+            }
         };
-        let Some((_, asked_at)) = self.asked.iter().find(|(asked, _)| asked == number).copied() else {
+        let Some((_, sent_at)) = self.sent.iter().find(|(sent, _)| sent == number).copied() else {
             return false;
         };
         let (term, version) = (*term, *version);
-        let newer = self.newest.is_none_or(|newest| (term, asked_at) > (newest.term, newest.asked_at));
+        let newer = self.newest.is_none_or(|newest| (term, sent_at) > (newest.term, newest.sent_at));
         if newer {
-            self.newest = Some(Confirmation { leader, term, commit, version, drains, asked_at });
+            self.newest = Some(Confirmation { leader, term, commit, version, drains, sent_at });
         }
         newer
     }
 
     /// The newest answer, while it proves contact.
     pub(crate) fn newest(&self, now: Millis) -> Option<Confirmation> {
-        self.newest.filter(|newest| now < newest.asked_at + CONTACT_SPAN)
+        self.newest.filter(|newest| now < newest.sent_at + CONFIRMATION_TTL)
     }
 }
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -1,14 +1,14 @@
 //! The owner of all tables of the control plane.
 
+mod connections;
 mod contact;
 mod departures;
 mod drains;
-mod ending;
 mod entries;
-mod links;
 mod membership;
 mod orders;
 mod quota_service;
+mod shutdown;
 mod status;
 mod updates;
 
@@ -16,14 +16,14 @@
 use crate::call::{Call, Reply};
 use crate::command::Command;
 use crate::config_history::{Change, ConfigHistory, LogPosition, QuotaCheckpoint, Verdict};
-use crate::contact::{Confirmation, Contact, ContactMessage};
+use crate::contact::{Confirmation, ContactMessage, LeaderContact};
 use crate::directory::Directory;
 use crate::disk::Disk;
+use crate::event_log::{EventKind as Recorded, EventLog, Origin};
 use crate::faults::Faults;
-use crate::lines::{Connector, TcpConnector};
+use crate::listener::{Connector, TcpConnector};
 use crate::state::SnapshotState;
 use crate::tolerance::Tolerance;
-use crate::watch::{Origin, Watch, What as Happened};
 use config::{Config, Detours};
 use drains::DrainProposals;
 use protocol::{
@@ -43,42 +43,42 @@
 use transport::{Line, LineError, NeighborWatch};
 
 /// How often things are looked after.
-const TICK: u64 = 50;
+const TICK_INTERVAL_MS: u64 = 50;
 /// Followers hear something this often.
-const HEARTBEAT: u64 = 350;
+const HEARTBEAT_INTERVAL_MS: u64 = 350;
 /// ... and news of the leader no more often than this.
-const LEAST_HEARTBEAT: u64 = 40;
+const MIN_HEARTBEAT_INTERVAL_MS: u64 = 40;
 /// What others told of the leader stands for so long: two of their heartbeats and some room. DataPlanes leave whoever
 /// is behind 0.9 s after its last good word, so that those behind a relay that was cut off have news again within 2 s.
-const WORD: u64 = 800;
+const LEADER_REPORT_TTL_MS: u64 = 800;
 /// Other control planes hear whose beats came here, and who else serves control, this often.
-const ROUND: u64 = 400;
+const GOSSIP_INTERVAL_MS: u64 = 400;
 /// ... and which data planes are heard here when that changes, or after this long: what was said stands as long as the line.
 /// Processes of the version before take the word itself for a sign of life, and count a data plane on for 30 s.
-const DATA_PLANES_AGAIN: u64 = 8000;
+const DATA_PLANES_RESEND_INTERVAL_MS: u64 = 8000;
 /// A control plane that could not be reached is dialed again after this, drawn up to twice as long: after a herd's death the
 /// first election waits for these connections.
-const REDIAL: u64 = 80;
+const REDIAL_DELAY_MS: u64 = 80;
 /// A dial that says nothing at all is over after this.
-const DIALING: u64 = 2000;
+const DIAL_TIMEOUT_MS: u64 = 2000;
 /// A call of the operator waits so long for a leader.
-const LEADERLESS: u64 = 700;
+const LEADER_WAIT_TIMEOUT_MS: u64 = 700;
 /// A call that was passed on to a leader waits so long for its word.
-const PASSED: u64 = 2300;
+const FORWARD_TIMEOUT_MS: u64 = 2300;
 /// More calls than this don't wait.
-const CALLS_WAITING: usize = 256;
+const MAX_PENDING_CALLS: usize = 256;
 /// After so many changes the log is compacted: each holds a whole configuration.
-const COMPACT_AFTER: f64 = 16.0;
+const COMPACT_AFTER_CHANGES: f64 = 16.0;
 /// QuotaCheckpoint weigh so much of a change then: they are some hundred bytes.
-const MARKS_WEIGH: f64 = 0.1;
+const SMALL_ENTRY_WEIGHT: f64 = 0.1;
 /// ... or so many bytes of them: the disk is small, and a change of 4 MB takes 8 of the file.
-const COMPACT_BYTES: usize = 4_000_000;
+const COMPACT_AFTER_BYTES: usize = 4_000_000;
 /// A control plane this young may not have heard of all backends yet: its list says who is there, not who is not.
-const YOUNG: u64 = 4000;
+const WARMUP_MS: u64 = 4000;
 /// A connection that has said nothing for this long is no sign of life.
-const PEER_SILENT: u64 = 2500;
+const PEER_TIMEOUT_MS: u64 = 2500;
 /// A process that has been out of touch with the leader for this long is cut off: an election takes less.
-const CUT_OFF: u64 = 1500;
+const ISOLATION_GRACE_MS: u64 = 1500;
 
 /// What a control plane is told at its start.
 #[derive(Clone, Debug)]
@@ -107,73 +107,73 @@
 
 /// What this process has asked the leader for, to hold counts.
 #[derive(Default)]
-struct Offers {
+struct HolderOffers {
     /// Numbers, and when they were sent.
     sent: VecDeque<(u64, u64)>,
-    answered: u64,
-    next: u64,
+    last_answered: u64,
+    next_at: u64,
     /// Draws answered when last looked at, when that was, and how many a second then.
-    draws: (u64, u64, f64),
+    request_rate: (u64, u64, f64),
 }
 
 struct Peer {
     line: Line,
     hello: Option<Hello>,
     dialed: Option<SocketAddr>,
-    follows: bool,
+    is_follower: bool,
     /// What it has, or will have once it has read all that was sent.
-    has: Held,
-    heard: u64,
-    opened: u64,
+    held: Held,
+    last_received_at: u64,
+    opened_at: u64,
     /// The data planes that it said it hears, until it says otherwise.
     data_planes: Vec<(String, u64)>,
     /// Whether it may be told of departures of data planes.
-    understands_departures: bool,
+    supports_departures: bool,
     /// Whether it has said that it ends: it is not to become a voter.
-    is_ending: bool,
+    is_shutting_down: bool,
 }
 
-struct Waiting {
+struct PendingCall {
     reply: oneshot::Sender<Reply>,
     since: u64,
     order: Order,
     /// The number of the connection that it was passed on by, if it was.
-    passed: Option<u64>,
+    forwarded_on: Option<u64>,
 }
 
 /// Who waits for the word on a change or a read.
-enum Asker {
-    Here(oneshot::Sender<Reply>),
-    There { peer: u64, token: u64 },
+enum Requester {
+    Local(oneshot::Sender<Reply>),
+    Remote { peer: u64, token: u64 },
 }
 
-struct Proposed {
-    asker: Asker,
+struct PendingProposal {
+    requester: Requester,
     since: u64,
 }
 
 /// The owner of all tables of the control plane of one process.
 pub struct ControlPlane {
     settings: ControlPlaneSettings,
-    began: Instant,
-    random: u64,
+    started_at: Instant,
+    rng_state: u64,
     commands: mpsc::Sender<Command>,
-    numbers: Rc<dyn Fn() -> u64>,
+    connection_ids: Rc<dyn Fn() -> u64>,
     peers: BTreeMap<u64, Peer>,
     dialing: BTreeMap<SocketAddr, (u64, u64)>,
-    control_planes: Directory,
+    directory: Directory,
     /// The incarnations of those with a disk that counts.
-    incarnations: BTreeMap<SocketAddr, u64>,
+    quorum_incarnations: BTreeMap<SocketAddr, u64>,
     register: Register,
     /// What followers, and other control planes, are yet to be told of it.
-    for_followers: BackendBatch,
-    for_control_planes: BackendBatch,
+    follower_batch: BackendBatch,
+    control_plane_batch: BackendBatch,
     fleet: Fleet,
     config_history: ConfigHistory,
     config: Option<Config>,
     config_encoder: ConfigEncoder,
     /// Entries have brought another configuration into force, and followers are yet to be told.
-    changed: bool,
+    config_changed: bool,
     node: Option<Node>,
     disk: Option<Disk>,
     quota_service: QuotaService,
@@ -181,57 +181,57 @@
     placer: Option<Placer>,
     /// The newest assignment of counts heard of.
     assignment: HolderAssignment,
-    offers: Offers,
+    offers: HolderOffers,
     /// Known from others, of a control plane without a log of its own.
-    told: Heartbeat,
-    told_at: u64,
+    last_heartbeat: Heartbeat,
+    last_heartbeat_at: u64,
     /// Whether the leader has said that what this process tells is of this moment, if it does not lead.
-    contact: Contact,
+    leader_contact: LeaderContact,
     /// When what this process tells was of that moment last; its start, while it never was.
-    current_at: u64,
-    connect: Rc<dyn Connector>,
+    last_current_at: u64,
+    connector: Rc<dyn Connector>,
     faults: Faults,
-    tokens: u64,
-    waiting: HashMap<u64, Waiting>,
-    proposed: BTreeMap<u64, Proposed>,
+    last_token: u64,
+    pending_calls: HashMap<u64, PendingCall>,
+    pending_proposals: BTreeMap<u64, PendingProposal>,
     /// Orders that came to this leader before its first lease.
-    early_orders: Vec<(Asker, Order)>,
+    orders_awaiting_lease: Vec<(Requester, Order)>,
     drain_proposals: DrainProposals,
     /// Control planes that read [`Order::Drain`], as they said since this process started.
-    understand_drains: BTreeSet<SocketAddr>,
+    drains_supported_by: BTreeSet<SocketAddr>,
     /// What to answer once entries come back, by their index: emptied when this process leads no more.
-    accepted: BTreeMap<u64, u64>,
-    changes: f64,
+    tokens_by_index: BTreeMap<u64, u64>,
+    changes_since_compaction: f64,
     /// QuotaCheckpoint that are on their way through the log, by their token: one entry of them at a time.
-    marking: Option<u64>,
-    change_bytes: usize,
-    grown: bool,
+    checkpoint_token: Option<u64>,
+    bytes_since_compaction: usize,
+    warmed_up: bool,
     /// Messages of other processes since the start.
-    frames: u64,
+    messages_received: u64,
     /// The leader that followers were told of last, and whether as of this moment.
-    told_in_heartbeat: (Option<SocketAddr>, bool),
-    next: [u64; 3],
+    last_reported_leader: (Option<SocketAddr>, bool),
+    next_due: [u64; 3],
     /// The data planes that the other control planes were told of last, and when.
-    told_data_planes: (Vec<(String, u64)>, u64),
+    last_sent_data_planes: (Vec<(String, u64)>, u64),
     /// What the log has asked for and was not done yet.
     outputs: Vec<Output>,
-    handles_outputs: bool,
-    watch: Watch,
+    handling_outputs: bool,
+    event_log: EventLog,
     /// Who watches the neighbours, if anybody does.
     neighbor_watch: Option<Rc<NeighborWatch>>,
     /// This process is to end.
-    is_ending: bool,
+    is_shutting_down: bool,
     /// Who waits until nothing is left to do before that.
-    ended: Option<oneshot::Sender<()>>,
+    shutdown_done: Option<oneshot::Sender<()>>,
     /// When the leader is to be told of that again.
-    tells_end_at: u64,
+    next_leave_at: u64,
 }
 
 impl ControlPlane {
     /// A control plane; `log` is what a voter has on its disk.
     pub fn new(
         settings: ControlPlaneSettings, log: Option<(Disk, Saved)>, commands: mpsc::Sender<Command>,
-        numbers: Rc<dyn Fn() -> u64>,
+        connection_ids: Rc<dyn Fn() -> u64>,
     ) -> Self {
         let (mut node, mut disk, mut state) = (None, None, SnapshotState::default());
         if let Some((opened, saved)) = log {
@@ -246,59 +246,59 @@
         let mut register = Register::new(settings.heartbeat_interval_ms);
         register.restore_drains(&drains);
         let mut control_plane = Self {
-            began: Instant::now(),
-            random: settings.seed | 1,
+            started_at: Instant::now(),
+            rng_state: settings.seed | 1,
             commands,
-            numbers,
+            connection_ids,
             peers: BTreeMap::new(),
             dialing: BTreeMap::new(),
-            control_planes: Directory::default(),
-            incarnations: BTreeMap::new(),
+            directory: Directory::default(),
+            quorum_incarnations: BTreeMap::new(),
             register,
-            for_followers: BackendBatch::default(),
-            for_control_planes: BackendBatch::default(),
+            follower_batch: BackendBatch::default(),
+            control_plane_batch: BackendBatch::default(),
             fleet: Fleet::default(),
             config_history,
             config: None,
             config_encoder: ConfigEncoder::default(),
-            changed: false,
+            config_changed: false,
             node,
             disk,
             quota_service: QuotaService::new(&settings.address.to_string()),
             placer: None,
             assignment: HolderAssignment::default(),
-            offers: Offers::default(),
-            told: Heartbeat::default(),
-            told_at: 0,
-            contact: Contact::default(),
-            current_at: 0,
-            connect: Rc::new(TcpConnector(settings.detours.clone())),
+            offers: HolderOffers::default(),
+            last_heartbeat: Heartbeat::default(),
+            last_heartbeat_at: 0,
+            leader_contact: LeaderContact::default(),
+            last_current_at: 0,
+            connector: Rc::new(TcpConnector(settings.detours.clone())),
             faults: Faults::default(),
-            tokens: 0,
-            waiting: HashMap::new(),
-            proposed: BTreeMap::new(),
-            early_orders: Vec::new(),
+            last_token: 0,
+            pending_calls: HashMap::new(),
+            pending_proposals: BTreeMap::new(),
+            orders_awaiting_lease: Vec::new(),
             drain_proposals: DrainProposals::default(),
-            understand_drains: BTreeSet::new(),
-            accepted: BTreeMap::new(),
-            changes: 0.0,
-            marking: None,
-            change_bytes: 0,
-            grown: false,
-            frames: 0,
-            told_in_heartbeat: (None, false),
-            next: [0; 3],
-            told_data_planes: (Vec::new(), 0),
+            drains_supported_by: BTreeSet::new(),
+            tokens_by_index: BTreeMap::new(),
+            changes_since_compaction: 0.0,
+            checkpoint_token: None,
+            bytes_since_compaction: 0,
+            warmed_up: false,
+            messages_received: 0,
+            last_reported_leader: (None, false),
+            next_due: [0; 3],
+            last_sent_data_planes: (Vec::new(), 0),
             outputs: Vec::new(),
-            handles_outputs: false,
-            watch: Watch::new(),
+            handling_outputs: false,
+            event_log: EventLog::new(),
             neighbor_watch: None,
-            is_ending: false,
-            ended: None,
-            tells_end_at: 0,
+            is_shutting_down: false,
+            shutdown_done: None,
+            next_leave_at: 0,
             settings,
         };
-        control_plane.renewed();
+        control_plane.on_config_changed();
         control_plane
     }
 
@@ -308,8 +308,8 @@
     }
 
     /// Reaches others in another way than by TCP.
-    pub fn with_connector(self, connect: Rc<dyn Connector>) -> Self {
-        Self { connect, ..self }
+    pub fn with_connector(self, connector: Rc<dyn Connector>) -> Self {
+        Self { connector, ..self }
     }
 
     #[doc(hidden)]
@@ -318,83 +318,84 @@
     }
 
     fn now(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
-    fn draw(&mut self, below: u64) -> u64 {
-        self.random =
-            self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.random >> 33) % below.max(1)
+    fn random_below(&mut self, below: u64) -> u64 {
+        self.rng_state =
+            self.rng_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (self.rng_state >> 33) % below.max(1)
     }
 
     /// Works through the queue until it is closed.
     pub async fn run(mut self, mut queue: mpsc::Receiver<Command>) {
-        self.on_time();
+        self.tick();
         loop {
-            let due = self.next.iter().copied().min().unwrap_or(TICK);
+            let due = self.next_due.iter().copied().min().unwrap_or(TICK_INTERVAL_MS);
             let due = self.node.as_ref().map_or(due, |node| due.min(node.next_due()));
-            let due = self.began + Duration::from_millis(due.max(self.now() + 1));
+            let due = self.started_at + Duration::from_millis(due.max(self.now() + 1));
             tokio::select! {
                 biased;
                 command = queue.recv() => match command {
-                    Some(command) => self.work(command),
+                    Some(command) => self.handle(command),
                     None => return,
                 },
                 () = sleep_until(due) => {}
             }
-            self.on_time();
+            self.tick();
         }
     }
 
-    fn work(&mut self, command: Command) {
+    fn handle(&mut self, command: Command) {
         match command {
             Command::Call { call, reply } => self.on_call(call, reply),
-            Command::Opened { number, line, dialed } => self.on_opened(number, line, dialed),
-            Command::Frame { number, message } => self.on_frame(number, message),
-            Command::Closed { number, error } => self.on_closed(number, &error),
-            Command::Saved { ticket } => self.log(Input::Saved { ticket }),
+            Command::Opened { connection, line, dialed } => self.on_opened(connection, line, dialed),
+            Command::Message { connection, message } => self.on_message(connection, message),
+            Command::Closed { connection, error } => self.on_closed(connection, &error),
+            Command::Saved { ticket } => self.step_raft(Input::Saved { ticket }),
             Command::Seeds(seeds) => self.settings.seeds = seeds,
-            Command::Shutdown(ended) => (self.is_ending, self.ended) = (true, Some(ended)),
+            Command::Shutdown(ended) => (self.is_shutting_down, self.shutdown_done) = (true, Some(ended)),
         }
     }
 
-    fn on_time(&mut self) {
+    fn tick(&mut self) {
         let now = self.now();
         if self.node.as_ref().is_some_and(|node| now >= node.next_due()) {
-            self.log(Input::Tick);
+            self.step_raft(Input::Tick);
         }
         // A log that is told again after a start brings many versions at once. Followers need the last one only, and
         // the word that it is of this moment waits behind whatever is sent before it.
-        if std::mem::take(&mut self.changed) {
-            self.renewed();
+        if std::mem::take(&mut self.config_changed) {
+            self.on_config_changed();
         }
-        if now >= self.next[0] {
-            self.next[0] = now + TICK;
-            self.tell_waiting_backends();
-            self.tend_calls(now);
-            self.tend_lines(now);
-            self.tend_quota_service(now);
+        if now >= self.next_due[0] {
+            self.next_due[0] = now + TICK_INTERVAL_MS;
+            self.flush_backend_batches();
+            self.expire_calls(now);
+            self.maintain_connections(now);
+            self.maintain_quota_service(now);
         }
-        self.tend_contact(now);
-        self.tend_early_orders(now);
-        self.tend_end();
+        self.query_leader(now);
+        self.process_orders_awaiting_lease(now);
+        self.progress_shutdown();
         // Whoever waits for a leader, or for this process to have caught up, hears of it at once.
         let (leader, epoch, fresh) = self.leader(now);
         if fresh {
-            self.current_at = now;
+            self.last_current_at = now;
         }
-        self.watch.stands(now, leader, epoch, self.config_history.version());
+        self.event_log.on_leader_state(now, leader, epoch, self.config_history.version());
         let news = (leader, fresh);
-        let early =
-            fresh && news != self.told_in_heartbeat && now + HEARTBEAT >= self.next[1] + LEAST_HEARTBEAT;
-        if now >= self.next[1] || early {
-            self.next[1] = now + HEARTBEAT;
-            self.told_in_heartbeat = news;
-            self.heartbeat(now);
+        let early = fresh
+            && news != self.last_reported_leader
+            && now + HEARTBEAT_INTERVAL_MS >= self.next_due[1] + MIN_HEARTBEAT_INTERVAL_MS;
+        if now >= self.next_due[1] || early {
+            self.next_due[1] = now + HEARTBEAT_INTERVAL_MS;
+            self.last_reported_leader = news;
+            self.send_heartbeats(now);
         }
-        if now >= self.next[2] {
-            self.next[2] = now + ROUND;
-            self.round(now);
+        if now >= self.next_due[2] {
+            self.next_due[2] = now + GOSSIP_INTERVAL_MS;
+            self.gossip_round(now);
         }
     }
 }
--- a/crates/control-plane/src/control_plane/links.rs
+++ b/crates/control-plane/src/control_plane/connections.rs
@@ -4,7 +4,7 @@
 use protocol::{UNDERSTANDS_DEPARTURES, UNDERSTANDS_DRAINS};
 
 impl ControlPlane {
-    pub(super) fn on_opened(&mut self, number: u64, line: Line, dialed: Option<SocketAddr>) {
+    pub(super) fn on_opened(&mut self, connection: u64, line: Line, dialed: Option<SocketAddr>) {
         let now = self.now();
         if let Some(to) = dialed {
             self.dialing.remove(&to);
@@ -14,29 +14,29 @@
             line,
             hello: None,
             dialed,
-            follows: false,
-            has: Held::default(),
-            heard: now,
-            opened: now,
+            is_follower: false,
+            held: Held::default(),
+            last_received_at: now,
+            opened_at: now,
             data_planes: Vec::new(),
-            understands_departures: false,
-            is_ending: false,
+            supports_departures: false,
+            is_shutting_down: false,
         };
-        self.peers.insert(number, peer);
+        self.peers.insert(connection, peer);
         if dialed.is_some() {
-            self.tell_everything(number, now);
+            self.send_full_state(connection, now);
         }
     }
 
-    pub(super) fn on_closed(&mut self, number: u64, error: &LineError) {
-        let Some(peer) = self.peers.remove(&number) else {
+    pub(super) fn on_closed(&mut self, connection: u64, error: &LineError) {
+        let Some(peer) = self.peers.remove(&connection) else {
             // It never came up.
-            let until = self.now() + REDIAL + self.draw(REDIAL);
-            if let Some(dialing) = self.dialing.values_mut().find(|(dialing, _)| *dialing == number) {
+            let until = self.now() + REDIAL_DELAY_MS + self.random_below(REDIAL_DELAY_MS);
+            if let Some(dialing) = self.dialing.values_mut().find(|(dialing, _)| *dialing == connection) {
                 dialing.1 = until;
             }
             let now = self.now();
-            if let Some(left_out) = self.watch.pass("dial", now) {
+            if let Some(left_out) = self.event_log.allow_line("dial", now) {
                 spdlog::debug!("{}", error, kv: { step = "dial", left_out });
             }
             return;
@@ -51,15 +51,15 @@
         ours.map(|p| &p.line)
     }
 
-    /// The number of that line, and the line.
-    pub(super) fn connection_to(&self, address: &SocketAddr) -> Option<(u64, Line)> {
+    /// The connection of that line, and the line.
+    pub(super) fn dialed_connection(&self, address: &SocketAddr) -> Option<(u64, Line)> {
         let ours = |peer: &Peer| peer.dialed.as_ref() == Some(address) && !peer.line.is_lost();
-        let (number, peer) = self.peers.iter().find(|(_, peer)| ours(peer))?;
-        Some((*number, peer.line.clone()))
+        let (connection, peer) = self.peers.iter().find(|(_, peer)| ours(peer))?;
+        Some((*connection, peer.line.clone()))
     }
 
     pub(super) fn other_control_planes(&self) -> BTreeSet<SocketAddr> {
-        let known = self.control_planes.addresses().chain(&self.settings.seeds).copied();
+        let known = self.directory.addresses().chain(&self.settings.seeds).copied();
         // After a restart the settings may name none of the voters, and nobody else may be left to tell of them.
         let voters = self.node.iter().flat_map(|node| node.members());
         let voters = voters.filter_map(|voter| voter.address.parse().ok());
@@ -67,54 +67,54 @@
     }
 
     /// Each control plane has a connection of its own to every other one.
-    pub(super) fn tend_lines(&mut self, now: u64) {
+    pub(super) fn maintain_connections(&mut self, now: u64) {
         let silent: Vec<u64> = self
             .peers
             .iter()
             .filter(|(_, p)| {
-                p.line.is_lost() || p.hello.is_none() && p.dialed.is_none() && now > p.opened + 3000
+                p.line.is_lost() || p.hello.is_none() && p.dialed.is_none() && now > p.opened_at + 3000
             })
-            .map(|(number, _)| *number)
+            .map(|(connection, _)| *connection)
             .collect();
-        for number in silent {
-            self.peers.remove(&number);
+        for connection in silent {
+            self.peers.remove(&connection);
         }
         self.dialing.retain(|_, (_, until)| now < *until);
         for to in self.other_control_planes() {
             if self.line_to(&to).is_some() || self.dialing.contains_key(&to) {
                 continue;
             }
-            let number = (self.numbers)();
-            self.dialing.insert(to, (number, now + DIALING));
-            self.connect.connect(number, to, self.commands.clone());
+            let connection = (self.connection_ids)();
+            self.dialing.insert(to, (connection, now + DIAL_TIMEOUT_MS));
+            self.connector.connect(connection, to, self.commands.clone());
         }
     }
 
-    pub(super) fn to_control_planes(&self, message: &Message) {
+    pub(super) fn send_to_control_planes(&self, message: &Message) {
         let frame: Rc<[u8]> = protocol::frame(message).into();
         for peer in self.peers.values().filter(|p| p.dialed.is_some()) {
             peer.line.send_frame(frame.clone());
         }
     }
 
-    pub(super) fn to_followers(&self, message: &Message) {
+    pub(super) fn send_to_followers(&self, message: &Message) {
         let frame: Rc<[u8]> = protocol::frame(message).into();
-        for peer in self.peers.values().filter(|p| p.follows) {
+        for peer in self.peers.values().filter(|p| p.is_follower) {
             peer.line.send_frame(frame.clone());
         }
     }
 
     /// All processes that serve control, for followers: they go on to another one when this one is cut off.
-    pub(super) fn cards(&self) -> Vec<ControlPlaneAddress> {
-        self.cards_of(self.control_planes.all())
+    pub(super) fn control_plane_addresses(&self) -> Vec<ControlPlaneAddress> {
+        self.addresses_of(self.directory.all())
     }
 
     /// Those that other processes of control are told of.
-    pub(super) fn connected_cards(&self, now: u64) -> Vec<ControlPlaneAddress> {
-        self.cards_of(self.control_planes.lately_connected(now))
+    pub(super) fn connected_addresses(&self, now: u64) -> Vec<ControlPlaneAddress> {
+        self.addresses_of(self.directory.recently_connected(now))
     }
 
-    fn cards_of<'a>(
+    fn addresses_of<'a>(
         &'a self, known: impl Iterator<Item = (&'a SocketAddr, &'a str)>,
     ) -> Vec<ControlPlaneAddress> {
         let me = (&self.settings.address, self.settings.me.zone.as_str());
@@ -127,43 +127,47 @@
     }
 
     /// Notes with whom a connection stands, and forgets with whom none did for long.
-    pub(super) fn tend_directory(&mut self, now: u64) {
-        let heard = self.peers.values().filter(|peer| !peer.line.is_lost() && now < peer.heard + PEER_SILENT);
+    pub(super) fn maintain_directory(&mut self, now: u64) {
+        let heard = self
+            .peers
+            .values()
+            .filter(|peer| !peer.line.is_lost() && now < peer.last_received_at + PEER_TIMEOUT_MS);
         for hello in heard.filter_map(|peer| peer.hello.as_ref()) {
             if hello.plane == Plane::ControlPlane
                 && let Ok(address) = hello.address.parse()
             {
-                self.control_planes.connected(now, &address);
+                self.directory.mark_connected(now, &address);
             }
         }
-        self.control_planes.sweep(now);
-        self.incarnations.retain(|address, _| self.control_planes.contains(address));
+        self.directory.sweep(now);
+        self.quorum_incarnations.retain(|address, _| self.directory.contains(address));
     }
 
     /// What another control plane has to know of all that this one knows.
-    pub(super) fn tell_everything(&self, number: u64, now: u64) {
-        let Some(peer) = self.peers.get(&number) else { return };
-        peer.line.send(&Message::ControlPlanes(self.connected_cards(now)));
+    pub(super) fn send_full_state(&self, connection: u64, now: u64) {
+        let Some(peer) = self.peers.get(&connection) else { return };
+        peer.line.send(&Message::ControlPlanes(self.connected_addresses(now)));
         peer.line.send(&Message::Backends { whole: false, backends: self.register.everything(now) });
-        peer.line.send(&Message::DataPlanes(self.data_planes_here(now)));
+        peer.line.send(&Message::DataPlanes(self.local_data_planes(now)));
     }
 
-    pub(super) fn data_planes_here(&self, now: u64) -> Vec<(String, u64)> {
-        let hellos = self.peers.values().filter(|p| p.follows && now < p.heard + PEER_SILENT);
+    pub(super) fn local_data_planes(&self, now: u64) -> Vec<(String, u64)> {
+        let hellos =
+            self.peers.values().filter(|p| p.is_follower && now < p.last_received_at + PEER_TIMEOUT_MS);
         let data_planes = hellos.filter_map(|p| p.hello.as_ref());
         let data_planes = data_planes.filter(|h| h.plane == Plane::DataPlane && !self.has_departed(h));
         data_planes.map(|h| (h.name.clone(), h.life)).collect()
     }
 
-    pub(super) fn on_frame(&mut self, number: u64, message: Message) {
+    pub(super) fn on_message(&mut self, connection: u64, message: Message) {
         let now = self.now();
-        let Some(peer) = self.peers.get_mut(&number) else { return };
-        peer.heard = now;
-        self.frames += 1;
+        let Some(peer) = self.peers.get_mut(&connection) else { return };
+        peer.last_received_at = now;
+        self.messages_received += 1;
         match message {
-            Message::Hello(hello) => self.on_hello(number, hello, now),
-            Message::Welcome(hello) => self.meet(&hello),
-            Message::Log { incarnation, message } => self.on_log(number, incarnation, &message),
+            Message::Hello(hello) => self.on_hello(connection, hello, now),
+            Message::Welcome(hello) => self.register_peer(&hello),
+            Message::Log { incarnation, message } => self.on_log_message(connection, incarnation, &message),
             Message::ControlPlanes(cards) => {
                 for card in cards {
                     if let Ok(address) = card.address.parse() {
@@ -171,51 +175,55 @@
                     }
                 }
             }
-            Message::Follow { have } => self.on_follow(number, have, now),
-            Message::FreshnessQuestion(question) => self.on_freshness_question(number, question, now),
+            Message::Follow { have } => self.on_follow(connection, have, now),
+            Message::FreshnessQuestion(question) => self.on_freshness_question(connection, question, now),
             Message::Backends { backends, .. } => {
                 // Of one that this process has dialed the address is known, and no name.
                 let address = peer.dialed.map_or_else(String::new, |address| address.to_string());
                 let origin = peer.hello.as_ref().map_or(address, |hello| hello.name.clone());
                 let changed = self.register.hear(now, backends);
-                self.tell_backends(changed, Origin::Peer(&origin));
+                self.publish_backends(changed, Origin::Peer(&origin));
             }
             Message::Heard(heard) => {
                 let back = self.register.alive(now, &heard);
-                self.tell_backends(back, Origin::Silence);
+                self.publish_backends(back, Origin::Silence);
             }
             Message::DataPlanes(data_planes) => {
                 data_planes.iter().for_each(|(name, life)| self.fleet.heard(now, name, *life));
                 peer.data_planes = data_planes;
                 self.resize_fleet(now);
             }
-            Message::Leave => self.on_leave(number, now),
+            Message::Leave => self.on_leave(connection, now),
             Message::Departures(departures) => self.on_departures(departures, now),
             Message::Here { epoch } => {
                 if let Some(hello) = peer.hello.clone() {
-                    self.heard_data_plane(&hello, epoch, now);
+                    self.on_data_plane_contact(&hello, epoch, now);
                 }
             }
             Message::Offer { number: offer, answered, draws } => {
-                self.on_offer(number, offer, answered, draws, now)
+                self.on_offer(connection, offer, answered, draws, now)
             }
             Message::Lease { number: offer, assignment, ends_in } => {
                 self.on_lease(offer, &assignment, ends_in, now)
             }
             Message::HolderAssignment(assignment) => self.on_assignment(&assignment, now),
             Message::Handover(handover) => self.on_handover(handover, now),
-            Message::LeaseRequest(draw) => self.on_draw(number, draw, now),
-            Message::Ask { token, order } => self.on_order(Asker::There { peer: number, token }, order, now),
-            Message::Told { token, status, body } => self.on_told(number, token, Reply { status, body }),
+            Message::LeaseRequest(draw) => self.on_lease_request(connection, draw, now),
+            Message::Ask { token, order } => {
+                self.on_order(Requester::Remote { peer: connection, token }, order, now)
+            }
+            Message::Told { token, status, body } => {
+                self.on_forwarded_reply(connection, token, Reply { status, body })
+            }
             // Update of another control plane, for those without a log.
             Message::Heartbeat(heartbeat) => self.on_heartbeat(heartbeat, now),
             Message::ConfigSnapshot(config_snapshot) => self.on_config_snapshot(config_snapshot),
-            Message::ConfigDelta(config_delta) => self.on_config_delta(number, &config_delta),
-            Message::Whole => self.on_whole(number),
+            Message::ConfigDelta(config_delta) => self.on_config_delta(connection, &config_delta),
+            Message::Whole => self.on_snapshot_request(connection),
             Message::NotHolder { number: UNDERSTANDS_DEPARTURES } => {
-                self.on_understands_departures(number, now)
+                self.on_departures_supported(connection, now)
             }
-            Message::NotHolder { number: UNDERSTANDS_DRAINS } => self.on_understands_drains(number),
+            Message::NotHolder { number: UNDERSTANDS_DRAINS } => self.on_drains_supported(connection),
             Message::Grant(_)
             | Message::NotHolder { .. }
             | Message::LeaveAccepted
@@ -224,28 +232,28 @@
         }
     }
 
-    pub(super) fn on_hello(&mut self, number: u64, hello: Hello, now: u64) {
-        let Some(peer) = self.peers.get_mut(&number) else { return };
+    pub(super) fn on_hello(&mut self, connection: u64, hello: Hello, now: u64) {
+        let Some(peer) = self.peers.get_mut(&connection) else { return };
         peer.hello = Some(hello.clone());
         match hello.plane {
             Plane::DataPlane => {
                 self.fleet.heard(now, &hello.name, hello.life);
                 // First that it is there: else it would stand in for one that is silent.
                 self.resize_fleet(now);
-                self.heard_data_plane(&hello, quota::Epoch::default(), now);
-                if let Some(peer) = self.peers.get(&number) {
-                    peer.line.send(&Self::understands_freshness());
+                self.on_data_plane_contact(&hello, quota::Epoch::default(), now);
+                if let Some(peer) = self.peers.get(&connection) {
+                    peer.line.send(&Self::freshness_support());
                 }
             }
             Plane::ControlPlane => {
                 let mut me = self.settings.me.clone();
                 me.incarnation = self.node.as_ref().map(|node| node.me().incarnation);
-                if let Some(peer) = self.peers.get(&number) {
+                if let Some(peer) = self.peers.get(&connection) {
                     peer.line.send(&Message::Welcome(me));
-                    peer.line.send(&Self::understands_drains());
-                    peer.line.send(&Self::understands_departures());
+                    peer.line.send(&Self::drains_support());
+                    peer.line.send(&Self::departures_support());
                 }
-                self.meet(&hello);
+                self.register_peer(&hello);
             }
         }
     }
@@ -253,57 +261,57 @@
     pub(super) fn learn_control_plane(&mut self, address: SocketAddr, zone: String) {
         if address != self.settings.address {
             let now = self.now();
-            self.control_planes.heard_of(now, address, zone);
+            self.directory.learn(now, address, zone);
         }
     }
 
-    pub(super) fn meet(&mut self, hello: &Hello) {
+    pub(super) fn register_peer(&mut self, hello: &Hello) {
         let Ok(address) = hello.address.parse() else { return };
         self.learn_control_plane(address, hello.zone.clone());
         let now = self.now();
-        self.control_planes.connected(now, &address);
+        self.directory.mark_connected(now, &address);
         if let Some(incarnation) =
-            hello.incarnation.filter(|_| hello.quorum && self.control_planes.contains(&address))
+            hello.incarnation.filter(|_| hello.quorum && self.directory.contains(&address))
         {
-            self.incarnations.insert(address, incarnation);
+            self.quorum_incarnations.insert(address, incarnation);
         }
     }
 
-    pub(super) fn on_log(&mut self, number: u64, incarnation: u64, message: &[u8]) {
+    pub(super) fn on_log_message(&mut self, connection: u64, incarnation: u64, message: &[u8]) {
         if let Some(message) = ContactMessage::decode(message) {
-            return self.on_contact(number, &message);
+            return self.on_contact_message(connection, &message);
         }
-        let Some(hello) = self.peers.get(&number).and_then(|p| p.hello.as_ref()) else { return };
+        let Some(hello) = self.peers.get(&connection).and_then(|p| p.hello.as_ref()) else { return };
         let from = VoterId { address: hello.address.clone(), incarnation };
         if let Ok(message) = bitcode::decode(message) {
-            self.log(Input::Heard { from, message });
+            self.step_raft(Input::Heard { from, message });
         }
     }
 
-    pub(super) fn on_follow(&mut self, number: u64, have: Held, now: u64) {
-        let heartbeat = self.heartbeat_for(number, now);
-        let Some(peer) = self.peers.get_mut(&number) else { return };
+    pub(super) fn on_follow(&mut self, connection: u64, have: Held, now: u64) {
+        let heartbeat = self.heartbeat_for(connection, now);
+        let Some(peer) = self.peers.get_mut(&connection) else { return };
         if let Some(hello) = &peer.hello
             && hello.plane == Plane::DataPlane
         {
             self.fleet.heard(now, &hello.name, hello.life);
         }
         // A sign of life may have been on its way while a newer one was sent.
-        if have.version >= peer.has.version {
-            peer.has = have;
+        if have.version >= peer.held.version {
+            peer.held = have;
         }
-        if std::mem::replace(&mut peer.follows, true) {
+        if std::mem::replace(&mut peer.is_follower, true) {
             return;
         }
         peer.line.send(&Message::Heartbeat(heartbeat));
-        self.send_config_snapshot(number);
-        let young = now < YOUNG;
+        self.send_config_snapshot(connection);
+        let young = now < WARMUP_MS;
         let mut backends = if young { self.register.everything(now) } else { self.register.all(now) };
         if young {
             backends.extend(self.drained_unknown());
         }
-        let cards = self.cards();
-        if let Some(peer) = self.peers.get(&number) {
+        let cards = self.control_plane_addresses();
+        if let Some(peer) = self.peers.get(&connection) {
             peer.line.send(&Message::Backends { whole: !young, backends });
             peer.line.send(&Message::ControlPlanes(cards));
         }
--- a/crates/control-plane/src/control_plane/contact.rs
+++ b/crates/control-plane/src/control_plane/contact.rs
@@ -4,7 +4,7 @@
 use protocol::{FreshnessAnswer, FreshnessQuestion, UNDERSTANDS_FRESHNESS};
 
 /// So many records of backends that leave go into one answer.
-const RECORDS_AN_ANSWER: usize = 512;
+const MAX_RECORDS_PER_RESPONSE: usize = 512;
 
 impl ControlPlane {
     /// The leader of the log as this process knows it, its term, and whether that is of this moment.
@@ -15,35 +15,35 @@
             }
             Some(node) => {
                 let leader = self.leader_address();
-                (leader, node.term(), leader.is_some() && self.follows_closely(node, now))
+                (leader, node.term(), leader.is_some() && self.is_caught_up(node, now))
             }
-            None => self.leader_of_news(now),
+            None => self.leader_without_log(now),
         }
     }
 
     /// Whether a voter has all that was committed when the leader was asked last.
-    fn follows_closely(&self, node: &Node, now: u64) -> bool {
+    fn is_caught_up(&self, node: &Node, now: u64) -> bool {
         if node.commit() == 0 || node.lags() {
             return false;
         }
-        let close = |newest: Confirmation| newest.term == node.term() && newest.commit <= node.commit();
-        self.contact.newest(now).is_some_and(close) || self.faults.trusts_heartbeats
+        let covers = |newest: Confirmation| newest.term == node.term() && newest.commit <= node.commit();
+        self.leader_contact.newest(now).is_some_and(covers) || self.faults.trusts_heartbeats
     }
 
     /// A process without a log goes by the leader's own word, and names whom voters told of while there is none.
-    fn leader_of_news(&self, now: u64) -> (Option<SocketAddr>, u64, bool) {
+    fn leader_without_log(&self, now: u64) -> (Option<SocketAddr>, u64, bool) {
         if self.faults.trusts_heartbeats {
-            let current = self.told.fresh && now < self.told_at + WORD;
-            return (self.leader_address(), self.told.epoch, current);
+            let current = self.last_heartbeat.fresh && now < self.last_heartbeat_at + LEADER_REPORT_TTL_MS;
+            return (self.leader_address(), self.last_heartbeat.epoch, current);
         }
-        match self.contact.newest(now) {
-            Some(newest) if newest.term >= self.told.epoch => {
+        match self.leader_contact.newest(now) {
+            Some(newest) if newest.term >= self.last_heartbeat.epoch => {
                 // One of the version before says nothing of records, and has none.
                 let has_versions = newest.version <= self.config_history.version();
                 let has_drains = newest.drains <= self.register.drains().last();
                 (Some(newest.leader), newest.term, has_versions && has_drains)
             }
-            _ => (self.leader_address(), self.told.epoch, false),
+            _ => (self.leader_address(), self.last_heartbeat.epoch, false),
         }
     }
 
@@ -51,30 +51,30 @@
     pub(super) fn leader_address(&self) -> Option<SocketAddr> {
         match &self.node {
             Some(node) => node.leader().and_then(|voter| voter.address.parse().ok()),
-            None => self.told.leader.as_ref().and_then(|leader| leader.parse().ok()),
+            None => self.last_heartbeat.leader.as_ref().and_then(|leader| leader.parse().ok()),
         }
     }
 
     /// Asks the leader, when it is time to.
-    pub(super) fn tend_contact(&mut self, now: u64) {
+    pub(super) fn query_leader(&mut self, now: u64) {
         let Some(leader) = self.leader_address().filter(|leader| *leader != self.settings.address) else {
             return;
         };
-        let Some((connection, line)) = self.connection_to(&leader) else { return };
+        let Some((connection, line)) = self.dialed_connection(&leader) else { return };
         // Which version the leader is of is said first on a connection.
-        let reads_records = self.understand_drains.contains(&leader);
+        let supports_records = self.drains_supported_by.contains(&leader);
         let is_earlier_version =
-            !reads_records && self.peers.get(&connection).is_some_and(|peer| peer.understands_departures);
-        if !reads_records && !is_earlier_version {
+            !supports_records && self.peers.get(&connection).is_some_and(|peer| peer.supports_departures);
+        if !supports_records && !is_earlier_version {
             return;
         }
-        if let Some(number) = self.contact.question(now, leader) {
-            let question = if reads_records {
-                ContactMessage::RecordsQuestion { number, drains: self.register.drains().last() }
+        if let Some(number) = self.leader_contact.next_query(now, leader) {
+            let query = if supports_records {
+                ContactMessage::DrainSyncRequest { number, drains: self.register.drains().last() }
             } else {
-                ContactMessage::Question { number }
+                ContactMessage::ReadIndexRequest { number }
             };
-            line.send(&contact_message(&question));
+            line.send(&wrap_contact_message(&query));
         }
     }
 
@@ -88,7 +88,7 @@
         if leads || self.faults.trusts_heartbeats || self.faults.reports_zero_age {
             return Some(0);
         }
-        self.contact.newest(now).map(|newest| now.saturating_sub(newest.asked_at))
+        self.leader_contact.newest(now).map(|newest| now.saturating_sub(newest.sent_at))
     }
 
     /// A data plane asks how old what it is told may be, and gets the records of backends that leave which it lacks.
@@ -97,8 +97,8 @@
         let age_ms = self.confirmation_age(now).map(|age| u32::try_from(age).unwrap_or(u32::MAX));
         let table = self.register.drains();
         // Whoever has more of them lacks none.
-        let most = if known > table.last() { 0 } else { RECORDS_AN_ANSWER };
-        let run = table.run_after(known, most);
+        let max_records = if known > table.last() { 0 } else { MAX_RECORDS_PER_RESPONSE };
+        let run = table.run_after(known, max_records);
         let answer = FreshnessAnswer {
             number,
             age_ms,
@@ -112,30 +112,30 @@
     }
 
     /// What a data plane is told, that it may send [`Message::FreshnessQuestion`].
-    pub(super) fn understands_freshness() -> Message {
+    pub(super) fn freshness_support() -> Message {
         Message::NotHolder { number: UNDERSTANDS_FRESHNESS }
     }
 
     /// A question is answered by a leader that holds its lease, and by nobody else.
-    pub(super) fn on_contact(&mut self, number: u64, message: &ContactMessage) {
+    pub(super) fn on_contact_message(&mut self, connection: u64, message: &ContactMessage) {
         let now = self.now();
-        let Some(peer) = self.peers.get(&number) else { return };
+        let Some(peer) = self.peers.get(&connection) else { return };
         match message {
-            ContactMessage::Question { number } => {
-                if let Some(answer) = self.contact_answer(*number, now) {
-                    peer.line.send(&contact_message(&answer));
+            ContactMessage::ReadIndexRequest { number } => {
+                if let Some(response) = self.read_index_response(*number, now) {
+                    peer.line.send(&wrap_contact_message(&response));
                 }
             }
-            ContactMessage::RecordsQuestion { number: question, drains } => {
+            ContactMessage::DrainSyncRequest { number: query, drains } => {
                 let has_log = peer.hello.as_ref().is_some_and(|hello| hello.quorum);
-                let most = if has_log { 0 } else { RECORDS_AN_ANSWER };
-                if let Some(answer) = self.records_answer(*question, *drains, most, now) {
-                    peer.line.send(&contact_message(&answer));
+                let max_records = if has_log { 0 } else { MAX_RECORDS_PER_RESPONSE };
+                if let Some(response) = self.drain_sync_response(*query, *drains, max_records, now) {
+                    peer.line.send(&wrap_contact_message(&response));
                 }
             }
-            ContactMessage::Answer { .. } | ContactMessage::RecordsAnswer { .. } => {
+            ContactMessage::ReadIndexResponse { .. } | ContactMessage::DrainSyncResponse { .. } => {
                 if let Some(leader) = peer.dialed {
-                    self.on_contact_answer(leader, message);
+                    self.on_contact_response(leader, message);
                 }
             }
         }
@@ -146,30 +146,32 @@
         self.node.as_ref().filter(|node| node.holds_lease(now))
     }
 
-    fn contact_answer(&self, number: u64, now: u64) -> Option<ContactMessage> {
+    fn read_index_response(&self, number: u64, now: u64) -> Option<ContactMessage> {
         let node = self.leased_node(now)?;
         let (term, commit, version) = (node.term(), node.commit(), self.config_history.version());
-        Some(ContactMessage::Answer { number, term, commit, version })
+        Some(ContactMessage::ReadIndexResponse { number, term, commit, version })
     }
 
-    fn records_answer(&self, number: u64, known: u64, most: usize, now: u64) -> Option<ContactMessage> {
+    fn drain_sync_response(
+        &self, number: u64, known: u64, max_records: usize, now: u64,
+    ) -> Option<ContactMessage> {
         let node = self.leased_node(now)?;
         let (term, commit, version) = (node.term(), node.commit(), self.config_history.version());
         let table = self.register.drains();
-        let (drains, missing) = (table.last(), table.run_after(known, most));
-        Some(ContactMessage::RecordsAnswer { number, term, commit, version, drains, missing })
+        let (drains, missing) = (table.last(), table.run_after(known, max_records));
+        Some(ContactMessage::DrainSyncResponse { number, term, commit, version, drains, missing })
     }
 
-    fn on_contact_answer(&mut self, leader: SocketAddr, message: &ContactMessage) {
-        let counts = self.contact.answered(leader, message);
-        if let ContactMessage::RecordsAnswer { drains, missing, .. } = message
-            && counts
+    fn on_contact_response(&mut self, leader: SocketAddr, message: &ContactMessage) {
+        let is_newer = self.leader_contact.on_response(leader, message);
+        if let ContactMessage::DrainSyncResponse { drains, missing, .. } = message
+            && is_newer
         {
-            self.follow_drains(missing, *drains);
+            self.sync_drains(missing, *drains);
         }
     }
 }
 
-fn contact_message(message: &ContactMessage) -> Message {
+fn wrap_contact_message(message: &ContactMessage) -> Message {
     Message::Log { incarnation: 0, message: message.encode() }
 }
--- a/crates/control-plane/src/control_plane/departures.rs
+++ b/crates/control-plane/src/control_plane/departures.rs
@@ -9,27 +9,27 @@
 use registry::COUNTED_WHILE_SILENT;
 
 /// Data planes divide their slices by as many as there were within this span. One that is cut off goes on with the
-/// number that it heard last: that must not be the small one of a moment in which many are started anew.
-const SLICES_DIVIDED_OVER: u64 = COUNTED_WHILE_SILENT;
+/// connection that it heard last: that must not be the small one of a moment in which many are started anew.
+const SLICE_DIVISOR_WINDOW_MS: u64 = COUNTED_WHILE_SILENT;
 /// The log is told of a smaller fleet only after this long: a data plane that is started anew is back by then.
-const SETTLES: u64 = 5000;
+const FLEET_SHRINK_DELAY_MS: u64 = 5000;
 /// A process this old has heard of all data planes that there are, or they count no more.
-const SETTLED: u64 = 30_000;
+const FLEET_DISCOVERY_MS: u64 = 30_000;
 
 impl ControlPlane {
     /// A data plane says on its connection that it has ended, or a process of control that it is about to.
-    pub(super) fn on_leave(&mut self, number: u64, now: u64) {
-        let Some(hello) = self.peers.get(&number).and_then(|peer| peer.hello.clone()) else { return };
+    pub(super) fn on_leave(&mut self, connection: u64, now: u64) {
+        let Some(hello) = self.peers.get(&connection).and_then(|peer| peer.hello.clone()) else { return };
         match hello.plane {
-            Plane::DataPlane => self.on_data_plane_leaves(number, &hello, now),
-            Plane::ControlPlane => self.on_control_plane_ends(number, &hello),
+            Plane::DataPlane => self.on_data_plane_departure(connection, &hello, now),
+            Plane::ControlPlane => self.on_control_plane_shutdown(connection, &hello),
         }
     }
 
-    fn on_data_plane_leaves(&mut self, number: u64, hello: &Hello, now: u64) {
+    fn on_data_plane_departure(&mut self, connection: u64, hello: &Hello, now: u64) {
         let departure = Departure { name: hello.name.clone(), incarnation: hello.life, ago_ms: 0 };
         self.on_departures(vec![departure], now);
-        if let Some(peer) = self.peers.get(&number) {
+        if let Some(peer) = self.peers.get(&connection) {
             peer.line.send(&Message::LeaveAccepted);
         }
     }
@@ -40,31 +40,31 @@
         if departures.is_empty() {
             return;
         }
-        self.silence_departed();
+        self.exclude_departed();
         self.resize_fleet(now);
         let frame: Rc<[u8]> = protocol::frame(&Message::Departures(departures)).into();
-        for peer in self.peers.values().filter(|peer| peer.understands_departures) {
+        for peer in self.peers.values().filter(|peer| peer.supports_departures) {
             peer.line.send_frame(frame.clone());
         }
     }
 
     /// The other end of a connection reads what data planes departed.
-    pub(super) fn on_understands_departures(&mut self, number: u64, now: u64) {
+    pub(super) fn on_departures_supported(&mut self, connection: u64, now: u64) {
         let departures = self.fleet.departures(now);
-        let Some(peer) = self.peers.get_mut(&number) else { return };
-        peer.understands_departures = true;
+        let Some(peer) = self.peers.get_mut(&connection) else { return };
+        peer.supports_departures = true;
         if !departures.is_empty() {
             peer.line.send(&Message::Departures(departures));
         }
     }
 
     /// What another process of control is told, that it may tell of departures here.
-    pub(super) fn understands_departures() -> Message {
+    pub(super) fn departures_support() -> Message {
         Message::NotHolder { number: UNDERSTANDS_DEPARTURES }
     }
 
     /// A data plane gave a sign of life, unless it is one on its way from before its departure.
-    pub(super) fn heard_data_plane(&mut self, hello: &Hello, epoch: Epoch, now: u64) {
+    pub(super) fn on_data_plane_contact(&mut self, hello: &Hello, epoch: Epoch, now: u64) {
         if !self.has_departed(hello) {
             self.quota_service.heard(now as f64, &hello.name, epoch);
         }
@@ -76,47 +76,47 @@
     }
 
     /// Departed data planes do not stand in for others of which nothing is heard.
-    pub(super) fn silence_departed(&mut self) {
+    pub(super) fn exclude_departed(&mut self) {
         for name in self.fleet.departed_names() {
             self.quota_service.left(name);
         }
     }
 
-    /// The counts go by the number of data planes as it is now.
+    /// The counts go by the connection of data planes as it is now.
     pub(super) fn resize_fleet(&mut self, now: u64) {
-        let counted = self.counted_fleet(now);
+        let counted = self.quota_fleet_size(now);
         self.quota_service.fleet(now as f64, counted);
         let wide = self.fleet.wide_slices(counted);
         self.quota_service.wide_slices(wide);
     }
 
     /// How many data planes may spend something: slices are held back for those of them that are silent.
-    pub(super) fn counted_fleet(&self, now: u64) -> u32 {
-        self.fleet.size().max(self.recorded_fleet(now))
+    pub(super) fn quota_fleet_size(&self, now: u64) -> u32 {
+        self.fleet.size().max(self.recorded_fleet_size(now))
     }
 
     /// By how many data planes each divides its slices.
     pub(super) fn slice_divisor(&self, now: u64) -> u32 {
-        self.fleet.size_within(now, SLICES_DIVIDED_OVER).max(self.recorded_fleet(now))
+        self.fleet.size_within(now, SLICE_DIVISOR_WINDOW_MS).max(self.recorded_fleet_size(now))
     }
 
     /// The place of a data plane among those that [`Self::slice_divisor`] counts.
-    pub(super) fn number_in_fleet(&self, now: u64, name: &str) -> u32 {
-        self.fleet.number_within(now, SLICES_DIVIDED_OVER, name)
+    pub(super) fn fleet_index(&self, now: u64, name: &str) -> u32 {
+        self.fleet.number_within(now, SLICE_DIVISOR_WINDOW_MS, name)
     }
 
     /// The size that the log should say, if another one.
-    pub(super) fn fleet_to_record(&self, now: u64) -> u32 {
-        self.fleet.size_within(now, SETTLES)
+    pub(super) fn fleet_size_to_record(&self, now: u64) -> u32 {
+        self.fleet.size_within(now, FLEET_SHRINK_DELAY_MS)
     }
 
     /// A process that has just started has yet to hear of most data planes: the log knows how many there were, or for a
     /// process without a log the one that it follows.
-    fn recorded_fleet(&self, now: u64) -> u32 {
+    fn recorded_fleet_size(&self, now: u64) -> u32 {
         match &self.node {
-            _ if now >= SETTLED => 0,
+            _ if now >= FLEET_DISCOVERY_MS => 0,
             Some(_) => self.config_history.fleet_size(),
-            None => self.told.fleet,
+            None => self.last_heartbeat.fleet,
         }
     }
 }
--- a/crates/control-plane/src/control_plane/entries.rs
+++ b/crates/control-plane/src/control_plane/entries.rs
@@ -5,13 +5,13 @@
 use crate::drain_entry::DrainEntry;
 
 impl ControlPlane {
-    pub(super) fn log(&mut self, input: Input) {
+    pub(super) fn step_raft(&mut self, input: Input) {
         let now = self.now();
         let Some(node) = &mut self.node else { return };
         node.handle(now, input, &mut self.outputs);
         // What an output asks of the log takes its turn behind all outputs before it. Otherwise a compaction that a
         // committed entry causes would be on disk before that entry, which would then stand below the snapshot.
-        if std::mem::replace(&mut self.handles_outputs, true) {
+        if std::mem::replace(&mut self.handling_outputs, true) {
             return;
         }
         while !self.outputs.is_empty() {
@@ -19,7 +19,7 @@
                 self.on_output(output);
             }
         }
-        self.handles_outputs = false;
+        self.handling_outputs = false;
     }
 
     pub(super) fn on_output(&mut self, output: Output) {
@@ -45,20 +45,20 @@
                 let at = LogPosition { index: entry.index, epoch: entry.term };
                 self.on_committed(at, entry.what);
             }
-            Output::Install { snapshot } => self.install(&snapshot),
+            Output::Install { snapshot } => self.install_snapshot(&snapshot),
             Output::Accepted { token, index, .. } => {
-                self.accepted.insert(index, token);
+                self.tokens_by_index.insert(index, token);
             }
             Output::Refused { token, .. } => {
-                self.marking.take_if(|marking| *marking == token);
+                self.checkpoint_token.take_if(|marking| *marking == token);
                 let refused = Reply::error(503, "this process does not lead");
-                self.drains_undecided(token, &refused);
-                self.answer_proposed(token, refused);
+                self.fail_drains(token, &refused);
+                self.reply_to_proposal(token, refused);
             }
             Output::Unclear { token } => {
                 let unclear = Reply::error(503, "another process leads now: ask again");
-                self.drains_undecided(token, &unclear);
-                self.answer_proposed(token, unclear);
+                self.fail_drains(token, &unclear);
+                self.reply_to_proposal(token, unclear);
             }
             Output::Role(role) => self.on_role(role),
         }
@@ -66,14 +66,14 @@
 
     /// Takes over the leader's state. If it can't be read, this process takes no part in the log any more, and writes
     /// nothing of it: it would judge changes, and lead, by a state that is behind its log.
-    fn install(&mut self, snapshot: &Snapshot) {
+    fn install_snapshot(&mut self, snapshot: &Snapshot) {
         match SnapshotState::restore(&snapshot.state) {
             Ok(SnapshotState { config_history, drains }) => {
-                self.changed |= config_history.version() > self.config_history.version();
+                self.config_changed |= config_history.version() > self.config_history.version();
                 self.config_history = config_history;
-                (self.changes, self.change_bytes) = (0.0, 0);
+                (self.changes_since_compaction, self.bytes_since_compaction) = (0.0, 0);
                 let drained = self.register.restore_drains(&drains);
-                self.tell_drained(drained);
+                self.publish_drained(drained);
             }
             Err(error) => {
                 let (index, epoch) = (snapshot.index, snapshot.term);
@@ -89,13 +89,13 @@
     pub(super) fn on_role(&mut self, role: Role) {
         let now = self.now();
         if let Role::Candidate { term } = role {
-            self.watch.candidate(now, term);
+            self.event_log.on_candidacy(now, term);
         }
         if !matches!(role, Role::Leader { .. }) {
-            self.resign(now);
-            self.accepted.clear();
-            self.marking = None;
-            self.give_up_drains();
+            self.resign_quota_holder(now);
+            self.tokens_by_index.clear();
+            self.checkpoint_token = None;
+            self.abort_drains();
         }
     }
 
@@ -105,53 +105,55 @@
             What::Change(change) => change,
             What::Members(voters) => {
                 let list = voters.iter().map(|voter| voter.address.clone().into()).collect();
-                return self.watch.note(now, "voters", Happened::Voters(list));
+                return self.event_log.record(now, "voters", Recorded::Voters(list));
             }
             // The first entry of this leader: all that others left in the log has been taken in, so that the counts can
             // be held from here on.
             What::Nothing if self.node.as_ref().is_some_and(|node| node.term() == at.epoch) => {
-                return self.tend_quota_service(now);
+                return self.maintain_quota_service(now);
             }
             What::Nothing => return,
         };
-        self.change_bytes += change.len();
+        self.bytes_since_compaction += change.len();
         if let Some(marks) = QuotaCheckpoint::decode(&change) {
-            return self.on_marks(index, marks.ok());
+            return self.on_checkpoint(index, marks.ok());
         }
         if let Some(entry) = DrainEntry::decode(&change) {
             self.on_drain_entry(index, entry.ok());
-            return self.written(index, MARKS_WEIGH);
+            return self.track_compaction(index, SMALL_ENTRY_WEIGHT);
         }
         let Ok(change) = Change::decode(&change) else { return };
         let version = change.version;
         let verdict = self.config_history.apply(at, change);
-        self.watch.change(now, version, verdict);
-        self.changed |= verdict == Verdict::Accepted;
-        if let Some(token) = self.accepted.remove(&index) {
-            self.answer_proposed(token, reply_to(verdict));
+        self.event_log.on_verdict(now, version, verdict);
+        self.config_changed |= verdict == Verdict::Accepted;
+        if let Some(token) = self.tokens_by_index.remove(&index) {
+            self.reply_to_proposal(token, reply_to(verdict));
         }
-        self.written(index, 1.0);
+        self.track_compaction(index, 1.0);
     }
 
     /// QuotaCheckpoint are decided.
-    fn on_marks(&mut self, index: u64, marks: Option<QuotaCheckpoint>) {
+    fn on_checkpoint(&mut self, index: u64, marks: Option<QuotaCheckpoint>) {
         if let Some(marks) = marks {
             self.config_history.apply_checkpoint(marks);
         }
-        let token = self.accepted.remove(&index);
-        if token.is_some() && token == self.marking.take_if(|marking| Some(*marking) == token) {
+        let token = self.tokens_by_index.remove(&index);
+        if token.is_some() && token == self.checkpoint_token.take_if(|marking| Some(*marking) == token) {
             self.quota_service.decided();
         }
-        self.written(index, MARKS_WEIGH);
+        self.track_compaction(index, SMALL_ENTRY_WEIGHT);
     }
 
     /// Another entry is in the log, which weighs so much of a change.
-    fn written(&mut self, index: u64, weight: f64) {
-        self.changes += weight;
-        if self.changes >= COMPACT_AFTER || self.change_bytes >= COMPACT_BYTES {
-            (self.changes, self.change_bytes) = (0.0, 0);
+    fn track_compaction(&mut self, index: u64, weight: f64) {
+        self.changes_since_compaction += weight;
+        if self.changes_since_compaction >= COMPACT_AFTER_CHANGES
+            || self.bytes_since_compaction >= COMPACT_AFTER_BYTES
+        {
+            (self.changes_since_compaction, self.bytes_since_compaction) = (0.0, 0);
             let state = SnapshotState::snapshot(&self.config_history, self.drains_for_snapshot());
-            self.log(Input::Compact { index, state });
+            self.step_raft(Input::Compact { index, state });
         }
     }
 }
--- a/crates/control-plane/src/control_plane/membership.rs
+++ b/crates/control-plane/src/control_plane/membership.rs
@@ -7,17 +7,17 @@
 use serde_json::{Value, json};
 
 /// A process that has said nothing for so long, in ms, is not offered to the log as a voter.
-const CANDIDATE_SILENT: u64 = 2500;
+const CANDIDATE_TIMEOUT_MS: u64 = 2500;
 
 impl ControlPlane {
     /// Tells the log when voters are gone for good, and offers it all that could vote and do not: it wants to be asked
     /// until they do.
-    pub(super) fn tend_voters(&mut self, now: u64) {
+    pub(super) fn maintain_voters(&mut self, now: u64) {
         let silence = self.settings.retire_after_ms;
         let Some(node) = &self.node else { return };
         let least_voters = self.settings.tolerance.min_voters(&self.zones_of(node.members()));
         let missing: Vec<_> = if node.is_leader() {
-            self.candidates(now).into_iter().filter(|voter| !node.members().contains(voter)).collect()
+            self.voter_candidates(now).into_iter().filter(|voter| !node.members().contains(voter)).collect()
         } else {
             Vec::new()
         };
@@ -25,24 +25,27 @@
             node.retire_by(RetirementPolicy { silence, least_voters });
         }
         for voter in missing {
-            self.log(Input::AddVoter(voter));
+            self.step_raft(Input::AddVoter(voter));
         }
     }
 
     /// Another process of control is about to end: if it votes, what is left may bear more without it.
-    pub(super) fn on_control_plane_ends(&mut self, number: u64, hello: &Hello) {
-        if let Some(peer) = self.peers.get_mut(&number) {
-            peer.is_ending = true;
+    pub(super) fn on_control_plane_shutdown(&mut self, connection: u64, hello: &Hello) {
+        if let Some(peer) = self.peers.get_mut(&connection) {
+            peer.is_shutting_down = true;
         }
         if let Some(incarnation) = hello.incarnation.filter(|_| hello.quorum) {
-            self.log(Input::VoterEnds(VoterId { address: hello.address.clone(), incarnation }));
+            self.step_raft(Input::VoterEnds(VoterId { address: hello.address.clone(), incarnation }));
         }
     }
 
     /// The processes with a disk that counts that are connected now. Those that were once known may be gone: they would
     /// take the places of others among the learners.
-    fn candidates(&self, now: u64) -> BTreeSet<VoterId> {
-        let heard = self.peers.values().filter(|peer| !peer.is_ending && now < peer.heard + CANDIDATE_SILENT);
+    fn voter_candidates(&self, now: u64) -> BTreeSet<VoterId> {
+        let heard = self
+            .peers
+            .values()
+            .filter(|peer| !peer.is_shutting_down && now < peer.last_received_at + CANDIDATE_TIMEOUT_MS);
         let hellos = heard.filter_map(|peer| peer.hello.as_ref());
         let hellos = hellos.filter(|hello| hello.plane == Plane::ControlPlane && hello.quorum);
         hellos
@@ -56,19 +59,19 @@
     fn zones_of<'a>(&'a self, voters: &'a [VoterId]) -> Vec<&'a str> {
         let zone = |voter: &'a VoterId| match voter.address.parse() {
             Ok(address) if address == self.settings.address => self.settings.me.zone.as_str(),
-            Ok(address) => self.control_planes.zone(&address).unwrap_or(voter.address.as_str()),
+            Ok(address) => self.directory.zone(&address).unwrap_or(voter.address.as_str()),
             Err(_) => voter.address.as_str(),
         };
         voters.iter().map(zone).collect()
     }
 
-    fn borne(&self, standing: &Standing) -> Losses {
+    fn tolerated_losses(&self, standing: &Standing) -> Losses {
         let borne = self.settings.tolerance.tolerated(standing.voters, &self.zones_of(&standing.counted));
         Losses { machines: borne.machines.min(standing.further_losses), ..borne }
     }
 
     /// What the list of voters bears, as its leader knows it; nothing at any other process.
-    pub(super) fn standing(&self, now: u64) -> Value {
+    pub(super) fn quorum_status(&self, now: u64) -> Value {
         let Some(standing) = self.node.as_ref().and_then(|node| node.standing(now)) else {
             return Value::Null;
         };
@@ -80,18 +83,18 @@
             .map(|learner| json!({ "address": learner.id.address, "caught_up": learner.caught_up }))
             .collect();
         json!({ "voters": standing.voters, "counted": standing.counted.len(), "unheard": unheard,
-            "learners": learners, "further_losses": figures(&self.borne(&standing)),
+            "learners": learners, "further_losses": figures(&self.tolerated_losses(&standing)),
             "tolerated": figures(&self.settings.tolerance.losses) })
     }
 
-    pub(super) fn standing_metrics(&self, page: &mut Page, now: u64) {
+    pub(super) fn quorum_metrics(&self, page: &mut Page, now: u64) {
         let Some(standing) = self.node.as_ref().and_then(|node| node.standing(now)) else { return };
         let rows = |losses: Losses| {
             let kinds = [("machine", losses.machines), ("zone", losses.zones), ("region", losses.regions)];
             kinds.map(|(kind, figure)| (vec![("of", kind.to_owned())], figure as f64))
         };
         let help = "How many more may be lost at once while a majority of the voters is left, at the leader";
-        page.gauges("further_losses", help, rows(self.borne(&standing)));
+        page.gauges("further_losses", help, rows(self.tolerated_losses(&standing)));
         let help = "How many the settings want to be borne";
         page.gauges("tolerated_losses", help, rows(self.settings.tolerance.losses));
         let help = "Voters that have not answered the leader within an election";
--- a/crates/control-plane/src/control_plane/orders.rs
+++ b/crates/control-plane/src/control_plane/orders.rs
@@ -1,32 +1,32 @@
 //! Calls of backends and of the operator, at the leader and on their way to it.
 
-use super::drains::{LEAVING_PASSED, LEAVINGS_WAITING};
+use super::drains::{DRAIN_FORWARD_TIMEOUT_MS, MAX_PENDING_DRAINS};
 use super::*;
 use crate::admission::{Decision, decide};
 
 impl ControlPlane {
     pub(super) fn on_call(&mut self, call: Call, reply: oneshot::Sender<Reply>) {
         let now = self.now();
-        *self.watch.counted.calls.entry(call.kind()).or_default() += 1;
+        *self.event_log.counters.calls.entry(call.kind()).or_default() += 1;
         match call {
             Call::Heartbeat(backend) => {
                 let leaving = (backend.phase == Phase::Draining).then(|| backend.id.clone());
                 let judgement = self.register.beat(now, backend);
-                self.on_judgement(judgement);
+                self.publish_judgement(judgement);
                 match leaving {
-                    Some(id) => self.on_leaving(id, reply, now),
-                    None => drop(reply.send(self.answer_beat(now))),
+                    Some(id) => self.on_drain_call(id, reply, now),
+                    None => drop(reply.send(self.heartbeat_reply(now))),
                 }
             }
             Call::Departure(id) => {
                 let judgement = self.register.departed(now, &id);
-                self.on_judgement(judgement);
-                self.on_leaving(id, reply, now);
+                self.publish_judgement(judgement);
+                self.on_drain_call(id, reply, now);
             }
-            Call::Order(order) => self.on_order_here(order, reply, now),
+            Call::Order(order) => self.on_local_order(order, reply, now),
             Call::Status => drop(reply.send(self.status(now))),
             Call::History => drop(reply.send(self.history(now))),
-            Call::VersionBody(version) => drop(reply.send(self.past(version))),
+            Call::VersionBody(version) => drop(reply.send(self.version_body(version))),
             Call::Events(about) => drop(reply.send(self.events(now, about.as_deref()))),
             Call::Metrics => drop(reply.send(self.metrics(now))),
         }
@@ -34,79 +34,79 @@
 
     /// Whoever is cut off sends a backend on to another process: what it says would reach few, and it would count as overdue
     /// elsewhere.
-    fn answer_beat(&self, now: u64) -> Reply {
+    fn heartbeat_reply(&self, now: u64) -> Reply {
         let (.., current) = self.leader(now);
-        if current || now < self.current_at + CUT_OFF {
+        if current || now < self.last_current_at + ISOLATION_GRACE_MS {
             Reply::ok()
         } else {
             Reply::error(503, "this process is cut off: call another one")
         }
     }
 
-    pub(super) fn on_judgement(&mut self, judgement: Judgement) {
+    pub(super) fn publish_judgement(&mut self, judgement: Judgement) {
         if let Judgement::Changed(backends) = judgement {
-            self.tell_called_backends(backends);
+            self.publish_called_backends(backends);
         }
     }
 
-    pub(super) fn on_order_here(&mut self, order: Order, reply: oneshot::Sender<Reply>, now: u64) {
-        if self.takes_orders() {
-            return self.on_order(Asker::Here(reply), order, now);
+    pub(super) fn on_local_order(&mut self, order: Order, reply: oneshot::Sender<Reply>, now: u64) {
+        if self.accepts_orders() {
+            return self.on_order(Requester::Local(reply), order, now);
         }
-        let most = if matches!(order, Order::Drain(_)) { LEAVINGS_WAITING } else { CALLS_WAITING };
-        if self.waiting.len() >= most {
+        let most = if matches!(order, Order::Drain(_)) { MAX_PENDING_DRAINS } else { MAX_PENDING_CALLS };
+        if self.pending_calls.len() >= most {
             let _ = reply.send(Reply::error(503, "too many calls wait"));
             return;
         }
-        self.tokens += 1;
-        let token = self.tokens;
-        self.waiting.insert(token, Waiting { reply, since: now, order, passed: None });
-        self.pass_on(now);
+        self.last_token += 1;
+        let token = self.last_token;
+        self.pending_calls.insert(token, PendingCall { reply, since: now, order, forwarded_on: None });
+        self.forward_pending(now);
     }
 
     /// Calls that wait for a leader go to it as soon as it is known.
-    pub(super) fn pass_on(&mut self, now: u64) {
+    pub(super) fn forward_pending(&mut self, now: u64) {
         let (leader, _, current) = self.leader(now);
-        let leads = self.takes_orders();
-        self.take_back(leader.filter(|_| current));
+        let leads = self.accepts_orders();
+        self.requeue_stranded(leader.filter(|_| current));
         let ready: Vec<u64> =
-            self.waiting.iter().filter(|(_, w)| w.passed.is_none()).map(|(t, _)| *t).collect();
+            self.pending_calls.iter().filter(|(_, w)| w.forwarded_on.is_none()).map(|(t, _)| *t).collect();
         for token in ready {
             if leads {
-                if let Some(waiting) = self.waiting.remove(&token) {
-                    self.on_order(Asker::Here(waiting.reply), waiting.order, now);
+                if let Some(waiting) = self.pending_calls.remove(&token) {
+                    self.on_order(Requester::Local(waiting.reply), waiting.order, now);
                 }
             } else if let Some(to) = leader.filter(|to| *to != self.settings.address)
-                && self.may_be_asked(&to, token)
-                && let Some((number, line)) = self.connection_to(&to)
-                && let Some(waiting) = self.waiting.get_mut(&token)
+                && self.leader_supports(&to, token)
+                && let Some((connection, line)) = self.dialed_connection(&to)
+                && let Some(waiting) = self.pending_calls.get_mut(&token)
                 && line.send(&Message::Ask { token, order: waiting.order.clone() })
             {
-                waiting.passed = Some(number);
+                waiting.forwarded_on = Some(connection);
             }
         }
     }
 
     /// Whether a leader reads the order of a call that waits.
-    fn may_be_asked(&self, leader: &SocketAddr, token: u64) -> bool {
-        let drains = |waiting: &Waiting| matches!(waiting.order, Order::Drain(_));
-        self.understand_drains.contains(leader) || !self.waiting.get(&token).is_some_and(drains)
+    fn leader_supports(&self, leader: &SocketAddr, token: u64) -> bool {
+        let drains = |waiting: &PendingCall| matches!(waiting.order, Order::Drain(_));
+        self.drains_supported_by.contains(leader) || !self.pending_calls.get(&token).is_some_and(drains)
     }
 
     /// The leader's answer to a call. It comes on the connection that carried the call, or it is nobody's.
-    pub(super) fn on_told(&mut self, number: u64, token: u64, reply: Reply) {
-        let asked = |waiting: &Waiting| waiting.passed == Some(number);
-        if self.waiting.get(&token).is_some_and(asked)
-            && let Some(waiting) = self.waiting.remove(&token)
+    pub(super) fn on_forwarded_reply(&mut self, connection: u64, token: u64, reply: Reply) {
+        let asked = |waiting: &PendingCall| waiting.forwarded_on == Some(connection);
+        if self.pending_calls.get(&token).is_some_and(asked)
+            && let Some(waiting) = self.pending_calls.remove(&token)
         {
-            self.answer_waiting(waiting, reply);
+            self.reply_to_pending(waiting, reply);
         }
     }
 
-    fn answer_waiting(&mut self, waiting: Waiting, reply: Reply) {
+    fn reply_to_pending(&mut self, waiting: PendingCall, reply: Reply) {
         let now = self.now();
         match waiting.order {
-            Order::Drain(id) => self.answer_leaving(&id, waiting.reply, reply, now),
+            Order::Drain(id) => self.reply_to_drain_call(&id, waiting.reply, reply, now),
             _ => drop(waiting.reply.send(reply)),
         }
     }
@@ -114,17 +114,21 @@
     /// Orders whose connection is lost, or whose leader leads no more, are passed on anew: an order that the log has
     /// already is acknowledged, not taken twice. Each gets another token, so that the former leader's answer does not
     /// count.
-    fn take_back(&mut self, current_leader: Option<SocketAddr>) {
-        let gone = |number: u64| match self.peers.get(&number).filter(|peer| !peer.line.is_lost()) {
+    fn requeue_stranded(&mut self, current_leader: Option<SocketAddr>) {
+        let gone = |connection: u64| match self.peers.get(&connection).filter(|peer| !peer.line.is_lost()) {
             Some(peer) => current_leader.is_some_and(|leader| peer.dialed != Some(leader)),
             None => true,
         };
-        let stranded: Vec<u64> =
-            self.waiting.iter().filter(|(_, w)| w.passed.is_some_and(gone)).map(|(t, _)| *t).collect();
+        let stranded: Vec<u64> = self
+            .pending_calls
+            .iter()
+            .filter(|(_, w)| w.forwarded_on.is_some_and(gone))
+            .map(|(t, _)| *t)
+            .collect();
         for token in stranded {
-            if let Some(waiting) = self.waiting.remove(&token) {
-                self.tokens += 1;
-                self.waiting.insert(self.tokens, Waiting { passed: None, ..waiting });
+            if let Some(waiting) = self.pending_calls.remove(&token) {
+                self.last_token += 1;
+                self.pending_calls.insert(self.last_token, PendingCall { forwarded_on: None, ..waiting });
             }
         }
     }
@@ -137,42 +141,49 @@
     }
 
     /// Orders that came to a new leader are worked through once it has its first lease, or leads no more.
-    pub(super) fn tend_early_orders(&mut self, now: u64) {
-        if self.early_orders.is_empty() || self.awaits_lease(now) {
+    pub(super) fn process_orders_awaiting_lease(&mut self, now: u64) {
+        if self.orders_awaiting_lease.is_empty() || self.awaits_lease(now) {
             return;
         }
-        for (asker, order) in std::mem::take(&mut self.early_orders) {
-            self.on_order(asker, order, now);
+        for (requester, order) in std::mem::take(&mut self.orders_awaiting_lease) {
+            self.on_order(requester, order, now);
         }
     }
 
-    pub(super) fn tend_calls(&mut self, now: u64) {
-        self.pass_on(now);
-        let may_wait = |waiting: &Waiting| match waiting {
-            Waiting { order: Order::Drain(_), .. } => LEAVING_PASSED,
-            Waiting { passed: Some(_), .. } => PASSED,
-            Waiting { passed: None, .. } => LEADERLESS,
+    pub(super) fn expire_calls(&mut self, now: u64) {
+        self.forward_pending(now);
+        let may_wait = |waiting: &PendingCall| match waiting {
+            PendingCall { order: Order::Drain(_), .. } => DRAIN_FORWARD_TIMEOUT_MS,
+            PendingCall { forwarded_on: Some(_), .. } => FORWARD_TIMEOUT_MS,
+            PendingCall { forwarded_on: None, .. } => LEADER_WAIT_TIMEOUT_MS,
         };
-        let over = |waiting: &Waiting| now > waiting.since + may_wait(waiting);
-        let late: Vec<u64> = self.waiting.iter().filter(|(_, w)| over(w)).map(|(t, _)| *t).collect();
+        let over = |waiting: &PendingCall| now > waiting.since + may_wait(waiting);
+        let late: Vec<u64> = self.pending_calls.iter().filter(|(_, w)| over(w)).map(|(t, _)| *t).collect();
         for token in late {
-            if let Some(waiting) = self.waiting.remove(&token) {
-                let why =
-                    if waiting.passed.is_some() { "the leader gave no answer" } else { "no leader is known" };
-                self.answer_waiting(waiting, Reply::error(503, why));
+            if let Some(waiting) = self.pending_calls.remove(&token) {
+                let why = if waiting.forwarded_on.is_some() {
+                    "the leader gave no answer"
+                } else {
+                    "no leader is known"
+                };
+                self.reply_to_pending(waiting, Reply::error(503, why));
             }
         }
-        let late: Vec<u64> =
-            self.proposed.iter().filter(|(_, p)| now > p.since + PASSED).map(|(token, _)| *token).collect();
+        let late: Vec<u64> = self
+            .pending_proposals
+            .iter()
+            .filter(|(_, p)| now > p.since + FORWARD_TIMEOUT_MS)
+            .map(|(token, _)| *token)
+            .collect();
         for token in late {
-            self.answer_proposed(token, Reply::error(503, "no majority has it on disk yet"));
+            self.reply_to_proposal(token, Reply::error(503, "no majority has it on disk yet"));
         }
     }
 
-    pub(super) fn answer(&self, asker: Asker, reply: Reply) {
-        match asker {
-            Asker::Here(to) => drop(to.send(reply)),
-            Asker::There { peer, token } => {
+    pub(super) fn reply_to(&self, requester: Requester, reply: Reply) {
+        match requester {
+            Requester::Local(to) => drop(to.send(reply)),
+            Requester::Remote { peer, token } => {
                 if let Some(peer) = self.peers.get(&peer) {
                     let Reply { status, body } = reply;
                     peer.line.send(&Message::Told { token, status, body });
@@ -181,27 +192,27 @@
         }
     }
 
-    pub(super) fn answer_proposed(&mut self, token: u64, reply: Reply) {
-        if let Some(proposed) = self.proposed.remove(&token) {
-            self.answer(proposed.asker, reply);
+    pub(super) fn reply_to_proposal(&mut self, token: u64, reply: Reply) {
+        if let Some(proposed) = self.pending_proposals.remove(&token) {
+            self.reply_to(proposed.requester, reply);
         }
     }
 
     /// A call of the operator at the leader.
-    pub(super) fn on_order(&mut self, asker: Asker, order: Order, now: u64) {
+    pub(super) fn on_order(&mut self, requester: Requester, order: Order, now: u64) {
         // Whoever passed it on does so anew once another one leads.
-        if self.is_ending && matches!(asker, Asker::There { .. }) {
+        if self.is_shutting_down && matches!(requester, Requester::Remote { .. }) {
             return;
         }
-        if self.awaits_lease(now) && self.early_orders.len() < CALLS_WAITING {
-            return self.early_orders.push((asker, order));
+        if self.awaits_lease(now) && self.orders_awaiting_lease.len() < MAX_PENDING_CALLS {
+            return self.orders_awaiting_lease.push((requester, order));
         }
         let leads = self
             .node
             .as_ref()
             .is_some_and(|node| node.is_leader() && (node.holds_lease(now) || self.faults.ignores_lease));
         if !leads {
-            return self.answer(asker, Reply::error(503, "this process does not lead"));
+            return self.reply_to(requester, Reply::error(503, "this process does not lead"));
         }
         match order {
             Order::Read => {
@@ -209,21 +220,21 @@
                     Some(body) => Reply { status: 200, body: body.to_vec() },
                     None => Reply::error(404, "no configuration was taken yet"),
                 };
-                self.answer(asker, reply);
+                self.reply_to(requester, reply);
             }
             Order::Remove(address) => {
-                let reply = self.remove(&address, now);
-                self.answer(asker, reply);
+                let reply = self.remove_voter(&address, now);
+                self.reply_to(requester, reply);
             }
-            Order::Drain(id) => self.on_drain(asker, id, now),
+            Order::Drain(id) => self.on_drain(requester, id, now),
             Order::Replace { base, body } => {
                 let decision = decide(&self.config_history, base, body);
-                self.watch.decided(now, &decision);
+                self.event_log.on_decision(now, &decision);
                 if let Some(reply) = decision.reply() {
-                    return self.answer(asker, reply);
+                    return self.reply_to(requester, reply);
                 }
                 if let Decision::Propose(change) = decision {
-                    self.propose(asker, &change, now);
+                    self.propose(requester, &change, now);
                 }
             }
         }
@@ -232,20 +243,20 @@
 
 impl ControlPlane {
     /// Its answer waits until the log has decided.
-    fn propose(&mut self, asker: Asker, change: &Change, now: u64) {
-        self.tokens += 1;
-        let token = self.tokens;
-        self.proposed.insert(token, Proposed { asker, since: now });
-        self.log(Input::Propose { token, change: bitcode::encode(change) });
+    fn propose(&mut self, requester: Requester, change: &Change, now: u64) {
+        self.last_token += 1;
+        let token = self.last_token;
+        self.pending_proposals.insert(token, PendingProposal { requester, since: now });
+        self.step_raft(Input::Propose { token, change: bitcode::encode(change) });
         if self.faults.acknowledges_early {
-            self.answer_proposed(token, Reply::ok());
+            self.reply_to_proposal(token, Reply::ok());
         }
     }
 
     /// Takes a voter off the list. The log wants to be asked until a majority of the others has the new list, so the
     /// caller repeats the call until it is told so: 202 is "under way", 404 "nobody of that address votes". Whoever holds
     /// the lease hears a majority of the list; one that it does not hear leaves a shorter list with the same voters heard.
-    fn remove(&mut self, address: &str, now: u64) -> Reply {
+    fn remove_voter(&mut self, address: &str, now: u64) -> Reply {
         let Some(node) = &self.node else { return Reply::error(503, "this process does not lead") };
         let under_way = Reply::error(202, "under way: ask again");
         let Some(voter) = node.members().iter().find(|voter| voter.address == address).cloned() else {
@@ -266,7 +277,7 @@
         if node.hears(&voter, now) {
             return Reply::error(409, &format!("{address} lives: end its process first"));
         }
-        self.log(Input::RemoveVoter(voter));
+        self.step_raft(Input::RemoveVoter(voter));
         under_way
     }
 }
--- a/crates/control-plane/src/control_plane/quota_service.rs
+++ b/crates/control-plane/src/control_plane/quota_service.rs
@@ -4,28 +4,28 @@
 use quota::{Epoch, Handover, LEASE_MOST};
 
 /// A deputy asks for its lease this often, and whoever could become one offers itself this often.
-const RENEW: u64 = 70;
-const OFFER: u64 = 1000;
-/// Offers of which an answer is still worth anything.
-const OFFERS: usize = 16;
+const LEASE_RENEWAL_INTERVAL_MS: u64 = 70;
+const OFFER_INTERVAL_MS: u64 = 1000;
+/// HolderOffers of which an answer is still worth anything.
+const MAX_OUTSTANDING_OFFERS: usize = 16;
 
 /// The log is told of another number of data planes once it is off by more than one in so many.
-const FLEET_MOVES: u32 = 8;
+const FLEET_CHANGE_DIVISOR: u32 = 8;
 impl ControlPlane {
     /// Whoever holds the lease of the log holds the counts, and may share them out.
-    pub(super) fn tend_quota_service(&mut self, now: u64) {
-        self.count_draws(now);
+    pub(super) fn maintain_quota_service(&mut self, now: u64) {
+        self.measure_request_rate(now);
         let Some(node) = &self.node else { return };
-        let (leads, holds, term) = (node.is_leader(), node.holds_lease(now), node.term());
-        if !leads {
+        let (is_leader, has_lease, term) = (node.is_leader(), node.holds_lease(now), node.term());
+        if !is_leader {
             // The office ends with the term: a lease that comes back within it finds its counts as they were.
-            self.resign(now);
-            self.offer(now);
-        } else if holds && self.placer.as_ref().is_none_or(|p| p.assignment().epoch.term != term) {
-            let first = term <= 1 && self.config_history.version() == 0;
-            let bears = self.settings.max_lease_requests_per_holder;
-            let bears = if bears > 0.0 { bears } else { f64::INFINITY };
-            let placer = Placer::new(&self.settings.address.to_string(), term, now as f64, bears);
+            self.resign_quota_holder(now);
+            self.send_offer(now);
+        } else if has_lease && self.placer.as_ref().is_none_or(|p| p.assignment().epoch.term != term) {
+            let is_first_term = term <= 1 && self.config_history.version() == 0;
+            let max_requests = self.settings.max_lease_requests_per_holder;
+            let max_requests = if max_requests > 0.0 { max_requests } else { f64::INFINITY };
+            let placer = Placer::new(&self.settings.address.to_string(), term, now as f64, max_requests);
             self.assignment = placer.assignment().clone();
             self.placer = Some(placer);
             self.resize_fleet(now);
@@ -33,99 +33,107 @@
             if self.settings.max_lease_requests_per_holder <= 0.0 {
                 self.quota_service.floors(self.config_history.floors().clone());
             }
-            self.quota_service.assume(now as f64, &self.assignment, first);
-            let data_planes = self.peers.values().filter(|p| now < p.heard + PEER_SILENT);
+            self.quota_service.assume(now as f64, &self.assignment, is_first_term);
+            let data_planes = self.peers.values().filter(|p| now < p.last_received_at + PEER_TIMEOUT_MS);
             for (peer, hello) in data_planes.filter_map(|p| Some((p, p.hello.as_ref()?))) {
                 if hello.plane == Plane::DataPlane && !self.has_departed(hello) {
-                    self.quota_service.heard(peer.heard as f64, &hello.name, Epoch::first(term));
+                    self.quota_service.heard(peer.last_received_at as f64, &hello.name, Epoch::first(term));
                 }
             }
-            self.watch.note(now, self.settings.address.to_string(), Happened::QuotaService(true));
-        } else if holds {
-            self.share_out(now);
+            self.event_log.record(now, self.settings.address.to_string(), Recorded::QuotaService(true));
+        } else if has_lease {
+            self.rebalance_holders(now);
         }
-        self.renew(now);
+        self.renew_quota_lease(now);
     }
 
     /// The leader's office lasts as long as the lease of its log.
-    fn renew(&mut self, now: u64) {
+    fn renew_quota_lease(&mut self, now: u64) {
         if self.placer.is_some()
             && let Some(until) = self.node.as_ref().and_then(|node| node.lease_until(now))
         {
             self.quota_service.lease(until as f64);
         }
-        self.tend_marks(now);
+        self.propose_checkpoint(now);
     }
 
     /// Has the log say what whoever holds the counts next ought to know. One entry at a time, and no more than a few a
     /// second: floors rise after seconds, and fall once for each tenant that becomes busy.
-    pub(super) fn tend_marks(&mut self, now: u64) {
-        if self.placer.is_none() || self.marking.is_some() {
+    pub(super) fn propose_checkpoint(&mut self, now: u64) {
+        if self.placer.is_none() || self.checkpoint_token.is_some() {
             return;
         }
-        let alone = self.settings.max_lease_requests_per_holder <= 0.0;
-        let floors = if alone { self.quota_service.floors_wanted(now as f64) } else { Vec::new() };
-        let (fleet, said) = (self.fleet_to_record(now), self.config_history.fleet_size());
+        let is_sole_holder = self.settings.max_lease_requests_per_holder <= 0.0;
+        let floors = if is_sole_holder { self.quota_service.floors_wanted(now as f64) } else { Vec::new() };
+        let (fleet_size, recorded) = (self.fleet_size_to_record(now), self.config_history.fleet_size());
         // A few more or less change nobody's part by much.
-        let other = now >= YOUNG && fleet > 0 && fleet.abs_diff(said) * FLEET_MOVES > said;
-        if floors.is_empty() && !other {
+        let fleet_changed = now >= WARMUP_MS
+            && fleet_size > 0
+            && fleet_size.abs_diff(recorded) * FLEET_CHANGE_DIVISOR > recorded;
+        if floors.is_empty() && !fleet_changed {
             return;
         }
-        self.tokens += 1;
-        self.marking = Some(self.tokens);
-        let fleet = if other { fleet } else { said };
-        let change = QuotaCheckpoint { floors, fleet }.to_entry();
-        self.log(Input::Propose { token: self.tokens, change });
+        self.last_token += 1;
+        self.checkpoint_token = Some(self.last_token);
+        let fleet_size = if fleet_changed { fleet_size } else { recorded };
+        let change = QuotaCheckpoint { floors, fleet_size }.to_entry();
+        self.step_raft(Input::Propose { token: self.last_token, change });
     }
 
-    pub(super) fn resign(&mut self, now: u64) {
+    pub(super) fn resign_quota_holder(&mut self, now: u64) {
         if self.placer.take().is_some() {
             self.quota_service.resign();
-            self.watch.note(now, self.settings.address.to_string(), Happened::QuotaService(false));
+            self.event_log.record(now, self.settings.address.to_string(), Recorded::QuotaService(false));
         }
     }
 
-    fn count_draws(&mut self, now: u64) {
-        let (before, since, _) = self.offers.draws;
+    fn measure_request_rate(&mut self, now: u64) {
+        let (before, since, _) = self.offers.request_rate;
         if now >= since + 1000 {
-            let draws = self.watch.counted.draws.0;
-            let rate = (draws - before) as f64 * 1000.0 / (now - since) as f64;
-            self.offers.draws = (draws, now, rate);
+            let requests = self.event_log.counters.lease_requests.0;
+            let rate = (requests - before) as f64 * 1000.0 / (now - since) as f64;
+            self.offers.request_rate = (requests, now, rate);
         }
     }
 
-    fn share_out(&mut self, now: u64) {
+    fn rebalance_holders(&mut self, now: u64) {
         let Some(placer) = &mut self.placer else { return };
-        if placer.tend(now as f64, self.offers.draws.2) {
+        if placer.tend(now as f64, self.offers.request_rate.2) {
             self.assignment = placer.assignment().clone();
-            let told = self.quota_service.assume(now as f64, &self.assignment, false);
+            let handovers = self.quota_service.assume(now as f64, &self.assignment, false);
             // The assignment goes first: a new holder has to know that it is one.
-            self.to_control_planes(&Message::HolderAssignment(self.assignment.clone()));
-            self.hand_over(told);
-            self.next[1] = now;
+            self.send_to_control_planes(&Message::HolderAssignment(self.assignment.clone()));
+            self.send_handovers(handovers);
+            self.next_due[1] = now;
         }
     }
 
     /// A voter asks the leader for its lease, or offers itself.
-    fn offer(&mut self, now: u64) {
-        if self.settings.max_lease_requests_per_holder <= 0.0 || now < self.offers.next {
+    fn send_offer(&mut self, now: u64) {
+        if self.settings.max_lease_requests_per_holder <= 0.0 || now < self.offers.next_at {
             return;
         }
         let (Some(leader), ..) = self.leader(now) else { return };
-        let deputy = self.assignment.has(&self.settings.address.to_string());
-        self.offers.next = now + if deputy { RENEW } else { OFFER };
+        let is_deputy = self.assignment.has(&self.settings.address.to_string());
+        self.offers.next_at = now + if is_deputy { LEASE_RENEWAL_INTERVAL_MS } else { OFFER_INTERVAL_MS };
         let number = self.offers.sent.back().map_or(1, |(number, _)| number + 1);
         let Some(line) = self.line_to(&leader) else { return };
-        line.send(&Message::Offer { number, answered: self.offers.answered, draws: self.offers.draws.2 });
+        line.send(&Message::Offer {
+            number,
+            answered: self.offers.last_answered,
+            draws: self.offers.request_rate.2,
+        });
         self.offers.sent.push_back((number, now));
-        if self.offers.sent.len() > OFFERS {
+        if self.offers.sent.len() > MAX_OUTSTANDING_OFFERS {
             self.offers.sent.pop_front();
         }
     }
 
-    pub(super) fn on_offer(&mut self, number: u64, offer: u64, answered: u64, draws: f64, now: u64) {
+    pub(super) fn on_offer(
+        &mut self, connection: u64, offer: u64, answered: u64, request_rate: f64, now: u64,
+    ) {
         let until = self.node.as_ref().and_then(|node| node.lease_until(now)).filter(|until| *until > now);
-        let (Some(placer), Some(until), Some(peer)) = (&mut self.placer, until, self.peers.get(&number))
+        let (Some(placer), Some(until), Some(peer)) = (&mut self.placer, until, self.peers.get(&connection))
         else {
             return;
         };
@@ -134,15 +142,15 @@
         else {
             return;
         };
-        let draws = if draws.is_finite() { draws.max(0.0) } else { 0.0 };
-        let deputy = placer.asked(now as f64, &hello.address, answered, draws);
-        let ends_in = if deputy { (until - now) as f64 } else { 0.0 };
+        let request_rate = if request_rate.is_finite() { request_rate.max(0.0) } else { 0.0 };
+        let is_deputy = placer.asked(now as f64, &hello.address, answered, request_rate);
+        let ends_in = if is_deputy { (until - now) as f64 } else { 0.0 };
         peer.line.send(&Message::Lease { number: offer, assignment: placer.assignment().clone(), ends_in });
     }
 
     pub(super) fn on_lease(&mut self, offer: u64, assignment: &HolderAssignment, ends_in: f64, now: u64) {
         self.on_assignment(assignment, now);
-        self.offers.answered = self.offers.answered.max(offer);
+        self.offers.last_answered = self.offers.last_answered.max(offer);
         let sent = self.offers.sent.iter().find(|(number, _)| *number == offer).map(|(_, sent)| *sent);
         if let Some(sent) = sent
             && self.placer.is_none()
@@ -164,36 +172,36 @@
             return;
         }
         self.assignment = assignment.clone();
-        let told = self.quota_service.assume(now as f64, assignment, false);
-        self.hand_over(told);
-        self.assigned(now);
+        let handovers = self.quota_service.assume(now as f64, assignment, false);
+        self.send_handovers(handovers);
+        self.on_assignment_changed(now);
     }
 
     pub(super) fn on_handover(&mut self, handover: Handover, now: u64) {
         if self.node.as_ref().is_none_or(|node| handover.assignment.epoch.term < node.term()) {
             return;
         }
-        let newer = handover.assignment.epoch > self.assignment.epoch;
-        if newer {
+        let is_newer = handover.assignment.epoch > self.assignment.epoch;
+        if is_newer {
             self.assignment = handover.assignment.clone();
         }
-        let told = self.quota_service.handed(now as f64, handover);
-        self.silence_departed();
-        self.hand_over(told);
-        if newer {
-            self.assigned(now);
+        let handovers = self.quota_service.handed(now as f64, handover);
+        self.exclude_departed();
+        self.send_handovers(handovers);
+        if is_newer {
+            self.on_assignment_changed(now);
         }
     }
 
     /// A new holder needs its lease, and followers are to hear of a new assignment at once.
-    fn assigned(&mut self, now: u64) {
-        self.offers.next = now;
-        self.offer(now);
-        self.next[1] = now;
+    fn on_assignment_changed(&mut self, now: u64) {
+        self.offers.next_at = now;
+        self.send_offer(now);
+        self.next_due[1] = now;
     }
 
-    fn hand_over(&self, told: Vec<(String, Handover)>) {
-        for (to, handover) in told {
+    fn send_handovers(&self, handovers: Vec<(String, Handover)>) {
+        for (to, handover) in handovers {
             if let Some(line) = to.parse().ok().and_then(|to| self.line_to(&to)) {
                 line.send(&Message::Handover(handover));
             }
@@ -203,11 +211,15 @@
     /// What followers are told of the assignment of a term: nothing while the leader holds all counts alone.
     pub(super) fn deputies(&self, term: u64) -> (u32, Vec<String>) {
         if self.node.is_none() {
-            let known = self.told.epoch == term;
-            return if known { (self.told.assignment, self.told.deputies.clone()) } else { (0, Vec::new()) };
-        }
-        let Epoch { term: of, number } = self.assignment.epoch;
-        if of != term || number <= 1 {
+            let is_same_term = self.last_heartbeat.epoch == term;
+            return if is_same_term {
+                (self.last_heartbeat.assignment, self.last_heartbeat.deputies.clone())
+            } else {
+                (0, Vec::new())
+            };
+        }
+        let Epoch { term: assigned_in, number } = self.assignment.epoch;
+        if assigned_in != term || number <= 1 {
             return (0, Vec::new());
         }
         let leader = self.leader(self.now()).0.map(|leader| leader.to_string());
@@ -215,27 +227,27 @@
         (number, others.cloned().collect())
     }
 
-    pub(super) fn on_draw(&mut self, number: u64, draw: quota::LeaseRequest, now: u64) {
-        self.renew(now);
-        let Some(peer) = self.peers.get(&number) else { return };
+    pub(super) fn on_lease_request(&mut self, connection: u64, request: quota::LeaseRequest, now: u64) {
+        self.renew_quota_lease(now);
+        let Some(peer) = self.peers.get(&connection) else { return };
         let Some(hello) = &peer.hello else { return };
         if self.fleet.has_departed(&hello.name, hello.life) {
             return;
         }
         self.fleet.heard(now, &hello.name, hello.life);
-        let message = match self.quota_service.draw(now as f64, &hello.name, &draw) {
+        let message = match self.quota_service.draw(now as f64, &hello.name, &request) {
             Some(grant) => {
-                self.watch.counted.draws.0 += 1;
+                self.event_log.counters.lease_requests.0 += 1;
                 Message::Grant(grant)
             }
             None => {
-                self.watch.counted.draws.1 += 1;
-                Message::NotHolder { number: draw.number }
+                self.event_log.counters.lease_requests.1 += 1;
+                Message::NotHolder { number: request.number }
             }
         };
         peer.line.send(&message);
         if self.quota_service.presses() {
-            self.tend_marks(now);
+            self.propose_checkpoint(now);
         }
     }
 }
--- a/crates/control-plane/src/control_plane/ending.rs
+++ b/crates/control-plane/src/control_plane/shutdown.rs
@@ -6,36 +6,36 @@
 
 impl ControlPlane {
     /// Whether this process leads and goes on to: one that ends takes no further order into its log.
-    pub(super) fn takes_orders(&self) -> bool {
-        !self.is_ending && self.leads()
+    pub(super) fn accepts_orders(&self) -> bool {
+        !self.is_shutting_down && self.is_leader()
     }
 
-    fn leads(&self) -> bool {
+    fn is_leader(&self) -> bool {
         self.node.as_ref().is_some_and(|node| node.is_leader())
     }
 
     /// Orders that are in the log are answered first. Deputies hold counts by leases that rest on the leader's, and that
     /// it can't call back: with them the lead is not handed over, so that these have ended when another one leads.
-    fn hand_over_lead(&mut self) {
-        if !self.proposed.is_empty()
+    fn transfer_leadership(&mut self) {
+        if !self.pending_proposals.is_empty()
             || !self.drain_proposals.is_empty()
             || self.settings.max_lease_requests_per_holder > 0.0
         {
             return;
         }
         // The counts are given up with the lead, before anything else is worked through (`on_role`).
-        self.log(Input::TransferLeadership);
+        self.step_raft(Input::TransferLeadership);
     }
 
     /// Asks the leader to go on without this voter.
-    fn leave_voters(&mut self) {
+    fn request_removal(&mut self) {
         let now = self.now();
-        if now < self.tells_end_at {
+        if now < self.next_leave_at {
             return;
         }
         if let Some(line) = self.leader_address().and_then(|leader| self.line_to(&leader)) {
             line.send(&Message::Leave);
-            self.tells_end_at = now + TICK;
+            self.next_leave_at = now + TICK_INTERVAL_MS;
         }
     }
 
@@ -44,24 +44,24 @@
     }
 
     /// Hands over the lead as soon as that is possible, and tells who waits for the end when nothing is left to do.
-    pub(super) fn tend_end(&mut self) {
-        if self.ended.is_none() {
+    pub(super) fn progress_shutdown(&mut self) {
+        if self.shutdown_done.is_none() {
             return;
         }
-        if self.leads() {
-            self.hand_over_lead();
+        if self.is_leader() {
+            self.transfer_leadership();
         }
-        if self.leads() {
+        if self.is_leader() {
             return;
         }
         if self.should_leave_voters() {
-            return self.leave_voters();
+            return self.request_removal();
         }
-        if self.waiting.is_empty()
-            && self.proposed.is_empty()
+        if self.pending_calls.is_empty()
+            && self.pending_proposals.is_empty()
             && self.drain_proposals.is_empty()
-            && self.early_orders.is_empty()
-            && let Some(ended) = self.ended.take()
+            && self.orders_awaiting_lease.is_empty()
+            && let Some(ended) = self.shutdown_done.take()
         {
             let _ = ended.send(());
         }
--- a/crates/control-plane/src/control_plane/status.rs
+++ b/crates/control-plane/src/control_plane/status.rs
@@ -17,7 +17,7 @@
                 .collect();
             json!({ "leads": node.is_leader(), "holds_lease": node.holds_lease(now), "commit": node.commit(),
                 "birth": node.me().incarnation, "voter": node.is_voter(), "members": members,
-                "standing": self.standing(now) })
+                "standing": self.quorum_status(now) })
         });
         let lines: Vec<_> = self
             .peers
@@ -25,11 +25,11 @@
             .filter_map(|p| Some((p, p.hello.as_ref()?)))
             .map(|(p, hello)| {
                 json!({ "name": hello.name, "plane": format!("{:?}", hello.plane), "address": hello.address,
-                "follows": p.follows, "silent_ms": now.saturating_sub(p.heard) })
+                "follows": p.is_follower, "silent_ms": now.saturating_sub(p.last_received_at) })
             })
             .collect();
         let control_planes: Vec<_> = self
-            .cards()
+            .control_plane_addresses()
             .into_iter()
             .map(|card| {
                 let reached = |address| address == self.settings.address || self.line_to(&address).is_some();
@@ -62,7 +62,7 @@
                 .collect();
             json!({ "isolated": standing.isolated, "here": standing.here, "watched": watched })
         });
-        let status = json!({ "name": self.settings.me.name, "zone": self.settings.me.zone, "up_ms": now, "frames": self.frames,
+        let status = json!({ "name": self.settings.me.name, "zone": self.settings.me.zone, "up_ms": now, "frames": self.messages_received,
             "leader": leader.map(|l| l.to_string()), "epoch": epoch, "fresh": fresh,
             "version": format!("r{}", self.config_history.version()), "log": log, "control_planes": control_planes, "lines": lines,
             "data_planes": data_planes, "backends": backends, "counts": counts, "holders": self.assignment.holders,
@@ -88,7 +88,7 @@
     }
 
     /// The body of one of the last versions.
-    pub(super) fn past(&self, version: u64) -> Reply {
+    pub(super) fn version_body(&self, version: u64) -> Reply {
         match self.config_history.body_of(version) {
             Some(body) => Reply { status: 200, body: body.to_vec() },
             None => Reply::error(404, &format!("r{version} is not kept here")),
@@ -110,8 +110,8 @@
             Some(about) => subject == about || names.iter().any(|name| name == subject),
             None => true,
         };
-        let told = json!({ "name": self.settings.me.name, "events": self.watch.about(now, wanted),
-            "dropped": self.watch.dropped() });
+        let told = json!({ "name": self.settings.me.name, "events": self.event_log.events_about(now, wanted),
+            "dropped": self.event_log.dropped_events() });
         Reply { status: 200, body: told.to_string().into_bytes() }
     }
 
@@ -134,7 +134,7 @@
             );
             page.gauge("voter", "1 while this process votes", flag(node.is_voter()));
             page.gauge("voters", "Voters of the log", node.members().len() as f64);
-            self.standing_metrics(&mut page, now);
+            self.quorum_metrics(&mut page, now);
             page.gauge("log_commit", "Last entry of the log that is decided", node.commit() as f64);
         }
         let row = |label: &'static str, value: &str| vec![(label, value.to_owned())];
@@ -147,7 +147,7 @@
             "Other processes that serve control, by whether they are reached",
             control_planes,
         );
-        let follows = self.peers.values().filter(|p| p.follows).count();
+        let follows = self.peers.values().filter(|p| p.is_follower).count();
         page.gauge("followers", "Processes that follow the news here", follows as f64);
         page.gauge("data_planes", "Data planes that count", f64::from(self.fleet.size()));
         let backends = self.register.all(now).into_iter().map(|b| {
@@ -155,20 +155,26 @@
             (vec![("service", b.service), ("phase", phase.to_owned())], 1.0)
         });
         page.gauges("backends", "Backends by service and phase", backends);
-        let counted = &self.watch.counted;
-        let calls = counted.calls.iter().map(|(kind, calls)| (row("call", kind), *calls));
+        let counters = &self.event_log.counters;
+        let calls = counters.calls.iter().map(|(kind, calls)| (row("call", kind), *calls));
         page.counters("calls", "Calls on the control socket", calls);
-        let changes = counted.changes.iter().map(|(outcome, changes)| (row("outcome", outcome), *changes));
+        let changes = counters.changes.iter().map(|(outcome, changes)| (row("outcome", outcome), *changes));
         page.counters("changes", "Configurations judged here", changes);
-        page.counter("leader_changes", "Times that another leader was known here", counted.leaders);
-        let (acknowledged, refused) = counted.leavings;
+        page.counter("leader_changes", "Times that another leader was known here", counters.leader_changes);
+        let (acknowledged, refused) = counters.drain_replies;
         let leavings = [(row("outcome", "acknowledged"), acknowledged), (row("outcome", "refused"), refused)];
         page.counters("leavings", "Calls of backends that leave, by the answer", leavings);
-        let draws =
-            [(row("outcome", "answered"), counted.draws.0), (row("outcome", "not_holder"), counted.draws.1)];
+        let draws = [
+            (row("outcome", "answered"), counters.lease_requests.0),
+            (row("outcome", "not_holder"), counters.lease_requests.1),
+        ];
         page.counters("draws", "Draws of data planes on the counts", draws);
-        page.gauge("calls_waiting", "Calls that wait for a leader or its word", self.waiting.len() as f64);
-        page.counter("events_dropped", "Records that made room for others", self.watch.dropped());
+        page.gauge(
+            "calls_waiting",
+            "Calls that wait for a leader or its word",
+            self.pending_calls.len() as f64,
+        );
+        page.counter("events_dropped", "Records that made room for others", self.event_log.dropped_events());
         Reply { status: 200, body: page.text().into_bytes() }
     }
 }
--- a/crates/control-plane/src/directory.rs
+++ b/crates/control-plane/src/directory.rs
@@ -2,7 +2,7 @@
 //!
 //! Machines are replaced at other addresses, so that addresses go out of use. One with which nobody has a connection any
 //! more is forgotten after a while. For that to last, a process tells others only of those that it was connected with
-//! lately itself: what it knows by hearsay would go around for ever.
+//! is_recent itself: what it knows by hearsay would go around for ever.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,19 +11,19 @@
 type Millis = u64;
 
 /// Machines that serve control are some dozens; more are somebody's fault.
-const MOST: usize = 256;
+const MAX_PROCESSES: usize = 256;
 /// Others are told of a process for so long after the last connection with it.
-const TOLD_FOR: Millis = 60_000;
+const ADVERTISE_FOR: Millis = 60_000;
 /// A process is forgotten so long after the last connection with it, or after it was first heard of: longer than any cut
 /// that is to be borne, after which both sides have to find each other again.
-const KEPT_FOR: Millis = 600_000;
+const FORGET_AFTER: Millis = 600_000;
 
 /// One process that serves control.
 #[derive(Debug)]
-struct Known {
+struct Entry {
     zone: String,
     /// When it was heard of first, or connected with last.
-    since: Millis,
+    last_seen_at: Millis,
     /// When a connection with it stood last; nothing if it is known by hearsay only.
     connected_at: Option<Millis>,
 }
@@ -31,56 +31,56 @@
 /// All that are known, without this process itself.
 #[derive(Debug, Default)]
 pub(crate) struct Directory {
-    known: BTreeMap<SocketAddr, Known>,
+    entries: BTreeMap<SocketAddr, Entry>,
 }
 
 impl Directory {
     /// Somebody says that a process serves control.
-    pub(crate) fn heard_of(&mut self, now: Millis, address: SocketAddr, zone: String) {
-        if let Some(known) = self.known.get_mut(&address) {
-            known.zone = zone;
-        } else if self.known.len() < MOST {
-            self.known.insert(address, Known { zone, since: now, connected_at: None });
+    pub(crate) fn learn(&mut self, now: Millis, address: SocketAddr, zone: String) {
+        if let Some(entry) = self.entries.get_mut(&address) {
+            entry.zone = zone;
+        } else if self.entries.len() < MAX_PROCESSES {
+            self.entries.insert(address, Entry { zone, last_seen_at: now, connected_at: None });
         }
     }
 
     /// A connection with it stands.
-    pub(crate) fn connected(&mut self, now: Millis, address: &SocketAddr) {
-        if let Some(known) = self.known.get_mut(address) {
-            (known.since, known.connected_at) = (now, Some(now));
+    pub(crate) fn mark_connected(&mut self, now: Millis, address: &SocketAddr) {
+        if let Some(entry) = self.entries.get_mut(address) {
+            (entry.last_seen_at, entry.connected_at) = (now, Some(now));
         }
     }
 
     /// Forgets those with which there was no connection for long.
     pub(crate) fn sweep(&mut self, now: Millis) {
-        self.known.retain(|_, known| now < known.since + KEPT_FOR);
+        self.entries.retain(|_, entry| now < entry.last_seen_at + FORGET_AFTER);
     }
 
-    /// Whether a process is known.
+    /// Whether a process is entry.
     pub(crate) fn contains(&self, address: &SocketAddr) -> bool {
-        self.known.contains_key(address)
+        self.entries.contains_key(address)
     }
 
-    /// The zone of a process that is known.
+    /// The zone of a process that is entry.
     pub(crate) fn zone(&self, address: &SocketAddr) -> Option<&str> {
-        self.known.get(address).map(|known| known.zone.as_str())
+        self.entries.get(address).map(|entry| entry.zone.as_str())
     }
 
     /// The addresses of all.
     pub(crate) fn addresses(&self) -> impl Iterator<Item = &SocketAddr> {
-        self.known.keys()
+        self.entries.keys()
     }
 
     /// All, with their zones.
     pub(crate) fn all(&self) -> impl Iterator<Item = (&SocketAddr, &str)> {
-        self.known.iter().map(|(address, known)| (address, known.zone.as_str()))
+        self.entries.iter().map(|(address, entry)| (address, entry.zone.as_str()))
     }
 
     /// Those that other processes of control are told of.
-    pub(crate) fn lately_connected(&self, now: Millis) -> impl Iterator<Item = (&SocketAddr, &str)> {
-        let lately = move |known: &Known| known.connected_at.is_some_and(|at| now < at + TOLD_FOR);
-        let known = self.known.iter().filter(move |(_, known)| lately(known));
-        known.map(|(address, known)| (address, known.zone.as_str()))
+    pub(crate) fn recently_connected(&self, now: Millis) -> impl Iterator<Item = (&SocketAddr, &str)> {
+        let is_recent = move |entry: &Entry| entry.connected_at.is_some_and(|at| now < at + ADVERTISE_FOR);
+        let entries = self.entries.iter().filter(move |(_, entry)| is_recent(entry));
+        entries.map(|(address, entry)| (address, entry.zone.as_str()))
     }
 }
 
@@ -88,26 +88,26 @@
 mod tests {
     use super::*;
 
-    const ROUND: Millis = 400;
+    const GOSSIP_INTERVAL: Millis = 400;
 
     fn address(process: usize) -> SocketAddr {
         SocketAddr::from(([10, 0, (process >> 8) as u8, process as u8], 7000))
     }
 
     /// Three processes that tell each other of all that they may tell of, every round.
-    fn rounds(
+    fn gossip(
         directories: &mut [Directory; 3], from: Millis, to: Millis, connected: impl Fn(usize, usize) -> bool,
     ) {
-        for now in (from..to).step_by(ROUND as usize) {
+        for now in (from..to).step_by(GOSSIP_INTERVAL as usize) {
             for own in 0..directories.len() {
                 for other in (0..directories.len()).filter(|other| *other != own && connected(own, *other)) {
-                    directories[own].connected(now, &address(other));
-                    let told: Vec<_> = directories[other]
-                        .lately_connected(now)
+                    directories[own].mark_connected(now, &address(other));
+                    let advertised: Vec<_> = directories[other]
+                        .recently_connected(now)
                         .map(|(at, zone)| (*at, zone.to_owned()))
                         .collect();
-                    for (at, zone) in told.into_iter().filter(|(at, _)| *at != address(own)) {
-                        directories[own].heard_of(now, at, zone);
+                    for (at, zone) in advertised.into_iter().filter(|(at, _)| *at != address(own)) {
+                        directories[own].learn(now, at, zone);
                     }
                 }
                 directories[own].sweep(now);
@@ -115,21 +115,21 @@
         }
     }
 
-    fn met() -> [Directory; 3] {
+    fn acquainted() -> [Directory; 3] {
         let mut directories: [Directory; 3] = Default::default();
         for (own, directory) in directories.iter_mut().enumerate() {
             for other in (0..3).filter(|other| *other != own) {
-                directory.heard_of(0, address(other), "z".into());
+                directory.learn(0, address(other), "z".into());
             }
         }
         directories
     }
 
     #[test]
-    fn who_is_gone_is_forgotten_by_all_and_stays_so() {
-        let mut directories = met();
-        rounds(&mut directories, 0, 100_000, |_, _| true);
-        rounds(&mut directories, 100_000, 900_000, |own, other| own != 2 && other != 2);
+    fn a_process_that_is_gone_is_forgotten_by_all_for_good() {
+        let mut directories = acquainted();
+        gossip(&mut directories, 0, 100_000, |_, _| true);
+        gossip(&mut directories, 100_000, 900_000, |own, other| own != 2 && other != 2);
         for own in [0, 1] {
             assert!(!directories[own].contains(&address(2)), "process {own} knows it still");
             assert!(directories[own].contains(&address(1 - own)));
@@ -137,22 +137,22 @@
     }
 
     #[test]
-    fn a_cut_of_minutes_makes_nobody_forget() {
-        let mut directories = met();
-        rounds(&mut directories, 0, 10_000, |_, _| true);
-        rounds(&mut directories, 10_000, 500_000, |own, other| own != 2 && other != 2);
+    fn a_partition_of_minutes_does_not_remove_entries() {
+        let mut directories = acquainted();
+        gossip(&mut directories, 0, 10_000, |_, _| true);
+        gossip(&mut directories, 10_000, 500_000, |own, other| own != 2 && other != 2);
         assert!(directories[0].contains(&address(2)) && directories[2].contains(&address(0)));
-        let told_of = directories[0].lately_connected(500_000).any(|(at, _)| *at == address(2));
-        assert!(!told_of, "it tells of one that it has no connection with");
+        let advertised = directories[0].recently_connected(500_000).any(|(at, _)| *at == address(2));
+        assert!(!advertised, "it tells of one that it has no connection with");
     }
 
     #[test]
-    fn replacements_find_room_however_many_were_there_before() {
+    fn replaced_processes_do_not_fill_the_directory() {
         let mut directory = Directory::default();
-        for process in 0..3 * MOST {
+        for process in 0..3 * MAX_PROCESSES {
             let now = process as Millis * 10_000;
             directory.sweep(now);
-            directory.heard_of(now, address(process), "z".into());
+            directory.learn(now, address(process), "z".into());
             assert!(directory.contains(&address(process)), "no room for number {process}");
         }
     }
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -37,7 +37,7 @@
     /// # Errors
     /// When the folder can't be written.
     pub fn open(
-        folder: &Path, newcomer: impl FnOnce(bool) -> (VoterId, Vec<VoterId>),
+        folder: &Path, new_voter: impl FnOnce(bool) -> (VoterId, Vec<VoterId>),
         commands: mpsc::Sender<Command>,
     ) -> Result<(Self, Saved), DiskError> {
         let unusable = |step: &'static str, path: &Path, why: String| DiskError::Unusable {
@@ -72,11 +72,11 @@
         let saved = match saved {
             Some(saved) => saved,
             None => {
-                let (me, founders) = newcomer(damaged);
+                let (me, founders) = new_voter(damaged);
                 store.create(me, founders).map_err(|e| unusable("begin", &path, e.to_string()))?
             }
         };
-        let (done, mut tickets) = mpsc::unbounded_channel();
+        let (saved_tickets, mut tickets) = mpsc::unbounded_channel();
         transport::spawn(async move {
             while let Some(ticket) = tickets.recv().await {
                 if commands.send(Command::Saved { ticket }).await.is_err() {
@@ -84,16 +84,16 @@
                 }
             }
         });
-        let told = move |told: Told| match told {
+        let on_outcome = move |outcome: Told| match outcome {
             // Unbounded, since whoever ends the writer waits for it; there are no more tickets than saves.
-            Told::Saved(ticket) => drop(done.send(ticket)),
+            Told::Saved(ticket) => drop(saved_tickets.send(ticket)),
             Told::Refused(error) => spdlog::error!("{}", error, kv: { step = "save" }),
             Told::Lost(error) => {
                 spdlog::error!("{}", error, kv: { step = "save" });
                 spdlog::error!("this voter falls silent until it is started anew", kv: { step = "save" });
             }
         };
-        let writer = Writer::start(store, saved.me.clone(), told)
+        let writer = Writer::start(store, saved.me.clone(), on_outcome)
             .map_err(|e| unusable("start the thread for", &path, e.to_string()))?;
         Ok((Self::from_fn(move |save| writer.save(save)), saved))
     }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -17,11 +17,11 @@
 mod directory;
 mod disk;
 mod drain_entry;
+mod event_log;
 mod faults;
-mod lines;
+mod listener;
 mod state;
 mod tolerance;
-mod watch;
 
 pub use admission::{Decision, decide, reply_to};
 pub use call::{Call, Reply};
@@ -33,6 +33,6 @@
 pub use drain_entry::DrainEntry;
 #[doc(hidden)]
 pub use faults::Faults;
-pub use lines::{Connector, TcpConnector, listen};
+pub use listener::{Connector, TcpConnector, listen};
 pub use state::SnapshotState;
 pub use tolerance::{Losses, Tolerance};
--- a/crates/control-plane/src/lines.rs
+++ b/crates/control-plane/src/listener.rs
@@ -11,13 +11,13 @@
 use transport::{Line, Reader, attach, dial};
 
 /// A failed accept is tried again after this: descriptors may have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// How a process comes to connections with others.
 pub trait Connector {
     /// Connects to a process. The owner hears of it under this number: that it stands, what comes on it, and its end;
     /// or its end alone.
-    fn connect(&self, number: u64, to: SocketAddr, commands: mpsc::Sender<Command>);
+    fn connect(&self, connection: u64, to: SocketAddr, commands: mpsc::Sender<Command>);
 }
 
 /// Connections over TCP, by the ways that lead to others.
@@ -25,54 +25,57 @@
 pub struct TcpConnector(pub Detours);
 
 impl Connector for TcpConnector {
-    fn connect(&self, number: u64, to: SocketAddr, commands: mpsc::Sender<Command>) {
-        let ways = self.0.clone();
+    fn connect(&self, connection: u64, to: SocketAddr, commands: mpsc::Sender<Command>) {
+        let detours = self.0.clone();
         transport::spawn(async move {
-            match dial(to, &ways).await {
-                Ok((line, reader)) => carry(number, line, reader, Some(to), commands).await,
-                Err(error) => drop(commands.send(Command::Closed { number, error }).await),
+            match dial(to, &detours).await {
+                Ok((line, reader)) => run_connection(connection, line, reader, Some(to), commands).await,
+                Err(error) => drop(commands.send(Command::Closed { connection, error }).await),
             }
         });
     }
 }
 
-/// Takes connections until the program ends; each gets a number, and what comes on it goes to the owner.
-pub async fn listen(listener: TcpListener, commands: mpsc::Sender<Command>, numbers: impl Fn() -> u64) {
-    let (began, mut failed) = (Instant::now(), Seldom::new(1, 10_000));
+/// Takes connections until the program ends; each gets a connection, and what comes on it goes to the owner.
+pub async fn listen(
+    listener: TcpListener, commands: mpsc::Sender<Command>, connection_ids: impl Fn() -> u64,
+) {
+    let (started_at, mut accept_failures) = (Instant::now(), Seldom::new(1, 10_000));
     loop {
         let (stream, peer) = match listener.accept().await {
             Ok(both) => both,
             Err(error) => {
-                if let Some(left_out) = failed.pass(began.elapsed().as_millis() as u64) {
+                if let Some(left_out) = accept_failures.pass(started_at.elapsed().as_millis() as u64) {
                     spdlog::warn!("no process can be taken: {}", error, kv: { step = "accept", left_out });
                 }
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let (number, commands) = (numbers(), commands.clone());
+        let (connection, commands) = (connection_ids(), commands.clone());
         transport::spawn(async move {
             let (line, mut reader) = attach(stream, peer);
             reader.expect_hello();
-            carry(number, line, reader, None, commands).await;
+            run_connection(connection, line, reader, None, commands).await;
         });
     }
 }
 
 /// Tells the owner of a connection that stands, then of all that comes on it until it is over.
-pub async fn carry(
-    number: u64, line: Line, mut reader: Reader, dialed: Option<SocketAddr>, commands: mpsc::Sender<Command>,
+pub async fn run_connection(
+    connection: u64, line: Line, mut reader: Reader, dialed: Option<SocketAddr>,
+    commands: mpsc::Sender<Command>,
 ) {
-    if commands.send(Command::Opened { number, line, dialed }).await.is_err() {
+    if commands.send(Command::Opened { connection, line, dialed }).await.is_err() {
         return;
     }
     loop {
         let next = match reader.next().await {
-            Ok(message) => Command::Frame { number, message },
-            Err(error) => Command::Closed { number, error },
+            Ok(message) => Command::Message { connection, message },
+            Err(error) => Command::Closed { connection, error },
         };
-        let over = matches!(next, Command::Closed { .. });
-        if commands.send(next).await.is_err() || over {
+        let is_closed = matches!(next, Command::Closed { .. });
+        if commands.send(next).await.is_err() || is_closed {
             return;
         }
     }
--- a/crates/control-plane/src/tolerance.rs
+++ b/crates/control-plane/src/tolerance.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 /// Whatever is tolerated, a leader does not go on with fewer voters than this of its own accord.
-const SHORTEST_LIST: usize = 3;
+const MIN_VOTERS: usize = 3;
 
 /// How many may be lost at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -30,9 +30,9 @@
     /// The shortest list that a leader may come to by taking silent voters off, if its voters stand in these zones.
     pub fn min_voters(&self, zones: &[&str]) -> usize {
         let machines = self.losses.machines;
-        let in_zones: usize = largest(zones, self.losses.zones).into_iter().sum();
-        let in_regions: usize = largest(&self.regions(zones), self.losses.regions).into_iter().sum();
-        least_voters(machines.max(in_zones).max(in_regions)).max(SHORTEST_LIST)
+        let in_zones: usize = largest_groups(zones, self.losses.zones).into_iter().sum();
+        let in_regions: usize = largest_groups(&self.regions(zones), self.losses.regions).into_iter().sum();
+        least_voters(machines.max(in_zones).max(in_regions)).max(MIN_VOTERS)
     }
 
     /// What a list of so many voters bears, if those that count stand in these zones: any so many machines, zones or
@@ -41,8 +41,8 @@
         let spare = counted.len().saturating_sub(majority_of(voters));
         Losses {
             machines: spare,
-            zones: groups_within(spare, &largest(counted, usize::MAX)),
-            regions: groups_within(spare, &largest(&self.regions(counted), usize::MAX)),
+            zones: groups_within(spare, &largest_groups(counted, usize::MAX)),
+            regions: groups_within(spare, &largest_groups(&self.regions(counted), usize::MAX)),
         }
     }
 
@@ -52,12 +52,12 @@
 }
 
 /// The sizes of the largest groups of equal names, so many of them, the largest first.
-fn largest(names: &[&str], most: usize) -> Vec<usize> {
+fn largest_groups(names: &[&str], max_groups: usize) -> Vec<usize> {
     let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
     names.iter().for_each(|name| *sizes.entry(name).or_default() += 1);
     let mut sizes: Vec<usize> = sizes.into_values().collect();
     sizes.sort_unstable_by(|one, other| other.cmp(one));
-    sizes.truncate(most);
+    sizes.truncate(max_groups);
     sizes
 }
 
--- a/crates/control-plane/tests/config_history.rs
+++ b/crates/control-plane/tests/config_history.rs
@@ -166,17 +166,17 @@
     assert_eq!((restored.version(), restored.body_of(3)), (4, None));
 }
 
-fn marks(floors: &[(&str, u32)], fleet: u32) -> QuotaCheckpoint {
+fn checkpoint(floors: &[(&str, u32)], fleet_size: u32) -> QuotaCheckpoint {
     QuotaCheckpoint {
         floors: floors.iter().map(|(tenant, units)| ((*tenant).to_owned(), *units)).collect(),
-        fleet,
+        fleet_size,
     }
 }
 
 #[test]
 fn marks_are_told_from_changes_and_the_newest_count() {
     let mut config_history = ConfigHistory::default();
-    for marks in [marks(&[("a", 5), ("b", 7)], 13), marks(&[("a", 0), ("c", 1)], 12)] {
+    for marks in [checkpoint(&[("a", 5), ("b", 7)], 13), checkpoint(&[("a", 0), ("c", 1)], 12)] {
         let entry = marks.to_entry();
         assert!(Change::decode(&entry).is_err());
         config_history.apply_checkpoint(QuotaCheckpoint::decode(&entry).expect("marks").expect("whole"));
@@ -187,7 +187,9 @@
     let again = ConfigHistory::restore(&bitcode::encode(&config_history)).expect("a history");
     assert_eq!(again, config_history);
     assert!(QuotaCheckpoint::decode(&bitcode::encode(&change(1, 2, 3))).is_none());
-    assert!(QuotaCheckpoint::decode(&entry_cut(&marks(&[("a", 5)], 3))).is_some_and(|marks| marks.is_err()));
+    assert!(
+        QuotaCheckpoint::decode(&entry_cut(&checkpoint(&[("a", 5)], 3))).is_some_and(|marks| marks.is_err())
+    );
 }
 
 fn entry_cut(marks: &QuotaCheckpoint) -> Vec<u8> {
@@ -262,7 +264,7 @@
         Change { base: 0, version, digest, body: body.clone() },
     );
     let floors = (0..number() % 4).map(|_| (format!("t{}", number()), number() as u32)).collect();
-    config_history.apply_checkpoint(QuotaCheckpoint { floors, fleet: number() as u32 });
+    config_history.apply_checkpoint(QuotaCheckpoint { floors, fleet_size: number() as u32 });
     let floored = config_history.snapshot();
     let tagged = [TAG, &floored].concat();
     let with_bodies = WithBodies { version, body: body.clone(), digests: digests.clone(), places, bodies };
@@ -287,7 +289,7 @@
 fn states_with_and_without_records_of_backends_are_told_apart() {
     let mut random = 23;
     let mut config_history = ConfigHistory::default();
-    config_history.apply_checkpoint(QuotaCheckpoint { floors: vec![("t".into(), 3)], fleet: 9 });
+    config_history.apply_checkpoint(QuotaCheckpoint { floors: vec![("t".into(), 3)], fleet_size: 9 });
     assert_eq!(
         SnapshotState::snapshot(&config_history, Some(DrainRun::default())),
         config_history.snapshot()
@@ -333,7 +335,7 @@
         assert!(QuotaCheckpoint::decode(&entry).is_none(), "{change:?}");
         assert_eq!(Change::decode(&entry).expect("a change"), change);
         let floors = vec![(format!("t{base}"), version as u32); round % 3];
-        let marks = QuotaCheckpoint { floors, fleet: base as u32 };
+        let marks = QuotaCheckpoint { floors, fleet_size: base as u32 };
         assert!(Change::decode(&marks.to_entry()).is_err(), "{marks:?}");
         let drains = DrainEntry { ids: vec![format!("i-{base}"); round % 3] };
         assert!(
--- a/crates/control-plane/tests/support/simulation.rs
+++ b/crates/control-plane/tests/support/simulation.rs
@@ -66,14 +66,14 @@
     asleep: RefCell<Vec<Waker>>,
     hung: RefCell<BTreeSet<usize>>,
     changed: Notify,
-    numbers: Cell<u64>,
+    last_connection: Cell<u64>,
     random: RefCell<Random>,
 }
 
 impl Network {
-    fn number(&self) -> u64 {
-        self.numbers.set(self.numbers.get() + 1);
-        self.numbers.get()
+    fn next_connection(&self) -> u64 {
+        self.last_connection.set(self.last_connection.get() + 1);
+        self.last_connection.get()
     }
 
     fn link(&self, from: usize, to: usize) -> Option<Link> {
@@ -118,13 +118,13 @@
 #[derive(Clone)]
 struct End {
     process: usize,
-    number: u64,
+    connection: u64,
     commands: Sender<Command>,
 }
 
 impl End {
     async fn close(&self, peer: SocketAddr) {
-        let closed = Command::Closed { number: self.number, error: LineError::Closed { peer } };
+        let closed = Command::Closed { connection: self.connection, error: LineError::Closed { peer } };
         let _ = self.commands.send(closed).await;
     }
 }
@@ -137,7 +137,8 @@
         let (from, to) = (sender.process, receiver.process);
         let mut lost = !network.passes(from, to).await;
         if !lost && let Ok(Some((message, _))) = protocol::unframe::<Message>(&frame) {
-            let _ = receiver.commands.send(Command::Frame { number: receiver.number, message }).await;
+            let _ =
+                receiver.commands.send(Command::Message { connection: receiver.connection, message }).await;
         }
         if network.link(to, from) == Some(Link::Cut) {
             lost |= unacknowledged.get_or_insert_with(Instant::now).elapsed() > UNACKNOWLEDGED;
@@ -160,10 +161,10 @@
 }
 
 impl Connector for Dialer {
-    fn connect(&self, number: u64, to: SocketAddr, commands: Sender<Command>) {
+    fn connect(&self, connection: u64, to: SocketAddr, commands: Sender<Command>) {
         let (own, network) = (self.own, self.network.clone());
         spawn_local(async move {
-            let here = End { process: own, number, commands };
+            let here = End { process: own, connection, commands };
             let target = network.processes.borrow().get(&to).cloned();
             let Some((process, commands)) = target else { return here.close(to).await };
             let open = |network: &Network| {
@@ -173,10 +174,10 @@
             if timeout(CONNECT, network.until(open)).await.is_err() {
                 return here.close(to).await;
             }
-            let there = End { process, number: network.number(), commands };
+            let there = End { process, connection: network.next_connection(), commands };
             for (from, to, dialed) in [(&here, &there, Some(to)), (&there, &here, None)] {
                 let (line, frames) = channel(FRAMES);
-                let opened = Command::Opened { number: from.number, line: Line::over(line), dialed };
+                let opened = Command::Opened { connection: from.connection, line: Line::over(line), dialed };
                 let _ = from.commands.send(opened).await;
                 spawn_local(carry(network.clone(), frames, from.clone(), to.clone()));
             }
@@ -235,7 +236,7 @@
             asleep: RefCell::default(),
             hung: RefCell::default(),
             changed: Notify::new(),
-            numbers: Cell::new(0),
+            last_connection: Cell::new(0),
             random: RefCell::new(Random::new(seed)),
         });
         let commands =
@@ -296,7 +297,7 @@
     /// Follows a process from its own machine: the number of the connection, and what the process sends.
     pub async fn follow(&self, process: usize) -> (u64, Receiver<Rc<[u8]>>) {
         let (line, frames) = channel(FRAMES);
-        let number = self.network.number();
+        let connection = self.network.next_connection();
         let name = format!("data-plane-{process}");
         let hello = Hello {
             name,
@@ -308,18 +309,18 @@
             incarnation: None,
         };
         let commands = &self.commands[process];
-        let _ = commands.send(Command::Opened { number, line: Line::over(line), dialed: None }).await;
+        let _ = commands.send(Command::Opened { connection, line: Line::over(line), dialed: None }).await;
         let follow = Message::Follow { have: protocol::Held::default() };
         for message in [Message::Hello(hello), follow] {
-            let _ = commands.send(Command::Frame { number, message }).await;
+            let _ = commands.send(Command::Message { connection, message }).await;
         }
-        (number, frames)
+        (connection, frames)
     }
 
     /// A data plane that follows a process says something on its connection.
     #[allow(dead_code)] // Not all that share this simulation say more.
-    pub async fn say(&self, process: usize, number: u64, message: Message) {
-        let _ = self.commands[process].send(Command::Frame { number, message }).await;
+    pub async fn say(&self, process: usize, connection: u64, message: Message) {
+        let _ = self.commands[process].send(Command::Message { connection, message }).await;
     }
 }
 
@@ -356,10 +357,11 @@
         seed: seed.wrapping_mul(31) + process as u64 + 1,
         detours: config::Detours::default(),
     };
-    let numbers = network.clone();
-    let control_plane = ControlPlane::new(settings, log, commands.clone(), Rc::new(move || numbers.number()))
-        .with_connector(Rc::new(Dialer { own: process, network: network.clone() }))
-        .with_faults(faults);
+    let connection_ids = network.clone();
+    let control_plane =
+        ControlPlane::new(settings, log, commands.clone(), Rc::new(move || connection_ids.next_connection()))
+            .with_connector(Rc::new(Dialer { own: process, network: network.clone() }))
+            .with_faults(faults);
     let inner = Box::pin(control_plane.run(queue));
     spawn_local(Freezable { process, network: network.clone(), inner });
     commands
--- a/crates/reachlb/src/operate/state.rs
+++ b/crates/reachlb/src/operate/state.rs
@@ -105,7 +105,7 @@
             What::Change(change) if let Some(marks) = QuotaCheckpoint::decode(change) => {
                 let marks = marks
                     .map_err(|error| damaged(path, format!("the marks in entry {}: {error}", entry.index)))?;
-                format!("marks: {} floors of counts, {} data planes", marks.floors.len(), marks.fleet)
+                format!("marks: {} floors of counts, {} data planes", marks.floors.len(), marks.fleet_size)
             }
             What::Change(change) if let Some(drains) = DrainEntry::decode(change) => {
                 let drains = drains.map_err(|error| {
