--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -1,4 +1,4 @@
-//! The owner of all tables of the control plane.
+//! The event loop that owns all tables of the control plane.
 
 mod connections;
 mod contact;
@@ -42,77 +42,80 @@
 use transport::config_snapshots::{self, ConfigEncoder};
 use transport::{Line, LineError, NeighborWatch};
 
-/// How often things are looked after.
+/// Interval of the periodic work: batched updates, call timeouts, connections and the quota service.
 const TICK_INTERVAL_MS: u64 = 50;
-/// Followers hear something this often.
+/// Interval between heartbeats to subscribers.
 const HEARTBEAT_INTERVAL_MS: u64 = 350;
-/// ... and news of the leader no more often than this.
+/// Shortest pause between two heartbeats when a change of the leader triggers one early.
 const MIN_HEARTBEAT_INTERVAL_MS: u64 = 40;
-/// What others told of the leader stands for so long: two of their heartbeats and some room. DataPlanes leave whoever
-/// is behind 0.9 s after its last good word, so that those behind a relay that was cut off have news again within 2 s.
+/// A leader that a heartbeat reports is believed for this long: two heartbeat intervals plus a margin.
+/// Data planes leave a control plane 0.9 s after its last current heartbeat, so that data planes behind an isolated
+/// control plane receive updates again within 2 s.
 const LEADER_REPORT_TTL_MS: u64 = 800;
-/// Other control planes hear whose beats came here, and who else serves control, this often.
+/// Interval at which other control planes receive the backends heard here and the known control planes.
 const GOSSIP_INTERVAL_MS: u64 = 400;
-/// ... and which data planes are heard here when that changes, or after this long: what was said stands as long as the line.
-/// Processes of the version before take the word itself for a sign of life, and count a data plane on for 30 s.
+/// Interval at which an unchanged list of connected data planes is sent again. A list stays valid as long as its
+/// connection; the previous version treats each list as a sign of life and counts a data plane for 30 s after it.
 const DATA_PLANES_RESEND_INTERVAL_MS: u64 = 8000;
-/// A control plane that could not be reached is dialed again after this, drawn up to twice as long: after a herd's death the
-/// first election waits for these connections.
+/// Minimum delay before an unreachable control plane is dialed again; jitter at most doubles the delay. Short,
+/// because after a simultaneous restart the first election waits for these connections.
 const REDIAL_DELAY_MS: u64 = 80;
-/// A dial that says nothing at all is over after this.
+/// Timeout of a connection attempt that neither succeeds nor fails.
 const DIAL_TIMEOUT_MS: u64 = 2000;
-/// A call of the operator waits so long for a leader.
+/// How long an operator's call waits for a leader to become known.
 const LEADER_WAIT_TIMEOUT_MS: u64 = 700;
-/// A call that was passed on to a leader waits so long for its word.
+/// How long a call that was forwarded to the leader waits for the reply.
 const FORWARD_TIMEOUT_MS: u64 = 2300;
-/// More calls than this don't wait.
+/// Maximum number of pending calls; further calls are refused.
 const MAX_PENDING_CALLS: usize = 256;
-/// After so many changes the log is compacted: each holds a whole configuration.
+/// The log is compacted after this many changes: each change holds a whole configuration.
 const COMPACT_AFTER_CHANGES: f64 = 16.0;
-/// QuotaCheckpoint weigh so much of a change then: they are some hundred bytes.
+/// Weight of a quota checkpoint or a drain entry, relative to a change: such an entry has some hundred bytes.
 const SMALL_ENTRY_WEIGHT: f64 = 0.1;
-/// ... or so many bytes of them: the disk is small, and a change of 4 MB takes 8 of the file.
+/// The log is also compacted after this many bytes: the disk is small, and a change of 4 MB takes 8 MB in the file.
 const COMPACT_AFTER_BYTES: usize = 4_000_000;
-/// A control plane this young may not have heard of all backends yet: its list says who is there, not who is not.
+/// A control plane that has run for less than this may not know all backends yet, so that its list of backends is
+/// sent as additions only and not as the complete list.
 const WARMUP_MS: u64 = 4000;
-/// A connection that has said nothing for this long is no sign of life.
+/// A connection without a message for this long does not count as a sign of life.
 const PEER_TIMEOUT_MS: u64 = 2500;
-/// A process that has been out of touch with the leader for this long is cut off: an election takes less.
+/// A process whose state has not been confirmed as current for this long counts as isolated. An election takes less.
 const ISOLATION_GRACE_MS: u64 = 1500;
 
-/// What a control plane is told at its start.
+/// Settings of a control plane.
 #[derive(Clone, Debug)]
 pub struct ControlPlaneSettings {
-    /// Who it is.
+    /// Identity that this process announces to others.
     pub me: Hello,
-    /// Where it takes connections.
+    /// Address on which other processes connect.
     pub address: SocketAddr,
-    /// Where the first other control planes take connections.
+    /// Addresses of the control planes to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// How often backends beat, in ms.
+    /// Heartbeat interval of backends, in milliseconds.
     pub heartbeat_interval_ms: u64,
-    /// The log's times.
+    /// Raft timing.
     pub timing: Timing,
-    /// What may be lost at once.
+    /// Simultaneous losses that the deployment has to tolerate.
     pub tolerance: Tolerance,
-    /// A voter counts as gone after a silence of so many ms.
+    /// A voter that is silent for this many milliseconds counts as gone.
     pub retire_after_ms: u64,
-    /// Draws a second that one holder of counts bears: more, and the leader shares the counts out. 0 for never.
+    /// Quota lease requests per second that one quota holder can serve. Above that rate the leader appoints deputy
+    /// holders; 0 disables deputies.
     pub max_lease_requests_per_holder: f64,
-    /// A number drawn for this life.
+    /// Random seed, drawn anew at each start of the process.
     pub seed: u64,
-    /// By which ways others are reached.
+    /// Alternative addresses through which other processes are reached.
     pub detours: Detours,
 }
 
-/// What this process has asked the leader for, to hold counts.
+/// Offers of this process to the leader to become a deputy quota holder, or to stay one.
 #[derive(Default)]
 struct HolderOffers {
-    /// Numbers, and when they were sent.
+    /// Number of each outstanding offer, and when the offer was sent.
     sent: VecDeque<(u64, u64)>,
     last_answered: u64,
     next_at: u64,
-    /// Draws answered when last looked at, when that was, and how many a second then.
+    /// Total of served lease requests at the last measurement, time of the measurement, and requests per second.
     request_rate: (u64, u64, f64),
 }
 
@@ -120,16 +123,16 @@
     line: Line,
     hello: Option<Hello>,
     dialed: Option<SocketAddr>,
-    is_follower: bool,
-    /// What it has, or will have once it has read all that was sent.
+    is_subscriber: bool,
+    /// Configuration that the peer has, or will have once it has read everything sent so far.
     held: Held,
     last_received_at: u64,
     opened_at: u64,
-    /// The data planes that it said it hears, until it says otherwise.
+    /// Data planes that the peer reported as connected to it, in its latest list.
     data_planes: Vec<(String, u64)>,
-    /// Whether it may be told of departures of data planes.
+    /// Whether the peer understands messages about departed data planes.
     supports_departures: bool,
-    /// Whether it has said that it ends: it is not to become a voter.
+    /// Whether the peer has announced its shutdown; it must not become a voter.
     is_shutting_down: bool,
 }
 
@@ -137,11 +140,11 @@
     reply: oneshot::Sender<Reply>,
     since: u64,
     order: Order,
-    /// The number of the connection that it was passed on by, if it was.
+    /// Connection on which the call was forwarded to the leader, if it was.
     forwarded_on: Option<u64>,
 }
 
-/// Who waits for the word on a change or a read.
+/// Where to send the reply to an order.
 enum Requester {
     Local(oneshot::Sender<Reply>),
     Remote { peer: u64, token: u64 },
@@ -152,7 +155,7 @@
     since: u64,
 }
 
-/// The owner of all tables of the control plane of one process.
+/// Owner of all tables of one control plane process. A single task runs it; commands arrive through a queue.
 pub struct ControlPlane {
     settings: ControlPlaneSettings,
     started_at: Instant,
@@ -162,81 +165,81 @@
     peers: BTreeMap<u64, Peer>,
     dialing: BTreeMap<SocketAddr, (u64, u64)>,
     directory: Directory,
-    /// The incarnations of those with a disk that counts.
+    /// Incarnations of the known control planes that store the Raft log.
     quorum_incarnations: BTreeMap<SocketAddr, u64>,
     register: Register,
-    /// What followers, and other control planes, are yet to be told of it.
-    follower_batch: BackendBatch,
+    /// Changes of backends that subscribers and other control planes have not received yet.
+    subscriber_batch: BackendBatch,
     control_plane_batch: BackendBatch,
     fleet: Fleet,
     config_history: ConfigHistory,
     config: Option<Config>,
     config_encoder: ConfigEncoder,
-    /// Entries have brought another configuration into force, and followers are yet to be told.
+    /// A committed entry has changed the configuration in force, and subscribers have not received the new one yet.
     config_changed: bool,
     node: Option<Node>,
     disk: Option<Disk>,
     quota_service: QuotaService,
-    /// Of the leader.
+    /// Assigns quota holders; present only while this process leads.
     placer: Option<Placer>,
-    /// The newest assignment of counts heard of.
+    /// Newest known assignment of quota holders.
     assignment: HolderAssignment,
     offers: HolderOffers,
-    /// Known from others, of a control plane without a log of its own.
+    /// Newest heartbeat of another control plane; used only by a process without a Raft log.
     last_heartbeat: Heartbeat,
     last_heartbeat_at: u64,
-    /// Whether the leader has said that what this process tells is of this moment, if it does not lead.
+    /// The leader's confirmations that the state of this process is current, while this process does not lead.
     leader_contact: LeaderContact,
-    /// When what this process tells was of that moment last; its start, while it never was.
+    /// When the state of this process was last confirmed as current; 0 before the first confirmation.
     last_current_at: u64,
     connector: Rc<dyn Connector>,
     faults: Faults,
     last_token: u64,
     pending_calls: HashMap<u64, PendingCall>,
     pending_proposals: BTreeMap<u64, PendingProposal>,
-    /// Orders that came to this leader before its first lease.
+    /// Orders that reached this leader before its first lease.
     orders_awaiting_lease: Vec<(Requester, Order)>,
     drain_proposals: DrainProposals,
-    /// Control planes that read [`Order::Drain`], as they said since this process started.
+    /// Control planes that have announced since this process started that they understand [`Order::Drain`].
     drains_supported_by: BTreeSet<SocketAddr>,
-    /// What to answer once entries come back, by their index: emptied when this process leads no more.
+    /// Tokens of this leader's proposals, by log index. Cleared when this process stops leading.
     tokens_by_index: BTreeMap<u64, u64>,
     changes_since_compaction: f64,
-    /// QuotaCheckpoint that are on their way through the log, by their token: one entry of them at a time.
+    /// Token of the quota checkpoint in flight. At most one checkpoint is proposed at a time.
     checkpoint_token: Option<u64>,
     bytes_since_compaction: usize,
     warmed_up: bool,
-    /// Messages of other processes since the start.
+    /// Number of messages received from other processes since the start.
     messages_received: u64,
-    /// The leader that followers were told of last, and whether as of this moment.
+    /// The leader in the last heartbeat to subscribers, and whether that heartbeat was current.
     last_reported_leader: (Option<SocketAddr>, bool),
     next_due: [u64; 3],
-    /// The data planes that the other control planes were told of last, and when.
+    /// The list of data planes last sent to other control planes, and when it was sent.
     last_sent_data_planes: (Vec<(String, u64)>, u64),
-    /// What the log has asked for and was not done yet.
+    /// Outputs of the Raft node that have not been handled yet.
     outputs: Vec<Output>,
     handling_outputs: bool,
     event_log: EventLog,
-    /// Who watches the neighbours, if anybody does.
+    /// Failure detector among neighbouring processes, if one runs.
     neighbor_watch: Option<Rc<NeighborWatch>>,
-    /// This process is to end.
+    /// Whether this process is shutting down.
     is_shutting_down: bool,
-    /// Who waits until nothing is left to do before that.
+    /// Notified once the shutdown has nothing left to wait for.
     shutdown_done: Option<oneshot::Sender<()>>,
-    /// When the leader is to be told of that again.
+    /// Earliest time of the next request to the leader to remove this voter.
     next_leave_at: u64,
 }
 
 impl ControlPlane {
-    /// A control plane; `log` is what a voter has on its disk.
+    /// Creates a control plane. `log` is the disk of a voter and the state read from that disk.
     pub fn new(
         settings: ControlPlaneSettings, log: Option<(Disk, Saved)>, commands: mpsc::Sender<Command>,
         connection_ids: Rc<dyn Fn() -> u64>,
     ) -> Self {
         let (mut node, mut disk, mut state) = (None, None, SnapshotState::default());
         if let Some((opened, saved)) = log {
-            // The log tells its entries again, but only those after its snapshot.
-            // It was read before, when the disk was opened.
+            // Raft replays only the entries after the snapshot. `Disk::open` has checked that the snapshot can be
+            // restored.
             let restored = saved.snapshot.as_ref().map(|snapshot| SnapshotState::restore(&snapshot.state));
             state = restored.and_then(Result::ok).unwrap_or_default();
             node = Some(Node::start(saved, settings.timing, settings.seed, 0));
@@ -255,7 +258,7 @@
             directory: Directory::default(),
             quorum_incarnations: BTreeMap::new(),
             register,
-            follower_batch: BackendBatch::default(),
+            subscriber_batch: BackendBatch::default(),
             control_plane_batch: BackendBatch::default(),
             fleet: Fleet::default(),
             config_history,
@@ -302,12 +305,12 @@
         control_plane
     }
 
-    /// Goes by what the watch of the neighbours finds, too.
+    /// Uses the failure detector among neighbouring processes as a further source.
     pub fn with_neighbor_watch(self, neighbor_watch: Option<Rc<NeighborWatch>>) -> Self {
         Self { neighbor_watch, ..self }
     }
 
-    /// Reaches others in another way than by TCP.
+    /// Connects to other processes through `connector` instead of TCP.
     pub fn with_connector(self, connector: Rc<dyn Connector>) -> Self {
         Self { connector, ..self }
     }
@@ -327,7 +330,7 @@
         (self.rng_state >> 33) % below.max(1)
     }
 
-    /// Works through the queue until it is closed.
+    /// Handles commands until the queue is closed.
     pub async fn run(mut self, mut queue: mpsc::Receiver<Command>) {
         self.tick();
         loop {
@@ -354,7 +357,7 @@
             Command::Closed { connection, error } => self.on_closed(connection, &error),
             Command::Saved { ticket } => self.step_raft(Input::Saved { ticket }),
             Command::Seeds(seeds) => self.settings.seeds = seeds,
-            Command::Shutdown(ended) => (self.is_shutting_down, self.shutdown_done) = (true, Some(ended)),
+            Command::Shutdown(done) => (self.is_shutting_down, self.shutdown_done) = (true, Some(done)),
         }
     }
 
@@ -363,8 +366,8 @@
         if self.node.as_ref().is_some_and(|node| now >= node.next_due()) {
             self.step_raft(Input::Tick);
         }
-        // A log that is told again after a start brings many versions at once. Followers need the last one only, and
-        // the word that it is of this moment waits behind whatever is sent before it.
+        // A replay after a restart commits many versions at once. Subscribers need only the last one, and a heartbeat
+        // that confirms the last one would wait behind every version sent before.
         if std::mem::take(&mut self.config_changed) {
             self.on_config_changed();
         }
@@ -378,19 +381,19 @@
         self.query_leader(now);
         self.process_orders_awaiting_lease(now);
         self.progress_shutdown();
-        // Whoever waits for a leader, or for this process to have caught up, hears of it at once.
+        // A new leader, or the end of this process's catch-up, is reported immediately.
         let (leader, epoch, fresh) = self.leader(now);
         if fresh {
             self.last_current_at = now;
         }
         self.event_log.on_leader_state(now, leader, epoch, self.config_history.version());
-        let news = (leader, fresh);
+        let reported = (leader, fresh);
         let early = fresh
-            && news != self.last_reported_leader
+            && reported != self.last_reported_leader
             && now + HEARTBEAT_INTERVAL_MS >= self.next_due[1] + MIN_HEARTBEAT_INTERVAL_MS;
         if now >= self.next_due[1] || early {
             self.next_due[1] = now + HEARTBEAT_INTERVAL_MS;
-            self.last_reported_leader = news;
+            self.last_reported_leader = reported;
             self.send_heartbeats(now);
         }
         if now >= self.next_due[2] {
--- a/crates/control-plane/src/control_plane/connections.rs
+++ b/crates/control-plane/src/control_plane/connections.rs
@@ -1,4 +1,4 @@
-//! Connections with other processes, and what comes on them.
+//! Connections with other processes, and the dispatch of incoming messages.
 
 use super::*;
 use protocol::{UNDERSTANDS_DEPARTURES, UNDERSTANDS_DRAINS};
@@ -14,7 +14,7 @@
             line,
             hello: None,
             dialed,
-            is_follower: false,
+            is_subscriber: false,
             held: Held::default(),
             last_received_at: now,
             opened_at: now,
@@ -30,7 +30,7 @@
 
     pub(super) fn on_closed(&mut self, connection: u64, error: &LineError) {
         let Some(peer) = self.peers.remove(&connection) else {
-            // It never came up.
+            // The connection attempt failed.
             let until = self.now() + REDIAL_DELAY_MS + self.random_below(REDIAL_DELAY_MS);
             if let Some(dialing) = self.dialing.values_mut().find(|(dialing, _)| *dialing == connection) {
                 dialing.1 = until;
@@ -45,30 +45,30 @@
         spdlog::debug!("{}", error, kv: { step = "line", peer = name.as_str() });
     }
 
-    /// A line of ours to a control plane.
+    /// The connection that this process dialed to a control plane.
     pub(super) fn line_to(&self, address: &SocketAddr) -> Option<&Line> {
-        let ours = self.peers.values().find(|p| p.dialed.as_ref() == Some(address) && !p.line.is_lost());
-        ours.map(|p| &p.line)
+        let dialed = self.peers.values().find(|p| p.dialed.as_ref() == Some(address) && !p.line.is_lost());
+        dialed.map(|p| &p.line)
     }
 
-    /// The connection of that line, and the line.
+    /// Same as [`Self::line_to`], together with the id of the connection.
     pub(super) fn dialed_connection(&self, address: &SocketAddr) -> Option<(u64, Line)> {
-        let ours = |peer: &Peer| peer.dialed.as_ref() == Some(address) && !peer.line.is_lost();
-        let (connection, peer) = self.peers.iter().find(|(_, peer)| ours(peer))?;
+        let matches = |peer: &Peer| peer.dialed.as_ref() == Some(address) && !peer.line.is_lost();
+        let (connection, peer) = self.peers.iter().find(|(_, peer)| matches(peer))?;
         Some((*connection, peer.line.clone()))
     }
 
     pub(super) fn other_control_planes(&self) -> BTreeSet<SocketAddr> {
         let known = self.directory.addresses().chain(&self.settings.seeds).copied();
-        // After a restart the settings may name none of the voters, and nobody else may be left to tell of them.
+        // After a restart the settings may name no current voter, and no other process may be left to report one.
         let voters = self.node.iter().flat_map(|node| node.members());
         let voters = voters.filter_map(|voter| voter.address.parse().ok());
         known.chain(voters).filter(|address| *address != self.settings.address).collect()
     }
 
-    /// Each control plane has a connection of its own to every other one.
+    /// Each control plane dials its own connection to every other one.
     pub(super) fn maintain_connections(&mut self, now: u64) {
-        let silent: Vec<u64> = self
+        let stale: Vec<u64> = self
             .peers
             .iter()
             .filter(|(_, p)| {
@@ -76,7 +76,7 @@
             })
             .map(|(connection, _)| *connection)
             .collect();
-        for connection in silent {
+        for connection in stale {
             self.peers.remove(&connection);
         }
         self.dialing.retain(|_, (_, until)| now < *until);
@@ -97,19 +97,19 @@
         }
     }
 
-    pub(super) fn send_to_followers(&self, message: &Message) {
+    pub(super) fn send_to_subscribers(&self, message: &Message) {
         let frame: Rc<[u8]> = protocol::frame(message).into();
-        for peer in self.peers.values().filter(|p| p.is_follower) {
+        for peer in self.peers.values().filter(|p| p.is_subscriber) {
             peer.line.send_frame(frame.clone());
         }
     }
 
-    /// All processes that serve control, for followers: they go on to another one when this one is cut off.
+    /// The addresses of all control planes, for subscribers: they switch to another one when this one is isolated.
     pub(super) fn control_plane_addresses(&self) -> Vec<ControlPlaneAddress> {
         self.addresses_of(self.directory.all())
     }
 
-    /// Those that other processes of control are told of.
+    /// The addresses that other control planes receive.
     pub(super) fn connected_addresses(&self, now: u64) -> Vec<ControlPlaneAddress> {
         self.addresses_of(self.directory.recently_connected(now))
     }
@@ -118,21 +118,21 @@
         &'a self, known: impl Iterator<Item = (&'a SocketAddr, &'a str)>,
     ) -> Vec<ControlPlaneAddress> {
         let me = (&self.settings.address, self.settings.me.zone.as_str());
-        let card = |(address, zone): (&SocketAddr, &str)| ControlPlaneAddress {
+        let to_address = |(address, zone): (&SocketAddr, &str)| ControlPlaneAddress {
             address: address.to_string(),
             zone: zone.to_owned(),
         };
-        let cards: BTreeSet<_> = known.chain([me]).map(card).collect();
-        cards.into_iter().collect()
+        let addresses: BTreeSet<_> = known.chain([me]).map(to_address).collect();
+        addresses.into_iter().collect()
     }
 
-    /// Notes with whom a connection stands, and forgets with whom none did for long.
+    /// Records which control planes are connected, and forgets those without a connection for long.
     pub(super) fn maintain_directory(&mut self, now: u64) {
-        let heard = self
+        let alive = self
             .peers
             .values()
             .filter(|peer| !peer.line.is_lost() && now < peer.last_received_at + PEER_TIMEOUT_MS);
-        for hello in heard.filter_map(|peer| peer.hello.as_ref()) {
+        for hello in alive.filter_map(|peer| peer.hello.as_ref()) {
             if hello.plane == Plane::ControlPlane
                 && let Ok(address) = hello.address.parse()
             {
@@ -143,7 +143,7 @@
         self.quorum_incarnations.retain(|address, _| self.directory.contains(address));
     }
 
-    /// What another control plane has to know of all that this one knows.
+    /// Sends everything that another control plane needs to know when a connection opens.
     pub(super) fn send_full_state(&self, connection: u64, now: u64) {
         let Some(peer) = self.peers.get(&connection) else { return };
         peer.line.send(&Message::ControlPlanes(self.connected_addresses(now)));
@@ -152,9 +152,9 @@
     }
 
     pub(super) fn local_data_planes(&self, now: u64) -> Vec<(String, u64)> {
-        let hellos =
-            self.peers.values().filter(|p| p.is_follower && now < p.last_received_at + PEER_TIMEOUT_MS);
-        let data_planes = hellos.filter_map(|p| p.hello.as_ref());
+        let subscribers =
+            self.peers.values().filter(|p| p.is_subscriber && now < p.last_received_at + PEER_TIMEOUT_MS);
+        let data_planes = subscribers.filter_map(|p| p.hello.as_ref());
         let data_planes = data_planes.filter(|h| h.plane == Plane::DataPlane && !self.has_departed(h));
         data_planes.map(|h| (h.name.clone(), h.life)).collect()
     }
@@ -168,25 +168,25 @@
             Message::Hello(hello) => self.on_hello(connection, hello, now),
             Message::Welcome(hello) => self.register_peer(&hello),
             Message::Log { incarnation, message } => self.on_log_message(connection, incarnation, &message),
-            Message::ControlPlanes(cards) => {
-                for card in cards {
-                    if let Ok(address) = card.address.parse() {
-                        self.learn_control_plane(address, card.zone);
+            Message::ControlPlanes(control_planes) => {
+                for control_plane in control_planes {
+                    if let Ok(address) = control_plane.address.parse() {
+                        self.learn_control_plane(address, control_plane.zone);
                     }
                 }
             }
             Message::Follow { have } => self.on_follow(connection, have, now),
             Message::FreshnessQuestion(question) => self.on_freshness_question(connection, question, now),
             Message::Backends { backends, .. } => {
-                // Of one that this process has dialed the address is known, and no name.
+                // Of a control plane that this process dialed, the address is known but no name.
                 let address = peer.dialed.map_or_else(String::new, |address| address.to_string());
                 let origin = peer.hello.as_ref().map_or(address, |hello| hello.name.clone());
                 let changed = self.register.hear(now, backends);
                 self.publish_backends(changed, Origin::Peer(&origin));
             }
             Message::Heard(heard) => {
-                let back = self.register.alive(now, &heard);
-                self.publish_backends(back, Origin::Silence);
+                let recovered = self.register.alive(now, &heard);
+                self.publish_backends(recovered, Origin::Silence);
             }
             Message::DataPlanes(data_planes) => {
                 data_planes.iter().for_each(|(name, life)| self.fleet.heard(now, name, *life));
@@ -215,7 +215,7 @@
             Message::Told { token, status, body } => {
                 self.on_forwarded_reply(connection, token, Reply { status, body })
             }
-            // Update of another control plane, for those without a log.
+            // Updates of another control plane, used by processes without a Raft log.
             Message::Heartbeat(heartbeat) => self.on_heartbeat(heartbeat, now),
             Message::ConfigSnapshot(config_snapshot) => self.on_config_snapshot(config_snapshot),
             Message::ConfigDelta(config_delta) => self.on_config_delta(connection, &config_delta),
@@ -238,7 +238,7 @@
         match hello.plane {
             Plane::DataPlane => {
                 self.fleet.heard(now, &hello.name, hello.life);
-                // First that it is there: else it would stand in for one that is silent.
+                // Count the data plane first; otherwise it would be taken for one of the silent data planes.
                 self.resize_fleet(now);
                 self.on_data_plane_contact(&hello, quota::Epoch::default(), now);
                 if let Some(peer) = self.peers.get(&connection) {
@@ -296,24 +296,24 @@
         {
             self.fleet.heard(now, &hello.name, hello.life);
         }
-        // A sign of life may have been on its way while a newer one was sent.
+        // A subscriber may have sent this message before it received a newer configuration.
         if have.version >= peer.held.version {
             peer.held = have;
         }
-        if std::mem::replace(&mut peer.is_follower, true) {
+        if std::mem::replace(&mut peer.is_subscriber, true) {
             return;
         }
         peer.line.send(&Message::Heartbeat(heartbeat));
         self.send_config_snapshot(connection);
-        let young = now < WARMUP_MS;
-        let mut backends = if young { self.register.everything(now) } else { self.register.all(now) };
-        if young {
+        let warming_up = now < WARMUP_MS;
+        let mut backends = if warming_up { self.register.everything(now) } else { self.register.all(now) };
+        if warming_up {
             backends.extend(self.drained_unknown());
         }
-        let cards = self.control_plane_addresses();
+        let control_planes = self.control_plane_addresses();
         if let Some(peer) = self.peers.get(&connection) {
-            peer.line.send(&Message::Backends { whole: !young, backends });
-            peer.line.send(&Message::ControlPlanes(cards));
+            peer.line.send(&Message::Backends { whole: !warming_up, backends });
+            peer.line.send(&Message::ControlPlanes(control_planes));
         }
     }
 }
--- a/crates/control-plane/src/control_plane/contact.rs
+++ b/crates/control-plane/src/control_plane/contact.rs
@@ -1,13 +1,13 @@
-//! Contact with the leader: whether what this process tells is of this moment.
+//! Whether the state of this process is confirmed as current by the leader.
 
 use super::*;
 use protocol::{FreshnessAnswer, FreshnessQuestion, UNDERSTANDS_FRESHNESS};
 
-/// So many records of backends that leave go into one answer.
+/// Maximum number of drain records in one response.
 const MAX_RECORDS_PER_RESPONSE: usize = 512;
 
 impl ControlPlane {
-    /// The leader of the log as this process knows it, its term, and whether that is of this moment.
+    /// The leader as known here, its term, and whether the state of this process is confirmed as current.
     pub(super) fn leader(&self, now: u64) -> (Option<SocketAddr>, u64, bool) {
         match &self.node {
             Some(node) if node.is_leader() => {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Whether a voter has all that was committed when the leader was asked last.
+    /// Whether a voter has applied everything that was committed when the leader last responded.
     fn is_caught_up(&self, node: &Node, now: u64) -> bool {
         if node.commit() == 0 || node.lags() {
             return false;
@@ -30,7 +30,8 @@
         self.leader_contact.newest(now).is_some_and(covers) || self.faults.trusts_heartbeats
     }
 
-    /// A process without a log goes by the leader's own word, and names whom voters told of while there is none.
+    /// Same as [`Self::leader`] for a process without a Raft log. Such a process relies on the leader's own
+    /// responses; while there are none, it names the leader from the voters' heartbeats, as not current.
     fn leader_without_log(&self, now: u64) -> (Option<SocketAddr>, u64, bool) {
         if self.faults.trusts_heartbeats {
             let current = self.last_heartbeat.fresh && now < self.last_heartbeat_at + LEADER_REPORT_TTL_MS;
@@ -38,7 +39,7 @@
         }
         match self.leader_contact.newest(now) {
             Some(newest) if newest.term >= self.last_heartbeat.epoch => {
-                // One of the version before says nothing of records, and has none.
+                // A leader of the previous version does not report drain records and has none.
                 let has_versions = newest.version <= self.config_history.version();
                 let has_drains = newest.drains <= self.register.drains().last();
                 (Some(newest.leader), newest.term, has_versions && has_drains)
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Whom to ask: the leader that this voter follows, or the one that voters tell of.
+    /// The leader that this voter follows, or, without a Raft log, the leader that heartbeats name.
     pub(super) fn leader_address(&self) -> Option<SocketAddr> {
         match &self.node {
             Some(node) => node.leader().and_then(|voter| voter.address.parse().ok()),
@@ -55,13 +56,13 @@
         }
     }
 
-    /// Asks the leader, when it is time to.
+    /// Sends the leader a query if one is due.
     pub(super) fn query_leader(&mut self, now: u64) {
         let Some(leader) = self.leader_address().filter(|leader| *leader != self.settings.address) else {
             return;
         };
         let Some((connection, line)) = self.dialed_connection(&leader) else { return };
-        // Which version the leader is of is said first on a connection.
+        // The leader announces the features of its version first on each connection.
         let supports_records = self.drains_supported_by.contains(&leader);
         let is_earlier_version =
             !supports_records && self.peers.get(&connection).is_some_and(|peer| peer.supports_departures);
@@ -78,7 +79,7 @@
         }
     }
 
-    /// How old the leader's answer is on which this process goes; nothing if it may be cut off.
+    /// Age of the leader's confirmation of the state of this process; `None` if this process may be isolated.
     fn confirmation_age(&self, now: u64) -> Option<u64> {
         let (.., current) = self.leader(now);
         if !current {
@@ -91,12 +92,12 @@
         self.leader_contact.newest(now).map(|newest| now.saturating_sub(newest.sent_at))
     }
 
-    /// A data plane asks how old what it is told may be, and gets the records of backends that leave which it lacks.
+    /// A data plane asks for the age of the state that it receives, and gets the drain records that it lacks.
     pub(super) fn on_freshness_question(&mut self, connection: u64, question: FreshnessQuestion, now: u64) {
         let FreshnessQuestion { number, drains: known } = question;
         let age_ms = self.confirmation_age(now).map(|age| u32::try_from(age).unwrap_or(u32::MAX));
         let table = self.register.drains();
-        // Whoever has more of them lacks none.
+        // A data plane that knows more drain records than this process lacks none.
         let max_records = if known > table.last() { 0 } else { MAX_RECORDS_PER_RESPONSE };
         let run = table.run_after(known, max_records);
         let answer = FreshnessAnswer {
@@ -111,12 +112,12 @@
         }
     }
 
-    /// What a data plane is told, that it may send [`Message::FreshnessQuestion`].
+    /// Announces to a data plane that it may send [`Message::FreshnessQuestion`].
     pub(super) fn freshness_support() -> Message {
         Message::NotHolder { number: UNDERSTANDS_FRESHNESS }
     }
 
-    /// A question is answered by a leader that holds its lease, and by nobody else.
+    /// Queries are answered only by a leader that holds its lease.
     pub(super) fn on_contact_message(&mut self, connection: u64, message: &ContactMessage) {
         let now = self.now();
         let Some(peer) = self.peers.get(&connection) else { return };
@@ -141,7 +142,7 @@
         }
     }
 
-    /// The log of this process, while it leads and holds its lease.
+    /// The Raft node, while this process leads and holds its lease.
     fn leased_node(&self, now: u64) -> Option<&Node> {
         self.node.as_ref().filter(|node| node.holds_lease(now))
     }
--- a/crates/control-plane/src/control_plane/departures.rs
+++ b/crates/control-plane/src/control_plane/departures.rs
@@ -1,23 +1,23 @@
-//! Data planes that have said that they ended, and how many are counted for what.
+//! Data planes that have announced their departure, and the number of data planes that quotas are divided by.
 //!
-//! Whoever holds the counts next must know of a departure as well, so each process that learns of one passes it on at
-//! once, and tells all that it remembers to each process that it connects to.
+//! The next quota holder must know of a departure as well. So each process that learns of one forwards it
+//! immediately, and sends all remembered departures on each new connection.
 
 use super::*;
 use protocol::{Departure, UNDERSTANDS_DEPARTURES};
 use quota::Epoch;
 use registry::COUNTED_WHILE_SILENT;
 
-/// Data planes divide their slices by as many as there were within this span. One that is cut off goes on with the
-/// connection that it heard last: that must not be the small one of a moment in which many are started anew.
+/// Data planes divide their quota slices by the number of data planes seen within this window. An isolated data plane
+/// keeps the last number it received, which must not be a small one from a moment when many data planes restart.
 const SLICE_DIVISOR_WINDOW_MS: u64 = COUNTED_WHILE_SILENT;
-/// The log is told of a smaller fleet only after this long: a data plane that is started anew is back by then.
+/// A smaller fleet is recorded in the log only after this long: a restarted data plane is back by then.
 const FLEET_SHRINK_DELAY_MS: u64 = 5000;
-/// A process this old has heard of all data planes that there are, or they count no more.
+/// A process that has run for this long knows of every data plane; those it has not heard of no longer count.
 const FLEET_DISCOVERY_MS: u64 = 30_000;
 
 impl ControlPlane {
-    /// A data plane says on its connection that it has ended, or a process of control that it is about to.
+    /// A data plane announces on its connection that it has ended, or a control plane that it is shutting down.
     pub(super) fn on_leave(&mut self, connection: u64, now: u64) {
         let Some(hello) = self.peers.get(&connection).and_then(|peer| peer.hello.clone()) else { return };
         match hello.plane {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Data planes have said here or elsewhere that they ended. What is known already changes nothing.
+    /// Data planes have announced their departure, here or at another process. Known departures are ignored.
     pub(super) fn on_departures(&mut self, mut departures: Vec<Departure>, now: u64) {
         departures.retain(|departure| self.fleet.departed(now, departure));
         if departures.is_empty() {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The other end of a connection reads what data planes departed.
+    /// The peer announces that it understands messages about departed data planes.
     pub(super) fn on_departures_supported(&mut self, connection: u64, now: u64) {
         let departures = self.fleet.departures(now);
         let Some(peer) = self.peers.get_mut(&connection) else { return };
@@ -58,31 +58,31 @@
         }
     }
 
-    /// What another process of control is told, that it may tell of departures here.
+    /// Announces to another control plane that it may send departures to this process.
     pub(super) fn departures_support() -> Message {
         Message::NotHolder { number: UNDERSTANDS_DEPARTURES }
     }
 
-    /// A data plane gave a sign of life, unless it is one on its way from before its departure.
+    /// Registers a sign of life of a data plane, unless the message was sent before the departure of that data plane.
     pub(super) fn on_data_plane_contact(&mut self, hello: &Hello, epoch: Epoch, now: u64) {
         if !self.has_departed(hello) {
             self.quota_service.heard(now as f64, &hello.name, epoch);
         }
     }
 
-    /// Whether this incarnation has said that it ended.
+    /// Whether this incarnation of a data plane has announced its departure.
     pub(super) fn has_departed(&self, hello: &Hello) -> bool {
         self.fleet.has_departed(&hello.name, hello.life)
     }
 
-    /// Departed data planes do not stand in for others of which nothing is heard.
+    /// Removes departed data planes from the quota service: they must not be mistaken for silent ones.
     pub(super) fn exclude_departed(&mut self) {
         for name in self.fleet.departed_names() {
             self.quota_service.left(name);
         }
     }
 
-    /// The counts go by the connection of data planes as it is now.
+    /// Adjusts the quota service to the current number of data planes.
     pub(super) fn resize_fleet(&mut self, now: u64) {
         let counted = self.quota_fleet_size(now);
         self.quota_service.fleet(now as f64, counted);
@@ -90,28 +90,28 @@
         self.quota_service.wide_slices(wide);
     }
 
-    /// How many data planes may spend something: slices are held back for those of them that are silent.
+    /// The number of data planes that may spend quota. Slices are held back for the silent ones among them.
     pub(super) fn quota_fleet_size(&self, now: u64) -> u32 {
         self.fleet.size().max(self.recorded_fleet_size(now))
     }
 
-    /// By how many data planes each divides its slices.
+    /// The number of data planes by which each data plane divides its slices.
     pub(super) fn slice_divisor(&self, now: u64) -> u32 {
         self.fleet.size_within(now, SLICE_DIVISOR_WINDOW_MS).max(self.recorded_fleet_size(now))
     }
 
-    /// The place of a data plane among those that [`Self::slice_divisor`] counts.
+    /// The index of a data plane among those that [`Self::slice_divisor`] counts.
     pub(super) fn fleet_index(&self, now: u64, name: &str) -> u32 {
         self.fleet.number_within(now, SLICE_DIVISOR_WINDOW_MS, name)
     }
 
-    /// The size that the log should say, if another one.
+    /// The fleet size that the log should record.
     pub(super) fn fleet_size_to_record(&self, now: u64) -> u32 {
         self.fleet.size_within(now, FLEET_SHRINK_DELAY_MS)
     }
 
-    /// A process that has just started has yet to hear of most data planes: the log knows how many there were, or for a
-    /// process without a log the one that it follows.
+    /// The fleet size known from before this process started: a new process has not heard of most data planes yet.
+    /// The size comes from the log, or, without a Raft log, from the last heartbeat.
     fn recorded_fleet_size(&self, now: u64) -> u32 {
         match &self.node {
             _ if now >= FLEET_DISCOVERY_MS => 0,
--- a/crates/control-plane/src/control_plane/drains.rs
+++ b/crates/control-plane/src/control_plane/drains.rs
@@ -1,33 +1,34 @@
-//! Backends that leave.
+//! Backends that drain or depart.
 //!
-//! Once its leaving is acknowledged a backend ends soon, and no request may reach it after a while, whichever process dies
-//! or is cut off meanwhile. What one process has told others proves nothing: it may have reached nobody. So a leaving is
-//! acknowledged when the log has it. Who goes by an answer that the leader gave after that has the record
-//! (`contact`), and a data plane looks for such an answer before its own is too old (`transport::freshness`).
+//! A backend ends soon after its drain is acknowledged, and from a deadline on no request may reach it, whichever
+//! process dies or is isolated meanwhile. An update sent by one process proves nothing, since it may reach nobody. So
+//! a drain is acknowledged only once its record is committed in the log. Every process that relies on a later
+//! response of the leader has that record (see `contact`), and a data plane obtains such a response before its
+//! current one expires (see `transport::freshness`).
 
 use super::*;
 use crate::drain_entry::DrainEntry;
 use protocol::UNDERSTANDS_DRAINS;
 use registry::{DrainRun, Drained};
 
-/// So many ids go into one entry.
+/// Maximum number of backend ids in one log entry.
 const MAX_IDS_PER_ENTRY: usize = 256;
-/// More calls than this don't wait for an entry: a zone's backends that are taken away at once fit.
+/// Maximum number of calls that wait for an entry: all backends of a zone that are shut down at once fit.
 const MAX_QUEUED_DRAINS: usize = 4096;
-/// So many calls of backends may wait here for the leader. The others of [`MAX_PENDING_CALLS`] are the operators'.
+/// Maximum number of drain calls that wait for the leader. The rest of [`MAX_PENDING_CALLS`] is left to operators.
 pub(super) const MAX_PENDING_DRAINS: usize = MAX_PENDING_CALLS / 2;
 
-/// A backend that leaves is sent to another process when the leader has not answered within this: the process that it called
-/// may be cut off and not know it yet.
+/// A draining backend is told to call another process when the leader has not replied within this time: the process
+/// that the backend called may be isolated without having noticed yet.
 pub(super) const DRAIN_FORWARD_TIMEOUT_MS: u64 = 450;
 
-/// A call that waits until a backend is recorded.
+/// A call that waits until the drain of a backend is recorded in the log.
 struct PendingDrain {
     requester: Requester,
     id: String,
 }
 
-/// At the leader: what is on its way into the log, one entry at a time.
+/// Drain calls at the leader. At most one log entry is in flight.
 #[derive(Default)]
 pub(super) struct DrainProposals {
     queued: Vec<PendingDrain>,
@@ -41,27 +42,27 @@
         self.queued.is_empty() && self.token.is_none()
     }
 
-    /// The ids of the next entry, if there is none on its way and something to record.
+    /// The next entry to propose: none while an entry is in flight or no call is queued.
     fn next(&mut self, token: u64) -> Option<DrainEntry> {
         if self.token.is_some() || self.queued.is_empty() {
             return None;
         }
-        let most = self.queued.len().min(MAX_IDS_PER_ENTRY);
-        self.in_flight = self.queued.drain(..most).collect();
+        let count = self.queued.len().min(MAX_IDS_PER_ENTRY);
+        self.in_flight = self.queued.drain(..count).collect();
         self.token = Some(token);
-        let ids: BTreeSet<&String> = self.in_flight.iter().map(|leaving| &leaving.id).collect();
+        let ids: BTreeSet<&String> = self.in_flight.iter().map(|drain| &drain.id).collect();
         Some(DrainEntry { ids: ids.into_iter().cloned().collect() })
     }
 
-    /// The calls of an entry that is decided, if this is its token.
-    fn decided(&mut self, token: u64) -> Vec<PendingDrain> {
-        if self.token.take_if(|known| *known == token).is_none() {
+    /// The calls of the entry in flight once the entry is decided; none if `token` is not its token.
+    fn take_decided(&mut self, token: u64) -> Vec<PendingDrain> {
+        if self.token.take_if(|pending| *pending == token).is_none() {
             return Vec::new();
         }
         std::mem::take(&mut self.in_flight)
     }
 
-    /// All calls that wait.
+    /// Removes and returns all waiting calls.
     fn take_all(&mut self) -> Vec<PendingDrain> {
         self.token = None;
         let mut all = std::mem::take(&mut self.in_flight);
@@ -71,12 +72,12 @@
 }
 
 impl ControlPlane {
-    /// A backend says that it drains, or that it has departed.
+    /// A backend reports that it drains or that it has departed.
     pub(super) fn on_drain_call(&mut self, id: String, reply: oneshot::Sender<Reply>, now: u64) {
         if self.faults.acknowledges_drains_locally {
             return self.reply_to_drain_call(&id, reply, Reply::ok(), now);
         }
-        // Whoever may be cut off sends the backend to another process at once.
+        // A process that may be isolated sends the backend to another process at once.
         let (.., current) = self.leader(now);
         if !current {
             let refused = Reply::error(503, "this process may be cut off: ask another one");
@@ -85,7 +86,7 @@
         self.on_local_order(Order::Drain(id), reply, now);
     }
 
-    /// A backend that leaves gets its answer.
+    /// Replies to the drain call of a backend.
     pub(super) fn reply_to_drain_call(
         &mut self, id: &str, to: oneshot::Sender<Reply>, reply: Reply, now: u64,
     ) {
@@ -93,13 +94,13 @@
         let _ = to.send(reply);
     }
 
-    /// The leader records a backend, unless it has.
+    /// Records the drain of a backend at the leader, unless the drain is recorded already.
     pub(super) fn on_drain(&mut self, requester: Requester, id: String, now: u64) {
         if self.drain_proposals.queued.len() >= MAX_QUEUED_DRAINS {
             let full = Reply::error(503, "too many backends leave at once: ask again");
             return self.reply_to_drain(PendingDrain { requester, id }, full, now);
         }
-        // What is in the table is committed.
+        // Records in the table are committed.
         if self.register.drains().contains(&id) {
             return self.reply_to_drain(PendingDrain { requester, id }, Reply::ok(), now);
         }
@@ -114,15 +115,15 @@
         }
     }
 
-    fn reply_to_drain(&mut self, leaving: PendingDrain, reply: Reply, now: u64) {
-        let PendingDrain { requester, id } = leaving;
+    fn reply_to_drain(&mut self, drain: PendingDrain, reply: Reply, now: u64) {
+        let PendingDrain { requester, id } = drain;
         match requester {
             Requester::Local(to) => self.reply_to_drain_call(&id, to, reply, now),
             there @ Requester::Remote { .. } => self.reply_to(there, reply),
         }
     }
 
-    /// An entry of the log records backends.
+    /// Applies a committed drain entry.
     pub(super) fn on_drain_entry(&mut self, index: u64, entry: Option<DrainEntry>) {
         if let Some(entry) = entry {
             let drained = self.register.record_drains(&entry.ids);
@@ -130,31 +131,31 @@
         }
         if let Some(token) = self.tokens_by_index.remove(&index) {
             let now = self.now();
-            for leaving in self.drain_proposals.decided(token) {
-                self.reply_to_drain(leaving, Reply::ok(), now);
+            for drain in self.drain_proposals.take_decided(token) {
+                self.reply_to_drain(drain, Reply::ok(), now);
             }
             self.propose_drains();
         }
     }
 
-    /// An entry that this leader proposed was refused, or its fate is not known.
+    /// A drain entry of this leader was refused, or its outcome is unknown.
     pub(super) fn fail_drains(&mut self, token: u64, reply: &Reply) {
         let now = self.now();
-        for leaving in self.drain_proposals.decided(token) {
-            self.reply_to_drain(leaving, reply.clone(), now);
+        for drain in self.drain_proposals.take_decided(token) {
+            self.reply_to_drain(drain, reply.clone(), now);
         }
         self.propose_drains();
     }
 
-    /// This process leads no more: an entry of its own may be decided yet, so that all may ask again.
+    /// This process stopped leading. Its entry may still be committed, so all callers are asked to retry.
     pub(super) fn abort_drains(&mut self) {
         let now = self.now();
-        for leaving in self.drain_proposals.take_all() {
-            self.reply_to_drain(leaving, Reply::error(503, "another process leads now: ask again"), now);
+        for drain in self.drain_proposals.take_all() {
+            self.reply_to_drain(drain, Reply::error(503, "another process leads now: ask again"), now);
         }
     }
 
-    /// A process without a log takes over the leader's records.
+    /// Merges drain records of the leader into those of a process without a Raft log.
     pub(super) fn sync_drains(&mut self, run: &DrainRun, last: u64) {
         if self.node.is_none() {
             let drained = self.register.follow_drains(run, last);
@@ -162,38 +163,38 @@
         }
     }
 
-    /// Followers hear of all backends that are recorded from now on: they may know some that this process does not.
+    /// Sends newly recorded backends to subscribers, including backends unknown here: subscribers may know them.
     pub(super) fn publish_drained(&mut self, drained: Drained) {
         self.publish_backends(drained.changed, Origin::Log);
         if !drained.unknown.is_empty() {
             let backends = drained.unknown.into_iter().map(Backend::leaving).collect();
-            self.send_to_followers(&Message::Backends { whole: false, backends });
+            self.send_to_subscribers(&Message::Backends { whole: false, backends });
         }
     }
 
-    /// Backends that are recorded and not known otherwise, for a follower that may know them.
+    /// Recorded backends that are otherwise unknown here, for a subscriber that may know them.
     pub(super) fn drained_unknown(&self) -> Vec<Backend> {
         self.register.drained_unknown().into_iter().map(Backend::leaving).collect()
     }
 
-    /// What a snapshot says of backends that leave: nothing while there may be voters that could not read it.
+    /// The drain records for a snapshot; none while some voter may be unable to read them.
     pub(super) fn drains_for_snapshot(&self) -> Option<DrainRun> {
         let me = self.settings.address.to_string();
         let mut others = self.node.iter().flat_map(|node| node.members()).filter(|voter| voter.address != me);
-        let read_by_all = others.all(|voter| {
+        let supported_by_all = others.all(|voter| {
             voter.address.parse().is_ok_and(|address| self.drains_supported_by.contains(&address))
         });
-        read_by_all.then(|| self.register.drains().run())
+        supported_by_all.then(|| self.register.drains().run())
     }
 
-    /// The other end of a connection reads [`Order::Drain`].
+    /// The peer announces that it understands [`Order::Drain`].
     pub(super) fn on_drains_supported(&mut self, connection: u64) {
         if let Some(address) = self.peers.get(&connection).and_then(|peer| peer.dialed) {
             self.drains_supported_by.insert(address);
         }
     }
 
-    /// What another process of control is told, that it may send [`Order::Drain`] here.
+    /// Announces to another control plane that it may send [`Order::Drain`] to this process.
     pub(super) fn drains_support() -> Message {
         Message::NotHolder { number: UNDERSTANDS_DRAINS }
     }
--- a/crates/control-plane/src/control_plane/entries.rs
+++ b/crates/control-plane/src/control_plane/entries.rs
@@ -1,4 +1,4 @@
-//! The log at work: what its state machine asks for, and what its entries change.
+//! Handles the outputs of the Raft node and applies committed log entries.
 
 use super::*;
 use crate::admission::reply_to;
@@ -9,8 +9,8 @@
         let now = self.now();
         let Some(node) = &mut self.node else { return };
         node.handle(now, input, &mut self.outputs);
-        // What an output asks of the log takes its turn behind all outputs before it. Otherwise a compaction that a
-        // committed entry causes would be on disk before that entry, which would then stand below the snapshot.
+        // An input that an output causes is handled after all earlier outputs. Otherwise a compaction caused by a
+        // committed entry would be written to disk before that entry, and the entry would lie below the snapshot.
         if std::mem::replace(&mut self.handling_outputs, true) {
             return;
         }
@@ -23,7 +23,7 @@
     }
 
     pub(super) fn on_output(&mut self, output: Output) {
-        // A process that has fallen silent neither writes nor answers.
+        // A process that could not restore a snapshot has no node any more; it neither writes nor answers.
         if self.node.is_none() {
             return;
         }
@@ -50,7 +50,7 @@
                 self.tokens_by_index.insert(index, token);
             }
             Output::Refused { token, .. } => {
-                self.checkpoint_token.take_if(|marking| *marking == token);
+                self.checkpoint_token.take_if(|pending| *pending == token);
                 let refused = Reply::error(503, "this process does not lead");
                 self.fail_drains(token, &refused);
                 self.reply_to_proposal(token, refused);
@@ -64,8 +64,9 @@
         }
     }
 
-    /// Takes over the leader's state. If it can't be read, this process takes no part in the log any more, and writes
-    /// nothing of it: it would judge changes, and lead, by a state that is behind its log.
+    /// Replaces the state by the leader's snapshot. If this version cannot read the snapshot, the process stops
+    /// taking part in the log and writes nothing of the snapshot: it would decide on changes, and lead, with a state
+    /// behind its log.
     fn install_snapshot(&mut self, snapshot: &Snapshot) {
         match SnapshotState::restore(&snapshot.state) {
             Ok(SnapshotState { config_history, drains }) => {
@@ -78,7 +79,7 @@
             Err(error) => {
                 let (index, epoch) = (snapshot.index, snapshot.term);
                 spdlog::error!(
-                    "the leader's snapshot is of no version known here, and this voter falls silent: {}", error,
+                    "cannot read the leader's snapshot, this voter stops taking part in the log: {}", error,
                     kv: { step = "install", index, epoch });
                 self.on_role(Role::Follower { term: epoch, leader: None });
                 self.node = None;
@@ -107,16 +108,16 @@
                 let list = voters.iter().map(|voter| voter.address.clone().into()).collect();
                 return self.event_log.record(now, "voters", Recorded::Voters(list));
             }
-            // The first entry of this leader: all that others left in the log has been taken in, so that the counts can
-            // be held from here on.
+            // The first entry of this leader's own term: all entries of former leaders are applied, so that this
+            // process can become a quota holder.
             What::Nothing if self.node.as_ref().is_some_and(|node| node.term() == at.epoch) => {
                 return self.maintain_quota_service(now);
             }
             What::Nothing => return,
         };
         self.bytes_since_compaction += change.len();
-        if let Some(marks) = QuotaCheckpoint::decode(&change) {
-            return self.on_checkpoint(index, marks.ok());
+        if let Some(checkpoint) = QuotaCheckpoint::decode(&change) {
+            return self.on_checkpoint(index, checkpoint.ok());
         }
         if let Some(entry) = DrainEntry::decode(&change) {
             self.on_drain_entry(index, entry.ok());
@@ -133,19 +134,19 @@
         self.track_compaction(index, 1.0);
     }
 
-    /// QuotaCheckpoint are decided.
-    fn on_checkpoint(&mut self, index: u64, marks: Option<QuotaCheckpoint>) {
-        if let Some(marks) = marks {
-            self.config_history.apply_checkpoint(marks);
+    /// Applies a committed quota checkpoint.
+    fn on_checkpoint(&mut self, index: u64, checkpoint: Option<QuotaCheckpoint>) {
+        if let Some(checkpoint) = checkpoint {
+            self.config_history.apply_checkpoint(checkpoint);
         }
         let token = self.tokens_by_index.remove(&index);
-        if token.is_some() && token == self.checkpoint_token.take_if(|marking| Some(*marking) == token) {
+        if token.is_some() && token == self.checkpoint_token.take_if(|pending| Some(*pending) == token) {
             self.quota_service.decided();
         }
         self.track_compaction(index, SMALL_ENTRY_WEIGHT);
     }
 
-    /// Another entry is in the log, which weighs so much of a change.
+    /// Counts an applied entry, with a weight relative to a change, and compacts the log when a limit is reached.
     fn track_compaction(&mut self, index: u64, weight: f64) {
         self.changes_since_compaction += weight;
         if self.changes_since_compaction >= COMPACT_AFTER_CHANGES
--- a/crates/control-plane/src/control_plane/membership.rs
+++ b/crates/control-plane/src/control_plane/membership.rs
@@ -1,4 +1,4 @@
-//! Who could vote and what the list of voters bears, told to the log and to operators.
+//! Voter membership: which processes could vote, and which losses the current voters tolerate.
 
 use super::*;
 use crate::tolerance::Losses;
@@ -6,12 +6,12 @@
 use raft::{RetirementPolicy, Standing};
 use serde_json::{Value, json};
 
-/// A process that has said nothing for so long, in ms, is not offered to the log as a voter.
+/// A process without a message for this long, in milliseconds, is not proposed as a voter.
 const CANDIDATE_TIMEOUT_MS: u64 = 2500;
 
 impl ControlPlane {
-    /// Tells the log when voters are gone for good, and offers it all that could vote and do not: it wants to be asked
-    /// until they do.
+    /// Sets the policy by which the Raft node removes silent voters, and proposes all connected processes that could
+    /// vote and do not. The Raft node expects a proposal to be repeated until the process votes.
     pub(super) fn maintain_voters(&mut self, now: u64) {
         let silence = self.settings.retire_after_ms;
         let Some(node) = &self.node else { return };
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Another process of control is about to end: if it votes, what is left may bear more without it.
+    /// Another control plane is shutting down. If it votes, the remaining voters may tolerate more losses without it.
     pub(super) fn on_control_plane_shutdown(&mut self, connection: u64, hello: &Hello) {
         if let Some(peer) = self.peers.get_mut(&connection) {
             peer.is_shutting_down = true;
@@ -39,14 +39,14 @@
         }
     }
 
-    /// The processes with a disk that counts that are connected now. Those that were once known may be gone: they would
-    /// take the places of others among the learners.
+    /// The connected processes that store the Raft log. Processes known only from the past are left out: they may be
+    /// gone, and would take the places of others among the learners.
     fn voter_candidates(&self, now: u64) -> BTreeSet<VoterId> {
-        let heard = self
+        let connected = self
             .peers
             .values()
             .filter(|peer| !peer.is_shutting_down && now < peer.last_received_at + CANDIDATE_TIMEOUT_MS);
-        let hellos = heard.filter_map(|peer| peer.hello.as_ref());
+        let hellos = connected.filter_map(|peer| peer.hello.as_ref());
         let hellos = hellos.filter(|hello| hello.plane == Plane::ControlPlane && hello.quorum);
         hellos
             .filter_map(|hello| Some((hello.address.parse::<SocketAddr>().ok()?, hello.incarnation?)))
@@ -55,7 +55,7 @@
             .collect()
     }
 
-    /// The zones in which these voters stand, a zone of its own for each one of which that is not known.
+    /// The zones of these voters. A voter in an unknown zone counts as the only one in its zone.
     fn zones_of<'a>(&'a self, voters: &'a [VoterId]) -> Vec<&'a str> {
         let zone = |voter: &'a VoterId| match voter.address.parse() {
             Ok(address) if address == self.settings.address => self.settings.me.zone.as_str(),
@@ -66,16 +66,16 @@
     }
 
     fn tolerated_losses(&self, standing: &Standing) -> Losses {
-        let borne = self.settings.tolerance.tolerated(standing.voters, &self.zones_of(&standing.counted));
-        Losses { machines: borne.machines.min(standing.further_losses), ..borne }
+        let tolerated = self.settings.tolerance.tolerated(standing.voters, &self.zones_of(&standing.counted));
+        Losses { machines: tolerated.machines.min(standing.further_losses), ..tolerated }
     }
 
-    /// What the list of voters bears, as its leader knows it; nothing at any other process.
+    /// Health of the voter list as the leader knows it; `null` on any other process.
     pub(super) fn quorum_status(&self, now: u64) -> Value {
         let Some(standing) = self.node.as_ref().and_then(|node| node.standing(now)) else {
             return Value::Null;
         };
-        let figures = |losses: &Losses| json!({ "machines": losses.machines, "zones": losses.zones, "regions": losses.regions });
+        let to_json = |losses: &Losses| json!({ "machines": losses.machines, "zones": losses.zones, "regions": losses.regions });
         let unheard: Vec<_> = standing.unheard.iter().map(|voter| voter.address.as_str()).collect();
         let learners: Vec<_> = standing
             .learners
@@ -83,15 +83,15 @@
             .map(|learner| json!({ "address": learner.id.address, "caught_up": learner.caught_up }))
             .collect();
         json!({ "voters": standing.voters, "counted": standing.counted.len(), "unheard": unheard,
-            "learners": learners, "further_losses": figures(&self.tolerated_losses(&standing)),
-            "tolerated": figures(&self.settings.tolerance.losses) })
+            "learners": learners, "further_losses": to_json(&self.tolerated_losses(&standing)),
+            "tolerated": to_json(&self.settings.tolerance.losses) })
     }
 
     pub(super) fn quorum_metrics(&self, page: &mut Page, now: u64) {
         let Some(standing) = self.node.as_ref().and_then(|node| node.standing(now)) else { return };
         let rows = |losses: Losses| {
             let kinds = [("machine", losses.machines), ("zone", losses.zones), ("region", losses.regions)];
-            kinds.map(|(kind, figure)| (vec![("of", kind.to_owned())], figure as f64))
+            kinds.map(|(kind, count)| (vec![("of", kind.to_owned())], count as f64))
         };
         let help = "How many more may be lost at once while a majority of the voters is left, at the leader";
         page.gauges("further_losses", help, rows(self.tolerated_losses(&standing)));
--- a/crates/control-plane/src/control_plane/orders.rs
+++ b/crates/control-plane/src/control_plane/orders.rs
@@ -1,4 +1,4 @@
-//! Calls of backends and of the operator, at the leader and on their way to it.
+//! Calls of backends and operators, at the leader and on the way to it.
 
 use super::drains::{DRAIN_FORWARD_TIMEOUT_MS, MAX_PENDING_DRAINS};
 use super::*;
@@ -10,10 +10,10 @@
         *self.event_log.counters.calls.entry(call.kind()).or_default() += 1;
         match call {
             Call::Heartbeat(backend) => {
-                let leaving = (backend.phase == Phase::Draining).then(|| backend.id.clone());
+                let draining = (backend.phase == Phase::Draining).then(|| backend.id.clone());
                 let judgement = self.register.beat(now, backend);
                 self.publish_judgement(judgement);
-                match leaving {
+                match draining {
                     Some(id) => self.on_drain_call(id, reply, now),
                     None => drop(reply.send(self.heartbeat_reply(now))),
                 }
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Whoever is cut off sends a backend on to another process: what it says would reach few, and it would count as overdue
-    /// elsewhere.
+    /// An isolated process sends a backend to another process: an update from here would reach few others, so that
+    /// other processes would consider the backend overdue.
     fn heartbeat_reply(&self, now: u64) -> Reply {
         let (.., current) = self.leader(now);
         if current || now < self.last_current_at + ISOLATION_GRACE_MS {
@@ -53,8 +53,9 @@
         if self.accepts_orders() {
             return self.on_order(Requester::Local(reply), order, now);
         }
-        let most = if matches!(order, Order::Drain(_)) { MAX_PENDING_DRAINS } else { MAX_PENDING_CALLS };
-        if self.pending_calls.len() >= most {
+        let max_pending =
+            if matches!(order, Order::Drain(_)) { MAX_PENDING_DRAINS } else { MAX_PENDING_CALLS };
+        if self.pending_calls.len() >= max_pending {
             let _ = reply.send(Reply::error(503, "too many calls wait"));
             return;
         }
@@ -64,83 +65,88 @@
         self.forward_pending(now);
     }
 
-    /// Calls that wait for a leader go to it as soon as it is known.
+    /// Forwards pending calls as soon as a leader is known.
     pub(super) fn forward_pending(&mut self, now: u64) {
         let (leader, _, current) = self.leader(now);
-        let leads = self.accepts_orders();
+        let accepts_orders = self.accepts_orders();
         self.requeue_stranded(leader.filter(|_| current));
-        let ready: Vec<u64> =
-            self.pending_calls.iter().filter(|(_, w)| w.forwarded_on.is_none()).map(|(t, _)| *t).collect();
+        let ready: Vec<u64> = self
+            .pending_calls
+            .iter()
+            .filter(|(_, pending)| pending.forwarded_on.is_none())
+            .map(|(t, _)| *t)
+            .collect();
         for token in ready {
-            if leads {
-                if let Some(waiting) = self.pending_calls.remove(&token) {
-                    self.on_order(Requester::Local(waiting.reply), waiting.order, now);
+            if accepts_orders {
+                if let Some(pending) = self.pending_calls.remove(&token) {
+                    self.on_order(Requester::Local(pending.reply), pending.order, now);
                 }
             } else if let Some(to) = leader.filter(|to| *to != self.settings.address)
                 && self.leader_supports(&to, token)
                 && let Some((connection, line)) = self.dialed_connection(&to)
-                && let Some(waiting) = self.pending_calls.get_mut(&token)
-                && line.send(&Message::Ask { token, order: waiting.order.clone() })
+                && let Some(pending) = self.pending_calls.get_mut(&token)
+                && line.send(&Message::Ask { token, order: pending.order.clone() })
             {
-                waiting.forwarded_on = Some(connection);
+                pending.forwarded_on = Some(connection);
             }
         }
     }
 
-    /// Whether a leader reads the order of a call that waits.
+    /// Whether the leader understands the order of a pending call.
     fn leader_supports(&self, leader: &SocketAddr, token: u64) -> bool {
-        let drains = |waiting: &PendingCall| matches!(waiting.order, Order::Drain(_));
-        self.drains_supported_by.contains(leader) || !self.pending_calls.get(&token).is_some_and(drains)
+        let is_drain = |pending: &PendingCall| matches!(pending.order, Order::Drain(_));
+        self.drains_supported_by.contains(leader) || !self.pending_calls.get(&token).is_some_and(is_drain)
     }
 
-    /// The leader's answer to a call. It comes on the connection that carried the call, or it is nobody's.
+    /// Handles the leader's reply to a forwarded call. A reply on any connection but the one of the call is ignored.
     pub(super) fn on_forwarded_reply(&mut self, connection: u64, token: u64, reply: Reply) {
-        let asked = |waiting: &PendingCall| waiting.forwarded_on == Some(connection);
-        if self.pending_calls.get(&token).is_some_and(asked)
-            && let Some(waiting) = self.pending_calls.remove(&token)
+        let was_forwarded_here = |pending: &PendingCall| pending.forwarded_on == Some(connection);
+        if self.pending_calls.get(&token).is_some_and(was_forwarded_here)
+            && let Some(pending) = self.pending_calls.remove(&token)
         {
-            self.reply_to_pending(waiting, reply);
+            self.reply_to_pending(pending, reply);
         }
     }
 
-    fn reply_to_pending(&mut self, waiting: PendingCall, reply: Reply) {
+    fn reply_to_pending(&mut self, pending: PendingCall, reply: Reply) {
         let now = self.now();
-        match waiting.order {
-            Order::Drain(id) => self.reply_to_drain_call(&id, waiting.reply, reply, now),
-            _ => drop(waiting.reply.send(reply)),
+        match pending.order {
+            Order::Drain(id) => self.reply_to_drain_call(&id, pending.reply, reply, now),
+            _ => drop(pending.reply.send(reply)),
         }
     }
 
-    /// Orders whose connection is lost, or whose leader leads no more, are passed on anew: an order that the log has
-    /// already is acknowledged, not taken twice. Each gets another token, so that the former leader's answer does not
-    /// count.
+    /// Requeues calls whose connection is lost or whose receiver stopped leading. Forwarding an order again is safe:
+    /// an order that is already in the log is acknowledged, not accepted twice. Each call gets a new token, so that a
+    /// late reply of the former leader is ignored.
     fn requeue_stranded(&mut self, current_leader: Option<SocketAddr>) {
-        let gone = |connection: u64| match self.peers.get(&connection).filter(|peer| !peer.line.is_lost()) {
+        let is_stale = |connection: u64| match self.peers.get(&connection).filter(|peer| !peer.line.is_lost())
+        {
             Some(peer) => current_leader.is_some_and(|leader| peer.dialed != Some(leader)),
             None => true,
         };
         let stranded: Vec<u64> = self
             .pending_calls
             .iter()
-            .filter(|(_, w)| w.forwarded_on.is_some_and(gone))
+            .filter(|(_, pending)| pending.forwarded_on.is_some_and(is_stale))
             .map(|(t, _)| *t)
             .collect();
         for token in stranded {
-            if let Some(waiting) = self.pending_calls.remove(&token) {
+            if let Some(pending) = self.pending_calls.remove(&token) {
                 self.last_token += 1;
-                self.pending_calls.insert(self.last_token, PendingCall { forwarded_on: None, ..waiting });
+                self.pending_calls.insert(self.last_token, PendingCall { forwarded_on: None, ..pending });
             }
         }
     }
 
-    /// Whether this process leads and has yet to get its first lease: until then it does not know all that its
-    /// predecessors had committed.
+    /// Whether this process leads but has not held a lease yet. Until then it does not know all entries that its
+    /// predecessors committed.
     fn awaits_lease(&self, now: u64) -> bool {
-        let awaits = |node: &Node| node.is_leader() && node.lease_until(now).is_none();
-        self.node.as_ref().is_some_and(awaits) && !self.faults.ignores_lease
+        let lacks_lease = |node: &Node| node.is_leader() && node.lease_until(now).is_none();
+        self.node.as_ref().is_some_and(lacks_lease) && !self.faults.ignores_lease
     }
 
-    /// Orders that came to a new leader are worked through once it has its first lease, or leads no more.
+    /// Handles the deferred orders once the new leader holds its first lease or stops leading.
     pub(super) fn process_orders_awaiting_lease(&mut self, now: u64) {
         if self.orders_awaiting_lease.is_empty() || self.awaits_lease(now) {
             return;
@@ -152,30 +158,31 @@
 
     pub(super) fn expire_calls(&mut self, now: u64) {
         self.forward_pending(now);
-        let may_wait = |waiting: &PendingCall| match waiting {
+        let timeout = |pending: &PendingCall| match pending {
             PendingCall { order: Order::Drain(_), .. } => DRAIN_FORWARD_TIMEOUT_MS,
             PendingCall { forwarded_on: Some(_), .. } => FORWARD_TIMEOUT_MS,
             PendingCall { forwarded_on: None, .. } => LEADER_WAIT_TIMEOUT_MS,
         };
-        let over = |waiting: &PendingCall| now > waiting.since + may_wait(waiting);
-        let late: Vec<u64> = self.pending_calls.iter().filter(|(_, w)| over(w)).map(|(t, _)| *t).collect();
-        for token in late {
-            if let Some(waiting) = self.pending_calls.remove(&token) {
-                let why = if waiting.forwarded_on.is_some() {
+        let is_expired = |pending: &PendingCall| now > pending.since + timeout(pending);
+        let expired: Vec<u64> =
+            self.pending_calls.iter().filter(|(_, pending)| is_expired(pending)).map(|(t, _)| *t).collect();
+        for token in expired {
+            if let Some(pending) = self.pending_calls.remove(&token) {
+                let why = if pending.forwarded_on.is_some() {
                     "the leader gave no answer"
                 } else {
                     "no leader is known"
                 };
-                self.reply_to_pending(waiting, Reply::error(503, why));
+                self.reply_to_pending(pending, Reply::error(503, why));
             }
         }
-        let late: Vec<u64> = self
+        let expired: Vec<u64> = self
             .pending_proposals
             .iter()
-            .filter(|(_, p)| now > p.since + FORWARD_TIMEOUT_MS)
+            .filter(|(_, proposal)| now > proposal.since + FORWARD_TIMEOUT_MS)
             .map(|(token, _)| *token)
             .collect();
-        for token in late {
+        for token in expired {
             self.reply_to_proposal(token, Reply::error(503, "no majority has it on disk yet"));
         }
     }
@@ -198,9 +205,9 @@
         }
     }
 
-    /// A call of the operator at the leader.
+    /// Handles an order at the leader.
     pub(super) fn on_order(&mut self, requester: Requester, order: Order, now: u64) {
-        // Whoever passed it on does so anew once another one leads.
+        // The process that forwarded the order forwards it again once another process leads.
         if self.is_shutting_down && matches!(requester, Requester::Remote { .. }) {
             return;
         }
@@ -242,7 +249,7 @@
 }
 
 impl ControlPlane {
-    /// Its answer waits until the log has decided.
+    /// Proposes a change. The reply is sent once the log has decided.
     fn propose(&mut self, requester: Requester, change: &Change, now: u64) {
         self.last_token += 1;
         let token = self.last_token;
@@ -253,16 +260,17 @@
         }
     }
 
-    /// Takes a voter off the list. The log wants to be asked until a majority of the others has the new list, so the
-    /// caller repeats the call until it is told so: 202 is "under way", 404 "nobody of that address votes". Whoever holds
-    /// the lease hears a majority of the list; one that it does not hear leaves a shorter list with the same voters heard.
+    /// Removes a voter. The Raft node has to be asked until a majority of the other voters has the new list, so the
+    /// caller repeats the call: 202 means in progress, 404 means that no voter has this address. A leader with a
+    /// lease is in contact with a majority of the voters; removing a voter that the leader does not hear keeps all
+    /// voters that it does hear.
     fn remove_voter(&mut self, address: &str, now: u64) -> Reply {
         let Some(node) = &self.node else { return Reply::error(503, "this process does not lead") };
-        let under_way = Reply::error(202, "under way: ask again");
+        let in_progress = Reply::error(202, "under way: ask again");
         let Some(voter) = node.members().iter().find(|voter| voter.address == address).cloned() else {
             let voters: Vec<_> = node.members().iter().map(|voter| voter.address.as_str()).collect();
             let why = format!("{address} is no voter; the voters are {}", voters.join(", "));
-            return if node.voters_settled() { Reply::error(404, &why) } else { under_way };
+            return if node.voters_settled() { Reply::error(404, &why) } else { in_progress };
         };
         if voter == *node.me() {
             return Reply::error(
@@ -270,14 +278,14 @@
                 &format!("{address} leads: end its process first, then another one does"),
             );
         }
-        // It would join again by itself as long as it runs.
+        // A running process would join again.
         if !node.has_listened(now) {
-            return under_way;
+            return in_progress;
         }
         if node.hears(&voter, now) {
             return Reply::error(409, &format!("{address} lives: end its process first"));
         }
         self.step_raft(Input::RemoveVoter(voter));
-        under_way
+        in_progress
     }
 }
--- a/crates/control-plane/src/control_plane/quota_service.rs
+++ b/crates/control-plane/src/control_plane/quota_service.rs
@@ -1,24 +1,25 @@
-//! The office of those who hold the counts: the leader, and the deputies that it makes holders beside it.
+//! The quota holder role: the leader holds the quota counters, alone or together with deputies that it appoints.
 
 use super::*;
 use quota::{Epoch, Handover, LEASE_MOST};
 
-/// A deputy asks for its lease this often, and whoever could become one offers itself this often.
+/// Interval at which a deputy renews its lease. Other voters offer themselves every [`OFFER_INTERVAL_MS`].
 const LEASE_RENEWAL_INTERVAL_MS: u64 = 70;
 const OFFER_INTERVAL_MS: u64 = 1000;
-/// HolderOffers of which an answer is still worth anything.
+/// Maximum number of outstanding offers; a response to an older offer is ignored.
 const MAX_OUTSTANDING_OFFERS: usize = 16;
 
-/// The log is told of another number of data planes once it is off by more than one in so many.
+/// A new fleet size is recorded in the log once it differs from the recorded one by more than one part in this many.
 const FLEET_CHANGE_DIVISOR: u32 = 8;
 impl ControlPlane {
-    /// Whoever holds the lease of the log holds the counts, and may share them out.
+    /// The leader holds the quota counters while it holds its Raft lease, and may share them with deputies.
     pub(super) fn maintain_quota_service(&mut self, now: u64) {
         self.measure_request_rate(now);
         let Some(node) = &self.node else { return };
         let (is_leader, has_lease, term) = (node.is_leader(), node.holds_lease(now), node.term());
         if !is_leader {
-            // The office ends with the term: a lease that comes back within it finds its counts as they were.
+            // The role ends only with leadership: a lease that is regained within the same term finds the counters
+            // unchanged.
             self.resign_quota_holder(now);
             self.send_offer(now);
         } else if has_lease && self.placer.as_ref().is_none_or(|p| p.assignment().epoch.term != term) {
@@ -29,7 +30,7 @@
             self.assignment = placer.assignment().clone();
             self.placer = Some(placer);
             self.resize_fleet(now);
-            // Deputies' counts have no floors.
+            // Floors exist only while the leader is the sole holder.
             if self.settings.max_lease_requests_per_holder <= 0.0 {
                 self.quota_service.floors(self.config_history.floors().clone());
             }
@@ -47,7 +48,7 @@
         self.renew_quota_lease(now);
     }
 
-    /// The leader's office lasts as long as the lease of its log.
+    /// Extends the leader's role to the end of its Raft lease.
     fn renew_quota_lease(&mut self, now: u64) {
         if self.placer.is_some()
             && let Some(until) = self.node.as_ref().and_then(|node| node.lease_until(now))
@@ -57,8 +58,9 @@
         self.propose_checkpoint(now);
     }
 
-    /// Has the log say what whoever holds the counts next ought to know. One entry at a time, and no more than a few a
-    /// second: floors rise after seconds, and fall once for each tenant that becomes busy.
+    /// Proposes a checkpoint of what the next quota holder needs to know. One entry is in flight at a time, and there
+    /// are at most a few per second: a floor rises only after seconds, and falls once for each tenant that becomes
+    /// busy.
     pub(super) fn propose_checkpoint(&mut self, now: u64) {
         if self.placer.is_none() || self.checkpoint_token.is_some() {
             return;
@@ -66,7 +68,7 @@
         let is_sole_holder = self.settings.max_lease_requests_per_holder <= 0.0;
         let floors = if is_sole_holder { self.quota_service.floors_wanted(now as f64) } else { Vec::new() };
         let (fleet_size, recorded) = (self.fleet_size_to_record(now), self.config_history.fleet_size());
-        // A few more or less change nobody's part by much.
+        // A small difference hardly changes the share of any data plane.
         let fleet_changed = now >= WARMUP_MS
             && fleet_size > 0
             && fleet_size.abs_diff(recorded) * FLEET_CHANGE_DIVISOR > recorded;
@@ -101,14 +103,14 @@
         if placer.tend(now as f64, self.offers.request_rate.2) {
             self.assignment = placer.assignment().clone();
             let handovers = self.quota_service.assume(now as f64, &self.assignment, false);
-            // The assignment goes first: a new holder has to know that it is one.
+            // The assignment goes first, so that a new holder knows its role before it receives a handover.
             self.send_to_control_planes(&Message::HolderAssignment(self.assignment.clone()));
             self.send_handovers(handovers);
             self.next_due[1] = now;
         }
     }
 
-    /// A voter asks the leader for its lease, or offers itself.
+    /// Asks the leader for a lease as a deputy, or offers this voter as one.
     fn send_offer(&mut self, now: u64) {
         if self.settings.max_lease_requests_per_holder <= 0.0 || now < self.offers.next_at {
             return;
@@ -163,9 +165,9 @@
         }
     }
 
-    /// Another process, the leader as a rule, tells of an assignment.
+    /// Handles an assignment from another process, usually the leader.
     pub(super) fn on_assignment(&mut self, assignment: &HolderAssignment, now: u64) {
-        // A voter that knows of a newer term expects nothing from the leader of an old one.
+        // The leader of an older term is ignored.
         if assignment.epoch <= self.assignment.epoch
             || self.node.as_ref().is_none_or(|n| assignment.epoch.term < n.term())
         {
@@ -193,7 +195,7 @@
         }
     }
 
-    /// A new holder needs its lease, and followers are to hear of a new assignment at once.
+    /// A new holder needs its lease, and subscribers must learn the new assignment immediately.
     fn on_assignment_changed(&mut self, now: u64) {
         self.offers.next_at = now;
         self.send_offer(now);
@@ -208,7 +210,7 @@
         }
     }
 
-    /// What followers are told of the assignment of a term: nothing while the leader holds all counts alone.
+    /// The number of the assignment in a term and its deputies; empty while the leader is the sole holder.
     pub(super) fn deputies(&self, term: u64) -> (u32, Vec<String>) {
         if self.node.is_none() {
             let is_same_term = self.last_heartbeat.epoch == term;
--- a/crates/control-plane/src/control_plane/shutdown.rs
+++ b/crates/control-plane/src/control_plane/shutdown.rs
@@ -1,11 +1,11 @@
-//! The orderly end of a process of control: its lead goes to another voter before it ends, it leaves an even list of voters,
-//! and calls that wait here are answered. Without that the others would find out by silence, for which no change is ordered
-//! and no unit granted, and the list would bear one loss less meanwhile.
+//! Graceful shutdown of a control plane: it transfers leadership to another voter, leaves a voter list of even size,
+//! and answers the pending calls. Otherwise the other voters would notice the loss only by its silence; until then no
+//! change is accepted and no quota is granted, and the voter list tolerates one loss less.
 
 use super::*;
 
 impl ControlPlane {
-    /// Whether this process leads and goes on to: one that ends takes no further order into its log.
+    /// Whether this process leads and keeps leading: a process that is shutting down proposes no further orders.
     pub(super) fn accepts_orders(&self) -> bool {
         !self.is_shutting_down && self.is_leader()
     }
@@ -14,8 +14,9 @@
         self.node.as_ref().is_some_and(|node| node.is_leader())
     }
 
-    /// Orders that are in the log are answered first. Deputies hold counts by leases that rest on the leader's, and that
-    /// it can't call back: with them the lead is not handed over, so that these have ended when another one leads.
+    /// Transfers leadership once all proposed orders are answered. With deputy quota holders leadership is not
+    /// transferred: deputies' leases derive from the leader's lease and cannot be revoked, so they must expire before
+    /// another process leads.
     fn transfer_leadership(&mut self) {
         if !self.pending_proposals.is_empty()
             || !self.drain_proposals.is_empty()
@@ -23,11 +24,11 @@
         {
             return;
         }
-        // The counts are given up with the lead, before anything else is worked through (`on_role`).
+        // The quota holder role ends together with leadership, before any other command is handled (see `on_role`).
         self.step_raft(Input::TransferLeadership);
     }
 
-    /// Asks the leader to go on without this voter.
+    /// Asks the leader to remove this voter.
     fn request_removal(&mut self) {
         let now = self.now();
         if now < self.next_leave_at {
@@ -43,7 +44,8 @@
         self.node.as_ref().is_some_and(Node::should_leave)
     }
 
-    /// Hands over the lead as soon as that is possible, and tells who waits for the end when nothing is left to do.
+    /// Transfers leadership as soon as possible, and reports the end of the shutdown once nothing is left to wait
+    /// for.
     pub(super) fn progress_shutdown(&mut self) {
         if self.shutdown_done.is_none() {
             return;
@@ -61,9 +63,9 @@
             && self.pending_proposals.is_empty()
             && self.drain_proposals.is_empty()
             && self.orders_awaiting_lease.is_empty()
-            && let Some(ended) = self.shutdown_done.take()
+            && let Some(done) = self.shutdown_done.take()
         {
-            let _ = ended.send(());
+            let _ = done.send(());
         }
     }
 }
--- a/crates/control-plane/src/control_plane/status.rs
+++ b/crates/control-plane/src/control_plane/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told: status, history, records, metrics.
+//! Read-only answers for operators: status, configuration history, events and metrics.
 
 use super::ControlPlane;
 use crate::call::Reply;
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 impl ControlPlane {
-    /// How things stand, for operators.
+    /// The status of this process and of everything that it knows.
     pub(super) fn status(&self, now: u64) -> Reply {
         let (leader, epoch, fresh) = self.leader(now);
         let log = self.node.as_ref().map(|node| {
@@ -25,16 +25,17 @@
             .filter_map(|p| Some((p, p.hello.as_ref()?)))
             .map(|(p, hello)| {
                 json!({ "name": hello.name, "plane": format!("{:?}", hello.plane), "address": hello.address,
-                "follows": p.is_follower, "silent_ms": now.saturating_sub(p.last_received_at) })
+                "follows": p.is_subscriber, "silent_ms": now.saturating_sub(p.last_received_at) })
             })
             .collect();
         let control_planes: Vec<_> = self
             .control_plane_addresses()
             .into_iter()
-            .map(|card| {
-                let reached = |address| address == self.settings.address || self.line_to(&address).is_some();
-                let line = card.address.parse().is_ok_and(reached);
-                json!({ "address": card.address, "zone": card.zone, "reached": line })
+            .map(|control_plane| {
+                let is_reached =
+                    |address| address == self.settings.address || self.line_to(&address).is_some();
+                let reached = control_plane.address.parse().is_ok_and(is_reached);
+                json!({ "address": control_plane.address, "zone": control_plane.zone, "reached": reached })
             })
             .collect();
         let backends: Vec<_> = self
@@ -70,7 +71,7 @@
         Reply { status: 200, body: status.to_string().into_bytes() }
     }
 
-    /// The last versions, and when they were taken.
+    /// The latest accepted versions, with their positions in the log.
     pub(super) fn history(&self, now: u64) -> Reply {
         let versions: Vec<_> = self
             .config_history
@@ -83,11 +84,11 @@
             })
             .collect();
         let (leader, _, fresh) = self.leader(now);
-        let told = json!({ "leader": leader.map(|l| l.to_string()), "fresh": fresh, "versions": versions });
-        Reply { status: 200, body: told.to_string().into_bytes() }
+        let body = json!({ "leader": leader.map(|l| l.to_string()), "fresh": fresh, "versions": versions });
+        Reply { status: 200, body: body.to_string().into_bytes() }
     }
 
-    /// The body of one of the last versions.
+    /// The configuration of one of the latest versions.
     pub(super) fn version_body(&self, version: u64) -> Reply {
         match self.config_history.body_of(version) {
             Some(body) => Reply { status: 200, body: body.to_vec() },
@@ -95,9 +96,9 @@
         }
     }
 
-    /// Records about something, or all of them.
+    /// The events of one subject, or all events.
     pub(super) fn events(&self, now: u64, about: Option<&str>) -> Reply {
-        // Processes that serve control are known by their names and by their addresses.
+        // A control plane may be given by its name or by its address.
         let me = (&self.settings.me.name, self.settings.address.to_string());
         let others =
             self.peers.values().filter_map(|p| p.hello.as_ref()).map(|h| (&h.name, h.address.clone()));
@@ -106,16 +107,16 @@
             .filter(|(name, address)| about == Some(name.as_str()) || about == Some(address))
             .flat_map(|(name, address)| [name.clone(), address])
             .collect();
-        let wanted = |subject: &str| match about {
+        let is_wanted = |subject: &str| match about {
             Some(about) => subject == about || names.iter().any(|name| name == subject),
             None => true,
         };
-        let told = json!({ "name": self.settings.me.name, "events": self.event_log.events_about(now, wanted),
+        let body = json!({ "name": self.settings.me.name, "events": self.event_log.events_about(now, is_wanted),
             "dropped": self.event_log.dropped_events() });
-        Reply { status: 200, body: told.to_string().into_bytes() }
+        Reply { status: 200, body: body.to_string().into_bytes() }
     }
 
-    /// Metrics, as text.
+    /// Metrics in the Prometheus text format.
     pub(super) fn metrics(&self, now: u64) -> Reply {
         let mut page = Page::of("control-plane", now);
         let (leader, epoch, fresh) = self.leader(now);
@@ -147,7 +148,7 @@
             "Other processes that serve control, by whether they are reached",
             control_planes,
         );
-        let follows = self.peers.values().filter(|p| p.is_follower).count();
+        let follows = self.peers.values().filter(|p| p.is_subscriber).count();
         page.gauge("followers", "Processes that follow the news here", follows as f64);
         page.gauge("data_planes", "Data planes that count", f64::from(self.fleet.size()));
         let backends = self.register.all(now).into_iter().map(|b| {
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -1,4 +1,4 @@
-//! What followers and other control planes are told, and when.
+//! Updates sent to subscribers and to other control planes.
 
 use super::*;
 use failure_detector::State;
@@ -22,15 +22,16 @@
     }
 
     pub(super) fn send_heartbeats(&mut self, now: u64) {
-        let followers: Vec<u64> = self.peers.iter().filter(|(_, p)| p.is_follower).map(|(n, _)| *n).collect();
-        for connection in followers {
+        let subscribers: Vec<u64> =
+            self.peers.iter().filter(|(_, p)| p.is_subscriber).map(|(n, _)| *n).collect();
+        for connection in subscribers {
             let heartbeat = self.heartbeat_for(connection, now);
             if let Some(peer) = self.peers.get(&connection) {
                 peer.line.send(&Message::Heartbeat(heartbeat));
             }
         }
-        // A control plane without a log follows those that have one, and only those: two that followed each other would send
-        // each other's news of old round in a circle.
+        // A control plane without a Raft log subscribes only to those with one. Two without a log that subscribed to
+        // each other would send each other's outdated updates back and forth.
         if self.node.is_none() {
             let have = self.config_encoder.held();
             for address in self.quorum_incarnations.keys() {
@@ -42,13 +43,13 @@
     }
 
     pub(super) fn on_heartbeat(&mut self, heartbeat: Heartbeat, now: u64) {
-        let newer = heartbeat.fresh && heartbeat.epoch >= self.last_heartbeat.epoch;
+        let is_newer = heartbeat.fresh && heartbeat.epoch >= self.last_heartbeat.epoch;
         if self.node.is_none()
             && heartbeat.leader.is_some()
-            && (newer || now > self.last_heartbeat_at + LEADER_REPORT_TTL_MS)
+            && (is_newer || now > self.last_heartbeat_at + LEADER_REPORT_TTL_MS)
         {
             let known = (self.last_heartbeat.epoch, self.last_heartbeat.assignment);
-            // Two that are followed may tell of assignments in either order.
+            // Heartbeats of two control planes may report assignments out of order.
             if (heartbeat.epoch, heartbeat.assignment) >= known || heartbeat.epoch != known.0 {
                 (self.last_heartbeat, self.last_heartbeat_at) = (heartbeat, now);
             }
@@ -71,15 +72,15 @@
         }
     }
 
-    /// A configuration as a difference. Whoever sent one that makes nothing here is asked for the whole.
+    /// Handles a configuration sent as a delta. If the delta does not apply here, requests the whole configuration.
     pub(super) fn on_config_delta(&mut self, connection: u64, config_delta: &ConfigDelta) {
         if self.node.is_some() || config_delta.version <= self.config_history.version() {
             return;
         }
         match config_snapshots::rebuild(self.config_history.body_of(config_delta.base), config_delta) {
             Ok(config_snapshot) => self.on_config_snapshot(config_snapshot),
-            Err(unfit) => {
-                spdlog::warn!("{}", unfit, kv: { step = "config_delta" });
+            Err(error) => {
+                spdlog::warn!("{}", error, kv: { step = "config_delta" });
                 if let Some(peer) = self.peers.get(&connection) {
                     peer.line.send(&Message::Whole);
                 }
@@ -87,9 +88,9 @@
         }
     }
 
-    /// The newest configuration goes to a follower that has another one.
+    /// Sends the newest configuration to a subscriber that has another one.
     pub(super) fn send_config_snapshot(&mut self, connection: u64) {
-        // The history may be ahead of what is sent: then all followers are told shortly.
+        // The history may be ahead of the encoder; `on_config_changed` sends to all subscribers shortly.
         if self.config_changed {
             return;
         }
@@ -130,23 +131,24 @@
         self.send_to_control_planes(&Message::ControlPlanes(self.connected_addresses(now)));
         self.fleet.sweep(now);
         let (.., current) = self.leader(now);
-        // A process that is behind may know of few, as one that has just started does; by its word no slice grows.
+        // An outdated process, like one that has just started, may know only few data planes. Its count must not
+        // enlarge any slice.
         if current {
             self.fleet.divides_by(now, self.slice_divisor(now));
         }
         if !self.warmed_up && now >= WARMUP_MS {
             self.warmed_up = true;
-            self.send_to_followers(&Message::Backends { whole: true, backends: self.register.all(now) });
+            self.send_to_subscribers(&Message::Backends { whole: true, backends: self.register.all(now) });
         }
         self.event_log.on_data_planes(now, self.fleet.incarnations());
         self.resize_fleet(now);
     }
 
-    /// DataPlanes that are heard here, and those of which other control planes say so: their word stands while they are heard.
+    /// Counts the data planes connected here and those that connected control planes report.
     fn count_data_planes(&mut self, now: u64) {
         let mut data_planes = self.local_data_planes(now);
-        let told = self.peers.values().filter(|peer| now < peer.last_received_at + PEER_TIMEOUT_MS);
-        for (name, life) in data_planes.iter().chain(told.flat_map(|peer| &peer.data_planes)) {
+        let reported = self.peers.values().filter(|peer| now < peer.last_received_at + PEER_TIMEOUT_MS);
+        for (name, life) in data_planes.iter().chain(reported.flat_map(|peer| &peer.data_planes)) {
             self.fleet.heard(now, name, *life);
         }
         data_planes.sort_unstable();
@@ -158,8 +160,9 @@
         }
     }
 
-    /// Takes in what the watch of the neighbours knows of data planes. Of a death only its witnesses are known: who is cut off
-    /// from them may go on spending, and counts on as one that is not heard. Who said that it ends does not.
+    /// Applies the findings of the failure detector among neighbours. A data plane that its neighbours consider dead
+    /// keeps counting as silent: it may only be isolated from them and still spend quota. A data plane that announced
+    /// its departure does not count any more.
     fn apply_neighbor_watch(&mut self, now: u64) {
         let Some(neighbor_watch) = &self.neighbor_watch else { return };
         if self
@@ -173,10 +176,10 @@
             return;
         }
         let (fleet, mut departures) = (&mut self.fleet, Vec::new());
-        neighbor_watch.each(|word| match word.state {
-            State::Here if word.card.data_plane => fleet.heard(now, &word.card.name, word.card.life),
-            State::Left if word.card.data_plane => {
-                let (name, incarnation) = (word.card.name.clone(), word.card.life);
+        neighbor_watch.each(|report| match report.state {
+            State::Here if report.card.data_plane => fleet.heard(now, &report.card.name, report.card.life),
+            State::Left if report.card.data_plane => {
+                let (name, incarnation) = (report.card.name.clone(), report.card.life);
                 departures.push(Departure { name, incarnation, ago_ms: 0 });
             }
             _ => {}
@@ -188,14 +191,14 @@
         if !backends.is_empty() {
             let now = self.now();
             self.event_log.on_backends(now, &backends, origin);
-            let urgent = self.follower_batch.add(backends);
-            self.send_backends_to_followers(urgent);
+            let urgent = self.subscriber_batch.add(backends);
+            self.send_backends_to_subscribers(urgent);
         }
     }
 
-    fn send_backends_to_followers(&self, backends: Vec<Backend>) {
+    fn send_backends_to_subscribers(&self, backends: Vec<Backend>) {
         if !backends.is_empty() {
-            self.send_to_followers(&Message::Backends { whole: false, backends });
+            self.send_to_subscribers(&Message::Backends { whole: false, backends });
         }
     }
 
@@ -205,19 +208,19 @@
         }
     }
 
-    /// A backend's own call changes what is known of it: all are told.
+    /// Publishes a change caused by a backend's own call to subscribers and other control planes.
     pub(super) fn publish_called_backends(&mut self, backends: Vec<Backend>) {
         let urgent = self.control_plane_batch.add(backends.clone());
         self.send_backends_to_control_planes(urgent);
         self.publish_backends(backends, Origin::Call);
     }
 
-    /// Changes that could wait are told together.
+    /// Sends the batched changes of backends.
     pub(super) fn flush_backend_batches(&mut self) {
-        let (for_control_planes, for_followers) =
-            (self.control_plane_batch.take(), self.follower_batch.take());
+        let (for_control_planes, for_subscribers) =
+            (self.control_plane_batch.take(), self.subscriber_batch.take());
         self.send_backends_to_control_planes(for_control_planes);
-        self.send_backends_to_followers(for_followers);
+        self.send_backends_to_subscribers(for_subscribers);
     }
 
     /// A newer configuration is in force.
@@ -225,8 +228,9 @@
         let Some(body) = self.config_history.body() else { return };
         self.config = Config::parse(body).ok();
         self.config_encoder = ConfigEncoder::new(self.config_history.version(), body);
-        let followers: Vec<u64> = self.peers.iter().filter(|(_, p)| p.is_follower).map(|(n, _)| *n).collect();
-        for connection in followers {
+        let subscribers: Vec<u64> =
+            self.peers.iter().filter(|(_, p)| p.is_subscriber).map(|(n, _)| *n).collect();
+        for connection in subscribers {
             self.send_config_snapshot(connection);
         }
         let (now, quotas) = (self.now(), self.quotas());
