--- a/crates/control-plane/src/admission.rs
+++ b/crates/control-plane/src/admission.rs
@@ -1,8 +1,9 @@
-//! Admission of configuration orders: what a leader does with one, and how a verdict is answered. No I/O, no clock.
+//! Admission of configuration orders: what a leader does with an order, and the reply to a verdict. No I/O, no clock.
 //!
-//! An order is proposed to the log if the committed configurations allow it; the log's order then decides. It is refused
-//! without being proposed only by a verdict that no later entry can change (see [`Verdict::is_final`]), so that neither
-//! an entry in flight, nor an earlier copy of the order that is still on its way, can bring a refused order into force.
+//! An order is proposed to the log if the committed configurations allow it; its place in the log then decides. An
+//! order is refused without being proposed only by a verdict that no later entry can change (see
+//! [`Verdict::is_final`]). Otherwise an entry in flight, or an earlier copy of the order still in transit, could put
+//! a refused order into force.
 
 use crate::call::Reply;
 use crate::config_history::{Change, ConfigHistory, Verdict};
@@ -11,21 +12,21 @@
 /// What a leader does with an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It goes into the log, which decides.
+    /// The order is proposed to the log, which decides.
     Propose(Change),
-    /// The committed configurations decide.
+    /// The committed configurations decide on the order.
     Decided {
-        /// The order's own version.
+        /// Version of the order.
         version: u64,
-        /// What became of it.
+        /// The verdict on the order.
         verdict: Verdict,
     },
-    /// Its body is no valid configuration, for this reason.
+    /// The body is no valid configuration, for this reason.
     Invalid(String),
 }
 
 impl Decision {
-    /// The answer to the order; none yet for one that is proposed.
+    /// The reply to the order; `None` for one that is proposed.
     pub fn reply(&self) -> Option<Reply> {
         match self {
             Self::Propose(_) => None,
@@ -35,11 +36,11 @@
     }
 }
 
-/// Decides on an order that builds on `base`, by the configurations that are committed.
+/// Decides on an order that builds on `base`, according to the committed configurations.
 pub fn decide(config_history: &ConfigHistory, base: u64, body: Vec<u8>) -> Decision {
     let config = match Config::parse(&body) {
         Ok(config) => config,
-        Err(fault) => return decide_invalid(config_history, &body, fault.to_string()),
+        Err(error) => return decide_invalid(config_history, &body, error.to_string()),
     };
     let (version, digest) = (config.version.0, config.digest());
     match config_history.evaluate(base, version, &digest) {
@@ -48,17 +49,18 @@
     }
 }
 
-/// A program whose checks were less strict may have taken what this one calls invalid: its repetition is acknowledged.
-fn decide_invalid(config_history: &ConfigHistory, body: &[u8], fault: String) -> Decision {
+/// An earlier version with less strict checks may have accepted a body that is invalid now. A retry of such an order
+/// is acknowledged.
+fn decide_invalid(config_history: &ConfigHistory, body: &[u8], error: String) -> Decision {
     match Config::identify(body) {
         Some((version, digest)) if config_history.has_accepted(version.0, &digest) => {
             Decision::Decided { version: version.0, verdict: Verdict::AlreadyAccepted }
         }
-        _ => Decision::Invalid(fault),
+        _ => Decision::Invalid(error),
     }
 }
 
-/// The answer to an order. Callers end at 409 and 412, and send the order again after a 503.
+/// The reply to an order. Callers stop at 409 and 412, and retry after 503.
 pub fn reply_to(verdict: Verdict) -> Reply {
     match verdict {
         Verdict::Accepted | Verdict::AlreadyAccepted => Reply::ok(),
--- a/crates/control-plane/src/backend_batch.rs
+++ b/crates/control-plane/src/backend_batch.rs
@@ -1,29 +1,30 @@
-//! Changes of backends that wait to be told together.
+//! Changes of backends that are sent in batches.
 //!
-//! When many backends come at once, as after a start of everything, a message for each of them to each follower costs more
-//! than what it says. So newcomers and signs of life wait for some ms; whoever leaves is told of at once.
+//! When many backends appear at once, such as after a restart of the whole system, a message per backend and
+//! subscriber costs more than its content. So new backends and signs of life are delayed for some milliseconds;
+//! backends that drain or depart are sent immediately.
 
 use protocol::{Backend, Phase};
 use std::collections::BTreeMap;
 
-/// The newest state of each backend that has changed and that others are yet to be told of.
+/// The newest state of each backend whose change has not been sent yet.
 #[derive(Debug, Default)]
 pub(crate) struct BackendBatch(BTreeMap<String, Backend>);
 
 impl BackendBatch {
-    /// Takes changes in; gives those that can't wait.
+    /// Adds changes, and returns those that must be sent immediately.
     pub(crate) fn add(&mut self, changed: Vec<Backend>) -> Vec<Backend> {
-        let (waiting, urgent): (Vec<_>, Vec<_>) =
+        let (batched, urgent): (Vec<_>, Vec<_>) =
             changed.into_iter().partition(|backend| backend.phase == Phase::Serving);
-        // What waited says less by now.
+        // The batched state of an urgent backend is obsolete.
         for backend in &urgent {
             self.0.remove(&backend.id);
         }
-        self.0.extend(waiting.into_iter().map(|backend| (backend.id.clone(), backend)));
+        self.0.extend(batched.into_iter().map(|backend| (backend.id.clone(), backend)));
         urgent
     }
 
-    /// All that wait.
+    /// Removes and returns all batched changes.
     pub(crate) fn take(&mut self) -> Vec<Backend> {
         std::mem::take(&mut self.0).into_values().collect()
     }
--- a/crates/control-plane/src/call.rs
+++ b/crates/control-plane/src/call.rs
@@ -1,30 +1,30 @@
-//! What backends and operators ask, and what they are answered.
+//! Calls of backends and operators, and the replies.
 
 use protocol::{Backend, Order};
 
-/// What a call asks for.
+/// A call on the control socket.
 #[derive(Debug)]
 pub enum Call {
-    /// A backend beats.
+    /// A heartbeat of a backend.
     Heartbeat(Backend),
-    /// A backend ends.
+    /// A backend has ended; holds its id.
     Departure(String),
-    /// The operator's.
+    /// An order of an operator.
     Order(Order),
-    /// How this process and what it knows stand.
+    /// Query for the status of this process and what it knows.
     Status,
-    /// The last versions, and when they were taken.
+    /// Query for the latest accepted versions and their log positions.
     History,
-    /// The body of one of the last versions.
+    /// Query for the body of one of the latest versions.
     VersionBody(u64),
-    /// Records about something, or all.
+    /// Query for the events of one subject, or for all events.
     Events(Option<String>),
-    /// Metrics.
+    /// Query for the metrics.
     Metrics,
 }
 
 impl Call {
-    /// Its kind, for metrics.
+    /// Label of the call in metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Heartbeat(_) => "beat",
@@ -41,22 +41,22 @@
     }
 }
 
-/// The answer to a call.
+/// The reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// Its status.
+    /// HTTP status.
     pub status: u16,
-    /// Its body, JSON but for metrics.
+    /// Body: JSON, except for metrics.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// An answer that says why.
-    pub fn error(status: u16, why: &str) -> Self {
-        Self { status, body: serde_json::json!({ "error": why }).to_string().into_bytes() }
+    /// A reply with an error message.
+    pub fn error(status: u16, message: &str) -> Self {
+        Self { status, body: serde_json::json!({ "error": message }).to_string().into_bytes() }
     }
 
-    /// Done, nothing to say.
+    /// A successful reply without content.
     pub fn ok() -> Self {
         Self { status: 200, body: b"{}".to_vec() }
     }
--- a/crates/control-plane/src/calls.rs
+++ b/crates/control-plane/src/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of backends and operators, declared in one table, and the socket that takes them.
+//! The calls of backends and operators as a table of endpoints, and the HTTP server of the control socket.
 
 use crate::call::{Call, Reply};
 use crate::command::Command;
@@ -22,46 +22,47 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// Callers move on after a second of silence: whoever has no answer by then gets a plain word instead.
+/// Callers try another process after one second without a response, so a timeout is answered explicitly before that.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
-/// A caller has this long for its head, and for each part of a body.
+/// Timeout for each part of a request body.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(3);
-/// A change of the operator may be large, and its answer waits for disks.
+/// Response timeout of changes: an operator's change may be large, and its response waits for disks.
 const CHANGE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A failed accept is tried again after this: descriptors may have run out.
+/// Pause after a failed accept, since the process may be out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 const JSON: &str = "application/json";
-/// The longest id of a backend, in bytes: ids of those that leave go into the log.
+/// Maximum length of a backend id in bytes: the ids of draining backends are stored in the log.
 const MAX_ID_BYTES: usize = 256;
-/// The longest body of an order, in bytes: a configuration at the size to design for has 5.1 MB.
+/// Maximum body of an order in bytes: a configuration at the design size has 5.1 MB.
 const MAX_ORDER_BYTES: usize = 6 << 20;
-/// The bodies that are being read at a time, in bytes. Orders come in numbers, and memory is short: three of the longest.
+/// Maximum total size of bodies being read, in bytes: three of the largest orders. Orders may arrive in numbers, and
+/// memory is limited.
 const MAX_BUFFERED_BODY_BYTES: usize = 3 * MAX_ORDER_BYTES;
-/// Calls whose bodies are no longer than this don't count: backends don't wait for orders.
+/// Bodies of endpoints with at most this limit are not counted, so that backends never wait for orders.
 const MAX_UNBUDGETED_BODY_BYTES: usize = 16 * 1024;
-/// The header that names the version on which an order builds.
+/// Header with the version that an order builds on.
 const BASE_VERSION: &str = "x-base-version";
 
-/// One kind of call.
+/// One endpoint of the control socket.
 pub struct Endpoint {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path; an id follows where it takes one.
+    /// Path; followed by an id if `takes_id` is set.
     pub path: &'static str,
-    /// Whether an id follows.
+    /// Whether an id follows the path.
     pub takes_id: bool,
-    /// The longest body, in bytes.
+    /// Maximum length of the body in bytes.
     pub max_body_bytes: usize,
-    /// How long its answer may take, from when it has been read whole.
+    /// Time limit for the response, from when the request has been read completely.
     pub response_timeout: Duration,
-    /// The type of its answer.
+    /// Content type of a successful response.
     pub content_type: &'static str,
-    /// Reads it: the id, or where none is taken the query; the headers; the body.
+    /// Parses a request, given the id (or the query if no id is taken), the headers and the body.
     pub parse: fn(&str, &HeaderMap, &[u8]) -> Result<Call, Reply>,
 }
 
-/// All calls.
+/// All endpoints.
 pub const ENDPOINTS: [Endpoint; 10] = [
     Endpoint {
         method: Method::POST,
@@ -161,7 +162,7 @@
     },
 ];
 
-/// What stands for itself in a query; each `%` with two hexadecimal digits stands for a byte.
+/// Decodes percent escapes in a query. A malformed escape is kept as it is.
 fn unescape(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
@@ -243,8 +244,8 @@
     Ok(Call::Order(Order::Replace { base: base.0, body: body.to_vec() }))
 }
 
-/// The version that an order builds on. An order without one builds on nothing, as the first one does; one that is not
-/// to be read, or two that differ, say nothing.
+/// The version that an order builds on. An order without the header builds on no version, as the first order does. A
+/// value that cannot be parsed, or two different values, are an error.
 fn base_version(headers: &HeaderMap) -> Result<Version, Reply> {
     let mut base = None;
     for value in headers.get_all(BASE_VERSION) {
@@ -258,11 +259,11 @@
     Ok(base.unwrap_or_default())
 }
 
-/// The bytes of all bodies that are being read, or wait to be worked through.
+/// Total size of all bodies being read or waiting to be handled.
 #[derive(Clone, Default)]
 struct BodyBudget(Rc<Cell<usize>>);
 
-/// Bytes taken from the budget, given back when this is dropped.
+/// Bytes reserved from the budget; released on drop.
 struct Reservation {
     budget: BodyBudget,
     bytes: usize,
@@ -275,7 +276,7 @@
 }
 
 impl Reservation {
-    /// Takes so many more bytes; false if there are not as many.
+    /// Reserves further bytes; returns false if the budget does not allow them.
     fn grow(&mut self, bytes: usize) -> bool {
         let in_use = self.budget.0.get() + bytes;
         let fits = in_use <= MAX_BUFFERED_BODY_BYTES;
@@ -293,7 +294,7 @@
     }
 }
 
-/// Takes calls until the program ends.
+/// Serves the control socket until the program ends.
 pub async fn serve(listener: TcpListener, commands: mpsc::Sender<Command>, max_connections: usize) {
     let open_connections = Rc::new(Cell::new(0usize));
     let budget = BodyBudget::default();
@@ -310,17 +311,17 @@
                     open_connections.set(open_connections.get() - 1);
                 });
             }
-            // Whoever finds no room is turned away at once and tries the next gateway.
+            // A connection beyond the limit is closed at once, so that the caller tries another gateway.
             Ok((_, peer)) => {
                 if let Some(left_out) = rejections.pass(started_at.elapsed().as_millis() as u64) {
                     let peer = peer.to_string();
-                    spdlog::warn!("{} callers are here already: turned away", max_connections,
+                    spdlog::warn!("connection limit of {} reached, connection rejected", max_connections,
                         kv: { step = "call", peer = peer.as_str(), left_out });
                 }
             }
             Err(error) => {
                 if let Some(left_out) = accept_failures.pass(started_at.elapsed().as_millis() as u64) {
-                    spdlog::warn!("no caller can be taken: {}", error, kv: { step = "accept", left_out });
+                    spdlog::warn!("cannot accept a connection: {}", error, kv: { step = "accept", left_out });
                 }
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
@@ -336,7 +337,7 @@
     });
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(Duration::from_secs(20)).max_buf_size(32 * 1024);
-    // Errors of one caller's connection concern that caller alone.
+    // An error on one caller's connection concerns that caller only.
     let _ = builder.serve_connection(TokioIo::new(stream), service).await;
 }
 
@@ -362,7 +363,7 @@
         Ok(body) => body,
         Err(reply) => return respond(reply),
     };
-    // A large body may take longer to come than its answer may.
+    // The timeout starts after the body: a large body may take longer to arrive than the response may.
     let deadline = Instant::now() + call.response_timeout;
     let id = if call.takes_id {
         path.strip_prefix(call.path).unwrap_or_default()
@@ -401,7 +402,7 @@
                 }
             }
             Ok(None) => break,
-            // The same order, sent whole, may well be taken: a final answer would be wrong.
+            // The same order may be accepted when sent completely, so a final error status would be wrong.
             Ok(Some(Err(_))) => return Err(Reply::error(408, "the body broke off")),
             Err(_) => return Err(Reply::error(408, "the body did not come in time")),
         }
@@ -428,7 +429,7 @@
     use super::*;
 
     #[test]
-    fn malformed_percent_escapes_in_a_query_stay_as_they_are() {
+    fn percent_escapes_are_decoded_and_malformed_ones_kept() {
         for (text, read) in
             [("m-1", "m-1"), ("10.0.0.1%3A7%2f", "10.0.0.1:7/"), ("%", "%"), ("%4", "%4"), ("%zz", "%zz")]
         {
--- a/crates/control-plane/src/command.rs
+++ b/crates/control-plane/src/command.rs
@@ -1,4 +1,4 @@
-//! What comes to the owner of the tables, from sockets, other processes, the disk and the program.
+//! Commands to the task that owns the tables, from sockets, other processes, the disk and the program.
 
 use crate::call::{Call, Reply};
 use protocol::Message;
@@ -6,46 +6,46 @@
 use tokio::sync::oneshot;
 use transport::{Line, LineError};
 
-/// Something for the owner to work through.
+/// One command.
 #[derive(Debug)]
 pub enum Command {
-    /// A call came on the control socket.
+    /// A call arrived on the control socket.
     Call {
-        /// What it asks.
+        /// The call.
         call: Call,
-        /// Where the answer goes.
+        /// Receives the reply.
         reply: oneshot::Sender<Reply>,
     },
-    /// A connection stands.
+    /// A connection opened.
     Opened {
-        /// Its number.
+        /// Id of the connection.
         connection: u64,
-        /// Where frames go.
+        /// Sends messages on the connection.
         line: Line,
-        /// Whom this process dialed, if it did.
+        /// The address that this process dialed; `None` for an incoming connection.
         dialed: Option<SocketAddr>,
     },
-    /// A message came.
+    /// A message arrived.
     Message {
-        /// The connection.
+        /// Id of the connection.
         connection: u64,
         /// The message.
         message: Message,
     },
-    /// A connection is over, or never came up.
+    /// A connection closed, or could not be opened.
     Closed {
-        /// Its number.
+        /// Id of the connection.
         connection: u64,
-        /// Why.
+        /// The reason.
         error: LineError,
     },
-    /// A write is on disk.
+    /// A write has reached the disk.
     Saved {
-        /// Its ticket.
+        /// Ticket of the write.
         ticket: u64,
     },
-    /// The settings file names other seeds.
+    /// The settings file was reloaded and names these seeds.
     Seeds(Vec<SocketAddr>),
-    /// This process is to end. The sender hears once another one leads, and no call waits here any more.
+    /// Shuts this process down. The sender is notified once another process leads and no call is pending here.
     Shutdown(oneshot::Sender<()>),
 }
--- a/crates/control-plane/src/config_history.rs
+++ b/crates/control-plane/src/config_history.rs
@@ -1,4 +1,4 @@
-//! The configurations that were taken: what the log's entries make, the same on every voter.
+//! History of accepted configurations: the result of the log's entries, equal on every voter.
 
 pub mod snapshot_format;
 
@@ -6,92 +6,93 @@
 use snapshot_format::UnknownFormat;
 use std::collections::BTreeMap;
 
-/// So many versions are remembered by their digest, of 32 bytes each. An order with an older number is left without a
-/// clear answer when it is sent again: it may have been taken.
+/// Number of versions whose digest is remembered, 32 bytes each. A retry of an older order gets no final answer,
+/// since the order may have been accepted.
 const MAX_DIGESTS: usize = 4096;
-/// Floors of more counts than this are not kept: their tenants begin with nothing under a new holder.
+/// Maximum number of quota floors. Under a new holder, tenants beyond this limit start with an empty counter.
 const MAX_FLOORS: usize = 4096;
-/// Of so many versions it is remembered when they were taken.
+/// Number of versions whose log position is remembered.
 const MAX_POSITIONS: usize = 64;
-/// Bodies before the newest one are kept for operators who compare: so many ...
+/// Number of former bodies that are kept, so that operators can compare versions.
 const MAX_FORMER_BODIES: usize = 7;
-/// ... of so many bytes in all. They lie in each snapshot and in the memory of each voter.
+/// Maximum total size of former bodies. Former bodies are part of each snapshot and of each voter's memory.
 const MAX_FORMER_BODY_BYTES: usize = 1 << 20;
 
-/// A change as it stands in the log.
+/// A change of the configuration, as stored in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Change {
-    /// The version that it builds on.
+    /// The version that the change builds on.
     pub base: u64,
-    /// Its own version.
+    /// The version of the change itself.
     pub version: u64,
-    /// Tells the same configuration again from another one.
+    /// Digest by which a retry of the same configuration is recognized.
     pub digest: [u8; 32],
     /// The operator's body, byte for byte.
     pub body: Vec<u8>,
 }
 
 impl Change {
-    /// Reads what an entry of the log holds.
+    /// Decodes a log entry.
     ///
     /// # Errors
-    /// When it holds something else.
+    /// When the entry is not a change.
     pub fn decode(entry: &[u8]) -> Result<Self, bitcode::Error> {
         bitcode::decode(entry)
     }
 }
 
-/// What the log says besides changes: facts of the counts and of who is there, for whoever holds them next.
+/// A log entry for the next quota holder: floors of quota counters and the size of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct QuotaCheckpoint {
-    /// Floors of counts that are other ones from here on, in units: see [`quota::Floor`].
+    /// Floors that changed, in quota units: see [`quota::Floor`].
     pub floors: Vec<(String, u32)>,
-    /// How many data planes there are.
+    /// Number of data planes.
     pub fleet_size: u32,
 }
 
-/// Entries that hold marks begin with this; no change of the versions so far does.
+/// Prefix of checkpoint entries. No encoded change begins with it.
 const CHECKPOINT_TAG: &[u8] = b"harbour marks 1\n";
 
 impl QuotaCheckpoint {
-    /// The marks as an entry.
+    /// Encodes the checkpoint as a log entry.
     pub fn to_entry(&self) -> Vec<u8> {
         let mut entry = CHECKPOINT_TAG.to_vec();
         entry.extend_from_slice(&bitcode::encode(self));
         entry
     }
 
-    /// Reads an entry that holds marks; none for others.
+    /// Decodes a checkpoint entry; `None` for an entry of another kind.
     pub fn decode(entry: &[u8]) -> Option<Result<Self, bitcode::Error>> {
         entry.strip_prefix(CHECKPOINT_TAG).map(bitcode::decode)
     }
 }
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is the newest one now.
+    /// The change is the newest version now.
     Accepted,
-    /// It had been taken before, whether it still is the newest or not.
+    /// The same change was accepted before. It may no longer be the newest version.
     AlreadyAccepted,
-    /// It builds on a version before the newest.
+    /// The change builds on a version older than the newest.
     Stale {
-        /// The newest.
+        /// The newest version.
         current: u64,
     },
-    /// Its own version is not above the newest.
+    /// The change's own version is not above the newest.
     VersionNotHigher {
-        /// The newest.
+        /// The newest version.
         current: u64,
     },
-    /// It builds on a version that is not taken, but may be: by an entry in flight, for one.
+    /// The change builds on a version that is not accepted yet, but may still be, for example by an entry in flight.
     BaseAhead {
-        /// The version that it builds on.
+        /// The version that the change builds on.
         base: u64,
-        /// The newest.
+        /// The newest version.
         current: u64,
     },
-    /// Its version is one of those whose digests were dropped: it may have been taken, or another one of its number.
+    /// The digest of the change's version was dropped, so that this change, or another one of the same version, may
+    /// have been accepted.
     DigestEvicted {
         /// The oldest version whose digest is remembered.
         oldest: u64,
@@ -99,56 +100,57 @@
 }
 
 impl Verdict {
-    /// Whether no entry that the log may still get can change it. Versions only rise: a base below the newest never
-    /// is the newest again, and a version that is not above it never will be. A base above the newest may become it.
+    /// Whether no later log entry can alter this verdict. Versions only rise: a base below the newest version never
+    /// becomes the newest again, and a version that is not above the newest stays so. A base above the newest may
+    /// become the newest.
     pub fn is_final(self) -> bool {
         !matches!(self, Self::BaseAhead { .. } | Self::DigestEvicted { .. })
     }
 }
 
-/// When a configuration was taken: no two machines share a clock, but all share the log.
+/// When a configuration was accepted, as a log position: machines share the log, but no clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct LogPosition {
-    /// Its entry in the log.
+    /// Index of the log entry.
     pub index: u64,
-    /// The term of the leader that took it.
+    /// Term of the leader that proposed the entry.
     pub epoch: u64,
 }
 
-/// All configurations ever taken, the newest in full.
+/// All accepted configurations, the newest one with its body.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigHistory {
     version: u64,
     body: Vec<u8>,
     digests: BTreeMap<u64, [u8; 32]>,
     positions: BTreeMap<u64, LogPosition>,
-    /// The bodies of versions before the newest.
+    /// Bodies of former versions.
     bodies: BTreeMap<u64, Vec<u8>>,
-    /// The version before the newest one and its body, if it is too long for these: followers have it, and get what makes
-    /// the newest out of it. In memory only.
+    /// The version before the newest one with its body, if the body is too large for `bodies`. Subscribers have that
+    /// version and receive the newest one as a delta to it. In memory only.
     #[bitcode(skip)]
     oversized_predecessor: Option<(u64, Vec<u8>)>,
-    /// Floors of counts; those that are not here are zero.
+    /// Quota floors by tenant; a missing floor is zero.
     floors: BTreeMap<String, u32>,
-    /// How many data planes there were when last it was said.
+    /// Number of data planes according to the newest checkpoint.
     fleet_size: u32,
 }
 
 impl ConfigHistory {
-    /// Reads what a snapshot holds, also one that a version before this one wrote.
+    /// Restores the history from a snapshot, including one written by an earlier version.
     ///
     /// # Errors
-    /// When it holds something else.
+    /// When the bytes are in no known format.
     pub fn restore(state: &[u8]) -> Result<Self, UnknownFormat> {
         snapshot_format::read(state)
     }
 
-    /// What a snapshot holds of this state.
+    /// Encodes the history for a snapshot.
     pub fn snapshot(&self) -> Vec<u8> {
         snapshot_format::write(self)
     }
 
-    /// What would become of a change now.
+    /// The verdict on a change if it were applied now.
     pub fn evaluate(&self, base: u64, version: u64, digest: &[u8; 32]) -> Verdict {
         let current = self.version;
         if self.has_accepted(version, digest) {
@@ -166,25 +168,25 @@
         }
     }
 
-    /// Whether this very configuration has been taken, as far as is remembered.
+    /// Whether exactly this configuration was accepted, as far as digests are remembered.
     pub fn has_accepted(&self, version: u64, digest: &[u8; 32]) -> bool {
         self.digests.get(&version) == Some(digest)
     }
 
-    /// The oldest version whose digest is remembered, once older ones may have been dropped.
+    /// The oldest version whose digest is remembered, once older digests may have been dropped.
     fn oldest_digest(&self) -> Option<u64> {
         let full = self.digests.len() >= MAX_DIGESTS;
         self.digests.first_key_value().filter(|_| full).map(|(oldest, _)| *oldest)
     }
 
-    /// Takes a change from this position of the log.
-    pub fn apply(&mut self, at: LogPosition, change: Change) -> Verdict {
+    /// Applies a change at its position in the log.
+    pub fn apply(&mut self, position: LogPosition, change: Change) -> Verdict {
         let verdict = self.evaluate(change.base, change.version, &change.digest);
         if verdict == Verdict::Accepted {
-            let before = std::mem::replace(&mut self.body, change.body);
+            let former_body = std::mem::replace(&mut self.body, change.body);
             self.oversized_predecessor = None;
             if self.version > 0 {
-                self.bodies.insert(self.version, before);
+                self.bodies.insert(self.version, former_body);
             }
             let mut bytes: usize = self.bodies.values().map(Vec::len).sum();
             while (self.bodies.len() > MAX_FORMER_BODIES || bytes > MAX_FORMER_BODY_BYTES)
@@ -198,7 +200,7 @@
             while self.digests.len() > MAX_DIGESTS {
                 self.digests.pop_first();
             }
-            self.positions.insert(change.version, at);
+            self.positions.insert(change.version, position);
             while self.positions.len() > MAX_POSITIONS {
                 self.positions.pop_first();
             }
@@ -206,7 +208,7 @@
         verdict
     }
 
-    /// Takes marks in.
+    /// Applies a quota checkpoint.
     pub fn apply_checkpoint(&mut self, checkpoint: QuotaCheckpoint) {
         self.fleet_size = checkpoint.fleet_size;
         for (tenant, units) in checkpoint.floors {
@@ -218,30 +220,33 @@
         }
     }
 
-    /// Floors of counts, in units; those that are not here are zero.
+    /// Quota floors by tenant, in units; a missing floor is zero.
     pub fn floors(&self) -> &BTreeMap<String, u32> {
         &self.floors
     }
 
-    /// How many data planes there were when last it was said; 0 before that.
+    /// Number of data planes according to the newest checkpoint; 0 before the first one.
     pub fn fleet_size(&self) -> u32 {
         self.fleet_size
     }
 
-    /// The last versions that were taken, the newest first: number, digest, and when.
+    /// The latest accepted versions, newest first: version, digest and log position.
     pub fn history(&self) -> impl Iterator<Item = (u64, &[u8; 32], LogPosition)> {
         let positions = self.positions.iter().rev();
         positions.filter_map(|(version, position)| Some((*version, self.digests.get(version)?, *position)))
     }
 
-    /// The body of a version, as long as it is kept.
+    /// The body of a version, while it is kept.
     pub fn body_of(&self, version: u64) -> Option<&[u8]> {
         if version == self.version {
             return self.body();
         }
-        let former =
-            self.oversized_predecessor.as_ref().filter(|(known, _)| *known == version).map(|(_, body)| body);
-        self.bodies.get(&version).or(former).map(Vec::as_slice)
+        let oversized = self
+            .oversized_predecessor
+            .as_ref()
+            .filter(|(former, _)| *former == version)
+            .map(|(_, body)| body);
+        self.bodies.get(&version).or(oversized).map(Vec::as_slice)
     }
 
     /// The newest version; 0 before the first.
@@ -249,7 +254,7 @@
         self.version
     }
 
-    /// The newest configuration as it was sent, if there is one.
+    /// The body of the newest configuration, byte for byte, if there is one.
     pub fn body(&self) -> Option<&[u8]> {
         (self.version > 0).then_some(&self.body)
     }
--- a/crates/control-plane/src/config_history/snapshot_format.rs
+++ b/crates/control-plane/src/config_history/snapshot_format.rs
@@ -1,43 +1,43 @@
-//! The formats of a snapshot's state, of this version and of those before.
+//! Formats of a snapshot's state, of this version and of earlier ones.
 //!
-//! The formats so far have no tag: each has the fields of the one before it and some more behind them. `bitcode` reads the
-//! fields in order and wants the input to end with the last one, so that a shorter format's bytes lack fields for a longer
-//! one's reader, and a longer format's bytes leave some over for a shorter one's. Exactly one reader takes them.
+//! The older formats have no tag: each one has the fields of the previous format followed by additional ones.
+//! `bitcode` decodes fields in order and requires the input to end after the last one. So a shorter format lacks
+//! fields for a longer format's decoder, and a longer format has bytes left over for a shorter format's decoder:
+//! exactly one decoder accepts a state.
 //!
-//! Later formats begin with a tag. This version reads the first of those and does not write it yet: a process of the
-//! version before could not read it, and both run side by side while a system is upgraded. The version after this one
-//! writes it.
+//! Later formats begin with a tag. This version reads the first tagged format but does not write it yet, because the
+//! previous version cannot read it and both run side by side during an upgrade. The next version will write it.
 
 use super::{ConfigHistory, LogPosition};
 use bitcode::Decode;
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// A state with this in front is a [`Format::Tagged`] one. No untagged format begins with it: its first byte is none that
-/// `bitcode` puts before a number.
+/// Prefix of a [`Format::Tagged`] state. No untagged format begins with it: `bitcode` never encodes a number with
+/// this first byte.
 pub const TAG: &[u8] = b"reachlb state 1\n";
 
-/// How a state is written down.
+/// Format of a state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// Before the bodies of former versions were kept.
+    /// The format before bodies of former versions were kept.
     Bare,
-    /// Before there were floors of counts.
+    /// The format before there were quota floors.
     WithBodies,
-    /// What this version writes.
+    /// The format that this version writes.
     WithFloors,
-    /// The same with a tag in front, which this version reads.
+    /// The same content after a tag; this version only reads it.
     Tagged,
 }
 
-/// All of them.
+/// All formats.
 pub const FORMATS: [Format; 4] = [Format::Tagged, Format::WithFloors, Format::WithBodies, Format::Bare];
 
-/// A state that no known version has written.
+/// A state in no known format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("a state of {length} bytes in no known format")]
+#[error("state of {length} bytes is in no known format")]
 pub struct UnknownFormat {
-    /// How long it is.
+    /// Length of the state in bytes.
     pub length: usize,
 }
 
@@ -57,7 +57,7 @@
     digests: BTreeMap<u64, [u8; 32]>,
 }
 
-/// Reads a state in one format; none if it is in another one.
+/// Decodes a state in one format; `None` if it is in another one.
 pub fn decode_as(format: Format, state: &[u8]) -> Option<ConfigHistory> {
     match format {
         Format::Tagged => bitcode::decode(state.strip_prefix(TAG)?).ok(),
@@ -73,14 +73,14 @@
     }
 }
 
-/// The formats whose reader takes a state: one at most.
+/// The formats whose decoder accepts a state: at most one.
 pub fn matching_formats(state: &[u8]) -> Vec<Format> {
     FORMATS.into_iter().filter(|format| decode_as(*format, state).is_some()).collect()
 }
 
 pub(super) fn read(state: &[u8]) -> Result<ConfigHistory, UnknownFormat> {
-    let read = FORMATS.into_iter().find_map(|format| decode_as(format, state));
-    read.ok_or(UnknownFormat { length: state.len() })
+    let decoded = FORMATS.into_iter().find_map(|format| decode_as(format, state));
+    decoded.ok_or(UnknownFormat { length: state.len() })
 }
 
 pub(super) fn write(config_history: &ConfigHistory) -> Vec<u8> {
--- a/crates/control-plane/src/contact.rs
+++ b/crates/control-plane/src/contact.rs
@@ -1,106 +1,106 @@
-//! Whether what a process tells is of this moment: the leader has said so after it was asked.
+//! Confirmation that the state of a process is current: the leader has responded to a query of this process.
 //!
-//! Hearing from a leader proves nothing: heartbeats and news may have lain in a socket while this process was frozen or
-//! while the link was held, and their sender may have lost its majority. So each process that does not lead asks the
-//! leader for its read index (section 6.4 of Ongaro's dissertation on Raft, for a lease instead of one read): only a
-//! leader that holds its lease answers, and the answer counts from when the question was sent, by the asker's steady
-//! clock. No delay on the way can make it younger than it is.
+//! Receiving messages of a leader proves nothing: they may have waited in a socket while this process was frozen or
+//! the link was blocked, and the sender may have lost its majority meanwhile. So each process that does not lead
+//! queries the leader for its read index (section 6.4 of Ongaro's dissertation on Raft, here for a span of time
+//! instead of one read). Only a leader that holds its lease responds, and the confirmation dates from when the query
+//! was sent, by the monotonic clock of the querying process. No delay on the way can make it appear newer.
 
 use bitcode::{Decode, Encode};
 use registry::DrainRun;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Milliseconds of the host's steady clock.
+/// Milliseconds of the host's monotonic clock.
 type Millis = u64;
 
-/// An answer proves contact for so long after its question was sent.
+/// How long a confirmation is valid after its query was sent.
 pub(crate) const CONFIRMATION_TTL: Millis = 800;
-/// While contact is proved, the leader is asked this often: three answers may be lost.
+/// Query interval while a confirmation is valid: three responses in a row may be lost.
 const CONFIRMED_QUERY_INTERVAL: Millis = 200;
-/// ... and this often while it is not.
+/// Query interval while no confirmation is valid.
 const QUERY_RETRY_INTERVAL: Millis = 50;
-/// Of so many questions the answer still counts: more than are asked within the span.
+/// Number of queries whose response is still accepted: more than are sent within [`CONFIRMATION_TTL`].
 const MAX_OUTSTANDING_QUERIES: usize = 32;
 
-/// What such messages begin with: they travel where messages of the log do, and no message of the log begins so.
+/// Prefix of these messages. They are sent as Raft messages, and no Raft message begins with it.
 const MESSAGE_TAG: &[u8] = b"\xffcontact 1\n";
 
-/// What the leader and those that ask it say.
+/// Messages between the leader and the processes that query it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum ContactMessage {
-    /// How far is the leader?
+    /// Query for the leader's progress.
     ReadIndexRequest {
-        /// Chosen by the asker, each higher than the last.
+        /// Chosen by the querying process, in ascending order.
         number: u64,
     },
-    /// The answer of a leader that holds its lease.
+    /// Response of a leader that holds its lease.
     ReadIndexResponse {
-        /// The question's number.
+        /// Number of the query.
         number: u64,
-        /// The leader's term.
+        /// Term of the leader.
         term: u64,
-        /// Up to where its log is committed.
+        /// Commit index of the leader.
         commit: u64,
-        /// The newest version that it has taken.
+        /// Newest configuration version at the leader.
         version: u64,
     },
-    /// The question of a process that says which records of backends that leave it has.
+    /// Query of a process that also reports its newest drain record.
     DrainSyncRequest {
-        /// Chosen by the asker, each higher than the last.
+        /// Chosen by the querying process, in ascending order.
         number: u64,
-        /// The number of the newest record of a backend that leaves, as the asker has them.
+        /// Number of the newest drain record of the querying process.
         drains: u64,
     },
-    /// The answer to it.
+    /// Response to [`ContactMessage::DrainSyncRequest`].
     DrainSyncResponse {
-        /// The question's number.
+        /// Number of the query.
         number: u64,
-        /// The leader's term.
+        /// Term of the leader.
         term: u64,
-        /// Up to where its log is committed.
+        /// Commit index of the leader.
         commit: u64,
-        /// The newest version that it has taken.
+        /// Newest configuration version at the leader.
         version: u64,
-        /// The number of its newest record of a backend that leaves.
+        /// Number of the leader's newest drain record.
         drains: u64,
-        /// Records that the asker lacks, if it has no log; more of them follow its next question.
+        /// Drain records that the querying process lacks, if it has no Raft log. Further ones follow the next query.
         missing: DrainRun,
     },
 }
 
 impl ContactMessage {
-    /// The message as bytes.
+    /// Encodes the message.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let mut bytes = MESSAGE_TAG.to_vec();
         bytes.extend_from_slice(&bitcode::encode(self));
         bytes
     }
 
-    /// Reads such a message; none for others.
+    /// Decodes such a message; `None` for other messages.
     pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
         bitcode::decode(bytes.strip_prefix(MESSAGE_TAG)?).ok()
     }
 }
 
-/// What the newest answer says.
+/// Content of the newest response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Confirmation {
-    /// Who leads.
+    /// The leader.
     pub(crate) leader: SocketAddr,
-    /// The leader's term.
+    /// Term of the leader.
     pub(crate) term: u64,
-    /// Up to where its log was committed.
+    /// Commit index of the leader.
     pub(crate) commit: u64,
-    /// The newest version that it had taken.
+    /// Newest configuration version at the leader.
     pub(crate) version: u64,
-    /// The number of its newest record of a backend that leaves; 0 if it did not say.
+    /// Number of the leader's newest drain record; 0 if the response contained none.
     pub(crate) drains: u64,
-    /// When the question was sent.
+    /// When the query was sent.
     pub(crate) sent_at: Millis,
 }
 
-/// The questions of one process, and the newest answer.
+/// The outstanding queries of one process, and the newest response.
 #[derive(Debug, Default)]
 pub(crate) struct LeaderContact {
     sent: VecDeque<(u64, Millis)>,
@@ -109,13 +109,13 @@
 }
 
 impl LeaderContact {
-    /// The number of a question for this leader, if one is due.
+    /// The number of the next query to this leader, if one is due.
     pub(crate) fn next_query(&mut self, now: Millis, leader: SocketAddr) -> Option<u64> {
-        let proved = self.newest(now).is_some_and(|newest| newest.leader == leader);
-        let pause = if proved { CONFIRMED_QUERY_INTERVAL } else { QUERY_RETRY_INTERVAL };
+        let is_confirmed = self.newest(now).is_some_and(|newest| newest.leader == leader);
+        let interval = if is_confirmed { CONFIRMED_QUERY_INTERVAL } else { QUERY_RETRY_INTERVAL };
         let last = self.sent.back().copied();
-        let waits = last.is_some_and(|(_, at)| now < at + pause);
-        if waits && self.last_queried == Some(leader) {
+        let is_early = last.is_some_and(|(_, at)| now < at + interval);
+        if is_early && self.last_queried == Some(leader) {
             return None;
         }
         let number = last.map_or(1, |(number, _)| number + 1);
@@ -127,9 +127,10 @@
         Some(number)
     }
 
-    /// An answer came from this process. It counts once, and from when its question was sent; whether it does.
-    pub(crate) fn on_response(&mut self, leader: SocketAddr, answer: &ContactMessage) -> bool {
-        let (number, term, commit, version, drains) = match answer {
+    /// Handles a response. Each response counts once, dated from when its query was sent. Returns whether it is the
+    /// newest.
+    pub(crate) fn on_response(&mut self, leader: SocketAddr, response: &ContactMessage) -> bool {
+        let (number, term, commit, version, drains) = match response {
             ContactMessage::ReadIndexResponse { number, term, commit, version } => {
                 (number, term, *commit, version, 0)
             }
@@ -144,14 +145,14 @@
             return false;
         };
         let (term, version) = (*term, *version);
-        let newer = self.newest.is_none_or(|newest| (term, sent_at) > (newest.term, newest.sent_at));
-        if newer {
+        let is_newer = self.newest.is_none_or(|newest| (term, sent_at) > (newest.term, newest.sent_at));
+        if is_newer {
             self.newest = Some(Confirmation { leader, term, commit, version, drains, sent_at });
         }
-        newer
+        is_newer
     }
 
-    /// The newest answer, while it proves contact.
+    /// The newest confirmation, while it is valid.
     pub(crate) fn newest(&self, now: Millis) -> Option<Confirmation> {
         self.newest.filter(|newest| now < newest.sent_at + CONFIRMATION_TTL)
     }
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -22,7 +22,7 @@
 use crate::event_log::{EventKind as Recorded, EventLog, Origin};
 use crate::faults::Faults;
 use crate::listener::{Connector, TcpConnector};
-use crate::state::SnapshotState;
+use crate::snapshot_state::SnapshotState;
 use crate::tolerance::Tolerance;
 use config::{Config, Detours};
 use drains::DrainProposals;
--- a/crates/control-plane/src/directory.rs
+++ b/crates/control-plane/src/directory.rs
@@ -1,41 +1,42 @@
-//! The processes that serve control, as this one knows them: a state machine without I/O or clock.
+//! Directory of known control planes: a state machine without I/O or clock.
 //!
-//! Machines are replaced at other addresses, so that addresses go out of use. One with which nobody has a connection any
-//! more is forgotten after a while. For that to last, a process tells others only of those that it was connected with
-//! is_recent itself: what it knows by hearsay would go around for ever.
+//! Replaced machines come back at other addresses, so old addresses fall out of use. A control plane that no process
+//! is connected to is forgotten after a while. To let all processes forget it, each one advertises only control
+//! planes that it was itself connected to recently: otherwise processes would pass an unused address on to each other
+//! forever.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Milliseconds of the host's steady clock.
+/// Milliseconds of the host's monotonic clock.
 type Millis = u64;
 
-/// Machines that serve control are some dozens; more are somebody's fault.
+/// Maximum number of entries. A deployment has some dozens of control planes; more entries indicate a fault.
 const MAX_PROCESSES: usize = 256;
-/// Others are told of a process for so long after the last connection with it.
+/// A control plane is advertised to others for this long after the last connection with it.
 const ADVERTISE_FOR: Millis = 60_000;
-/// A process is forgotten so long after the last connection with it, or after it was first heard of: longer than any cut
-/// that is to be borne, after which both sides have to find each other again.
+/// A control plane is forgotten this long after the last connection with it, or after it was first reported. Longer
+/// than any tolerated partition, after which both sides have to find each other again.
 const FORGET_AFTER: Millis = 600_000;
 
-/// One process that serves control.
+/// One control plane.
 #[derive(Debug)]
 struct Entry {
     zone: String,
-    /// When it was heard of first, or connected with last.
+    /// When the control plane was last connected, or first reported.
     last_seen_at: Millis,
-    /// When a connection with it stood last; nothing if it is known by hearsay only.
+    /// When a connection was last open; `None` if the control plane is known only from reports.
     connected_at: Option<Millis>,
 }
 
-/// All that are known, without this process itself.
+/// All known control planes except this process itself.
 #[derive(Debug, Default)]
 pub(crate) struct Directory {
     entries: BTreeMap<SocketAddr, Entry>,
 }
 
 impl Directory {
-    /// Somebody says that a process serves control.
+    /// Another process reports a control plane.
     pub(crate) fn learn(&mut self, now: Millis, address: SocketAddr, zone: String) {
         if let Some(entry) = self.entries.get_mut(&address) {
             entry.zone = zone;
@@ -44,39 +45,39 @@
         }
     }
 
-    /// A connection with it stands.
+    /// A connection with a control plane is open.
     pub(crate) fn mark_connected(&mut self, now: Millis, address: &SocketAddr) {
         if let Some(entry) = self.entries.get_mut(address) {
             (entry.last_seen_at, entry.connected_at) = (now, Some(now));
         }
     }
 
-    /// Forgets those with which there was no connection for long.
+    /// Forgets control planes without a connection for a long time.
     pub(crate) fn sweep(&mut self, now: Millis) {
         self.entries.retain(|_, entry| now < entry.last_seen_at + FORGET_AFTER);
     }
 
-    /// Whether a process is entry.
+    /// Whether a control plane is known.
     pub(crate) fn contains(&self, address: &SocketAddr) -> bool {
         self.entries.contains_key(address)
     }
 
-    /// The zone of a process that is entry.
+    /// The zone of a control plane, if it is known.
     pub(crate) fn zone(&self, address: &SocketAddr) -> Option<&str> {
         self.entries.get(address).map(|entry| entry.zone.as_str())
     }
 
-    /// The addresses of all.
+    /// The addresses of all control planes.
     pub(crate) fn addresses(&self) -> impl Iterator<Item = &SocketAddr> {
         self.entries.keys()
     }
 
-    /// All, with their zones.
+    /// All control planes with their zones.
     pub(crate) fn all(&self) -> impl Iterator<Item = (&SocketAddr, &str)> {
         self.entries.iter().map(|(address, entry)| (address, entry.zone.as_str()))
     }
 
-    /// Those that other processes of control are told of.
+    /// The control planes to advertise to other processes.
     pub(crate) fn recently_connected(&self, now: Millis) -> impl Iterator<Item = (&SocketAddr, &str)> {
         let is_recent = move |entry: &Entry| entry.connected_at.is_some_and(|at| now < at + ADVERTISE_FOR);
         let entries = self.entries.iter().filter(move |(_, entry)| is_recent(entry));
@@ -94,7 +95,7 @@
         SocketAddr::from(([10, 0, (process >> 8) as u8, process as u8], 7000))
     }
 
-    /// Three processes that tell each other of all that they may tell of, every round.
+    /// Three processes that advertise to each other in every gossip interval.
     fn gossip(
         directories: &mut [Directory; 3], from: Millis, to: Millis, connected: impl Fn(usize, usize) -> bool,
     ) {
@@ -131,7 +132,7 @@
         gossip(&mut directories, 0, 100_000, |_, _| true);
         gossip(&mut directories, 100_000, 900_000, |own, other| own != 2 && other != 2);
         for own in [0, 1] {
-            assert!(!directories[own].contains(&address(2)), "process {own} knows it still");
+            assert!(!directories[own].contains(&address(2)), "process {own} still knows the stopped process");
             assert!(directories[own].contains(&address(1 - own)));
         }
     }
@@ -143,7 +144,7 @@
         gossip(&mut directories, 10_000, 500_000, |own, other| own != 2 && other != 2);
         assert!(directories[0].contains(&address(2)) && directories[2].contains(&address(0)));
         let advertised = directories[0].recently_connected(500_000).any(|(at, _)| *at == address(2));
-        assert!(!advertised, "it tells of one that it has no connection with");
+        assert!(!advertised, "it advertises a process that it has no connection with");
     }
 
     #[test]
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -1,7 +1,7 @@
-//! The disk of a voter: its file, and the thread that writes to it.
+//! The disk of a voter: the log file, and the thread that writes to it.
 
 use crate::command::Command;
-use crate::state::SnapshotState;
+use crate::snapshot_state::SnapshotState;
 use miette::Diagnostic;
 use raft::store::Store;
 use raft::{Save, Saved, Told, VoterId, Writer};
@@ -9,33 +9,33 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Why the log's file is of no use.
+/// Why the log file cannot be used.
 #[derive(Debug, Error, Diagnostic)]
 pub enum DiskError {
-    /// The folder or the file.
+    /// The directory or the file is not usable.
     #[error("{step} {path}: {why}")]
     Unusable {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// Where.
+        /// The path.
         path: String,
-        /// Why it failed.
+        /// The cause.
         why: String,
     },
 }
 
-/// The way to the disk.
+/// Handle for writing to the disk.
 pub struct Disk(Box<dyn Fn(Save)>);
 
 impl Disk {
-    /// The name of the log's file in its folder.
+    /// Name of the log file in its directory.
     pub const FILE: &'static str = "log.redb";
 
-    /// Opens the log in a folder, or begins one as this voter. A file that is damaged is set aside: its voter is lost,
-    /// and who starts here is another one.
+    /// Opens the log in a directory, or creates one. `new_voter` provides the identity and the founders of a new log;
+    /// its argument says whether a damaged file was set aside. A damaged log loses its voter, so a new voter starts
+    /// instead.
     ///
-    /// # Errors
-    /// When the folder can't be written.
+    /// # Errors When the directory cannot be written or the log cannot be read.
     pub fn open(
         folder: &Path, new_voter: impl FnOnce(bool) -> (VoterId, Vec<VoterId>),
         commands: mpsc::Sender<Command>,
@@ -45,27 +45,28 @@
             path: path.display().to_string(),
             why,
         };
-        std::fs::create_dir_all(folder).map_err(|e| unusable("make the folder", folder, e.to_string()))?;
+        std::fs::create_dir_all(folder).map_err(|e| unusable("create directory", folder, e.to_string()))?;
         let path = folder.join(Self::FILE);
         let (store, saved, damaged) = match Store::open(&path) {
             Ok((store, saved)) => (store, saved, false),
             Err(error) if error.is_lost() => {
                 let peer = path.display().to_string();
-                spdlog::error!("the log's file is damaged and set aside: {}", error,
+                spdlog::error!("the log file is damaged and was set aside: {}", error,
                     kv: { step = "open", peer = peer.as_str() });
-                Store::set_aside(&path).map_err(|e| unusable("set aside", &path, e.to_string()))?;
+                Store::set_aside(&path)
+                    .map_err(|e| unusable("set aside damaged file", &path, e.to_string()))?;
                 let (store, saved) =
                     Store::open(&path).map_err(|e| unusable("open", &path, e.to_string()))?;
                 (store, saved, true)
             }
             Err(error) => return Err(unusable("open", &path, error.to_string())),
         };
-        // Whoever went on without its snapshot's state would decide on changes by another one than the others.
+        // Without the snapshot's state, this voter would decide on changes differently from the other voters.
         if let Some(Err(error)) =
             saved.as_ref().and_then(|saved| saved.snapshot.as_ref()).map(|s| SnapshotState::restore(&s.state))
         {
             let why = format!(
-                "its state is of no version known here ({error}): start the version that wrote it, or empty the folder"
+                "unknown snapshot format ({error}): start the version that wrote the snapshot, or empty the directory"
             );
             return Err(unusable("restore the snapshot in", &path, why));
         }
@@ -73,7 +74,7 @@
             Some(saved) => saved,
             None => {
                 let (me, founders) = new_voter(damaged);
-                store.create(me, founders).map_err(|e| unusable("begin", &path, e.to_string()))?
+                store.create(me, founders).map_err(|e| unusable("create log in", &path, e.to_string()))?
             }
         };
         let (saved_tickets, mut tickets) = mpsc::unbounded_channel();
@@ -85,25 +86,25 @@
             }
         });
         let on_outcome = move |outcome: Told| match outcome {
-            // Unbounded, since whoever ends the writer waits for it; there are no more tickets than saves.
+            // Unbounded, since the thread that stops the writer waits for it. There are no more tickets than saves.
             Told::Saved(ticket) => drop(saved_tickets.send(ticket)),
             Told::Refused(error) => spdlog::error!("{}", error, kv: { step = "save" }),
             Told::Lost(error) => {
                 spdlog::error!("{}", error, kv: { step = "save" });
-                spdlog::error!("this voter falls silent until it is started anew", kv: { step = "save" });
+                spdlog::error!("this voter takes no part in the log until it is restarted", kv: { step = "save" });
             }
         };
         let writer = Writer::start(store, saved.me.clone(), on_outcome)
-            .map_err(|e| unusable("start the thread for", &path, e.to_string()))?;
+            .map_err(|e| unusable("start the writer thread for", &path, e.to_string()))?;
         Ok((Self::from_fn(move |save| writer.save(save)), saved))
     }
 
-    /// A disk that is written by this; it does not wait.
+    /// A disk that passes every write to `save`, which must not block.
     pub fn from_fn(save: impl Fn(Save) + 'static) -> Self {
         Self(Box::new(save))
     }
 
-    /// Queues a write; its ticket comes back as [`Command::Saved`].
+    /// Queues a write. Its ticket comes back as [`Command::Saved`].
     pub fn save(&self, save: Save) {
         (self.0)(save);
     }
--- a/crates/control-plane/src/drain_entry.rs
+++ b/crates/control-plane/src/drain_entry.rs
@@ -1,26 +1,26 @@
-//! Entries of the log that record backends that leave.
+//! Log entries that record draining backends.
 
 use bitcode::{Decode, Encode};
 
-/// Backends that are recorded as leaving, by their ids.
+/// Backends that are recorded as draining.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct DrainEntry {
-    /// The ids.
+    /// Ids of the backends.
     pub ids: Vec<String>,
 }
 
-/// Such entries begin with this; neither changes nor marks do.
+/// Prefix of drain entries. Neither changes nor quota checkpoints begin with it.
 const TAG: &[u8] = b"reachlb drains 1\n";
 
 impl DrainEntry {
-    /// The entry as bytes.
+    /// Encodes the entry.
     pub fn encode(&self) -> Vec<u8> {
         let mut entry = TAG.to_vec();
         entry.extend_from_slice(&bitcode::encode(self));
         entry
     }
 
-    /// Reads such an entry; none for others.
+    /// Decodes a drain entry; `None` for an entry of another kind.
     pub fn decode(entry: &[u8]) -> Option<Result<Self, bitcode::Error>> {
         entry.strip_prefix(TAG).map(bitcode::decode)
     }
--- a/crates/control-plane/src/event_log.rs
+++ b/crates/control-plane/src/event_log.rs
@@ -1,4 +1,4 @@
-//! Records of what this process decided and saw: bounded, and without text until somebody reads them.
+//! Bounded log of events that this process decided or observed. Texts are formatted only when the events are read.
 
 use crate::admission::Decision;
 use crate::config_history::Verdict;
@@ -10,53 +10,54 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Records of backends: a herd that dies writes many, which must not cost those of all else.
+/// Capacity for events of backends, kept separately: a mass failure of backends must not evict other events.
 const BACKEND_EVENT_CAPACITY: usize = 384;
-/// All other records.
+/// Capacity for all other events.
 const OTHER_EVENT_CAPACITY: usize = 128;
-/// DataPlanes that are gone are known by name up to so many, to tell a return from a first word.
+/// Maximum number of remembered data planes. A departed data plane is remembered to distinguish a return from a first
+/// appearance.
 const MAX_KNOWN_DATA_PLANES: usize = 4096;
 
-/// So many lines of one kind go to the log in so many ms; what is left out there is among the records.
+/// Log lines per step and per interval in milliseconds. The remaining events are still recorded here.
 const LOG_RATE_LIMIT: (u32, u64) = (20, 10_000);
-/// The kinds of lines.
+/// Steps whose log lines are limited.
 const RATE_LIMITED_STEPS: [&str; 7] =
     ["leader", "quota_service", "config", "data_plane", "voters", "dial", "drain"];
 
-/// EventKind happened.
+/// What happened.
 #[derive(Clone, Debug)]
 pub enum EventKind {
-    /// Another leader, or none.
+    /// Another process leads, or none.
     Leader(Option<SocketAddr>),
-    /// This process holds the counts, or does no more.
+    /// This process became a quota holder, or ceased to be one.
     QuotaService(bool),
-    /// A change was decided on.
+    /// The verdict on a change.
     Change(Verdict),
-    /// A configuration that can't be read.
+    /// A configuration that could not be parsed.
     InvalidConfig(Box<str>),
-    /// A backend of a service.
+    /// The status of a backend of this service changed.
     Backend(Rc<str>, StatusChange),
-    /// The leaving of a backend was acknowledged or refused.
+    /// The drain of a backend was acknowledged or refused.
     DrainReply {
-        /// Whether it was acknowledged.
+        /// Whether the drain was acknowledged.
         acknowledged: bool,
     },
-    /// A data plane.
+    /// The status of a data plane changed.
     DataPlane(StatusChange),
-    /// The voters are these now.
+    /// The voter list changed.
     Voters(Box<[Box<str>]>),
 }
 
-/// How this process learnt of a change of a backend.
+/// How this process learned of a change of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin<'a> {
     /// The backend called this process.
     Call,
-    /// Another control plane told of it.
+    /// Another control plane reported the change.
     Peer(&'a str),
-    /// It was silent for too long.
+    /// The backend was silent for too long.
     Silence,
-    /// The log records it.
+    /// The drain is recorded in the Raft log.
     Log,
 }
 
@@ -66,29 +67,29 @@
             Self::Call => f.write_str("its own call"),
             Self::Peer(name) => f.write_str(name),
             Self::Silence => f.write_str("its silence"),
-            Self::Log => f.write_str("the log"),
+            Self::Log => f.write_str("the Raft log"),
         }
     }
 }
 
-/// EventKind became of somebody.
+/// A change in the status of a backend or data plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusChange {
-    /// Heard for the first time.
+    /// First appearance.
     First,
-    /// It finishes its work.
+    /// Finishes its requests before it ends.
     Draining,
-    /// Its beats are missed.
+    /// Its heartbeats are overdue.
     Overdue,
-    /// Heard again.
+    /// Heard again after a silence.
     Back,
-    /// Another life under the same name.
+    /// A new incarnation under the same name.
     Restarted,
-    /// Over, or not heard for so long that it does not count.
+    /// Ended, or silent for so long that it no longer counts.
     Gone,
 }
 
-/// One record.
+/// One recorded event.
 #[derive(Clone, Debug)]
 pub struct Event {
     at: u64,
@@ -158,22 +159,22 @@
     }
 }
 
-/// EventKind is counters since the start, for metrics.
+/// Counters since the start, for metrics.
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Calls by kind.
     pub calls: BTreeMap<&'static str, u64>,
-    /// Changes by what became of them here.
+    /// Changes by their outcome at this process.
     pub changes: BTreeMap<&'static str, u64>,
-    /// Other leaders than before.
+    /// Number of leader changes.
     pub leader_changes: u64,
-    /// Calls of backends that leave, acknowledged and refused.
+    /// Drain calls of backends that were acknowledged, and those that were refused.
     pub drain_replies: (u64, u64),
-    /// Draws that this process answered as the holder, and others.
+    /// Lease requests that this process served as a quota holder, and those that it declined.
     pub lease_requests: (u64, u64),
 }
 
-/// Keeps the records.
+/// Records events, limits log lines, and counts for metrics.
 #[derive(Debug)]
 pub struct EventLog {
     backends: Ring<Event>,
@@ -181,11 +182,11 @@
     epoch: u64,
     version: u64,
     leader: Option<SocketAddr>,
-    /// Backends that are not over, as they were told of last.
+    /// Last known phase and overdue flag of backends that have not ended.
     live_backends: HashMap<Rc<str>, (Phase, bool)>,
-    /// Services by name, so that records share it.
+    /// Interned service names, shared by the events.
     services: HashSet<Rc<str>>,
-    /// The life of each data plane; none once it counts no more.
+    /// Incarnation of each data plane; `None` once it no longer counts.
     data_planes: BTreeMap<Rc<str>, Option<u64>>,
     line_limits: [Seldom; RATE_LIMITED_STEPS.len()],
     candidacy_limit: Seldom,
@@ -204,13 +205,13 @@
             services: HashSet::new(),
             data_planes: BTreeMap::new(),
             line_limits: RATE_LIMITED_STEPS.map(|_| Seldom::new(LOG_RATE_LIMIT.0, LOG_RATE_LIMIT.1)),
-            // Without a majority there is one after each wait.
+            // Without a majority, candidacies repeat after each election timeout.
             candidacy_limit: Seldom::new(1, LOG_RATE_LIMIT.1),
             counters: Counters::default(),
         }
     }
 
-    /// Something happened to somebody.
+    /// Records an event and logs it.
     pub fn record(&mut self, at: u64, subject: impl Into<Rc<str>>, kind: EventKind) {
         let (subject, epoch, version) = (subject.into(), self.epoch, self.version);
         let (step, peer) = (kind.step(), &*subject);
@@ -219,18 +220,18 @@
         } else if let Some(left_out) = self.allow_line(step, at) {
             spdlog::info!("{}", kind, kv: { step, peer, version, epoch, left_out });
         }
-        let of_backend = matches!(kind, EventKind::Backend(..) | EventKind::DrainReply { .. });
-        let ring = if of_backend { &mut self.backends } else { &mut self.others };
+        let is_backend_event = matches!(kind, EventKind::Backend(..) | EventKind::DrainReply { .. });
+        let ring = if is_backend_event { &mut self.backends } else { &mut self.others };
         ring.push(Event { at, subject, kind, epoch, version });
     }
 
-    /// Whether a line of this kind may go to the log, and how many were left out before it.
+    /// Whether a log line of this step is allowed, and how many were suppressed before it.
     pub fn allow_line(&mut self, step: &str, at: u64) -> Option<u64> {
         let kind = RATE_LIMITED_STEPS.iter().position(|known| *known == step);
         kind.map_or(Some(0), |kind| self.line_limits[kind].pass(at))
     }
 
-    /// This process stands for election, again and again where there is no majority.
+    /// This process stands for election; without a majority it does so repeatedly.
     pub fn on_candidacy(&mut self, at: u64, epoch: u64) {
         if let Some(left_out) = self.candidacy_limit.pass(at) {
             let version = self.version;
@@ -238,7 +239,7 @@
         }
     }
 
-    /// How things stand now.
+    /// Updates the leader, term and version, and records a change of the leader.
     pub fn on_leader_state(&mut self, at: u64, leader: Option<SocketAddr>, epoch: u64, version: u64) {
         (self.epoch, self.version) = (epoch, version);
         if leader != self.leader {
@@ -249,7 +250,7 @@
         }
     }
 
-    /// A change was decided on.
+    /// Records the verdict on a change.
     pub fn on_verdict(&mut self, at: u64, version: u64, verdict: Verdict) {
         let outcome = match verdict {
             Verdict::Accepted => "taken",
@@ -263,7 +264,7 @@
         self.record(at, format!("r{version}"), EventKind::Change(verdict));
     }
 
-    /// An order came to this leader. EventKind is proposed is told once the log has decided.
+    /// Records a decision on an order. A proposed order is recorded once the log has decided.
     pub fn on_decision(&mut self, at: u64, decision: &Decision) {
         match decision {
             Decision::Propose(_) => {}
@@ -272,28 +273,28 @@
         }
     }
 
-    /// A configuration came that can't be read.
+    /// Records a configuration that could not be parsed.
     pub fn on_invalid_config(&mut self, at: u64, why: &str) {
         *self.counters.changes.entry("unread").or_default() += 1;
         self.record(at, "unread", EventKind::InvalidConfig(why.chars().take(200).collect::<String>().into()));
     }
 
-    /// A call of a backend that leaves got its answer.
+    /// Records the reply to a drain call of a backend.
     pub fn on_drain_reply(&mut self, at: u64, id: &str, acknowledged: bool) {
-        let (done, refused) = &mut self.counters.drain_replies;
-        *if acknowledged { done } else { refused } += 1;
+        let (accepted, refused) = &mut self.counters.drain_replies;
+        *if acknowledged { accepted } else { refused } += 1;
         self.record(at, id, EventKind::DrainReply { acknowledged });
     }
 
-    /// A line of the log that says who told this process that a backend drains.
+    /// Logs from whom this process learned that a backend drains.
     fn log_drain(&mut self, at: u64, id: &str, origin: Origin<'_>) {
         if let Some(left_out) = self.allow_line("drain", at) {
             let (version, epoch) = (self.version, self.epoch);
-            spdlog::info!("drains, by {}", origin, kv: { step = "drain", peer = id, version, epoch, left_out });
+            spdlog::info!("drains, reported by {}", origin, kv: { step = "drain", peer = id, version, epoch, left_out });
         }
     }
 
-    /// These backends are told otherwise from now on.
+    /// Records the status changes of these backends.
     pub fn on_backends(&mut self, at: u64, backends: &[Backend], origin: Origin<'_>) {
         for backend in backends {
             let known = self.live_backends.get(&*backend.id).copied();
@@ -304,7 +305,7 @@
                 (Some((Phase::Serving, _)) | None, Phase::Draining) => StatusChange::Draining,
                 (Some((_, false)), _) if backend.overdue => StatusChange::Overdue,
                 (Some((_, true)), _) if !backend.overdue => StatusChange::Back,
-                // Its address, its room or its zone is another one.
+                // Only its address, capacity or zone has changed.
                 _ => continue,
             };
             let id = match self.live_backends.get_key_value(&*backend.id) {
@@ -329,37 +330,39 @@
             return known.clone();
         }
         let name = Rc::<str>::from(name);
-        // Who has more services than this has them anew with each record.
+        // Services beyond this limit are not interned: each event holds its own copy of the name.
         if self.services.len() < 256 {
             self.services.insert(name.clone());
         }
         name
     }
 
-    /// The data planes that count now: name and life, by name.
+    /// Records changes among the data planes that count now, given as pairs of name and incarnation.
     pub fn on_data_planes<'a>(&mut self, at: u64, now: impl Iterator<Item = (&'a str, u64)>) {
         let now: BTreeMap<&str, u64> = now.collect();
         let mut changed: Vec<(Rc<str>, Option<u64>, StatusChange)> = Vec::new();
-        for (name, life) in &now {
+        for (name, incarnation) in &now {
             let change = match self.data_planes.get(*name) {
-                Some(Some(known)) if known == life => continue,
+                Some(Some(known)) if known == incarnation => continue,
                 Some(Some(_)) => StatusChange::Restarted,
                 Some(None) => StatusChange::Back,
                 None if self.data_planes.len() >= MAX_KNOWN_DATA_PLANES => continue,
                 None => StatusChange::First,
             };
-            changed.push((Rc::from(*name), Some(*life), change));
+            changed.push((Rc::from(*name), Some(*incarnation), change));
         }
-        let lost =
-            self.data_planes.iter().filter(|(name, life)| life.is_some() && !now.contains_key(&***name));
+        let lost = self
+            .data_planes
+            .iter()
+            .filter(|(name, incarnation)| incarnation.is_some() && !now.contains_key(&***name));
         changed.extend(lost.map(|(name, _)| (name.clone(), None, StatusChange::Gone)));
-        for (name, life, change) in changed {
-            self.data_planes.insert(name.clone(), life);
+        for (name, incarnation, change) in changed {
+            self.data_planes.insert(name.clone(), incarnation);
             self.record(at, name, EventKind::DataPlane(change));
         }
     }
 
-    /// All records about something, the newest first: `wanted` knows its names.
+    /// All events of one subject, newest first. `matches` decides which names the subject has.
     pub fn events_about(&self, now: u64, matches: impl Fn(&str) -> bool) -> Vec<Value> {
         let is_match = |event: &&Event| {
             matches(&event.subject)
@@ -379,7 +382,7 @@
         found.into_iter().map(to_json).collect()
     }
 
-    /// How many records went to make room for others.
+    /// Number of events that were evicted to make room.
     pub fn dropped_events(&self) -> u64 {
         self.backends.dropped() + self.others.dropped()
     }
@@ -410,40 +413,41 @@
     }
 
     #[test]
-    fn a_backend_s_life_is_told_newest_first() {
+    fn the_events_of_a_backend_are_listed_newest_first() {
         let mut event_log = EventLog::new();
-        let words = [
+        let states = [
             (Phase::Serving, false),
             (Phase::Serving, true),
             (Phase::Serving, false),
             (Phase::Draining, false),
         ];
-        for (at, (phase, overdue)) in words.into_iter().chain([(Phase::Gone, false); 2]).enumerate() {
+        for (at, (phase, overdue)) in states.into_iter().chain([(Phase::Gone, false); 2]).enumerate() {
             event_log.on_backends(at as u64, &[backend(phase, overdue)], Origin::Call);
         }
-        let told =
+        let expected =
             ["gone", "drains", "heard again", "overdue, its beats are missed", "heard for the first time"];
-        assert_eq!(texts(&event_log, "i"), told.map(|text| format!("backend of s: {text}")));
+        assert_eq!(texts(&event_log, "i"), expected.map(|text| format!("backend of s: {text}")));
         assert_eq!((texts(&event_log, "s").len(), texts(&event_log, "other").len()), (5, 0));
-        assert!(event_log.live_backends.is_empty(), "lives that are over take no room");
+        assert!(event_log.live_backends.is_empty(), "backends that have ended are not remembered");
     }
 
     #[test]
-    fn a_data_plane_comes_goes_and_returns() {
+    fn restarts_departures_and_returns_of_a_data_plane_are_recorded() {
         let mut event_log = EventLog::new();
         for data_planes in [vec![("q", 1)], vec![("q", 1)], vec![("q", 2)], vec![], vec![], vec![("q", 3)]] {
             event_log.on_data_planes(1, data_planes.into_iter());
         }
-        let told = ["heard again", "gone", "another life under the same name", "heard for the first time"];
-        assert_eq!(texts(&event_log, "q"), told.map(|text| format!("data plane: {text}")));
+        let expected =
+            ["heard again", "gone", "another life under the same name", "heard for the first time"];
+        assert_eq!(texts(&event_log, "q"), expected.map(|text| format!("data plane: {text}")));
     }
 
     #[test]
-    fn a_herd_of_backends_does_not_cost_the_other_records() {
+    fn events_of_many_backends_do_not_evict_other_events() {
         let mut event_log = EventLog::new();
         event_log.on_leader_state(1, Some(([127, 0, 0, 1], 7).into()), 3, 2);
-        for n in 0..BACKEND_EVENT_CAPACITY * 2 {
-            let backend = Backend { id: n.to_string(), ..backend(Phase::Serving, false) };
+        for number in 0..BACKEND_EVENT_CAPACITY * 2 {
+            let backend = Backend { id: number.to_string(), ..backend(Phase::Serving, false) };
             event_log.on_backends(2, &[backend], Origin::Peer("m"));
         }
         assert_eq!(texts(&event_log, "127.0.0.1:7").len(), 1);
--- a/crates/control-plane/src/faults.rs
+++ b/crates/control-plane/src/faults.rs
@@ -1,16 +1,16 @@
-//! Faults that tests plant to see that their checks find them.
+//! Faults that tests inject to verify that their checks detect them.
 
-/// Which are planted. All off in service.
+/// The injected faults; all off in production.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// A leader answers and refuses calls without its lease.
+    /// A leader answers and refuses calls without holding its lease.
     pub ignores_lease: bool,
-    /// A change is acknowledged before a majority has it.
+    /// A change is acknowledged before a majority has stored it.
     pub acknowledges_early: bool,
-    /// Whoever hears a leader, or news of one, takes what it has for being of this moment.
+    /// A process treats every heartbeat as proof that its state is current.
     pub trusts_heartbeats: bool,
-    /// A process that is cut off acknowledges that backends drain.
+    /// An isolated process acknowledges drains of backends.
     pub acknowledges_drains_locally: bool,
-    /// Data planes are told that the leader's answer is of this moment, however old it is.
+    /// Data planes receive an age of zero for the leader's confirmation, however old it is.
     pub reports_zero_age: bool,
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,7 +1,8 @@
-//! The control plane of the system: configurations, backends, counts, and the news of them.
+//! The control plane: agrees on configurations by Raft, tracks backends, grants quota, and sends updates to data
+//! planes.
 //!
-//! One owner has all tables ([`ControlPlane`]) and works through a queue of commands: calls from the control socket, frames
-//! from other processes, words of the disk's thread, and time. Nothing else changes a table.
+//! A single task owns all tables ([`ControlPlane`]) and handles a queue of commands: calls on the control socket,
+//! messages of other processes, completed disk writes, and timers. Nothing else changes a table.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -20,7 +21,7 @@
 mod event_log;
 mod faults;
 mod listener;
-mod state;
+mod snapshot_state;
 mod tolerance;
 
 pub use admission::{Decision, decide, reply_to};
@@ -34,5 +35,5 @@
 #[doc(hidden)]
 pub use faults::Faults;
 pub use listener::{Connector, TcpConnector, listen};
-pub use state::SnapshotState;
+pub use snapshot_state::SnapshotState;
 pub use tolerance::{Losses, Tolerance};
--- a/crates/control-plane/src/listener.rs
+++ b/crates/control-plane/src/listener.rs
@@ -1,4 +1,4 @@
-//! Connections of other processes that come to this one.
+//! Connections between processes: dialing, accepting, and forwarding messages to the event loop.
 
 use crate::command::Command;
 use config::Detours;
@@ -10,17 +10,17 @@
 use tokio::time::{Instant, sleep};
 use transport::{Line, Reader, attach, dial};
 
-/// A failed accept is tried again after this: descriptors may have run out.
+/// Pause after a failed accept, since the process may be out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// How a process comes to connections with others.
+/// Opens connections to other processes.
 pub trait Connector {
-    /// Connects to a process. The owner hears of it under this number: that it stands, what comes on it, and its end;
-    /// or its end alone.
+    /// Connects to a process. The event loop receives the opened connection, its messages and its end under this id;
+    /// if the connection fails, only its end.
     fn connect(&self, connection: u64, to: SocketAddr, commands: mpsc::Sender<Command>);
 }
 
-/// Connections over TCP, by the ways that lead to others.
+/// Connects over TCP, through alternative addresses where they are configured.
 #[derive(Clone, Debug, Default)]
 pub struct TcpConnector(pub Detours);
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Takes connections until the program ends; each gets a connection, and what comes on it goes to the owner.
+/// Accepts connections until the program ends. Each connection gets an id, and its messages go to the event loop.
 pub async fn listen(
     listener: TcpListener, commands: mpsc::Sender<Command>, connection_ids: impl Fn() -> u64,
 ) {
@@ -46,7 +46,7 @@
             Ok(both) => both,
             Err(error) => {
                 if let Some(left_out) = accept_failures.pass(started_at.elapsed().as_millis() as u64) {
-                    spdlog::warn!("no process can be taken: {}", error, kv: { step = "accept", left_out });
+                    spdlog::warn!("cannot accept a connection of another process: {}", error, kv: { step = "accept", left_out });
                 }
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
@@ -61,7 +61,7 @@
     }
 }
 
-/// Tells the owner of a connection that stands, then of all that comes on it until it is over.
+/// Reports an open connection to the event loop, then every message until the connection closes.
 pub async fn run_connection(
     connection: u64, line: Line, mut reader: Reader, dialed: Option<SocketAddr>,
     commands: mpsc::Sender<Command>,
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/snapshot_state.rs
@@ -1,27 +1,27 @@
-//! All that the log's entries make, as it stands in a snapshot: the configurations, and the backends that leave.
+//! The state machine's state as stored in a snapshot: the configuration history and the drain records.
 //!
-//! A state without records of backends is written as it was before there were any, which the version before this one
-//! reads; so is one that goes to voters of that version. Any other one begins with a tag.
+//! A state without drain records is written in the format of the previous version, which that version can read; so is
+//! a state for voters of the previous version. Every other state begins with a tag.
 
 use crate::config_history::ConfigHistory;
 use crate::config_history::snapshot_format::UnknownFormat;
 use bitcode::{Decode, Encode};
 use registry::DrainRun;
 
-/// What a state with records of backends begins with. No other one does: see
+/// Prefix of a state with drain records. No other state begins with it: see
 /// [`TAG`](crate::config_history::snapshot_format::TAG).
-const WITH_DRAINS: &[u8] = b"reachlb state 2\n";
+const DRAINS_TAG: &[u8] = b"reachlb state 2\n";
 
-/// What a snapshot holds.
+/// State stored in a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SnapshotState {
-    /// The configurations.
+    /// The configuration history.
     pub config_history: ConfigHistory,
-    /// The records of backends that leave.
+    /// The records of draining backends.
     pub drains: DrainRun,
 }
 
-/// The same behind its tag.
+/// Content of a state with drain records, after its tag.
 #[derive(Encode, Decode)]
 struct Tagged {
     config_history: Vec<u8>,
@@ -29,13 +29,13 @@
 }
 
 impl SnapshotState {
-    /// Reads a snapshot's state, also one of a version before this one.
+    /// Decodes the state of a snapshot, including one written by an earlier version.
     ///
     /// # Errors
-    /// When it holds something else.
+    /// When the bytes are in no known format.
     pub fn restore(state: &[u8]) -> Result<Self, UnknownFormat> {
         let unknown = || UnknownFormat { length: state.len() };
-        let Some(tagged) = state.strip_prefix(WITH_DRAINS) else {
+        let Some(tagged) = state.strip_prefix(DRAINS_TAG) else {
             let config_history = ConfigHistory::restore(state)?;
             return Ok(Self { config_history, drains: DrainRun::default() });
         };
@@ -43,14 +43,14 @@
         Ok(Self { config_history: ConfigHistory::restore(&config_history)?, drains })
     }
 
-    /// Writes a snapshot's state; with no records as the version before this one did.
+    /// Encodes a state; without drain records in the format of the previous version.
     pub fn snapshot(config_history: &ConfigHistory, drains: Option<DrainRun>) -> Vec<u8> {
         let history = config_history.snapshot();
         match drains.filter(|drains| *drains != DrainRun::default()) {
             None => history,
             Some(drains) => {
                 let tagged = bitcode::encode(&Tagged { config_history: history, drains });
-                [WITH_DRAINS, &tagged].concat()
+                [DRAINS_TAG, &tagged].concat()
             }
         }
     }
--- a/crates/control-plane/src/tolerance.rs
+++ b/crates/control-plane/src/tolerance.rs
@@ -1,33 +1,33 @@
-//! What the deployment says may be lost at once, and what a list of voters in these places bears.
+//! Simultaneous losses that the deployment has to tolerate, and the losses that a list of voters does tolerate.
 
 use raft::{least_voters, majority_of};
 use std::collections::BTreeMap;
 
-/// Whatever is tolerated, a leader does not go on with fewer voters than this of its own accord.
+/// A leader never shrinks the voter list below this on its own.
 const MIN_VOTERS: usize = 3;
 
-/// How many may be lost at once.
+/// Numbers of simultaneous losses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Losses {
-    /// Machines.
+    /// Lost machines.
     pub machines: usize,
-    /// Zones.
+    /// Lost zones.
     pub zones: usize,
-    /// Regions.
+    /// Lost regions.
     pub regions: usize,
 }
 
-/// What is to be borne, and where zones lie.
+/// The losses to tolerate, and the regions of the zones.
 #[derive(Clone, Debug, Default)]
 pub struct Tolerance {
-    /// What may be lost at once.
+    /// Simultaneous losses to tolerate.
     pub losses: Losses,
     /// The region of each zone.
     pub region_of: BTreeMap<String, String>,
 }
 
 impl Tolerance {
-    /// The shortest list that a leader may come to by taking silent voters off, if its voters stand in these zones.
+    /// The smallest voter list that a leader may reach by removing silent voters, given the voters' zones.
     pub fn min_voters(&self, zones: &[&str]) -> usize {
         let machines = self.losses.machines;
         let in_zones: usize = largest_groups(zones, self.losses.zones).into_iter().sum();
@@ -35,14 +35,14 @@
         least_voters(machines.max(in_zones).max(in_regions)).max(MIN_VOTERS)
     }
 
-    /// What a list of so many voters bears, if those that count stand in these zones: any so many machines, zones or
-    /// regions may be lost, and a majority is left.
-    pub fn tolerated(&self, voters: usize, counted: &[&str]) -> Losses {
-        let spare = counted.len().saturating_sub(majority_of(voters));
+    /// The losses that a list of this many voters tolerates, given the zones of the healthy ones: any losses of that
+    /// many machines, zones or regions leave a majority.
+    pub fn tolerated(&self, voters: usize, healthy: &[&str]) -> Losses {
+        let spare = healthy.len().saturating_sub(majority_of(voters));
         Losses {
             machines: spare,
-            zones: groups_within(spare, &largest_groups(counted, usize::MAX)),
-            regions: groups_within(spare, &largest_groups(&self.regions(counted), usize::MAX)),
+            zones: groups_within(spare, &largest_groups(healthy, usize::MAX)),
+            regions: groups_within(spare, &largest_groups(&self.regions(healthy), usize::MAX)),
         }
     }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// The sizes of the largest groups of equal names, so many of them, the largest first.
+/// The sizes of the `max_groups` largest groups of equal names, in descending order.
 fn largest_groups(names: &[&str], max_groups: usize) -> Vec<usize> {
     let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
     names.iter().for_each(|name| *sizes.entry(name).or_default() += 1);
@@ -61,7 +61,7 @@
     sizes
 }
 
-/// How many groups, the largest first, have no more members than that together.
+/// How many groups, the largest first, have at most `spare` members together.
 fn groups_within(spare: usize, sizes: &[usize]) -> usize {
     let sums = sizes.iter().scan(0, |sum, size| {
         *sum += size;
