--- a/crates/control-plane/src/calls.rs
+++ b/crates/control-plane/src/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of backends and operators, declared in one table, and the socket that takes them.
+//! The calls of backends and operators as a table of endpoints, and the HTTP server of the control socket.
 
 use crate::call::{Call, Reply};
 use crate::command::Command;
@@ -22,146 +22,147 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// Callers move on after a second of silence: whoever has no answer by then gets a plain word instead.
-const ANSWER_WITHIN: Duration = Duration::from_millis(900);
-/// A caller has this long for its head, and for each part of a body.
-const SLOW: Duration = Duration::from_secs(3);
-/// A change of the operator may be large, and its answer waits for disks.
-const CHANGE_WITHIN: Duration = Duration::from_millis(2500);
-/// A failed accept is tried again after this: descriptors may have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Callers try another process after one second without a response, so a timeout is answered explicitly before that.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Timeout for each part of a request body.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(3);
+/// Response timeout of changes: an operator's change may be large, and its response waits for disks.
+const CHANGE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Pause after a failed accept, since the process may be out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 const JSON: &str = "application/json";
-/// The longest id of a backend, in bytes: ids of those that leave go into the log.
-const LONGEST_ID: usize = 256;
-/// The longest body of an order, in bytes: a configuration at the size to design for has 5.1 MB.
-const LONGEST_ORDER: usize = 6 << 20;
-/// The bodies that are being read at a time, in bytes. Orders come in numbers, and memory is short: three of the longest.
-const BODIES_BYTES: usize = 3 * LONGEST_ORDER;
-/// Calls whose bodies are no longer than this don't count: backends don't wait for orders.
-const UNCOUNTED_BODY: usize = 16 * 1024;
-/// The header that names the version on which an order builds.
+/// Maximum length of a backend id in bytes: the ids of draining backends are stored in the log.
+const MAX_ID_BYTES: usize = 256;
+/// Maximum body of an order in bytes: a configuration at the design size has 5.1 MB.
+const MAX_ORDER_BYTES: usize = 6 << 20;
+/// Maximum total size of bodies being read, in bytes: three of the largest orders. Orders may arrive in numbers, and
+/// memory is limited.
+const MAX_BUFFERED_BODY_BYTES: usize = 3 * MAX_ORDER_BYTES;
+/// Bodies of endpoints with at most this limit are not counted, so that backends never wait for orders.
+const MAX_UNBUDGETED_BODY_BYTES: usize = 16 * 1024;
+/// Header with the version that an order builds on.
 const BASE_VERSION: &str = "x-base-version";
 
-/// One kind of call.
-pub struct Declared {
-    /// Its method.
+/// One endpoint of the control socket.
+pub struct Endpoint {
+    /// HTTP method.
     pub method: Method,
-    /// Its path; an id follows where it takes one.
+    /// Path; followed by an id if `takes_id` is set.
     pub path: &'static str,
-    /// Whether an id follows.
+    /// Whether an id follows the path.
     pub takes_id: bool,
-    /// The longest body, in bytes.
-    pub longest: usize,
-    /// How long its answer may take, from when it has been read whole.
-    pub within: Duration,
-    /// The type of its answer.
-    pub says: &'static str,
-    /// Reads it: the id, or where none is taken the query; the headers; the body.
-    pub read: fn(&str, &HeaderMap, &[u8]) -> Result<Call, Reply>,
+    /// Maximum length of the body in bytes.
+    pub max_body_bytes: usize,
+    /// Time limit for the response, from when the request has been read completely.
+    pub response_timeout: Duration,
+    /// Content type of a successful response.
+    pub content_type: &'static str,
+    /// Parses a request, given the id (or the query if no id is taken), the headers and the body.
+    pub parse: fn(&str, &HeaderMap, &[u8]) -> Result<Call, Reply>,
 }
 
-/// All calls.
-pub const CALLS: [Declared; 10] = [
-    Declared {
+/// All endpoints.
+pub const ENDPOINTS: [Endpoint; 10] = [
+    Endpoint {
         method: Method::POST,
         path: "/Backends.Heartbeat/",
         takes_id: true,
-        longest: 16 * 1024,
-        within: ANSWER_WITHIN,
-        says: JSON,
-        read: beat,
+        max_body_bytes: 16 * 1024,
+        response_timeout: RESPONSE_TIMEOUT,
+        content_type: JSON,
+        parse: parse_heartbeat,
     },
-    Declared {
+    Endpoint {
         method: Method::POST,
         path: "/Backends.Departure/",
         takes_id: true,
-        longest: 16 * 1024,
-        within: ANSWER_WITHIN,
-        says: JSON,
-        read: |id, _, _| Ok(Call::Departure(backend_id(id)?)),
+        max_body_bytes: 16 * 1024,
+        response_timeout: RESPONSE_TIMEOUT,
+        content_type: JSON,
+        parse: |id, _, _| Ok(Call::Departure(check_backend_id(id)?)),
     },
-    Declared {
+    Endpoint {
         method: Method::POST,
         path: "/Config.Replace",
         takes_id: false,
-        longest: LONGEST_ORDER,
-        within: CHANGE_WITHIN,
-        says: JSON,
-        read: replace,
+        max_body_bytes: MAX_ORDER_BYTES,
+        response_timeout: CHANGE_RESPONSE_TIMEOUT,
+        content_type: JSON,
+        parse: parse_replace,
     },
-    Declared {
+    Endpoint {
         method: Method::GET,
         path: "/Config.Read",
         takes_id: false,
-        longest: 0,
-        within: ANSWER_WITHIN,
-        says: JSON,
-        read: |_, _, _| Ok(Call::Order(Order::Read)),
+        max_body_bytes: 0,
+        response_timeout: RESPONSE_TIMEOUT,
+        content_type: JSON,
+        parse: |_, _, _| Ok(Call::Order(Order::Read)),
     },
-    Declared {
+    Endpoint {
         method: Method::POST,
         path: "/Voters.Remove/",
         takes_id: true,
-        longest: 0,
-        within: CHANGE_WITHIN,
-        says: JSON,
-        read: |id, _, _| match id.parse::<std::net::SocketAddr>() {
+        max_body_bytes: 0,
+        response_timeout: CHANGE_RESPONSE_TIMEOUT,
+        content_type: JSON,
+        parse: |id, _, _| match id.parse::<std::net::SocketAddr>() {
             Ok(address) => Ok(Call::Order(Order::Remove(address.to_string()))),
-            Err(_) => Err(Reply::why(400, &format!("{id:?} is no ip:port"))),
+            Err(_) => Err(Reply::error(400, &format!("{id:?} is no ip:port"))),
         },
     },
-    Declared {
+    Endpoint {
         method: Method::GET,
         path: "/Harbour.Status",
         takes_id: false,
-        longest: 0,
-        within: ANSWER_WITHIN,
-        says: JSON,
-        read: |_, _, _| Ok(Call::Status),
+        max_body_bytes: 0,
+        response_timeout: RESPONSE_TIMEOUT,
+        content_type: JSON,
+        parse: |_, _, _| Ok(Call::Status),
     },
-    Declared {
+    Endpoint {
         method: Method::GET,
         path: "/Config.History",
         takes_id: false,
-        longest: 0,
-        within: ANSWER_WITHIN,
-        says: JSON,
-        read: |_, _, _| Ok(Call::History),
+        max_body_bytes: 0,
+        response_timeout: RESPONSE_TIMEOUT,
+        content_type: JSON,
+        parse: |_, _, _| Ok(Call::History),
     },
-    Declared {
+    Endpoint {
         method: Method::GET,
         path: "/Config.History/",
         takes_id: true,
-        longest: 0,
-        within: ANSWER_WITHIN,
-        says: JSON,
-        read: |id, _, _| {
-            let version = id.parse::<Version>().map_err(|fault| Reply::why(400, &fault.to_string()))?;
-            Ok(Call::Past(version.0))
+        max_body_bytes: 0,
+        response_timeout: RESPONSE_TIMEOUT,
+        content_type: JSON,
+        parse: |id, _, _| {
+            let version = id.parse::<Version>().map_err(|fault| Reply::error(400, &fault.to_string()))?;
+            Ok(Call::VersionBody(version.0))
         },
     },
-    Declared {
+    Endpoint {
         method: Method::GET,
         path: "/Harbour.Events",
         takes_id: false,
-        longest: 0,
-        within: ANSWER_WITHIN,
-        says: JSON,
-        read: |query, _, _| Ok(Call::Events(query.strip_prefix("about=").map(unescape))),
+        max_body_bytes: 0,
+        response_timeout: RESPONSE_TIMEOUT,
+        content_type: JSON,
+        parse: |query, _, _| Ok(Call::Events(query.strip_prefix("about=").map(unescape))),
     },
-    Declared {
+    Endpoint {
         method: Method::GET,
         path: "/metrics",
         takes_id: false,
-        longest: 0,
-        within: ANSWER_WITHIN,
-        says: observability::TEXT,
-        read: |_, _, _| Ok(Call::Metrics),
+        max_body_bytes: 0,
+        response_timeout: RESPONSE_TIMEOUT,
+        content_type: observability::TEXT,
+        parse: |_, _, _| Ok(Call::Metrics),
     },
 ];
 
-/// What stands for itself in a query; each `%` with two hexadecimal digits stands for a byte.
+/// Decodes percent escapes in a query. A malformed escape is kept as it is.
 fn unescape(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
@@ -181,7 +182,7 @@
 }
 
 #[derive(Deserialize)]
-struct BeatBody {
+struct HeartbeatBody {
     address: String,
     summary: Summary,
     condition: Condition,
@@ -205,27 +206,27 @@
     warmup_left_ms: f64,
 }
 
-fn backend_id(id: &str) -> Result<String, Reply> {
-    if id.len() > LONGEST_ID {
-        return Err(Reply::why(400, &format!("an id of {} bytes, at most {LONGEST_ID}", id.len())));
+fn check_backend_id(id: &str) -> Result<String, Reply> {
+    if id.len() > MAX_ID_BYTES {
+        return Err(Reply::error(400, &format!("an id of {} bytes, at most {MAX_ID_BYTES}", id.len())));
     }
     Ok(id.to_owned())
 }
 
-fn beat(id: &str, _: &HeaderMap, body: &[u8]) -> Result<Call, Reply> {
-    let known_as = backend_id(id)?;
-    let unread = |why: String| Reply::why(400, &format!("beat of {id}: {why}"));
-    let beat: BeatBody = serde_json::from_slice(body).map_err(|error| unread(error.to_string()))?;
+fn parse_heartbeat(id: &str, _: &HeaderMap, body: &[u8]) -> Result<Call, Reply> {
+    let backend_id = check_backend_id(id)?;
+    let invalid = |why: String| Reply::error(400, &format!("beat of {id}: {why}"));
+    let beat: HeartbeatBody = serde_json::from_slice(body).map_err(|error| invalid(error.to_string()))?;
     let phase = match beat.condition.phase.as_str() {
         "serving" => Phase::Serving,
         "draining" => Phase::Draining,
-        other => return Err(unread(format!("condition.phase: {other:?} is neither serving nor draining"))),
+        other => return Err(invalid(format!("condition.phase: {other:?} is neither serving nor draining"))),
     };
     if beat.address.parse::<std::net::SocketAddr>().is_err() {
-        return Err(unread(format!("address: {:?} is no ip:port", beat.address)));
+        return Err(invalid(format!("address: {:?} is no ip:port", beat.address)));
     }
-    Ok(Call::Beat(Backend {
-        id: known_as,
+    Ok(Call::Heartbeat(Backend {
+        id: backend_id,
         service: beat.summary.target,
         address: beat.address,
         zone: beat.summary.zone,
@@ -238,47 +239,47 @@
     }))
 }
 
-fn replace(_: &str, headers: &HeaderMap, body: &[u8]) -> Result<Call, Reply> {
+fn parse_replace(_: &str, headers: &HeaderMap, body: &[u8]) -> Result<Call, Reply> {
     let base = base_version(headers)?;
     Ok(Call::Order(Order::Replace { base: base.0, body: body.to_vec() }))
 }
 
-/// The version that an order builds on. An order without one builds on nothing, as the first one does; one that is not
-/// to be read, or two that differ, say nothing.
+/// The version that an order builds on. An order without the header builds on no version, as the first order does. A
+/// value that cannot be parsed, or two different values, are an error.
 fn base_version(headers: &HeaderMap) -> Result<Version, Reply> {
     let mut base = None;
     for value in headers.get_all(BASE_VERSION) {
         let text = String::from_utf8_lossy(value.as_bytes());
-        let unread = |why: &str| Reply::why(400, &format!("X-Base-Version: {text:?}: {why}"));
-        let read = text.trim().parse::<Version>().map_err(|fault| unread(&fault.to_string()))?;
+        let invalid = |why: &str| Reply::error(400, &format!("X-Base-Version: {text:?}: {why}"));
+        let read = text.trim().parse::<Version>().map_err(|fault| invalid(&fault.to_string()))?;
         if base.replace(read).is_some_and(|other| other != read) {
-            return Err(unread("another one stands before it"));
+            return Err(invalid("another one stands before it"));
         }
     }
     Ok(base.unwrap_or_default())
 }
 
-/// The bytes of all bodies that are being read, or wait to be worked through.
+/// Total size of all bodies being read or waiting to be handled.
 #[derive(Clone, Default)]
 struct BodyBudget(Rc<Cell<usize>>);
 
-/// Bytes taken from the budget, given back when this is dropped.
-struct Reserved {
+/// Bytes reserved from the budget; released on drop.
+struct Reservation {
     budget: BodyBudget,
     bytes: usize,
 }
 
 impl BodyBudget {
-    fn reserve(&self) -> Reserved {
-        Reserved { budget: self.clone(), bytes: 0 }
+    fn reserve(&self) -> Reservation {
+        Reservation { budget: self.clone(), bytes: 0 }
     }
 }
 
-impl Reserved {
-    /// Takes so many more bytes; false if there are not as many.
+impl Reservation {
+    /// Reserves further bytes; returns false if the budget does not allow them.
     fn grow(&mut self, bytes: usize) -> bool {
         let in_use = self.budget.0.get() + bytes;
-        let fits = in_use <= BODIES_BYTES;
+        let fits = in_use <= MAX_BUFFERED_BODY_BYTES;
         if fits {
             self.budget.0.set(in_use);
             self.bytes += bytes;
@@ -287,120 +288,126 @@
     }
 }
 
-impl Drop for Reserved {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.budget.0.set(self.budget.0.get() - self.bytes);
     }
 }
 
-/// Takes calls until the program ends.
-pub async fn serve(listener: TcpListener, commands: mpsc::Sender<Command>, most: usize) {
-    let open = Rc::new(Cell::new(0usize));
+/// Serves the control socket until the program ends.
+pub async fn serve(listener: TcpListener, commands: mpsc::Sender<Command>, max_connections: usize) {
+    let open_connections = Rc::new(Cell::new(0usize));
     let budget = BodyBudget::default();
-    let (began, mut failed, mut full) = (Instant::now(), Seldom::new(1, 10_000), Seldom::new(1, 10_000));
+    let (started_at, mut accept_failures, mut rejections) =
+        (Instant::now(), Seldom::new(1, 10_000), Seldom::new(1, 10_000));
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if open.get() < most => {
-                let (commands, open, budget) = (commands.clone(), open.clone(), budget.clone());
+            Ok((stream, _)) if open_connections.get() < max_connections => {
+                let (commands, open_connections, budget) =
+                    (commands.clone(), open_connections.clone(), budget.clone());
                 transport::spawn(async move {
-                    open.set(open.get() + 1);
-                    connection(stream, commands, budget).await;
-                    open.set(open.get() - 1);
+                    open_connections.set(open_connections.get() + 1);
+                    serve_connection(stream, commands, budget).await;
+                    open_connections.set(open_connections.get() - 1);
                 });
             }
-            // Whoever finds no room is turned away at once and tries the next gateway.
+            // A connection beyond the limit is closed at once, so that the caller tries another gateway.
             Ok((_, peer)) => {
-                if let Some(left_out) = full.pass(began.elapsed().as_millis() as u64) {
+                if let Some(left_out) = rejections.pass(started_at.elapsed().as_millis() as u64) {
                     let peer = peer.to_string();
-                    spdlog::warn!("{} callers are here already: turned away", most,
+                    spdlog::warn!("connection limit of {} reached, connection rejected", max_connections,
                         kv: { step = "call", peer = peer.as_str(), left_out });
                 }
             }
             Err(error) => {
-                if let Some(left_out) = failed.pass(began.elapsed().as_millis() as u64) {
-                    spdlog::warn!("no caller can be taken: {}", error, kv: { step = "accept", left_out });
+                if let Some(left_out) = accept_failures.pass(started_at.elapsed().as_millis() as u64) {
+                    spdlog::warn!("cannot accept a connection: {}", error, kv: { step = "accept", left_out });
                 }
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn connection(stream: TcpStream, commands: mpsc::Sender<Command>, budget: BodyBudget) {
+async fn serve_connection(stream: TcpStream, commands: mpsc::Sender<Command>, budget: BodyBudget) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
-        let (commands, body) = (commands.clone(), budget.reserve());
-        async move { Ok::<_, Infallible>(answer(request, commands, body).await) }
+        let (commands, reservation) = (commands.clone(), budget.reserve());
+        async move { Ok::<_, Infallible>(handle_request(request, commands, reservation).await) }
     });
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(Duration::from_secs(20)).max_buf_size(32 * 1024);
-    // Errors of one caller's connection concern that caller alone.
+    // An error on one caller's connection concerns that caller only.
     let _ = builder.serve_connection(TokioIo::new(stream), service).await;
 }
 
-async fn answer(
-    request: Request<Incoming>, commands: mpsc::Sender<Command>, mut reserved: Reserved,
+async fn handle_request(
+    request: Request<Incoming>, commands: mpsc::Sender<Command>, mut reservation: Reservation,
 ) -> Response<Full<Bytes>> {
     let (head, body) = request.into_parts();
     let path = head.uri.path();
-    let fits = |call: &&Declared| {
+    let matches = |call: &&Endpoint| {
         if call.takes_id {
             path.len() > call.path.len() && path.starts_with(call.path)
         } else {
             path == call.path
         }
     };
-    let Some(call) = CALLS.iter().find(fits) else { return respond(Reply::why(404, "no such call")) };
+    let Some(call) = ENDPOINTS.iter().find(matches) else {
+        return respond(Reply::error(404, "no such call"));
+    };
     if head.method != call.method {
-        return respond(Reply::why(405, "another method is wanted"));
+        return respond(Reply::error(405, "another method is wanted"));
     }
-    let body = match read_body(body, call.longest, &mut reserved).await {
+    let body = match read_body(body, call.max_body_bytes, &mut reservation).await {
         Ok(body) => body,
         Err(reply) => return respond(reply),
     };
-    // A large body may take longer to come than its answer may.
-    let due = Instant::now() + call.within;
+    // The timeout starts after the body: a large body may take longer to arrive than the response may.
+    let deadline = Instant::now() + call.response_timeout;
     let id = if call.takes_id {
         path.strip_prefix(call.path).unwrap_or_default()
     } else {
         head.uri.query().unwrap_or_default()
     };
-    let call_read = match (call.read)(id, &head.headers, &body) {
+    let parsed_call = match (call.parse)(id, &head.headers, &body) {
         Ok(read) => read,
         Err(reply) => return respond(reply),
     };
-    let (reply, told) = oneshot::channel();
-    if commands.send(Command::Call { call: call_read, reply }).await.is_err() {
-        return respond(Reply::why(503, "this process ends"));
+    let (reply, response) = oneshot::channel();
+    if commands.send(Command::Call { call: parsed_call, reply }).await.is_err() {
+        return respond(Reply::error(503, "this process ends"));
     }
-    match timeout_at(due, told).await {
-        Ok(Ok(reply)) => respond_as(if reply.status == 200 { call.says } else { JSON }, reply),
-        _ => respond(Reply::why(503, "no answer in time: ask again, here or at another gateway")),
+    match timeout_at(deadline, response).await {
+        Ok(Ok(reply)) => respond_as(if reply.status == 200 { call.content_type } else { JSON }, reply),
+        _ => respond(Reply::error(503, "no answer in time: ask again, here or at another gateway")),
     }
 }
 
-async fn read_body(mut body: Incoming, longest: usize, reserved: &mut Reserved) -> Result<Bytes, Reply> {
+async fn read_body(
+    mut body: Incoming, max_bytes: usize, reservation: &mut Reservation,
+) -> Result<Bytes, Reply> {
     let mut whole = BytesMut::new();
-    if body.size_hint().lower() > longest as u64 {
-        return Err(Reply::why(413, "the body is too long"));
+    if body.size_hint().lower() > max_bytes as u64 {
+        return Err(Reply::error(413, "the body is too long"));
     }
     while !body.is_end_stream() {
-        match timeout(SLOW, body.frame()).await {
+        match timeout(BODY_READ_TIMEOUT, body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 if let Some(data) = frame.data_ref() {
-                    if longest > UNCOUNTED_BODY && !reserved.grow(data.len()) {
-                        return Err(Reply::why(503, "too many large bodies at a time: ask again"));
+                    if max_bytes > MAX_UNBUDGETED_BODY_BYTES && !reservation.grow(data.len()) {
+                        return Err(Reply::error(503, "too many large bodies at a time: ask again"));
                     }
                     whole.extend_from_slice(data);
                 }
             }
             Ok(None) => break,
-            // The same order, sent whole, may well be taken: a final answer would be wrong.
-            Ok(Some(Err(_))) => return Err(Reply::why(408, "the body broke off")),
-            Err(_) => return Err(Reply::why(408, "the body did not come in time")),
+            // The same order may be accepted when sent completely, so a final error status would be wrong.
+            Ok(Some(Err(_))) => return Err(Reply::error(408, "the body broke off")),
+            Err(_) => return Err(Reply::error(408, "the body did not come in time")),
         }
-        if whole.len() > longest {
-            return Err(Reply::why(413, "the body is too long"));
+        if whole.len() > max_bytes {
+            return Err(Reply::error(413, "the body is too long"));
         }
     }
     Ok(whole.freeze())
@@ -410,10 +417,10 @@
     respond_as(JSON, reply)
 }
 
-fn respond_as(says: &'static str, reply: Reply) -> Response<Full<Bytes>> {
+fn respond_as(content_type: &'static str, reply: Reply) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(reply.body)));
     *response.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(says));
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
 
@@ -422,7 +429,7 @@
     use super::*;
 
     #[test]
-    fn a_query_is_read_whatever_is_in_it() {
+    fn percent_escapes_are_decoded_and_malformed_ones_kept() {
         for (text, read) in
             [("m-1", "m-1"), ("10.0.0.1%3A7%2f", "10.0.0.1:7/"), ("%", "%"), ("%4", "%4"), ("%zz", "%zz")]
         {
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -1,29 +1,29 @@
-//! The owner of all tables of the control plane.
+//! The event loop that owns all tables of the control plane.
 
+mod connections;
 mod contact;
 mod departures;
 mod drains;
-mod ending;
 mod entries;
-mod links;
 mod membership;
 mod orders;
 mod quota_service;
+mod shutdown;
 mod status;
 mod updates;
 
 use crate::backend_batch::BackendBatch;
 use crate::call::{Call, Reply};
 use crate::command::Command;
-use crate::config_history::{Change, ConfigHistory, Marks, Place, Verdict};
-use crate::contact::{Confirmation, Contact, ContactMessage};
+use crate::config_history::{Change, ConfigHistory, LogPosition, QuotaCheckpoint, Verdict};
+use crate::contact::{Confirmation, ContactMessage, LeaderContact};
 use crate::directory::Directory;
 use crate::disk::Disk;
+use crate::event_log::{EventKind as Recorded, EventLog, Origin};
 use crate::faults::Faults;
-use crate::lines::{Connect, ConnectTcp};
-use crate::state::State;
+use crate::listener::{Connector, TcpConnector};
+use crate::snapshot_state::SnapshotState;
 use crate::tolerance::Tolerance;
-use crate::watch::{Origin, Watch, What as Happened};
 use config::{Config, Detours};
 use drains::DrainProposals;
 use protocol::{
@@ -42,274 +42,277 @@
 use transport::config_snapshots::{self, ConfigEncoder};
 use transport::{Line, LineError, NeighborWatch};
 
-/// How often things are looked after.
-const TICK: u64 = 50;
-/// Followers hear something this often.
-const HEARTBEAT: u64 = 350;
-/// ... and news of the leader no more often than this.
-const LEAST_HEARTBEAT: u64 = 40;
-/// What others told of the leader stands for so long: two of their heartbeats and some room. DataPlanes leave whoever
-/// is behind 0.9 s after its last good word, so that those behind a relay that was cut off have news again within 2 s.
-const WORD: u64 = 800;
-/// Other control planes hear whose beats came here, and who else serves control, this often.
-const ROUND: u64 = 400;
-/// ... and which data planes are heard here when that changes, or after this long: what was said stands as long as the line.
-/// Processes of the version before take the word itself for a sign of life, and count a data plane on for 30 s.
-const DATA_PLANES_AGAIN: u64 = 8000;
-/// A control plane that could not be reached is dialed again after this, drawn up to twice as long: after a herd's death the
-/// first election waits for these connections.
-const REDIAL: u64 = 80;
-/// A dial that says nothing at all is over after this.
-const DIALING: u64 = 2000;
-/// A call of the operator waits so long for a leader.
-const LEADERLESS: u64 = 700;
-/// A call that was passed on to a leader waits so long for its word.
-const PASSED: u64 = 2300;
-/// More calls than this don't wait.
-const CALLS_WAITING: usize = 256;
-/// After so many changes the log is compacted: each holds a whole configuration.
-const COMPACT_AFTER: f64 = 16.0;
-/// Marks weigh so much of a change then: they are some hundred bytes.
-const MARKS_WEIGH: f64 = 0.1;
-/// ... or so many bytes of them: the disk is small, and a change of 4 MB takes 8 of the file.
-const COMPACT_BYTES: usize = 4_000_000;
-/// A control plane this young may not have heard of all backends yet: its list says who is there, not who is not.
-const YOUNG: u64 = 4000;
-/// A connection that has said nothing for this long is no sign of life.
-const PEER_SILENT: u64 = 2500;
-/// A process that has been out of touch with the leader for this long is cut off: an election takes less.
-const CUT_OFF: u64 = 1500;
+/// Interval of the periodic work: batched updates, call timeouts, connections and the quota service.
+const TICK_INTERVAL_MS: u64 = 50;
+/// Interval between heartbeats to subscribers.
+const HEARTBEAT_INTERVAL_MS: u64 = 350;
+/// Shortest pause between two heartbeats when a change of the leader triggers one early.
+const MIN_HEARTBEAT_INTERVAL_MS: u64 = 40;
+/// A leader that a heartbeat reports is believed for this long: two heartbeat intervals plus a margin.
+/// Data planes leave a control plane 0.9 s after its last current heartbeat, so that data planes behind an isolated
+/// control plane receive updates again within 2 s.
+const LEADER_REPORT_TTL_MS: u64 = 800;
+/// Interval at which other control planes receive the backends heard here and the known control planes.
+const GOSSIP_INTERVAL_MS: u64 = 400;
+/// Interval at which an unchanged list of connected data planes is sent again. A list stays valid as long as its
+/// connection; the previous version treats each list as a sign of life and counts a data plane for 30 s after it.
+const DATA_PLANES_RESEND_INTERVAL_MS: u64 = 8000;
+/// Minimum delay before an unreachable control plane is dialed again; jitter at most doubles the delay. Short,
+/// because after a simultaneous restart the first election waits for these connections.
+const REDIAL_DELAY_MS: u64 = 80;
+/// Timeout of a connection attempt that neither succeeds nor fails.
+const DIAL_TIMEOUT_MS: u64 = 2000;
+/// How long an operator's call waits for a leader to become known.
+const LEADER_WAIT_TIMEOUT_MS: u64 = 700;
+/// How long a call that was forwarded to the leader waits for the reply.
+const FORWARD_TIMEOUT_MS: u64 = 2300;
+/// Maximum number of pending calls; further calls are refused.
+const MAX_PENDING_CALLS: usize = 256;
+/// The log is compacted after this many changes: each change holds a whole configuration.
+const COMPACT_AFTER_CHANGES: f64 = 16.0;
+/// Weight of a quota checkpoint or a drain entry, relative to a change: such an entry has some hundred bytes.
+const SMALL_ENTRY_WEIGHT: f64 = 0.1;
+/// The log is also compacted after this many bytes: the disk is small, and a change of 4 MB takes 8 MB in the file.
+const COMPACT_AFTER_BYTES: usize = 4_000_000;
+/// A control plane that has run for less than this may not know all backends yet, so that its list of backends is
+/// sent as additions only and not as the complete list.
+const WARMUP_MS: u64 = 4000;
+/// A connection without a message for this long does not count as a sign of life.
+const PEER_TIMEOUT_MS: u64 = 2500;
+/// A process whose state has not been confirmed as current for this long counts as isolated. An election takes less.
+const ISOLATION_GRACE_MS: u64 = 1500;
 
-/// What a control plane is told at its start.
+/// Settings of a control plane.
 #[derive(Clone, Debug)]
 pub struct ControlPlaneSettings {
-    /// Who it is.
+    /// Identity that this process announces to others.
     pub me: Hello,
-    /// Where it takes connections.
+    /// Address on which other processes connect.
     pub address: SocketAddr,
-    /// Where the first other control planes take connections.
+    /// Addresses of the control planes to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// How often backends beat, in ms.
-    pub beat_interval: u64,
-    /// The log's times.
+    /// Heartbeat interval of backends, in milliseconds.
+    pub heartbeat_interval_ms: u64,
+    /// Raft timing.
     pub timing: Timing,
-    /// What may be lost at once.
+    /// Simultaneous losses that the deployment has to tolerate.
     pub tolerance: Tolerance,
-    /// A voter counts as gone after a silence of so many ms.
-    pub retire_after: u64,
-    /// Draws a second that one holder of counts bears: more, and the leader shares the counts out. 0 for never.
-    pub draws_a_holder: f64,
-    /// A number drawn for this life.
+    /// A voter that is silent for this many milliseconds counts as gone.
+    pub retire_after_ms: u64,
+    /// Quota lease requests per second that one quota holder can serve. Above that rate the leader appoints deputy
+    /// holders; 0 disables deputies.
+    pub max_lease_requests_per_holder: f64,
+    /// Random seed, drawn anew at each start of the process.
     pub seed: u64,
-    /// By which ways others are reached.
-    pub ways: Detours,
+    /// Alternative addresses through which other processes are reached.
+    pub detours: Detours,
 }
 
-/// What this process has asked the leader for, to hold counts.
+/// Offers of this process to the leader to become a deputy quota holder, or to stay one.
 #[derive(Default)]
-struct Offers {
-    /// Numbers, and when they were sent.
+struct HolderOffers {
+    /// Number of each outstanding offer, and when the offer was sent.
     sent: VecDeque<(u64, u64)>,
-    answered: u64,
-    next: u64,
-    /// Draws answered when last looked at, when that was, and how many a second then.
-    draws: (u64, u64, f64),
+    last_answered: u64,
+    next_at: u64,
+    /// Total of served lease requests at the last measurement, time of the measurement, and requests per second.
+    request_rate: (u64, u64, f64),
 }
 
 struct Peer {
     line: Line,
     hello: Option<Hello>,
     dialed: Option<SocketAddr>,
-    follows: bool,
-    /// What it has, or will have once it has read all that was sent.
-    has: Held,
-    heard: u64,
-    opened: u64,
-    /// The data planes that it said it hears, until it says otherwise.
+    is_subscriber: bool,
+    /// Configuration that the peer has, or will have once it has read everything sent so far.
+    held: Held,
+    last_received_at: u64,
+    opened_at: u64,
+    /// Data planes that the peer reported as connected to it, in its latest list.
     data_planes: Vec<(String, u64)>,
-    /// Whether it may be told of departures of data planes.
-    understands_departures: bool,
-    /// Whether it has said that it ends: it is not to become a voter.
-    is_ending: bool,
+    /// Whether the peer understands messages about departed data planes.
+    supports_departures: bool,
+    /// Whether the peer has announced its shutdown; it must not become a voter.
+    is_shutting_down: bool,
 }
 
-struct Waiting {
+struct PendingCall {
     reply: oneshot::Sender<Reply>,
     since: u64,
     order: Order,
-    /// The number of the connection that it was passed on by, if it was.
-    passed: Option<u64>,
+    /// Connection on which the call was forwarded to the leader, if it was.
+    forwarded_on: Option<u64>,
 }
 
-/// Who waits for the word on a change or a read.
-enum Asker {
-    Here(oneshot::Sender<Reply>),
-    There { peer: u64, token: u64 },
+/// Where to send the reply to an order.
+enum Requester {
+    Local(oneshot::Sender<Reply>),
+    Remote { peer: u64, token: u64 },
 }
 
-struct Proposed {
-    asker: Asker,
+struct PendingProposal {
+    requester: Requester,
     since: u64,
 }
 
-/// The owner of all tables of the control plane of one process.
+/// Owner of all tables of one control plane process. A single task runs it; commands arrive through a queue.
 pub struct ControlPlane {
     settings: ControlPlaneSettings,
-    began: Instant,
-    random: u64,
+    started_at: Instant,
+    rng_state: u64,
     commands: mpsc::Sender<Command>,
-    numbers: Rc<dyn Fn() -> u64>,
+    connection_ids: Rc<dyn Fn() -> u64>,
     peers: BTreeMap<u64, Peer>,
     dialing: BTreeMap<SocketAddr, (u64, u64)>,
-    control_planes: Directory,
-    /// The incarnations of those with a disk that counts.
-    incarnations: BTreeMap<SocketAddr, u64>,
+    directory: Directory,
+    /// Incarnations of the known control planes that store the Raft log.
+    quorum_incarnations: BTreeMap<SocketAddr, u64>,
     register: Register,
-    /// What followers, and other control planes, are yet to be told of it.
-    for_followers: BackendBatch,
-    for_control_planes: BackendBatch,
+    /// Changes of backends that subscribers and other control planes have not received yet.
+    subscriber_batch: BackendBatch,
+    control_plane_batch: BackendBatch,
     fleet: Fleet,
     config_history: ConfigHistory,
     config: Option<Config>,
     config_encoder: ConfigEncoder,
-    /// Entries have brought another configuration into force, and followers are yet to be told.
-    changed: bool,
+    /// A committed entry has changed the configuration in force, and subscribers have not received the new one yet.
+    config_changed: bool,
     node: Option<Node>,
     disk: Option<Disk>,
     quota_service: QuotaService,
-    /// Of the leader.
+    /// Assigns quota holders; present only while this process leads.
     placer: Option<Placer>,
-    /// The newest assignment of counts heard of.
+    /// Newest known assignment of quota holders.
     assignment: HolderAssignment,
-    offers: Offers,
-    /// Known from others, of a control plane without a log of its own.
-    told: Heartbeat,
-    told_at: u64,
-    /// Whether the leader has said that what this process tells is of this moment, if it does not lead.
-    contact: Contact,
-    /// When what this process tells was of that moment last; its start, while it never was.
-    current_at: u64,
-    connect: Rc<dyn Connect>,
+    offers: HolderOffers,
+    /// Newest heartbeat of another control plane; used only by a process without a Raft log.
+    last_heartbeat: Heartbeat,
+    last_heartbeat_at: u64,
+    /// The leader's confirmations that the state of this process is current, while this process does not lead.
+    leader_contact: LeaderContact,
+    /// When the state of this process was last confirmed as current; 0 before the first confirmation.
+    last_current_at: u64,
+    connector: Rc<dyn Connector>,
     faults: Faults,
-    tokens: u64,
-    waiting: HashMap<u64, Waiting>,
-    proposed: BTreeMap<u64, Proposed>,
-    /// Orders that came to this leader before its first lease.
-    early_orders: Vec<(Asker, Order)>,
+    last_token: u64,
+    pending_calls: HashMap<u64, PendingCall>,
+    pending_proposals: BTreeMap<u64, PendingProposal>,
+    /// Orders that reached this leader before its first lease.
+    orders_awaiting_lease: Vec<(Requester, Order)>,
     drain_proposals: DrainProposals,
-    /// Control planes that read [`Order::Drain`], as they said since this process started.
-    understand_drains: BTreeSet<SocketAddr>,
-    /// What to answer once entries come back, by their index: emptied when this process leads no more.
-    accepted: BTreeMap<u64, u64>,
-    changes: f64,
-    /// Marks that are on their way through the log, by their token: one entry of them at a time.
-    marking: Option<u64>,
-    change_bytes: usize,
-    grown: bool,
-    /// Messages of other processes since the start.
-    frames: u64,
-    /// The leader that followers were told of last, and whether as of this moment.
-    told_in_heartbeat: (Option<SocketAddr>, bool),
-    next: [u64; 3],
-    /// The data planes that the other control planes were told of last, and when.
-    told_data_planes: (Vec<(String, u64)>, u64),
-    /// What the log has asked for and was not done yet.
+    /// Control planes that have announced since this process started that they understand [`Order::Drain`].
+    drains_supported_by: BTreeSet<SocketAddr>,
+    /// Tokens of this leader's proposals, by log index. Cleared when this process stops leading.
+    tokens_by_index: BTreeMap<u64, u64>,
+    changes_since_compaction: f64,
+    /// Token of the quota checkpoint in flight. At most one checkpoint is proposed at a time.
+    checkpoint_token: Option<u64>,
+    bytes_since_compaction: usize,
+    warmed_up: bool,
+    /// Number of messages received from other processes since the start.
+    messages_received: u64,
+    /// The leader in the last heartbeat to subscribers, and whether that heartbeat was current.
+    last_reported_leader: (Option<SocketAddr>, bool),
+    next_due: [u64; 3],
+    /// The list of data planes last sent to other control planes, and when it was sent.
+    last_sent_data_planes: (Vec<(String, u64)>, u64),
+    /// Outputs of the Raft node that have not been handled yet.
     outputs: Vec<Output>,
-    handles_outputs: bool,
-    watch: Watch,
-    /// Who watches the neighbours, if anybody does.
+    handling_outputs: bool,
+    event_log: EventLog,
+    /// Failure detector among neighbouring processes, if one runs.
     neighbor_watch: Option<Rc<NeighborWatch>>,
-    /// This process is to end.
-    is_ending: bool,
-    /// Who waits until nothing is left to do before that.
-    ended: Option<oneshot::Sender<()>>,
-    /// When the leader is to be told of that again.
-    tells_end_at: u64,
+    /// Whether this process is shutting down.
+    is_shutting_down: bool,
+    /// Notified once the shutdown has nothing left to wait for.
+    shutdown_done: Option<oneshot::Sender<()>>,
+    /// Earliest time of the next request to the leader to remove this voter.
+    next_leave_at: u64,
 }
 
 impl ControlPlane {
-    /// A control plane; `log` is what a voter has on its disk.
+    /// Creates a control plane. `log` is the disk of a voter and the state read from that disk.
     pub fn new(
         settings: ControlPlaneSettings, log: Option<(Disk, PersistentState)>,
-        commands: mpsc::Sender<Command>, numbers: Rc<dyn Fn() -> u64>,
+        commands: mpsc::Sender<Command>, connection_ids: Rc<dyn Fn() -> u64>,
     ) -> Self {
-        let (mut node, mut disk, mut state) = (None, None, State::default());
+        let (mut node, mut disk, mut state) = (None, None, SnapshotState::default());
         if let Some((opened, saved)) = log {
-            // The log tells its entries again, but only those after its snapshot.
-            // It was read before, when the disk was opened.
-            let restored = saved.snapshot.as_ref().map(|snapshot| State::restore(&snapshot.state));
+            // Raft replays only the entries after the snapshot. `Disk::open` has checked that the snapshot can be
+            // restored.
+            let restored = saved.snapshot.as_ref().map(|snapshot| SnapshotState::restore(&snapshot.state));
             state = restored.and_then(Result::ok).unwrap_or_default();
             node = Some(Node::start(saved, settings.timing, settings.seed, 0));
             disk = Some(opened);
         }
-        let State { config_history, drains } = state;
-        let mut register = Register::new(settings.beat_interval);
+        let SnapshotState { config_history, drains } = state;
+        let mut register = Register::new(settings.heartbeat_interval_ms);
         register.restore_drains(&drains);
         let mut control_plane = Self {
-            began: Instant::now(),
-            random: settings.seed | 1,
+            started_at: Instant::now(),
+            rng_state: settings.seed | 1,
             commands,
-            numbers,
+            connection_ids,
             peers: BTreeMap::new(),
             dialing: BTreeMap::new(),
-            control_planes: Directory::default(),
-            incarnations: BTreeMap::new(),
+            directory: Directory::default(),
+            quorum_incarnations: BTreeMap::new(),
             register,
-            for_followers: BackendBatch::default(),
-            for_control_planes: BackendBatch::default(),
+            subscriber_batch: BackendBatch::default(),
+            control_plane_batch: BackendBatch::default(),
             fleet: Fleet::default(),
             config_history,
             config: None,
             config_encoder: ConfigEncoder::default(),
-            changed: false,
+            config_changed: false,
             node,
             disk,
             quota_service: QuotaService::new(&settings.address.to_string()),
             placer: None,
             assignment: HolderAssignment::default(),
-            offers: Offers::default(),
-            told: Heartbeat::default(),
-            told_at: 0,
-            contact: Contact::default(),
-            current_at: 0,
-            connect: Rc::new(ConnectTcp(settings.ways.clone())),
+            offers: HolderOffers::default(),
+            last_heartbeat: Heartbeat::default(),
+            last_heartbeat_at: 0,
+            leader_contact: LeaderContact::default(),
+            last_current_at: 0,
+            connector: Rc::new(TcpConnector(settings.detours.clone())),
             faults: Faults::default(),
-            tokens: 0,
-            waiting: HashMap::new(),
-            proposed: BTreeMap::new(),
-            early_orders: Vec::new(),
+            last_token: 0,
+            pending_calls: HashMap::new(),
+            pending_proposals: BTreeMap::new(),
+            orders_awaiting_lease: Vec::new(),
             drain_proposals: DrainProposals::default(),
-            understand_drains: BTreeSet::new(),
-            accepted: BTreeMap::new(),
-            changes: 0.0,
-            marking: None,
-            change_bytes: 0,
-            grown: false,
-            frames: 0,
-            told_in_heartbeat: (None, false),
-            next: [0; 3],
-            told_data_planes: (Vec::new(), 0),
+            drains_supported_by: BTreeSet::new(),
+            tokens_by_index: BTreeMap::new(),
+            changes_since_compaction: 0.0,
+            checkpoint_token: None,
+            bytes_since_compaction: 0,
+            warmed_up: false,
+            messages_received: 0,
+            last_reported_leader: (None, false),
+            next_due: [0; 3],
+            last_sent_data_planes: (Vec::new(), 0),
             outputs: Vec::new(),
-            handles_outputs: false,
-            watch: Watch::new(),
+            handling_outputs: false,
+            event_log: EventLog::new(),
             neighbor_watch: None,
-            is_ending: false,
-            ended: None,
-            tells_end_at: 0,
+            is_shutting_down: false,
+            shutdown_done: None,
+            next_leave_at: 0,
             settings,
         };
-        control_plane.renewed();
+        control_plane.on_config_changed();
         control_plane
     }
 
-    /// Goes by what the watch of the neighbours finds, too.
+    /// Uses the failure detector among neighbouring processes as a further source.
     pub fn with_neighbor_watch(self, neighbor_watch: Option<Rc<NeighborWatch>>) -> Self {
         Self { neighbor_watch, ..self }
     }
 
-    /// Reaches others in another way than by TCP.
-    pub fn with_connect(self, connect: Rc<dyn Connect>) -> Self {
-        Self { connect, ..self }
+    /// Connects to other processes through `connector` instead of TCP.
+    pub fn with_connector(self, connector: Rc<dyn Connector>) -> Self {
+        Self { connector, ..self }
     }
 
     #[doc(hidden)]
@@ -318,83 +321,84 @@
     }
 
     fn now(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
-    fn draw(&mut self, below: u64) -> u64 {
-        self.random =
-            self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.random >> 33) % below.max(1)
+    fn random_below(&mut self, below: u64) -> u64 {
+        self.rng_state =
+            self.rng_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (self.rng_state >> 33) % below.max(1)
     }
 
-    /// Works through the queue until it is closed.
+    /// Handles commands until the queue is closed.
     pub async fn run(mut self, mut queue: mpsc::Receiver<Command>) {
-        self.on_time();
+        self.tick();
         loop {
-            let due = self.next.iter().copied().min().unwrap_or(TICK);
+            let due = self.next_due.iter().copied().min().unwrap_or(TICK_INTERVAL_MS);
             let due = self.node.as_ref().map_or(due, |node| due.min(node.next_due()));
-            let due = self.began + Duration::from_millis(due.max(self.now() + 1));
+            let due = self.started_at + Duration::from_millis(due.max(self.now() + 1));
             tokio::select! {
                 biased;
                 command = queue.recv() => match command {
-                    Some(command) => self.work(command),
+                    Some(command) => self.handle(command),
                     None => return,
                 },
                 () = sleep_until(due) => {}
             }
-            self.on_time();
+            self.tick();
         }
     }
 
-    fn work(&mut self, command: Command) {
+    fn handle(&mut self, command: Command) {
         match command {
             Command::Call { call, reply } => self.on_call(call, reply),
-            Command::Opened { number, line, dialed } => self.on_opened(number, line, dialed),
-            Command::Frame { number, message } => self.on_frame(number, message),
-            Command::Closed { number, error } => self.on_closed(number, &error),
-            Command::Saved { ticket } => self.log(Input::Saved { ticket }),
+            Command::Opened { connection, line, dialed } => self.on_opened(connection, line, dialed),
+            Command::Message { connection, message } => self.on_message(connection, message),
+            Command::Closed { connection, error } => self.on_closed(connection, &error),
+            Command::Saved { ticket } => self.step_raft(Input::Saved { ticket }),
             Command::Seeds(seeds) => self.settings.seeds = seeds,
-            Command::End(ended) => (self.is_ending, self.ended) = (true, Some(ended)),
+            Command::Shutdown(done) => (self.is_shutting_down, self.shutdown_done) = (true, Some(done)),
         }
     }
 
-    fn on_time(&mut self) {
+    fn tick(&mut self) {
         let now = self.now();
         if self.node.as_ref().is_some_and(|node| now >= node.next_due()) {
-            self.log(Input::Tick);
+            self.step_raft(Input::Tick);
         }
-        // A log that is told again after a start brings many versions at once. Followers need the last one only, and
-        // the word that it is of this moment waits behind whatever is sent before it.
-        if std::mem::take(&mut self.changed) {
-            self.renewed();
+        // A replay after a restart commits many versions at once. Subscribers need only the last one, and a heartbeat
+        // that confirms the last one would wait behind every version sent before.
+        if std::mem::take(&mut self.config_changed) {
+            self.on_config_changed();
         }
-        if now >= self.next[0] {
-            self.next[0] = now + TICK;
-            self.tell_waiting_backends();
-            self.tend_calls(now);
-            self.tend_lines(now);
-            self.tend_quota_service(now);
+        if now >= self.next_due[0] {
+            self.next_due[0] = now + TICK_INTERVAL_MS;
+            self.flush_backend_batches();
+            self.expire_calls(now);
+            self.maintain_connections(now);
+            self.maintain_quota_service(now);
         }
-        self.tend_contact(now);
-        self.tend_early_orders(now);
-        self.tend_end();
-        // Whoever waits for a leader, or for this process to have caught up, hears of it at once.
+        self.query_leader(now);
+        self.process_orders_awaiting_lease(now);
+        self.progress_shutdown();
+        // A new leader, or the end of this process's catch-up, is reported immediately.
         let (leader, epoch, fresh) = self.leader(now);
         if fresh {
-            self.current_at = now;
+            self.last_current_at = now;
         }
-        self.watch.stands(now, leader, epoch, self.config_history.version());
-        let news = (leader, fresh);
-        let early =
-            fresh && news != self.told_in_heartbeat && now + HEARTBEAT >= self.next[1] + LEAST_HEARTBEAT;
-        if now >= self.next[1] || early {
-            self.next[1] = now + HEARTBEAT;
-            self.told_in_heartbeat = news;
-            self.heartbeat(now);
+        self.event_log.on_leader_state(now, leader, epoch, self.config_history.version());
+        let reported = (leader, fresh);
+        let early = fresh
+            && reported != self.last_reported_leader
+            && now + HEARTBEAT_INTERVAL_MS >= self.next_due[1] + MIN_HEARTBEAT_INTERVAL_MS;
+        if now >= self.next_due[1] || early {
+            self.next_due[1] = now + HEARTBEAT_INTERVAL_MS;
+            self.last_reported_leader = reported;
+            self.send_heartbeats(now);
         }
-        if now >= self.next[2] {
-            self.next[2] = now + ROUND;
-            self.round(now);
+        if now >= self.next_due[2] {
+            self.next_due[2] = now + GOSSIP_INTERVAL_MS;
+            self.gossip_round(now);
         }
     }
 }
--- a/crates/control-plane/src/control_plane/drains.rs
+++ b/crates/control-plane/src/control_plane/drains.rs
@@ -1,37 +1,38 @@
-//! Backends that leave.
+//! Backends that drain or depart.
 //!
-//! Once its leaving is acknowledged a backend ends soon, and no request may reach it after a while, whichever process dies
-//! or is cut off meanwhile. What one process has told others proves nothing: it may have reached nobody. So a leaving is
-//! acknowledged when the log has it. Who goes by an answer that the leader gave after that has the record
-//! (`contact`), and a data plane looks for such an answer before its own is too old (`transport::freshness`).
+//! A backend ends soon after its drain is acknowledged, and from a deadline on no request may reach it, whichever
+//! process dies or is isolated meanwhile. An update sent by one process proves nothing, since it may reach nobody. So
+//! a drain is acknowledged only once its record is committed in the log. Every process that relies on a later
+//! response of the leader has that record (see `contact`), and a data plane obtains such a response before its
+//! current one expires (see `transport::freshness`).
 
 use super::*;
 use crate::drain_entry::DrainEntry;
 use protocol::UNDERSTANDS_DRAINS;
 use registry::{DrainRun, Drained};
 
-/// So many ids go into one entry.
-const IDS_AN_ENTRY: usize = 256;
-/// More calls than this don't wait for an entry: a zone's backends that are taken away at once fit.
-const QUEUED: usize = 4096;
-/// So many calls of backends may wait here for the leader. The others of [`CALLS_WAITING`] are the operators'.
-pub(super) const LEAVINGS_WAITING: usize = CALLS_WAITING / 2;
+/// Maximum number of backend ids in one log entry.
+const MAX_IDS_PER_ENTRY: usize = 256;
+/// Maximum number of calls that wait for an entry: all backends of a zone that are shut down at once fit.
+const MAX_QUEUED_DRAINS: usize = 4096;
+/// Maximum number of drain calls that wait for the leader. The rest of [`MAX_PENDING_CALLS`] is left to operators.
+pub(super) const MAX_PENDING_DRAINS: usize = MAX_PENDING_CALLS / 2;
 
-/// A backend that leaves is sent to another process when the leader has not answered within this: the process that it called
-/// may be cut off and not know it yet.
-pub(super) const LEAVING_PASSED: u64 = 450;
+/// A draining backend is told to call another process when the leader has not replied within this time: the process
+/// that the backend called may be isolated without having noticed yet.
+pub(super) const DRAIN_FORWARD_TIMEOUT_MS: u64 = 450;
 
-/// A call that waits until a backend is recorded.
-struct Leaving {
-    asker: Asker,
+/// A call that waits until the drain of a backend is recorded in the log.
+struct PendingDrain {
+    requester: Requester,
     id: String,
 }
 
-/// At the leader: what is on its way into the log, one entry at a time.
+/// Drain calls at the leader. At most one log entry is in flight.
 #[derive(Default)]
 pub(super) struct DrainProposals {
-    queued: Vec<Leaving>,
-    in_flight: Vec<Leaving>,
+    queued: Vec<PendingDrain>,
+    in_flight: Vec<PendingDrain>,
     token: Option<u64>,
 }
 
@@ -41,28 +42,28 @@
         self.queued.is_empty() && self.token.is_none()
     }
 
-    /// The ids of the next entry, if there is none on its way and something to record.
+    /// The next entry to propose: none while an entry is in flight or no call is queued.
     fn next(&mut self, token: u64) -> Option<DrainEntry> {
         if self.token.is_some() || self.queued.is_empty() {
             return None;
         }
-        let most = self.queued.len().min(IDS_AN_ENTRY);
-        self.in_flight = self.queued.drain(..most).collect();
+        let count = self.queued.len().min(MAX_IDS_PER_ENTRY);
+        self.in_flight = self.queued.drain(..count).collect();
         self.token = Some(token);
-        let ids: BTreeSet<&String> = self.in_flight.iter().map(|leaving| &leaving.id).collect();
+        let ids: BTreeSet<&String> = self.in_flight.iter().map(|drain| &drain.id).collect();
         Some(DrainEntry { ids: ids.into_iter().cloned().collect() })
     }
 
-    /// The calls of an entry that is decided, if this is its token.
-    fn decided(&mut self, token: u64) -> Vec<Leaving> {
-        if self.token.take_if(|known| *known == token).is_none() {
+    /// The calls of the entry in flight once the entry is decided; none if `token` is not its token.
+    fn take_decided(&mut self, token: u64) -> Vec<PendingDrain> {
+        if self.token.take_if(|pending| *pending == token).is_none() {
             return Vec::new();
         }
         std::mem::take(&mut self.in_flight)
     }
 
-    /// All calls that wait.
-    fn take_all(&mut self) -> Vec<Leaving> {
+    /// Removes and returns all waiting calls.
+    fn take_all(&mut self) -> Vec<PendingDrain> {
         self.token = None;
         let mut all = std::mem::take(&mut self.in_flight);
         all.append(&mut self.queued);
@@ -71,128 +72,130 @@
 }
 
 impl ControlPlane {
-    /// A backend says that it drains, or that it has departed.
-    pub(super) fn on_leaving(&mut self, id: String, reply: oneshot::Sender<Reply>, now: u64) {
-        if self.faults.acknowledges_drains {
-            return self.answer_leaving(&id, reply, Reply::done(), now);
+    /// A backend reports that it drains or that it has departed.
+    pub(super) fn on_drain_call(&mut self, id: String, reply: oneshot::Sender<Reply>, now: u64) {
+        if self.faults.acknowledges_drains_locally {
+            return self.reply_to_drain_call(&id, reply, Reply::ok(), now);
         }
-        // Whoever may be cut off sends the backend to another process at once.
+        // A process that may be isolated sends the backend to another process at once.
         let (.., current) = self.leader(now);
         if !current {
-            let refused = Reply::why(503, "this process may be cut off: ask another one");
-            return self.answer_leaving(&id, reply, refused, now);
+            let refused = Reply::error(503, "this process may be cut off: ask another one");
+            return self.reply_to_drain_call(&id, reply, refused, now);
         }
-        self.on_order_here(Order::Drain(id), reply, now);
+        self.on_local_order(Order::Drain(id), reply, now);
     }
 
-    /// A backend that leaves gets its answer.
-    pub(super) fn answer_leaving(&mut self, id: &str, to: oneshot::Sender<Reply>, reply: Reply, now: u64) {
-        self.watch.leaving_answered(now, id, reply.status == 200);
+    /// Replies to the drain call of a backend.
+    pub(super) fn reply_to_drain_call(
+        &mut self, id: &str, to: oneshot::Sender<Reply>, reply: Reply, now: u64,
+    ) {
+        self.event_log.on_drain_reply(now, id, reply.status == 200);
         let _ = to.send(reply);
     }
 
-    /// The leader records a backend, unless it has.
-    pub(super) fn on_drain(&mut self, asker: Asker, id: String, now: u64) {
-        if self.drain_proposals.queued.len() >= QUEUED {
-            let full = Reply::why(503, "too many backends leave at once: ask again");
-            return self.answer_drain(Leaving { asker, id }, full, now);
+    /// Records the drain of a backend at the leader, unless the drain is recorded already.
+    pub(super) fn on_drain(&mut self, requester: Requester, id: String, now: u64) {
+        if self.drain_proposals.queued.len() >= MAX_QUEUED_DRAINS {
+            let full = Reply::error(503, "too many backends leave at once: ask again");
+            return self.reply_to_drain(PendingDrain { requester, id }, full, now);
         }
-        // What is in the table is committed.
+        // Records in the table are committed.
         if self.register.drains().contains(&id) {
-            return self.answer_drain(Leaving { asker, id }, Reply::done(), now);
+            return self.reply_to_drain(PendingDrain { requester, id }, Reply::ok(), now);
         }
-        self.drain_proposals.queued.push(Leaving { asker, id });
+        self.drain_proposals.queued.push(PendingDrain { requester, id });
         self.propose_drains();
     }
 
     fn propose_drains(&mut self) {
-        self.tokens += 1;
-        if let Some(entry) = self.drain_proposals.next(self.tokens) {
-            self.log(Input::Propose { token: self.tokens, change: entry.encoded() });
+        self.last_token += 1;
+        if let Some(entry) = self.drain_proposals.next(self.last_token) {
+            self.step_raft(Input::Propose { token: self.last_token, change: entry.encode() });
         }
     }
 
-    fn answer_drain(&mut self, leaving: Leaving, reply: Reply, now: u64) {
-        let Leaving { asker, id } = leaving;
-        match asker {
-            Asker::Here(to) => self.answer_leaving(&id, to, reply, now),
-            there @ Asker::There { .. } => self.answer(there, reply),
+    fn reply_to_drain(&mut self, drain: PendingDrain, reply: Reply, now: u64) {
+        let PendingDrain { requester, id } = drain;
+        match requester {
+            Requester::Local(to) => self.reply_to_drain_call(&id, to, reply, now),
+            there @ Requester::Remote { .. } => self.reply_to(there, reply),
         }
     }
 
-    /// An entry of the log records backends.
+    /// Applies a committed drain entry.
     pub(super) fn on_drain_entry(&mut self, index: u64, entry: Option<DrainEntry>) {
         if let Some(entry) = entry {
             let drained = self.register.record_drains(&entry.ids);
-            self.tell_drained(drained);
+            self.publish_drained(drained);
         }
-        if let Some(token) = self.accepted.remove(&index) {
+        if let Some(token) = self.tokens_by_index.remove(&index) {
             let now = self.now();
-            for leaving in self.drain_proposals.decided(token) {
-                self.answer_drain(leaving, Reply::done(), now);
+            for drain in self.drain_proposals.take_decided(token) {
+                self.reply_to_drain(drain, Reply::ok(), now);
             }
             self.propose_drains();
         }
     }
 
-    /// An entry that this leader proposed was refused, or its fate is not known.
-    pub(super) fn drains_undecided(&mut self, token: u64, reply: &Reply) {
+    /// A drain entry of this leader was refused, or its outcome is unknown.
+    pub(super) fn fail_drains(&mut self, token: u64, reply: &Reply) {
         let now = self.now();
-        for leaving in self.drain_proposals.decided(token) {
-            self.answer_drain(leaving, reply.clone(), now);
+        for drain in self.drain_proposals.take_decided(token) {
+            self.reply_to_drain(drain, reply.clone(), now);
         }
         self.propose_drains();
     }
 
-    /// This process leads no more: an entry of its own may be decided yet, so that all may ask again.
-    pub(super) fn give_up_drains(&mut self) {
+    /// This process stopped leading. Its entry may still be committed, so all callers are asked to retry.
+    pub(super) fn abort_drains(&mut self) {
         let now = self.now();
-        for leaving in self.drain_proposals.take_all() {
-            self.answer_drain(leaving, Reply::why(503, "another process leads now: ask again"), now);
+        for drain in self.drain_proposals.take_all() {
+            self.reply_to_drain(drain, Reply::error(503, "another process leads now: ask again"), now);
         }
     }
 
-    /// A process without a log takes over the leader's records.
-    pub(super) fn follow_drains(&mut self, run: &DrainRun, last: u64) {
+    /// Merges drain records of the leader into those of a process without a Raft log.
+    pub(super) fn sync_drains(&mut self, run: &DrainRun, last: u64) {
         if self.node.is_none() {
             let drained = self.register.follow_drains(run, last);
-            self.tell_drained(drained);
+            self.publish_drained(drained);
         }
     }
 
-    /// Followers hear of all backends that are recorded from now on: they may know some that this process does not.
-    pub(super) fn tell_drained(&mut self, drained: Drained) {
-        self.tell_backends(drained.changed, Origin::Log);
+    /// Sends newly recorded backends to subscribers, including backends unknown here: subscribers may know them.
+    pub(super) fn publish_drained(&mut self, drained: Drained) {
+        self.publish_backends(drained.changed, Origin::Log);
         if !drained.unknown.is_empty() {
             let backends = drained.unknown.into_iter().map(Backend::leaving).collect();
-            self.to_followers(&Message::Backends { whole: false, backends });
+            self.send_to_subscribers(&Message::Backends { whole: false, backends });
         }
     }
 
-    /// Backends that are recorded and not known otherwise, for a follower that may know them.
+    /// Recorded backends that are otherwise unknown here, for a subscriber that may know them.
     pub(super) fn drained_unknown(&self) -> Vec<Backend> {
         self.register.drained_unknown().into_iter().map(Backend::leaving).collect()
     }
 
-    /// What a snapshot says of backends that leave: nothing while there may be voters that could not read it.
+    /// The drain records for a snapshot; none while some voter may be unable to read them.
     pub(super) fn drains_for_snapshot(&self) -> Option<DrainRun> {
         let me = self.settings.address.to_string();
         let mut others = self.node.iter().flat_map(|node| node.members()).filter(|voter| voter.address != me);
-        let read_by_all = others.all(|voter| {
-            voter.address.parse().is_ok_and(|address| self.understand_drains.contains(&address))
+        let supported_by_all = others.all(|voter| {
+            voter.address.parse().is_ok_and(|address| self.drains_supported_by.contains(&address))
         });
-        read_by_all.then(|| self.register.drains().run())
+        supported_by_all.then(|| self.register.drains().run())
     }
 
-    /// The other end of a connection reads [`Order::Drain`].
-    pub(super) fn on_understands_drains(&mut self, number: u64) {
-        if let Some(address) = self.peers.get(&number).and_then(|peer| peer.dialed) {
-            self.understand_drains.insert(address);
+    /// The peer announces that it understands [`Order::Drain`].
+    pub(super) fn on_drains_supported(&mut self, connection: u64) {
+        if let Some(address) = self.peers.get(&connection).and_then(|peer| peer.dialed) {
+            self.drains_supported_by.insert(address);
         }
     }
 
-    /// What another process of control is told, that it may send [`Order::Drain`] here.
-    pub(super) fn understands_drains() -> Message {
+    /// Announces to another control plane that it may send [`Order::Drain`] to this process.
+    pub(super) fn drains_support() -> Message {
         Message::NotHolder { number: UNDERSTANDS_DRAINS }
     }
 }
--- a/crates/control-plane/src/control_plane/entries.rs
+++ b/crates/control-plane/src/control_plane/entries.rs
@@ -1,17 +1,17 @@
-//! The log at work: what its state machine asks for, and what its entries change.
+//! Handles the outputs of the Raft node and applies committed log entries.
 
 use super::*;
 use crate::admission::reply_to;
 use crate::drain_entry::DrainEntry;
 
 impl ControlPlane {
-    pub(super) fn log(&mut self, input: Input) {
+    pub(super) fn step_raft(&mut self, input: Input) {
         let now = self.now();
         let Some(node) = &mut self.node else { return };
         node.handle(now, input, &mut self.outputs);
-        // What an output asks of the log takes its turn behind all outputs before it. Otherwise a compaction that a
-        // committed entry causes would be on disk before that entry, which would then stand below the snapshot.
-        if std::mem::replace(&mut self.handles_outputs, true) {
+        // An input that an output causes is handled after all earlier outputs. Otherwise a compaction caused by a
+        // committed entry would be written to disk before that entry, and the entry would lie below the snapshot.
+        if std::mem::replace(&mut self.handling_outputs, true) {
             return;
         }
         while !self.outputs.is_empty() {
@@ -19,11 +19,11 @@
                 self.on_output(output);
             }
         }
-        self.handles_outputs = false;
+        self.handling_outputs = false;
     }
 
     pub(super) fn on_output(&mut self, output: Output) {
-        // A process that has fallen silent neither writes nor answers.
+        // A process that could not restore a snapshot has no node any more; it neither writes nor answers.
         if self.node.is_none() {
             return;
         }
@@ -42,43 +42,44 @@
                 }
             }
             Output::Committed { entry } => {
-                let at = Place { index: entry.index, epoch: entry.term };
+                let at = LogPosition { index: entry.index, epoch: entry.term };
                 self.on_committed(at, entry.payload);
             }
-            Output::Install { snapshot } => self.install(&snapshot),
+            Output::Install { snapshot } => self.install_snapshot(&snapshot),
             Output::Accepted { token, index, .. } => {
-                self.accepted.insert(index, token);
+                self.tokens_by_index.insert(index, token);
             }
             Output::Refused { token, .. } => {
-                self.marking.take_if(|marking| *marking == token);
-                let refused = Reply::why(503, "this process does not lead");
-                self.drains_undecided(token, &refused);
-                self.answer_proposed(token, refused);
+                self.checkpoint_token.take_if(|pending| *pending == token);
+                let refused = Reply::error(503, "this process does not lead");
+                self.fail_drains(token, &refused);
+                self.reply_to_proposal(token, refused);
             }
             Output::OutcomeUnknown { token } => {
-                let unclear = Reply::why(503, "another process leads now: ask again");
-                self.drains_undecided(token, &unclear);
-                self.answer_proposed(token, unclear);
+                let unclear = Reply::error(503, "another process leads now: ask again");
+                self.fail_drains(token, &unclear);
+                self.reply_to_proposal(token, unclear);
             }
             Output::Role(role) => self.on_role(role),
         }
     }
 
-    /// Takes over the leader's state. If it can't be read, this process takes no part in the log any more, and writes
-    /// nothing of it: it would judge changes, and lead, by a state that is behind its log.
-    fn install(&mut self, snapshot: &Snapshot) {
-        match State::restore(&snapshot.state) {
-            Ok(State { config_history, drains }) => {
-                self.changed |= config_history.version() > self.config_history.version();
+    /// Replaces the state by the leader's snapshot. If this version cannot read the snapshot, the process stops
+    /// taking part in the log and writes nothing of the snapshot: it would decide on changes, and lead, with a state
+    /// behind its log.
+    fn install_snapshot(&mut self, snapshot: &Snapshot) {
+        match SnapshotState::restore(&snapshot.state) {
+            Ok(SnapshotState { config_history, drains }) => {
+                self.config_changed |= config_history.version() > self.config_history.version();
                 self.config_history = config_history;
-                (self.changes, self.change_bytes) = (0.0, 0);
+                (self.changes_since_compaction, self.bytes_since_compaction) = (0.0, 0);
                 let drained = self.register.restore_drains(&drains);
-                self.tell_drained(drained);
+                self.publish_drained(drained);
             }
             Err(error) => {
                 let (index, epoch) = (snapshot.index, snapshot.term);
                 spdlog::error!(
-                    "the leader's snapshot is of no version known here, and this voter falls silent: {}", error,
+                    "cannot read the leader's snapshot, this voter stops taking part in the log: {}", error,
                     kv: { step = "install", index, epoch });
                 self.on_role(Role::Follower { term: epoch, leader: None });
                 self.node = None;
@@ -89,69 +90,71 @@
     pub(super) fn on_role(&mut self, role: Role) {
         let now = self.now();
         if let Role::Candidate { term } = role {
-            self.watch.candidate(now, term);
+            self.event_log.on_candidacy(now, term);
         }
         if !matches!(role, Role::Leader { .. }) {
-            self.resign(now);
-            self.accepted.clear();
-            self.marking = None;
-            self.give_up_drains();
+            self.resign_quota_holder(now);
+            self.tokens_by_index.clear();
+            self.checkpoint_token = None;
+            self.abort_drains();
         }
     }
 
-    pub(super) fn on_committed(&mut self, at: Place, what: Payload) {
+    pub(super) fn on_committed(&mut self, at: LogPosition, what: Payload) {
         let (now, index) = (self.now(), at.index);
         let change = match what {
             Payload::Change(change) => change,
             Payload::Members(voters) => {
                 let list = voters.iter().map(|voter| voter.address.clone().into()).collect();
-                return self.watch.note(now, "voters", Happened::Voters(list));
+                return self.event_log.record(now, "voters", Recorded::Voters(list));
             }
-            // The first entry of this leader: all that others left in the log has been taken in, so that the counts can
-            // be held from here on.
+            // The first entry of this leader's own term: all entries of former leaders are applied, so that this
+            // process can become a quota holder.
             Payload::Noop if self.node.as_ref().is_some_and(|node| node.term() == at.epoch) => {
-                return self.tend_quota_service(now);
+                return self.maintain_quota_service(now);
             }
             Payload::Noop => return,
         };
-        self.change_bytes += change.len();
-        if let Some(marks) = Marks::read(&change) {
-            return self.on_marks(index, marks.ok());
+        self.bytes_since_compaction += change.len();
+        if let Some(checkpoint) = QuotaCheckpoint::decode(&change) {
+            return self.on_checkpoint(index, checkpoint.ok());
         }
-        if let Some(entry) = DrainEntry::read(&change) {
+        if let Some(entry) = DrainEntry::decode(&change) {
             self.on_drain_entry(index, entry.ok());
-            return self.written(index, MARKS_WEIGH);
+            return self.track_compaction(index, SMALL_ENTRY_WEIGHT);
         }
-        let Ok(change) = Change::read(&change) else { return };
+        let Ok(change) = Change::decode(&change) else { return };
         let version = change.version;
         let verdict = self.config_history.apply(at, change);
-        self.watch.change(now, version, verdict);
-        self.changed |= verdict == Verdict::Taken;
-        if let Some(token) = self.accepted.remove(&index) {
-            self.answer_proposed(token, reply_to(verdict));
+        self.event_log.on_verdict(now, version, verdict);
+        self.config_changed |= verdict == Verdict::Accepted;
+        if let Some(token) = self.tokens_by_index.remove(&index) {
+            self.reply_to_proposal(token, reply_to(verdict));
         }
-        self.written(index, 1.0);
+        self.track_compaction(index, 1.0);
     }
 
-    /// Marks are decided.
-    fn on_marks(&mut self, index: u64, marks: Option<Marks>) {
-        if let Some(marks) = marks {
-            self.config_history.mark(marks);
+    /// Applies a committed quota checkpoint.
+    fn on_checkpoint(&mut self, index: u64, checkpoint: Option<QuotaCheckpoint>) {
+        if let Some(checkpoint) = checkpoint {
+            self.config_history.apply_checkpoint(checkpoint);
         }
-        let token = self.accepted.remove(&index);
-        if token.is_some() && token == self.marking.take_if(|marking| Some(*marking) == token) {
+        let token = self.tokens_by_index.remove(&index);
+        if token.is_some() && token == self.checkpoint_token.take_if(|pending| Some(*pending) == token) {
             self.quota_service.decided();
         }
-        self.written(index, MARKS_WEIGH);
+        self.track_compaction(index, SMALL_ENTRY_WEIGHT);
     }
 
-    /// Another entry is in the log, which weighs so much of a change.
-    fn written(&mut self, index: u64, weight: f64) {
-        self.changes += weight;
-        if self.changes >= COMPACT_AFTER || self.change_bytes >= COMPACT_BYTES {
-            (self.changes, self.change_bytes) = (0.0, 0);
-            let state = State::snapshot(&self.config_history, self.drains_for_snapshot());
-            self.log(Input::Compact { index, state });
+    /// Counts an applied entry, with a weight relative to a change, and compacts the log when a limit is reached.
+    fn track_compaction(&mut self, index: u64, weight: f64) {
+        self.changes_since_compaction += weight;
+        if self.changes_since_compaction >= COMPACT_AFTER_CHANGES
+            || self.bytes_since_compaction >= COMPACT_AFTER_BYTES
+        {
+            (self.changes_since_compaction, self.bytes_since_compaction) = (0.0, 0);
+            let state = SnapshotState::snapshot(&self.config_history, self.drains_for_snapshot());
+            self.step_raft(Input::Compact { index, state });
         }
     }
 }
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -1,14 +1,14 @@
-//! What followers and other control planes are told, and when.
+//! Updates sent to subscribers and to other control planes.
 
 use super::*;
 use failure_detector::State;
 use protocol::Departure;
 
 impl ControlPlane {
-    pub(super) fn heartbeat_for(&self, number: u64, now: u64) -> Heartbeat {
+    pub(super) fn heartbeat_for(&self, connection: u64, now: u64) -> Heartbeat {
         let (leader, epoch, fresh) = self.leader(now);
         let (assignment, deputies) = self.deputies(epoch);
-        let name = self.peers.get(&number).and_then(|p| p.hello.as_ref()).map_or("", |h| h.name.as_str());
+        let name = self.peers.get(&connection).and_then(|p| p.hello.as_ref()).map_or("", |h| h.name.as_str());
         Heartbeat {
             leader: leader.map(|l| l.to_string()),
             epoch,
@@ -17,23 +17,24 @@
             deputies,
             version: self.config_history.version(),
             fleet: self.slice_divisor(now).max(1),
-            number: self.number_in_fleet(now, name),
+            number: self.fleet_index(now, name),
         }
     }
 
-    pub(super) fn heartbeat(&mut self, now: u64) {
-        let followers: Vec<u64> = self.peers.iter().filter(|(_, p)| p.follows).map(|(n, _)| *n).collect();
-        for number in followers {
-            let heartbeat = self.heartbeat_for(number, now);
-            if let Some(peer) = self.peers.get(&number) {
+    pub(super) fn send_heartbeats(&mut self, now: u64) {
+        let subscribers: Vec<u64> =
+            self.peers.iter().filter(|(_, p)| p.is_subscriber).map(|(n, _)| *n).collect();
+        for connection in subscribers {
+            let heartbeat = self.heartbeat_for(connection, now);
+            if let Some(peer) = self.peers.get(&connection) {
                 peer.line.send(&Message::Heartbeat(heartbeat));
             }
         }
-        // A control plane without a log follows those that have one, and only those: two that followed each other would send
-        // each other's news of old round in a circle.
+        // A control plane without a Raft log subscribes only to those with one. Two without a log that subscribed to
+        // each other would send each other's outdated updates back and forth.
         if self.node.is_none() {
             let have = self.config_encoder.held();
-            for address in self.incarnations.keys() {
+            for address in self.quorum_incarnations.keys() {
                 if let Some(line) = self.line_to(address) {
                     line.send(&Message::Follow { have });
                 }
@@ -42,12 +43,15 @@
     }
 
     pub(super) fn on_heartbeat(&mut self, heartbeat: Heartbeat, now: u64) {
-        let newer = heartbeat.fresh && heartbeat.epoch >= self.told.epoch;
-        if self.node.is_none() && heartbeat.leader.is_some() && (newer || now > self.told_at + WORD) {
-            let known = (self.told.epoch, self.told.assignment);
-            // Two that are followed may tell of assignments in either order.
+        let is_newer = heartbeat.fresh && heartbeat.epoch >= self.last_heartbeat.epoch;
+        if self.node.is_none()
+            && heartbeat.leader.is_some()
+            && (is_newer || now > self.last_heartbeat_at + LEADER_REPORT_TTL_MS)
+        {
+            let known = (self.last_heartbeat.epoch, self.last_heartbeat.assignment);
+            // Heartbeats of two control planes may report assignments out of order.
             if (heartbeat.epoch, heartbeat.assignment) >= known || heartbeat.epoch != known.0 {
-                (self.told, self.told_at) = (heartbeat, now);
+                (self.last_heartbeat, self.last_heartbeat_at) = (heartbeat, now);
             }
         }
     }
@@ -61,112 +65,121 @@
                 digest: [0; 32],
                 body: config_snapshot.body,
             };
-            let verdict = self.config_history.apply(Place::default(), change);
+            let verdict = self.config_history.apply(LogPosition::default(), change);
             let now = self.now();
-            self.watch.change(now, config_snapshot.version, verdict);
-            self.renewed();
+            self.event_log.on_verdict(now, config_snapshot.version, verdict);
+            self.on_config_changed();
         }
     }
 
-    /// A configuration as a difference. Whoever sent one that makes nothing here is asked for the whole.
-    pub(super) fn on_config_delta(&mut self, number: u64, config_delta: &ConfigDelta) {
+    /// Handles a configuration sent as a delta. If the delta does not apply here, requests the whole configuration.
+    pub(super) fn on_config_delta(&mut self, connection: u64, config_delta: &ConfigDelta) {
         if self.node.is_some() || config_delta.version <= self.config_history.version() {
             return;
         }
         match config_snapshots::rebuild(self.config_history.body_of(config_delta.base), config_delta) {
             Ok(config_snapshot) => self.on_config_snapshot(config_snapshot),
-            Err(unfit) => {
-                spdlog::warn!("{}", unfit, kv: { step = "config_delta" });
-                if let Some(peer) = self.peers.get(&number) {
+            Err(error) => {
+                spdlog::warn!("{}", error, kv: { step = "config_delta" });
+                if let Some(peer) = self.peers.get(&connection) {
                     peer.line.send(&Message::Whole);
                 }
             }
         }
     }
 
-    /// The newest configuration goes to a follower that has another one.
-    pub(super) fn send_config_snapshot(&mut self, number: u64) {
-        // The history may be ahead of what is sent: then all followers are told shortly.
-        if self.changed {
+    /// Sends the newest configuration to a subscriber that has another one.
+    pub(super) fn send_config_snapshot(&mut self, connection: u64) {
+        // The history may be ahead of the encoder; `on_config_changed` sends to all subscribers shortly.
+        if self.config_changed {
             return;
         }
-        let (Some(body), Some(peer)) = (self.config_history.body(), self.peers.get_mut(&number)) else {
+        let (Some(body), Some(peer)) = (self.config_history.body(), self.peers.get_mut(&connection)) else {
             return;
         };
-        if peer.has.version >= self.config_history.version() {
+        if peer.held.version >= self.config_history.version() {
             return;
         }
-        let frame = self.config_encoder.frame(peer.has, self.config_history.body_of(peer.has.version), body);
-        peer.has = self.config_encoder.held();
+        let frame =
+            self.config_encoder.frame(peer.held, self.config_history.body_of(peer.held.version), body);
+        peer.held = self.config_encoder.held();
         peer.line.send_frame(frame);
     }
 
-    pub(super) fn on_whole(&mut self, number: u64) {
-        if let (Some(body), Some(peer)) = (self.config_history.body(), self.peers.get_mut(&number)) {
-            if self.changed {
-                peer.has = Held::default();
+    pub(super) fn on_snapshot_request(&mut self, connection: u64) {
+        if let (Some(body), Some(peer)) = (self.config_history.body(), self.peers.get_mut(&connection)) {
+            if self.config_changed {
+                peer.held = Held::default();
                 return;
             }
-            peer.has = self.config_encoder.held();
+            peer.held = self.config_encoder.held();
             peer.line.send_frame(self.config_encoder.whole(body));
         }
     }
 
-    pub(super) fn round(&mut self, now: u64) {
+    pub(super) fn gossip_round(&mut self, now: u64) {
         let heard = self.register.round();
         if !heard.is_empty() {
-            self.to_control_planes(&Message::Heard(heard));
+            self.send_to_control_planes(&Message::Heard(heard));
         }
         let changed = self.register.sweep(now);
-        self.tell_backends(changed, Origin::Silence);
-        self.tend_voters(now);
+        self.publish_backends(changed, Origin::Silence);
+        self.maintain_voters(now);
         self.count_data_planes(now);
-        self.look_round(now);
-        self.tend_directory(now);
-        self.to_control_planes(&Message::ControlPlanes(self.connected_cards(now)));
+        self.apply_neighbor_watch(now);
+        self.maintain_directory(now);
+        self.send_to_control_planes(&Message::ControlPlanes(self.connected_addresses(now)));
         self.fleet.sweep(now);
         let (.., current) = self.leader(now);
-        // A process that is behind may know of few, as one that has just started does; by its word no slice grows.
+        // An outdated process, like one that has just started, may know only few data planes. Its count must not
+        // enlarge any slice.
         if current {
             self.fleet.divides_by(now, self.slice_divisor(now));
         }
-        if !self.grown && now >= YOUNG {
-            self.grown = true;
-            self.to_followers(&Message::Backends { whole: true, backends: self.register.all(now) });
+        if !self.warmed_up && now >= WARMUP_MS {
+            self.warmed_up = true;
+            self.send_to_subscribers(&Message::Backends { whole: true, backends: self.register.all(now) });
         }
-        self.watch.data_planes(now, self.fleet.incarnations());
+        self.event_log.on_data_planes(now, self.fleet.incarnations());
         self.resize_fleet(now);
     }
 
-    /// DataPlanes that are heard here, and those of which other control planes say so: their word stands while they are heard.
+    /// Counts the data planes connected here and those that connected control planes report.
     fn count_data_planes(&mut self, now: u64) {
-        let mut data_planes = self.data_planes_here(now);
-        let told = self.peers.values().filter(|peer| now < peer.heard + PEER_SILENT);
-        for (name, life) in data_planes.iter().chain(told.flat_map(|peer| &peer.data_planes)) {
+        let mut data_planes = self.local_data_planes(now);
+        let reported = self.peers.values().filter(|peer| now < peer.last_received_at + PEER_TIMEOUT_MS);
+        for (name, life) in data_planes.iter().chain(reported.flat_map(|peer| &peer.data_planes)) {
             self.fleet.heard(now, name, *life);
         }
         data_planes.sort_unstable();
-        if data_planes != self.told_data_planes.0 || now >= self.told_data_planes.1 + DATA_PLANES_AGAIN {
-            self.to_control_planes(&Message::DataPlanes(data_planes.clone()));
-            self.told_data_planes = (data_planes, now);
+        if data_planes != self.last_sent_data_planes.0
+            || now >= self.last_sent_data_planes.1 + DATA_PLANES_RESEND_INTERVAL_MS
+        {
+            self.send_to_control_planes(&Message::DataPlanes(data_planes.clone()));
+            self.last_sent_data_planes = (data_planes, now);
         }
     }
 
-    /// Takes in what the watch of the neighbours knows of data planes. Of a death only its witnesses are known: who is cut off
-    /// from them may go on spending, and counts on as one that is not heard. Who said that it ends does not.
-    fn look_round(&mut self, now: u64) {
+    /// Applies the findings of the failure detector among neighbours. A data plane that its neighbours consider dead
+    /// keeps counting as silent: it may only be isolated from them and still spend quota. A data plane that announced
+    /// its departure does not count any more.
+    fn apply_neighbor_watch(&mut self, now: u64) {
         let Some(neighbor_watch) = &self.neighbor_watch else { return };
-        if self.peers.values().any(|peer| peer.hello.is_some() && now < peer.heard + PEER_SILENT) {
+        if self
+            .peers
+            .values()
+            .any(|peer| peer.hello.is_some() && now < peer.last_received_at + PEER_TIMEOUT_MS)
+        {
             neighbor_watch.in_contact();
         }
         if neighbor_watch.is_isolated() {
             return;
         }
         let (fleet, mut departures) = (&mut self.fleet, Vec::new());
-        neighbor_watch.each(|word| match word.state {
-            State::Here if word.card.data_plane => fleet.heard(now, &word.card.name, word.card.life),
-            State::Left if word.card.data_plane => {
-                let (name, incarnation) = (word.card.name.clone(), word.card.life);
+        neighbor_watch.each(|report| match report.state {
+            State::Here if report.card.data_plane => fleet.heard(now, &report.card.name, report.card.life),
+            State::Left if report.card.data_plane => {
+                let (name, incarnation) = (report.card.name.clone(), report.card.life);
                 departures.push(Departure { name, incarnation, ago_ms: 0 });
             }
             _ => {}
@@ -174,49 +187,51 @@
         self.on_departures(departures, now);
     }
 
-    pub(super) fn tell_backends(&mut self, backends: Vec<Backend>, origin: Origin<'_>) {
+    pub(super) fn publish_backends(&mut self, backends: Vec<Backend>, origin: Origin<'_>) {
         if !backends.is_empty() {
             let now = self.now();
-            self.watch.backends(now, &backends, origin);
-            let urgent = self.for_followers.add(backends);
-            self.backends_to_followers(urgent);
+            self.event_log.on_backends(now, &backends, origin);
+            let urgent = self.subscriber_batch.add(backends);
+            self.send_backends_to_subscribers(urgent);
         }
     }
 
-    fn backends_to_followers(&self, backends: Vec<Backend>) {
+    fn send_backends_to_subscribers(&self, backends: Vec<Backend>) {
         if !backends.is_empty() {
-            self.to_followers(&Message::Backends { whole: false, backends });
+            self.send_to_subscribers(&Message::Backends { whole: false, backends });
         }
     }
 
-    fn backends_to_control_planes(&self, backends: Vec<Backend>) {
+    fn send_backends_to_control_planes(&self, backends: Vec<Backend>) {
         if !backends.is_empty() {
-            self.to_control_planes(&Message::Backends { whole: false, backends });
+            self.send_to_control_planes(&Message::Backends { whole: false, backends });
         }
     }
 
-    /// A backend's own call changes what is known of it: all are told.
-    pub(super) fn tell_called_backends(&mut self, backends: Vec<Backend>) {
-        let urgent = self.for_control_planes.add(backends.clone());
-        self.backends_to_control_planes(urgent);
-        self.tell_backends(backends, Origin::Call);
+    /// Publishes a change caused by a backend's own call to subscribers and other control planes.
+    pub(super) fn publish_called_backends(&mut self, backends: Vec<Backend>) {
+        let urgent = self.control_plane_batch.add(backends.clone());
+        self.send_backends_to_control_planes(urgent);
+        self.publish_backends(backends, Origin::Call);
     }
 
-    /// Changes that could wait are told together.
-    pub(super) fn tell_waiting_backends(&mut self) {
-        let (for_control_planes, for_followers) = (self.for_control_planes.take(), self.for_followers.take());
-        self.backends_to_control_planes(for_control_planes);
-        self.backends_to_followers(for_followers);
+    /// Sends the batched changes of backends.
+    pub(super) fn flush_backend_batches(&mut self) {
+        let (for_control_planes, for_subscribers) =
+            (self.control_plane_batch.take(), self.subscriber_batch.take());
+        self.send_backends_to_control_planes(for_control_planes);
+        self.send_backends_to_subscribers(for_subscribers);
     }
 
     /// A newer configuration is in force.
-    pub(super) fn renewed(&mut self) {
+    pub(super) fn on_config_changed(&mut self) {
         let Some(body) = self.config_history.body() else { return };
         self.config = Config::parse(body).ok();
         self.config_encoder = ConfigEncoder::new(self.config_history.version(), body);
-        let followers: Vec<u64> = self.peers.iter().filter(|(_, p)| p.follows).map(|(n, _)| *n).collect();
-        for number in followers {
-            self.send_config_snapshot(number);
+        let subscribers: Vec<u64> =
+            self.peers.iter().filter(|(_, p)| p.is_subscriber).map(|(n, _)| *n).collect();
+        for connection in subscribers {
+            self.send_config_snapshot(connection);
         }
         let (now, quotas) = (self.now(), self.quotas());
         self.quota_service.quotas(now as f64, quotas);
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,7 +1,8 @@
-//! The control plane of the system: configurations, backends, counts, and the news of them.
+//! The control plane: agrees on configurations by Raft, tracks backends, grants quota, and sends updates to data
+//! planes.
 //!
-//! One owner has all tables ([`ControlPlane`]) and works through a queue of commands: calls from the control socket, frames
-//! from other processes, words of the disk's thread, and time. Nothing else changes a table.
+//! A single task owns all tables ([`ControlPlane`]) and handles a queue of commands: calls on the control socket,
+//! messages of other processes, completed disk writes, and timers. Nothing else changes a table.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -17,22 +18,22 @@
 mod directory;
 mod disk;
 mod drain_entry;
+mod event_log;
 mod faults;
-mod lines;
-mod state;
+mod listener;
+mod snapshot_state;
 mod tolerance;
-mod watch;
 
 pub use admission::{Decision, decide, reply_to};
 pub use call::{Call, Reply};
-pub use calls::{CALLS, Declared, serve};
+pub use calls::{ENDPOINTS, Endpoint, serve};
 pub use command::Command;
-pub use config_history::{Change, ConfigHistory, Marks, Place, Verdict, snapshot_format};
+pub use config_history::{Change, ConfigHistory, LogPosition, QuotaCheckpoint, Verdict, snapshot_format};
 pub use control_plane::{ControlPlane, ControlPlaneSettings};
 pub use disk::{Disk, DiskError};
 pub use drain_entry::DrainEntry;
 #[doc(hidden)]
 pub use faults::Faults;
-pub use lines::{Connect, ConnectTcp, listen};
-pub use state::State;
+pub use listener::{Connector, TcpConnector, listen};
+pub use snapshot_state::SnapshotState;
 pub use tolerance::{Losses, Tolerance};
