--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -30,7 +30,7 @@
     Backend, ConfigDelta, ConfigSnapshot, ControlPlaneAddress, Heartbeat, Held, Hello, Message, Order, Phase,
     Plane,
 };
-use quota::{HolderAssignment, Placer, Quota, QuotaService};
+use quota::{HolderAssigner, HolderAssignment, Quota, QuotaService};
 use raft::{Input, Node, Output, Role, Saved, Snapshot, Timing, VoterId, What};
 use registry::{Fleet, Judgement, Register};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -178,7 +178,7 @@
     disk: Option<Disk>,
     quota_service: QuotaService,
     /// Of the leader.
-    placer: Option<Placer>,
+    placer: Option<HolderAssigner>,
     /// The newest assignment of counts heard of.
     assignment: HolderAssignment,
     offers: Offers,
--- a/crates/control-plane/src/control_plane/departures.rs
+++ b/crates/control-plane/src/control_plane/departures.rs
@@ -66,7 +66,7 @@
     /// A data plane gave a sign of life, unless it is one on its way from before its departure.
     pub(super) fn heard_data_plane(&mut self, hello: &Hello, epoch: Epoch, now: u64) {
         if !self.has_departed(hello) {
-            self.quota_service.heard(now as f64, &hello.name, epoch);
+            self.quota_service.record_contact(now as f64, &hello.name, epoch);
         }
     }
 
@@ -78,16 +78,16 @@
     /// Departed data planes do not stand in for others of which nothing is heard.
     pub(super) fn silence_departed(&mut self) {
         for name in self.fleet.departed_names() {
-            self.quota_service.left(name);
+            self.quota_service.remove_gateway(name);
         }
     }
 
     /// The counts go by the number of data planes as it is now.
     pub(super) fn resize_fleet(&mut self, now: u64) {
         let counted = self.counted_fleet(now);
-        self.quota_service.fleet(now as f64, counted);
+        self.quota_service.set_fleet_size(now as f64, counted);
         let wide = self.fleet.wide_slices(counted);
-        self.quota_service.wide_slices(wide);
+        self.quota_service.set_oversized_slices(wide);
     }
 
     /// How many data planes may spend something: slices are held back for those of them that are silent.
--- a/crates/control-plane/src/control_plane/entries.rs
+++ b/crates/control-plane/src/control_plane/entries.rs
@@ -140,7 +140,7 @@
         }
         let token = self.accepted.remove(&index);
         if token.is_some() && token == self.marking.take_if(|marking| Some(*marking) == token) {
-            self.quota_service.decided();
+            self.quota_service.commit_floors();
         }
         self.written(index, MARKS_WEIGH);
     }
--- a/crates/control-plane/src/control_plane/quota_service.rs
+++ b/crates/control-plane/src/control_plane/quota_service.rs
@@ -1,7 +1,7 @@
 //! The office of those who hold the counts: the leader, and the deputies that it makes holders beside it.
 
 use super::*;
-use quota::{Epoch, Handover, LEASE_MOST};
+use quota::{Epoch, Handover, MAX_DEPUTY_LEASE};
 
 /// A deputy asks for its lease this often, and whoever could become one offers itself this often.
 const RENEW: u64 = 70;
@@ -25,19 +25,19 @@
             let first = term <= 1 && self.config_history.version() == 0;
             let bears = self.settings.draws_a_holder;
             let bears = if bears > 0.0 { bears } else { f64::INFINITY };
-            let placer = Placer::new(&self.settings.address.to_string(), term, now as f64, bears);
+            let placer = HolderAssigner::new(&self.settings.address.to_string(), term, now as f64, bears);
             self.assignment = placer.assignment().clone();
             self.placer = Some(placer);
             self.resize_fleet(now);
             // Deputies' counts have no floors.
             if self.settings.draws_a_holder <= 0.0 {
-                self.quota_service.floors(self.config_history.floors().clone());
+                self.quota_service.set_floors(self.config_history.floors().clone());
             }
-            self.quota_service.assume(now as f64, &self.assignment, first);
+            self.quota_service.apply_assignment(now as f64, &self.assignment, first);
             let data_planes = self.peers.values().filter(|p| now < p.heard + PEER_SILENT);
             for (peer, hello) in data_planes.filter_map(|p| Some((p, p.hello.as_ref()?))) {
                 if hello.plane == Plane::DataPlane && !self.has_departed(hello) {
-                    self.quota_service.heard(peer.heard as f64, &hello.name, Epoch::first(term));
+                    self.quota_service.record_contact(peer.heard as f64, &hello.name, Epoch::first(term));
                 }
             }
             self.watch.note(now, self.settings.address.to_string(), Happened::QuotaService(true));
@@ -52,7 +52,7 @@
         if self.placer.is_some()
             && let Some(until) = self.node.as_ref().and_then(|node| node.lease_until(now))
         {
-            self.quota_service.lease(until as f64);
+            self.quota_service.set_lease(until as f64);
         }
         self.tend_marks(now);
     }
@@ -64,7 +64,7 @@
             return;
         }
         let alone = self.settings.draws_a_holder <= 0.0;
-        let floors = if alone { self.quota_service.floors_wanted(now as f64) } else { Vec::new() };
+        let floors = if alone { self.quota_service.propose_floors(now as f64) } else { Vec::new() };
         let (fleet, said) = (self.fleet_to_record(now), self.config_history.fleet());
         // A few more or less change nobody's part by much.
         let other = now >= YOUNG && fleet > 0 && fleet.abs_diff(said) * FLEET_MOVES > said;
@@ -96,9 +96,9 @@
 
     fn share_out(&mut self, now: u64) {
         let Some(placer) = &mut self.placer else { return };
-        if placer.tend(now as f64, self.offers.draws.2) {
+        if placer.update(now as f64, self.offers.draws.2) {
             self.assignment = placer.assignment().clone();
-            let told = self.quota_service.assume(now as f64, &self.assignment, false);
+            let told = self.quota_service.apply_assignment(now as f64, &self.assignment, false);
             // The assignment goes first: a new holder has to know that it is one.
             self.to_control_planes(&Message::HolderAssignment(self.assignment.clone()));
             self.hand_over(told);
@@ -112,7 +112,7 @@
             return;
         }
         let (Some(leader), ..) = self.leader(now) else { return };
-        let deputy = self.assignment.has(&self.settings.address.to_string());
+        let deputy = self.assignment.contains(&self.settings.address.to_string());
         self.offers.next = now + if deputy { RENEW } else { OFFER };
         let number = self.offers.sent.back().map_or(1, |(number, _)| number + 1);
         let Some(line) = self.line_to(&leader) else { return };
@@ -135,7 +135,7 @@
             return;
         };
         let draws = if draws.is_finite() { draws.max(0.0) } else { 0.0 };
-        let deputy = placer.asked(now as f64, &hello.address, answered, draws);
+        let deputy = placer.record_offer(now as f64, &hello.address, answered, draws);
         let ends_in = if deputy { (until - now) as f64 } else { 0.0 };
         peer.line.send(&Message::Lease { number: offer, assignment: placer.assignment().clone(), ends_in });
     }
@@ -149,9 +149,9 @@
             && self.quota_service.assignment().epoch == assignment.epoch
             && ends_in > 0.0
         {
-            let until = sent as f64 + ends_in.min(LEASE_MOST);
+            let until = sent as f64 + ends_in.min(MAX_DEPUTY_LEASE);
             let until = until.max(self.quota_service.lease_until());
-            self.quota_service.lease(until);
+            self.quota_service.set_lease(until);
         }
     }
 
@@ -164,7 +164,7 @@
             return;
         }
         self.assignment = assignment.clone();
-        let told = self.quota_service.assume(now as f64, assignment, false);
+        let told = self.quota_service.apply_assignment(now as f64, assignment, false);
         self.hand_over(told);
         self.assigned(now);
     }
@@ -177,7 +177,7 @@
         if newer {
             self.assignment = handover.assignment.clone();
         }
-        let told = self.quota_service.handed(now as f64, handover);
+        let told = self.quota_service.accept_handover(now as f64, handover);
         self.silence_departed();
         self.hand_over(told);
         if newer {
@@ -223,7 +223,7 @@
             return;
         }
         self.fleet.heard(now, &hello.name, hello.life);
-        let message = match self.quota_service.draw(now as f64, &hello.name, &draw) {
+        let message = match self.quota_service.handle_request(now as f64, &hello.name, &draw) {
             Some(grant) => {
                 self.watch.counted.draws.0 += 1;
                 Message::Grant(grant)
@@ -234,7 +234,7 @@
             }
         };
         peer.line.send(&message);
-        if self.quota_service.presses() {
+        if self.quota_service.needs_lower_floor() {
             self.tend_marks(now);
         }
     }
--- a/crates/control-plane/src/control_plane/status.rs
+++ b/crates/control-plane/src/control_plane/status.rs
@@ -50,8 +50,8 @@
             .quota_service
             .holder()
             .iter()
-            .flat_map(|holder| holder.figures())
-            .map(|c| json!({ "tenant": c.tenant, "window": c.window, "granted": c.granted, "left": c.left }))
+            .flat_map(|holder| holder.stats())
+            .map(|c| json!({ "tenant": c.tenant, "window": c.window, "granted": c.granted, "left": c.remaining }))
             .collect();
         let data_planes: Vec<_> = self.fleet.names().collect();
         let watch = self.neighbor_watch.as_ref().map(|neighbor_watch| {
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -219,7 +219,7 @@
             self.send_config_snapshot(number);
         }
         let (now, quotas) = (self.now(), self.quotas());
-        self.quota_service.quotas(now as f64, quotas);
+        self.quota_service.set_quotas(now as f64, quotas);
     }
 
     pub(super) fn quotas(&self) -> Vec<Quota> {
--- a/crates/data-plane/src/lease_client.rs
+++ b/crates/data-plane/src/lease_client.rs
@@ -1,7 +1,7 @@
 //! The lease cache of this gateway at work: asks for blocks, has requests wait for them, and tells what the cache says.
 
 use crate::{Admission, Asked};
-use quota::{Cache, Grant, HolderAssignment, LeaseRequest, Quota, Verdict};
+use quota::{Grant, HolderAssignment, LeaseCache, LeaseRequest, Quota, Verdict};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::{Rc, Weak};
@@ -17,7 +17,7 @@
 
 /// Runs the lease cache.
 pub struct LeaseClient {
-    cache: RefCell<Cache>,
+    cache: RefCell<LeaseCache>,
     began: Instant,
     requests: Cell<u64>,
     /// Who waits, and for a unit of which tenant.
@@ -31,7 +31,7 @@
     /// A cache that knows no tenants yet.
     pub fn start(seed: u64, send: Send) -> Rc<Self> {
         let lease_client = Rc::new(Self {
-            cache: RefCell::new(Cache::new(seed)),
+            cache: RefCell::new(LeaseCache::new(seed)),
             began: Instant::now(),
             requests: Cell::new(0),
             waiting: RefCell::default(),
@@ -48,13 +48,13 @@
 
     /// The quotas of a newer configuration.
     pub fn quotas(&self, quotas: Vec<Quota>) {
-        self.cache.borrow_mut().quotas(self.now(), quotas);
+        self.cache.borrow_mut().set_quotas(self.now(), quotas);
         self.stir.notify_one();
     }
 
     /// How many gateways there are, by a word of control that is of this moment or not.
     pub fn fleet(&self, gateways: u32, fresh: bool) {
-        self.cache.borrow_mut().fleet_told(self.now(), gateways, fresh);
+        self.cache.borrow_mut().update_fleet_size(self.now(), gateways, fresh);
     }
 
     /// Ends admission: from now on nothing is spent, so that this gateway may say that it has ended.
@@ -66,21 +66,21 @@
 
     /// Who holds the counts from now on.
     pub fn assignment(&self, assignment: &HolderAssignment) {
-        self.cache.borrow_mut().assignment(assignment);
+        self.cache.borrow_mut().set_assignment(assignment);
         self.stir.notify_one();
     }
 
     /// A holder answered.
     pub fn granted(&self, grant: Grant) {
         let mut verdicts = Vec::new();
-        self.cache.borrow_mut().granted(self.now(), grant, &mut verdicts);
+        self.cache.borrow_mut().handle_grant(self.now(), grant, &mut verdicts);
         self.tell(verdicts);
         self.draw();
     }
 
     /// A draw gets no answer.
     pub fn unanswered(&self, number: u64) {
-        self.cache.borrow_mut().silent(self.now(), number);
+        self.cache.borrow_mut().request_failed(self.now(), number);
         self.stir.notify_one();
     }
 
@@ -100,7 +100,7 @@
     }
 
     fn draw(&self) {
-        let draws = self.cache.borrow_mut().draw(self.now());
+        let draws = self.cache.borrow_mut().lease_requests(self.now());
         for (to, draw) in draws {
             let number = draw.number;
             if !(self.send)(&to, draw) {
@@ -116,7 +116,7 @@
             lease_client.cache.borrow_mut().tick(lease_client.now(), &mut verdicts);
             lease_client.tell(verdicts);
             lease_client.draw();
-            let due = lease_client.cache.borrow().next_due();
+            let due = lease_client.cache.borrow().next_deadline();
             let due = due.map(|due| lease_client.began + span(due.max(lease_client.now() + 1.0)));
             let due = due.unwrap_or_else(|| Instant::now() + Duration::from_millis(500));
             tokio::select! {
@@ -132,7 +132,7 @@
         let (now, request) = (self.now(), self.requests.get());
         self.requests.set(request + 1);
         let most = wait_at_most.as_secs_f64() * 1000.0;
-        let verdict = self.cache.borrow_mut().ask(now, request, tenant, most);
+        let verdict = self.cache.borrow_mut().admit(now, request, tenant, most);
         let asked = match verdict {
             Verdict::Granted => Asked::Granted,
             Verdict::Refused { retry_after } => Asked::Refused { retry_after: span(retry_after) },
@@ -151,7 +151,7 @@
     }
 
     fn give_back(&self, tenant: &str) {
-        self.cache.borrow_mut().give_back(self.now(), tenant);
+        self.cache.borrow_mut().return_unit(self.now(), tenant);
     }
 }
 
@@ -162,7 +162,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use quota::{Epoch, Share, Standing};
+    use quota::{CounterStatus, Epoch, TenantGrant};
 
     #[test]
     fn what_was_granted_to_a_client_that_has_left_is_another_one_s() {
@@ -178,15 +178,15 @@
             let Asked::Wait(word) = lease_client.ask("t", wait) else { panic!("no block is in hand") };
             drop(word);
             // The window's only unit.
-            let share = Share {
+            let share = TenantGrant {
                 tenant: "t".into(),
                 window: 1,
                 granted: 1,
-                left: 0,
+                remaining: 0,
                 ends_in: 60_000.0,
-                standing: Standing::Open,
+                status: CounterStatus::Open,
             };
-            lease_client.granted(Grant { number: sent.get(), epoch: Epoch::first(1), shares: vec![share] });
+            lease_client.granted(Grant { number: sent.get(), epoch: Epoch::first(1), grants: vec![share] });
             assert!(matches!(lease_client.ask("t", wait), Asked::Granted));
             assert!(matches!(lease_client.ask("t", wait), Asked::Refused { .. }));
         });
--- a/crates/protocol/tests/recorded.rs
+++ b/crates/protocol/tests/recorded.rs
@@ -5,7 +5,7 @@
     Backend, ConfigDelta, ConfigSnapshot, ControlPlaneAddress, Departure, Heartbeat, Held, Hello, Message,
     Order, Phase, Plane, frame, unframe,
 };
-use quota::{Epoch, Grant, HolderAssignment, LeaseRequest, Share, Standing, Want};
+use quota::{CounterStatus, Epoch, Grant, HolderAssignment, LeaseRequest, TenantDemand, TenantGrant};
 
 const RECORDED: &str = include_str!("recorded/frames.txt");
 const EPOCH: Epoch = Epoch { term: 3, number: 2 };
@@ -39,9 +39,16 @@
         fleet: 13,
         number: 4,
     };
-    let want = Want { tenant: "t".into(), need: 1, add: 5, back: 2 };
+    let want = TenantDemand { tenant: "t".into(), needed: 1, requested: 5, returned: 2 };
     let tenant = "t".into();
-    let share = Share { tenant, window: 4, granted: 5, left: 6, ends_in: 250.0, standing: Standing::Open };
+    let share = TenantGrant {
+        tenant,
+        window: 4,
+        granted: 5,
+        remaining: 6,
+        ends_in: 250.0,
+        status: CounterStatus::Open,
+    };
     let body = || b"{}".to_vec();
     let assignment = HolderAssignment { epoch: EPOCH, holders: vec!["a".into()] };
     let control_plane = ControlPlaneAddress { address: "10.0.0.1:7660".into(), zone: "z".into() };
@@ -57,8 +64,8 @@
         Message::DataPlanes(vec![("edge-1".into(), 7)]),
         Message::Heartbeat(heartbeat),
         Message::Here { epoch: EPOCH },
-        Message::LeaseRequest(LeaseRequest { number: 8, epoch: EPOCH, wants: vec![want] }),
-        Message::Grant(Grant { number: 8, epoch: EPOCH, shares: vec![share] }),
+        Message::LeaseRequest(LeaseRequest { number: 8, epoch: EPOCH, demands: vec![want] }),
+        Message::Grant(Grant { number: 8, epoch: EPOCH, grants: vec![share] }),
         Message::NotHolder { number: 8 },
         Message::Offer { number: 1, answered: 2, draws: 3.5 },
         Message::Lease { number: 1, assignment, ends_in: 100.0 },
--- a/crates/quota/src/assignment.rs
+++ b/crates/quota/src/assignment.rs
@@ -33,27 +33,30 @@
 }
 
 impl HolderAssignment {
-    /// The place in `holders` of the one that has a tenant's count, by rendezvous hashing: when a holder comes or goes,
+    /// The index in `holders` of the one that has a tenant's count, by rendezvous hashing: when a holder comes or goes,
     /// only the tenants that come to it or were its own move.
-    pub fn place_of(&self, tenant: &str) -> Option<usize> {
-        let ranks =
-            self.holders.iter().enumerate().map(|(place, holder)| (rank(holder, tenant), holder, place));
-        ranks.max().map(|(.., place)| place)
+    pub fn holder_index(&self, tenant: &str) -> Option<usize> {
+        let hashes = self
+            .holders
+            .iter()
+            .enumerate()
+            .map(|(index, holder)| (rendezvous_hash(holder, tenant), holder, index));
+        hashes.max().map(|(.., index)| index)
     }
 
     /// The holder of a tenant's count.
     pub fn holder_of(&self, tenant: &str) -> Option<&str> {
-        self.place_of(tenant).and_then(|place| self.holders.get(place)).map(String::as_str)
+        self.holder_index(tenant).and_then(|index| self.holders.get(index)).map(String::as_str)
     }
 
     /// Whether a process is one of the holders.
-    pub fn has(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.holders.iter().any(|holder| holder == name)
     }
 }
 
 /// FNV-1a over both names and a last mix: every version of the program on every machine has to get the same.
-fn rank(holder: &str, tenant: &str) -> u64 {
+fn rendezvous_hash(holder: &str, tenant: &str) -> u64 {
     let bytes = holder.bytes().chain([0]).chain(tenant.bytes());
     let hash = bytes.fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
--- a/crates/quota/src/floor.rs
+++ b/crates/quota/src/floor.rs
@@ -19,9 +19,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Floor {
     /// No grant goes below: the highest of what the log says and what was asked of it and may yet be decided.
-    held: u32,
+    enforced: u32,
     /// What the newest entry says that was asked for, or the log itself.
-    asked: u32,
+    proposed: u32,
     least: f64,
     since: Millis,
 }
@@ -29,29 +29,29 @@
 impl Floor {
     /// A floor as the log has it.
     pub fn new(now: Millis, units: u32) -> Self {
-        Self { held: units, asked: units, least: f64::INFINITY, since: now }
+        Self { enforced: units, proposed: units, least: f64::INFINITY, since: now }
     }
 
     /// Units that no grant may take.
-    pub fn held(&self) -> f64 {
-        f64::from(self.held)
+    pub fn enforced(&self) -> f64 {
+        f64::from(self.enforced)
     }
 
     /// The count has so many units free now.
-    pub fn seen(&mut self, free: f64) {
+    pub fn record_free(&mut self, free: f64) {
         self.least = self.least.min(free);
     }
 
     /// Whether the count is about to need what lies below its floor.
-    pub fn presses(&self, refill: f64) -> bool {
-        self.asked > 0 && self.least < self.held() + refill * NEAR
+    pub fn needs_lowering(&self, refill: f64) -> bool {
+        self.proposed > 0 && self.least < self.enforced() + refill * NEAR
     }
 
     /// Another floor that the log should say, if any; `most` and `refill` are those of the tenant's windows.
-    pub fn wanted(&mut self, now: Millis, most: f64, refill: f64) -> Option<u32> {
+    pub fn next_proposal(&mut self, now: Millis, most: f64, refill: f64) -> Option<u32> {
         let level = (most * SHARE).max(0.0) as u32;
-        if self.presses(refill) || self.asked > level {
-            let lower = if self.presses(refill) { 0 } else { level };
+        if self.needs_lowering(refill) || self.proposed > level {
+            let lower = if self.needs_lowering(refill) { 0 } else { level };
             (self.least, self.since) = (f64::INFINITY, now);
             return Some(lower);
         }
@@ -60,18 +60,18 @@
         }
         let least = std::mem::replace(&mut self.least, f64::INFINITY);
         self.since = now;
-        (self.asked < level && least.is_finite() && least >= f64::from(level) + refill * NEAR * 2.0)
+        (self.proposed < level && least.is_finite() && least >= f64::from(level) + refill * NEAR * 2.0)
             .then_some(level)
     }
 
     /// An entry with this floor is on its way: it may be decided whatever becomes of this holder.
-    pub fn asks(&mut self, units: u32) {
-        self.asked = units;
-        self.held = self.held.max(units);
+    pub fn propose(&mut self, units: u32) {
+        self.proposed = units;
+        self.enforced = self.enforced.max(units);
     }
 
     /// The log says what was asked for last.
-    pub fn decided(&mut self) {
-        self.held = self.asked;
+    pub fn commit(&mut self) {
+        self.enforced = self.proposed;
     }
 }
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -4,8 +4,8 @@
 
 use crate::silence_charges::SilenceCharges;
 use crate::{
-    Epoch, Floor, Grant, HEARD_FOR, Handed, Handover, LeaseRequest, Millis, Quota, SILENT_AFTER, Share,
-    Standing, Terms, Want, WideSlice,
+    CounterHandover, CounterStatus, Epoch, Floor, GATEWAY_TIMEOUT, Grant, Handover, LeaseRequest, Millis,
+    OversizedSlice, Quota, SILENCE_TIMEOUT, TenantDemand, TenantGrant, WindowParams,
 };
 
 /// A draw this close before a window's end is served from the next one: gateways count the end from when they asked,
@@ -29,9 +29,9 @@
 
 #[derive(Debug)]
 struct Count {
-    terms: Option<Terms>,
+    terms: Option<WindowParams>,
     /// A changed quota comes into force with the next window.
-    next: Option<Terms>,
+    next: Option<WindowParams>,
     window: u64,
     end: Millis,
     /// What may still be granted, the even slices of silent gateways not yet taken off.
@@ -48,7 +48,7 @@
 
 /// What a count says to operators.
 #[derive(Debug, Clone, PartialEq)]
-pub struct CountFigures {
+pub struct CounterStats {
     /// The tenant's name.
     pub tenant: String,
     /// The present window's number.
@@ -56,7 +56,7 @@
     /// Units granted in it.
     pub granted: f64,
     /// Units left in it.
-    pub left: f64,
+    pub remaining: f64,
 }
 
 /// Holds the counts of all tenants under one epoch.
@@ -107,17 +107,17 @@
 
     /// What the log says of counts. Those with a floor begin with it, at once: what was granted before this office is
     /// gone from what lies above.
-    pub fn floors(&mut self, floors: BTreeMap<String, u32>) {
+    pub fn set_floors(&mut self, floors: BTreeMap<String, u32>) {
         self.floors = floors;
     }
 
     /// The next assignment leaves this process a holder. Tenants that come to it now are shut as at the start.
-    pub fn goes_on(&mut self, now: Millis, epoch: Epoch, shut: Millis) {
+    pub fn apply_assignment(&mut self, now: Millis, epoch: Epoch, shut: Millis) {
         (self.epoch, self.since, self.shut, self.first) = (epoch, now, shut, false);
     }
 
     /// Gives up all counts but those that are `mine`; those that were open come back.
-    pub fn give_up(&mut self, now: Millis, mine: impl Fn(&str) -> bool) -> Vec<Handed> {
+    pub fn release_counters(&mut self, now: Millis, mine: impl Fn(&str) -> bool) -> Vec<CounterHandover> {
         let others: Vec<String> = self.counts.keys().filter(|tenant| !mine(tenant)).cloned().collect();
         let mut handed = Vec::new();
         for tenant in others {
@@ -126,25 +126,26 @@
             if count.terms.is_none() || count.gone_at.is_some() || now < count.shut_until {
                 continue;
             }
-            let (window, free, granted, silent) = (count.window, count.free, count.granted, count.silent);
-            handed.push(Handed {
+            let (window, free, granted, silent_fraction) =
+                (count.window, count.free, count.granted, count.silent);
+            handed.push(CounterHandover {
                 tenant,
                 window,
                 ends_in: (count.end - now).max(0.0),
                 free,
                 granted,
-                silent,
+                silent_fraction,
             });
         }
         handed
     }
 
     /// Takes over what a former holder says of counts that wait for it; others stay as they are.
-    pub fn take_over(&mut self, now: Millis, handover: Handover) {
-        for (gateway, ago) in &handover.heard {
-            self.heard(now - ago.max(0.0), gateway);
+    pub fn accept_handover(&mut self, now: Millis, handover: Handover) {
+        for (gateway, ago) in &handover.contact_ages {
+            self.record_contact(now - ago.max(0.0), gateway);
         }
-        for handed in handover.counts {
+        for handed in handover.counters {
             let Some(count) = self.counts.get_mut(&handed.tenant).filter(|c| now < c.awaits_until) else {
                 continue;
             };
@@ -155,14 +156,14 @@
             }
             (count.awaits_until, count.shut_until) = (now, now);
             (count.window, count.granted) = (handed.window, handed.granted.max(0.0));
-            count.free = handed.free.min(terms.most);
-            count.silent = handed.silent.clamp(0.0, 1.0);
+            count.free = handed.free.min(terms.max_units);
+            count.silent = handed.silent_fraction.clamp(0.0, 1.0);
             count.end = now + handed.ends_in.clamp(0.0, terms.window * 4.0);
         }
     }
 
     /// The gateways that were heard, and how long ago.
-    pub fn heard_ago(&self, now: Millis) -> Vec<(String, Millis)> {
+    pub fn contact_ages(&self, now: Millis) -> Vec<(String, Millis)> {
         self.heard.iter().map(|(name, at)| (name.clone(), (now - at).max(0.0))).collect()
     }
 
@@ -172,7 +173,7 @@
         self.counts.get(tenant).is_some_and(open)
     }
 
-    pub(crate) fn opens_at_once(&mut self) {
+    pub(crate) fn open_immediately(&mut self) {
         (self.first, self.shut) = (true, 0.0);
     }
 
@@ -182,12 +183,12 @@
     }
 
     /// Takes a configuration. New figures count from a tenant's next window.
-    pub fn quotas(&mut self, now: Millis, quotas: &[Quota]) {
+    pub fn set_quotas(&mut self, now: Millis, quotas: &[Quota]) {
         for count in self.counts.values_mut() {
             count.gone_at = count.gone_at.or(Some(now));
         }
         for quota in quotas {
-            let terms = Terms::of(quota);
+            let terms = WindowParams::from_quota(quota);
             if let Some(count) = self.counts.get_mut(&quota.tenant) {
                 count.gone_at = None;
                 count.next = terms;
@@ -209,14 +210,14 @@
             let shut_until = if shut { opens.max(now) } else { now };
             // A configuration that comes late to one of several holders may name tenants that others had before.
             let whole = self.first || self.epoch.number <= 1;
-            let free = terms.map_or(0.0, |t| if whole { t.most } else { t.refill });
+            let free = terms.map_or(0.0, |t| if whole { t.max_units } else { t.refill });
             let free = if floored { free.min(floor.into()) } else { free };
             let free = if shut { 0.0 } else { free };
             let awaits = shut && self.epoch.number > 1;
             let awaits_until = if awaits { self.since + HANDOVER_WAIT } else { now };
             let end = if shut { shut_until } else { self.grid_end(now, window) };
             let mut floor = Floor::new(now, floor);
-            floor.seen(free);
+            floor.record_free(free);
             let count = Count {
                 terms,
                 next: terms,
@@ -237,20 +238,20 @@
     }
 
     /// Takes the number of gateways in all, those included that may be cut off and spend their slices.
-    pub fn fleet(&mut self, _now: Millis, known: u32) {
+    pub fn set_fleet_size(&mut self, _now: Millis, known: u32) {
         self.known = known.max(1);
         self.count_silent();
     }
 
     /// Takes the gateways that divide their slices by fewer than there are: they were told of a smaller fleet, and may
     /// have been cut off since.
-    pub fn wide_slices(&mut self, wide: &[WideSlice]) {
+    pub fn set_oversized_slices(&mut self, wide: &[OversizedSlice]) {
         self.wide = wide.iter().map(|slice| (slice.gateway.clone(), slice.divisor.max(1))).collect();
         self.count_silent();
     }
 
     /// A gateway was heard, by a draw or otherwise.
-    pub fn heard(&mut self, now: Millis, gateway: &str) {
+    pub fn record_contact(&mut self, now: Millis, gateway: &str) {
         if let Some(at) = self.heard.get_mut(gateway) {
             *at = at.max(now);
         } else if self.heard.len() < GATEWAYS_MOST {
@@ -261,7 +262,7 @@
     }
 
     /// A gateway has said that it ended and spends nothing more. Blocks that it has stay counted until their window ends.
-    pub fn left(&mut self, gateway: &str) {
+    pub fn remove_gateway(&mut self, gateway: &str) {
         // Else it would stand in for one that is silent, whose slice would not be held back.
         self.heard.remove(gateway);
         self.charges.left(gateway);
@@ -270,40 +271,46 @@
 
     /// While a count is shut, the slices of all gateways would come to one refill. Of this, gateways that are heard get
     /// what they need instead of even parts: few requests come where an even part is, when gateways are many.
-    fn share_shut(&mut self, now: Millis, want: &Want, share: Share) -> Share {
+    fn share_shut(&mut self, now: Millis, want: &TenantDemand, share: TenantGrant) -> TenantGrant {
         let (heard, known) = (self.heard.len() as f64, f64::from(self.known));
         let silent = self.silent;
         let gather = self.since + self.shut;
         let Some(count) = self.counts.get_mut(&want.tenant) else { return share };
         let Some(terms) = count.terms.filter(|_| now >= gather) else { return share };
         if heard < ENOUGH * known {
-            let standing = if now < gather + GATHER { Standing::Later } else { Standing::Slices };
-            return Share { standing, ..share };
+            let status =
+                if now < gather + GATHER { CounterStatus::RetryLater } else { CounterStatus::FallbackSlice };
+            return TenantGrant { status, ..share };
         }
         let free = (terms.refill * (1.0 - silent) - count.granted).max(0.0).floor();
-        let granted = f64::from(want.need.min(want.add)).min(free);
+        let granted = f64::from(want.needed.min(want.requested)).min(free);
         count.granted += granted;
-        Share { granted: granted as u32, left: (free - granted) as u32, standing: Standing::Open, ..share }
+        TenantGrant {
+            granted: granted as u32,
+            remaining: (free - granted) as u32,
+            status: CounterStatus::Open,
+            ..share
+        }
     }
 
     /// Answers a gateway's draw.
-    pub fn draw(&mut self, now: Millis, gateway: &str, draw: &LeaseRequest) -> Grant {
+    pub fn handle_request(&mut self, now: Millis, gateway: &str, draw: &LeaseRequest) -> Grant {
         self.forget_silent(now);
         let same = draw.epoch == self.epoch;
         // One that knows an older assignment only may spend slices of counts that are granted from here.
         if draw.epoch >= self.epoch || self.epoch.number <= 1 {
-            self.heard(now, gateway);
+            self.record_contact(now, gateway);
         }
-        for want in &draw.wants {
+        for want in &draw.demands {
             self.refund(now, gateway, want);
         }
-        let shares = draw.wants.iter().map(|want| self.share(now, want, same)).collect();
-        Grant { number: draw.number, epoch: self.epoch, shares }
+        let grants = draw.demands.iter().map(|want| self.share(now, want, same)).collect();
+        Grant { number: draw.number, epoch: self.epoch, grants }
     }
 
     /// A gateway that is back says what it has spent of slices. What the count was charged for
     /// them by estimate comes back to that extent.
-    fn refund(&mut self, now: Millis, gateway: &str, want: &Want) {
+    fn refund(&mut self, now: Millis, gateway: &str, want: &TenantDemand) {
         let refills = self.charges.refund(now, gateway, &want.tenant);
         if refills <= 0.0 {
             return;
@@ -311,26 +318,26 @@
         let Some(count) = self.counts.get_mut(&want.tenant) else { return };
         let Some(terms) = count.terms else { return };
         let charged = refills * terms.refill / terms.window;
-        count.free = (count.free + charged.min(want.owed().into())).min(terms.most);
+        count.free = (count.free + charged.min(want.owed().into())).min(terms.max_units);
     }
 
     /// Whether a count is about to need what lies below its floor: the log should say so before more is granted.
-    pub fn presses(&self) -> bool {
-        let of = |c: &Count| c.terms.is_some_and(|t| c.gone_at.is_none() && c.floor.presses(t.refill));
+    pub fn needs_lower_floor(&self) -> bool {
+        let of = |c: &Count| c.terms.is_some_and(|t| c.gone_at.is_none() && c.floor.needs_lowering(t.refill));
         self.counts.values().any(of)
     }
 
     /// Floors that the log should say from now on, by tenant. They are on their way once this has told them: the holder
-    /// keeps to the higher of old and new until [`QuotaHolder::decided`].
-    pub fn floors_wanted(&mut self, now: Millis) -> Vec<(String, u32)> {
+    /// keeps to the higher of old and new until [`QuotaHolder::commit_floors`].
+    pub fn propose_floors(&mut self, now: Millis) -> Vec<(String, u32)> {
         let mut wanted = Vec::new();
         for (tenant, count) in &mut self.counts {
             let (most, refill) = match count.terms {
-                Some(terms) if count.gone_at.is_none() => (terms.most, terms.refill),
+                Some(terms) if count.gone_at.is_none() => (terms.max_units, terms.refill),
                 _ => (0.0, 0.0),
             };
-            if let Some(units) = count.floor.wanted(now, most, refill) {
-                count.floor.asks(units);
+            if let Some(units) = count.floor.next_proposal(now, most, refill) {
+                count.floor.propose(units);
                 wanted.push((tenant.clone(), units));
             }
         }
@@ -342,35 +349,35 @@
     }
 
     /// The log says the floors that were wanted last.
-    pub fn decided(&mut self) {
-        self.counts.values_mut().for_each(|count| count.floor.decided());
+    pub fn commit_floors(&mut self) {
+        self.counts.values_mut().for_each(|count| count.floor.commit());
     }
 
     /// Whether the present assignment came just now.
-    pub fn is_fresh(&self, now: Millis) -> bool {
+    pub fn awaits_handover(&self, now: Millis) -> bool {
         self.epoch.number > 1 && now < self.since + HANDOVER_WAIT
     }
 
     /// Has a gateway ask again shortly.
-    pub fn put_off(&self, draw: &LeaseRequest) -> Grant {
-        let share = |want: &Want| Share {
+    pub fn defer(&self, draw: &LeaseRequest) -> Grant {
+        let share = |want: &TenantDemand| TenantGrant {
             tenant: want.tenant.clone(),
             window: 0,
             granted: 0,
-            left: 0,
+            remaining: 0,
             ends_in: 0.0,
-            standing: Standing::Later,
+            status: CounterStatus::RetryLater,
         };
-        Grant { number: draw.number, epoch: self.epoch, shares: draw.wants.iter().map(share).collect() }
+        Grant { number: draw.number, epoch: self.epoch, grants: draw.demands.iter().map(share).collect() }
     }
 
     /// What operators see of each tenant.
-    pub fn figures(&self) -> Vec<CountFigures> {
-        let one = |(tenant, c): (&String, &Count)| CountFigures {
+    pub fn stats(&self) -> Vec<CounterStats> {
+        let one = |(tenant, c): (&String, &Count)| CounterStats {
             tenant: tenant.clone(),
             window: c.window,
             granted: c.granted,
-            left: c.free,
+            remaining: c.free,
         };
         self.counts.iter().filter(|(_, c)| c.gone_at.is_none()).map(one).collect()
     }
@@ -378,7 +385,7 @@
     /// Gateways not heard lately are silent. They may have spent slices since soon after their last word, while the
     /// counts still granted their part to others: that comes off now.
     fn forget_silent(&mut self, now: Millis) {
-        let is_silent = |at: &Millis| now >= *at + HEARD_FOR;
+        let is_silent = |at: &Millis| now >= *at + GATEWAY_TIMEOUT;
         let mut lost = 0.0;
         for (gateway, at) in self.heard.iter().filter(|(_, at)| is_silent(at)) {
             let part = self.slice_of(gateway);
@@ -392,8 +399,8 @@
         self.count_silent();
         for count in self.counts.values_mut() {
             let Some(terms) = count.terms else { continue };
-            let spent = terms.refill / terms.window * (HEARD_FOR - SILENT_AFTER) * lost.min(1.0);
-            count.free = (count.free - spent).max(-terms.most);
+            let spent = terms.refill / terms.window * (GATEWAY_TIMEOUT - SILENCE_TIMEOUT) * lost.min(1.0);
+            count.free = (count.free - spent).max(-terms.max_units);
         }
     }
 
@@ -433,7 +440,7 @@
             rolls += 1;
             count.end = self.grid_end(begin + 1e-6, terms.window);
             let part = ((count.end - begin) / terms.window).clamp(0.0, 1.0);
-            count.free = (count.free + terms.refill * part).clamp(-terms.most, terms.most);
+            count.free = (count.free + terms.refill * part).clamp(-terms.max_units, terms.max_units);
             count.window += 1;
             count.granted = 0.0;
             count.silent = silent;
@@ -443,63 +450,63 @@
         self.counts.insert(tenant.to_owned(), count);
     }
 
-    fn share(&mut self, now: Millis, want: &Want, same: bool) -> Share {
+    fn share(&mut self, now: Millis, want: &TenantDemand, same: bool) -> TenantGrant {
         self.roll(now, &want.tenant);
         let active = (self.heard.len() as f64).max(1.0);
-        let mut share = Share {
+        let mut share = TenantGrant {
             tenant: want.tenant.clone(),
             window: 0,
             granted: 0,
-            left: 0,
+            remaining: 0,
             ends_in: 0.0,
-            standing: Standing::Slices,
+            status: CounterStatus::FallbackSlice,
         };
         // A tenant that this holder has not heard of may be one of a configuration on its way, or another holder's:
         // then a slice could be spent beside what that one grants.
         let alone = self.epoch.number <= 1;
         let Some(count) = self.counts.get_mut(&want.tenant).filter(|c| c.gone_at.is_none()) else {
-            return if alone { share } else { Share { standing: Standing::Later, ..share } };
+            return if alone { share } else { TenantGrant { status: CounterStatus::RetryLater, ..share } };
         };
         share.window = count.window;
         share.ends_in = (count.end - now).max(0.0);
         let Some(terms) = count.terms else {
-            return Share {
-                granted: want.add,
-                left: u32::MAX,
+            return TenantGrant {
+                granted: want.requested,
+                remaining: u32::MAX,
                 ends_in: 1000.0,
-                standing: Standing::Open,
+                status: CounterStatus::Open,
                 ..share
             };
         };
         if now < count.awaits_until {
-            return Share { standing: Standing::Later, ..share };
+            return TenantGrant { status: CounterStatus::RetryLater, ..share };
         }
         if now + EARLY < count.shut_until {
             share.ends_in = (count.shut_until - now).max(0.0);
             return self.share_shut(now, want, share);
         }
         if same {
-            let most_back = (terms.most - count.free - count.granted).max(0.0);
-            count.free += f64::from(want.back).min(most_back);
+            let most_back = (terms.max_units - count.free - count.granted).max(0.0);
+            count.free += f64::from(want.returned).min(most_back);
         }
         let owed = want.owed();
-        count.free = (count.free - f64::from(owed)).max(-terms.most);
-        let need = if owed > 0 { 0 } else { want.need };
+        count.free = (count.free - f64::from(owed)).max(-terms.max_units);
+        let need = if owed > 0 { 0 } else { want.needed };
         // In the first window of an office all are silent until they ask, and what they have spent of slices until then
         // comes off their first block: to keep their slices back would refuse most of what the floor left.
         let silent = if now < self.grid_begin + terms.window { 0.0 } else { count.silent };
         let left = count.free - terms.refill * silent;
-        count.floor.seen(left);
-        let (all, free) = (left.max(0.0).floor(), (left - count.floor.held()).max(0.0).floor());
+        count.floor.record_free(left);
+        let (all, free) = (left.max(0.0).floor(), (left - count.floor.enforced()).max(0.0).floor());
         let even = (free / (EVEN_OVER * active)).max(LEAST_PART * terms.refill / active);
-        let granted = f64::from(want.add).min(even.floor()).max(f64::from(need)).min(free);
+        let granted = f64::from(want.requested).min(even.floor()).max(f64::from(need)).min(free);
         count.free -= granted;
         count.granted += granted;
         share.granted = granted as u32;
-        count.floor.seen(left - granted);
+        count.floor.record_free(left - granted);
         // What lies below the floor is there as soon as the log says so.
-        share.left = (all - granted) as u32;
-        share.standing = Standing::Open;
+        share.remaining = (all - granted) as u32;
+        share.status = CounterStatus::Open;
         share
     }
 }
--- a/crates/quota/src/placer.rs
+++ b/crates/quota/src/holder_assigner.rs
@@ -5,9 +5,9 @@
 use crate::{Epoch, HolderAssignment, Millis};
 
 /// More holders than this make draws smaller and not fewer.
-pub const HOLDERS_MOST: usize = 8;
+pub const MAX_HOLDERS: usize = 8;
 /// A deputy of which nothing is heard for this long has no lease any more and is replaced.
-pub const LOST: Millis = 400.0;
+pub const DEPUTY_TIMEOUT: Millis = 400.0;
 /// Who comes, or comes back, is heard for this long before it becomes a deputy.
 const STEADY: Millis = 3000.0;
 /// The leader waits this long between changes that it need not make: each may cost a tenant part of a window, and the
@@ -28,7 +28,7 @@
 
 /// Makes the assignments of one term.
 #[derive(Debug)]
-pub struct Placer {
+pub struct HolderAssigner {
     me: String,
     /// One holder bears this many draws a second.
     bears: f64,
@@ -37,7 +37,7 @@
     candidates: BTreeMap<String, Candidate>,
 }
 
-impl Placer {
+impl HolderAssigner {
     /// The leader of a new term holds all counts itself at first. More draws a second than one holder `bears` make it
     /// share them out: each further holder costs every gateway a message each window, so few draws are better left
     /// together. With infinity it holds them alone for good.
@@ -60,7 +60,7 @@
     /// Another process asks for its lease, or offers itself. `answered` is the highest number of its asks that it has
     /// got an answer to: one that is heard but does not hear is as good as lost. `draws` is how many it answers a
     /// second. Whether it is to have a lease.
-    pub fn asked(&mut self, now: Millis, name: &str, answered: u64, draws: f64) -> bool {
+    pub fn record_offer(&mut self, now: Millis, name: &str, answered: u64, draws: f64) -> bool {
         if let Some(known) = self.candidates.get_mut(name) {
             // A smaller number is a new life's.
             if answered < known.answered || now > known.heard + STEADY * 0.5 {
@@ -74,15 +74,16 @@
             let known = Candidate { since: now, heard: now, answered, draws };
             self.candidates.insert(name.to_owned(), known);
         }
-        self.assignment.has(name)
+        self.assignment.contains(name)
     }
 
     /// Looks after the assignment; `draws` is how many the leader itself answers a second. Whether it changed.
-    pub fn tend(&mut self, now: Millis, draws: f64) -> bool {
+    pub fn update(&mut self, now: Millis, draws: f64) -> bool {
         self.candidates.retain(|_, known| now < known.heard + 2.0 * STEADY);
         let me = &self.me;
         let before = self.assignment.holders.len();
-        let lost = |name: &String| self.candidates.get(name).is_none_or(|known| now > known.heard + LOST);
+        let lost =
+            |name: &String| self.candidates.get(name).is_none_or(|known| now > known.heard + DEPUTY_TIMEOUT);
         self.assignment.holders.retain(|name| name == me || !lost(name));
         let mut changed = self.assignment.holders.len() != before;
         if !changed && now > self.changed + PACE {
@@ -104,18 +105,18 @@
         let deputies = self.assignment.holders.iter().filter_map(|name| self.candidates.get(name));
         let draws = draws + deputies.map(|known| known.draws).sum::<f64>();
         let have = self.assignment.holders.len();
-        if draws > self.bears * have as f64 && have < HOLDERS_MOST {
+        if draws > self.bears * have as f64 && have < MAX_HOLDERS {
             let need = (draws / self.bears).ceil() as usize;
             let fresh: Vec<String> = self
                 .candidates
                 .iter()
                 .filter(|(name, known)| {
-                    !self.assignment.has(name)
+                    !self.assignment.contains(name)
                         && now > known.since + STEADY
                         && now < known.heard + STEADY * 0.5
                 })
                 .map(|(name, _)| name.clone())
-                .take(need.min(HOLDERS_MOST) - have)
+                .take(need.min(MAX_HOLDERS) - have)
                 .collect();
             let any = !fresh.is_empty();
             self.assignment.holders.extend(fresh);
--- a/crates/quota/src/cache.rs
+++ b/crates/quota/src/lease_cache.rs
@@ -1,33 +1,36 @@
 //! The data plane's side: a gateway's blocks of each tenant's count.
 
-mod tenant;
+mod tenant_state;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use crate::source::{PROBE, Source};
-use crate::{Epoch, Grant, HolderAssignment, LeaseRequest, Millis, Quota, Share, Standing, Terms, Want};
+use crate::holder_state::{HolderState, PROBE_INTERVAL};
+use crate::{
+    CounterStatus, Epoch, Grant, HolderAssignment, LeaseRequest, Millis, Quota, TenantDemand, TenantGrant,
+    WindowParams,
+};
 
 /// The weight of the newest window in smoothed demand.
-const NEWEST: f64 = 0.4;
+const DEMAND_SMOOTHING: f64 = 0.4;
 /// A block covers this much of the demand expected until the window's end: demand comes unevenly.
-const AMPLE: f64 = 1.15;
+const BLOCK_MARGIN: f64 = 1.15;
 /// A block is renewed when less than this share of the demand until the window's end is left of it.
-const RENEW: f64 = 0.35;
+const RENEWAL_RATIO: f64 = 0.35;
 /// Tenants with less demand than this in a window are asked for as requests come: blocks taken ahead would mostly end
 /// unused.
-const AHEAD: f64 = 1.0;
+const MIN_PREFETCH_DEMAND: f64 = 1.0;
 /// A tenant without requests for this long is forgotten and starts anew.
-const IDLE: Millis = 20_000.0;
+const IDLE_TIMEOUT: Millis = 20_000.0;
 /// Slices stop this long after the last word of any holder: by then the fleet's size is anyone's guess.
-const SLICES_FOR: Millis = 30_000.0;
+const MAX_SLICE_TIME: Millis = 30_000.0;
 /// A count that is on its way between holders is asked for again after this long.
-const AGAIN: Millis = 15.0;
+const RETRY_DELAY: Millis = 15.0;
 /// Requests that may wait, for one tenant and in all.
-const WAIT_MOST: usize = 512;
-const WAIT_MOST_ALL: usize = 4096;
+const MAX_WAITING_PER_TENANT: usize = 512;
+const MAX_WAITING: usize = 4096;
 /// Refused requests are told to come back after the window's end, spread over this share of a window.
-const SPREAD: f64 = 0.25;
+const RETRY_JITTER_RATIO: f64 = 0.25;
 
 /// The answer to a request that asks to be admitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -48,7 +51,7 @@
 
 /// What a tenant's cache says to operators.
 #[derive(Debug, Clone, PartialEq)]
-pub struct TenantFigures {
+pub struct TenantStats {
     /// The tenant's name.
     pub tenant: String,
     /// Units of the block in hand.
@@ -62,141 +65,142 @@
     /// Requests refused since then.
     pub refused: u64,
     /// Of those granted, how many by slices.
-    pub by_slice: u64,
+    pub granted_by_slice: u64,
 }
 
 #[derive(Debug, Default)]
-struct Tenant {
+struct TenantState {
     /// None sets no limit.
-    terms: Option<Terms>,
+    terms: Option<WindowParams>,
     burst: f64,
     block: u32,
     window: u64,
     /// Until when the block holds and what the holder said of the window counts.
-    ends_at: Millis,
+    window_ends_at: Millis,
     /// Units got and spent of the block's window.
-    got: u32,
+    received: u32,
     spent: u32,
     /// What the window's count had left when last heard.
-    left: u32,
+    remaining: u32,
     waiting: VecDeque<(u64, Millis)>,
     in_flight: Option<u64>,
-    wanted: bool,
-    back: u32,
+    needs_block: bool,
+    returned: u32,
     /// The place of its holder among the sources.
-    source: usize,
+    holder_index: usize,
     /// Its count is on its way between holders: not to be asked for before.
-    later_until: Millis,
+    retry_at: Millis,
     /// A holder that grants nothing yet has left the gateway its slices until then.
     slices_until: Millis,
-    slice: f64,
-    slice_ends: Millis,
+    slice_units: f64,
+    slice_ends_at: Millis,
     slice_used: u32,
     /// Whether the count has to be charged for the slice: its holder gave no answer, and grants all to others meanwhile.
-    slice_is_owed: bool,
+    slice_is_charged: bool,
     /// Units of slices whose windows are over, and of which the count knows nothing yet.
     slice_debt: u32,
     /// So much of it stands in the draw on its way.
-    slice_debt_told: u32,
-    known: bool,
+    slice_debt_in_flight: u32,
+    has_demand: bool,
     demand: f64,
-    asked: f64,
-    demand_from: Millis,
-    asked_at: Millis,
+    requests_in_window: f64,
+    demand_since: Millis,
+    last_request_at: Millis,
     granted: u64,
     refused: u64,
-    by_slice: u64,
+    granted_by_slice: u64,
 }
 
 /// The leases of all tenants at one gateway.
 #[derive(Debug)]
-pub struct Cache {
-    tenants: BTreeMap<String, Tenant>,
-    gateways: f64,
+pub struct LeaseCache {
+    tenants: BTreeMap<String, TenantState>,
+    fleet_size: f64,
     seed: u64,
-    numbers: u64,
+    last_request_number: u64,
     epoch: Epoch,
     assignment: HolderAssignment,
     /// The holders, in the order of the assignment; never empty.
-    sources: Vec<Source>,
-    last_word: Option<Millis>,
+    holders: Vec<HolderState>,
+    last_contact: Option<Millis>,
     /// Planted by tests: grants of an older epoch are taken.
     ignores_epoch: bool,
-    waiting: usize,
+    waiting_count: usize,
     /// Nothing is spent or drawn any more.
     closed: bool,
 }
 
-impl Cache {
+impl LeaseCache {
     /// An empty cache. The seed spreads what is left to lots.
     pub fn new(seed: u64) -> Self {
         Self {
             tenants: BTreeMap::new(),
-            gateways: 1.0,
+            fleet_size: 1.0,
             seed,
-            numbers: 0,
+            last_request_number: 0,
             epoch: Epoch::default(),
             assignment: HolderAssignment::default(),
-            sources: vec![Source::new("")],
-            last_word: None,
+            holders: vec![HolderState::new("")],
+            last_contact: None,
             ignores_epoch: false,
-            waiting: 0,
+            waiting_count: 0,
             closed: false,
         }
     }
 
     /// Takes a configuration. Blocks that are out end with their windows; tenants that are gone are dropped, and the
     /// requests that waited for them are refused at the next `tick`.
-    pub fn quotas(&mut self, now: Millis, quotas: Vec<Quota>) {
+    pub fn set_quotas(&mut self, now: Millis, quotas: Vec<Quota>) {
         let mut old = std::mem::take(&mut self.tenants);
         for quota in quotas {
-            let mut tenant =
-                old.remove(&quota.tenant).unwrap_or_else(|| Tenant { demand_from: now, ..Tenant::default() });
-            tenant.terms = Terms::of(&quota);
-            tenant.source = self.assignment.place_of(&quota.tenant).unwrap_or(0);
+            let mut tenant = old
+                .remove(&quota.tenant)
+                .unwrap_or_else(|| TenantState { demand_since: now, ..TenantState::default() });
+            tenant.terms = WindowParams::from_quota(&quota);
+            tenant.holder_index = self.assignment.holder_index(&quota.tenant).unwrap_or(0);
             tenant.burst = quota.burst.max(0.0);
             self.tenants.insert(quota.tenant, tenant);
         }
         // Waiting requests need their verdict: their tenants stay, without a limit or a unit, until they have it.
         for (name, mut tenant) in old.into_iter().filter(|(_, t)| !t.waiting.is_empty()) {
-            tenant.gone(now);
+            tenant.mark_removed(now);
             self.tenants.insert(name, tenant);
         }
     }
 
     /// Takes an assignment: who holds what, unless it is an older one. Draws on their way to others are given up, and
     /// grants of an older epoch refused from now on.
-    pub fn assignment(&mut self, assignment: &HolderAssignment) {
+    pub fn set_assignment(&mut self, assignment: &HolderAssignment) {
         if assignment.epoch < self.epoch || assignment.holders.is_empty() || *assignment == self.assignment {
             return;
         }
         self.turn(assignment.epoch);
-        let old = std::mem::take(&mut self.sources);
-        let mut old: Vec<Option<Source>> = old.into_iter().map(Some).collect();
+        let old = std::mem::take(&mut self.holders);
+        let mut old: Vec<Option<HolderState>> = old.into_iter().map(Some).collect();
         for name in &assignment.holders {
             let kept =
                 old.iter_mut().find(|s| s.as_ref().is_some_and(|s| *s.name == **name)).and_then(Option::take);
-            self.sources.push(kept.unwrap_or_else(|| Source::new(name)));
+            self.holders.push(kept.unwrap_or_else(|| HolderState::new(name)));
         }
         for source in old.into_iter().flatten() {
-            for number in source.numbers() {
+            for number in source.in_flight_numbers() {
                 self.free_flights(number);
             }
         }
         self.assignment = assignment.clone();
         for (name, t) in &mut self.tenants {
-            t.source = assignment.place_of(name).unwrap_or(0);
-            t.later_until = 0.0;
+            t.holder_index = assignment.holder_index(name).unwrap_or(0);
+            t.retry_at = 0.0;
         }
     }
 
     /// The newest assignment that it was told.
-    pub fn holders(&self) -> &HolderAssignment {
+    pub fn assignment(&self) -> &HolderAssignment {
         &self.assignment
     }
 
     #[doc(hidden)]
-    pub fn plant_ignored_epoch(&mut self) {
+    pub fn inject_ignored_epoch(&mut self) {
         self.ignores_epoch = true;
     }
 
@@ -204,23 +208,23 @@
     fn turn(&mut self, epoch: Epoch) {
         if epoch > self.epoch {
             self.epoch = epoch;
-            self.tenants.values_mut().for_each(|t| (t.back, t.slice_debt) = (0, 0));
+            self.tenants.values_mut().for_each(|t| (t.returned, t.slice_debt) = (0, 0));
         }
     }
 
     /// Takes the number of gateways in all.
-    pub fn fleet(&mut self, gateways: u32) {
-        self.gateways = f64::from(gateways.max(1));
+    pub fn set_fleet_size(&mut self, fleet_size: u32) {
+        self.fleet_size = f64::from(fleet_size.max(1));
     }
 
     /// A process that serves control says how many gateways there are, and whether it has heard the leader just now. One
     /// that has not may know of few: by its word slices grow smaller only.
-    pub fn fleet_told(&mut self, now: Millis, gateways: u32, fresh: bool) {
+    pub fn update_fleet_size(&mut self, now: Millis, fleet_size: u32, fresh: bool) {
         if fresh {
-            self.fleet(gateways);
-            self.word(now);
+            self.set_fleet_size(fleet_size);
+            self.record_contact(now);
         } else {
-            self.gateways = self.gateways.max(f64::from(gateways));
+            self.fleet_size = self.fleet_size.max(f64::from(fleet_size));
         }
     }
 
@@ -228,7 +232,7 @@
     /// lapse with their windows.
     pub fn close(&mut self, now: Millis, out: &mut Vec<(u64, Verdict)>) {
         self.closed = true;
-        self.waiting = 0;
+        self.waiting_count = 0;
         let mut seed = self.seed;
         for t in self.tenants.values_mut() {
             for (request, _) in std::mem::take(&mut t.waiting) {
@@ -239,17 +243,17 @@
     }
 
     /// A holder was heard of otherwise than by a grant: slices may go on.
-    pub fn word(&mut self, now: Millis) {
-        self.last_word = Some(now);
+    pub fn record_contact(&mut self, now: Millis) {
+        self.last_contact = Some(now);
     }
 
     /// A request asks for a unit of its tenant.
-    pub fn ask(&mut self, now: Millis, request: u64, tenant: &str, wait_at_most: Millis) -> Verdict {
+    pub fn admit(&mut self, now: Millis, request: u64, tenant: &str, wait_at_most: Millis) -> Verdict {
         let lot = self.lot();
-        let (gateways, slices) = (self.gateways, self.may_slice(now));
-        let full = self.waiting >= WAIT_MOST_ALL;
+        let (fleet_size, slices) = (self.fleet_size, self.may_slice(now));
+        let full = self.waiting_count >= MAX_WAITING;
         let Some(t) = self.tenants.get_mut(tenant) else { return Verdict::Refused { retry_after: 1000.0 } };
-        let silent = self.sources.get_mut(t.source).is_some_and(|source| source.is_silent(now));
+        let silent = self.holders.get_mut(t.holder_index).is_some_and(|source| source.is_silent(now));
         if t.terms.is_none() {
             t.granted += 1;
             return Verdict::Granted;
@@ -257,40 +261,42 @@
         if self.closed {
             return t.refuse(now, lot);
         }
-        t.roll(now);
-        t.asked += 1.0;
-        t.asked_at = now;
-        if t.waiting.is_empty() && t.spend() {
-            let ahead = t.ahead(now);
-            t.wanted |= t.left > 0 && ahead >= AHEAD && f64::from(t.block) < ahead * RENEW;
+        t.advance_window(now);
+        t.requests_in_window += 1.0;
+        t.last_request_at = now;
+        if t.waiting.is_empty() && t.spend_unit() {
+            let remaining_demand = t.remaining_demand(now);
+            t.needs_block |= t.remaining > 0
+                && remaining_demand >= MIN_PREFETCH_DEMAND
+                && f64::from(t.block) < remaining_demand * RENEWAL_RATIO;
             return Verdict::Granted;
         }
-        if t.spent_out(now) {
+        if t.is_exhausted(now) {
             return t.refuse(now, lot);
         }
         if silent || now < t.slices_until {
-            t.wanted |= now >= t.slices_until;
+            t.needs_block |= now >= t.slices_until;
             if slices {
-                t.open_slice(now, gateways, lot);
+                t.open_slice(now, fleet_size, lot);
             }
-            return if slices && t.spend_slice() { Verdict::Granted } else { t.refuse(now, lot) };
+            return if slices && t.spend_slice_unit() { Verdict::Granted } else { t.refuse(now, lot) };
         }
-        if full || t.waiting.len() >= WAIT_MOST {
+        if full || t.waiting.len() >= MAX_WAITING_PER_TENANT {
             return t.refuse(now, lot);
         }
-        t.wanted = true;
+        t.needs_block = true;
         let until = now + wait_at_most.max(0.0);
         t.waiting.push_back((request, until));
-        self.waiting += 1;
+        self.waiting_count += 1;
         Verdict::Wait { until }
     }
 
     /// A waiting request is gone; it needs no verdict.
-    pub fn left(&mut self, request: u64) {
+    pub fn cancel(&mut self, request: u64) {
         for t in self.tenants.values_mut() {
             if let Some(at) = t.waiting.iter().position(|(r, _)| *r == request) {
                 t.waiting.remove(at);
-                self.waiting -= 1;
+                self.waiting_count -= 1;
                 return;
             }
         }
@@ -298,70 +304,84 @@
 
     /// A request that was granted has not been run. Its unit can be spent again in its own window only; later it goes
     /// back to the count, which knows how much a window may hold.
-    pub fn give_back(&mut self, now: Millis, tenant: &str) {
+    pub fn return_unit(&mut self, now: Millis, tenant: &str) {
         let Some(t) = self.tenants.get_mut(tenant) else { return };
-        t.roll(now);
+        t.advance_window(now);
         if t.spent > 0 {
             t.spent -= 1;
             t.block += 1;
-        } else if now < t.slice_ends && t.slice_used > 0 {
+        } else if now < t.slice_ends_at && t.slice_used > 0 {
             t.slice_used -= 1;
-            t.slice += 1.0;
+            t.slice_units += 1.0;
         } else {
-            t.back = t.back.saturating_add(1);
+            t.returned = t.returned.saturating_add(1);
         }
     }
 
     /// What is to be sent now, and to which holder: one message for all tenants of it.
-    pub fn draw(&mut self, now: Millis) -> Vec<(Rc<str>, LeaseRequest)> {
+    pub fn lease_requests(&mut self, now: Millis) -> Vec<(Rc<str>, LeaseRequest)> {
         let mut draws: Vec<(usize, LeaseRequest)> = Vec::new();
         if self.closed {
             return Vec::new();
         }
-        let (gateways, epoch) = (self.gateways, self.epoch);
+        let (fleet_size, epoch) = (self.fleet_size, self.epoch);
         for (name, t) in &mut self.tenants {
             let Some(terms) = t.terms else { continue };
-            if t.in_flight.is_some() || now < t.slices_until || now < t.later_until {
+            if t.in_flight.is_some() || now < t.slices_until || now < t.retry_at {
                 continue;
             }
-            t.roll(now);
-            t.wanted &= !t.spent_out(now);
-            if !t.wants(now) && t.slice_debt == 0 {
+            t.advance_window(now);
+            t.needs_block &= !t.is_exhausted(now);
+            if !t.should_request(now) && t.slice_debt == 0 {
                 continue;
             }
-            if !self.sources.get_mut(t.source).is_some_and(|source| source.may_be_asked(now)) {
+            if !self.holders.get_mut(t.holder_index).is_some_and(|source| source.may_send(now)) {
                 continue;
             }
-            let (need, add) = if t.wants(now) { t.size(now, terms, gateways) } else { (0, 0) };
-            t.wanted = false;
-            if add < 1 && t.slice_debt == 0 {
+            let (needed, requested) =
+                if t.should_request(now) { t.request_size(now, terms, fleet_size) } else { (0, 0) };
+            t.needs_block = false;
+            if requested < 1 && t.slice_debt == 0 {
                 continue;
             }
-            t.slice_debt_told = t.slice_debt;
-            let need = if t.slice_debt > 0 { add.saturating_add(t.slice_debt) } else { need };
-            let at = draws.iter().position(|(place, _)| *place == t.source).unwrap_or_else(|| {
-                self.numbers += 1;
-                draws.push((t.source, LeaseRequest { number: self.numbers, epoch, wants: Vec::new() }));
+            t.slice_debt_in_flight = t.slice_debt;
+            let needed = if t.slice_debt > 0 { requested.saturating_add(t.slice_debt) } else { needed };
+            let at = draws.iter().position(|(place, _)| *place == t.holder_index).unwrap_or_else(|| {
+                self.last_request_number += 1;
+                draws.push((
+                    t.holder_index,
+                    LeaseRequest { number: self.last_request_number, epoch, demands: Vec::new() },
+                ));
                 draws.len() - 1
             });
             if let Some((_, draw)) = draws.get_mut(at) {
                 t.in_flight = Some(draw.number);
-                draw.wants.push(Want { tenant: name.clone(), need, add, back: std::mem::take(&mut t.back) });
+                draw.demands.push(TenantDemand {
+                    tenant: name.clone(),
+                    needed,
+                    requested,
+                    returned: std::mem::take(&mut t.returned),
+                });
             }
         }
         // Units that go back are worth no message of their own.
         for (place, draw) in &mut draws {
             for (name, t) in &mut self.tenants {
-                if t.back > 0 && t.source == *place && t.in_flight.is_none() && t.terms.is_some() {
-                    let back = std::mem::take(&mut t.back);
-                    draw.wants.push(Want { tenant: name.clone(), need: 0, add: 0, back });
+                if t.returned > 0 && t.holder_index == *place && t.in_flight.is_none() && t.terms.is_some() {
+                    let returned = std::mem::take(&mut t.returned);
+                    draw.demands.push(TenantDemand {
+                        tenant: name.clone(),
+                        needed: 0,
+                        requested: 0,
+                        returned,
+                    });
                 }
             }
         }
         let mut out = Vec::with_capacity(draws.len());
         for (place, draw) in draws {
-            if let Some(source) = self.sources.get_mut(place) {
-                source.asked(now, draw.number);
+            if let Some(source) = self.holders.get_mut(place) {
+                source.record_sent(now, draw.number);
                 out.push((source.name.clone(), draw));
             }
         }
@@ -370,58 +390,62 @@
 
     /// A holder's answer. That of a former holder, or to a draw given up, is ignored: its units stay counted until
     /// their window ends, and nobody spends them.
-    pub fn granted(&mut self, now: Millis, grant: Grant, out: &mut Vec<(u64, Verdict)>) {
-        let found = self.sources.iter_mut().find_map(|source| Some((source.take(grant.number)?, source)));
+    pub fn handle_grant(&mut self, now: Millis, grant: Grant, out: &mut Vec<(u64, Verdict)>) {
+        let found =
+            self.holders.iter_mut().find_map(|source| Some((source.take_in_flight(grant.number)?, source)));
         let Some((sent, source)) = found else { return };
         if grant.epoch < self.epoch && !self.ignores_epoch {
             // It may not have heard of the newest assignment yet; without it its lease soon ends.
             for t in self.tenants.values_mut().filter(|t| t.in_flight == Some(grant.number)) {
-                t.later_until = now + AGAIN;
+                t.retry_at = now + RETRY_DELAY;
             }
             return self.free_flights(grant.number);
         }
-        source.answered();
+        source.record_answer();
         self.turn(grant.epoch);
-        self.last_word = Some(now);
-        let gateways = self.gateways;
-        for share in grant.shares {
+        self.last_contact = Some(now);
+        let fleet_size = self.fleet_size;
+        for tenant_grant in grant.grants {
             let lot = self.lot();
-            let Some(t) = self.tenants.get_mut(&share.tenant).filter(|t| t.in_flight == Some(grant.number))
+            let Some(t) =
+                self.tenants.get_mut(&tenant_grant.tenant).filter(|t| t.in_flight == Some(grant.number))
             else {
                 continue;
             };
             t.in_flight = None;
-            t.take(now, sent.at, &share);
+            t.apply_grant(now, sent.sent_at, &tenant_grant);
             let before = t.waiting.len();
-            t.serve(now, gateways, lot, out);
-            self.waiting -= before - t.waiting.len();
+            t.serve_waiting(now, fleet_size, lot, out);
+            self.waiting_count -= before - t.waiting.len();
         }
         self.free_flights(grant.number);
     }
 
     /// A draw is given up: its answer is not waited for any more, and the holder counts as silent until it answers.
-    pub fn silent(&mut self, now: Millis, number: u64) {
-        if let Some(source) = self.sources.iter_mut().find_map(|source| source.take(number).map(|_| source)) {
-            source.falls_silent(now);
+    pub fn request_failed(&mut self, now: Millis, number: u64) {
+        if let Some(source) =
+            self.holders.iter_mut().find_map(|source| source.take_in_flight(number).map(|_| source))
+        {
+            source.mark_silent(now);
             self.free_flights(number);
         }
     }
 
     /// Time has passed: requests that have waited long enough get their verdict.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<(u64, Verdict)>) {
-        while let Some(late) = self.sources.iter().find_map(|source| source.late(now)) {
-            self.silent(now, late);
+        while let Some(late) = self.holders.iter().find_map(|source| source.overdue_request(now)) {
+            self.request_failed(now, late);
         }
-        let (gateways, slices) = (self.gateways, self.may_slice(now));
+        let (fleet_size, slices) = (self.fleet_size, self.may_slice(now));
         let mut seed = self.seed;
         for t in self.tenants.values_mut().filter(|t| !t.waiting.is_empty()) {
-            t.roll(now);
-            let silent = self.sources.get_mut(t.source).is_some_and(|source| source.is_silent(now));
+            t.advance_window(now);
+            let silent = self.holders.get_mut(t.holder_index).is_some_and(|source| source.is_silent(now));
             let before = t.waiting.len();
             let mut waiting = std::mem::take(&mut t.waiting);
             waiting.retain(|(request, until)| {
                 let lot = lot(&mut seed);
-                if t.spend() {
+                if t.spend_unit() {
                     out.push((*request, Verdict::Granted));
                     return false;
                 }
@@ -429,9 +453,9 @@
                     return true;
                 }
                 // The answer is late: the even slice is lent, and comes off the next block if one comes.
-                if slices && !t.spent_out(now) {
-                    t.open_slice(now, gateways, lot);
-                    if t.spend_slice() {
+                if slices && !t.is_exhausted(now) {
+                    t.open_slice(now, fleet_size, lot);
+                    if t.spend_slice_unit() {
                         out.push((*request, Verdict::Granted));
                         return false;
                     }
@@ -440,27 +464,27 @@
                 false
             });
             t.waiting = waiting;
-            self.waiting -= before - t.waiting.len();
+            self.waiting_count -= before - t.waiting.len();
         }
         self.seed = seed;
     }
 
     /// When `tick` and `draw` have something to do at the latest, if nothing comes before.
-    pub fn next_due(&self) -> Option<Millis> {
+    pub fn next_deadline(&self) -> Option<Millis> {
         if self.closed {
             return None;
         }
-        let mut due = self.sources.iter().fold(f64::INFINITY, |due, source| due.min(source.next_due()));
+        let mut due = self.holders.iter().fold(f64::INFINITY, |due, source| due.min(source.next_deadline()));
         for t in self.tenants.values() {
             due = t.waiting.iter().fold(due, |d, (_, until)| d.min(*until));
             if t.in_flight.is_none() && t.terms.is_some() {
-                let probe = self.sources.get(t.source).filter(|source| source.was_silent());
-                let from = probe.map_or(0.0, |source| source.next_probe).max(t.later_until);
-                if t.wanted {
+                let probe = self.holders.get(t.holder_index).filter(|source| source.was_silent());
+                let from = probe.map_or(0.0, |source| source.next_probe_at).max(t.retry_at);
+                if t.needs_block {
                     due = due.min(if probe.is_some() { from } else { from.max(t.slices_until) });
                 }
-                if t.ends_at > 0.0 && (t.demand >= AHEAD || t.slice_debt > 0) {
-                    due = due.min(from.max(t.ends_at).max(t.slices_until));
+                if t.window_ends_at > 0.0 && (t.demand >= MIN_PREFETCH_DEMAND || t.slice_debt > 0) {
+                    due = due.min(from.max(t.window_ends_at).max(t.slices_until));
                 }
             }
         }
@@ -468,15 +492,15 @@
     }
 
     /// What operators see of each tenant.
-    pub fn figures(&self) -> Vec<TenantFigures> {
-        let one = |(tenant, t): (&String, &Tenant)| TenantFigures {
+    pub fn stats(&self) -> Vec<TenantStats> {
+        let one = |(tenant, t): (&String, &TenantState)| TenantStats {
             tenant: tenant.clone(),
             block: t.block,
             demand: t.demand,
             waiting: t.waiting.len(),
             granted: t.granted,
             refused: t.refused,
-            by_slice: t.by_slice,
+            granted_by_slice: t.granted_by_slice,
         };
         self.tenants.iter().map(one).collect()
     }
@@ -484,14 +508,14 @@
     fn free_flights(&mut self, number: u64) {
         for t in self.tenants.values_mut().filter(|t| t.in_flight == Some(number)) {
             t.in_flight = None;
-            t.wanted |= !t.waiting.is_empty();
+            t.needs_block |= !t.waiting.is_empty();
         }
     }
 
     fn may_slice(&self, now: Millis) -> bool {
         // Who has heard of a newer assignment than it knows may spend slices of a count that grants elsewhere.
         let knows = self.assignment.epoch >= self.epoch || self.assignment.holders.is_empty();
-        knows && self.last_word.is_some_and(|at| now < at + SLICES_FOR)
+        knows && self.last_contact.is_some_and(|at| now < at + MAX_SLICE_TIME)
     }
 
     fn lot(&mut self) -> f64 {
--- /dev/null
+++ b/crates/quota/src/lease_cache/tenant_state.rs
@@ -0,0 +1,191 @@
+//! One tenant at a gateway: its block, its slice, and its demand.
+
+use super::*;
+
+impl TenantState {
+    /// Ends a block whose window is over and learns from the demand of windows gone by.
+    pub(super) fn advance_window(&mut self, now: Millis) {
+        let Some(terms) = self.terms else { return };
+        if now >= self.window_ends_at {
+            self.returned = self.returned.saturating_add(std::mem::take(&mut self.block));
+            (self.received, self.spent) = (0, 0);
+        }
+        self.settle_slice(now);
+        let windows = ((now - self.demand_since) / terms.window).floor();
+        if windows >= 1.0 {
+            let first = if self.has_demand {
+                DEMAND_SMOOTHING * self.requests_in_window + (1.0 - DEMAND_SMOOTHING) * self.demand
+            } else {
+                self.requests_in_window
+            };
+            self.demand = first * (1.0 - DEMAND_SMOOTHING).powf((windows - 1.0).min(64.0));
+            self.has_demand |= self.requests_in_window > 0.0;
+            self.requests_in_window = 0.0;
+            self.demand_since += windows * terms.window;
+        }
+        if self.has_demand && now > self.last_request_at + IDLE_TIMEOUT {
+            (self.has_demand, self.demand, self.returned, self.slice_debt) = (false, 0.0, 0, 0);
+        }
+    }
+
+    /// The demand until the block's window ends; of a whole window if none is open.
+    pub(super) fn remaining_demand(&self, now: Millis) -> f64 {
+        let window = self.terms.map_or(1.0, |t| t.window);
+        if now < self.window_ends_at {
+            self.demand * ((self.window_ends_at - now) / window).min(1.0)
+        } else {
+            self.demand
+        }
+    }
+
+    pub(super) fn is_exhausted(&self, now: Millis) -> bool {
+        now < self.window_ends_at && self.remaining < 1 && self.block < 1
+    }
+
+    pub(super) fn spend_unit(&mut self) -> bool {
+        let fits = self.block > 0;
+        if fits {
+            self.block -= 1;
+            self.spent += 1;
+            self.granted += 1;
+        }
+        fits
+    }
+
+    /// Opens the slice of the present window. Whole units end with their window; fractions stay, so that gateways
+    /// whose slice is less than a unit have one every few windows. Each starts from a fraction by lot: all together
+    /// then have what the window allows, neither all nor none of them a unit at once.
+    pub(super) fn open_slice(&mut self, now: Millis, fleet_size: f64, lot: f64) {
+        let Some(terms) = self.terms else { return };
+        if now < self.slice_ends_at {
+            return;
+        }
+        let fresh = now >= self.slice_ends_at + terms.window;
+        let part = if fresh { lot } else { self.slice_units.fract() };
+        let fleet_share = terms.refill / fleet_size;
+        self.settle_slice(now);
+        self.slice_is_charged = now >= self.slices_until;
+        if now < self.window_ends_at {
+            self.slice_ends_at = self.window_ends_at;
+            self.slice_units = part + (fleet_share - f64::from(self.received)).max(0.0);
+            return;
+        }
+        let begin = if !fresh { self.slice_ends_at } else { now };
+        let begin =
+            if now < self.window_ends_at + terms.window { begin.max(self.window_ends_at) } else { begin };
+        self.slice_ends_at = begin + terms.window;
+        self.slice_units = part + fleet_share;
+    }
+
+    pub(super) fn spend_slice_unit(&mut self) -> bool {
+        let fits = self.slice_units >= 1.0;
+        if fits {
+            self.slice_units -= 1.0;
+            self.slice_used += 1;
+            self.granted += 1;
+            self.granted_by_slice += 1;
+        }
+        fits
+    }
+
+    /// What was spent of a slice whose window is over is owed to the count, unless a block has paid for it.
+    fn settle_slice(&mut self, now: Millis) {
+        if now < self.slice_ends_at {
+            return;
+        }
+        let used = std::mem::take(&mut self.slice_used);
+        if self.slice_is_charged {
+            self.slice_debt = self.slice_debt.saturating_add(used);
+        }
+    }
+
+    pub(super) fn refuse(&mut self, now: Millis, lot: f64) -> Verdict {
+        self.refused += 1;
+        let window = self.terms.map_or(1000.0, |t| t.window);
+        let end = if now < self.window_ends_at { self.window_ends_at } else { self.slice_ends_at };
+        let rest = if now < end { end - now } else { window * 0.5 };
+        Verdict::Refused { retry_after: rest + window * RETRY_JITTER_RATIO * lot }
+    }
+
+    /// Whether a block is to be asked for now.
+    pub(super) fn should_request(&self, now: Millis) -> bool {
+        // Every window begins with an empty hand; who will need a block has it before the first request.
+        let fresh =
+            now >= self.window_ends_at && self.window_ends_at > 0.0 && self.demand >= MIN_PREFETCH_DEMAND;
+        (self.needs_block || fresh) && !self.is_exhausted(now)
+    }
+
+    /// Units needed at once, and units to ask for.
+    pub(super) fn request_size(&self, now: Millis, terms: WindowParams, fleet_size: f64) -> (u32, u32) {
+        let needed = self.waiting.len() as u32;
+        let target = if self.has_demand {
+            (self.remaining_demand(now) * BLOCK_MARGIN + 0.5).floor()
+        } else {
+            (self.burst / fleet_size).max(1.0)
+        };
+        let target = target.min(terms.max_units) as u32;
+        (needed, target.saturating_sub(self.block).max(needed))
+    }
+
+    pub(super) fn mark_removed(&mut self, now: Millis) {
+        self.advance_window(now);
+        (self.block, self.remaining, self.window_ends_at) = (0, 0, f64::INFINITY);
+        self.waiting.iter_mut().for_each(|(_, until)| *until = now);
+    }
+
+    /// Takes a share. The window's end is counted from when the draw was sent: it comes early rather than late.
+    pub(super) fn apply_grant(&mut self, now: Millis, sent: Millis, tenant_grant: &TenantGrant) {
+        let window_ends_at = sent + tenant_grant.ends_in;
+        match tenant_grant.status {
+            CounterStatus::FallbackSlice => {
+                self.slices_until = window_ends_at.max(now + PROBE_INTERVAL * 0.25);
+                return;
+            }
+            CounterStatus::RetryLater => {
+                self.retry_at = now + RETRY_DELAY;
+                return;
+            }
+            CounterStatus::Open => {}
+        }
+        self.settle_slice(now);
+        self.slice_debt -= std::mem::take(&mut self.slice_debt_in_flight).min(self.slice_debt);
+        if now >= window_ends_at {
+            self.returned = self.returned.saturating_add(tenant_grant.granted);
+            return;
+        }
+        if tenant_grant.window != self.window || now >= self.window_ends_at {
+            self.returned = self.returned.saturating_add(std::mem::take(&mut self.block));
+            (self.received, self.spent, self.window_ends_at) = (0, 0, window_ends_at);
+        }
+        self.window = tenant_grant.window;
+        self.window_ends_at = self.window_ends_at.max(window_ends_at);
+        self.remaining = tenant_grant.remaining;
+        // Slices of the present window were lent from this block.
+        let lent = if now < self.slice_ends_at { tenant_grant.granted.min(self.slice_used) } else { 0 };
+        self.slice_used -= lent;
+        self.slice_units = self.slice_units.fract();
+        self.received = self.received.saturating_add(tenant_grant.granted);
+        self.spent = self.spent.saturating_add(lent);
+        self.block = self.block.saturating_add(tenant_grant.granted - lent);
+    }
+
+    pub(super) fn serve_waiting(
+        &mut self, now: Millis, fleet_size: f64, lot: f64, out: &mut Vec<(u64, Verdict)>,
+    ) {
+        while let Some((request, _)) = self.waiting.front().copied() {
+            let verdict = if self.spend_unit() {
+                Verdict::Granted
+            } else if now < self.slices_until {
+                self.open_slice(now, fleet_size, lot);
+                if self.spend_slice_unit() { Verdict::Granted } else { self.refuse(now, lot) }
+            } else if self.is_exhausted(now) {
+                self.refuse(now, lot)
+            } else {
+                self.needs_block = true;
+                return;
+            };
+            self.waiting.pop_front();
+            out.push((request, verdict));
+        }
+    }
+}
--- a/crates/quota/src/quota_service.rs
+++ b/crates/quota/src/quota_service.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeMap;
 
 use crate::{
-    Epoch, Grant, HolderAssignment, LEASE_MOST, LeaseRequest, Millis, Quota, QuotaHolder, WideSlice,
+    Epoch, Grant, HolderAssignment, LeaseRequest, MAX_DEPUTY_LEASE, Millis, OversizedSlice, Quota,
+    QuotaHolder,
 };
 
 /// Faults that tests plant to see that they are found. All off in service.
@@ -12,9 +13,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
     /// Counts of a former holder are opened at once, without its word and before its blocks have ended.
-    pub opens_at_once: bool,
+    pub skips_handover: bool,
     /// A deputy grants on when its lease is over.
-    pub outlives_lease: bool,
+    pub grants_after_lease: bool,
 }
 
 /// What a holder tells the next one of the counts that it gives up.
@@ -23,14 +24,14 @@
     /// The assignment by which they move: it may be news to the next holder.
     pub assignment: HolderAssignment,
     /// The gateways that the holder has heard, and how long ago.
-    pub heard: Vec<(String, Millis)>,
+    pub contact_ages: Vec<(String, Millis)>,
     /// The counts.
-    pub counts: Vec<Handed>,
+    pub counters: Vec<CounterHandover>,
 }
 
 /// A count on its way to another holder.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub struct Handed {
+pub struct CounterHandover {
     /// The tenant's name.
     pub tenant: String,
     /// The number of its present window.
@@ -42,7 +43,7 @@
     /// What was granted in it.
     pub granted: f64,
     /// The largest part of the gateways that was silent in it.
-    pub silent: f64,
+    pub silent_fraction: f64,
 }
 
 /// Holds those counts that the newest assignment gives to this process, while its lease lasts.
@@ -54,7 +55,7 @@
     holder: Option<QuotaHolder>,
     quotas: Vec<Quota>,
     known: u32,
-    wide: Vec<WideSlice>,
+    wide: Vec<OversizedSlice>,
     /// What the log says of counts, for the next office of one that holds them all.
     floors: BTreeMap<String, u32>,
     faults: Faults,
@@ -77,28 +78,28 @@
     }
 
     #[doc(hidden)]
-    pub fn plant(&mut self, faults: Faults) {
+    pub fn inject_faults(&mut self, faults: Faults) {
         self.faults = faults;
     }
 
     /// What the log says of counts, before an office that holds all of them is taken.
-    pub fn floors(&mut self, floors: BTreeMap<String, u32>) {
+    pub fn set_floors(&mut self, floors: BTreeMap<String, u32>) {
         self.floors = floors;
     }
 
-    /// See [`QuotaHolder::presses`].
-    pub fn presses(&self) -> bool {
-        self.holder.as_ref().is_some_and(QuotaHolder::presses)
+    /// See [`QuotaHolder::needs_lower_floor`].
+    pub fn needs_lower_floor(&self) -> bool {
+        self.holder.as_ref().is_some_and(QuotaHolder::needs_lower_floor)
     }
 
-    /// See [`QuotaHolder::floors_wanted`].
-    pub fn floors_wanted(&mut self, now: Millis) -> Vec<(String, u32)> {
-        self.holder.as_mut().map(|holder| holder.floors_wanted(now)).unwrap_or_default()
+    /// See [`QuotaHolder::propose_floors`].
+    pub fn propose_floors(&mut self, now: Millis) -> Vec<(String, u32)> {
+        self.holder.as_mut().map(|holder| holder.propose_floors(now)).unwrap_or_default()
     }
 
-    /// See [`QuotaHolder::decided`].
-    pub fn decided(&mut self) {
-        self.holder.iter_mut().for_each(QuotaHolder::decided);
+    /// See [`QuotaHolder::commit_floors`].
+    pub fn commit_floors(&mut self) {
+        self.holder.iter_mut().for_each(QuotaHolder::commit_floors);
     }
 
     /// The newest assignment that this process has taken.
@@ -114,7 +115,7 @@
     /// Takes an assignment; older ones and the present one change nothing. Counts that go to others are given up at
     /// once; what their new holders are to be told comes back, with their names. `first` says that no holder was there
     /// before in the life of the fleet.
-    pub fn assume(
+    pub fn apply_assignment(
         &mut self, now: Millis, assignment: &HolderAssignment, first: bool,
     ) -> Vec<(String, Handover)> {
         if assignment.epoch <= self.assignment.epoch {
@@ -128,40 +129,43 @@
         if let Some(holder) = &mut holder {
             told = self.give_up(now, holder);
         }
-        if !assignment.has(&self.me) {
+        if !assignment.contains(&self.me) {
             return told;
         }
         // Leases of an older term have ended before another leader could be elected; those of this term's former
         // assignment have not.
-        let shut = if assignment.epoch.number == 1 || self.faults.opens_at_once { 0.0 } else { LEASE_MOST };
-        let opens = first && assignment.epoch.number == 1 || self.faults.opens_at_once;
+        let shut =
+            if assignment.epoch.number == 1 || self.faults.skips_handover { 0.0 } else { MAX_DEPUTY_LEASE };
+        let opens = first && assignment.epoch.number == 1 || self.faults.skips_handover;
         let mut holder = match holder {
             Some(mut holder) => {
-                holder.goes_on(now, assignment.epoch, shut);
+                holder.apply_assignment(now, assignment.epoch, shut);
                 holder
             }
             None => QuotaHolder::start(assignment.epoch, opens, now, shut),
         };
-        if self.faults.opens_at_once {
-            holder.opens_at_once();
+        if self.faults.skips_handover {
+            holder.open_immediately();
         }
-        holder.floors(std::mem::take(&mut self.floors));
-        holder.fleet(now, self.known);
-        holder.wide_slices(&self.wide);
-        holder.quotas(now, &self.mine());
+        holder.set_floors(std::mem::take(&mut self.floors));
+        holder.set_fleet_size(now, self.known);
+        holder.set_oversized_slices(&self.wide);
+        holder.set_quotas(now, &self.mine());
         self.holder = Some(holder);
         told
     }
 
     fn give_up(&self, now: Millis, holder: &mut QuotaHolder) -> Vec<(String, Handover)> {
         let mut told: Vec<(String, Handover)> = Vec::new();
-        for count in holder.give_up(now, |tenant| self.assignment.holder_of(tenant) == Some(&self.me)) {
+        for count in
+            holder.release_counters(now, |tenant| self.assignment.holder_of(tenant) == Some(&self.me))
+        {
             let Some(to) = self.assignment.holder_of(&count.tenant) else { continue };
             if let Some((_, handover)) = told.iter_mut().find(|(name, _)| name == to) {
-                handover.counts.push(count);
+                handover.counters.push(count);
             } else {
-                let (assignment, heard) = (self.assignment.clone(), holder.heard_ago(now));
-                told.push((to.to_owned(), Handover { assignment, heard, counts: vec![count] }));
+                let (assignment, contact_ages) = (self.assignment.clone(), holder.contact_ages(now));
+                told.push((to.to_owned(), Handover { assignment, contact_ages, counters: vec![count] }));
             }
         }
         told
@@ -169,19 +173,19 @@
 
     /// A former holder's word on counts that are this one's now. What this one gives up by the same assignment, if it
     /// had not heard of it, comes back as from `assume`.
-    pub fn handed(&mut self, now: Millis, handover: Handover) -> Vec<(String, Handover)> {
-        let told = self.assume(now, &handover.assignment, false);
+    pub fn accept_handover(&mut self, now: Millis, handover: Handover) -> Vec<(String, Handover)> {
+        let told = self.apply_assignment(now, &handover.assignment, false);
         if handover.assignment.epoch == self.assignment.epoch
             && let Some(holder) = &mut self.holder
         {
-            holder.take_over(now, handover);
+            holder.accept_handover(now, handover);
         }
         told
     }
 
     /// The lease lasts until then: the leader's own that of its log, a deputy's what the leader extended to it, counted
     /// from when it asked.
-    pub fn lease(&mut self, until: Millis) {
+    pub fn set_lease(&mut self, until: Millis) {
         self.lease_until = until;
     }
 
@@ -197,11 +201,11 @@
     }
 
     /// Takes a configuration.
-    pub fn quotas(&mut self, now: Millis, quotas: Vec<Quota>) {
+    pub fn set_quotas(&mut self, now: Millis, quotas: Vec<Quota>) {
         self.quotas = quotas;
         let mine = self.mine();
         if let Some(holder) = &mut self.holder {
-            holder.quotas(now, &mine);
+            holder.set_quotas(now, &mine);
         }
     }
 
@@ -211,54 +215,54 @@
     }
 
     /// Takes the number of gateways in all.
-    pub fn fleet(&mut self, now: Millis, known: u32) {
+    pub fn set_fleet_size(&mut self, now: Millis, known: u32) {
         self.known = known;
         if let Some(holder) = &mut self.holder {
-            holder.fleet(now, known);
+            holder.set_fleet_size(now, known);
         }
     }
 
-    /// Takes the gateways that may divide their slices by fewer than there are; see [`QuotaHolder::wide_slices`].
-    pub fn wide_slices(&mut self, wide: Vec<WideSlice>) {
+    /// Takes the gateways that may divide their slices by fewer than there are; see [`QuotaHolder::set_oversized_slices`].
+    pub fn set_oversized_slices(&mut self, wide: Vec<OversizedSlice>) {
         if wide == self.wide {
             return;
         }
         self.wide = wide;
-        self.holder.iter_mut().for_each(|holder| holder.wide_slices(&self.wide));
+        self.holder.iter_mut().for_each(|holder| holder.set_oversized_slices(&self.wide));
     }
 
     /// A gateway was heard otherwise than by a draw; it knows the assignment of that epoch.
-    pub fn heard(&mut self, now: Millis, gateway: &str, epoch: Epoch) {
+    pub fn record_contact(&mut self, now: Millis, gateway: &str, epoch: Epoch) {
         if let Some(holder) = &mut self.holder
             && (epoch >= holder.epoch() || holder.epoch().number <= 1)
         {
-            holder.heard(now, gateway);
+            holder.record_contact(now, gateway);
         }
     }
 
-    /// A gateway has said that it ended; see [`QuotaHolder::left`].
-    pub fn left(&mut self, gateway: &str) {
-        self.holder.iter_mut().for_each(|holder| holder.left(gateway));
+    /// A gateway has said that it ended; see [`QuotaHolder::remove_gateway`].
+    pub fn remove_gateway(&mut self, gateway: &str) {
+        self.holder.iter_mut().for_each(|holder| holder.remove_gateway(gateway));
     }
 
     /// Whether it may grant.
-    pub fn is_open(&self, now: Millis) -> bool {
-        self.holder.is_some() && (now < self.lease_until || self.faults.outlives_lease)
+    pub fn may_grant(&self, now: Millis) -> bool {
+        self.holder.is_some() && (now < self.lease_until || self.faults.grants_after_lease)
     }
 
     /// Whether it would grant units of a tenant.
-    pub fn holds(&self, now: Millis, tenant: &str) -> bool {
-        self.is_open(now) && self.holder.as_ref().is_some_and(|holder| holder.is_open(now, tenant))
+    pub fn may_grant_for(&self, now: Millis, tenant: &str) -> bool {
+        self.may_grant(now) && self.holder.as_ref().is_some_and(|holder| holder.is_open(now, tenant))
     }
 
     /// Answers a gateway's draw; nothing while it may not grant.
-    pub fn draw(&mut self, now: Millis, gateway: &str, draw: &LeaseRequest) -> Option<Grant> {
-        let open = self.is_open(now);
+    pub fn handle_request(&mut self, now: Millis, gateway: &str, draw: &LeaseRequest) -> Option<Grant> {
+        let open = self.may_grant(now);
         let holder = self.holder.as_mut()?;
         if open {
-            return Some(holder.draw(now, gateway, draw));
+            return Some(holder.handle_request(now, gateway, draw));
         }
         // Gateways may hear of a new holder before its first lease is there.
-        holder.is_fresh(now).then(|| holder.put_off(draw))
+        holder.awaits_handover(now).then(|| holder.defer(draw))
     }
 }
--- a/crates/quota/src/silence_charges.rs
+++ b/crates/quota/src/silence_charges.rs
@@ -1,14 +1,14 @@
 //! What counts were charged for gateways of which nothing was heard, and what comes back when one returns.
 //!
 //! A gateway that hears nothing of the holder spends an even slice each window. The holder charges that to the counts by
-//! estimate, since the gateway may never return. One that does return says what it has really spent ([`Want::owed`]); so
+//! estimate, since the gateway may never return. One that does return says what it has really spent ([`TenantDemand::owed`]); so
 //! that this is not charged twice, the estimate is refunded, up to what is owed and once for each tenant.
 
 use std::collections::{BTreeSet, HashMap};
 
 #[cfg(doc)]
-use crate::Want;
-use crate::{Millis, SILENT_AFTER};
+use crate::TenantDemand;
+use crate::{Millis, SILENCE_TIMEOUT};
 
 /// A gateway that returns has said what it spent after this long; later debts are of later silences.
 const REFUNDED_WITHIN: Millis = 2_000.0;
@@ -52,7 +52,7 @@
     /// A gateway is heard again.
     pub(crate) fn returned(&mut self, now: Millis, gateway: &str) {
         let Some(charge) = self.silent.remove(gateway) else { return };
-        let span = (now - charge.heard_at - SILENT_AFTER).clamp(0.0, REMEMBERED);
+        let span = (now - charge.heard_at - SILENCE_TIMEOUT).clamp(0.0, REMEMBERED);
         let returned = Returned { at: now, refills: span * charge.part, refunded: BTreeSet::new() };
         self.returned.insert(gateway.to_owned(), returned);
     }
--- a/crates/quota/src/terms.rs
+++ b/crates/quota/src/window_params.rs
@@ -36,22 +36,22 @@
 
 /// What the counts go by.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct WindowParams {
     /// Length of a window.
     pub window: Millis,
     /// Units that each window adds.
     pub refill: f64,
     /// The most that a window may grant, with what former ones left.
-    pub most: f64,
+    pub max_units: f64,
 }
 
-impl Terms {
+impl WindowParams {
     /// The terms of a quota; none if it sets no limit.
     ///
     /// A judged span sees the units of the window in which it begins (`most`) and the refills of those that begin in
     /// it. Where burst over rate is below the shortest window, a whole refill above the burst would be granted at
     /// once; `refill` is then cut to what the judged bound allows.
-    pub fn of(quota: &Quota) -> Option<Self> {
+    pub fn from_quota(quota: &Quota) -> Option<Self> {
         let (rate, burst) = (quota.rate_per_s, quota.burst.max(0.0));
         if rate.is_nan() || rate <= 0.0 || !rate.is_finite() || !burst.is_finite() {
             return None;
@@ -69,7 +69,7 @@
         let judged = (rate * JUDGED / 1000.0 + burst) * JUDGED_EXCESS + JUDGED_SLACK;
         let base = burst.max(refill);
         let ease = (judged * NEAR - begins * refill - base).clamp(EASE, refill.max(EASE));
-        let most = (bound - begins * refill).min(base + ease).max(refill);
-        Some(Self { window, refill, most })
+        let max_units = (bound - begins * refill).min(base + ease).max(refill);
+        Some(Self { window, refill, max_units })
     }
 }
--- a/crates/quota/tests/floors.rs
+++ b/crates/quota/tests/floors.rs
@@ -1,6 +1,6 @@
 //! Floors of counts through changes of holder: what the log says is enough to begin with, and never too much.
 
-use quota::{Cache, Epoch, HolderAssignment, LeaseRequest, Quota, QuotaHolder, Verdict, Want};
+use quota::{Epoch, HolderAssignment, LeaseCache, LeaseRequest, Quota, QuotaHolder, TenantDemand, Verdict};
 use std::collections::BTreeMap;
 
 const STEP: f64 = 5.0;
@@ -49,7 +49,7 @@
     holder: Option<QuotaHolder>,
     epoch: u64,
     log: Log,
-    caches: Vec<Cache>,
+    caches: Vec<LeaseCache>,
     requests: u64,
     /// When units were spent.
     spent: Vec<f64>,
@@ -73,10 +73,10 @@
         world
     }
 
-    fn cache(&self, now: f64, seed: u64) -> Cache {
-        let mut cache = Cache::new(seed);
-        cache.fleet(DATA_PLANES as u32);
-        cache.quotas(now, vec![quota()]);
+    fn cache(&self, now: f64, seed: u64) -> LeaseCache {
+        let mut cache = LeaseCache::new(seed);
+        cache.set_fleet_size(DATA_PLANES as u32);
+        cache.set_quotas(now, vec![quota()]);
         cache
     }
 
@@ -84,12 +84,12 @@
         self.epoch += 1;
         let floors = self.log.floors.clone();
         let mut holder = QuotaHolder::start(Epoch::first(self.epoch), self.epoch == 1, now, 0.0);
-        holder.floors(floors);
-        holder.fleet(now, DATA_PLANES as u32);
-        holder.quotas(now, &[quota()]);
+        holder.set_floors(floors);
+        holder.set_fleet_size(now, DATA_PLANES as u32);
+        holder.set_quotas(now, &[quota()]);
         self.holder = Some(holder);
         let assignment = HolderAssignment { epoch: Epoch::first(self.epoch), holders: vec!["m".to_owned()] };
-        self.caches.iter_mut().for_each(|cache| cache.assignment(&assignment));
+        self.caches.iter_mut().for_each(|cache| cache.set_assignment(&assignment));
     }
 
     /// The holder dies, and with `all` every gateway as well.
@@ -108,10 +108,10 @@
         if let Some(holder) = &mut self.holder {
             if self.log.coming.as_ref().is_some_and(|(at, _)| now >= *at) {
                 self.log.decide();
-                holder.decided();
+                holder.commit_floors();
             }
             if self.log.coming.is_none() {
-                let wanted = holder.floors_wanted(now);
+                let wanted = holder.propose_floors(now);
                 if !wanted.is_empty() {
                     self.log.coming = Some((now + 20.0, wanted));
                 }
@@ -122,7 +122,7 @@
             if now % 800.0 < STEP
                 && let Some(holder) = &mut self.holder
             {
-                holder.heard(now, &data_plane.to_string());
+                holder.record_contact(now, &data_plane.to_string());
             }
             let mut told = Vec::new();
             // Some gateways have more of the tenant's clients than others.
@@ -131,16 +131,16 @@
             while asks >= 1.0 {
                 asks -= 1.0;
                 self.requests += 1;
-                let verdict = self.caches[data_plane].ask(now, self.requests, TENANT, 50.0);
+                let verdict = self.caches[data_plane].admit(now, self.requests, TENANT, 50.0);
                 told.push((self.requests, verdict));
             }
-            for (_, draw) in self.caches[data_plane].draw(now) {
+            for (_, draw) in self.caches[data_plane].lease_requests(now) {
                 match &mut self.holder {
                     Some(holder) => {
-                        let grant = holder.draw(now, &data_plane.to_string(), &draw);
-                        self.caches[data_plane].granted(now, grant, &mut told);
+                        let grant = holder.handle_request(now, &data_plane.to_string(), &draw);
+                        self.caches[data_plane].handle_grant(now, grant, &mut told);
                     }
-                    None => self.caches[data_plane].silent(now, draw.number),
+                    None => self.caches[data_plane].request_failed(now, draw.number),
                 }
             }
             self.caches[data_plane].tick(now, &mut told);
@@ -233,11 +233,13 @@
 #[test]
 fn a_floor_that_may_yet_be_decided_is_kept_to() {
     let mut holder = QuotaHolder::start(Epoch::first(1), true, 0.0, 0.0);
-    holder.fleet(0.0, 1);
-    holder.quotas(0.0, &[quota()]);
-    let draw = |holder: &mut QuotaHolder, now: f64, add: u32| {
-        let wants = vec![Want { tenant: TENANT.into(), need: add, add, back: 0 }];
-        holder.draw(now, "data-plane", &LeaseRequest { number: 1, epoch: Epoch::first(1), wants }).shares[0]
+    holder.set_fleet_size(0.0, 1);
+    holder.set_quotas(0.0, &[quota()]);
+    let draw = |holder: &mut QuotaHolder, now: f64, requested: u32| {
+        let demands = vec![TenantDemand { tenant: TENANT.into(), needed: requested, requested, returned: 0 }];
+        holder
+            .handle_request(now, "data-plane", &LeaseRequest { number: 1, epoch: Epoch::first(1), demands })
+            .grants[0]
             .clone()
     };
     let mut now = 0.0;
@@ -246,14 +248,14 @@
         now += 100.0;
     }
     // The entry is asked for and perhaps on disk somewhere; nobody has said that it is decided.
-    let wanted = holder.floors_wanted(now);
+    let wanted = holder.propose_floors(now);
     let [(_, floor)] = wanted.as_slice() else { panic!("{wanted:?}") };
     let share = draw(&mut holder, now, 1000);
-    assert!(share.left >= *floor, "{share:?}");
-    assert!(holder.presses());
+    assert!(share.remaining >= *floor, "{share:?}");
+    assert!(holder.needs_lower_floor());
     // Below it only once the log says so.
-    assert_eq!(holder.floors_wanted(now), [(TENANT.to_owned(), 0)]);
+    assert_eq!(holder.propose_floors(now), [(TENANT.to_owned(), 0)]);
     assert_eq!(draw(&mut holder, now, 1000).granted, 0);
-    holder.decided();
-    assert_eq!(draw(&mut holder, now, 1000).granted, share.left);
+    holder.commit_floors();
+    assert_eq!(draw(&mut holder, now, 1000).granted, share.remaining);
 }
--- a/crates/quota/tests/quota_service.rs
+++ b/crates/quota/tests/quota_service.rs
@@ -1,8 +1,8 @@
 //! What an office, a cache and the leader's assignments do at the moments that a drawn world seldom reaches.
 
 use quota::{
-    Cache, Epoch, Grant, Handover, HolderAssignment, LOST, LeaseRequest, Placer, Quota, QuotaService, Share,
-    Standing, Verdict, Want,
+    CounterStatus, DEPUTY_TIMEOUT, Epoch, Grant, Handover, HolderAssigner, HolderAssignment, LeaseCache,
+    LeaseRequest, Quota, QuotaService, TenantDemand, TenantGrant, Verdict,
 };
 use std::collections::BTreeSet;
 
@@ -19,18 +19,18 @@
     }
 }
 
-fn draw(quota_service: &mut QuotaService, now: f64, tenant: &str) -> Share {
-    let wants = vec![Want { tenant: tenant.into(), need: 5, add: 5, back: 0 }];
+fn draw(quota_service: &mut QuotaService, now: f64, tenant: &str) -> TenantGrant {
+    let demands = vec![TenantDemand { tenant: tenant.into(), needed: 5, requested: 5, returned: 0 }];
     let grant = quota_service
-        .draw(now, "data-plane", &LeaseRequest { number: 1, epoch: Epoch::default(), wants })
+        .handle_request(now, "data-plane", &LeaseRequest { number: 1, epoch: Epoch::default(), demands })
         .expect("a grant");
-    grant.shares.into_iter().next().expect("a share")
+    grant.grants.into_iter().next().expect("a share")
 }
 
 fn quota_service(me: &str, tenants: &[String]) -> QuotaService {
     let mut quota_service = QuotaService::new(me);
-    quota_service.quotas(0.0, tenants.iter().map(|t| quota(t)).collect());
-    quota_service.lease(1e9);
+    quota_service.set_quotas(0.0, tenants.iter().map(|t| quota(t)).collect());
+    quota_service.set_lease(1e9);
     quota_service
 }
 
@@ -60,71 +60,71 @@
     let tenant = mover();
     let tenants = [tenant.clone()];
     let (mut one, mut two) = (quota_service("one", &tenants), quota_service("two", &tenants));
-    one.assume(0.0, &assignment(1, &["one"]), true);
+    one.apply_assignment(0.0, &assignment(1, &["one"]), true);
     let before = draw(&mut one, 10.0, &tenant);
     assert_eq!(before.granted, 5);
-    let told = one.assume(20.0, &assignment(2, &["one", "two"]), false);
-    assert!(!one.holds(20.0, &tenant));
+    let told = one.apply_assignment(20.0, &assignment(2, &["one", "two"]), false);
+    assert!(!one.may_grant_for(20.0, &tenant));
     let (to, handover): (String, Handover) = told.into_iter().next().expect("it is handed over");
     assert_eq!(to, "two");
-    two.assume(21.0, &assignment(2, &["one", "two"]), false);
-    assert!(!two.holds(21.0, &tenant));
-    assert_eq!(draw(&mut two, 21.0, &tenant).standing, Standing::Later);
-    two.handed(22.0, handover.clone());
+    two.apply_assignment(21.0, &assignment(2, &["one", "two"]), false);
+    assert!(!two.may_grant_for(21.0, &tenant));
+    assert_eq!(draw(&mut two, 21.0, &tenant).status, CounterStatus::RetryLater);
+    two.accept_handover(22.0, handover.clone());
     let after = draw(&mut two, 22.0, &tenant);
-    assert_eq!((after.standing, after.window), (Standing::Open, before.window));
-    assert_eq!(after.left + after.granted, before.left);
+    assert_eq!((after.status, after.window), (CounterStatus::Open, before.window));
+    assert_eq!(after.remaining + after.granted, before.remaining);
     // A repeat changes nothing.
-    let left = after.left;
-    two.handed(23.0, handover);
-    assert!(draw(&mut two, 23.0, &tenant).left <= left);
+    let left = after.remaining;
+    two.accept_handover(23.0, handover);
+    assert!(draw(&mut two, 23.0, &tenant).remaining <= left);
 }
 
 #[test]
 fn a_silent_holder_s_counts_stay_shut_until_its_blocks_have_ended() {
     let tenant = mover();
     let mut two = quota_service("two", std::slice::from_ref(&tenant));
-    two.assume(1000.0, &assignment(2, &["one", "two"]), false);
-    assert_eq!(draw(&mut two, 1200.0, &tenant).standing, Standing::Slices);
-    assert!(!two.holds(1200.0 + WINDOW, &tenant));
-    assert!(two.holds(1000.0 + quota::LEASE_MOST + WINDOW, &tenant));
+    two.apply_assignment(1000.0, &assignment(2, &["one", "two"]), false);
+    assert_eq!(draw(&mut two, 1200.0, &tenant).status, CounterStatus::FallbackSlice);
+    assert!(!two.may_grant_for(1200.0 + WINDOW, &tenant));
+    assert!(two.may_grant_for(1000.0 + quota::MAX_DEPUTY_LEASE + WINDOW, &tenant));
 }
 
 #[test]
 fn whoever_missed_an_assignment_starts_anew() {
     let tenant = mover();
     let mut two = quota_service("two", std::slice::from_ref(&tenant));
-    two.assume(0.0, &assignment(2, &["one", "two"]), false);
-    assert!(two.holds(2000.0, &tenant));
-    let told = two.assume(2000.0, &assignment(4, &["one", "two"]), false);
-    assert!(told.is_empty() && !two.holds(2000.0, &tenant));
-    two.assume(2010.0, &assignment(3, &["two"]), false);
+    two.apply_assignment(0.0, &assignment(2, &["one", "two"]), false);
+    assert!(two.may_grant_for(2000.0, &tenant));
+    let told = two.apply_assignment(2000.0, &assignment(4, &["one", "two"]), false);
+    assert!(told.is_empty() && !two.may_grant_for(2000.0, &tenant));
+    two.apply_assignment(2010.0, &assignment(3, &["two"]), false);
     assert_eq!(two.assignment().epoch.number, 4);
 }
 
 #[test]
 fn grants_of_an_older_epoch_are_refused() {
     let granted = |planted: bool| {
-        let mut cache = Cache::new(1);
+        let mut cache = LeaseCache::new(1);
         if planted {
-            cache.plant_ignored_epoch();
+            cache.inject_ignored_epoch();
         }
-        cache.quotas(0.0, vec![quota("t")]);
-        cache.assignment(&assignment(3, &["one"]));
-        assert!(matches!(cache.ask(1.0, 7, "t", 100.0), Verdict::Wait { .. }));
-        let (to, draw) = cache.draw(1.0).into_iter().next().expect("a draw");
+        cache.set_quotas(0.0, vec![quota("t")]);
+        cache.set_assignment(&assignment(3, &["one"]));
+        assert!(matches!(cache.admit(1.0, 7, "t", 100.0), Verdict::Wait { .. }));
+        let (to, draw) = cache.lease_requests(1.0).into_iter().next().expect("a draw");
         assert_eq!(&*to, "one");
-        let share = Share {
+        let share = TenantGrant {
             tenant: "t".into(),
             window: 1,
             granted: 3,
-            left: 5,
+            remaining: 5,
             ends_in: 300.0,
-            standing: Standing::Open,
+            status: CounterStatus::Open,
         };
         let mut out = Vec::new();
         let epoch = Epoch { term: 1, number: 2 };
-        cache.granted(3.0, Grant { number: draw.number, epoch, shares: vec![share] }, &mut out);
+        cache.handle_grant(3.0, Grant { number: draw.number, epoch, grants: vec![share] }, &mut out);
         out.len()
     };
     assert_eq!(granted(false), 0);
@@ -133,19 +133,19 @@
 
 #[test]
 fn a_deputy_that_is_heard_but_does_not_hear_is_replaced() {
-    let mut placer = Placer::new("one", 1, 0.0, 10.0);
+    let mut placer = HolderAssigner::new("one", 1, 0.0, 10.0);
     for ask in 0..80_u64 {
         let now = ask as f64 * 100.0;
-        placer.asked(now, "two", ask, 0.0);
-        placer.tend(now, 50.0);
+        placer.record_offer(now, "two", ask, 0.0);
+        placer.update(now, 50.0);
     }
-    assert!(placer.assignment().has("two"));
+    assert!(placer.assignment().contains("two"));
     let number = placer.assignment().epoch.number;
     for ask in 80..90_u64 {
         let now = ask as f64 * 100.0;
-        placer.asked(now, "two", 79, 0.0);
-        placer.tend(now, 50.0);
+        placer.record_offer(now, "two", 79, 0.0);
+        placer.update(now, 50.0);
     }
-    assert!(!placer.assignment().has("two") && LOST < 900.0);
+    assert!(!placer.assignment().contains("two") && DEPUTY_TIMEOUT < 900.0);
     assert_eq!(placer.assignment().epoch.number, number + 1);
 }
--- a/crates/quota/tests/spread.rs
+++ b/crates/quota/tests/spread.rs
@@ -40,7 +40,7 @@
 fn live(seed: u64, trouble: Trouble, faults: Faults, ignored: bool) -> Result<(f64, usize), String> {
     let mut world = World::new(seed, CONTROL_PLANES, GATEWAYS, loads(), Some(20.0), faults);
     if ignored {
-        world.plant_ignored_epoch();
+        world.inject_ignored_epoch();
     }
     world.run_until(12_000.0)?;
     let mut holders = world.holders();
@@ -122,8 +122,8 @@
 }
 
 #[parameterized(
-    two_holders_at_once = { Faults { opens_at_once: true, ..Faults::default() }, Trouble::HolderFrozen },
-    deputy_outlives_its_lease = { Faults { outlives_lease: true, ..Faults::default() }, Trouble::HolderHeardButNotHearing },
+    two_holders_at_once = { Faults { skips_handover: true, ..Faults::default() }, Trouble::HolderFrozen },
+    deputy_outlives_its_lease = { Faults { grants_after_lease: true, ..Faults::default() }, Trouble::HolderHeardButNotHearing },
 )]
 fn planted_faults_are_found(faults: Faults, trouble: Trouble) {
     let found = (0..6).any(|seed| {
--- a/crates/quota/tests/world/judge.rs
+++ b/crates/quota/tests/world/judge.rs
@@ -1,7 +1,7 @@
 //! What became of the requests, and what the rules and a single bucket for the whole fleet would say to it.
 
 use super::Load;
-use quota::{Grant, Standing};
+use quota::{CounterStatus, Grant};
 use std::collections::VecDeque;
 
 /// The span over which a quota is judged, in ms, and what it may exceed it by.
@@ -113,7 +113,7 @@
 
     pub fn granted(&mut self, grant: &Grant) {
         if self.counts() {
-            let open = grant.shares.iter().filter(|share| share.standing == Standing::Open);
+            let open = grant.grants.iter().filter(|share| share.status == CounterStatus::Open);
             self.granted += open.map(|share| f64::from(share.granted)).sum::<f64>();
         }
     }
--- a/crates/quota/tests/world/membership.rs
+++ b/crates/quota/tests/world/membership.rs
@@ -9,7 +9,7 @@
 /// Processes that serve control tell each other this often whom they hear.
 const ROUND: f64 = 400.0;
 /// A gateway that has said nothing for this long is not heard; nor is the word of a process that has said nothing.
-const HEARD_FOR: f64 = 2500.0;
+const GATEWAY_TIMEOUT: f64 = 2500.0;
 /// A process this old has heard of all gateways, or they count no more.
 const SETTLED: f64 = 30_000.0;
 /// The log is told of a smaller fleet after this long.
@@ -121,7 +121,9 @@
     /// Whom a gateway has connections with.
     fn spoken_to(&self, place: usize) -> Vec<usize> {
         let (assignment, follows) = (self.assignment_at(place), self.gateways[place].follows);
-        (0..self.control_planes.len()).filter(|to| *to == follows || assignment.has(&name(*to))).collect()
+        (0..self.control_planes.len())
+            .filter(|to| *to == follows || assignment.contains(&name(*to)))
+            .collect()
     }
 
     pub(super) fn tend_leaving(&mut self, place: usize) {
@@ -171,7 +173,7 @@
                 self.resize(place);
                 if counts {
                     let epoch = quota::Epoch::default();
-                    self.control_planes[place].quota_service.heard(now, &gateway_name, epoch);
+                    self.control_planes[place].quota_service.record_contact(now, &gateway_name, epoch);
                 }
             }
             Word::Leave { incarnation } => {
@@ -203,7 +205,7 @@
         departures.retain(|departure| fleet.departed(now, departure));
         let gone = |departure: &&Departure| !fleet.is_present(&departure.name);
         let gone: Vec<String> = departures.iter().filter(gone).map(|one| one.name.clone()).collect();
-        gone.iter().for_each(|name| self.control_planes[place].quota_service.left(name));
+        gone.iter().for_each(|name| self.control_planes[place].quota_service.remove_gateway(name));
         self.resize(place);
         if !departures.is_empty() {
             self.tell_control(place, &Word::Departed(departures));
@@ -231,7 +233,7 @@
     fn present(&mut self, place: usize) -> Vec<(String, u64)> {
         let now = self.now;
         let knows = &self.membership().knows[place];
-        let heard = knows.hears.iter().filter(|(_, (_, at))| now < at + HEARD_FOR);
+        let heard = knows.hears.iter().filter(|(_, (_, at))| now < at + GATEWAY_TIMEOUT);
         let heard = heard.map(|(name, (incarnation, _))| (name.clone(), *incarnation));
         heard.filter(|(name, incarnation)| !knows.fleet.has_departed(name, *incarnation)).collect()
     }
@@ -249,7 +251,7 @@
         let leads = self.leader == Some(place);
         let membership = self.membership();
         let knows = &mut membership.knows[place];
-        let told = knows.told.values().filter(|(at, _)| now < at + HEARD_FOR);
+        let told = knows.told.values().filter(|(at, _)| now < at + GATEWAY_TIMEOUT);
         let all = present.iter().chain(told.flat_map(|(_, told)| told));
         all.for_each(|(name, incarnation)| knows.fleet.heard(now as u64, name, *incarnation));
         knows.fleet.sweep(now as u64);
@@ -266,10 +268,10 @@
 
     fn resize(&mut self, place: usize) {
         let (now, counted) = (self.now, self.counted_at(place));
-        self.control_planes[place].quota_service.fleet(now, counted);
+        self.control_planes[place].quota_service.set_fleet_size(now, counted);
         let Some(membership) = &self.membership else { return };
         let wide = membership.knows[place].fleet.wide_slices(counted);
-        self.control_planes[place].quota_service.wide_slices(wide);
+        self.control_planes[place].quota_service.set_oversized_slices(wide);
     }
 
     fn counted_at(&self, place: usize) -> u32 {
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -4,8 +4,8 @@
 #![allow(dead_code)]
 
 use quota::{
-    Cache, Epoch, Faults, Grant, Handover, HolderAssignment, LEASE_MOST, LeaseRequest, Placer, Quota,
-    QuotaService, Verdict,
+    Epoch, Faults, Grant, Handover, HolderAssigner, HolderAssignment, LeaseCache, LeaseRequest,
+    MAX_DEPUTY_LEASE, Quota, QuotaService, Verdict,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
@@ -100,7 +100,7 @@
 
 struct ControlPlane {
     quota_service: QuotaService,
-    placer: Option<Placer>,
+    placer: Option<HolderAssigner>,
     known: HolderAssignment,
     asks: VecDeque<(u64, f64)>,
     answered: u64,
@@ -112,7 +112,7 @@
 }
 
 struct Gateway {
-    cache: Cache,
+    cache: LeaseCache,
     follows: usize,
     heard: f64,
     drawn: BTreeMap<u64, f64>,
@@ -222,9 +222,9 @@
 
     fn control_plane(&mut self, place: usize, life: u64, quotas: &[Quota], gateways: usize) -> ControlPlane {
         let mut quota_service = QuotaService::new(&name(place));
-        quota_service.plant(self.faults);
-        quota_service.fleet(self.now, gateways as u32);
-        quota_service.quotas(self.now, quotas.to_vec());
+        quota_service.inject_faults(self.faults);
+        quota_service.set_fleet_size(self.now, gateways as u32);
+        quota_service.set_quotas(self.now, quotas.to_vec());
         ControlPlane {
             quota_service,
             placer: None,
@@ -240,9 +240,9 @@
     }
 
     fn gateway(&mut self, place: usize, life: u64, quotas: &[Quota], gateways: usize) -> Gateway {
-        let mut cache = Cache::new(place as u64 + 77 + life * 1000);
-        cache.quotas(self.now, quotas.to_vec());
-        cache.fleet(gateways as u32);
+        let mut cache = LeaseCache::new(place as u64 + 77 + life * 1000);
+        cache.set_quotas(self.now, quotas.to_vec());
+        cache.set_fleet_size(gateways as u32);
         let follows = place % self.control_planes.len().max(1);
         let (drawn, waits) = (BTreeMap::new(), HashMap::new());
         Gateway { cache, follows, heard: self.now, drawn, waits, life, up: true }
@@ -325,7 +325,7 @@
                 if self.is_awake(Who::Q(place)) {
                     for to in 0..self.control_planes.len() {
                         let assignment = self.assignment_at(place);
-                        if assignment.has(&name(to)) {
+                        if assignment.contains(&name(to)) {
                             self.send(Who::Q(place), Who::M(to), Said::Here(assignment.epoch));
                         }
                     }
@@ -368,7 +368,7 @@
             self.lease = now + LOG_LEASE - 5.0;
             self.election = now + ELECTION + self.lots.unit() * ELECTION;
             let lease = self.lease;
-            self.control_planes[leader].quota_service.lease(lease);
+            self.control_planes[leader].quota_service.set_lease(lease);
             return;
         }
         if now >= self.election {
@@ -382,13 +382,13 @@
             self.term += 1;
             self.leader = Some(next);
             self.lease = now + LOG_LEASE - 5.0;
-            let placer = Placer::new(&name(next), self.term, now, self.bears);
+            let placer = HolderAssigner::new(&name(next), self.term, now, self.bears);
             let assignment = placer.assignment().clone();
             let lease = self.lease;
             let m = &mut self.control_planes[next];
             m.placer = Some(placer);
-            m.quota_service.assume(now, &assignment, first);
-            m.quota_service.lease(lease);
+            m.quota_service.apply_assignment(now, &assignment, first);
+            m.quota_service.set_lease(lease);
             m.known = assignment;
             self.tell(next);
         }
@@ -406,7 +406,7 @@
     fn single(&self) -> Result<(), String> {
         for load in &self.loads {
             let tenant = &load.quota.tenant;
-            let holds = |m: &&ControlPlane| m.up && m.quota_service.holds(self.now, tenant);
+            let holds = |m: &&ControlPlane| m.up && m.quota_service.may_grant_for(self.now, tenant);
             if self.control_planes.iter().filter(holds).count() > 1 {
                 return Err(format!("{tenant} is held twice at {:.0} ms", self.now));
             }
@@ -425,10 +425,10 @@
             m.quota_service.resign();
         }
         if let Some(placer) = &mut m.placer {
-            if self.spread && now < m.quota_service.lease_until() && placer.tend(now, m.draws.2) {
+            if self.spread && now < m.quota_service.lease_until() && placer.update(now, m.draws.2) {
                 let assignment = placer.assignment().clone();
                 m.known = assignment.clone();
-                let told = m.quota_service.assume(now, &assignment, false);
+                let told = m.quota_service.apply_assignment(now, &assignment, false);
                 self.hand(place, told);
                 self.tell(place);
             } else if now >= m.next_round {
@@ -445,7 +445,7 @@
         let (now, me) = (self.now, name(place));
         let m = &mut self.control_planes[place];
         let Some(leader) = self.leader.filter(|_| self.spread && now >= m.next_ask) else { return };
-        m.next_ask = now + if m.known.has(&me) { RENEW } else { 1000.0 };
+        m.next_ask = now + if m.known.contains(&me) { RENEW } else { 1000.0 };
         let number = m.asks.back().map_or(1, |(number, _)| number + 1);
         m.asks.push_back((number, now));
         while m.asks.len() > 32 {
@@ -472,7 +472,7 @@
         }
         m.known = assignment.clone();
         m.next_ask = 0.0;
-        let told = m.quota_service.assume(now, assignment, false);
+        let told = m.quota_service.apply_assignment(now, assignment, false);
         self.hand(place, told);
         self.ask(place);
         self.heartbeat(place);
@@ -494,7 +494,7 @@
     }
 
     fn assignment_at(&self, place: usize) -> HolderAssignment {
-        self.gateways[place].cache.holders().clone()
+        self.gateways[place].cache.assignment().clone()
     }
 
     fn send(&mut self, from: Who, to: Who, said: Said) {
@@ -534,10 +534,10 @@
         let (now, data_plane) = (self.now, membership::gateway_name(gateway));
         let m = &mut self.control_planes[place];
         match said {
-            Said::Here(epoch) => m.quota_service.heard(now, &data_plane, epoch),
+            Said::Here(epoch) => m.quota_service.record_contact(now, &data_plane, epoch),
             Said::LeaseRequest(draw) => {
                 m.draws.1 += 1;
-                let answer = match m.quota_service.draw(now, &data_plane, &draw) {
+                let answer = match m.quota_service.handle_request(now, &data_plane, &draw) {
                     Some(grant) => Said::Grant(grant),
                     None => Said::NotHolder(draw.number),
                 };
@@ -557,7 +557,7 @@
                 let m = &mut self.control_planes[place];
                 let lease = m.quota_service.lease_until();
                 let Some(placer) = &mut m.placer else { return };
-                let member = placer.asked(now, &name(other), answered, draws);
+                let member = placer.record_offer(now, &name(other), answered, draws);
                 if now < lease {
                     let (assignment, ends_in) =
                         (placer.assignment().clone(), if member { lease - now } else { 0.0 });
@@ -571,9 +571,9 @@
                 if let Some((_, sent)) = m.asks.iter().find(|(n, _)| *n == number)
                     && m.quota_service.assignment().epoch == assignment.epoch
                 {
-                    let until = sent + ends_in.min(LEASE_MOST);
+                    let until = sent + ends_in.min(MAX_DEPUTY_LEASE);
                     let until = until.max(m.quota_service.lease_until());
-                    m.quota_service.lease(until);
+                    m.quota_service.set_lease(until);
                 }
             }
             Said::HolderAssignment(assignment) => self.take_assignment(place, &assignment),
@@ -583,7 +583,7 @@
                     m.known = handover.assignment.clone();
                 }
                 m.next_ask = 0.0;
-                let told = m.quota_service.handed(now, handover);
+                let told = m.quota_service.accept_handover(now, handover);
                 self.hand(place, told);
                 self.ask(place);
             }
@@ -599,17 +599,17 @@
             Said::Heartbeat { assignment, fresh, gateways } => {
                 g.heard = now;
                 match gateways {
-                    Some(gateways) => g.cache.fleet_told(now, gateways, fresh),
-                    None if fresh => g.cache.word(now),
+                    Some(gateways) => g.cache.update_fleet_size(now, gateways, fresh),
+                    None if fresh => g.cache.record_contact(now),
                     None => {}
                 }
-                let known = g.cache.holders().clone();
-                g.cache.assignment(&assignment);
-                let now_known = g.cache.holders().clone();
+                let known = g.cache.assignment().clone();
+                g.cache.set_assignment(&assignment);
+                let now_known = g.cache.assignment().clone();
                 // A new connection says who has come.
                 for to in 0..self.control_planes.len() {
-                    if now_known.has(&name(to))
-                        && (!known.has(&name(to)) || known.epoch.term < now_known.epoch.term)
+                    if now_known.contains(&name(to))
+                        && (!known.contains(&name(to)) || known.epoch.term < now_known.epoch.term)
                     {
                         self.send(Who::Q(place), Who::M(to), Said::Here(now_known.epoch));
                     }
@@ -617,11 +617,11 @@
             }
             Said::Grant(grant) => {
                 g.drawn.remove(&grant.number);
-                g.cache.granted(now, grant, &mut told);
+                g.cache.handle_grant(now, grant, &mut told);
             }
             Said::NotHolder(number) => {
                 g.drawn.remove(&number);
-                g.cache.silent(now, number);
+                g.cache.request_failed(now, number);
             }
             _ => {}
         }
@@ -642,10 +642,10 @@
             g.drawn.iter().filter(|(_, at)| now > **at + DRAW_LOST).map(|(n, _)| *n).collect();
         for number in lost {
             g.drawn.remove(&number);
-            g.cache.silent(now, number);
+            g.cache.request_failed(now, number);
         }
         let mut told = Vec::new();
-        if g.cache.next_due().is_some_and(|due| now >= due) {
+        if g.cache.next_deadline().is_some_and(|due| now >= due) {
             g.cache.tick(now, &mut told);
         }
         self.verdicts(place, told);
@@ -654,7 +654,7 @@
 
     fn draw(&mut self, place: usize) {
         let now = self.now;
-        for (to, draw) in self.gateways[place].cache.draw(now) {
+        for (to, draw) in self.gateways[place].cache.lease_requests(now) {
             self.judge.drew();
             let to = (0..self.control_planes.len()).find(|other| *name(*other) == *to);
             match to {
@@ -662,7 +662,7 @@
                     self.gateways[place].drawn.insert(draw.number, now);
                     self.send(Who::Q(place), Who::M(to), Said::LeaseRequest(draw));
                 }
-                None => self.gateways[place].cache.silent(now, draw.number),
+                None => self.gateways[place].cache.request_failed(now, draw.number),
             }
         }
     }
@@ -677,7 +677,7 @@
         }
         let patience = self.patience;
         let g = &mut self.gateways[place];
-        match g.cache.ask(now, number, &self.loads[tenant].quota.tenant, patience) {
+        match g.cache.admit(now, number, &self.loads[tenant].quota.tenant, patience) {
             Verdict::Granted => self.runs(tenant, 0.0),
             Verdict::Refused { .. } => self.judge.refused(tenant),
             Verdict::Wait { .. } => {
@@ -715,13 +715,13 @@
     }
 
     /// Has the gateways take grants of older epochs.
-    pub fn plant_ignored_epoch(&mut self) {
-        self.gateways.iter_mut().for_each(|g| g.cache.plant_ignored_epoch());
+    pub fn inject_ignored_epoch(&mut self) {
+        self.gateways.iter_mut().for_each(|g| g.cache.inject_ignored_epoch());
     }
 
     /// Units that were spent as slices.
     pub fn by_slice(&self) -> u64 {
-        self.gateways.iter().flat_map(|g| g.cache.figures()).map(|f| f.by_slice).sum()
+        self.gateways.iter().flat_map(|g| g.cache.stats()).map(|f| f.granted_by_slice).sum()
     }
 }
 
--- a/crates/quota/tests/world/troubles.rs
+++ b/crates/quota/tests/world/troubles.rs
@@ -57,7 +57,7 @@
         let leader = self.leader?;
         let assignment = self.control_planes[leader].placer.as_ref()?.assignment().clone();
         let others: Vec<usize> = (0..self.control_planes.len())
-            .filter(|place| *place != leader && assignment.has(&name(*place)))
+            .filter(|place| *place != leader && assignment.contains(&name(*place)))
             .collect();
         (!others.is_empty()).then(|| others[self.lots.below(others.len())])
     }
--- a/crates/registry/src/fleet.rs
+++ b/crates/registry/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use crate::Millis;
 use protocol::Departure;
-use quota::WideSlice;
+use quota::OversizedSlice;
 use std::collections::{BTreeMap, VecDeque};
 
 /// A data plane that fell silent without a word may be cut off and spend its even slices: it counts for this long,
@@ -93,10 +93,10 @@
 
     /// The data planes that may divide their slices by fewer than these: those that were last heard when the fleet was
     /// smaller. While one is heard, it is told of a larger fleet in time.
-    pub fn wide_slices(&self, present: u32) -> Vec<WideSlice> {
+    pub fn wide_slices(&self, present: u32) -> Vec<OversizedSlice> {
         let wide = |(name, known): (&String, &Known)| {
             let divisor = known.divisor.filter(|divisor| *divisor < present && known.is_present())?;
-            Some(WideSlice { gateway: name.clone(), divisor })
+            Some(OversizedSlice { gateway: name.clone(), divisor })
         };
         self.known.iter().filter_map(wide).collect()
     }
--- a/crates/testbed/src/capacity/costs.rs
+++ b/crates/testbed/src/capacity/costs.rs
@@ -7,7 +7,7 @@
 use config::Config;
 use control_plane::{Change, ConfigHistory, Place};
 use protocol::{Held, Message, frame, unframe};
-use quota::{Cache, Epoch, HolderAssignment, QuotaService};
+use quota::{Epoch, HolderAssignment, LeaseCache, QuotaService};
 use registry::{Fleet, Register};
 use transport::config_snapshots::{ConfigEncoder, held, rebuild};
 
@@ -123,22 +123,22 @@
 
 fn holder(size: &Size) -> QuotaService {
     let mut quota_service = QuotaService::new(HOLDER);
-    quota_service.quotas(0.0, quotas(size));
-    quota_service.fleet(0.0, size.gateways as u32);
-    quota_service.assume(0.0, &assignment(), true);
-    quota_service.lease(LEASE_MS);
+    quota_service.set_quotas(0.0, quotas(size));
+    quota_service.set_fleet_size(0.0, size.gateways as u32);
+    quota_service.apply_assignment(0.0, &assignment(), true);
+    quota_service.set_lease(LEASE_MS);
     for number in 0..size.gateways {
-        quota_service.heard(0.0, &gateway_name(number), Epoch::first(12));
+        quota_service.record_contact(0.0, &gateway_name(number), Epoch::first(12));
     }
     quota_service
 }
 
-fn lease_cache(size: &Size) -> Cache {
-    let mut cache = Cache::new(7);
-    cache.quotas(0.0, quotas(size));
-    cache.assignment(&assignment());
-    cache.fleet(size.gateways as u32);
-    cache.word(0.0);
+fn lease_cache(size: &Size) -> LeaseCache {
+    let mut cache = LeaseCache::new(7);
+    cache.set_quotas(0.0, quotas(size));
+    cache.set_assignment(&assignment());
+    cache.set_fleet_size(size.gateways as u32);
+    cache.record_contact(0.0);
     cache
 }
 
@@ -149,15 +149,15 @@
         || holder(size),
         |quota_service, turn| {
             let request = lease_request(turn as u64, turn % size.tenants..turn % size.tenants + 1);
-            let _ = quota_service.draw(turn as f64, &gateway_name(turn % size.gateways), &request);
+            let _ = quota_service.handle_request(turn as f64, &gateway_name(turn % size.gateways), &request);
         },
     );
     let floors = measure(
         LONG_TURNS,
         || holder(size),
         |quota_service, turn| {
-            let _ = quota_service.floors_wanted(turn as f64);
-            let _ = quota_service.presses();
+            let _ = quota_service.propose_floors(turn as f64);
+            let _ = quota_service.needs_lower_floor();
         },
     );
     // What a data plane does for each request that has no unit: ask, look what is to be sent, look when it is due.
@@ -166,14 +166,14 @@
         || lease_cache(size),
         |cache, turn| {
             let now = turn as f64;
-            cache.ask(now, turn as u64, &tenant_name(turn % size.tenants), 36.0);
+            cache.admit(now, turn as u64, &tenant_name(turn % size.tenants), 36.0);
         },
     );
     let looked = measure(
         LONG_TURNS,
         || lease_cache(size),
         |cache, turn| {
-            let _ = cache.draw(turn as f64);
+            let _ = cache.lease_requests(turn as f64);
         },
     );
     let due = measure(
@@ -181,7 +181,7 @@
         || lease_cache(size),
         |cache, turn| {
             cache.tick(turn as f64, &mut Vec::new());
-            let _ = std::hint::black_box(cache.next_due());
+            let _ = std::hint::black_box(cache.next_deadline());
         },
     );
     let sent = measure(
--- a/crates/testbed/src/capacity/memory.rs
+++ b/crates/testbed/src/capacity/memory.rs
@@ -6,7 +6,7 @@
 use config::Config;
 use control_plane::{Change, ConfigHistory, Place};
 use protocol::Backend;
-use quota::{Cache, Epoch, HolderAssignment, Quota, QuotaService};
+use quota::{Epoch, HolderAssignment, LeaseCache, Quota, QuotaService};
 use registry::Register;
 use std::any::Any;
 
@@ -74,20 +74,21 @@
     register
 }
 
-fn lease_cache(inputs: &Inputs) -> Cache {
-    let mut cache = Cache::new(7);
-    cache.quotas(0.0, inputs.quotas.clone());
+fn lease_cache(inputs: &Inputs) -> LeaseCache {
+    let mut cache = LeaseCache::new(7);
+    cache.set_quotas(0.0, inputs.quotas.clone());
     cache
 }
 
 fn counts(inputs: &Inputs) -> QuotaService {
     let mut quota_service = QuotaService::new(HOLDER);
-    quota_service.quotas(0.0, inputs.quotas.clone());
-    quota_service.assume(
+    quota_service.set_quotas(0.0, inputs.quotas.clone());
+    quota_service.apply_assignment(
         0.0,
         &HolderAssignment { epoch: Epoch::first(1), holders: vec![HOLDER.to_owned()] },
         true,
     );
-    (0..inputs.size.gateways).for_each(|n| quota_service.heard(0.0, &gateway_name(n), Epoch::first(1)));
+    (0..inputs.size.gateways)
+        .for_each(|n| quota_service.record_contact(0.0, &gateway_name(n), Epoch::first(1)));
     quota_service
 }
--- a/crates/testbed/src/capacity/messages.rs
+++ b/crates/testbed/src/capacity/messages.rs
@@ -3,7 +3,7 @@
 use super::samples::{backend, backend_id, backends, configuration_bytes, gateway_name, tenant_name};
 use super::size::Size;
 use protocol::{ControlPlaneAddress, Heartbeat, Held, Hello, Message, Order, Plane, frame};
-use quota::{Epoch, Grant, LeaseRequest, Share, Standing, Want};
+use quota::{CounterStatus, Epoch, Grant, LeaseRequest, TenantDemand, TenantGrant};
 use raft::{Entry, Message as LogMessage, What};
 use transport::config_snapshots::{ConfigEncoder, held};
 
@@ -81,20 +81,20 @@
 
 /// A request for units of `count` tenants.
 pub fn lease_request(number: u64, tenants: impl Iterator<Item = usize>) -> LeaseRequest {
-    let want = |n| Want { tenant: tenant_name(n), need: 1, add: 1, back: 0 };
-    LeaseRequest { number, epoch: Epoch::first(12), wants: tenants.map(want).collect() }
+    let want = |n| TenantDemand { tenant: tenant_name(n), needed: 1, requested: 1, returned: 0 };
+    LeaseRequest { number, epoch: Epoch::first(12), demands: tenants.map(want).collect() }
 }
 
 fn grant(tenants: impl Iterator<Item = usize>) -> Grant {
-    let share = |n| Share {
+    let share = |n| TenantGrant {
         tenant: tenant_name(n),
         window: 70_000,
         granted: 1,
-        left: 9,
+        remaining: 9,
         ends_in: 312.5,
-        standing: Standing::Open,
+        status: CounterStatus::Open,
     };
-    Grant { number: 4_000_000, epoch: Epoch::first(12), shares: tenants.map(share).collect() }
+    Grant { number: 4_000_000, epoch: Epoch::first(12), grants: tenants.map(share).collect() }
 }
 
 fn log(message: &LogMessage) -> Message {
--- a/crates/transport/tests/follower.rs
+++ b/crates/transport/tests/follower.rs
@@ -72,7 +72,7 @@
     }
 
     fn draw(&self, number: u64) {
-        let draw = LeaseRequest { number, epoch: Epoch::first(1), wants: Vec::new() };
+        let draw = LeaseRequest { number, epoch: Epoch::first(1), demands: Vec::new() };
         assert!(self.follower.draw(&self.address.to_string(), draw));
     }
 
@@ -95,7 +95,7 @@
 }
 
 fn grant(number: u64) -> Message {
-    Message::Grant(Grant { number, epoch: Epoch::first(1), shares: Vec::new() })
+    Message::Grant(Grant { number, epoch: Epoch::first(1), grants: Vec::new() })
 }
 
 async fn drawn(from: &mut Reader) -> u64 {
