--- a/crates/quota/src/floor.rs
+++ b/crates/quota/src/floor.rs
@@ -9,11 +9,11 @@
 use crate::Millis;
 
 /// A count's least over this long decides whether its floor may rise: longer than the judged span of a quota.
-const SEEN_FOR: Millis = 6000.0;
+const OBSERVATION_PERIOD: Millis = 6000.0;
 /// The floor of a quiet tenant, as a share of the most that a window may grant: its usual blocks stay above it.
-const SHARE: f64 = 0.5;
+const FLOOR_RATIO: f64 = 0.5;
 /// A count this close to its floor, as a share of a refill, is about to need what lies below.
-const NEAR: f64 = 0.25;
+const NEAR_FLOOR_RATIO: f64 = 0.25;
 
 /// A tenant's floor, in units.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -22,14 +22,14 @@
     enforced: u32,
     /// What the newest entry says that was asked for, or the log itself.
     proposed: u32,
-    least: f64,
-    since: Millis,
+    min_free: f64,
+    observed_since: Millis,
 }
 
 impl Floor {
     /// A floor as the log has it.
     pub fn new(now: Millis, units: u32) -> Self {
-        Self { enforced: units, proposed: units, least: f64::INFINITY, since: now }
+        Self { enforced: units, proposed: units, min_free: f64::INFINITY, observed_since: now }
     }
 
     /// Units that no grant may take.
@@ -39,29 +39,31 @@
 
     /// The count has so many units free now.
     pub fn record_free(&mut self, free: f64) {
-        self.least = self.least.min(free);
+        self.min_free = self.min_free.min(free);
     }
 
     /// Whether the count is about to need what lies below its floor.
     pub fn needs_lowering(&self, refill: f64) -> bool {
-        self.proposed > 0 && self.least < self.enforced() + refill * NEAR
+        self.proposed > 0 && self.min_free < self.enforced() + refill * NEAR_FLOOR_RATIO
     }
 
     /// Another floor that the log should say, if any; `most` and `refill` are those of the tenant's windows.
-    pub fn next_proposal(&mut self, now: Millis, most: f64, refill: f64) -> Option<u32> {
-        let level = (most * SHARE).max(0.0) as u32;
-        if self.needs_lowering(refill) || self.proposed > level {
-            let lower = if self.needs_lowering(refill) { 0 } else { level };
-            (self.least, self.since) = (f64::INFINITY, now);
-            return Some(lower);
+    pub fn next_proposal(&mut self, now: Millis, max_units: f64, refill: f64) -> Option<u32> {
+        let quiet_floor = (max_units * FLOOR_RATIO).max(0.0) as u32;
+        if self.needs_lowering(refill) || self.proposed > quiet_floor {
+            let lowered = if self.needs_lowering(refill) { 0 } else { quiet_floor };
+            (self.min_free, self.observed_since) = (f64::INFINITY, now);
+            return Some(lowered);
         }
-        if now < self.since + SEEN_FOR {
+        if now < self.observed_since + OBSERVATION_PERIOD {
             return None;
         }
-        let least = std::mem::replace(&mut self.least, f64::INFINITY);
-        self.since = now;
-        (self.proposed < level && least.is_finite() && least >= f64::from(level) + refill * NEAR * 2.0)
-            .then_some(level)
+        let min_free = std::mem::replace(&mut self.min_free, f64::INFINITY);
+        self.observed_since = now;
+        (self.proposed < quiet_floor
+            && min_free.is_finite()
+            && min_free >= f64::from(quiet_floor) + refill * NEAR_FLOOR_RATIO * 2.0)
+            .then_some(quiet_floor)
     }
 
     /// An entry with this floor is on its way: it may be decided whatever becomes of this holder.
--- a/crates/quota/src/holder_state.rs
+++ b/crates/quota/src/holder_state.rs
@@ -77,7 +77,7 @@
 
     /// When it will count as silent, or a draw be given up.
     pub(crate) fn next_deadline(&self) -> Millis {
-        let after = if self.silent { REQUEST_TIMEOUT } else { SILENCE_TIMEOUT };
-        self.in_flight.iter().fold(f64::INFINITY, |due, s| due.min(s.sent_at + after))
+        let timeout = if self.silent { REQUEST_TIMEOUT } else { SILENCE_TIMEOUT };
+        self.in_flight.iter().fold(f64::INFINITY, |deadline, s| deadline.min(s.sent_at + timeout))
     }
 }
--- a/crates/quota/src/lease_cache.rs
+++ b/crates/quota/src/lease_cache.rs
@@ -40,7 +40,7 @@
     /// A block was asked for; the verdict comes from `granted` or `tick`, at the latest at this time.
     Wait {
         /// By when the request has its verdict.
-        until: Millis,
+        deadline: Millis,
     },
     /// Block and count are spent.
     Refused {
@@ -71,7 +71,7 @@
 #[derive(Debug, Default)]
 struct TenantState {
     /// None sets no limit.
-    terms: Option<WindowParams>,
+    params: Option<WindowParams>,
     burst: f64,
     block: u32,
     window: u64,
@@ -151,18 +151,18 @@
     /// Takes a configuration. Blocks that are out end with their windows; tenants that are gone are dropped, and the
     /// requests that waited for them are refused at the next `tick`.
     pub fn set_quotas(&mut self, now: Millis, quotas: Vec<Quota>) {
-        let mut old = std::mem::take(&mut self.tenants);
+        let mut previous = std::mem::take(&mut self.tenants);
         for quota in quotas {
-            let mut tenant = old
+            let mut tenant = previous
                 .remove(&quota.tenant)
                 .unwrap_or_else(|| TenantState { demand_since: now, ..TenantState::default() });
-            tenant.terms = WindowParams::from_quota(&quota);
+            tenant.params = WindowParams::from_quota(&quota);
             tenant.holder_index = self.assignment.holder_index(&quota.tenant).unwrap_or(0);
             tenant.burst = quota.burst.max(0.0);
             self.tenants.insert(quota.tenant, tenant);
         }
         // Waiting requests need their verdict: their tenants stay, without a limit or a unit, until they have it.
-        for (name, mut tenant) in old.into_iter().filter(|(_, t)| !t.waiting.is_empty()) {
+        for (name, mut tenant) in previous.into_iter().filter(|(_, state)| !state.waiting.is_empty()) {
             tenant.mark_removed(now);
             self.tenants.insert(name, tenant);
         }
@@ -174,23 +174,25 @@
         if assignment.epoch < self.epoch || assignment.holders.is_empty() || *assignment == self.assignment {
             return;
         }
-        self.turn(assignment.epoch);
-        let old = std::mem::take(&mut self.holders);
-        let mut old: Vec<Option<HolderState>> = old.into_iter().map(Some).collect();
+        self.advance_epoch(assignment.epoch);
+        let previous = std::mem::take(&mut self.holders);
+        let mut previous: Vec<Option<HolderState>> = previous.into_iter().map(Some).collect();
         for name in &assignment.holders {
-            let kept =
-                old.iter_mut().find(|s| s.as_ref().is_some_and(|s| *s.name == **name)).and_then(Option::take);
-            self.holders.push(kept.unwrap_or_else(|| HolderState::new(name)));
+            let existing = previous
+                .iter_mut()
+                .find(|s| s.as_ref().is_some_and(|s| *s.name == **name))
+                .and_then(Option::take);
+            self.holders.push(existing.unwrap_or_else(|| HolderState::new(name)));
         }
-        for source in old.into_iter().flatten() {
-            for number in source.in_flight_numbers() {
-                self.free_flights(number);
+        for holder in previous.into_iter().flatten() {
+            for number in holder.in_flight_numbers() {
+                self.clear_in_flight(number);
             }
         }
         self.assignment = assignment.clone();
-        for (name, t) in &mut self.tenants {
-            t.holder_index = assignment.holder_index(name).unwrap_or(0);
-            t.retry_at = 0.0;
+        for (name, state) in &mut self.tenants {
+            state.holder_index = assignment.holder_index(name).unwrap_or(0);
+            state.retry_at = 0.0;
         }
     }
 
@@ -205,10 +207,10 @@
     }
 
     /// A newer epoch: units of an older one go back to nobody.
-    fn turn(&mut self, epoch: Epoch) {
+    fn advance_epoch(&mut self, epoch: Epoch) {
         if epoch > self.epoch {
             self.epoch = epoch;
-            self.tenants.values_mut().for_each(|t| (t.returned, t.slice_debt) = (0, 0));
+            self.tenants.values_mut().for_each(|state| (state.returned, state.slice_debt) = (0, 0));
         }
     }
 
@@ -234,9 +236,9 @@
         self.closed = true;
         self.waiting_count = 0;
         let mut seed = self.seed;
-        for t in self.tenants.values_mut() {
-            for (request, _) in std::mem::take(&mut t.waiting) {
-                out.push((request, t.refuse(now, lot(&mut seed))));
+        for state in self.tenants.values_mut() {
+            for (request, _) in std::mem::take(&mut state.waiting) {
+                out.push((request, state.refuse(now, random_fraction(&mut seed))));
             }
         }
         self.seed = seed;
@@ -248,54 +250,58 @@
     }
 
     /// A request asks for a unit of its tenant.
-    pub fn admit(&mut self, now: Millis, request: u64, tenant: &str, wait_at_most: Millis) -> Verdict {
-        let lot = self.lot();
-        let (fleet_size, slices) = (self.fleet_size, self.may_slice(now));
-        let full = self.waiting_count >= MAX_WAITING;
-        let Some(t) = self.tenants.get_mut(tenant) else { return Verdict::Refused { retry_after: 1000.0 } };
-        let silent = self.holders.get_mut(t.holder_index).is_some_and(|source| source.is_silent(now));
-        if t.terms.is_none() {
-            t.granted += 1;
+    pub fn admit(&mut self, now: Millis, request: u64, name: &str, max_wait: Millis) -> Verdict {
+        let random = self.random_fraction();
+        let (fleet_size, may_use_slices) = (self.fleet_size, self.may_use_slices(now));
+        let cache_full = self.waiting_count >= MAX_WAITING;
+        let Some(state) = self.tenants.get_mut(name) else { return Verdict::Refused { retry_after: 1000.0 } };
+        let silent = self.holders.get_mut(state.holder_index).is_some_and(|holder| holder.is_silent(now));
+        if state.params.is_none() {
+            state.granted += 1;
             return Verdict::Granted;
         }
         if self.closed {
-            return t.refuse(now, lot);
+            return state.refuse(now, random);
         }
-        t.advance_window(now);
-        t.requests_in_window += 1.0;
-        t.last_request_at = now;
-        if t.waiting.is_empty() && t.spend_unit() {
-            let remaining_demand = t.remaining_demand(now);
-            t.needs_block |= t.remaining > 0
+        state.advance_window(now);
+        state.requests_in_window += 1.0;
+        state.last_request_at = now;
+        if state.waiting.is_empty() && state.spend_unit() {
+            let remaining_demand = state.remaining_demand(now);
+            state.needs_block |= state.remaining > 0
                 && remaining_demand >= MIN_PREFETCH_DEMAND
-                && f64::from(t.block) < remaining_demand * RENEWAL_RATIO;
+                && f64::from(state.block) < remaining_demand * RENEWAL_RATIO;
             return Verdict::Granted;
         }
-        if t.is_exhausted(now) {
-            return t.refuse(now, lot);
+        if state.is_exhausted(now) {
+            return state.refuse(now, random);
         }
-        if silent || now < t.slices_until {
-            t.needs_block |= now >= t.slices_until;
-            if slices {
-                t.open_slice(now, fleet_size, lot);
+        if silent || now < state.slices_until {
+            state.needs_block |= now >= state.slices_until;
+            if may_use_slices {
+                state.open_slice(now, fleet_size, random);
             }
-            return if slices && t.spend_slice_unit() { Verdict::Granted } else { t.refuse(now, lot) };
+            return if may_use_slices && state.spend_slice_unit() {
+                Verdict::Granted
+            } else {
+                state.refuse(now, random)
+            };
         }
-        if full || t.waiting.len() >= MAX_WAITING_PER_TENANT {
-            return t.refuse(now, lot);
+        if cache_full || state.waiting.len() >= MAX_WAITING_PER_TENANT {
+            return state.refuse(now, random);
         }
-        t.needs_block = true;
-        let until = now + wait_at_most.max(0.0);
-        t.waiting.push_back((request, until));
+        state.needs_block = true;
+        let deadline = now + max_wait.max(0.0);
+        state.waiting.push_back((request, deadline));
         self.waiting_count += 1;
-        Verdict::Wait { until }
+        Verdict::Wait { deadline }
     }
 
     /// A waiting request is gone; it needs no verdict.
     pub fn cancel(&mut self, request: u64) {
-        for t in self.tenants.values_mut() {
-            if let Some(at) = t.waiting.iter().position(|(r, _)| *r == request) {
-                t.waiting.remove(at);
+        for state in self.tenants.values_mut() {
+            if let Some(index) = state.waiting.iter().position(|(r, _)| *r == request) {
+                state.waiting.remove(index);
                 self.waiting_count -= 1;
                 return;
             }
@@ -305,71 +311,79 @@
     /// A request that was granted has not been run. Its unit can be spent again in its own window only; later it goes
     /// back to the count, which knows how much a window may hold.
     pub fn return_unit(&mut self, now: Millis, tenant: &str) {
-        let Some(t) = self.tenants.get_mut(tenant) else { return };
-        t.advance_window(now);
-        if t.spent > 0 {
-            t.spent -= 1;
-            t.block += 1;
-        } else if now < t.slice_ends_at && t.slice_used > 0 {
-            t.slice_used -= 1;
-            t.slice_units += 1.0;
+        let Some(state) = self.tenants.get_mut(tenant) else { return };
+        state.advance_window(now);
+        if state.spent > 0 {
+            state.spent -= 1;
+            state.block += 1;
+        } else if now < state.slice_ends_at && state.slice_used > 0 {
+            state.slice_used -= 1;
+            state.slice_units += 1.0;
         } else {
-            t.returned = t.returned.saturating_add(1);
+            state.returned = state.returned.saturating_add(1);
         }
     }
 
     /// What is to be sent now, and to which holder: one message for all tenants of it.
     pub fn lease_requests(&mut self, now: Millis) -> Vec<(Rc<str>, LeaseRequest)> {
-        let mut draws: Vec<(usize, LeaseRequest)> = Vec::new();
+        let mut lease_requests: Vec<(usize, LeaseRequest)> = Vec::new();
         if self.closed {
             return Vec::new();
         }
         let (fleet_size, epoch) = (self.fleet_size, self.epoch);
-        for (name, t) in &mut self.tenants {
-            let Some(terms) = t.terms else { continue };
-            if t.in_flight.is_some() || now < t.slices_until || now < t.retry_at {
+        for (name, state) in &mut self.tenants {
+            let Some(params) = state.params else { continue };
+            if state.in_flight.is_some() || now < state.slices_until || now < state.retry_at {
                 continue;
             }
-            t.advance_window(now);
-            t.needs_block &= !t.is_exhausted(now);
-            if !t.should_request(now) && t.slice_debt == 0 {
+            state.advance_window(now);
+            state.needs_block &= !state.is_exhausted(now);
+            if !state.should_request(now) && state.slice_debt == 0 {
                 continue;
             }
-            if !self.holders.get_mut(t.holder_index).is_some_and(|source| source.may_send(now)) {
+            if !self.holders.get_mut(state.holder_index).is_some_and(|holder| holder.may_send(now)) {
                 continue;
             }
             let (needed, requested) =
-                if t.should_request(now) { t.request_size(now, terms, fleet_size) } else { (0, 0) };
-            t.needs_block = false;
-            if requested < 1 && t.slice_debt == 0 {
+                if state.should_request(now) { state.request_size(now, params, fleet_size) } else { (0, 0) };
+            state.needs_block = false;
+            if requested < 1 && state.slice_debt == 0 {
                 continue;
             }
-            t.slice_debt_in_flight = t.slice_debt;
-            let needed = if t.slice_debt > 0 { requested.saturating_add(t.slice_debt) } else { needed };
-            let at = draws.iter().position(|(place, _)| *place == t.holder_index).unwrap_or_else(|| {
-                self.last_request_number += 1;
-                draws.push((
-                    t.holder_index,
-                    LeaseRequest { number: self.last_request_number, epoch, demands: Vec::new() },
-                ));
-                draws.len() - 1
-            });
-            if let Some((_, draw)) = draws.get_mut(at) {
-                t.in_flight = Some(draw.number);
-                draw.demands.push(TenantDemand {
+            state.slice_debt_in_flight = state.slice_debt;
+            let needed =
+                if state.slice_debt > 0 { requested.saturating_add(state.slice_debt) } else { needed };
+            let index = lease_requests
+                .iter()
+                .position(|(holder_index, _)| *holder_index == state.holder_index)
+                .unwrap_or_else(|| {
+                    self.last_request_number += 1;
+                    lease_requests.push((
+                        state.holder_index,
+                        LeaseRequest { number: self.last_request_number, epoch, demands: Vec::new() },
+                    ));
+                    lease_requests.len() - 1
+                });
+            if let Some((_, lease_request)) = lease_requests.get_mut(index) {
+                state.in_flight = Some(lease_request.number);
+                lease_request.demands.push(TenantDemand {
                     tenant: name.clone(),
                     needed,
                     requested,
-                    returned: std::mem::take(&mut t.returned),
+                    returned: std::mem::take(&mut state.returned),
                 });
             }
         }
         // Units that go back are worth no message of their own.
-        for (place, draw) in &mut draws {
-            for (name, t) in &mut self.tenants {
-                if t.returned > 0 && t.holder_index == *place && t.in_flight.is_none() && t.terms.is_some() {
-                    let returned = std::mem::take(&mut t.returned);
-                    draw.demands.push(TenantDemand {
+        for (holder_index, lease_request) in &mut lease_requests {
+            for (name, state) in &mut self.tenants {
+                if state.returned > 0
+                    && state.holder_index == *holder_index
+                    && state.in_flight.is_none()
+                    && state.params.is_some()
+                {
+                    let returned = std::mem::take(&mut state.returned);
+                    lease_request.demands.push(TenantDemand {
                         tenant: name.clone(),
                         needed: 0,
                         requested: 0,
@@ -378,11 +392,11 @@
                 }
             }
         }
-        let mut out = Vec::with_capacity(draws.len());
-        for (place, draw) in draws {
-            if let Some(source) = self.holders.get_mut(place) {
-                source.record_sent(now, draw.number);
-                out.push((source.name.clone(), draw));
+        let mut out = Vec::with_capacity(lease_requests.len());
+        for (holder_index, lease_request) in lease_requests {
+            if let Some(holder) = self.holders.get_mut(holder_index) {
+                holder.record_sent(now, lease_request.number);
+                out.push((holder.name.clone(), lease_request));
             }
         }
         out
@@ -391,80 +405,82 @@
     /// A holder's answer. That of a former holder, or to a draw given up, is ignored: its units stay counted until
     /// their window ends, and nobody spends them.
     pub fn handle_grant(&mut self, now: Millis, grant: Grant, out: &mut Vec<(u64, Verdict)>) {
-        let found =
-            self.holders.iter_mut().find_map(|source| Some((source.take_in_flight(grant.number)?, source)));
-        let Some((sent, source)) = found else { return };
+        let answered =
+            self.holders.iter_mut().find_map(|holder| Some((holder.take_in_flight(grant.number)?, holder)));
+        let Some((sent, holder)) = answered else { return };
         if grant.epoch < self.epoch && !self.ignores_epoch {
             // It may not have heard of the newest assignment yet; without it its lease soon ends.
-            for t in self.tenants.values_mut().filter(|t| t.in_flight == Some(grant.number)) {
-                t.retry_at = now + RETRY_DELAY;
+            for state in self.tenants.values_mut().filter(|state| state.in_flight == Some(grant.number)) {
+                state.retry_at = now + RETRY_DELAY;
             }
-            return self.free_flights(grant.number);
+            return self.clear_in_flight(grant.number);
         }
-        source.record_answer();
-        self.turn(grant.epoch);
+        holder.record_answer();
+        self.advance_epoch(grant.epoch);
         self.last_contact = Some(now);
         let fleet_size = self.fleet_size;
         for tenant_grant in grant.grants {
-            let lot = self.lot();
-            let Some(t) =
-                self.tenants.get_mut(&tenant_grant.tenant).filter(|t| t.in_flight == Some(grant.number))
+            let random = self.random_fraction();
+            let Some(state) = self
+                .tenants
+                .get_mut(&tenant_grant.tenant)
+                .filter(|state| state.in_flight == Some(grant.number))
             else {
                 continue;
             };
-            t.in_flight = None;
-            t.apply_grant(now, sent.sent_at, &tenant_grant);
-            let before = t.waiting.len();
-            t.serve_waiting(now, fleet_size, lot, out);
-            self.waiting_count -= before - t.waiting.len();
+            state.in_flight = None;
+            state.apply_grant(now, sent.sent_at, &tenant_grant);
+            let waiting_before = state.waiting.len();
+            state.serve_waiting(now, fleet_size, random, out);
+            self.waiting_count -= waiting_before - state.waiting.len();
         }
-        self.free_flights(grant.number);
+        self.clear_in_flight(grant.number);
     }
 
     /// A draw is given up: its answer is not waited for any more, and the holder counts as silent until it answers.
     pub fn request_failed(&mut self, now: Millis, number: u64) {
-        if let Some(source) =
-            self.holders.iter_mut().find_map(|source| source.take_in_flight(number).map(|_| source))
+        if let Some(holder) =
+            self.holders.iter_mut().find_map(|holder| holder.take_in_flight(number).map(|_| holder))
         {
-            source.mark_silent(now);
-            self.free_flights(number);
+            holder.mark_silent(now);
+            self.clear_in_flight(number);
         }
     }
 
     /// Time has passed: requests that have waited long enough get their verdict.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<(u64, Verdict)>) {
-        while let Some(late) = self.holders.iter().find_map(|source| source.overdue_request(now)) {
-            self.request_failed(now, late);
+        while let Some(overdue) = self.holders.iter().find_map(|holder| holder.overdue_request(now)) {
+            self.request_failed(now, overdue);
         }
-        let (fleet_size, slices) = (self.fleet_size, self.may_slice(now));
+        let (fleet_size, may_use_slices) = (self.fleet_size, self.may_use_slices(now));
         let mut seed = self.seed;
-        for t in self.tenants.values_mut().filter(|t| !t.waiting.is_empty()) {
-            t.advance_window(now);
-            let silent = self.holders.get_mut(t.holder_index).is_some_and(|source| source.is_silent(now));
-            let before = t.waiting.len();
-            let mut waiting = std::mem::take(&mut t.waiting);
-            waiting.retain(|(request, until)| {
-                let lot = lot(&mut seed);
-                if t.spend_unit() {
+        for state in self.tenants.values_mut().filter(|state| !state.waiting.is_empty()) {
+            state.advance_window(now);
+            let silent = self.holders.get_mut(state.holder_index).is_some_and(|holder| holder.is_silent(now));
+            let waiting_before = state.waiting.len();
+            let mut waiting = std::mem::take(&mut state.waiting);
+            waiting.retain(|(request, deadline)| {
+                let random = random_fraction(&mut seed);
+                if state.spend_unit() {
                     out.push((*request, Verdict::Granted));
                     return false;
                 }
-                if !silent && now < *until {
+                if !silent && now < *deadline {
                     return true;
                 }
                 // The answer is late: the even slice is lent, and comes off the next block if one comes.
-                if slices && !t.is_exhausted(now) {
-                    t.open_slice(now, fleet_size, lot);
-                    if t.spend_slice_unit() {
+                if may_use_slices && !state.is_exhausted(now) {
+                    state.open_slice(now, fleet_size, random);
+                    if state.spend_slice_unit() {
                         out.push((*request, Verdict::Granted));
                         return false;
                     }
                 }
-                out.push((*request, t.refuse(now, lot)));
+                out.push((*request, state.refuse(now, random)));
                 false
             });
-            t.waiting = waiting;
-            self.waiting_count -= before - t.waiting.len();
+            state.waiting = waiting;
+            self.waiting_count -= waiting_before - state.waiting.len();
         }
         self.seed = seed;
     }
@@ -474,57 +490,63 @@
         if self.closed {
             return None;
         }
-        let mut due = self.holders.iter().fold(f64::INFINITY, |due, source| due.min(source.next_deadline()));
-        for t in self.tenants.values() {
-            due = t.waiting.iter().fold(due, |d, (_, until)| d.min(*until));
-            if t.in_flight.is_none() && t.terms.is_some() {
-                let probe = self.holders.get(t.holder_index).filter(|source| source.was_silent());
-                let from = probe.map_or(0.0, |source| source.next_probe_at).max(t.retry_at);
-                if t.needs_block {
-                    due = due.min(if probe.is_some() { from } else { from.max(t.slices_until) });
+        let mut deadline =
+            self.holders.iter().fold(f64::INFINITY, |deadline, holder| deadline.min(holder.next_deadline()));
+        for state in self.tenants.values() {
+            deadline = state.waiting.iter().fold(deadline, |d, (_, expires_at)| d.min(*expires_at));
+            if state.in_flight.is_none() && state.params.is_some() {
+                let silent_holder = self.holders.get(state.holder_index).filter(|holder| holder.was_silent());
+                let earliest = silent_holder.map_or(0.0, |holder| holder.next_probe_at).max(state.retry_at);
+                if state.needs_block {
+                    deadline = deadline.min(if silent_holder.is_some() {
+                        earliest
+                    } else {
+                        earliest.max(state.slices_until)
+                    });
                 }
-                if t.window_ends_at > 0.0 && (t.demand >= MIN_PREFETCH_DEMAND || t.slice_debt > 0) {
-                    due = due.min(from.max(t.window_ends_at).max(t.slices_until));
+                if state.window_ends_at > 0.0 && (state.demand >= MIN_PREFETCH_DEMAND || state.slice_debt > 0)
+                {
+                    deadline = deadline.min(earliest.max(state.window_ends_at).max(state.slices_until));
                 }
             }
         }
-        due.is_finite().then_some(due)
+        deadline.is_finite().then_some(deadline)
     }
 
     /// What operators see of each tenant.
     pub fn stats(&self) -> Vec<TenantStats> {
-        let one = |(tenant, t): (&String, &TenantState)| TenantStats {
+        let tenant_stats = |(tenant, state): (&String, &TenantState)| TenantStats {
             tenant: tenant.clone(),
-            block: t.block,
-            demand: t.demand,
-            waiting: t.waiting.len(),
-            granted: t.granted,
-            refused: t.refused,
-            granted_by_slice: t.granted_by_slice,
+            block: state.block,
+            demand: state.demand,
+            waiting: state.waiting.len(),
+            granted: state.granted,
+            refused: state.refused,
+            granted_by_slice: state.granted_by_slice,
         };
-        self.tenants.iter().map(one).collect()
+        self.tenants.iter().map(tenant_stats).collect()
     }
 
-    fn free_flights(&mut self, number: u64) {
-        for t in self.tenants.values_mut().filter(|t| t.in_flight == Some(number)) {
-            t.in_flight = None;
-            t.needs_block |= !t.waiting.is_empty();
+    fn clear_in_flight(&mut self, number: u64) {
+        for state in self.tenants.values_mut().filter(|state| state.in_flight == Some(number)) {
+            state.in_flight = None;
+            state.needs_block |= !state.waiting.is_empty();
         }
     }
 
-    fn may_slice(&self, now: Millis) -> bool {
+    fn may_use_slices(&self, now: Millis) -> bool {
         // Who has heard of a newer assignment than it knows may spend slices of a count that grants elsewhere.
-        let knows = self.assignment.epoch >= self.epoch || self.assignment.holders.is_empty();
-        knows && self.last_contact.is_some_and(|at| now < at + MAX_SLICE_TIME)
+        let knows_assignment = self.assignment.epoch >= self.epoch || self.assignment.holders.is_empty();
+        knows_assignment && self.last_contact.is_some_and(|index| now < index + MAX_SLICE_TIME)
     }
 
-    fn lot(&mut self) -> f64 {
-        lot(&mut self.seed)
+    fn random_fraction(&mut self) -> f64 {
+        random_fraction(&mut self.seed)
     }
 }
 
 /// A number in 0 to 1 (splitmix64).
-fn lot(seed: &mut u64) -> f64 {
+fn random_fraction(seed: &mut u64) -> f64 {
     *seed = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let mut z = *seed;
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/quota/src/lease_cache/tenant_state.rs
+++ b/crates/quota/src/lease_cache/tenant_state.rs
@@ -5,23 +5,23 @@
 impl TenantState {
     /// Ends a block whose window is over and learns from the demand of windows gone by.
     pub(super) fn advance_window(&mut self, now: Millis) {
-        let Some(terms) = self.terms else { return };
+        let Some(params) = self.params else { return };
         if now >= self.window_ends_at {
             self.returned = self.returned.saturating_add(std::mem::take(&mut self.block));
             (self.received, self.spent) = (0, 0);
         }
         self.settle_slice(now);
-        let windows = ((now - self.demand_since) / terms.window).floor();
+        let windows = ((now - self.demand_since) / params.window).floor();
         if windows >= 1.0 {
-            let first = if self.has_demand {
+            let smoothed = if self.has_demand {
                 DEMAND_SMOOTHING * self.requests_in_window + (1.0 - DEMAND_SMOOTHING) * self.demand
             } else {
                 self.requests_in_window
             };
-            self.demand = first * (1.0 - DEMAND_SMOOTHING).powf((windows - 1.0).min(64.0));
+            self.demand = smoothed * (1.0 - DEMAND_SMOOTHING).powf((windows - 1.0).min(64.0));
             self.has_demand |= self.requests_in_window > 0.0;
             self.requests_in_window = 0.0;
-            self.demand_since += windows * terms.window;
+            self.demand_since += windows * params.window;
         }
         if self.has_demand && now > self.last_request_at + IDLE_TIMEOUT {
             (self.has_demand, self.demand, self.returned, self.slice_debt) = (false, 0.0, 0, 0);
@@ -30,7 +30,7 @@
 
     /// The demand until the block's window ends; of a whole window if none is open.
     pub(super) fn remaining_demand(&self, now: Millis) -> f64 {
-        let window = self.terms.map_or(1.0, |t| t.window);
+        let window = self.params.map_or(1.0, |t| t.window);
         if now < self.window_ends_at {
             self.demand * ((self.window_ends_at - now) / window).min(1.0)
         } else {
@@ -43,49 +43,52 @@
     }
 
     pub(super) fn spend_unit(&mut self) -> bool {
-        let fits = self.block > 0;
-        if fits {
+        let has_unit = self.block > 0;
+        if has_unit {
             self.block -= 1;
             self.spent += 1;
             self.granted += 1;
         }
-        fits
+        has_unit
     }
 
     /// Opens the slice of the present window. Whole units end with their window; fractions stay, so that gateways
     /// whose slice is less than a unit have one every few windows. Each starts from a fraction by lot: all together
     /// then have what the window allows, neither all nor none of them a unit at once.
-    pub(super) fn open_slice(&mut self, now: Millis, fleet_size: f64, lot: f64) {
-        let Some(terms) = self.terms else { return };
+    pub(super) fn open_slice(&mut self, now: Millis, fleet_size: f64, random: f64) {
+        let Some(params) = self.params else { return };
         if now < self.slice_ends_at {
             return;
         }
-        let fresh = now >= self.slice_ends_at + terms.window;
-        let part = if fresh { lot } else { self.slice_units.fract() };
-        let fleet_share = terms.refill / fleet_size;
+        let new_window = now >= self.slice_ends_at + params.window;
+        let initial = if new_window { random } else { self.slice_units.fract() };
+        let fleet_share = params.refill / fleet_size;
         self.settle_slice(now);
         self.slice_is_charged = now >= self.slices_until;
         if now < self.window_ends_at {
             self.slice_ends_at = self.window_ends_at;
-            self.slice_units = part + (fleet_share - f64::from(self.received)).max(0.0);
+            self.slice_units = initial + (fleet_share - f64::from(self.received)).max(0.0);
             return;
         }
-        let begin = if !fresh { self.slice_ends_at } else { now };
-        let begin =
-            if now < self.window_ends_at + terms.window { begin.max(self.window_ends_at) } else { begin };
-        self.slice_ends_at = begin + terms.window;
-        self.slice_units = part + fleet_share;
+        let slice_start = if !new_window { self.slice_ends_at } else { now };
+        let slice_start = if now < self.window_ends_at + params.window {
+            slice_start.max(self.window_ends_at)
+        } else {
+            slice_start
+        };
+        self.slice_ends_at = slice_start + params.window;
+        self.slice_units = initial + fleet_share;
     }
 
     pub(super) fn spend_slice_unit(&mut self) -> bool {
-        let fits = self.slice_units >= 1.0;
-        if fits {
+        let has_unit = self.slice_units >= 1.0;
+        if has_unit {
             self.slice_units -= 1.0;
             self.slice_used += 1;
             self.granted += 1;
             self.granted_by_slice += 1;
         }
-        fits
+        has_unit
     }
 
     /// What was spent of a slice whose window is over is owed to the count, unless a block has paid for it.
@@ -99,43 +102,43 @@
         }
     }
 
-    pub(super) fn refuse(&mut self, now: Millis, lot: f64) -> Verdict {
+    pub(super) fn refuse(&mut self, now: Millis, random: f64) -> Verdict {
         self.refused += 1;
-        let window = self.terms.map_or(1000.0, |t| t.window);
-        let end = if now < self.window_ends_at { self.window_ends_at } else { self.slice_ends_at };
-        let rest = if now < end { end - now } else { window * 0.5 };
-        Verdict::Refused { retry_after: rest + window * RETRY_JITTER_RATIO * lot }
+        let window = self.params.map_or(1000.0, |t| t.window);
+        let window_end = if now < self.window_ends_at { self.window_ends_at } else { self.slice_ends_at };
+        let until_window_end = if now < window_end { window_end - now } else { window * 0.5 };
+        Verdict::Refused { retry_after: until_window_end + window * RETRY_JITTER_RATIO * random }
     }
 
     /// Whether a block is to be asked for now.
     pub(super) fn should_request(&self, now: Millis) -> bool {
         // Every window begins with an empty hand; who will need a block has it before the first request.
-        let fresh =
+        let new_window =
             now >= self.window_ends_at && self.window_ends_at > 0.0 && self.demand >= MIN_PREFETCH_DEMAND;
-        (self.needs_block || fresh) && !self.is_exhausted(now)
+        (self.needs_block || new_window) && !self.is_exhausted(now)
     }
 
     /// Units needed at once, and units to ask for.
-    pub(super) fn request_size(&self, now: Millis, terms: WindowParams, fleet_size: f64) -> (u32, u32) {
+    pub(super) fn request_size(&self, now: Millis, params: WindowParams, fleet_size: f64) -> (u32, u32) {
         let needed = self.waiting.len() as u32;
         let target = if self.has_demand {
             (self.remaining_demand(now) * BLOCK_MARGIN + 0.5).floor()
         } else {
             (self.burst / fleet_size).max(1.0)
         };
-        let target = target.min(terms.max_units) as u32;
+        let target = target.min(params.max_units) as u32;
         (needed, target.saturating_sub(self.block).max(needed))
     }
 
     pub(super) fn mark_removed(&mut self, now: Millis) {
         self.advance_window(now);
         (self.block, self.remaining, self.window_ends_at) = (0, 0, f64::INFINITY);
-        self.waiting.iter_mut().for_each(|(_, until)| *until = now);
+        self.waiting.iter_mut().for_each(|(_, deadline)| *deadline = now);
     }
 
     /// Takes a share. The window's end is counted from when the draw was sent: it comes early rather than late.
-    pub(super) fn apply_grant(&mut self, now: Millis, sent: Millis, tenant_grant: &TenantGrant) {
-        let window_ends_at = sent + tenant_grant.ends_in;
+    pub(super) fn apply_grant(&mut self, now: Millis, sent_at: Millis, tenant_grant: &TenantGrant) {
+        let window_ends_at = sent_at + tenant_grant.ends_in;
         match tenant_grant.status {
             CounterStatus::FallbackSlice => {
                 self.slices_until = window_ends_at.max(now + PROBE_INTERVAL * 0.25);
@@ -161,25 +164,25 @@
         self.window_ends_at = self.window_ends_at.max(window_ends_at);
         self.remaining = tenant_grant.remaining;
         // Slices of the present window were lent from this block.
-        let lent = if now < self.slice_ends_at { tenant_grant.granted.min(self.slice_used) } else { 0 };
-        self.slice_used -= lent;
+        let prepaid = if now < self.slice_ends_at { tenant_grant.granted.min(self.slice_used) } else { 0 };
+        self.slice_used -= prepaid;
         self.slice_units = self.slice_units.fract();
         self.received = self.received.saturating_add(tenant_grant.granted);
-        self.spent = self.spent.saturating_add(lent);
-        self.block = self.block.saturating_add(tenant_grant.granted - lent);
+        self.spent = self.spent.saturating_add(prepaid);
+        self.block = self.block.saturating_add(tenant_grant.granted - prepaid);
     }
 
     pub(super) fn serve_waiting(
-        &mut self, now: Millis, fleet_size: f64, lot: f64, out: &mut Vec<(u64, Verdict)>,
+        &mut self, now: Millis, fleet_size: f64, random: f64, out: &mut Vec<(u64, Verdict)>,
     ) {
         while let Some((request, _)) = self.waiting.front().copied() {
             let verdict = if self.spend_unit() {
                 Verdict::Granted
             } else if now < self.slices_until {
-                self.open_slice(now, fleet_size, lot);
-                if self.spend_slice_unit() { Verdict::Granted } else { self.refuse(now, lot) }
+                self.open_slice(now, fleet_size, random);
+                if self.spend_slice_unit() { Verdict::Granted } else { self.refuse(now, random) }
             } else if self.is_exhausted(now) {
-                self.refuse(now, lot)
+                self.refuse(now, random)
             } else {
                 self.needs_block = true;
                 return;
--- a/crates/quota/src/quota_service.rs
+++ b/crates/quota/src/quota_service.rs
@@ -49,13 +49,13 @@
 /// Holds those counts that the newest assignment gives to this process, while its lease lasts.
 #[derive(Debug)]
 pub struct QuotaService {
-    me: String,
+    name: String,
     assignment: HolderAssignment,
     lease_until: Millis,
     holder: Option<QuotaHolder>,
     quotas: Vec<Quota>,
-    known: u32,
-    wide: Vec<OversizedSlice>,
+    fleet_size: u32,
+    oversized_slices: Vec<OversizedSlice>,
     /// What the log says of counts, for the next office of one that holds them all.
     floors: BTreeMap<String, u32>,
     faults: Faults,
@@ -63,15 +63,15 @@
 
 impl QuotaService {
     /// The office of a process that holds nothing yet.
-    pub fn new(me: &str) -> Self {
+    pub fn new(name: &str) -> Self {
         Self {
-            me: me.to_owned(),
+            name: name.to_owned(),
             assignment: HolderAssignment::default(),
             lease_until: 0.0,
             holder: None,
             quotas: Vec::new(),
-            known: 1,
-            wide: Vec::new(),
+            fleet_size: 1,
+            oversized_slices: Vec::new(),
             floors: BTreeMap::new(),
             faults: Faults::default(),
         }
@@ -116,71 +116,74 @@
     /// once; what their new holders are to be told comes back, with their names. `first` says that no holder was there
     /// before in the life of the fleet.
     pub fn apply_assignment(
-        &mut self, now: Millis, assignment: &HolderAssignment, first: bool,
+        &mut self, now: Millis, assignment: &HolderAssignment, first_holder: bool,
     ) -> Vec<(String, Handover)> {
         if assignment.epoch <= self.assignment.epoch {
             return Vec::new();
         }
-        let follows = assignment.epoch.follows(self.assignment.epoch);
+        let is_next = assignment.epoch.follows(self.assignment.epoch);
         self.assignment = assignment.clone();
-        let mut told = Vec::new();
+        let mut handovers = Vec::new();
         // Whoever missed an assignment may have lost a count in it and got it back: it starts anew with all of them.
-        let mut holder = self.holder.take().filter(|_| follows);
+        let mut holder = self.holder.take().filter(|_| is_next);
         if let Some(holder) = &mut holder {
-            told = self.give_up(now, holder);
+            handovers = self.release_counters(now, holder);
         }
-        if !assignment.contains(&self.me) {
-            return told;
+        if !assignment.contains(&self.name) {
+            return handovers;
         }
         // Leases of an older term have ended before another leader could be elected; those of this term's former
         // assignment have not.
-        let shut =
+        let closed_for =
             if assignment.epoch.number == 1 || self.faults.skips_handover { 0.0 } else { MAX_DEPUTY_LEASE };
-        let opens = first && assignment.epoch.number == 1 || self.faults.skips_handover;
+        let starts_open = first_holder && assignment.epoch.number == 1 || self.faults.skips_handover;
         let mut holder = match holder {
             Some(mut holder) => {
-                holder.apply_assignment(now, assignment.epoch, shut);
+                holder.apply_assignment(now, assignment.epoch, closed_for);
                 holder
             }
-            None => QuotaHolder::start(assignment.epoch, opens, now, shut),
+            None => QuotaHolder::start(assignment.epoch, starts_open, now, closed_for),
         };
         if self.faults.skips_handover {
             holder.open_immediately();
         }
         holder.set_floors(std::mem::take(&mut self.floors));
-        holder.set_fleet_size(now, self.known);
-        holder.set_oversized_slices(&self.wide);
-        holder.set_quotas(now, &self.mine());
+        holder.set_fleet_size(now, self.fleet_size);
+        holder.set_oversized_slices(&self.oversized_slices);
+        holder.set_quotas(now, &self.own_quotas());
         self.holder = Some(holder);
-        told
+        handovers
     }
 
-    fn give_up(&self, now: Millis, holder: &mut QuotaHolder) -> Vec<(String, Handover)> {
-        let mut told: Vec<(String, Handover)> = Vec::new();
-        for count in
-            holder.release_counters(now, |tenant| self.assignment.holder_of(tenant) == Some(&self.me))
+    fn release_counters(&self, now: Millis, holder: &mut QuotaHolder) -> Vec<(String, Handover)> {
+        let mut handovers: Vec<(String, Handover)> = Vec::new();
+        for counter in
+            holder.release_counters(now, |tenant| self.assignment.holder_of(tenant) == Some(&self.name))
         {
-            let Some(to) = self.assignment.holder_of(&count.tenant) else { continue };
-            if let Some((_, handover)) = told.iter_mut().find(|(name, _)| name == to) {
-                handover.counters.push(count);
+            let Some(new_holder) = self.assignment.holder_of(&counter.tenant) else { continue };
+            if let Some((_, handover)) = handovers.iter_mut().find(|(name, _)| name == new_holder) {
+                handover.counters.push(counter);
             } else {
                 let (assignment, contact_ages) = (self.assignment.clone(), holder.contact_ages(now));
-                told.push((to.to_owned(), Handover { assignment, contact_ages, counters: vec![count] }));
+                handovers.push((
+                    new_holder.to_owned(),
+                    Handover { assignment, contact_ages, counters: vec![counter] },
+                ));
             }
         }
-        told
+        handovers
     }
 
     /// A former holder's word on counts that are this one's now. What this one gives up by the same assignment, if it
     /// had not heard of it, comes back as from `assume`.
     pub fn accept_handover(&mut self, now: Millis, handover: Handover) -> Vec<(String, Handover)> {
-        let told = self.apply_assignment(now, &handover.assignment, false);
+        let handovers = self.apply_assignment(now, &handover.assignment, false);
         if handover.assignment.epoch == self.assignment.epoch
             && let Some(holder) = &mut self.holder
         {
             holder.accept_handover(now, handover);
         }
-        told
+        handovers
     }
 
     /// The lease lasts until then: the leader's own that of its log, a deputy's what the leader extended to it, counted
@@ -203,32 +206,32 @@
     /// Takes a configuration.
     pub fn set_quotas(&mut self, now: Millis, quotas: Vec<Quota>) {
         self.quotas = quotas;
-        let mine = self.mine();
+        let own = self.own_quotas();
         if let Some(holder) = &mut self.holder {
-            holder.set_quotas(now, &mine);
+            holder.set_quotas(now, &own);
         }
     }
 
-    fn mine(&self) -> Vec<Quota> {
-        let mine = |quota: &&Quota| self.assignment.holder_of(&quota.tenant) == Some(&self.me);
-        self.quotas.iter().filter(mine).cloned().collect()
+    fn own_quotas(&self) -> Vec<Quota> {
+        let own = |quota: &&Quota| self.assignment.holder_of(&quota.tenant) == Some(&self.name);
+        self.quotas.iter().filter(own).cloned().collect()
     }
 
     /// Takes the number of gateways in all.
-    pub fn set_fleet_size(&mut self, now: Millis, known: u32) {
-        self.known = known;
+    pub fn set_fleet_size(&mut self, now: Millis, fleet_size: u32) {
+        self.fleet_size = fleet_size;
         if let Some(holder) = &mut self.holder {
-            holder.set_fleet_size(now, known);
+            holder.set_fleet_size(now, fleet_size);
         }
     }
 
     /// Takes the gateways that may divide their slices by fewer than there are; see [`QuotaHolder::set_oversized_slices`].
-    pub fn set_oversized_slices(&mut self, wide: Vec<OversizedSlice>) {
-        if wide == self.wide {
+    pub fn set_oversized_slices(&mut self, oversized_slices: Vec<OversizedSlice>) {
+        if oversized_slices == self.oversized_slices {
             return;
         }
-        self.wide = wide;
-        self.holder.iter_mut().for_each(|holder| holder.set_oversized_slices(&self.wide));
+        self.oversized_slices = oversized_slices;
+        self.holder.iter_mut().for_each(|holder| holder.set_oversized_slices(&self.oversized_slices));
     }
 
     /// A gateway was heard otherwise than by a draw; it knows the assignment of that epoch.
@@ -256,13 +259,13 @@
     }
 
     /// Answers a gateway's draw; nothing while it may not grant.
-    pub fn handle_request(&mut self, now: Millis, gateway: &str, draw: &LeaseRequest) -> Option<Grant> {
-        let open = self.may_grant(now);
+    pub fn handle_request(&mut self, now: Millis, gateway: &str, request: &LeaseRequest) -> Option<Grant> {
+        let may_grant = self.may_grant(now);
         let holder = self.holder.as_mut()?;
-        if open {
-            return Some(holder.handle_request(now, gateway, draw));
+        if may_grant {
+            return Some(holder.handle_request(now, gateway, request));
         }
         // Gateways may hear of a new holder before its first lease is there.
-        holder.awaits_handover(now).then(|| holder.defer(draw))
+        holder.awaits_handover(now).then(|| holder.defer(request))
     }
 }
--- a/crates/quota/src/window_params.rs
+++ b/crates/quota/src/window_params.rs
@@ -14,25 +14,25 @@
 }
 
 /// The span over which a quota is judged.
-const JUDGED: Millis = 5000.0;
+const COMPLIANCE_SPAN: Millis = 5000.0;
 /// The shares of the judged bound and of its fixed slack that the counts may use; the rest is for changes of holder.
-const EXCESS: f64 = 1.08;
-const SLACK: f64 = 18.0;
+const TARGET_EXCESS: f64 = 1.08;
+const TARGET_SLACK: f64 = 18.0;
 /// Requests reach their backends up to about this much later than others, so a judged span sees a bit more of time.
-const STRAY: Millis = 150.0;
+const MAX_DISPATCH_DELAY: Millis = 150.0;
 /// The shortest window: below it, a round trip is a good part of the window and calls outnumber requests.
-const SHORTEST: Millis = 400.0;
+const MIN_WINDOW: Millis = 400.0;
 /// How often the shortest window may be doubled. Lengths are powers of two of one grid, so that windows of several
 /// tenants end together and one message renews them all. Longer ones would let two whole windows into a short span.
-const DOUBLINGS: u32 = 2;
+const MAX_WINDOW_DOUBLINGS: u32 = 2;
 /// Units above the burst, where the slack has room: blocks hold some units that nobody spends, and a window's refill
 /// comes at its beginning, where a bucket would go on filling while it is drawn from. At least so many ...
-const EASE: f64 = 4.0;
+const MIN_HEADROOM: f64 = 4.0;
 /// ... and up to a window's refill, as long as the worst span stays below this share of what is judged: a further try may
 /// run beside the first, and both count.
-const NEAR: f64 = 0.88;
-const JUDGED_EXCESS: f64 = 1.1;
-const JUDGED_SLACK: f64 = 20.0;
+const HEADROOM_LIMIT_RATIO: f64 = 0.88;
+const COMPLIANCE_EXCESS: f64 = 1.1;
+const COMPLIANCE_SLACK: f64 = 20.0;
 
 /// What the counts go by.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -56,20 +56,22 @@
         if rate.is_nan() || rate <= 0.0 || !rate.is_finite() || !burst.is_finite() {
             return None;
         }
-        let half = burst / rate * 500.0;
-        let mut window = SHORTEST;
-        for _ in 0..DOUBLINGS {
-            if window * 2.0 <= half {
+        let half_burst_time = burst / rate * 500.0;
+        let mut window = MIN_WINDOW;
+        for _ in 0..MAX_WINDOW_DOUBLINGS {
+            if window * 2.0 <= half_burst_time {
                 window *= 2.0;
             }
         }
-        let begins = ((JUDGED + STRAY) / window).floor() + 1.0;
-        let bound = (rate * JUDGED / 1000.0 + burst) * EXCESS + SLACK;
-        let refill = (rate * window / 1000.0).min(bound / (begins + 1.0));
-        let judged = (rate * JUDGED / 1000.0 + burst) * JUDGED_EXCESS + JUDGED_SLACK;
+        let window_starts = ((COMPLIANCE_SPAN + MAX_DISPATCH_DELAY) / window).floor() + 1.0;
+        let target_bound = (rate * COMPLIANCE_SPAN / 1000.0 + burst) * TARGET_EXCESS + TARGET_SLACK;
+        let refill = (rate * window / 1000.0).min(target_bound / (window_starts + 1.0));
+        let compliance_bound =
+            (rate * COMPLIANCE_SPAN / 1000.0 + burst) * COMPLIANCE_EXCESS + COMPLIANCE_SLACK;
         let base = burst.max(refill);
-        let ease = (judged * NEAR - begins * refill - base).clamp(EASE, refill.max(EASE));
-        let max_units = (bound - begins * refill).min(base + ease).max(refill);
+        let headroom = (compliance_bound * HEADROOM_LIMIT_RATIO - window_starts * refill - base)
+            .clamp(MIN_HEADROOM, refill.max(MIN_HEADROOM));
+        let max_units = (target_bound - window_starts * refill).min(base + headroom).max(refill);
         Some(Self { window, refill, max_units })
     }
 }
