--- a/crates/quota/src/assignment.rs
+++ b/crates/quota/src/assignment.rs
@@ -1,13 +1,13 @@
-//! Who holds which count: an assignment of the leader, under an epoch.
+//! Assignment of tenant counters to holders. The leader makes assignments and numbers them by epochs.
 
 use bitcode::{Decode, Encode};
 
-/// Orders assignments: the leader's term, then the number of the assignment within it.
+/// Orders assignments: by the leader's term, then by the number of the assignment within the term.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct Epoch {
     /// The leader's term.
     pub term: u64,
-    /// Counts the assignments of the term; its first is 1.
+    /// Number of the assignment within the term, starting at 1.
     pub number: u32,
 }
 
@@ -17,24 +17,25 @@
         Self { term, number: 1 }
     }
 
-    /// Whether this assignment follows the other one with none between.
+    /// Whether this epoch directly follows the other one in the same term.
     pub fn follows(self, other: Self) -> bool {
         self.term == other.term && other.number.checked_add(1) == Some(self.number)
     }
 }
 
-/// One assignment: the holders that the tenants are spread over. Who holds what follows from it.
+/// The holders that share the tenants of one epoch. Rendezvous hashing of the holder names gives each tenant its
+/// holder.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct HolderAssignment {
-    /// Its epoch.
+    /// Epoch of the assignment.
     pub epoch: Epoch,
-    /// The holders by name; the leader is one of them.
+    /// Names of the holders, including the leader.
     pub holders: Vec<String>,
 }
 
 impl HolderAssignment {
-    /// The index in `holders` of the one that has a tenant's count, by rendezvous hashing: when a holder comes or goes,
-    /// only the tenants that come to it or were its own move.
+    /// Index in `holders` of the holder of a tenant's counter. Rendezvous hashing limits the moves when a holder is
+    /// added or removed: only tenants of that holder move.
     pub fn holder_index(&self, tenant: &str) -> Option<usize> {
         let hashes = self
             .holders
@@ -44,18 +45,18 @@
         hashes.max().map(|(.., index)| index)
     }
 
-    /// The holder of a tenant's count.
+    /// The holder of a tenant's counter.
     pub fn holder_of(&self, tenant: &str) -> Option<&str> {
         self.holder_index(tenant).and_then(|index| self.holders.get(index)).map(String::as_str)
     }
 
-    /// Whether a process is one of the holders.
+    /// Whether a process is a holder.
     pub fn contains(&self, name: &str) -> bool {
         self.holders.iter().any(|holder| holder == name)
     }
 }
 
-/// FNV-1a over both names and a last mix: every version of the program on every machine has to get the same.
+/// Hash of a holder and a tenant: FNV-1a with a final mix. All versions on all machines must compute the same value.
 fn rendezvous_hash(holder: &str, tenant: &str) -> u64 {
     let bytes = holder.bytes().chain([0]).chain(tenant.bytes());
     let hash = bytes.fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
--- a/crates/quota/src/floor.rs
+++ b/crates/quota/src/floor.rs
@@ -1,53 +1,54 @@
-//! What the log says of a count, so that a new holder need not begin with nothing: it has never been below a floor.
+//! Floors: lower bounds of counters, recorded in the replicated log, from which a new holder can start.
 //!
-//! A holder that dies takes its counts with it. Its successor knows neither what was granted nor which blocks are out,
-//! and without more has to wait for a window and to begin with none of the burst. A floor is a word in the log that
-//! bounds what can be gone: while it stands, no grant takes the count below it. Whoever comes next begins with that much,
-//! at once. Tenants far below their quota have a floor that never changes; one that goes near it has its floor taken
-//! away by an entry of the log before more is granted.
+//! When a holder crashes, its counters are lost. Its successor knows neither the units granted nor the blocks in use.
+//! Without more information it has to wait for one window and then start without any burst. A floor bounds the loss:
+//! while the log records a floor for a counter, no grant takes the counter below the floor. A new holder therefore
+//! starts at once with the units of the floor. The floor of a tenant far below its quota never changes. Before a
+//! tenant near its quota receives more units, a log entry removes its floor.
 
 use crate::Millis;
 
-/// A count's least over this long decides whether its floor may rise: longer than the judged span of a quota.
+/// A floor rises only if the counter stayed above it for this long. Longer than the compliance span of a quota (5 s).
 const OBSERVATION_PERIOD: Millis = 6000.0;
-/// The floor of a quiet tenant, as a share of the most that a window may grant: its usual blocks stay above it.
+/// Floor of a quiet tenant as a fraction of a window's maximum. The blocks of a quiet tenant normally stay above it.
 const FLOOR_RATIO: f64 = 0.5;
-/// A count this close to its floor, as a share of a refill, is about to need what lies below.
+/// A counter is near its floor when the distance is below this fraction of a refill. The floor must then be lowered.
 const NEAR_FLOOR_RATIO: f64 = 0.25;
 
-/// A tenant's floor, in units.
+/// The floor of one tenant's counter, in units.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Floor {
-    /// No grant goes below: the highest of what the log says and what was asked of it and may yet be decided.
+    /// Floor enforced on grants: the higher of the committed floor and a proposed floor that may still be committed.
     enforced: u32,
-    /// What the newest entry says that was asked for, or the log itself.
+    /// The floor last proposed for the log, or the committed floor.
     proposed: u32,
     min_free: f64,
     observed_since: Millis,
 }
 
 impl Floor {
-    /// A floor as the log has it.
+    /// Creates a floor from its committed value.
     pub fn new(now: Millis, units: u32) -> Self {
         Self { enforced: units, proposed: units, min_free: f64::INFINITY, observed_since: now }
     }
 
-    /// Units that no grant may take.
+    /// Units that must not be granted.
     pub fn enforced(&self) -> f64 {
         f64::from(self.enforced)
     }
 
-    /// The count has so many units free now.
+    /// Records the free units of the counter.
     pub fn record_free(&mut self, free: f64) {
         self.min_free = self.min_free.min(free);
     }
 
-    /// Whether the count is about to need what lies below its floor.
+    /// Whether the counter is so near its floor that the next grants need units below it.
     pub fn needs_lowering(&self, refill: f64) -> bool {
         self.proposed > 0 && self.min_free < self.enforced() + refill * NEAR_FLOOR_RATIO
     }
 
-    /// Another floor that the log should say, if any; `most` and `refill` are those of the tenant's windows.
+    /// Returns the floor to propose for the log, if it has to change. `max_units` and `refill` are those of the
+    /// tenant's windows.
     pub fn next_proposal(&mut self, now: Millis, max_units: f64, refill: f64) -> Option<u32> {
         let quiet_floor = (max_units * FLOOR_RATIO).max(0.0) as u32;
         if self.needs_lowering(refill) || self.proposed > quiet_floor {
@@ -66,13 +67,13 @@
             .then_some(quiet_floor)
     }
 
-    /// An entry with this floor is on its way: it may be decided whatever becomes of this holder.
+    /// Records that a log entry with this floor was proposed. The entry may be committed even if this holder fails.
     pub fn propose(&mut self, units: u32) {
         self.proposed = units;
         self.enforced = self.enforced.max(units);
     }
 
-    /// The log says what was asked for last.
+    /// Records that the log committed the last proposed floor.
     pub fn commit(&mut self) {
         self.enforced = self.proposed;
     }
--- a/crates/quota/src/holder_assigner.rs
+++ b/crates/quota/src/holder_assigner.rs
@@ -1,21 +1,23 @@
-//! The leader's part: whom it makes holders of counts, and when.
+//! The leader's choice of the control planes that hold counters.
 
 use std::collections::BTreeMap;
 
 use crate::{Epoch, HolderAssignment, Millis};
 
-/// More holders than this make draws smaller and not fewer.
+/// Maximum number of holders. More holders make lease requests smaller but not fewer.
 pub const MAX_HOLDERS: usize = 8;
-/// A deputy of which nothing is heard for this long has no lease any more and is replaced.
+/// A deputy (a holder other than the leader) is replaced after this long without contact. Its lease has expired by
+/// then.
 pub const DEPUTY_TIMEOUT: Millis = 400.0;
-/// Who comes, or comes back, is heard for this long before it becomes a deputy.
+/// A control plane must be in contact for this long before it becomes a deputy.
 const MIN_STABLE_TIME: Millis = 3000.0;
-/// The leader waits this long between changes that it need not make: each may cost a tenant part of a window, and the
-/// judged span should see few of them.
+/// Minimum interval between optional changes of the assignment. Each change can cost a tenant part of a window, and a
+/// compliance span (5 s) should see few changes.
 const MIN_CHANGE_INTERVAL: Millis = 6000.0;
-/// Fewer holders are enough when this share of what they can bear is used: growing and shrinking by turns costs moves.
+/// The assignment shrinks if the remaining holders would run below this fraction of their capacity. The distance to
+/// full load avoids alternating growth and shrinkage, since each change moves counters.
 const SHRINK_LOAD_RATIO: f64 = 0.5;
-/// Processes remembered at most.
+/// Maximum number of candidates remembered.
 const MAX_CANDIDATES: usize = 64;
 
 #[derive(Debug)]
@@ -30,7 +32,7 @@
 #[derive(Debug)]
 pub struct HolderAssigner {
     leader: String,
-    /// One holder bears this many draws a second.
+    /// Lease requests per second that one holder can serve.
     requests_per_holder: f64,
     assignment: HolderAssignment,
     last_change: Millis,
@@ -38,9 +40,9 @@
 }
 
 impl HolderAssigner {
-    /// The leader of a new term holds all counts itself at first. More draws a second than one holder `bears` make it
-    /// share them out: each further holder costs every gateway a message each window, so few draws are better left
-    /// together. With infinity it holds them alone for good.
+    /// Starts a term in which the leader holds all counters itself. If the fleet sends more than
+    /// `requests_per_holder` lease requests per second, the leader adds deputies. Each further holder costs every
+    /// gateway one message per window, so low load stays on one holder. With infinity the leader never adds deputies.
     pub fn new(leader: &str, term: u64, now: Millis, requests_per_holder: f64) -> Self {
         let assignment = HolderAssignment { epoch: Epoch::first(term), holders: vec![leader.to_owned()] };
         Self {
@@ -52,19 +54,20 @@
         }
     }
 
-    /// The present assignment.
+    /// The current assignment.
     pub fn assignment(&self) -> &HolderAssignment {
         &self.assignment
     }
 
-    /// Another process asks for its lease, or offers itself. `answered` is the highest number of its asks that it has
-    /// got an answer to: one that is heard but does not hear is as good as lost. `draws` is how many it answers a
-    /// second. Whether it is to have a lease.
+    /// Handles an offer to hold counters, or a deputy's request to renew its lease. `last_answered_offer` is the
+    /// highest number of the sender's offers that the sender has received an answer to: a process that sends but
+    /// receives nothing counts as lost. `request_rate` is the number of lease requests that the sender answers per
+    /// second. Returns whether the sender is a holder.
     pub fn record_offer(
         &mut self, now: Millis, name: &str, last_answered_offer: u64, request_rate: f64,
     ) -> bool {
         if let Some(candidate) = self.candidates.get_mut(name) {
-            // A smaller number is a new life's.
+            // A smaller number means that the process has restarted.
             if last_answered_offer < candidate.last_answered_offer
                 || now > candidate.last_contact + MIN_STABLE_TIME * 0.5
             {
@@ -82,7 +85,8 @@
         self.assignment.contains(name)
     }
 
-    /// Looks after the assignment; `draws` is how many the leader itself answers a second. Whether it changed.
+    /// Updates the assignment and returns whether it changed. `request_rate` is the number of lease requests that the
+    /// leader itself answers per second.
     pub fn update(&mut self, now: Millis, request_rate: f64) -> bool {
         self.candidates.retain(|_, candidate| now < candidate.last_contact + 2.0 * MIN_STABLE_TIME);
         let leader = &self.leader;
@@ -97,7 +101,8 @@
         if changed {
             self.assignment.epoch.number += 1;
             self.last_change = now;
-            // Whoever becomes a deputy asks from now on much more often than it offered itself.
+            // Candidates send offers less often than deputies renew leases, so a new deputy's last contact may
+            // already exceed `DEPUTY_TIMEOUT`.
             for candidate in
                 self.candidates.values_mut().filter(|c| now < c.last_contact + MIN_STABLE_TIME * 0.5)
             {
@@ -107,7 +112,7 @@
         changed
     }
 
-    /// Brings the number of holders nearer to what the draws need.
+    /// Adapts the number of holders to the rate of lease requests.
     fn resize(&mut self, now: Millis, request_rate: f64) -> bool {
         let deputies = self.assignment.holders.iter().filter_map(|name| self.candidates.get(name));
         let request_rate = request_rate + deputies.map(|candidate| candidate.request_rate).sum::<f64>();
--- a/crates/quota/src/holder_state.rs
+++ b/crates/quota/src/holder_state.rs
@@ -1,14 +1,15 @@
-//! One holder as a gateway's cache sees it: draws on their way to it, and whether it answers.
+//! State of one holder as seen by a gateway's lease cache: requests in flight and whether the holder answers.
 
 use std::rc::Rc;
 
 use crate::{Millis, SILENCE_TIMEOUT};
 
-/// While a holder is silent, it is asked this often.
+/// Interval between lease requests to a silent holder.
 pub(crate) const PROBE_INTERVAL: Millis = 200.0;
-/// A draw without an answer is given up after this long, unless the host gives it up before.
+/// Timeout of a lease request. The caller may fail a request earlier.
 pub(crate) const REQUEST_TIMEOUT: Millis = 1000.0;
-/// A draw on its way keeps its tenants from asking again; so few are needed.
+/// Maximum number of requests in flight to one holder. A few are enough: a tenant with a request in flight sends no
+/// other.
 const MAX_IN_FLIGHT: usize = 8;
 
 #[derive(Debug)]
@@ -35,7 +36,7 @@
         self.silent
     }
 
-    /// Whether it was silent when last looked at.
+    /// Whether the holder was silent at the last check.
     pub(crate) fn was_silent(&self) -> bool {
         self.silent
     }
@@ -49,18 +50,18 @@
         self.next_probe_at = now + PROBE_INTERVAL;
     }
 
-    /// Takes a draw off those on their way.
+    /// Removes a request from those in flight.
     pub(crate) fn take_in_flight(&mut self, number: u64) -> Option<InFlight> {
         let at = self.in_flight.iter().position(|s| s.number == number)?;
         Some(self.in_flight.swap_remove(at))
     }
 
-    /// The numbers of the draws on their way.
+    /// Numbers of the requests in flight.
     pub(crate) fn in_flight_numbers(&self) -> impl Iterator<Item = u64> {
         self.in_flight.iter().map(|s| s.number)
     }
 
-    /// It answered. A call that is late does not speak for it once a later one was answered.
+    /// Records an answer: the holder is no longer silent.
     pub(crate) fn record_answer(&mut self) {
         self.silent = false;
     }
@@ -70,12 +71,12 @@
         self.next_probe_at = self.next_probe_at.max(now + PROBE_INTERVAL * 0.5);
     }
 
-    /// The oldest draw that is to be given up.
+    /// A request that has reached its timeout, if any.
     pub(crate) fn overdue_request(&self, now: Millis) -> Option<u64> {
         self.in_flight.iter().find(|s| now >= s.sent_at + REQUEST_TIMEOUT).map(|s| s.number)
     }
 
-    /// When it will count as silent, or a draw be given up.
+    /// When the holder becomes silent or the next request times out.
     pub(crate) fn next_deadline(&self) -> Millis {
         let timeout = if self.silent { REQUEST_TIMEOUT } else { SILENCE_TIMEOUT };
         self.in_flight.iter().fold(f64::INFINITY, |deadline, s| deadline.min(s.sent_at + timeout))
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,9 +1,15 @@
-//! Counts of tenants and the lease caches that draw on them: state machines without I/O or clock.
+//! Distributed rate limiting: quota counters at the control plane and lease caches at the gateways. All types are
+//! state machines without I/O or a clock.
 //!
-//! The leader of the control plane, or several of its processes by the leader's assignment ([`HolderAssigner`], [`HolderAssignment`]),
-//! has an [`QuotaService`] with the count of each of its tenants' windows ([`QuotaHolder`]); each gateway of the data plane has a
-//! [`LeaseCache`] of blocks taken from these counts. Both are told the time by their hosts, each by its own
-//! steady clock: over the wire go spans only.
+//! Each tenant has a counter of the units (requests) that it may still spend in the current window. The leader of the
+//! control plane holds the counters, or spreads them over several control planes by an assignment
+//! ([`HolderAssigner`], [`HolderAssignment`]). Every control plane runs a [`QuotaService`]; while the control plane
+//! is a holder, the service has a [`QuotaHolder`] with the counters of its tenants. Each gateway of the data plane
+//! has a [`LeaseCache`] of unit blocks that holders grant from these counters. While a holder does not answer, a
+//! gateway spends its fallback slice instead: an even share of the quota, one part per gateway of the fleet.
+//!
+//! The caller passes the time of its own monotonic clock to every call. Messages carry durations only, never points
+//! in time.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -30,93 +36,98 @@
 
 use bitcode::{Decode, Encode};
 
-/// Milliseconds: a point of the own steady clock or a span.
+/// Milliseconds: a duration, or a point in time of the local monotonic clock.
 pub type Millis = f64;
 
-/// The cache counts a holder as silent when a draw had no answer for this long; the holder charges the even slice of
-/// a gateway that falls silent from this long after its last word.
+/// A lease cache considers a holder silent when a lease request has had no answer for this long. A holder charges the
+/// fallback slice of a silent gateway starting this long after the gateway's last message.
 pub const SILENCE_TIMEOUT: Millis = 300.0;
-/// The holder counts a gateway as heard for this long after its last word.
+/// A holder considers a gateway silent when its last message is this old.
 pub const GATEWAY_TIMEOUT: Millis = 1500.0;
-/// No lease of a deputy lasts longer than this from when it was asked for. The leader extends none beyond its own.
+/// Longest lease of a deputy (a holder other than the leader), counted from when the deputy requested it. The leader
+/// never extends a deputy's lease beyond its own lease.
 pub const MAX_DEPUTY_LEASE: Millis = 230.0;
 
-/// What a gateway wants of the counts: one message for all its tenants.
+/// A gateway's request for units of one or more tenants, sent to one holder.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct LeaseRequest {
-    /// The cache's own number for this draw; the answer repeats it.
+    /// Request number, unique within the cache. The answer repeats it.
     pub number: u64,
-    /// The highest epoch the cache has seen: units go back only to the holder that gave them.
+    /// The highest epoch that the cache has seen. Returned units count only if this is the holder's own epoch,
+    /// because only the holder that granted units may take them back.
     pub epoch: Epoch,
-    /// What each tenant wants.
+    /// The demand of each tenant.
     pub demands: Vec<TenantDemand>,
 }
 
-/// A gateway that divides its slices by fewer gateways than there are, since it was told of a smaller fleet.
+/// A gateway whose fallback slice is larger than an even share of the current fleet: it last learned the fleet size
+/// when the fleet was smaller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OversizedSlice {
-    /// The gateway's name.
+    /// Name of the gateway.
     pub gateway: String,
-    /// By how many it divides.
+    /// The fleet size by which the gateway divides the quota.
     pub divisor: u32,
 }
 
-/// What one tenant wants at one gateway.
+/// The demand of one tenant at one gateway.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct TenantDemand {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Requests that wait for a unit now; or, where it is above `add`, what the gateway owes and `add` together. Holders
-    /// of the version before grant the difference instead of charging it.
+    /// Number of requests that wait for a unit now. A value above `requested` encodes a debt instead: the units owed
+    /// (see [`TenantDemand::owed`]) plus `requested`. Holders of the previous version grant the difference instead of
+    /// charging it.
     pub needed: u32,
-    /// Units to add to the count, those needed now among them.
+    /// Units requested from the counter, including those needed now.
     pub requested: u32,
-    /// Units of ended blocks that were never run.
+    /// Unspent units of expired blocks.
     pub returned: u32,
 }
 
 impl TenantDemand {
-    /// Units that the gateway spent by even slices in windows gone by, and that no count was charged for.
+    /// Units that the gateway spent from fallback slices in past windows and that no counter has been charged for.
     pub fn owed(&self) -> u32 {
         self.needed.saturating_sub(self.requested)
     }
 }
 
-/// A holder's answer to a draw.
+/// A holder's answer to a lease request.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Grant {
-    /// The draw's number.
+    /// Number of the lease request.
     pub number: u64,
-    /// The epoch of the holder.
+    /// Epoch of the holder.
     pub epoch: Epoch,
-    /// What each tenant got.
+    /// The grant of each tenant.
     pub grants: Vec<TenantGrant>,
 }
 
-/// What one tenant got for one gateway.
+/// The units granted to one gateway for one tenant.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct TenantGrant {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: String,
-    /// The number of the window that the units belong to.
+    /// Number of the window that the units belong to.
     pub window: u64,
     /// Units that the gateway may spend until the window ends.
     pub granted: u32,
-    /// Units of the window's allowance that are still free.
+    /// Units of the window that are still free after this grant.
     pub remaining: u32,
-    /// The span from the holder's answer to the window's end.
+    /// Time from the holder's answer to the end of the window.
     pub ends_in: Millis,
     /// Whether the holder grants units of this tenant.
     pub status: CounterStatus,
 }
 
-/// How a holder stands to a tenant.
+/// Whether a holder grants units from a tenant's counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub enum CounterStatus {
-    /// It has the count and grants from it.
+    /// The holder has the counter and grants units from it.
     Open,
-    /// It grants nothing yet: until the window's end the gateway has its even slice.
+    /// The holder grants nothing yet. The gateway may spend its fallback slice until the window ends.
     FallbackSlice,
-    /// The count is on its way here, or another's: it is worth asking again shortly, and no slice may be spent yet.
+    /// The counter is being handed over to this holder, or another holder has it. The gateway must retry shortly and
+    /// must not spend its fallback slice.
     RetryLater,
 }
--- a/crates/quota/src/silence_charges.rs
+++ b/crates/quota/src/silence_charges.rs
@@ -1,8 +1,9 @@
-//! What counts were charged for gateways of which nothing was heard, and what comes back when one returns.
+//! Charges for silent gateways, and their refunds.
 //!
-//! A gateway that hears nothing of the holder spends an even slice each window. The holder charges that to the counts by
-//! estimate, since the gateway may never return. One that does return says what it has really spent ([`TenantDemand::owed`]); so
-//! that this is not charged twice, the estimate is refunded, up to what is owed and once for each tenant.
+//! A gateway that receives nothing from the holder spends a fallback slice in each window. The holder charges the
+//! counters an estimate of that spending, because the gateway may never return. A gateway that returns reports the
+//! units actually spent ([`TenantDemand::owed`]). To avoid a double charge, the holder then refunds the estimate, up
+//! to the reported debt and once per tenant.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -10,31 +11,31 @@
 use crate::TenantDemand;
 use crate::{Millis, SILENCE_TIMEOUT};
 
-/// A gateway that returns has said what it spent after this long; later debts are of later silences.
+/// A returning gateway reports its debts within this time. Later debts belong to later silences and get no refund.
 const REFUND_PERIOD: Millis = 2_000.0;
-/// A gateway spends no slices for longer than this: the estimate of a longer silence is of no use to it.
+/// A gateway spends no fallback slices for longer than this, so a longer silence is charged no more.
 const MAX_CHARGED_SILENCE: Millis = 30_000.0;
 
-/// A silence that the counts were charged for.
+/// A charge for a silent gateway.
 #[derive(Debug)]
 struct Charge {
-    /// When the gateway was last heard.
+    /// When the gateway sent its last message.
     last_contact: Millis,
-    /// The part of a refill that it may have spent in each window.
+    /// Fraction of a refill that the gateway may have spent in each window.
     slice_fraction: f64,
 }
 
-/// A gateway that is back.
+/// A gateway that returned after a silence.
 #[derive(Debug)]
 struct ReturnedGateway {
     returned_at: Millis,
-    /// Milliseconds of whole refills that the counts were charged for it.
+    /// Charge as refill time in milliseconds. `refill / window` of a tenant converts the charge to units.
     charged_refill_time: f64,
-    /// The tenants whose counts have had their refund.
+    /// Tenants whose counters already received the refund.
     refunded: BTreeSet<String>,
 }
 
-/// The charges of gateways that are silent, and of those that are back.
+/// Charges for silent gateways and for gateways that returned recently.
 #[derive(Debug, Default)]
 pub(crate) struct SilenceCharges {
     silent: HashMap<String, Charge>,
@@ -42,14 +43,15 @@
 }
 
 impl SilenceCharges {
-    /// The counts are charged from now on for a gateway that was last heard then.
+    /// Records that the counters are charged for a gateway from now on. `last_contact` is the time of the gateway's
+    /// last message.
     pub(crate) fn charge(&mut self, now: Millis, gateway: &str, last_contact: Millis, slice_fraction: f64) {
         self.silent.retain(|_, charge| now < charge.last_contact + MAX_CHARGED_SILENCE);
         self.returned.retain(|_, returned| now < returned.returned_at + REFUND_PERIOD);
         self.silent.insert(gateway.to_owned(), Charge { last_contact, slice_fraction });
     }
 
-    /// A gateway is heard again.
+    /// Records that a silent gateway has returned.
     pub(crate) fn gateway_returned(&mut self, now: Millis, gateway: &str) {
         let Some(charge) = self.silent.remove(gateway) else { return };
         let span = (now - charge.last_contact - SILENCE_TIMEOUT).clamp(0.0, MAX_CHARGED_SILENCE);
@@ -61,13 +63,14 @@
         self.returned.insert(gateway.to_owned(), returned);
     }
 
-    /// A gateway has ended: it never asks for what it spent.
+    /// Forgets a gateway that has shut down and reports no more debts.
     pub(crate) fn forget(&mut self, gateway: &str) {
         self.silent.remove(gateway);
         self.returned.remove(gateway);
     }
 
-    /// What a tenant's count may get back as a gateway that was silent says what it spent: milliseconds of its refill, once.
+    /// Returns the refund for one tenant of a returned gateway, as refill time in milliseconds. Each tenant gets the
+    /// refund once.
     pub(crate) fn refund(&mut self, now: Millis, gateway: &str, tenant: &str) -> f64 {
         let Some(returned) = self.returned.get_mut(gateway) else { return 0.0 };
         if now >= returned.returned_at + REFUND_PERIOD || !returned.refunded.insert(tenant.to_owned()) {
--- a/crates/quota/src/window_params.rs
+++ b/crates/quota/src/window_params.rs
@@ -1,56 +1,61 @@
-//! What follows from a quota: the length of its windows and what each may grant.
+//! Window parameters derived from a quota: the length of its windows and the units that each window may grant.
 
 use crate::Millis;
 
 /// A tenant's quota as configured.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Quota {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Requests a second; zero sets no limit.
+    /// Requests per second; zero disables the limit.
     pub rate_per_s: f64,
-    /// Requests at once on top.
+    /// Additional requests allowed at once.
     pub burst: f64,
 }
 
-/// The span over which a quota is judged.
+/// Compliance span: a quota is checked over every interval of this length.
 const COMPLIANCE_SPAN: Millis = 5000.0;
-/// The shares of the judged bound and of its fixed slack that the counts may use; the rest is for changes of holder.
+/// Excess ratio and fixed slack, in units, that the counters use of the compliance bound (`COMPLIANCE_EXCESS`,
+/// `COMPLIANCE_SLACK`). The rest covers changes of holder.
 const TARGET_EXCESS: f64 = 1.08;
 const TARGET_SLACK: f64 = 18.0;
-/// Requests reach their backends up to about this much later than others, so a judged span sees a bit more of time.
+/// A request can reach its backend this much later than another one. A compliance span therefore sees the grants of a
+/// slightly longer interval.
 const MAX_DISPATCH_DELAY: Millis = 150.0;
-/// The shortest window: below it, a round trip is a good part of the window and calls outnumber requests.
+/// Shortest window. In a shorter one, a round trip takes a large part of the window and lease requests outnumber
+/// client requests.
 const MIN_WINDOW: Millis = 400.0;
-/// How often the shortest window may be doubled. Lengths are powers of two of one grid, so that windows of several
-/// tenants end together and one message renews them all. Longer ones would let two whole windows into a short span.
+/// Number of times that the shortest window may be doubled. All lengths are the shortest window times a power of two,
+/// so the windows of several tenants end together and one message renews them all. With longer windows, two whole
+/// windows could fall into one compliance span.
 const MAX_WINDOW_DOUBLINGS: u32 = 2;
-/// Units above the burst, where the slack has room: blocks hold some units that nobody spends, and a window's refill
-/// comes at its beginning, where a bucket would go on filling while it is drawn from. At least so many ...
+/// Minimum headroom: units above the burst that a window may grant if the bound has room. Blocks hold some units that
+/// are never spent, and a window gets its refill at once where a token bucket would refill while it is drained.
 const MIN_HEADROOM: f64 = 4.0;
-/// ... and up to a window's refill, as long as the worst span stays below this share of what is judged: a further try may
-/// run beside the first, and both count.
+/// The headroom may grow up to a window's refill as long as the worst compliance span stays below this fraction of
+/// the compliance bound. The rest is for retries: a retry may run beside the first attempt, and both count.
 const HEADROOM_LIMIT_RATIO: f64 = 0.88;
+/// Compliance bound: in one compliance span a tenant may exceed `rate * span + burst` by this ratio and this many units.
 const COMPLIANCE_EXCESS: f64 = 1.1;
 const COMPLIANCE_SLACK: f64 = 20.0;
 
-/// What the counts go by.
+/// Window parameters of one tenant.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WindowParams {
     /// Length of a window.
     pub window: Millis,
-    /// Units that each window adds.
+    /// Units added by each window.
     pub refill: f64,
-    /// The most that a window may grant, with what former ones left.
+    /// Maximum units that a window may grant, including units left over from earlier windows.
     pub max_units: f64,
 }
 
 impl WindowParams {
-    /// The terms of a quota; none if it sets no limit.
+    /// Derives the parameters from a quota. Returns `None` if the quota sets no limit.
     ///
-    /// A judged span sees the units of the window in which it begins (`most`) and the refills of those that begin in
-    /// it. Where burst over rate is below the shortest window, a whole refill above the burst would be granted at
-    /// once; `refill` is then cut to what the judged bound allows.
+    /// A compliance span sees the units of the window in which it starts (`max_units`) and the refills of the windows
+    /// that start within it. If burst divided by rate is below the shortest window, a whole refill above the burst
+    /// would be granted at once; `refill` is then limited to what the compliance bound allows.
     pub fn from_quota(quota: &Quota) -> Option<Self> {
         let (rate, burst) = (quota.rate_per_s, quota.burst.max(0.0));
         if rate.is_nan() || rate <= 0.0 || !rate.is_finite() || !burst.is_finite() {
