--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -1,4 +1,5 @@
-//! The control plane's side: the count of each tenant's window.
+//! The holder side of quota leases: one counter per tenant and window, from which gateways are granted blocks of
+//! units.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,74 +9,79 @@
     OversizedSlice, Quota, SILENCE_TIMEOUT, TenantDemand, TenantGrant, WindowParams,
 };
 
-/// A draw this close before a window's end is served from the next one: gateways count the end from when they asked,
-/// so their first draw for a new window is often a moment early.
+/// A request this close before a window's end is served from the next window. A gateway counts the window's end from
+/// when it sent its request, so its first request for a new window often arrives slightly early.
 const EARLY_TOLERANCE: Millis = 20.0;
-/// A removed tenant's count is remembered this long, longer than the judged span, in case it is put back.
+/// The counter of a removed tenant is kept this long, longer than the compliance span (5 s), in case the tenant is
+/// configured again.
 const REMOVED_TENANT_RETENTION: Millis = 10_000.0;
-/// Gateways remembered by name at most; further ones are served, but count as silent.
+/// Maximum number of gateways tracked by name. Further gateways are served but count as silent.
 const MAX_GATEWAYS: usize = 4096;
-/// Of what is left, one gateway's block takes the even part over this.
+/// A block is at most an even share of the available units divided by this.
 const EVEN_BLOCK_DIVISOR: f64 = 1.5;
-/// The least even part, as a share of the refill over the gateways: else a busy tenant's blocks dwindle without end.
+/// Minimum block size, as a fraction of the even share of a refill. Without a minimum, the blocks of a busy tenant
+/// keep shrinking.
 const MIN_BLOCK_RATIO: f64 = 0.2;
-/// A former holder's word on its counts is waited for this long; draws are put off meanwhile.
+/// How long a counter waits for the handover from its former holder. Meanwhile lease requests are answered with
+/// [`CounterStatus::RetryLater`].
 const HANDOVER_TIMEOUT: Millis = 80.0;
-/// A shut count is granted from by need once this share of the gateways was heard, and they are waited for so long.
+/// A closed counter grants units by need once this fraction of the gateways has been in contact. Requests are
+/// deferred for `CONTACT_WAIT` to let gateways make contact.
 const MIN_CONTACT_RATIO: f64 = 0.5;
 const CONTACT_WAIT: Millis = 80.0;
-/// Windows rolled one by one; after a longer rest the count is full anyway.
+/// Maximum number of windows advanced one by one. After a longer idle time the counter is full anyway.
 const MAX_WINDOW_STEPS: u32 = 64;
 
 #[derive(Debug)]
 struct Counter {
     params: Option<WindowParams>,
-    /// A changed quota comes into force with the next window.
+    /// Parameters of a changed quota, in force from the next window.
     next_params: Option<WindowParams>,
     window: u64,
     window_end: Millis,
-    /// What may still be granted, the even slices of silent gateways not yet taken off.
+    /// Units that may still be granted, before the fallback slices of silent gateways are deducted.
     free: f64,
     granted: f64,
-    /// The largest part of the gateways that was silent at some time of this window.
+    /// Fraction of a refill that silent gateways may spend: the largest value seen during this window.
     silent_fraction: f64,
     closed_until: Millis,
     floor: Floor,
-    /// Until then the former holder's word would open the count at once.
+    /// Until then, a handover from the former holder opens the counter at once.
     handover_deadline: Millis,
     removed_at: Option<Millis>,
 }
 
-/// What a count says to operators.
+/// Statistics of one counter.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CounterStats {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: String,
-    /// The present window's number.
+    /// Number of the current window.
     pub window: u64,
-    /// Units granted in it.
+    /// Units granted in this window.
     pub granted: f64,
-    /// Units left in it.
+    /// Units left in this window.
     pub remaining: f64,
 }
 
-/// Holds the counts of all tenants under one epoch.
+/// Holds the counters of one holder's tenants under one epoch.
 #[derive(Debug)]
 pub struct QuotaHolder {
     epoch: Epoch,
-    /// Where the grid of windows begins.
+    /// Start of the first window. All window ends are whole windows after this time.
     window_origin: Millis,
-    /// When the present assignment came, and how long after it a former holder may still have granted.
+    /// When the current assignment arrived, and for how long after it the leases of a former holder may last.
     assigned_at: Millis,
     closed_for: Millis,
     first_holder: bool,
     configured: bool,
     fleet_size: u32,
-    /// Gateways that may spend more than the even slice while they are silent, by name, and how many each divides by.
+    /// Gateways whose fallback slice is larger than an even share, with the fleet size by which each divides the
+    /// quota.
     oversized_slices: BTreeMap<String, u32>,
-    /// The part of a refill that silent gateways may spend as slices.
+    /// Fraction of a refill that silent gateways may spend as fallback slices.
     silent_fraction: f64,
-    /// What the log says that counts had at the least when this office began.
+    /// Committed floors of counters from the replicated log, as of the start of this holder.
     floors: BTreeMap<String, u32>,
     last_contacts: HashMap<String, Millis>,
     charges: SilenceCharges,
@@ -83,8 +89,9 @@
 }
 
 impl QuotaHolder {
-    /// Holds counts from now on, under an epoch. Unless no holder was there before (`first`), nothing is granted for one window of
-    /// each tenant after `shut`, for which a former holder may still have granted: by then every block of it has ended.
+    /// Starts holding counters under an epoch. `first_holder` means that no other holder existed before. Otherwise
+    /// each counter stays closed for `closed_for`, during which a former holder may still grant units, plus one
+    /// window of its tenant. By then every block of the former holder has expired.
     pub fn start(epoch: Epoch, first_holder: bool, now: Millis, closed_for: Millis) -> Self {
         let (last_contacts, counters) = (HashMap::new(), BTreeMap::new());
         let floors = BTreeMap::new();
@@ -105,18 +112,20 @@
         }
     }
 
-    /// What the log says of counts. Those with a floor begin with it, at once: what was granted before this office is
-    /// gone from what lies above.
+    /// Sets the committed floors of the replicated log. A counter whose floor is at least one refill opens at once
+    /// with the units of its floor, since earlier grants took only units above the floor.
     pub fn set_floors(&mut self, floors: BTreeMap<String, u32>) {
         self.floors = floors;
     }
 
-    /// The next assignment leaves this process a holder. Tenants that come to it now are shut as at the start.
+    /// Applies the next assignment, in which this process is still a holder. Counters newly assigned to this holder
+    /// are closed as in [`QuotaHolder::start`].
     pub fn apply_assignment(&mut self, now: Millis, epoch: Epoch, closed_for: Millis) {
         (self.epoch, self.assigned_at, self.closed_for, self.first_holder) = (epoch, now, closed_for, false);
     }
 
-    /// Gives up all counts but those that are `mine`; those that were open come back.
+    /// Removes all counters except those of tenants for which `is_kept` returns true, and returns the open ones for
+    /// their next holders.
     pub fn release_counters(&mut self, now: Millis, is_kept: impl Fn(&str) -> bool) -> Vec<CounterHandover> {
         let released_tenants: Vec<String> =
             self.counters.keys().filter(|tenant| !is_kept(tenant)).cloned().collect();
@@ -141,7 +150,7 @@
         released
     }
 
-    /// Takes over what a former holder says of counts that wait for it; others stay as they are.
+    /// Takes over handed-over counters that still wait for their handover. Other counters stay as they are.
     pub fn accept_handover(&mut self, now: Millis, handover: Handover) {
         for (gateway, ago) in &handover.contact_ages {
             self.record_contact(now - ago.max(0.0), gateway);
@@ -165,7 +174,7 @@
         }
     }
 
-    /// The gateways that were heard, and how long ago.
+    /// Names of the gateways in contact and the time since their last message.
     pub fn contact_ages(&self, now: Millis) -> Vec<(String, Millis)> {
         self.last_contacts.iter().map(|(name, at)| (name.clone(), (now - at).max(0.0))).collect()
     }
@@ -182,12 +191,12 @@
         (self.first_holder, self.closed_for) = (true, 0.0);
     }
 
-    /// The epoch of this office.
+    /// Epoch under which the counters are held.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Takes a configuration. New figures count from a tenant's next window.
+    /// Applies a configuration. A changed quota takes effect with the tenant's next window.
     pub fn set_quotas(&mut self, now: Millis, quotas: &[Quota]) {
         for counter in self.counters.values_mut() {
             counter.removed_at = counter.removed_at.or(Some(now));
@@ -197,7 +206,8 @@
             if let Some(counter) = self.counters.get_mut(&quota.tenant) {
                 counter.removed_at = None;
                 counter.next_params = params;
-                // A limit where there was none has nothing that it could wait for.
+                // A change from or to an unlimited quota takes effect at once: there is no current window to wait
+                // for.
                 if counter.params.is_none() || params.is_none() {
                     counter.params = params;
                     counter.window_end = now;
@@ -209,11 +219,12 @@
             let opens_at = self.assigned_at + self.closed_for + window;
             let closed = !self.first_holder && (!self.configured || now < opens_at);
             let floor = self.floors.remove(&quota.tenant).unwrap_or(0);
-            // Less than a window's refill is what slices would give: those reach all gateways at once.
+            // A floor below one refill is not used: fallback slices give as much and reach all gateways at once.
             let starts_at_floor = closed && params.is_some_and(|t| f64::from(floor) >= t.refill);
             let closed = closed && !starts_at_floor;
             let closed_until = if closed { opens_at.max(now) } else { now };
-            // A configuration that comes late to one of several holders may name tenants that others had before.
+            // With several holders, a tenant that is new here may have had another holder before: this holder may
+            // receive the configuration late. Such a counter starts with one refill only.
             let full = self.first_holder || self.epoch.number <= 1;
             let free = params.map_or(0.0, |t| if full { t.max_units } else { t.refill });
             let free = if starts_at_floor { free.min(floor.into()) } else { free };
@@ -242,21 +253,21 @@
         self.counters.retain(|_, c| c.removed_at.is_none_or(|at| now < at + REMOVED_TENANT_RETENTION));
     }
 
-    /// Takes the number of gateways in all, those included that may be cut off and spend their slices.
+    /// Sets the number of gateways, including those that may be cut off and spend their fallback slices.
     pub fn set_fleet_size(&mut self, _now: Millis, fleet_size: u32) {
         self.fleet_size = fleet_size.max(1);
         self.update_silent_fraction();
     }
 
-    /// Takes the gateways that divide their slices by fewer than there are: they were told of a smaller fleet, and may
-    /// have been cut off since.
+    /// Sets the gateways with oversized fallback slices: they last learned a smaller fleet size and may have been cut
+    /// off since.
     pub fn set_oversized_slices(&mut self, oversized_slices: &[OversizedSlice]) {
         self.oversized_slices =
             oversized_slices.iter().map(|slice| (slice.gateway.clone(), slice.divisor.max(1))).collect();
         self.update_silent_fraction();
     }
 
-    /// A gateway was heard, by a draw or otherwise.
+    /// Records contact with a gateway, by a lease request or another message.
     pub fn record_contact(&mut self, now: Millis, gateway: &str) {
         if let Some(at) = self.last_contacts.get_mut(gateway) {
             *at = at.max(now);
@@ -267,16 +278,17 @@
         }
     }
 
-    /// A gateway has said that it ended and spends nothing more. Blocks that it has stay counted until their window ends.
+    /// Removes a gateway that has shut down and spends nothing more. Its blocks stay counted until their window ends.
     pub fn remove_gateway(&mut self, gateway: &str) {
-        // Else it would stand in for one that is silent, whose slice would not be held back.
+        // Keeping the contact would hide one silent gateway, whose slice would then not be reserved.
         self.last_contacts.remove(gateway);
         self.charges.forget(gateway);
         self.update_silent_fraction();
     }
 
-    /// While a count is shut, the slices of all gateways would come to one refill. Of this, gateways that are heard get
-    /// what they need instead of even parts: few requests come where an even part is, when gateways are many.
+    /// Answers a demand while the counter is closed. The fallback slices of all gateways would add up to one refill.
+    /// From this refill, gateways in contact get what they need instead of even slices: in a large fleet an even
+    /// slice rarely matches the requests of a gateway.
     fn grant_while_closed(&mut self, now: Millis, demand: &TenantDemand, grant: TenantGrant) -> TenantGrant {
         let (contact_count, fleet_size) = (self.last_contacts.len() as f64, f64::from(self.fleet_size));
         let silent_fraction = self.silent_fraction;
@@ -302,11 +314,12 @@
         }
     }
 
-    /// Answers a gateway's draw.
+    /// Answers a gateway's lease request.
     pub fn handle_request(&mut self, now: Millis, gateway: &str, request: &LeaseRequest) -> Grant {
         self.expire_silent_gateways(now);
         let same_epoch = request.epoch == self.epoch;
-        // One that knows an older assignment only may spend slices of counts that are granted from here.
+        // A gateway that knows only an older assignment may spend fallback slices of counters held here, so it does
+        // not count as in contact.
         if request.epoch >= self.epoch || self.epoch.number <= 1 {
             self.record_contact(now, gateway);
         }
@@ -318,8 +331,8 @@
         Grant { number: request.number, epoch: self.epoch, grants }
     }
 
-    /// A gateway that is back says what it has spent of slices. What the count was charged for
-    /// them by estimate comes back to that extent.
+    /// Refunds the estimated charge for a gateway that has returned from a silence, up to the debt that the gateway
+    /// reports.
     fn refund(&mut self, now: Millis, gateway: &str, demand: &TenantDemand) {
         let charged_refill_time = self.charges.refund(now, gateway, &demand.tenant);
         if charged_refill_time <= 0.0 {
@@ -331,7 +344,8 @@
         counter.free = (counter.free + charged_units.min(demand.owed().into())).min(params.max_units);
     }
 
-    /// Whether a count is about to need what lies below its floor: the log should say so before more is granted.
+    /// Whether any counter is about to need units below its floor. The log must record a lower floor before these
+    /// units are granted.
     pub fn needs_lower_floor(&self) -> bool {
         let needs_lower = |c: &Counter| {
             c.params.is_some_and(|t| c.removed_at.is_none() && c.floor.needs_lowering(t.refill))
@@ -339,8 +353,8 @@
         self.counters.values().any(needs_lower)
     }
 
-    /// Floors that the log should say from now on, by tenant. They are on their way once this has told them: the holder
-    /// keeps to the higher of old and new until [`QuotaHolder::commit_floors`].
+    /// Returns the floors to propose for the log, by tenant, and considers them proposed. Until
+    /// [`QuotaHolder::commit_floors`], the holder enforces the higher of the old and the proposed floor.
     pub fn propose_floors(&mut self, now: Millis) -> Vec<(String, u32)> {
         let mut proposals = Vec::new();
         for (tenant, counter) in &mut self.counters {
@@ -353,24 +367,24 @@
                 proposals.push((tenant.clone(), units));
             }
         }
-        // Tenants that no configuration names any more.
+        // Floors of tenants that no configuration names any more.
         if self.configured {
             proposals.extend(std::mem::take(&mut self.floors).into_keys().map(|tenant| (tenant, 0)));
         }
         proposals
     }
 
-    /// The log says the floors that were wanted last.
+    /// Records that the log committed the last proposed floors.
     pub fn commit_floors(&mut self) {
         self.counters.values_mut().for_each(|counter| counter.floor.commit());
     }
 
-    /// Whether the present assignment came just now.
+    /// Whether the current assignment is so recent that handovers may still arrive.
     pub fn awaits_handover(&self, now: Millis) -> bool {
         self.epoch.number > 1 && now < self.assigned_at + HANDOVER_TIMEOUT
     }
 
-    /// Has a gateway ask again shortly.
+    /// Answers a lease request by asking the gateway to retry shortly.
     pub fn defer(&self, request: &LeaseRequest) -> Grant {
         let deferred = |demand: &TenantDemand| TenantGrant {
             tenant: demand.tenant.clone(),
@@ -387,7 +401,7 @@
         }
     }
 
-    /// What operators see of each tenant.
+    /// Statistics of all configured tenants.
     pub fn stats(&self) -> Vec<CounterStats> {
         let counter_stats = |(tenant, c): (&String, &Counter)| CounterStats {
             tenant: tenant.clone(),
@@ -398,8 +412,9 @@
         self.counters.iter().filter(|(_, c)| c.removed_at.is_none()).map(counter_stats).collect()
     }
 
-    /// Gateways not heard lately are silent. They may have spent slices since soon after their last word, while the
-    /// counts still granted their part to others: that comes off now.
+    /// Marks gateways without recent contact as silent. They may have spent fallback slices since `SILENCE_TIMEOUT`
+    /// after their last message, while the counters still granted their share to others, so this spending is charged
+    /// now.
     fn expire_silent_gateways(&mut self, now: Millis) {
         let is_silent = |at: &Millis| now >= *at + GATEWAY_TIMEOUT;
         let mut newly_silent_fraction = 0.0;
@@ -422,12 +437,12 @@
         }
     }
 
-    /// The part of a refill that one gateway spends as its slice.
+    /// Fraction of a refill that one gateway spends as its fallback slice.
     fn slice_fraction(&self, gateway: &str) -> f64 {
         1.0 / f64::from(self.oversized_slices.get(gateway).copied().unwrap_or(self.fleet_size))
     }
 
-    /// Adds up the slices of all gateways that were not heard lately.
+    /// Adds up the fallback slices of all gateways without recent contact.
     fn update_silent_fraction(&mut self) {
         let oversized =
             self.oversized_slices.iter().filter(|(gateway, _)| !self.last_contacts.contains_key(*gateway));
@@ -453,7 +468,7 @@
         while let Some(params) =
             counter.params.filter(|t| now + EARLY_TOLERANCE.min(t.window * 0.05) >= counter.window_end)
         {
-            // Slices of a closed window came from gateways that had nothing else: no count gave them.
+            // While a counter is closed, gateways spend slices instead of grants, not in addition to them.
             if counter.window_end > counter.closed_until {
                 counter.free -= params.refill * counter.silent_fraction;
             }
@@ -487,8 +502,8 @@
             ends_in: 0.0,
             status: CounterStatus::FallbackSlice,
         };
-        // A tenant that this holder has not heard of may be one of a configuration on its way, or another holder's:
-        // then a slice could be spent beside what that one grants.
+        // A tenant unknown here may be new in a configuration that has not arrived yet, or may have another holder. A
+        // fallback slice could then be spent in addition to the other holder's grants.
         let sole_holder = self.epoch.number <= 1;
         let Some(counter) = self.counters.get_mut(&demand.tenant).filter(|c| c.removed_at.is_none()) else {
             return if sole_holder {
@@ -522,8 +537,9 @@
         let owed = demand.owed();
         counter.free = (counter.free - f64::from(owed)).max(-params.max_units);
         let needed = if owed > 0 { 0 } else { demand.needed };
-        // In the first window of an office all are silent until they ask, and what they have spent of slices until then
-        // comes off their first block: to keep their slices back would refuse most of what the floor left.
+        // In the first window after the start, every gateway counts as silent until its first request, and slices
+        // spent until then are deducted from its first block. Reserving the slices of all gateways would refuse most
+        // of the units of the floor.
         let silent_fraction =
             if now < self.window_origin + params.window { 0.0 } else { counter.silent_fraction };
         let available = counter.free - params.refill * silent_fraction;
@@ -537,7 +553,8 @@
         counter.granted += granted;
         grant.granted = granted as u32;
         counter.floor.record_free(available - granted);
-        // What lies below the floor is there as soon as the log says so.
+        // The remaining units include those below the floor: they become available as soon as the log lowers the
+        // floor.
         grant.remaining = (total_available - granted) as u32;
         grant.status = CounterStatus::Open;
         grant
--- a/crates/quota/src/lease_cache.rs
+++ b/crates/quota/src/lease_cache.rs
@@ -1,4 +1,4 @@
-//! The data plane's side: a gateway's blocks of each tenant's count.
+//! The gateway side of quota leases: a cache of unit blocks granted by the holders of the tenants' counters.
 
 mod tenant_state;
 
@@ -11,50 +11,51 @@
     WindowParams,
 };
 
-/// The weight of the newest window in smoothed demand.
+/// Weight of the newest window in the smoothed demand.
 const DEMAND_SMOOTHING: f64 = 0.4;
-/// A block covers this much of the demand expected until the window's end: demand comes unevenly.
+/// A block covers the demand expected until the window ends times this factor, since demand varies.
 const BLOCK_MARGIN: f64 = 1.15;
-/// A block is renewed when less than this share of the demand until the window's end is left of it.
+/// A block is renewed when it holds less than this fraction of the demand expected until the window ends.
 const RENEWAL_RATIO: f64 = 0.35;
-/// Tenants with less demand than this in a window are asked for as requests come: blocks taken ahead would mostly end
-/// unused.
+/// Blocks are requested ahead only for tenants with at least this demand per window. For other tenants, most blocks
+/// requested ahead would expire unused.
 const MIN_PREFETCH_DEMAND: f64 = 1.0;
-/// A tenant without requests for this long is forgotten and starts anew.
+/// The demand of a tenant without requests for this long is forgotten.
 const IDLE_TIMEOUT: Millis = 20_000.0;
-/// Slices stop this long after the last word of any holder: by then the fleet's size is anyone's guess.
+/// Fallback slices end this long after the last contact with a holder, because the known fleet size is too old by
+/// then.
 const MAX_SLICE_TIME: Millis = 30_000.0;
-/// A count that is on its way between holders is asked for again after this long.
+/// Delay before a lease request is repeated for a counter that is being handed over between holders.
 const RETRY_DELAY: Millis = 15.0;
-/// Requests that may wait, for one tenant and in all.
+/// Maximum number of waiting requests, per tenant and in total.
 const MAX_WAITING_PER_TENANT: usize = 512;
 const MAX_WAITING: usize = 4096;
-/// Refused requests are told to come back after the window's end, spread over this share of a window.
+/// Refused requests may retry after the window's end plus a random part of this fraction of a window.
 const RETRY_JITTER_RATIO: f64 = 0.25;
 
-/// The answer to a request that asks to be admitted.
+/// The admission decision for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Verdict {
     /// The request may run.
     Granted,
-    /// A block was asked for; the verdict comes from `granted` or `tick`, at the latest at this time.
+    /// A block was requested. The decision follows from `handle_grant` or `tick`, at the latest at the deadline.
     Wait {
-        /// By when the request has its verdict.
+        /// Time by which the request has its decision.
         deadline: Millis,
     },
-    /// Block and count are spent.
+    /// The block and the counter are exhausted.
     Refused {
-        /// The span after which it is worth trying again.
+        /// Time after which a retry makes sense.
         retry_after: Millis,
     },
 }
 
-/// What a tenant's cache says to operators.
+/// Statistics of one tenant at this gateway.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TenantStats {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Units of the block in hand.
+    /// Units left in the current block.
     pub block: u32,
     /// Smoothed requests per window.
     pub demand: f64,
@@ -62,44 +63,45 @@
     pub waiting: usize,
     /// Requests granted since the tenant was configured.
     pub granted: u64,
-    /// Requests refused since then.
+    /// Requests refused since the tenant was configured.
     pub refused: u64,
-    /// Of those granted, how many by slices.
+    /// Granted requests that were paid from fallback slices.
     pub granted_by_slice: u64,
 }
 
 #[derive(Debug, Default)]
 struct TenantState {
-    /// None sets no limit.
+    /// `None` sets no limit.
     params: Option<WindowParams>,
     burst: f64,
     block: u32,
     window: u64,
-    /// Until when the block holds and what the holder said of the window counts.
+    /// Expiry of the block and of the remaining units last reported by the holder.
     window_ends_at: Millis,
-    /// Units got and spent of the block's window.
+    /// Units received and spent in the block's window.
     received: u32,
     spent: u32,
-    /// What the window's count had left when last heard.
+    /// Units that were left in the counter's window at the last grant.
     remaining: u32,
     waiting: VecDeque<(u64, Millis)>,
     in_flight: Option<u64>,
     needs_block: bool,
     returned: u32,
-    /// The place of its holder among the sources.
+    /// Index of the tenant's holder in `LeaseCache::holders`.
     holder_index: usize,
-    /// Its count is on its way between holders: not to be asked for before.
+    /// The counter is being handed over between holders: no lease request is sent before this time.
     retry_at: Millis,
-    /// A holder that grants nothing yet has left the gateway its slices until then.
+    /// The holder grants nothing yet and allows fallback slices until this time.
     slices_until: Millis,
     slice_units: f64,
     slice_ends_at: Millis,
     slice_used: u32,
-    /// Whether the count has to be charged for the slice: its holder gave no answer, and grants all to others meanwhile.
+    /// Whether the slice must be charged to the counter. True if the holder did not answer, because the holder then
+    /// still grants all units to other gateways.
     slice_is_charged: bool,
-    /// Units of slices whose windows are over, and of which the count knows nothing yet.
+    /// Slice units of past windows that the counter has not been charged for.
     slice_debt: u32,
-    /// So much of it stands in the draw on its way.
+    /// Part of `slice_debt` that the lease request in flight reports.
     slice_debt_in_flight: u32,
     has_demand: bool,
     demand: f64,
@@ -123,15 +125,15 @@
     /// The holders, in the order of the assignment; never empty.
     holders: Vec<HolderState>,
     last_contact: Option<Millis>,
-    /// Planted by tests: grants of an older epoch are taken.
+    /// Fault injected by tests: grants of an older epoch are accepted.
     ignores_epoch: bool,
     waiting_count: usize,
-    /// Nothing is spent or drawn any more.
+    /// After `close`: no units are spent and no lease requests are sent.
     closed: bool,
 }
 
 impl LeaseCache {
-    /// An empty cache. The seed spreads what is left to lots.
+    /// Creates an empty cache. `seed` initializes the random numbers for retry jitter and for fractional slices.
     pub fn new(seed: u64) -> Self {
         Self {
             tenants: BTreeMap::new(),
@@ -148,8 +150,8 @@
         }
     }
 
-    /// Takes a configuration. Blocks that are out end with their windows; tenants that are gone are dropped, and the
-    /// requests that waited for them are refused at the next `tick`.
+    /// Applies a configuration. Current blocks expire with their windows. Removed tenants are dropped, and their
+    /// waiting requests are refused at the next `tick`.
     pub fn set_quotas(&mut self, now: Millis, quotas: Vec<Quota>) {
         let mut previous = std::mem::take(&mut self.tenants);
         for quota in quotas {
@@ -161,15 +163,16 @@
             tenant.burst = quota.burst.max(0.0);
             self.tenants.insert(quota.tenant, tenant);
         }
-        // Waiting requests need their verdict: their tenants stay, without a limit or a unit, until they have it.
+        // Requests of a removed tenant may still wait for a decision. Such a tenant is kept without any units until
+        // then.
         for (name, mut tenant) in previous.into_iter().filter(|(_, state)| !state.waiting.is_empty()) {
             tenant.mark_removed(now);
             self.tenants.insert(name, tenant);
         }
     }
 
-    /// Takes an assignment: who holds what, unless it is an older one. Draws on their way to others are given up, and
-    /// grants of an older epoch refused from now on.
+    /// Applies an assignment unless it is older than the known epoch. Requests in flight to removed holders are
+    /// abandoned, and grants of an older epoch are rejected from now on.
     pub fn set_assignment(&mut self, assignment: &HolderAssignment) {
         if assignment.epoch < self.epoch || assignment.holders.is_empty() || *assignment == self.assignment {
             return;
@@ -196,7 +199,7 @@
         }
     }
 
-    /// The newest assignment that it was told.
+    /// The newest known assignment.
     pub fn assignment(&self) -> &HolderAssignment {
         &self.assignment
     }
@@ -206,7 +209,8 @@
         self.ignores_epoch = true;
     }
 
-    /// A newer epoch: units of an older one go back to nobody.
+    /// Advances to a newer epoch. Returned units and slice debts of the older epoch are dropped, since only the
+    /// holder that granted the units may take them back.
     fn advance_epoch(&mut self, epoch: Epoch) {
         if epoch > self.epoch {
             self.epoch = epoch;
@@ -214,13 +218,14 @@
         }
     }
 
-    /// Takes the number of gateways in all.
+    /// Sets the number of gateways in the fleet.
     pub fn set_fleet_size(&mut self, fleet_size: u32) {
         self.fleet_size = f64::from(fleet_size.max(1));
     }
 
-    /// A process that serves control says how many gateways there are, and whether it has heard the leader just now. One
-    /// that has not may know of few: by its word slices grow smaller only.
+    /// Updates the fleet size from a control plane's report. `fresh` means that the control plane is in contact with
+    /// the leader. Without that contact the control plane may know only part of the fleet, so the reported size can
+    /// only make the fallback slices smaller.
     pub fn update_fleet_size(&mut self, now: Millis, fleet_size: u32, fresh: bool) {
         if fresh {
             self.set_fleet_size(fleet_size);
@@ -230,8 +235,8 @@
         }
     }
 
-    /// Ends admission for good: requests that wait are refused, and nothing is spent or drawn from now on. Blocks in hand
-    /// lapse with their windows.
+    /// Ends admission for good: waiting requests are refused, and from now on no units are spent and no lease
+    /// requests are sent. Current blocks expire with their windows.
     pub fn close(&mut self, now: Millis, out: &mut Vec<(u64, Verdict)>) {
         self.closed = true;
         self.waiting_count = 0;
@@ -244,12 +249,12 @@
         self.seed = seed;
     }
 
-    /// A holder was heard of otherwise than by a grant: slices may go on.
+    /// Records contact with a holder other than by a grant, which extends the use of fallback slices.
     pub fn record_contact(&mut self, now: Millis) {
         self.last_contact = Some(now);
     }
 
-    /// A request asks for a unit of its tenant.
+    /// Decides whether a request of a tenant is admitted. The request waits for a block for at most `max_wait`.
     pub fn admit(&mut self, now: Millis, request: u64, name: &str, max_wait: Millis) -> Verdict {
         let random = self.random_fraction();
         let (fleet_size, may_use_slices) = (self.fleet_size, self.may_use_slices(now));
@@ -297,7 +302,7 @@
         Verdict::Wait { deadline }
     }
 
-    /// A waiting request is gone; it needs no verdict.
+    /// Removes a waiting request that needs no decision any more.
     pub fn cancel(&mut self, request: u64) {
         for state in self.tenants.values_mut() {
             if let Some(index) = state.waiting.iter().position(|(r, _)| *r == request) {
@@ -308,8 +313,8 @@
         }
     }
 
-    /// A request that was granted has not been run. Its unit can be spent again in its own window only; later it goes
-    /// back to the count, which knows how much a window may hold.
+    /// Returns the unit of a granted request that was not run. The unit can be spent again only in its own window.
+    /// After that window the unit goes back to the counter, which enforces the maximum of a window.
     pub fn return_unit(&mut self, now: Millis, tenant: &str) {
         let Some(state) = self.tenants.get_mut(tenant) else { return };
         state.advance_window(now);
@@ -324,7 +329,7 @@
         }
     }
 
-    /// What is to be sent now, and to which holder: one message for all tenants of it.
+    /// Returns the lease requests to send now and their holders: at most one request per holder, for all its tenants.
     pub fn lease_requests(&mut self, now: Millis) -> Vec<(Rc<str>, LeaseRequest)> {
         let mut lease_requests: Vec<(usize, LeaseRequest)> = Vec::new();
         if self.closed {
@@ -374,7 +379,7 @@
                 });
             }
         }
-        // Units that go back are worth no message of their own.
+        // Returned units travel with requests that are sent anyway, never in a request of their own.
         for (holder_index, lease_request) in &mut lease_requests {
             for (name, state) in &mut self.tenants {
                 if state.returned > 0
@@ -402,14 +407,14 @@
         out
     }
 
-    /// A holder's answer. That of a former holder, or to a draw given up, is ignored: its units stay counted until
-    /// their window ends, and nobody spends them.
+    /// Handles a holder's answer. An answer from a former holder or to an abandoned request is ignored: its units
+    /// stay counted until their window ends, and no gateway spends them.
     pub fn handle_grant(&mut self, now: Millis, grant: Grant, out: &mut Vec<(u64, Verdict)>) {
         let answered =
             self.holders.iter_mut().find_map(|holder| Some((holder.take_in_flight(grant.number)?, holder)));
         let Some((sent, holder)) = answered else { return };
         if grant.epoch < self.epoch && !self.ignores_epoch {
-            // It may not have heard of the newest assignment yet; without it its lease soon ends.
+            // The holder may not have received the newest assignment yet. If it never does, its lease soon expires.
             for state in self.tenants.values_mut().filter(|state| state.in_flight == Some(grant.number)) {
                 state.retry_at = now + RETRY_DELAY;
             }
@@ -437,7 +442,7 @@
         self.clear_in_flight(grant.number);
     }
 
-    /// A draw is given up: its answer is not waited for any more, and the holder counts as silent until it answers.
+    /// Abandons a lease request without an answer. The holder counts as silent until it answers another request.
     pub fn request_failed(&mut self, now: Millis, number: u64) {
         if let Some(holder) =
             self.holders.iter_mut().find_map(|holder| holder.take_in_flight(number).map(|_| holder))
@@ -447,7 +452,7 @@
         }
     }
 
-    /// Time has passed: requests that have waited long enough get their verdict.
+    /// Decides about requests whose waiting time has expired.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<(u64, Verdict)>) {
         while let Some(overdue) = self.holders.iter().find_map(|holder| holder.overdue_request(now)) {
             self.request_failed(now, overdue);
@@ -468,7 +473,8 @@
                 if !silent && now < *deadline {
                     return true;
                 }
-                // The answer is late: the even slice is lent, and comes off the next block if one comes.
+                // The grant is late. The fallback slice is spent in advance of the block and deducted from the next
+                // block.
                 if may_use_slices && !state.is_exhausted(now) {
                     state.open_slice(now, fleet_size, random);
                     if state.spend_slice_unit() {
@@ -485,7 +491,7 @@
         self.seed = seed;
     }
 
-    /// When `tick` and `draw` have something to do at the latest, if nothing comes before.
+    /// The next time at which `tick` or `lease_requests` has something to do, if nothing happens before.
     pub fn next_deadline(&self) -> Option<Millis> {
         if self.closed {
             return None;
@@ -513,7 +519,7 @@
         deadline.is_finite().then_some(deadline)
     }
 
-    /// What operators see of each tenant.
+    /// Statistics of all tenants.
     pub fn stats(&self) -> Vec<TenantStats> {
         let tenant_stats = |(tenant, state): (&String, &TenantState)| TenantStats {
             tenant: tenant.clone(),
@@ -535,7 +541,8 @@
     }
 
     fn may_use_slices(&self, now: Millis) -> bool {
-        // Who has heard of a newer assignment than it knows may spend slices of a count that grants elsewhere.
+        // A gateway that knows of a newer epoch but not its assignment must not spend fallback slices, since another
+        // holder may grant units of the same counter.
         let knows_assignment = self.assignment.epoch >= self.epoch || self.assignment.holders.is_empty();
         knows_assignment && self.last_contact.is_some_and(|index| now < index + MAX_SLICE_TIME)
     }
@@ -545,7 +552,7 @@
     }
 }
 
-/// A number in 0 to 1 (splitmix64).
+/// A random number between 0 and 1 (splitmix64).
 fn random_fraction(seed: &mut u64) -> f64 {
     *seed = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let mut z = *seed;
--- a/crates/quota/src/lease_cache/tenant_state.rs
+++ b/crates/quota/src/lease_cache/tenant_state.rs
@@ -1,9 +1,9 @@
-//! One tenant at a gateway: its block, its slice, and its demand.
+//! State of one tenant at a gateway: its block, its fallback slice and its demand.
 
 use super::*;
 
 impl TenantState {
-    /// Ends a block whose window is over and learns from the demand of windows gone by.
+    /// Discards a block whose window has ended and updates the smoothed demand from past windows.
     pub(super) fn advance_window(&mut self, now: Millis) {
         let Some(params) = self.params else { return };
         if now >= self.window_ends_at {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The demand until the block's window ends; of a whole window if none is open.
+    /// Demand expected until the block's window ends, or for a whole window if there is no current block.
     pub(super) fn remaining_demand(&self, now: Millis) -> f64 {
         let window = self.params.map_or(1.0, |t| t.window);
         if now < self.window_ends_at {
@@ -52,9 +52,9 @@
         has_unit
     }
 
-    /// Opens the slice of the present window. Whole units end with their window; fractions stay, so that gateways
-    /// whose slice is less than a unit have one every few windows. Each starts from a fraction by lot: all together
-    /// then have what the window allows, neither all nor none of them a unit at once.
+    /// Opens the fallback slice of the current window. Unspent whole units expire with their window. Fractions carry
+    /// over, so that a gateway whose slice is smaller than one unit gets a unit every few windows. The first slice
+    /// starts with a random fraction: otherwise all gateways would get their unit in the same window.
     pub(super) fn open_slice(&mut self, now: Millis, fleet_size: f64, random: f64) {
         let Some(params) = self.params else { return };
         if now < self.slice_ends_at {
@@ -91,7 +91,7 @@
         has_unit
     }
 
-    /// What was spent of a slice whose window is over is owed to the count, unless a block has paid for it.
+    /// Adds the spent units of an expired slice to the debt, unless a block has already covered them.
     fn settle_slice(&mut self, now: Millis) {
         if now < self.slice_ends_at {
             return;
@@ -110,15 +110,16 @@
         Verdict::Refused { retry_after: until_window_end + window * RETRY_JITTER_RATIO * random }
     }
 
-    /// Whether a block is to be asked for now.
+    /// Whether a lease request is needed now.
     pub(super) fn should_request(&self, now: Millis) -> bool {
-        // Every window begins with an empty hand; who will need a block has it before the first request.
+        // A window starts without a block. A tenant with enough demand requests its block before the first client
+        // request.
         let new_window =
             now >= self.window_ends_at && self.window_ends_at > 0.0 && self.demand >= MIN_PREFETCH_DEMAND;
         (self.needs_block || new_window) && !self.is_exhausted(now)
     }
 
-    /// Units needed at once, and units to ask for.
+    /// Returns the units needed at once and the units to request.
     pub(super) fn request_size(&self, now: Millis, params: WindowParams, fleet_size: f64) -> (u32, u32) {
         let needed = self.waiting.len() as u32;
         let target = if self.has_demand {
@@ -136,7 +137,8 @@
         self.waiting.iter_mut().for_each(|(_, deadline)| *deadline = now);
     }
 
-    /// Takes a share. The window's end is counted from when the draw was sent: it comes early rather than late.
+    /// Applies a holder's grant. The window's end is counted from when the request was sent, so the block expires
+    /// early rather than late.
     pub(super) fn apply_grant(&mut self, now: Millis, sent_at: Millis, tenant_grant: &TenantGrant) {
         let window_ends_at = sent_at + tenant_grant.ends_in;
         match tenant_grant.status {
@@ -163,7 +165,7 @@
         self.window = tenant_grant.window;
         self.window_ends_at = self.window_ends_at.max(window_ends_at);
         self.remaining = tenant_grant.remaining;
-        // Slices of the present window were lent from this block.
+        // Slice units already spent in this window were taken in advance from this block.
         let prepaid = if now < self.slice_ends_at { tenant_grant.granted.min(self.slice_used) } else { 0 };
         self.slice_used -= prepaid;
         self.slice_units = self.slice_units.fract();
--- a/crates/quota/src/quota_service.rs
+++ b/crates/quota/src/quota_service.rs
@@ -1,4 +1,4 @@
-//! One process' part in holding the counts: which are its own under the newest assignment, and until when.
+//! Quota service of one control plane: which counters it holds under the newest assignment, and for how long.
 
 use bitcode::{Decode, Encode};
 use std::collections::BTreeMap;
@@ -8,45 +8,45 @@
     QuotaHolder,
 };
 
-/// Faults that tests plant to see that they are found. All off in service.
+/// Faults that tests inject to prove that they are detected. All off in production.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// Counts of a former holder are opened at once, without its word and before its blocks have ended.
+    /// Counters of a former holder are opened at once, without its handover and before its blocks have expired.
     pub skips_handover: bool,
-    /// A deputy grants on when its lease is over.
+    /// A deputy continues to grant units after its lease has expired.
     pub grants_after_lease: bool,
 }
 
-/// What a holder tells the next one of the counts that it gives up.
+/// Counters that a holder hands over to their next holder.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Handover {
-    /// The assignment by which they move: it may be news to the next holder.
+    /// The assignment that moves the counters. The next holder may not know it yet.
     pub assignment: HolderAssignment,
-    /// The gateways that the holder has heard, and how long ago.
+    /// Gateways in contact with the former holder, and the time since their last message.
     pub contact_ages: Vec<(String, Millis)>,
-    /// The counts.
+    /// The counters handed over.
     pub counters: Vec<CounterHandover>,
 }
 
-/// A count on its way to another holder.
+/// State of one counter that is handed over.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct CounterHandover {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: String,
-    /// The number of its present window.
+    /// Number of the current window.
     pub window: u64,
-    /// The span to the window's end.
+    /// Time until the window ends.
     pub ends_in: Millis,
-    /// What may still be granted in it.
+    /// Units that may still be granted in this window.
     pub free: f64,
-    /// What was granted in it.
+    /// Units granted in this window.
     pub granted: f64,
-    /// The largest part of the gateways that was silent in it.
+    /// Fraction of a refill that silent gateways may spend: the largest value seen during this window.
     pub silent_fraction: f64,
 }
 
-/// Holds those counts that the newest assignment gives to this process, while its lease lasts.
+/// Holds the counters that the newest assignment gives to this process, while its lease lasts.
 #[derive(Debug)]
 pub struct QuotaService {
     name: String,
@@ -56,13 +56,13 @@
     quotas: Vec<Quota>,
     fleet_size: u32,
     oversized_slices: Vec<OversizedSlice>,
-    /// What the log says of counts, for the next office of one that holds them all.
+    /// Committed floors of counters, used when this process next becomes the holder of all counters.
     floors: BTreeMap<String, u32>,
     faults: Faults,
 }
 
 impl QuotaService {
-    /// The office of a process that holds nothing yet.
+    /// Creates a service that holds no counters yet.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -82,7 +82,8 @@
         self.faults = faults;
     }
 
-    /// What the log says of counts, before an office that holds all of them is taken.
+    /// Sets the committed floors of the replicated log. To be called before an assignment that gives this process all
+    /// counters.
     pub fn set_floors(&mut self, floors: BTreeMap<String, u32>) {
         self.floors = floors;
     }
@@ -102,19 +103,19 @@
         self.holder.iter_mut().for_each(QuotaHolder::commit_floors);
     }
 
-    /// The newest assignment that this process has taken.
+    /// The newest assignment that was applied.
     pub fn assignment(&self) -> &HolderAssignment {
         &self.assignment
     }
 
-    /// The counts, if this process has any.
+    /// The holder with its counters, if this process is a holder.
     pub fn holder(&self) -> Option<&QuotaHolder> {
         self.holder.as_ref()
     }
 
-    /// Takes an assignment; older ones and the present one change nothing. Counts that go to others are given up at
-    /// once; what their new holders are to be told comes back, with their names. `first` says that no holder was there
-    /// before in the life of the fleet.
+    /// Applies an assignment; the current assignment and older ones are ignored. Counters of tenants that move to
+    /// other holders are given up at once. Returns the handovers to send, with the names of the new holders.
+    /// `first_holder` means that the fleet never had a holder before.
     pub fn apply_assignment(
         &mut self, now: Millis, assignment: &HolderAssignment, first_holder: bool,
     ) -> Vec<(String, Handover)> {
@@ -124,7 +125,8 @@
         let is_next = assignment.epoch.follows(self.assignment.epoch);
         self.assignment = assignment.clone();
         let mut handovers = Vec::new();
-        // Whoever missed an assignment may have lost a count in it and got it back: it starts anew with all of them.
+        // After a missed assignment, a counter may have moved away and back, so the holder starts again with new
+        // counters.
         let mut holder = self.holder.take().filter(|_| is_next);
         if let Some(holder) = &mut holder {
             handovers = self.release_counters(now, holder);
@@ -132,8 +134,8 @@
         if !assignment.contains(&self.name) {
             return handovers;
         }
-        // Leases of an older term have ended before another leader could be elected; those of this term's former
-        // assignment have not.
+        // Leases of an older term expired before the new leader was elected. Leases of this term's previous
+        // assignment may still be valid.
         let closed_for =
             if assignment.epoch.number == 1 || self.faults.skips_handover { 0.0 } else { MAX_DEPUTY_LEASE };
         let starts_open = first_holder && assignment.epoch.number == 1 || self.faults.skips_handover;
@@ -174,8 +176,8 @@
         handovers
     }
 
-    /// A former holder's word on counts that are this one's now. What this one gives up by the same assignment, if it
-    /// had not heard of it, comes back as from `assume`.
+    /// Applies the handover of counters that now belong to this process. The handover may carry an assignment that is
+    /// new here. Returns the handovers to send, as `apply_assignment` does.
     pub fn accept_handover(&mut self, now: Millis, handover: Handover) -> Vec<(String, Handover)> {
         let handovers = self.apply_assignment(now, &handover.assignment, false);
         if handover.assignment.epoch == self.assignment.epoch
@@ -186,24 +188,24 @@
         handovers
     }
 
-    /// The lease lasts until then: the leader's own that of its log, a deputy's what the leader extended to it, counted
-    /// from when it asked.
+    /// Sets the end of the lease. The leader's lease is that of its replicated log; a deputy's lease is granted by
+    /// the leader and counted from when the deputy requested it.
     pub fn set_lease(&mut self, until: Millis) {
         self.lease_until = until;
     }
 
-    /// When the lease ends.
+    /// End of the lease.
     pub fn lease_until(&self) -> Millis {
         self.lease_until
     }
 
-    /// The office is over: another term begins, or this process leads no more.
+    /// Stops holding counters: another term starts, or this process is no longer the leader.
     pub fn resign(&mut self) {
         self.holder = None;
         self.lease_until = 0.0;
     }
 
-    /// Takes a configuration.
+    /// Applies a configuration.
     pub fn set_quotas(&mut self, now: Millis, quotas: Vec<Quota>) {
         self.quotas = quotas;
         let own = self.own_quotas();
@@ -217,7 +219,7 @@
         self.quotas.iter().filter(own).cloned().collect()
     }
 
-    /// Takes the number of gateways in all.
+    /// Sets the number of gateways.
     pub fn set_fleet_size(&mut self, now: Millis, fleet_size: u32) {
         self.fleet_size = fleet_size;
         if let Some(holder) = &mut self.holder {
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Takes the gateways that may divide their slices by fewer than there are; see [`QuotaHolder::set_oversized_slices`].
+    /// Sets the gateways that may have oversized fallback slices; see [`QuotaHolder::set_oversized_slices`].
     pub fn set_oversized_slices(&mut self, oversized_slices: Vec<OversizedSlice>) {
         if oversized_slices == self.oversized_slices {
             return;
@@ -234,7 +236,8 @@
         self.holder.iter_mut().for_each(|holder| holder.set_oversized_slices(&self.oversized_slices));
     }
 
-    /// A gateway was heard otherwise than by a draw; it knows the assignment of that epoch.
+    /// Records contact with a gateway other than by a lease request. `epoch` is that of the newest assignment known
+    /// to the gateway.
     pub fn record_contact(&mut self, now: Millis, gateway: &str, epoch: Epoch) {
         if let Some(holder) = &mut self.holder
             && (epoch >= holder.epoch() || holder.epoch().number <= 1)
@@ -243,29 +246,29 @@
         }
     }
 
-    /// A gateway has said that it ended; see [`QuotaHolder::remove_gateway`].
+    /// Removes a gateway that has shut down; see [`QuotaHolder::remove_gateway`].
     pub fn remove_gateway(&mut self, gateway: &str) {
         self.holder.iter_mut().for_each(|holder| holder.remove_gateway(gateway));
     }
 
-    /// Whether it may grant.
+    /// Whether this process is a holder with a valid lease.
     pub fn may_grant(&self, now: Millis) -> bool {
         self.holder.is_some() && (now < self.lease_until || self.faults.grants_after_lease)
     }
 
-    /// Whether it would grant units of a tenant.
+    /// Whether units of a tenant may be granted now.
     pub fn may_grant_for(&self, now: Millis, tenant: &str) -> bool {
         self.may_grant(now) && self.holder.as_ref().is_some_and(|holder| holder.is_open(now, tenant))
     }
 
-    /// Answers a gateway's draw; nothing while it may not grant.
+    /// Answers a gateway's lease request. Returns `None` if this process may not grant units.
     pub fn handle_request(&mut self, now: Millis, gateway: &str, request: &LeaseRequest) -> Option<Grant> {
         let may_grant = self.may_grant(now);
         let holder = self.holder.as_mut()?;
         if may_grant {
             return Some(holder.handle_request(now, gateway, request));
         }
-        // Gateways may hear of a new holder before its first lease is there.
+        // Gateways may learn of a new holder before the holder receives its first lease.
         holder.awaits_handover(now).then(|| holder.defer(request))
     }
 }
--- a/crates/quota/src/window_params.rs
+++ b/crates/quota/src/window_params.rs
@@ -35,7 +35,8 @@
 /// The headroom may grow up to a window's refill as long as the worst compliance span stays below this fraction of
 /// the compliance bound. The rest is for retries: a retry may run beside the first attempt, and both count.
 const HEADROOM_LIMIT_RATIO: f64 = 0.88;
-/// Compliance bound: in one compliance span a tenant may exceed `rate * span + burst` by this ratio and this many units.
+/// Compliance bound: in one compliance span, a tenant may exceed `rate * span + burst` by this ratio and this many
+/// units.
 const COMPLIANCE_EXCESS: f64 = 1.1;
 const COMPLIANCE_SLACK: f64 = 20.0;
 
