--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -30,7 +30,7 @@
     Backend, ConfigDelta, ConfigSnapshot, ControlPlaneAddress, Heartbeat, Held, Hello, Message, Order, Phase,
     Plane,
 };
-use quota::{HolderAssignment, Placer, Quota, QuotaService};
+use quota::{HolderAssigner, HolderAssignment, Quota, QuotaService};
 use raft::{Input, Node, Output, Payload, PersistentState, Role, Snapshot, Timing, VoterId};
 use registry::{Fleet, Judgement, Register};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -181,7 +181,7 @@
     disk: Option<Disk>,
     quota_service: QuotaService,
     /// Assigns quota holders; present only while this process leads.
-    placer: Option<Placer>,
+    placer: Option<HolderAssigner>,
     /// Newest known assignment of quota holders.
     assignment: HolderAssignment,
     offers: HolderOffers,
--- a/crates/control-plane/src/control_plane/departures.rs
+++ b/crates/control-plane/src/control_plane/departures.rs
@@ -66,7 +66,7 @@
     /// Registers a sign of life of a data plane, unless the message was sent before the departure of that data plane.
     pub(super) fn on_data_plane_contact(&mut self, hello: &Hello, epoch: Epoch, now: u64) {
         if !self.has_departed(hello) {
-            self.quota_service.heard(now as f64, &hello.name, epoch);
+            self.quota_service.record_contact(now as f64, &hello.name, epoch);
         }
     }
 
@@ -78,16 +78,16 @@
     /// Removes departed data planes from the quota service: they must not be mistaken for silent ones.
     pub(super) fn exclude_departed(&mut self) {
         for name in self.fleet.departed_names() {
-            self.quota_service.left(name);
+            self.quota_service.remove_gateway(name);
         }
     }
 
     /// Adjusts the quota service to the current number of data planes.
     pub(super) fn resize_fleet(&mut self, now: u64) {
         let counted = self.quota_fleet_size(now);
-        self.quota_service.fleet(now as f64, counted);
+        self.quota_service.set_fleet_size(now as f64, counted);
         let wide = self.fleet.wide_slices(counted);
-        self.quota_service.wide_slices(wide);
+        self.quota_service.set_oversized_slices(wide);
     }
 
     /// The number of data planes that may spend quota. Slices are held back for the silent ones among them.
--- a/crates/control-plane/src/control_plane/entries.rs
+++ b/crates/control-plane/src/control_plane/entries.rs
@@ -141,7 +141,7 @@
         }
         let token = self.tokens_by_index.remove(&index);
         if token.is_some() && token == self.checkpoint_token.take_if(|pending| Some(*pending) == token) {
-            self.quota_service.decided();
+            self.quota_service.commit_floors();
         }
         self.track_compaction(index, SMALL_ENTRY_WEIGHT);
     }
--- a/crates/control-plane/src/control_plane/quota_service.rs
+++ b/crates/control-plane/src/control_plane/quota_service.rs
@@ -1,7 +1,7 @@
 //! The quota holder role: the leader holds the quota counters, alone or together with deputies that it appoints.
 
 use super::*;
-use quota::{Epoch, Handover, LEASE_MOST};
+use quota::{Epoch, Handover, MAX_DEPUTY_LEASE};
 
 /// Interval at which a deputy renews its lease. Other voters offer themselves every [`OFFER_INTERVAL_MS`].
 const LEASE_RENEWAL_INTERVAL_MS: u64 = 70;
@@ -26,19 +26,24 @@
             let is_first_term = term <= 1 && self.config_history.version() == 0;
             let max_requests = self.settings.max_lease_requests_per_holder;
             let max_requests = if max_requests > 0.0 { max_requests } else { f64::INFINITY };
-            let placer = Placer::new(&self.settings.address.to_string(), term, now as f64, max_requests);
+            let placer =
+                HolderAssigner::new(&self.settings.address.to_string(), term, now as f64, max_requests);
             self.assignment = placer.assignment().clone();
             self.placer = Some(placer);
             self.resize_fleet(now);
             // Floors exist only while the leader is the sole holder.
             if self.settings.max_lease_requests_per_holder <= 0.0 {
-                self.quota_service.floors(self.config_history.floors().clone());
+                self.quota_service.set_floors(self.config_history.floors().clone());
             }
-            self.quota_service.assume(now as f64, &self.assignment, is_first_term);
+            self.quota_service.apply_assignment(now as f64, &self.assignment, is_first_term);
             let data_planes = self.peers.values().filter(|p| now < p.last_received_at + PEER_TIMEOUT_MS);
             for (peer, hello) in data_planes.filter_map(|p| Some((p, p.hello.as_ref()?))) {
                 if hello.plane == Plane::DataPlane && !self.has_departed(hello) {
-                    self.quota_service.heard(peer.last_received_at as f64, &hello.name, Epoch::first(term));
+                    self.quota_service.record_contact(
+                        peer.last_received_at as f64,
+                        &hello.name,
+                        Epoch::first(term),
+                    );
                 }
             }
             self.event_log.record(now, self.settings.address.to_string(), Recorded::QuotaService(true));
@@ -53,7 +58,7 @@
         if self.placer.is_some()
             && let Some(until) = self.node.as_ref().and_then(|node| node.lease_until(now))
         {
-            self.quota_service.lease(until as f64);
+            self.quota_service.set_lease(until as f64);
         }
         self.propose_checkpoint(now);
     }
@@ -66,7 +71,7 @@
             return;
         }
         let is_sole_holder = self.settings.max_lease_requests_per_holder <= 0.0;
-        let floors = if is_sole_holder { self.quota_service.floors_wanted(now as f64) } else { Vec::new() };
+        let floors = if is_sole_holder { self.quota_service.propose_floors(now as f64) } else { Vec::new() };
         let (fleet_size, recorded) = (self.fleet_size_to_record(now), self.config_history.fleet_size());
         // A small difference hardly changes the share of any data plane.
         let fleet_changed = now >= WARMUP_MS
@@ -100,9 +105,9 @@
 
     fn rebalance_holders(&mut self, now: u64) {
         let Some(placer) = &mut self.placer else { return };
-        if placer.tend(now as f64, self.offers.request_rate.2) {
+        if placer.update(now as f64, self.offers.request_rate.2) {
             self.assignment = placer.assignment().clone();
-            let handovers = self.quota_service.assume(now as f64, &self.assignment, false);
+            let handovers = self.quota_service.apply_assignment(now as f64, &self.assignment, false);
             // The assignment goes first, so that a new holder knows its role before it receives a handover.
             self.send_to_control_planes(&Message::HolderAssignment(self.assignment.clone()));
             self.send_handovers(handovers);
@@ -116,7 +121,7 @@
             return;
         }
         let (Some(leader), ..) = self.leader(now) else { return };
-        let is_deputy = self.assignment.has(&self.settings.address.to_string());
+        let is_deputy = self.assignment.contains(&self.settings.address.to_string());
         self.offers.next_at = now + if is_deputy { LEASE_RENEWAL_INTERVAL_MS } else { OFFER_INTERVAL_MS };
         let number = self.offers.sent.back().map_or(1, |(number, _)| number + 1);
         let Some(line) = self.line_to(&leader) else { return };
@@ -145,7 +150,7 @@
             return;
         };
         let request_rate = if request_rate.is_finite() { request_rate.max(0.0) } else { 0.0 };
-        let is_deputy = placer.asked(now as f64, &hello.address, answered, request_rate);
+        let is_deputy = placer.record_offer(now as f64, &hello.address, answered, request_rate);
         let ends_in = if is_deputy { (until - now) as f64 } else { 0.0 };
         peer.line.send(&Message::Lease { number: offer, assignment: placer.assignment().clone(), ends_in });
     }
@@ -159,9 +164,9 @@
             && self.quota_service.assignment().epoch == assignment.epoch
             && ends_in > 0.0
         {
-            let until = sent as f64 + ends_in.min(LEASE_MOST);
+            let until = sent as f64 + ends_in.min(MAX_DEPUTY_LEASE);
             let until = until.max(self.quota_service.lease_until());
-            self.quota_service.lease(until);
+            self.quota_service.set_lease(until);
         }
     }
 
@@ -174,7 +179,7 @@
             return;
         }
         self.assignment = assignment.clone();
-        let handovers = self.quota_service.assume(now as f64, assignment, false);
+        let handovers = self.quota_service.apply_assignment(now as f64, assignment, false);
         self.send_handovers(handovers);
         self.on_assignment_changed(now);
     }
@@ -187,7 +192,7 @@
         if is_newer {
             self.assignment = handover.assignment.clone();
         }
-        let handovers = self.quota_service.handed(now as f64, handover);
+        let handovers = self.quota_service.accept_handover(now as f64, handover);
         self.exclude_departed();
         self.send_handovers(handovers);
         if is_newer {
@@ -237,7 +242,7 @@
             return;
         }
         self.fleet.heard(now, &hello.name, hello.life);
-        let message = match self.quota_service.draw(now as f64, &hello.name, &request) {
+        let message = match self.quota_service.handle_request(now as f64, &hello.name, &request) {
             Some(grant) => {
                 self.event_log.counters.lease_requests.0 += 1;
                 Message::Grant(grant)
@@ -248,7 +253,7 @@
             }
         };
         peer.line.send(&message);
-        if self.quota_service.presses() {
+        if self.quota_service.needs_lower_floor() {
             self.propose_checkpoint(now);
         }
     }
--- a/crates/data-plane/src/lease_client.rs
+++ b/crates/data-plane/src/lease_client.rs
@@ -1,7 +1,7 @@
 //! Runs this gateway's quota lease cache: requests leases from their holders and lets client requests wait for them.
 
 use crate::{Admission, AdmissionDecision};
-use quota::{Cache, Grant, HolderAssignment, LeaseRequest, Quota, Verdict};
+use quota::{Grant, HolderAssignment, LeaseCache, LeaseRequest, Quota, Verdict};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::{Rc, Weak};
@@ -17,7 +17,7 @@
 
 /// Drives the lease cache and sends its lease requests.
 pub struct LeaseClient {
-    cache: RefCell<Cache>,
+    cache: RefCell<LeaseCache>,
     started: Instant,
     /// The number of the next client request.
     next_request: Cell<u64>,
@@ -32,7 +32,7 @@
     /// Starts a lease cache without tenants.
     pub fn start(seed: u64, send: SendLeaseRequest) -> Rc<Self> {
         let lease_client = Rc::new(Self {
-            cache: RefCell::new(Cache::new(seed)),
+            cache: RefCell::new(LeaseCache::new(seed)),
             started: Instant::now(),
             next_request: Cell::new(0),
             waiting: RefCell::default(),
@@ -50,14 +50,14 @@
 
     /// Applies the quotas of a newer configuration.
     pub fn set_quotas(&self, quotas: Vec<Quota>) {
-        self.cache.borrow_mut().quotas(self.now_ms(), quotas);
+        self.cache.borrow_mut().set_quotas(self.now_ms(), quotas);
         self.wake.notify_one();
     }
 
     /// Sets the number of gateways. `fresh` states whether the control plane process that reports the number has recent
     /// contact with the leader.
     pub fn set_gateway_count(&self, gateways: u32, fresh: bool) {
-        self.cache.borrow_mut().fleet_told(self.now_ms(), gateways, fresh);
+        self.cache.borrow_mut().update_fleet_size(self.now_ms(), gateways, fresh);
     }
 
     /// Ends admission for good. No unit is spent afterwards, so that the gateway may report that it has ended.
@@ -69,21 +69,21 @@
 
     /// Applies a new assignment of quota holders.
     pub fn apply_assignment(&self, assignment: &HolderAssignment) {
-        self.cache.borrow_mut().assignment(assignment);
+        self.cache.borrow_mut().set_assignment(assignment);
         self.wake.notify_one();
     }
 
     /// Applies the answer of a quota holder.
     pub fn apply_grant(&self, grant: Grant) {
         let mut verdicts = Vec::new();
-        self.cache.borrow_mut().granted(self.now_ms(), grant, &mut verdicts);
+        self.cache.borrow_mut().handle_grant(self.now_ms(), grant, &mut verdicts);
         self.deliver(verdicts);
         self.send_lease_requests();
     }
 
     /// Gives up a lease request that received no answer.
     pub fn abandon_lease_request(&self, number: u64) {
-        self.cache.borrow_mut().silent(self.now_ms(), number);
+        self.cache.borrow_mut().request_failed(self.now_ms(), number);
         self.wake.notify_one();
     }
 
@@ -105,7 +105,7 @@
 
     /// Sends the lease requests that are due.
     fn send_lease_requests(&self) {
-        let lease_requests = self.cache.borrow_mut().draw(self.now_ms());
+        let lease_requests = self.cache.borrow_mut().lease_requests(self.now_ms());
         for (holder, lease_request) in lease_requests {
             let number = lease_request.number;
             if !(self.send)(&holder, lease_request) {
@@ -122,7 +122,7 @@
             lease_client.cache.borrow_mut().tick(lease_client.now_ms(), &mut verdicts);
             lease_client.deliver(verdicts);
             lease_client.send_lease_requests();
-            let due = lease_client.cache.borrow().next_due();
+            let due = lease_client.cache.borrow().next_deadline();
             let due = due.map(|due| lease_client.started + from_ms(due.max(lease_client.now_ms() + 1.0)));
             let due = due.unwrap_or_else(|| Instant::now() + Duration::from_millis(500));
             tokio::select! {
@@ -138,7 +138,7 @@
         let (now, request) = (self.now_ms(), self.next_request.get());
         self.next_request.set(request + 1);
         let max_wait_ms = max_wait.as_secs_f64() * 1000.0;
-        let verdict = self.cache.borrow_mut().ask(now, request, tenant, max_wait_ms);
+        let verdict = self.cache.borrow_mut().admit(now, request, tenant, max_wait_ms);
         let decision = match verdict {
             Verdict::Granted => AdmissionDecision::Granted,
             Verdict::Refused { retry_after } => {
@@ -159,7 +159,7 @@
     }
 
     fn refund(&self, tenant: &str) {
-        self.cache.borrow_mut().give_back(self.now_ms(), tenant);
+        self.cache.borrow_mut().return_unit(self.now_ms(), tenant);
     }
 }
 
@@ -170,7 +170,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use quota::{Epoch, Share, Standing};
+    use quota::{CounterStatus, Epoch, TenantGrant};
 
     #[test]
     fn a_unit_granted_to_a_disconnected_client_goes_to_another_request() {
@@ -191,18 +191,18 @@
             };
             drop(receiver);
             // The only unit of the window.
-            let share = Share {
+            let share = TenantGrant {
                 tenant: "t".into(),
                 window: 1,
                 granted: 1,
-                left: 0,
+                remaining: 0,
                 ends_in: 60_000.0,
-                standing: Standing::Open,
+                status: CounterStatus::Open,
             };
             lease_client.apply_grant(Grant {
                 number: last_sent.get(),
                 epoch: Epoch::first(1),
-                shares: vec![share],
+                grants: vec![share],
             });
             assert!(matches!(lease_client.acquire("t", wait), AdmissionDecision::Granted));
             assert!(matches!(lease_client.acquire("t", wait), AdmissionDecision::Refused { .. }));
--- a/crates/quota/src/quota_service.rs
+++ b/crates/quota/src/quota_service.rs
@@ -1,264 +1,274 @@
-//! One process' part in holding the counts: which are its own under the newest assignment, and until when.
+//! Quota service of one control plane: which counters it holds under the newest assignment, and for how long.
 
 use bitcode::{Decode, Encode};
 use std::collections::BTreeMap;
 
 use crate::{
-    Epoch, Grant, HolderAssignment, LEASE_MOST, LeaseRequest, Millis, Quota, QuotaHolder, WideSlice,
+    Epoch, Grant, HolderAssignment, LeaseRequest, MAX_DEPUTY_LEASE, Millis, OversizedSlice, Quota,
+    QuotaHolder,
 };
 
-/// Faults that tests plant to see that they are found. All off in service.
+/// Faults that tests inject to prove that they are detected. All off in production.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// Counts of a former holder are opened at once, without its word and before its blocks have ended.
-    pub opens_at_once: bool,
-    /// A deputy grants on when its lease is over.
-    pub outlives_lease: bool,
+    /// Counters of a former holder are opened at once, without its handover and before its blocks have expired.
+    pub skips_handover: bool,
+    /// A deputy continues to grant units after its lease has expired.
+    pub grants_after_lease: bool,
 }
 
-/// What a holder tells the next one of the counts that it gives up.
+/// Counters that a holder hands over to their next holder.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct Handover {
-    /// The assignment by which they move: it may be news to the next holder.
+    /// The assignment that moves the counters. The next holder may not know it yet.
     pub assignment: HolderAssignment,
-    /// The gateways that the holder has heard, and how long ago.
-    pub heard: Vec<(String, Millis)>,
-    /// The counts.
-    pub counts: Vec<Handed>,
+    /// Gateways in contact with the former holder, and the time since their last message.
+    pub contact_ages: Vec<(String, Millis)>,
+    /// The counters handed over.
+    pub counters: Vec<CounterHandover>,
 }
 
-/// A count on its way to another holder.
+/// State of one counter that is handed over.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub struct Handed {
-    /// The tenant's name.
+pub struct CounterHandover {
+    /// Name of the tenant.
     pub tenant: String,
-    /// The number of its present window.
+    /// Number of the current window.
     pub window: u64,
-    /// The span to the window's end.
+    /// Time until the window ends.
     pub ends_in: Millis,
-    /// What may still be granted in it.
+    /// Units that may still be granted in this window.
     pub free: f64,
-    /// What was granted in it.
+    /// Units granted in this window.
     pub granted: f64,
-    /// The largest part of the gateways that was silent in it.
-    pub silent: f64,
+    /// Fraction of a refill that silent gateways may spend: the largest value seen during this window.
+    pub silent_fraction: f64,
 }
 
-/// Holds those counts that the newest assignment gives to this process, while its lease lasts.
+/// Holds the counters that the newest assignment gives to this process, while its lease lasts.
 #[derive(Debug)]
 pub struct QuotaService {
-    me: String,
+    name: String,
     assignment: HolderAssignment,
     lease_until: Millis,
     holder: Option<QuotaHolder>,
     quotas: Vec<Quota>,
-    known: u32,
-    wide: Vec<WideSlice>,
-    /// What the log says of counts, for the next office of one that holds them all.
+    fleet_size: u32,
+    oversized_slices: Vec<OversizedSlice>,
+    /// Committed floors of counters, used when this process next becomes the holder of all counters.
     floors: BTreeMap<String, u32>,
     faults: Faults,
 }
 
 impl QuotaService {
-    /// The office of a process that holds nothing yet.
-    pub fn new(me: &str) -> Self {
+    /// Creates a service that holds no counters yet.
+    pub fn new(name: &str) -> Self {
         Self {
-            me: me.to_owned(),
+            name: name.to_owned(),
             assignment: HolderAssignment::default(),
             lease_until: 0.0,
             holder: None,
             quotas: Vec::new(),
-            known: 1,
-            wide: Vec::new(),
+            fleet_size: 1,
+            oversized_slices: Vec::new(),
             floors: BTreeMap::new(),
             faults: Faults::default(),
         }
     }
 
     #[doc(hidden)]
-    pub fn plant(&mut self, faults: Faults) {
+    pub fn inject_faults(&mut self, faults: Faults) {
         self.faults = faults;
     }
 
-    /// What the log says of counts, before an office that holds all of them is taken.
-    pub fn floors(&mut self, floors: BTreeMap<String, u32>) {
+    /// Sets the committed floors of the replicated log. To be called before an assignment that gives this process all
+    /// counters.
+    pub fn set_floors(&mut self, floors: BTreeMap<String, u32>) {
         self.floors = floors;
     }
 
-    /// See [`QuotaHolder::presses`].
-    pub fn presses(&self) -> bool {
-        self.holder.as_ref().is_some_and(QuotaHolder::presses)
+    /// See [`QuotaHolder::needs_lower_floor`].
+    pub fn needs_lower_floor(&self) -> bool {
+        self.holder.as_ref().is_some_and(QuotaHolder::needs_lower_floor)
     }
 
-    /// See [`QuotaHolder::floors_wanted`].
-    pub fn floors_wanted(&mut self, now: Millis) -> Vec<(String, u32)> {
-        self.holder.as_mut().map(|holder| holder.floors_wanted(now)).unwrap_or_default()
+    /// See [`QuotaHolder::propose_floors`].
+    pub fn propose_floors(&mut self, now: Millis) -> Vec<(String, u32)> {
+        self.holder.as_mut().map(|holder| holder.propose_floors(now)).unwrap_or_default()
     }
 
-    /// See [`QuotaHolder::decided`].
-    pub fn decided(&mut self) {
-        self.holder.iter_mut().for_each(QuotaHolder::decided);
+    /// See [`QuotaHolder::commit_floors`].
+    pub fn commit_floors(&mut self) {
+        self.holder.iter_mut().for_each(QuotaHolder::commit_floors);
     }
 
-    /// The newest assignment that this process has taken.
+    /// The newest assignment that was applied.
     pub fn assignment(&self) -> &HolderAssignment {
         &self.assignment
     }
 
-    /// The counts, if this process has any.
+    /// The holder with its counters, if this process is a holder.
     pub fn holder(&self) -> Option<&QuotaHolder> {
         self.holder.as_ref()
     }
 
-    /// Takes an assignment; older ones and the present one change nothing. Counts that go to others are given up at
-    /// once; what their new holders are to be told comes back, with their names. `first` says that no holder was there
-    /// before in the life of the fleet.
-    pub fn assume(
-        &mut self, now: Millis, assignment: &HolderAssignment, first: bool,
+    /// Applies an assignment; the current assignment and older ones are ignored. Counters of tenants that move to
+    /// other holders are given up at once. Returns the handovers to send, with the names of the new holders.
+    /// `first_holder` means that the fleet never had a holder before.
+    pub fn apply_assignment(
+        &mut self, now: Millis, assignment: &HolderAssignment, first_holder: bool,
     ) -> Vec<(String, Handover)> {
         if assignment.epoch <= self.assignment.epoch {
             return Vec::new();
         }
-        let follows = assignment.epoch.follows(self.assignment.epoch);
+        let is_next = assignment.epoch.follows(self.assignment.epoch);
         self.assignment = assignment.clone();
-        let mut told = Vec::new();
-        // Whoever missed an assignment may have lost a count in it and got it back: it starts anew with all of them.
-        let mut holder = self.holder.take().filter(|_| follows);
+        let mut handovers = Vec::new();
+        // After a missed assignment, a counter may have moved away and back, so the holder starts again with new
+        // counters.
+        let mut holder = self.holder.take().filter(|_| is_next);
         if let Some(holder) = &mut holder {
-            told = self.give_up(now, holder);
+            handovers = self.release_counters(now, holder);
         }
-        if !assignment.has(&self.me) {
-            return told;
+        if !assignment.contains(&self.name) {
+            return handovers;
         }
-        // Leases of an older term have ended before another leader could be elected; those of this term's former
-        // assignment have not.
-        let shut = if assignment.epoch.number == 1 || self.faults.opens_at_once { 0.0 } else { LEASE_MOST };
-        let opens = first && assignment.epoch.number == 1 || self.faults.opens_at_once;
+        // Leases of an older term expired before the new leader was elected. Leases of this term's previous
+        // assignment may still be valid.
+        let closed_for =
+            if assignment.epoch.number == 1 || self.faults.skips_handover { 0.0 } else { MAX_DEPUTY_LEASE };
+        let starts_open = first_holder && assignment.epoch.number == 1 || self.faults.skips_handover;
         let mut holder = match holder {
             Some(mut holder) => {
-                holder.goes_on(now, assignment.epoch, shut);
+                holder.apply_assignment(now, assignment.epoch, closed_for);
                 holder
             }
-            None => QuotaHolder::start(assignment.epoch, opens, now, shut),
+            None => QuotaHolder::start(assignment.epoch, starts_open, now, closed_for),
         };
-        if self.faults.opens_at_once {
-            holder.opens_at_once();
+        if self.faults.skips_handover {
+            holder.open_immediately();
         }
-        holder.floors(std::mem::take(&mut self.floors));
-        holder.fleet(now, self.known);
-        holder.wide_slices(&self.wide);
-        holder.quotas(now, &self.mine());
+        holder.set_floors(std::mem::take(&mut self.floors));
+        holder.set_fleet_size(now, self.fleet_size);
+        holder.set_oversized_slices(&self.oversized_slices);
+        holder.set_quotas(now, &self.own_quotas());
         self.holder = Some(holder);
-        told
+        handovers
     }
 
-    fn give_up(&self, now: Millis, holder: &mut QuotaHolder) -> Vec<(String, Handover)> {
-        let mut told: Vec<(String, Handover)> = Vec::new();
-        for count in holder.give_up(now, |tenant| self.assignment.holder_of(tenant) == Some(&self.me)) {
-            let Some(to) = self.assignment.holder_of(&count.tenant) else { continue };
-            if let Some((_, handover)) = told.iter_mut().find(|(name, _)| name == to) {
-                handover.counts.push(count);
+    fn release_counters(&self, now: Millis, holder: &mut QuotaHolder) -> Vec<(String, Handover)> {
+        let mut handovers: Vec<(String, Handover)> = Vec::new();
+        for counter in
+            holder.release_counters(now, |tenant| self.assignment.holder_of(tenant) == Some(&self.name))
+        {
+            let Some(new_holder) = self.assignment.holder_of(&counter.tenant) else { continue };
+            if let Some((_, handover)) = handovers.iter_mut().find(|(name, _)| name == new_holder) {
+                handover.counters.push(counter);
             } else {
-                let (assignment, heard) = (self.assignment.clone(), holder.heard_ago(now));
-                told.push((to.to_owned(), Handover { assignment, heard, counts: vec![count] }));
+                let (assignment, contact_ages) = (self.assignment.clone(), holder.contact_ages(now));
+                handovers.push((
+                    new_holder.to_owned(),
+                    Handover { assignment, contact_ages, counters: vec![counter] },
+                ));
             }
         }
-        told
+        handovers
     }
 
-    /// A former holder's word on counts that are this one's now. What this one gives up by the same assignment, if it
-    /// had not heard of it, comes back as from `assume`.
-    pub fn handed(&mut self, now: Millis, handover: Handover) -> Vec<(String, Handover)> {
-        let told = self.assume(now, &handover.assignment, false);
+    /// Applies the handover of counters that now belong to this process. The handover may carry an assignment that is
+    /// new here. Returns the handovers to send, as `apply_assignment` does.
+    pub fn accept_handover(&mut self, now: Millis, handover: Handover) -> Vec<(String, Handover)> {
+        let handovers = self.apply_assignment(now, &handover.assignment, false);
         if handover.assignment.epoch == self.assignment.epoch
             && let Some(holder) = &mut self.holder
         {
-            holder.take_over(now, handover);
+            holder.accept_handover(now, handover);
         }
-        told
+        handovers
     }
 
-    /// The lease lasts until then: the leader's own that of its log, a deputy's what the leader extended to it, counted
-    /// from when it asked.
-    pub fn lease(&mut self, until: Millis) {
+    /// Sets the end of the lease. The leader's lease is that of its replicated log; a deputy's lease is granted by
+    /// the leader and counted from when the deputy requested it.
+    pub fn set_lease(&mut self, until: Millis) {
         self.lease_until = until;
     }
 
-    /// When the lease ends.
+    /// End of the lease.
     pub fn lease_until(&self) -> Millis {
         self.lease_until
     }
 
-    /// The office is over: another term begins, or this process leads no more.
+    /// Stops holding counters: another term starts, or this process is no longer the leader.
     pub fn resign(&mut self) {
         self.holder = None;
         self.lease_until = 0.0;
     }
 
-    /// Takes a configuration.
-    pub fn quotas(&mut self, now: Millis, quotas: Vec<Quota>) {
+    /// Applies a configuration.
+    pub fn set_quotas(&mut self, now: Millis, quotas: Vec<Quota>) {
         self.quotas = quotas;
-        let mine = self.mine();
+        let own = self.own_quotas();
         if let Some(holder) = &mut self.holder {
-            holder.quotas(now, &mine);
+            holder.set_quotas(now, &own);
         }
     }
 
-    fn mine(&self) -> Vec<Quota> {
-        let mine = |quota: &&Quota| self.assignment.holder_of(&quota.tenant) == Some(&self.me);
-        self.quotas.iter().filter(mine).cloned().collect()
+    fn own_quotas(&self) -> Vec<Quota> {
+        let own = |quota: &&Quota| self.assignment.holder_of(&quota.tenant) == Some(&self.name);
+        self.quotas.iter().filter(own).cloned().collect()
     }
 
-    /// Takes the number of gateways in all.
-    pub fn fleet(&mut self, now: Millis, known: u32) {
-        self.known = known;
+    /// Sets the number of gateways.
+    pub fn set_fleet_size(&mut self, now: Millis, fleet_size: u32) {
+        self.fleet_size = fleet_size;
         if let Some(holder) = &mut self.holder {
-            holder.fleet(now, known);
+            holder.set_fleet_size(now, fleet_size);
         }
     }
 
-    /// Takes the gateways that may divide their slices by fewer than there are; see [`QuotaHolder::wide_slices`].
-    pub fn wide_slices(&mut self, wide: Vec<WideSlice>) {
-        if wide == self.wide {
+    /// Sets the gateways that may have oversized fallback slices; see [`QuotaHolder::set_oversized_slices`].
+    pub fn set_oversized_slices(&mut self, oversized_slices: Vec<OversizedSlice>) {
+        if oversized_slices == self.oversized_slices {
             return;
         }
-        self.wide = wide;
-        self.holder.iter_mut().for_each(|holder| holder.wide_slices(&self.wide));
+        self.oversized_slices = oversized_slices;
+        self.holder.iter_mut().for_each(|holder| holder.set_oversized_slices(&self.oversized_slices));
     }
 
-    /// A gateway was heard otherwise than by a draw; it knows the assignment of that epoch.
-    pub fn heard(&mut self, now: Millis, gateway: &str, epoch: Epoch) {
+    /// Records contact with a gateway other than by a lease request. `epoch` is that of the newest assignment known
+    /// to the gateway.
+    pub fn record_contact(&mut self, now: Millis, gateway: &str, epoch: Epoch) {
         if let Some(holder) = &mut self.holder
             && (epoch >= holder.epoch() || holder.epoch().number <= 1)
         {
-            holder.heard(now, gateway);
+            holder.record_contact(now, gateway);
         }
     }
 
-    /// A gateway has said that it ended; see [`QuotaHolder::left`].
-    pub fn left(&mut self, gateway: &str) {
-        self.holder.iter_mut().for_each(|holder| holder.left(gateway));
+    /// Removes a gateway that has shut down; see [`QuotaHolder::remove_gateway`].
+    pub fn remove_gateway(&mut self, gateway: &str) {
+        self.holder.iter_mut().for_each(|holder| holder.remove_gateway(gateway));
     }
 
-    /// Whether it may grant.
-    pub fn is_open(&self, now: Millis) -> bool {
-        self.holder.is_some() && (now < self.lease_until || self.faults.outlives_lease)
+    /// Whether this process is a holder with a valid lease.
+    pub fn may_grant(&self, now: Millis) -> bool {
+        self.holder.is_some() && (now < self.lease_until || self.faults.grants_after_lease)
     }
 
-    /// Whether it would grant units of a tenant.
-    pub fn holds(&self, now: Millis, tenant: &str) -> bool {
-        self.is_open(now) && self.holder.as_ref().is_some_and(|holder| holder.is_open(now, tenant))
+    /// Whether units of a tenant may be granted now.
+    pub fn may_grant_for(&self, now: Millis, tenant: &str) -> bool {
+        self.may_grant(now) && self.holder.as_ref().is_some_and(|holder| holder.is_open(now, tenant))
     }
 
-    /// Answers a gateway's draw; nothing while it may not grant.
-    pub fn draw(&mut self, now: Millis, gateway: &str, draw: &LeaseRequest) -> Option<Grant> {
-        let open = self.is_open(now);
+    /// Answers a gateway's lease request. Returns `None` if this process may not grant units.
+    pub fn handle_request(&mut self, now: Millis, gateway: &str, request: &LeaseRequest) -> Option<Grant> {
+        let may_grant = self.may_grant(now);
         let holder = self.holder.as_mut()?;
-        if open {
-            return Some(holder.draw(now, gateway, draw));
+        if may_grant {
+            return Some(holder.handle_request(now, gateway, request));
         }
-        // Gateways may hear of a new holder before its first lease is there.
-        holder.is_fresh(now).then(|| holder.put_off(draw))
+        // Gateways may learn of a new holder before the holder receives its first lease.
+        holder.awaits_handover(now).then(|| holder.defer(request))
     }
 }
