--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,6 +1,6 @@
 //! All decisions of a gateway. Its interface (settings, events, actions) is in `src/interface.rs`.
-//! A request passes three gates: its customer's quota (`Customer`, a lease cache on a shared window count),
-//! its open cap, and a backend with room (`Backend`). What cannot pass yet waits a share of its aim.
+//! A request passes three gates: its customer's quota (`Customer`: units leased from a shared counter), the
+//! customer's concurrency cap, and a backend below its in-flight limit (`Backend`).
 
 mod backends;
 mod counter;
@@ -14,16 +14,16 @@
 use std::collections::{BTreeMap, VecDeque};
 use {backends::*, quota::*, requests::*};
 
-/// Time between housekeeping rounds, in ms: short beside any aim.
-const SWEEP: Millis = 25.0;
-const SWEEP_TOKEN: u64 = 1;
-const ENDING_TOKEN: u64 = 3;
+/// Time between housekeeping rounds, in ms: short compared with any latency target.
+const HOUSEKEEPING_INTERVAL: Millis = 25.0;
+const HOUSEKEEPING_TOKEN: u64 = 1;
+const SHUTDOWN_TOKEN: u64 = 3;
 
 fn hash(text: &str) -> u64 {
     mix(text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)))
 }
 
-fn unit(x: u64) -> f64 {
+fn unit_interval(x: u64) -> f64 {
     (mix(x) >> 11) as f64 / (1u64 << 53) as f64
 }
 
@@ -39,75 +39,83 @@
     zone: Name,
     cell: u64,
     state: BackendState,
-    /// Taken out by operators, and when they last gave it back: a restart may lie in between.
     detached: bool,
+    /// When operators last put it back into use; it may have been restarted meanwhile.
     returned: Option<Millis>,
     started: Option<Millis>,
-    /// When it was last sent something, and when it last answered anything.
+    /// When this gateway last sent an attempt to it, and when it last answered one.
     sent: Millis,
-    heard: Millis,
+    #[serde(rename = "heard")]
+    answered_at: Millis,
     #[serde(skip)]
-    out: u32,
-    /// How many this gateway keeps out here at most.
-    room: f64,
-    /// Room never falls below this.
-    least: f64,
+    in_flight: u32,
+    /// The most attempts in flight from this gateway; follows latencies, but never below `min_limit`.
+    #[serde(rename = "room")]
+    limit: f64,
+    #[serde(rename = "least")]
+    min_limit: f64,
     failures: u32,
     eject_until: Millis,
-    /// One of the few that this gateway of many keeps to.
-    own: bool,
-    /// What a pick asks of every backend: the hash of its name, and whether it is in the gateway's zone.
+    #[serde(rename = "own")]
+    preferred: bool,
     #[serde(skip)]
-    salt: u64,
+    name_hash: u64,
     #[serde(skip)]
-    near: bool,
+    same_zone: bool,
 }
 
-/// One customer as this gateway knows it.
 #[derive(Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 struct Customer {
     plan: usize,
+    /// How many gateways serve the customer, and this gateway's place among them.
     spread: f64,
     place: u32,
     salt: u64,
     window: u64,
-    /// Units of the block in hand; they end with the window.
+    /// Leased units that are not yet spent; they expire with the window.
     lease: f64,
-    /// What this gateway has added to the window's count in all, and the last total heard of it.
+    /// What this gateway has added to the window's count, and the last total received of that count.
     added: f64,
-    seen: f64,
-    /// What the customer's store holds by all totals heard; between them it fills at the rate.
-    store: f64,
-    store_at: Millis,
+    #[serde(rename = "seen")]
+    last_total: f64,
+    /// The customer's token bucket by all totals received; refilled at the plan's rate in between.
+    #[serde(rename = "store")]
+    tokens: f64,
+    #[serde(rename = "store_at")]
+    tokens_at: Millis,
+    /// Whether any total has been received.
     known: bool,
-    heard: Millis,
-    /// Used but not yet added, or to be given back (negative).
-    owed: f64,
-    /// The call out: its window, block, and what was owed.
+    #[serde(rename = "heard")]
+    last_total_at: Millis,
+    /// Units spent but not yet added to the count; a negative debt is still to be given back to the count.
+    #[serde(rename = "owed")]
+    debt: f64,
+    /// The counter call in progress: its window, the requested lease, and the debt that it reports.
     #[serde(skip)]
     call: Option<(u64, f64, f64)>,
-    /// Calls on the window's count that got no answer: block, what was owed, when they were given up.
+    /// Calls on the window's count that timed out: requested lease, reported debt, time of the timeout.
     #[serde(skip)]
-    doubts: Vec<(f64, f64, Millis)>,
+    unanswered: Vec<(f64, f64, Millis)>,
     #[serde(skip)]
     waiting: VecDeque<RequestId>,
     demand: f64,
     demand_at: Millis,
-    /// One of many that was told that the quota is spent asks again from then on only.
-    ask_from: Millis,
-    /// This gateway's even slice of the store, spent while the counter is silent.
+    /// In a large fleet, no counter call before this time once the quota is known to be spent.
+    #[serde(rename = "ask_from")]
+    next_call_at: Millis,
+    /// This gateway's even share of the tokens, spent while the counter is silent, and its last refill time.
     slice: Option<(f64, Millis)>,
     #[serde(skip)]
-    open: u32,
+    in_flight: u32,
 }
 
 #[derive(Clone, Copy, Default, PartialEq)]
 enum Stage {
     #[default]
-    Block,
-    Queue,
-    Out,
+    AwaitingLease,
+    Queued,
+    Sent,
 }
 
 #[derive(Default)]
@@ -116,34 +124,34 @@
     plan: usize,
     class: usize,
     units: f64,
-    /// Let in without a total of its customer; the client has asked for the same before.
-    blind: bool,
+    /// Admitted without a total of its customer's count.
+    unverified: bool,
     repeat: bool,
     arrived: Millis,
-    /// Its answer leaves by then, a little before its client gives up.
+    /// When its answer has to leave: a little before the client gives up.
     answer_by: Millis,
-    /// When it first asked for a backend.
-    placed: Option<Millis>,
+    admitted_at: Option<Millis>,
     hold_until: Millis,
     stage: Stage,
     attempts: u32,
     may_have_run: Option<(Millis, Name)>,
-    /// Its body is gone: there is no further attempt.
-    spent: bool,
+    /// Part of the body is lost with an attempt, so that no further attempt is possible.
+    body_consumed: bool,
     sent_at: Millis,
     sent_to: Option<Name>,
 }
 
-/// What a process leaves to the one that takes over from it under the same name: blocks, totals and what it
-/// has learned. Whatever is out stays with the process that sent it.
+/// Leases, totals and learned values for a successor process. Attempts in flight stay with their process.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HandoverState {
     customers: BTreeMap<Name, Customer>,
     backends: BTreeMap<Name, Backend>,
-    plan_room: Vec<f64>,
+    #[serde(rename = "plan_room")]
+    plan_odds: Vec<f64>,
     class_latency: Vec<f64>,
-    ease: f64,
+    #[serde(rename = "ease")]
+    call_share: f64,
     late: f64,
 }
 
@@ -158,26 +166,25 @@
     requests: BTreeMap<RequestId, Request>,
     queue: VecDeque<RequestId>,
     calls: BTreeMap<u64, Name>,
-    /// Counts on which calls got no answer, and whose they are.
-    unanswered: BTreeMap<u64, Name>,
-    /// The share of the calls wanted that the counter can bear, by how fast it answers.
-    ease: f64,
-    /// The share of first totals with room left, for each plan.
-    plan_room: Vec<f64>,
-    silences: u32,
-    back_at: Millis,
-    counter_heard: Millis,
-    told_silent: bool,
+    /// Counts with calls that timed out, and the customer of each.
+    lost_calls: BTreeMap<u64, Name>,
+    /// The share of wanted counter calls that are made; falls while the counter replies slowly.
+    call_share: f64,
+    /// For each plan, the share of customers whose first total leaves room for a request.
+    plan_odds: Vec<f64>,
+    failed_calls: u32,
+    counter_back_at: Millis,
+    last_counter_reply: Millis,
+    silence_logged: bool,
     class_latency: Vec<f64>,
-    class_seen: Vec<f64>,
+    class_answers: Vec<f64>,
+    /// Share of late answers of all backends, smoothed.
     late: f64,
-    sweeping: bool,
-    /// Further tries that may still be made.
-    retries: f64,
+    started_up: bool,
+    retry_budget: f64,
     too_late: u64,
     retries_denied: u64,
-    /// When the process ends.
-    ends: Option<Millis>,
+    shutdown_at: Option<Millis>,
 }
 
 impl Gateway {
@@ -188,18 +195,18 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         check(&settings)?;
         let class_latency = vec![0.0; settings.classes.len()];
-        let class_seen = class_latency.clone();
-        let plan_room = vec![1.0; settings.plans.len()];
-        let (random, retries) = (mix(seed | 1), retry_most(&settings));
-        let learned = Self { plan_room, class_latency, class_seen, ..Self::default() };
-        Ok(Self { settings, random, ease: 1.0, retries, ..learned })
+        let class_answers = class_latency.clone();
+        let plan_odds = vec![1.0; settings.plans.len()];
+        let (random, retry_budget) = (mix(seed | 1), max_retry_budget(&settings));
+        let learned = Self { plan_odds, class_latency, class_answers, ..Self::default() };
+        Ok(Self { settings, random, call_share: 1.0, retry_budget, ..learned })
     }
 
-    /// Takes one event at a time and appends what the host is to do.
+    /// Handles one event and appends the actions that the host has to carry out.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if !std::mem::replace(&mut self.sweeping, true) {
-            out.push(Action::SetTimer { after: SWEEP, token: SWEEP_TOKEN });
+        if !std::mem::replace(&mut self.started_up, true) {
+            out.push(Action::SetTimer { after: HOUSEKEEPING_INTERVAL, token: HOUSEKEEPING_TOKEN });
             if self.settings.list_on_request {
                 out.push(Action::WatchBackends);
             }
@@ -210,108 +217,108 @@
             Event::BackendListFailed => out.push(Action::WatchBackends),
             Event::Request(arrival) => self.on_request(arrival, out),
             Event::AttemptEnded(end) => {
-                self.on_backend(&end, out);
-                self.on_attempt(end, out);
+                self.record_outcome(&end, out);
+                self.on_attempt_ended(end, out);
                 self.drain_queue(out);
             }
             Event::Detach { backend } => self.on_detach(backend, true, out),
             Event::Attach { backend } => self.on_detach(backend, false, out),
-            Event::HealthReport { backend, down } => self.on_word(&backend, down, out),
-            Event::ClientLeft { id } => self.forget(id),
-            Event::ShuttingDown { deadline } => self.on_ending(deadline, out),
-            Event::Timer { token: SWEEP_TOKEN } => self.on_sweep(out),
-            Event::Timer { token: ENDING_TOKEN } => self.on_end(out),
-            Event::Timer { token } => self.on_hold_over(token / 2, out),
+            Event::HealthReport { backend, down } => self.on_health_report(&backend, down, out),
+            Event::ClientLeft { id } => self.remove_request(id),
+            Event::ShuttingDown { deadline } => self.on_shutdown(deadline, out),
+            Event::Timer { token: HOUSEKEEPING_TOKEN } => self.on_housekeeping(out),
+            Event::Timer { token: SHUTDOWN_TOKEN } => self.on_shutdown_deadline(out),
+            Event::Timer { token } => self.on_hold_timeout(token / 2, out),
             Event::Counted { name, outcome, latency } => self.on_counted(name, outcome, latency, out),
             Event::PeerMessage { .. } | Event::StreamStarted { .. } | Event::ProbeEnded { .. } => {}
         }
     }
 
-    /// Hands everything that can be used once over to another process. What still comes here finds no block
-    /// and no slice in hand: the two are one gateway for every quota.
+    /// Hands leases and slices over to another process: both together spend the quota share of one gateway.
     pub fn hand_over(&mut self) -> HandoverState {
         let customers = self.customers.clone();
         for customer in self.customers.values_mut() {
-            (customer.lease, customer.owed, customer.added) = (0.0, 0.0, 0.0);
+            (customer.lease, customer.debt, customer.added) = (0.0, 0.0, 0.0);
             customer.slice = Some((0.0, self.now));
         }
-        let (backends, plan_room) = (self.backends.clone(), self.plan_room.clone());
-        let (class_latency, ease, late) = (self.class_latency.clone(), self.ease, self.late);
-        HandoverState { customers, backends, plan_room, class_latency, ease, late }
+        let (backends, plan_odds) = (self.backends.clone(), self.plan_odds.clone());
+        let (class_latency, call_share, late) = (self.class_latency.clone(), self.call_share, self.late);
+        HandoverState { customers, backends, plan_odds, class_latency, call_share, late }
     }
 
     /// Continues from another process's state and clock. The host sends the operators' detachments again.
-    pub fn take_over(&mut self, estate: HandoverState, now: Millis) {
+    pub fn take_over(&mut self, state: HandoverState, now: Millis) {
         self.now = now;
-        let HandoverState { mut customers, backends, plan_room, class_latency, ease, late } = estate;
+        let HandoverState { mut customers, backends, plan_odds, class_latency, call_share, late } = state;
         customers.retain(|_, customer| customer.plan < self.settings.plans.len());
         (self.customers, self.late) = (customers, late);
-        self.ease = ease.clamp(EASE_LEAST, 1.0);
+        self.call_share = call_share.clamp(MIN_CALL_SHARE, 1.0);
         self.backends = backends;
         for (name, backend) in &mut self.backends {
-            (backend.detached, backend.salt) = (false, hash(name));
-            backend.near = backend.zone == self.settings.zone;
+            (backend.detached, backend.name_hash) = (false, hash(name));
+            backend.same_zone = backend.zone == self.settings.zone;
         }
-        if plan_room.len() == self.plan_room.len() {
-            self.plan_room = plan_room;
+        if plan_odds.len() == self.plan_odds.len() {
+            self.plan_odds = plan_odds;
         }
         if class_latency.len() == self.class_latency.len() {
             self.class_latency = class_latency;
-            self.class_seen.fill(1.0 / USUAL_WEIGHT);
+            self.class_answers.fill(1.0 / LATENCY_WEIGHT);
         }
     }
 
-    /// Whether each gateway sees too little of a backend: choice goes by chance then, and the fleet's state
-    /// shows in all answers together.
-    fn many(&self) -> bool {
-        ROOM_FIRST < ROOM_LEAST * f64::from(self.settings.gateways)
+    /// Whether the fleet is so large that one gateway sees too few answers of each backend. Backends are then
+    /// chosen at random, and the state of the fleet is estimated from the answers of all backends together.
+    fn large_fleet(&self) -> bool {
+        INITIAL_LIMIT < MIN_LIMIT * f64::from(self.settings.gateways)
     }
 
-    /// Load shedding in a large fleet: the share of fresh requests to admit falls as more answers are late.
-    fn take(&self) -> f64 {
-        (1.0 - TAKE_SLOPE * (self.late - ROOM_LATE)).clamp(TAKE_LEAST, 1.0)
+    /// Load shedding against overload of any cause: the share of fresh requests that a large fleet admits.
+    fn admit_share(&self) -> f64 {
+        (1.0 - SHED_SLOPE * (self.late - LATE_TARGET)).clamp(MIN_ADMIT_SHARE, 1.0)
     }
 
-    fn taken(&mut self, class: usize, blind: bool) -> bool {
-        self.late *= 1.0 - NEWEST * NEWEST;
+    /// Decides by chance whether load shedding admits a fresh request; a class of low worth is shed first.
+    fn admits_fresh(&mut self, class: usize, unverified: bool) -> bool {
+        self.late *= 1.0 - NEWEST_WEIGHT * NEWEST_WEIGHT;
         let classes = &self.settings.classes;
         let mean = classes.iter().map(|c| c.worth).sum::<f64>() / classes.len() as f64;
-        let rank = mean / classes[class].worth.max(1e-9) * if blind { BLIND_RANK } else { 1.0 };
-        let share = self.take().powf(rank);
-        !self.many() || self.chance() < share
+        let rank = mean / classes[class].worth.max(1e-9) * if unverified { UNVERIFIED_FACTOR } else { 1.0 };
+        let share = self.admit_share().powf(rank);
+        !self.large_fleet() || self.chance() < share
     }
 
     fn chance(&mut self) -> f64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        unit(self.random)
+        unit_interval(self.random)
     }
 
-    fn on_sweep(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::SetTimer { after: SWEEP, token: SWEEP_TOKEN });
+    fn on_housekeeping(&mut self, out: &mut Vec<Action>) {
+        out.push(Action::SetTimer { after: HOUSEKEEPING_INTERVAL, token: HOUSEKEEPING_TOKEN });
         let now = self.now;
-        let mut asking = Vec::new();
+        let mut callers = Vec::new();
         let plans = &self.settings.plans;
         let customers = &self.customers;
-        self.unanswered.retain(|_, name| customers.get(name).is_some_and(|c| !c.doubts.is_empty()));
+        self.lost_calls.retain(|_, name| customers.get(name).is_some_and(|c| !c.unanswered.is_empty()));
         self.customers.retain(|name, customer| {
             let plan = &plans[customer.plan];
-            let (idle, turn) = (now - customer.demand_at, Customer::turn(plan));
-            customer.roll(now, plan);
-            let scarce = customer.store < plan.burst * NEAR_SHARE;
-            if scarce && idle > turn * BLOCK_SHARE && customer.lease >= 1.0 {
+            let (idle, window_length) = (now - customer.demand_at, Customer::window_length(plan));
+            customer.roll_window(now, plan);
+            let scarce = customer.tokens < plan.burst * SCARCE_SHARE;
+            if scarce && idle > window_length * LEASE_SHARE && customer.lease >= 1.0 {
                 let lease = std::mem::take(&mut customer.lease);
-                (customer.owed, customer.store) = (customer.owed - lease, customer.store + lease);
+                (customer.debt, customer.tokens) = (customer.debt - lease, customer.tokens + lease);
             }
-            let owes = !customer.thin(plan) && customer.owed.abs() >= (plan.burst * BLOCK_SHARE).max(1.0);
-            if customer.call.is_none() && (owes || !customer.waiting.is_empty()) {
-                asking.push(name.clone());
+            let due = !customer.sampled(plan) && customer.debt.abs() >= (plan.burst * LEASE_SHARE).max(1.0);
+            if customer.call.is_none() && (due || !customer.waiting.is_empty()) {
+                callers.push(name.clone());
             }
-            let busy = customer.call.is_some() || customer.open > 0 || !customer.waiting.is_empty();
-            busy || idle < turn * IDLE_TURNS
+            let busy = customer.call.is_some() || customer.in_flight > 0 || !customer.waiting.is_empty();
+            busy || idle < window_length * IDLE_WINDOWS
         });
         if !self.counter_silent() {
-            for name in asking {
-                self.ask(&name, out);
+            for name in callers {
+                self.call_counter(&name, out);
             }
         }
         self.drain_queue(out);
--- a/src/logic/backends.rs
+++ b/src/logic/backends.rs
@@ -1,59 +1,58 @@
-//! Backends: the list, room and ejection of each, and the choice among them.
+//! Backends: the list, the in-flight limit and ejection of each, and the choice among them.
 
 use super::*;
 
-/// Weight of the newest answer in the share of late ones, and of the newest first total in a plan's odds.
-pub(super) const NEWEST: f64 = 0.1;
-/// Weight of the newest latency in the usual latency of its class.
-pub(super) const USUAL_WEIGHT: f64 = 0.02;
-/// A failure is a late answer if it took this many times the usual latency.
-pub(super) const LATE_LATENCIES: f64 = 4.0;
-/// What all gateways together keep out at one backend at first; it then follows the latencies seen.
-pub(super) const ROOM_FIRST: f64 = 3.5;
-/// Answers should come within this share of the aim; the rest is for the way, for holding, for bad luck.
-pub(super) const ROOM_SHARE: f64 = 0.6;
-/// The share of answers that may come later than that: fewer and room grows, more and it shrinks.
-pub(super) const ROOM_LATE: f64 = 0.1;
-/// By how much one answer moves room: a late one by nine tenths of this, one in time by a tenth.
-pub(super) const ROOM_STEP: f64 = 0.12;
-/// The least room at one backend for one gateway: the sum over all backends still binds.
-pub(super) const ROOM_LEAST: f64 = 0.2;
-/// Late answers beyond `ROOM_LATE` turn away this many times their share of the fresh requests, never all;
-/// those let in without a total as if they were worth `BLIND_RANK` times less.
-pub(super) const TAKE_SLOPE: f64 = 2.0;
-pub(super) const TAKE_LEAST: f64 = 0.05;
-pub(super) const BLIND_RANK: f64 = 40.0;
-/// The word of another gateway, whose duty it is to tell, holds for this share of the cold time.
-pub(super) const WORD_SHARE: f64 = 0.2;
-/// A backend that failed is tried again after this share of the cold time for each failure in a row ...
+/// Weight of the newest answer in the share of late answers, and of the newest first total in a plan's odds.
+pub(super) const NEWEST_WEIGHT: f64 = 0.1;
+/// Weight of the newest latency in the mean latency of its class.
+pub(super) const LATENCY_WEIGHT: f64 = 0.02;
+/// A failure counts as a late answer if it took this many times the mean latency.
+pub(super) const LATE_FAILURE_LATENCIES: f64 = 4.0;
+/// Initial in-flight limit of one backend over all gateways together; it then follows the latencies.
+pub(super) const INITIAL_LIMIT: f64 = 3.5;
+/// Answers are late after this share of the latency target; the rest is for the network, queues and variance.
+pub(super) const ON_TIME_SHARE: f64 = 0.6;
+/// Target share of late answers: the limit of a backend grows below this share and shrinks above it.
+pub(super) const LATE_TARGET: f64 = 0.1;
+/// How far one answer moves the limit: a late one by nine tenths of this, one in time by a tenth.
+pub(super) const LIMIT_STEP: f64 = 0.12;
+/// Least limit of one backend for one gateway; the sum of the limits of all backends applies too.
+pub(super) const MIN_LIMIT: f64 = 0.2;
+/// Late answers above `LATE_TARGET` shed this many times their share of the fresh requests, but never all.
+/// Requests admitted without a total are shed as if worth `UNVERIFIED_FACTOR` times less.
+pub(super) const SHED_SLOPE: f64 = 2.0;
+pub(super) const MIN_ADMIT_SHARE: f64 = 0.05;
+pub(super) const UNVERIFIED_FACTOR: f64 = 40.0;
+/// Another gateway's report that a backend is down holds for this share of the warm-up time.
+pub(super) const REPORT_TTL_SHARE: f64 = 0.2;
+/// Ejection time for each failure in a row, as a share of the warm-up time.
 pub(super) const EJECT_SHARE: f64 = 0.02;
-/// ... and the log tells of it at this many.
-pub(super) const EJECT_TOLD: u32 = 2;
-/// A backend in another zone looks this much slower for each point of price: prices are small, so is this.
-pub(super) const ZONE_BIAS: f64 = 5.0;
-/// One of many keeps to so many own backends, others look `STRANGE` times further: connections are few.
-pub(super) const OWN_BACKENDS: usize = 5;
-pub(super) const STRANGE: f64 = 100.0;
-/// A cold backend gets this part of its capacity's share of an even part of all sends. Warm ones are not sent
-/// more than they can do, so all gateways together stay under the multiple that fells it.
-pub(super) const COLD_MULTIPLE: f64 = 0.8;
-/// Of many a cold one gets as much for its capacity as a warm one, at most this part of what fells it.
-pub(super) const COLD_PART_MANY: f64 = 0.5;
-/// A backend that operators gave back gets its first request after this many ms at the latest.
-pub(super) const UNUSED_MOST: Millis = 2500.0;
+/// An ejection is logged and reported at this many failures in a row.
+pub(super) const REPORT_AT: u32 = 2;
+/// A backend in another zone scores this much worse for each point of the cross-zone price; prices are small.
+pub(super) const CROSS_ZONE_BIAS: f64 = 5.0;
+/// In a large fleet a gateway prefers this many backends, to have few connections; others score worse.
+pub(super) const PREFERRED_BACKENDS: usize = 5;
+pub(super) const NON_PREFERRED_FACTOR: f64 = 100.0;
+/// A cold backend gets this part of its capacity's share of an even load. Warm backends get no more than
+/// their capacity, so all gateways together stay below the factor that overloads the cold one.
+pub(super) const COLD_LOAD: f64 = 0.8;
+/// In a large fleet a cold backend is loaded like a warm one, up to this part of the overload factor.
+pub(super) const COLD_LOAD_LARGE_FLEET: f64 = 0.5;
+/// A backend that operators put back into use gets its first request within this time, in ms.
+pub(super) const MAX_UNUSED_AFTER_ATTACH: Millis = 2500.0;
 
 impl Backend {
-    /// Bounds what is out so that most answers keep to their aim: room follows the share of late answers.
-    /// Guards against overload of any cause; it needs no figure of the backend's size.
+    /// Keeps late answers at `LATE_TARGET`. Guards against overload of any cause, without a known capacity.
     pub(super) fn note_latency(&mut self, late: bool) {
-        let used = f64::from(self.out) + 1.0 >= self.room.floor();
+        let used = f64::from(self.in_flight) + 1.0 >= self.limit.floor();
         if late || used {
-            let step = ROOM_STEP * (ROOM_LATE - f64::from(u8::from(late)));
-            self.room = (self.room * (1.0 + step)).max(ROOM_LEAST.max(self.least));
+            let step = LIMIT_STEP * (LATE_TARGET - f64::from(u8::from(late)));
+            self.limit = (self.limit * (1.0 + step)).max(MIN_LIMIT.max(self.min_limit));
         }
     }
 
-    pub(super) fn judged(&self, name: &Name, down: bool) -> Action {
+    pub(super) fn health_observed(&self, name: &Name, down: bool) -> Action {
         Action::HealthObserved { backend: name.clone(), zone: self.zone.clone(), down }
     }
 
@@ -61,23 +60,22 @@
         self.state == BackendState::Ready && !self.detached
     }
 
-    /// The share of its capacity that a backend surely has by now: it rises at least evenly.
-    pub(super) fn warmth(&self, now: Millis, settings: &Settings) -> f64 {
+    /// The least share of its capacity that a backend has by now; the share grows at least linearly.
+    pub(super) fn warm_capacity(&self, now: Millis, settings: &Settings) -> f64 {
         let starts = [self.started, self.returned].into_iter().flatten();
         let Some(started) = starts.reduce(f64::max) else { return 1.0 };
         let age = ((now - started) / settings.warmup_time.max(1.0)).clamp(0.0, 1.0);
         settings.cold_capacity + (1.0 - settings.cold_capacity) * age
     }
 
-    /// Guards against dead, stalled and failing backends, which show in outcomes long before the list does:
-    /// one that fails at once looks free and would draw the more. Nothing is sent for as long again as the
-    /// failure took, where calling off stops no work what was given up still has to be worked through, and
-    /// longer with each failure in a row.
-    pub(super) fn failed(&mut self, now: Millis, latency: Millis, settings: &Settings) -> bool {
+    /// Ejects the backend after a failure. Outcomes reveal dead, stalled and failing backends long before the
+    /// list does, and a backend that fails fast looks idle and would attract load. The ejection grows with
+    /// each failure and lasts as long as the attempt did, since its work may go on after the call-off.
+    pub(super) fn note_failure(&mut self, now: Millis, latency: Millis, settings: &Settings) -> bool {
         self.failures += 1;
         let share = EJECT_SHARE * f64::from(self.failures);
         self.eject_until = now + latency.max(settings.warmup_time * share);
-        self.failures == EJECT_TOLD
+        self.failures == REPORT_AT
     }
 }
 
@@ -86,65 +84,66 @@
         if full {
             self.backends.values_mut().for_each(|b| b.state = BackendState::Gone);
         }
-        let room = ROOM_FIRST / f64::from(self.settings.gateways);
+        let base = INITIAL_LIMIT / f64::from(self.settings.gateways);
         for BackendEntry { name, zone, cell, state, started } in list {
-            let (salt, near) = (hash(&name), zone == self.settings.zone);
+            let (name_hash, same_zone) = (hash(&name), zone == self.settings.zone);
             let backend = self.backends.entry(name).or_default();
-            if backend.room == 0.0 || backend.started != started {
-                let Backend { detached, returned, sent, out, least, .. } = *backend;
-                let rest = Backend { salt, near, least, sent, out, ..Backend::default() };
-                *backend = Backend { zone, cell, started, room: room.max(least), detached, returned, ..rest };
+            if backend.limit == 0.0 || backend.started != started {
+                let Backend { detached, returned, sent, in_flight, min_limit, .. } = *backend;
+                let rest = Backend { name_hash, same_zone, min_limit, sent, in_flight, ..Backend::default() };
+                *backend =
+                    Backend { zone, cell, started, limit: base.max(min_limit), detached, returned, ..rest };
             }
             backend.state = state;
         }
-        self.choose_own();
+        self.choose_preferred();
         self.drain_queue(out);
     }
 
-    /// Picks this gateway's own backends: a stretch of the list in the order of hashes, which starts where
-    /// its number lies among all gateways. So every backend is the own one of equally many, which draws of
-    /// each gateway by itself would not give, and one that comes or goes moves most by a place or none.
-    pub(super) fn choose_own(&mut self) {
-        let (number, gateways) = (self.settings.gateway_index as usize, self.settings.gateways as usize);
+    /// Selects this gateway's preferred backends: a range of the list in hash order that starts in proportion
+    /// to the gateway's index. Unlike random draws, this makes equally many gateways prefer each backend, and
+    /// a backend that is added or removed shifts most ranges by one place or none.
+    pub(super) fn choose_preferred(&mut self) {
+        let (index, gateways) = (self.settings.gateway_index as usize, self.settings.gateways as usize);
         let mut ready: Vec<_> = self.backends.iter_mut().filter(|(_, b)| b.ready()).collect();
-        ready.sort_unstable_by_key(|(_, backend)| backend.salt);
+        ready.sort_unstable_by_key(|(_, backend)| backend.name_hash);
         let count = ready.len();
-        let start = number * count / gateways.max(1);
-        for (at, (_, backend)) in ready.into_iter().enumerate() {
-            backend.own = (at + count - start) % count < OWN_BACKENDS;
+        let start = index * count / gateways.max(1);
+        for (place, (_, backend)) in ready.into_iter().enumerate() {
+            backend.preferred = (place + count - start) % count < PREFERRED_BACKENDS;
         }
     }
 
-    /// The operators' word goes before the list's, and may come before the list has named the backend. One
-    /// that comes back counts as started just now: nobody tells whether it was restarted meanwhile.
+    /// Operators override the list, and may detach a backend before the list names it. An attached backend
+    /// counts as started now, since it may have been restarted meanwhile.
     pub(super) fn on_detach(&mut self, name: Name, detached: bool, out: &mut Vec<Action>) {
-        let salt = hash(&name);
+        let name_hash = hash(&name);
         let backend = self.backends.entry(name).or_default();
-        backend.salt = salt;
+        backend.name_hash = name_hash;
         if std::mem::replace(&mut backend.detached, detached) && !detached {
-            backend.room = backend.room.min(ROOM_FIRST / f64::from(self.settings.gateways));
+            backend.limit = backend.limit.min(INITIAL_LIMIT / f64::from(self.settings.gateways));
             (backend.returned, backend.failures, backend.eject_until) = (Some(self.now), 0, self.now);
         }
-        self.choose_own();
+        self.choose_preferred();
         self.drain_queue(out);
     }
 
-    /// Another gateway, whose duty it is to tell, says that a backend is down, or answers again. Who has just
-    /// had an answer believes its own eyes, and no word takes out more than half of all.
-    pub(super) fn on_word(&mut self, name: &Name, down: bool, out: &mut Vec<Action>) {
-        let (now, holds) = (self.now, self.settings.warmup_time * WORD_SHARE);
+    /// Applies another gateway's report that a backend is down or answers again. An answer that this gateway
+    /// received recently outweighs the report, and reports never eject more than half of the backends.
+    pub(super) fn on_health_report(&mut self, name: &Name, down: bool, out: &mut Vec<Action>) {
+        let (now, ttl) = (self.now, self.settings.warmup_time * REPORT_TTL_SHARE);
         let ready = self.backends.values().filter(|b| b.ready());
-        let most = ready.clone().filter(|b| now < b.eject_until).count() * 2 >= ready.count();
+        let half_ejected = ready.clone().filter(|b| now < b.eject_until).count() * 2 >= ready.count();
         let Some(backend) = self.backends.get_mut(name) else { return };
         if !down {
             (backend.failures, backend.eject_until) = (0, now);
-        } else if !most && now > backend.heard + holds {
-            backend.eject_until = backend.eject_until.max(now + holds);
+        } else if !half_ejected && now > backend.answered_at + ttl {
+            backend.eject_until = backend.eject_until.max(now + ttl);
         }
         self.drain_queue(out);
     }
 
-    /// What the operators are shown of the backends at this time.
+    /// Figures of the backends and of denied requests, for operators.
     pub fn pool(&self, now: Millis) -> Pool {
         let listed = self.backends.values().filter(|b| b.state != BackendState::Gone);
         let ejected = listed.clone().filter(|b| b.detached || now < b.eject_until).count();
@@ -152,64 +151,64 @@
         Pool { size: listed.count(), ejected, too_late, retries_denied }
     }
 
-    pub(super) fn room(&self) -> f64 {
-        self.backends.values().filter(|b| b.ready()).map(|b| b.room).sum()
+    pub(super) fn total_limit(&self) -> f64 {
+        self.backends.values().filter(|b| b.ready()).map(|b| b.limit).sum()
     }
 
-    /// The backend that should answer first: the one with the fewest requests of this gateway, near if equal.
+    /// Chooses the backend with the fewest attempts of this gateway in flight, in the own zone if equal.
     pub(super) fn pick(&mut self, id: RequestId) -> Option<Name> {
         let request = self.requests.get(&id)?;
         let class = &self.settings.classes[request.class];
-        let tied = request.may_have_run.as_ref().filter(|_| class.idempotency == Idempotency::Keyed);
-        let home = tied.and_then(|(_, home)| self.backends.get(home));
-        let (mut out, mut room, mut ready, mut capacity) = (0.0, 0.0, 0.0, 0.0);
+        let bound = request.may_have_run.as_ref().filter(|_| class.idempotency == Idempotency::Keyed);
+        let group_backend = bound.and_then(|(_, name)| self.backends.get(name));
+        let (mut in_flight, mut limit, mut ready, mut capacity) = (0.0, 0.0, 0.0, 0.0);
         for backend in self.backends.values() {
-            out += f64::from(backend.out);
+            in_flight += f64::from(backend.in_flight);
             if backend.ready() {
-                (room, ready) = (room + backend.room, ready + 1.0);
-                capacity += backend.warmth(self.now, &self.settings);
+                (limit, ready) = (limit + backend.limit, ready + 1.0);
+                capacity += backend.warm_capacity(self.now, &self.settings);
             }
         }
-        if out >= f64::max(room, 1.0) {
+        if in_flight >= f64::max(limit, 1.0) {
             return None;
         }
         let ready = f64::max(ready, 1.0);
-        let salt = self.random;
-        let far = 1.0 + self.settings.price_cross_zone * ZONE_BIAS;
-        let many = self.many();
-        // One draw for all cold backends of many gateways: draws for each would hit several at once, and all
-        // but one of the hits be lost.
-        let mut lot = unit(mix(salt)) * ready;
-        let cold_share = if many {
-            (self.settings.overload_factor * COLD_PART_MANY).min(ready / f64::max(capacity, 1e-9))
+        let seed = self.random;
+        let zone_bias = 1.0 + self.settings.price_cross_zone * CROSS_ZONE_BIAS;
+        let large = self.large_fleet();
+        // A large fleet draws once for all cold backends: of several separate draws that win at once, all but
+        // one would be wasted.
+        let mut draw = unit_interval(mix(seed)) * ready;
+        let cold_share = if large {
+            (self.settings.overload_factor * COLD_LOAD_LARGE_FLEET).min(ready / f64::max(capacity, 1e-9))
         } else {
-            COLD_MULTIPLE * self.take()
+            COLD_LOAD * self.admit_share()
         };
         let mut best: Option<(f64, &Name)> = None;
         for (name, backend) in &self.backends {
-            let (group, zone, cell) = (class.dedup_scope, &backend.zone, backend.cell);
-            let same = |h: &Backend| if group == DedupScope::Zone { h.zone == *zone } else { h.cell == cell };
-            let in_group = group == DedupScope::All || home.is_none_or(same);
-            let full = f64::from(backend.out) >= backend.room.ceil();
-            let luck = unit(salt ^ backend.salt);
-            let warmth = backend.warmth(self.now, &self.settings);
-            // The cold budget: by chance its share of an even part, from the first ms. Guards cold backends
-            // with no agreement and no warm backend.
-            let part = if warmth < 1.0 { warmth * cold_share } else { 0.0 };
-            let missed = if many { !(0.0..part).contains(&lot) } else { luck * ready >= part };
-            lot -= part;
-            let cold = warmth < 1.0 && missed;
-            // One request is no load, and who was given back is to be seen in use again.
-            let unused = backend.returned.filter(|at| backend.sent <= *at);
-            let cold = cold && unused.is_none_or(|at| self.now < at + UNUSED_MOST);
+            let (scope, zone, cell) = (class.dedup_scope, &backend.zone, backend.cell);
+            let same = |b: &Backend| if scope == DedupScope::Zone { b.zone == *zone } else { b.cell == cell };
+            let in_group = scope == DedupScope::All || group_backend.is_none_or(same);
+            let full = f64::from(backend.in_flight) >= backend.limit.ceil();
+            let random = unit_interval(seed ^ backend.name_hash);
+            let warm = backend.warm_capacity(self.now, &self.settings);
+            // Limits a cold backend by chance to its share of the load, from the first ms. Needs no agreement
+            // among gateways and no warm backend.
+            let part = if warm < 1.0 { warm * cold_share } else { 0.0 };
+            let missed = if large { !(0.0..part).contains(&draw) } else { random * ready >= part };
+            draw -= part;
+            let cold = warm < 1.0 && missed;
+            // One request is no load, and operators expect an attached backend to be in use again soon.
+            let unused_since = backend.returned.filter(|at| backend.sent <= *at);
+            let cold = cold && unused_since.is_none_or(|at| self.now < at + MAX_UNUSED_AFTER_ATTACH);
             if !backend.ready() || !in_group || full || cold || self.now < backend.eject_until {
                 continue;
             }
-            // Among many, a draw by weight: no two gateways follow the same order.
-            let draw = if many { -luck.max(1e-12).ln() } else { 1.0 + 0.1 * luck };
-            let far = if backend.near { 1.0 } else { far };
-            let far = if backend.own || !many { far } else { far * STRANGE };
-            let score = if warmth < 1.0 { 0.0 } else { (1.0 + f64::from(backend.out)) * far * draw };
+            // A large fleet draws by weight, so that no two gateways try backends in the same order.
+            let jitter = if large { -random.max(1e-12).ln() } else { 1.0 + 0.1 * random };
+            let bias = if backend.same_zone { 1.0 } else { zone_bias };
+            let bias = if backend.preferred || !large { bias } else { bias * NON_PREFERRED_FACTOR };
+            let score = if warm < 1.0 { 0.0 } else { (1.0 + f64::from(backend.in_flight)) * bias * jitter };
             if best.is_none_or(|(s, _)| score < s) {
                 best = Some((score, name));
             }
@@ -219,43 +218,43 @@
         chosen
     }
 
-    pub(super) fn on_backend(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
+    pub(super) fn record_outcome(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
         let (now, name, latency) = (self.now, &end.backend, end.latency);
         let Some(backend) = self.backends.get_mut(name) else { return };
-        backend.out = backend.out.saturating_sub(1);
+        backend.in_flight = backend.in_flight.saturating_sub(1);
         let class = self.requests.get(&end.id).map_or(0, |r| r.class);
-        let usual = &mut self.class_latency[class];
+        let mean = &mut self.class_latency[class];
         let late = match end.outcome {
             Outcome::Served => {
-                if backend.failures >= EJECT_TOLD {
-                    out.push(Action::Log(format!("backend {name} back: it answers again")));
-                    out.push(backend.judged(name, false));
+                if backend.failures >= REPORT_AT {
+                    out.push(Action::Log(format!("backend {name} answers again")));
+                    out.push(backend.health_observed(name, false));
                 }
                 backend.failures = 0;
-                let seen = &mut self.class_seen[class];
-                *seen += 1.0;
-                *usual += (latency - *usual) * USUAL_WEIGHT.max(1.0 / *seen);
-                latency > self.settings.classes[class].latency_target * ROOM_SHARE
+                let answers = &mut self.class_answers[class];
+                *answers += 1.0;
+                *mean += (latency - *mean) * LATENCY_WEIGHT.max(1.0 / *answers);
+                latency > self.settings.classes[class].latency_target * ON_TIME_SHARE
             }
             Outcome::NeverSent => return,
-            // Its client has left; else it was called off as stalled.
+            // The client has left. With a waiting client, the attempt was called off because it stalled.
             Outcome::CalledOff if !self.requests.contains_key(&end.id) => return,
             Outcome::Full => true,
-            // A client with little time left proves nothing of the fleet, one that left nothing at all.
-            _ => latency > *usual * LATE_LATENCIES,
+            // An attempt cut short by its client's deadline says little about the fleet.
+            _ => latency > *mean * LATE_FAILURE_LATENCIES,
         };
         backend.note_latency(late);
-        self.late += NEWEST * (f64::from(u8::from(late)) - self.late);
+        self.late += NEWEST_WEIGHT * (f64::from(u8::from(late)) - self.late);
         if matches!(end.outcome, Outcome::Served | Outcome::Error | Outcome::Full) {
-            backend.heard = now;
+            backend.answered_at = now;
         }
-        let lost = end.outcome != Outcome::Served;
-        if lost && backend.failed(now, latency, &self.settings) {
-            out.push(Action::Log(format!("backend {name} ejected: {EJECT_TOLD} failures in a row")));
+        let failed = end.outcome != Outcome::Served;
+        if failed && backend.note_failure(now, latency, &self.settings) {
+            out.push(Action::Log(format!("backend {name} ejected: {REPORT_AT} failures in a row")));
         }
-        // Full or failing it runs, and others may fare better there.
-        if lost && backend.failures >= EJECT_TOLD && !matches!(end.outcome, Outcome::Full | Outcome::Error) {
-            out.push(backend.judged(name, true));
+        // A full or failing backend is alive and may serve other gateways better, so it is not reported down.
+        if failed && backend.failures >= REPORT_AT && !matches!(end.outcome, Outcome::Full | Outcome::Error) {
+            out.push(backend.health_observed(name, true));
         }
     }
 }
--- a/src/logic/counter.rs
+++ b/src/logic/counter.rs
@@ -1,152 +1,151 @@
-//! The counter: calls that add blocks, totals that come, late or never.
+//! The counter: calls that add leases, and their replies, in time, late or missing.
 
 use super::*;
 
 impl Gateway {
-    /// Adds a block to the customer's count: one call out for each name, and a bound on all.
-    pub(super) fn ask(&mut self, name: &Name, out: &mut Vec<Action>) {
-        let (many, timeout) = (self.many(), self.settings.counter_timeout);
+    /// Requests a lease for a customer: at most one call per count in progress, and a bound on all calls.
+    pub(super) fn call_counter(&mut self, name: &Name, out: &mut Vec<Action>) {
+        let (large_fleet, timeout) = (self.large_fleet(), self.settings.counter_timeout);
         let Some(customer) = self.customers.get_mut(name) else { return };
-        let full = self.calls.len() as f64 >= (CALLS_MOST * self.ease).max(1.0);
-        let late_due = many && customer.late_due(self.now, timeout);
-        if customer.call.is_some() || !self.settings.counter || full || late_due {
+        let too_many = self.calls.len() as f64 >= (MAX_CALLS * self.call_share).max(1.0);
+        let late_reply_due = large_fleet && customer.late_reply_due(self.now, timeout);
+        if customer.call.is_some() || !self.settings.counter || too_many || late_reply_due {
             return;
         }
         let plan = &self.settings.plans[customer.plan];
-        customer.roll(self.now, plan);
+        customer.roll_window(self.now, plan);
         let waiting = customer.waiting.iter().filter_map(|id| self.requests.get(id));
-        let block = if customer.thin(plan) {
-            waiting.map(|r| r.units).sum::<f64>() / self.ease
+        let lease = if customer.sampled(plan) {
+            waiting.map(|r| r.units).sum::<f64>() / self.call_share
         } else {
             let need: f64 = waiting.map(|r| r.units).sum();
-            (customer.block(need.min(customer.store.max(1.0)), plan) - customer.lease).max(0.0)
+            (customer.lease_size(need.min(customer.tokens.max(1.0)), plan) - customer.lease).max(0.0)
         };
-        let owed = std::mem::take(&mut customer.owed);
+        let debt = std::mem::take(&mut customer.debt);
         let count = mix(customer.salt ^ customer.window.wrapping_mul(0x9e37_79b9_7f4a_7c15)) >> 1;
-        customer.call = Some((customer.window, block, owed));
+        customer.call = Some((customer.window, lease, debt));
         self.calls.insert(count, name.clone());
-        let ttl = (Customer::turn(plan) * IDLE_TURNS).min(KEEP_MOST);
-        out.push(Action::AddToCounter { name: count, amount: block + owed, ttl });
+        let ttl = (Customer::window_length(plan) * IDLE_WINDOWS).min(MAX_TTL);
+        out.push(Action::AddToCounter { name: count, amount: lease + debt, ttl });
     }
 
     pub(super) fn on_counted(
         &mut self, count: u64, outcome: CountOutcome, latency: Millis, out: &mut Vec<Action>,
     ) {
         if let CountOutcome::Late { total, amount } = outcome {
-            return self.counted_late(count, total, amount, out);
+            return self.on_late_total(count, total, amount, out);
         }
         let Some(name) = self.calls.remove(&count) else { return };
-        let share = if self.many() { EASE_SHARE_MANY } else { EASE_SHARE };
-        let quick = self.settings.counter_timeout * share;
-        let slow = if matches!(outcome, CountOutcome::Total(_)) { latency / quick } else { f64::INFINITY };
-        let step = EASE_STEP * (1.0 - slow).max(-2.0);
-        self.ease = (self.ease * (1.0 + step)).clamp(EASE_LEAST, 1.0);
+        let share = if self.large_fleet() { REPLY_TARGET_SHARE_LARGE_FLEET } else { REPLY_TARGET_SHARE };
+        let target = self.settings.counter_timeout * share;
+        let ratio = if matches!(outcome, CountOutcome::Total(_)) { latency / target } else { f64::INFINITY };
+        let step = CALL_SHARE_STEP * (1.0 - ratio).max(-2.0);
+        self.call_share = (self.call_share * (1.0 + step)).clamp(MIN_CALL_SHARE, 1.0);
         let CountOutcome::Total(total) = outcome else {
-            return self.silent(count, name, outcome == CountOutcome::Unknown, out);
+            return self.on_no_reply(count, name, outcome == CountOutcome::Unknown, out);
         };
-        if std::mem::take(&mut self.told_silent) {
-            self.back_at = self.now;
-            out.push(Action::Log("counter back".into()));
+        if std::mem::take(&mut self.silence_logged) {
+            self.counter_back_at = self.now;
+            out.push(Action::Log("counter replies again".into()));
         }
-        (self.silences, self.counter_heard) = (0, self.now);
-        self.granted(&name, total, out);
+        (self.failed_calls, self.last_counter_reply) = (0, self.now);
+        self.on_total(&name, total, out);
     }
 
-    /// A total came: learn the store from it, keep what fits, give the rest back, serve who waits.
-    pub(super) fn granted(&mut self, name: &Name, total: f64, out: &mut Vec<Action>) {
-        let many = self.many();
+    pub(super) fn on_total(&mut self, name: &Name, total: f64, out: &mut Vec<Action>) {
+        let large_fleet = self.large_fleet();
         let Some(customer) = self.customers.get_mut(name) else { return };
-        let Some((window, block, owed)) = customer.call.take() else { return };
+        let Some((window, lease, debt)) = customer.call.take() else { return };
         let plan = &self.settings.plans[customer.plan];
-        if customer.thin(plan) {
-            return self.granted_thin(name, total - block - owed, block, out);
+        if customer.sampled(plan) {
+            return self.on_sampled_total(name, total - lease - debt, lease, out);
         }
-        customer.roll(self.now, plan);
+        customer.roll_window(self.now, plan);
         let slice = customer.slice.take();
-        if plan.ceiling_rate > 0.0 && customer.known && customer.heard < self.back_at {
-            // Guards against a counter that comes back empty: what others spent in the silence is told
-            // nowhere. Only the own slice (or an unknown customer's start) is sure to be left.
-            customer.store = customer.store.min(slice.map_or(Customer::start_of(plan), |(held, _)| held));
+        if plan.ceiling_rate > 0.0 && customer.known && customer.last_total_at < self.counter_back_at {
+            // The counter may have come back empty, without the units that others spent in the silence. Only
+            // this gateway's slice (or an unknown customer's initial tokens) is certain to be left.
+            customer.tokens = customer.tokens.min(slice.map_or(Customer::initial_tokens(plan), |(n, _)| n));
         }
-        customer.heard = self.now;
+        customer.last_total_at = self.now;
         if window == customer.window {
-            customer.learn(total, block, owed, plan, many.then_some(self.back_at));
+            customer.update(total, lease, debt, plan, large_fleet.then_some(self.counter_back_at));
         }
         self.serve_waiting(name, out);
     }
 
-    /// Hands out what a total has left. Of a spent quota the rate gives one unit at a time, for which each of
-    /// many would ask at once, and all but one give theirs back: they ask again at times drawn over the time
-    /// in which each has a unit coming.
+    /// Serves the waiting requests after a total. A spent quota refills one unit at a time; all gateways of a
+    /// large fleet would call for the same unit, and all but one return it. Their next calls therefore spread
+    /// at random over the time until each gateway has a unit.
     pub(super) fn serve_waiting(&mut self, name: &Name, out: &mut Vec<Action>) {
-        let (many, luck) = (self.many(), self.chance());
+        let (large_fleet, random) = (self.large_fleet(), self.chance());
         let Some(customer) = self.customers.get_mut(name) else { return };
-        if many && customer.known {
-            let spent = customer.store + customer.lease < 1.0;
+        if large_fleet && customer.known {
+            let spent = customer.tokens + customer.lease < 1.0;
             let share = customer.spread / self.settings.plans[customer.plan].rate.max(1e-9) * 1000.0;
-            customer.ask_from = if spent { self.now + luck * share * ASK_AGAIN } else { self.now };
+            customer.next_call_at = if spent { self.now + random * share * CALL_SPREAD } else { self.now };
         }
         let waiting = std::mem::take(&mut customer.waiting);
-        let give_back = customer.owed <= -1.0;
+        let give_back = customer.debt <= -1.0;
         let wait = waiting.into_iter().filter(|id| self.admit(*id, out)).count();
         if wait > 0 || give_back {
-            self.ask(name, out);
+            self.call_counter(name, out);
         }
     }
 
-    /// A call taken for lost has counted: its block is in hand after all, and what was owed is told. Else the
-    /// count holds units that nobody can spend, and a slow counter eats up the quotas. Of many gateways each
-    /// makes few calls, so that two late ones in a row look like silence: here is the proof that it is none.
-    pub(super) fn counted_late(&mut self, count: u64, total: f64, amount: f64, out: &mut Vec<Action>) {
-        let many = self.many();
-        if many {
-            (self.silences, self.counter_heard) = (0, self.now);
+    /// Grants the lease of a call that timed out, and reports its debt, when the reply comes late. Otherwise
+    /// the count would hold units that no gateway can spend, and a slow counter would use up the quotas. In a
+    /// large fleet a late reply ends a silence: with few calls each, two late replies in a row look like one.
+    pub(super) fn on_late_total(&mut self, count: u64, total: f64, amount: f64, out: &mut Vec<Action>) {
+        let large_fleet = self.large_fleet();
+        if large_fleet {
+            (self.failed_calls, self.last_counter_reply) = (0, self.now);
         }
-        let Some(name) = self.unanswered.get(&count).cloned() else { return };
+        let Some(name) = self.lost_calls.get(&count).cloned() else { return };
         let Some(customer) = self.customers.get_mut(&name) else { return };
         let plan = &self.settings.plans[customer.plan];
-        customer.roll(self.now, plan);
-        let same = |(block, owed, _): &(f64, f64, Millis)| (block + owed - amount).abs() < 1e-6;
-        if let Some(at) = customer.doubts.iter().position(same) {
-            let (block, owed, _) = customer.doubts.remove(at);
-            if customer.thin(plan) {
-                return self.granted_thin(&name, total - block - owed, block, out);
+        customer.roll_window(self.now, plan);
+        let same = |(lease, debt, _): &(f64, f64, Millis)| (lease + debt - amount).abs() < 1e-6;
+        if let Some(at) = customer.unanswered.iter().position(same) {
+            let (lease, debt, _) = customer.unanswered.remove(at);
+            if customer.sampled(plan) {
+                return self.on_sampled_total(&name, total - lease - debt, lease, out);
             }
-            customer.owed -= owed.max(0.0);
-            if total < customer.seen {
-                // A newer total holds it already.
+            customer.debt -= debt.max(0.0);
+            if total < customer.last_total {
+                // A newer total already includes the call's amount.
                 customer.added += amount;
-                (customer.lease, customer.store) = (customer.lease + block, customer.store + owed);
+                (customer.lease, customer.tokens) = (customer.lease + lease, customer.tokens + debt);
             } else {
-                customer.learn(total, block, owed, plan, many.then_some(self.back_at));
+                customer.update(total, lease, debt, plan, large_fleet.then_some(self.counter_back_at));
             }
-            if many {
+            if large_fleet {
                 self.serve_waiting(&name, out);
             }
         }
     }
 
-    /// No answer: the silence rule decides for who waits, and a block that may have counted is let go. Many
-    /// gateways crowd the counter at times, so there who waits goes on to wait for the answer while it can.
-    pub(super) fn silent(&mut self, count: u64, name: Name, may_have_counted: bool, out: &mut Vec<Action>) {
-        self.silences += 1;
-        if self.counter_silent() && !std::mem::replace(&mut self.told_silent, true) {
-            out.push(Action::Log("counter silent: spending blocks and even slices".into()));
+    /// Handles a call without a reply: its lease is not spent, even if it may have been counted. Waiting
+    /// requests use the slice; in a large fleet, which crowds the counter at times, they await a late reply.
+    pub(super) fn on_no_reply(&mut self, count: u64, name: Name, timed_out: bool, out: &mut Vec<Action>) {
+        self.failed_calls += 1;
+        if self.counter_silent() && !std::mem::replace(&mut self.silence_logged, true) {
+            out.push(Action::Log("counter silent: spending held leases and even shares".into()));
         }
-        let many = self.many();
+        let large_fleet = self.large_fleet();
         let Some(customer) = self.customers.get_mut(&name) else { return };
-        let (window, block, owed) = customer.call.take().unwrap_or_default();
-        customer.owed += if may_have_counted { owed.max(0.0) } else { owed };
-        let thin = customer.thin(&self.settings.plans[customer.plan]);
-        if may_have_counted && window == customer.window && (many || !thin) {
-            customer.doubts.push((block, owed, self.now));
-            self.unanswered.insert(count, name);
-            if many && !self.told_silent {
+        let (window, lease, debt) = customer.call.take().unwrap_or_default();
+        customer.debt += if timed_out { debt.max(0.0) } else { debt };
+        let sampled = customer.sampled(&self.settings.plans[customer.plan]);
+        if timed_out && window == customer.window && (large_fleet || !sampled) {
+            customer.unanswered.push((lease, debt, self.now));
+            self.lost_calls.insert(count, name);
+            if large_fleet && !self.silence_logged {
                 return;
             }
         }
         for id in std::mem::take(&mut customer.waiting) {
-            self.by_slice(id, out);
+            self.admit_from_slice(id, out);
         }
     }
 }
