--- a/simhost/src/lib.rs
+++ b/simhost/src/lib.rs
@@ -1,4 +1,4 @@
-//! Hosts doorcourse gateways on the simulator's wire: translation only, no decisions.
+//! Hosts doorcourse gateways behind the simulator's line protocol: translation only, no decisions.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -15,13 +15,13 @@
 use std::fmt::{self, Write as _};
 use std::io::{BufRead, Write};
 
-/// What went wrong: a malformed line, or the streams themselves.
+/// Why the host stopped: malformed input, or an I/O error.
 #[derive(Debug)]
 pub enum HostError {
-    /// A line that cannot be read, with its number.
-    Line(u64, String),
-    /// The input ended inside a batch.
-    Ended(u64),
+    /// A malformed line: its number and what is wrong with it.
+    Malformed(u64, String),
+    /// The input ended inside a batch, after this many lines.
+    UnexpectedEnd(u64),
     /// Reading or writing failed.
     Io(std::io::Error),
 }
@@ -29,8 +29,8 @@
 impl fmt::Display for HostError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Line(number, what) => write!(f, "line {number}: {what}"),
-            Self::Ended(number) => write!(f, "line {number}: input ended inside a batch"),
+            Self::Malformed(number, what) => write!(f, "line {number}: {what}"),
+            Self::UnexpectedEnd(number) => write!(f, "line {number}: input ended inside a batch"),
             Self::Io(error) => write!(f, "input or output: {error}"),
         }
     }
@@ -44,42 +44,42 @@
     }
 }
 
-/// The values of one line, read in order.
+/// The tab-separated values of one line, read in order.
 struct Fields<'a>(std::str::Split<'a, char>);
 
 impl<'a> Fields<'a> {
-    fn text(&mut self, what: &str) -> Result<&'a str, String> {
-        self.0.next().ok_or_else(|| format!("{what} is missing"))
+    fn text(&mut self, field: &str) -> Result<&'a str, String> {
+        self.0.next().ok_or_else(|| format!("{field} is missing"))
     }
 
-    fn optional<T: std::str::FromStr>(&mut self, what: &str) -> Result<Option<T>, String> {
-        let text = self.text(what)?;
+    fn optional<T: std::str::FromStr>(&mut self, field: &str) -> Result<Option<T>, String> {
+        let text = self.text(field)?;
         if text == "-" || text.is_empty() {
             return Ok(None);
         }
-        text.parse().map(Some).map_err(|_| format!("{what} is not a number: {text}"))
+        text.parse().map(Some).map_err(|_| format!("{field} is not a number: {text}"))
     }
 
-    fn number<T: std::str::FromStr>(&mut self, what: &str) -> Result<T, String> {
-        self.optional(what)?.ok_or_else(|| format!("{what} is missing"))
+    fn number<T: std::str::FromStr>(&mut self, field: &str) -> Result<T, String> {
+        self.optional(field)?.ok_or_else(|| format!("{field} is missing"))
     }
 
-    fn millis(&mut self, what: &str) -> Result<Millis, String> {
-        let value: f64 = self.number(what)?;
-        if value.is_finite() { Ok(value) } else { Err(format!("{what} is not finite")) }
+    fn millis(&mut self, field: &str) -> Result<Millis, String> {
+        let value: f64 = self.number(field)?;
+        if value.is_finite() { Ok(value) } else { Err(format!("{field} is not finite")) }
     }
 
-    fn flag(&mut self, what: &str) -> Result<bool, String> {
-        match self.text(what)? {
+    fn flag(&mut self, field: &str) -> Result<bool, String> {
+        match self.text(field)? {
             "1" => Ok(true),
             "0" | "-" => Ok(false),
-            other => Err(format!("{what} is not 0 or 1: {other}")),
+            other => Err(format!("{field} is not 0 or 1: {other}")),
         }
     }
 
-    fn name(&mut self, what: &str) -> Result<Name, String> {
-        let text = self.text(what)?;
-        if text.is_empty() { Err(format!("{what} is missing")) } else { Ok(Name::from(text)) }
+    fn name(&mut self, field: &str) -> Result<Name, String> {
+        let text = self.text(field)?;
+        if text.is_empty() { Err(format!("{field} is missing")) } else { Ok(Name::from(text)) }
     }
 
     fn rest(&mut self) -> String {
@@ -87,7 +87,7 @@
     }
 }
 
-fn outcome(text: &str) -> Result<Outcome, String> {
+fn parse_outcome(text: &str) -> Result<Outcome, String> {
     Ok(match text {
         "delivered" => Outcome::Served,
         "app_error" => Outcome::Error,
@@ -101,7 +101,7 @@
     })
 }
 
-fn load(text: &str) -> Result<Option<LoadReport>, String> {
+fn parse_load(text: &str) -> Result<Option<LoadReport>, String> {
     if text == "-" || text.is_empty() {
         return Ok(None);
     }
@@ -115,7 +115,7 @@
     Ok(Some(report))
 }
 
-/// Puts one named value into a load report; values that the library has no use for are skipped.
+/// Stores one named value in a load report; unknown names are ignored.
 pub fn set_load(report: &mut LoadReport, key: &str, value: f64) {
     match key {
         "outstanding" => report.inflight = Some(value),
@@ -125,7 +125,7 @@
     }
 }
 
-fn entry(line: &str) -> Result<BackendEntry, String> {
+fn parse_entry(line: &str) -> Result<BackendEntry, String> {
     let mut fields = Fields(line.split('\t'));
     if fields.text("message")? != "ENTRY" {
         return Err(format!("expected an ENTRY line: {line}"));
@@ -145,35 +145,35 @@
     Ok(BackendEntry { name, zone, cell, state, started })
 }
 
-/// All gateways that one process hosts.
+/// The gateways hosted by one process.
 #[derive(Default)]
 pub struct Host {
     gateways: BTreeMap<u64, Gateway>,
     lists: BTreeMap<u64, Vec<BackendEntry>>,
-    /// Entries of the list now being read: its number and how many are still to come.
-    reading: Option<(u64, usize)>,
+    /// The list whose entries are being read: its number and how many entries are missing.
+    pending_list: Option<(u64, usize)>,
     now: Option<Millis>,
     reply: String,
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Reads batches until the input ends and answers each.
+    /// Reads batches until the end of the input and replies to each.
     ///
     /// # Errors
-    /// On the first line that cannot be read, and when the input ends inside a batch.
+    /// At the first malformed line, if the input ends inside a batch, and at an I/O error.
     pub fn run(&mut self, input: &mut impl BufRead, output: &mut impl Write) -> Result<(), HostError> {
         let (mut bytes, mut number) = (Vec::new(), 0);
         loop {
             bytes.clear();
             if input.read_until(b'\n', &mut bytes)? == 0 {
-                return if self.now.is_some() { Err(HostError::Ended(number)) } else { Ok(()) };
+                return if self.now.is_some() { Err(HostError::UnexpectedEnd(number)) } else { Ok(()) };
             }
             number += 1;
-            let fault = |what: String| HostError::Line(number, what);
-            let line = std::str::from_utf8(&bytes).map_err(|_| fault("not UTF-8".into()))?;
+            let malformed = |what: String| HostError::Malformed(number, what);
+            let line = std::str::from_utf8(&bytes).map_err(|_| malformed("not UTF-8".into()))?;
             let line = line.trim_end_matches(['\n', '\r']);
-            if self.take(line).map_err(fault)? {
+            if self.handle_line(line).map_err(malformed)? {
                 self.reply.push_str("READY\n");
                 output.write_all(self.reply.as_bytes())?;
                 output.flush()?;
@@ -182,11 +182,11 @@
         }
     }
 
-    /// Takes one line; true when it ended a batch.
-    fn take(&mut self, line: &str) -> Result<bool, String> {
-        if let Some((list, left)) = self.reading {
-            self.lists.entry(list).or_default().push(entry(line)?);
-            self.reading = (left > 1).then_some((list, left - 1));
+    /// Handles one line; returns true if the line ended a batch.
+    fn handle_line(&mut self, line: &str) -> Result<bool, String> {
+        if let Some((list, missing)) = self.pending_list {
+            self.lists.entry(list).or_default().push(parse_entry(line)?);
+            self.pending_list = (missing > 1).then_some((list, missing - 1));
             return Ok(false);
         }
         let mut fields = Fields(line.split('\t'));
@@ -207,7 +207,7 @@
                 let list = fields.number("roster-id")?;
                 let rows: usize = fields.number("rows")?;
                 self.lists.insert(list, Vec::new());
-                self.reading = (rows > 0).then_some((list, rows));
+                self.pending_list = (rows > 0).then_some((list, rows));
             }
             "START" => {
                 let instance = fields.number("i")?;
@@ -224,7 +224,7 @@
             }
             _ => {
                 let instance: u64 = fields.number("i")?;
-                let event = self.event(message, &mut fields)?;
+                let event = self.parse_event(message, &mut fields)?;
                 let gateway = self.gateways.get_mut(&instance);
                 let gateway = gateway.ok_or_else(|| format!("gateway {instance} was never started"))?;
                 gateway.handle(now, event, &mut self.actions);
@@ -236,7 +236,7 @@
         Ok(false)
     }
 
-    fn event(&self, message: &str, fields: &mut Fields<'_>) -> Result<Event, String> {
+    fn parse_event(&self, message: &str, fields: &mut Fields<'_>) -> Result<Event, String> {
         Ok(match message {
             "ANNOUNCE" => {
                 let kind = fields.text("kind")?;
@@ -280,12 +280,12 @@
                 let id = fields.number("id")?;
                 let latency = fields.millis("latency-ms")?;
                 let backend = fields.name("backend")?;
-                let outcome = outcome(fields.text("rc")?)?;
+                let outcome = parse_outcome(fields.text("rc")?)?;
                 fields.optional::<f64>("seen-use")?;
                 let attempt = fields.number("go")?;
                 let true_units = fields.optional::<f64>("true-units")?.filter(|units| *units > 0.0);
                 let finished = fields.flag("finished")?;
-                let load = load(fields.text("metrics")?)?;
+                let load = parse_load(fields.text("metrics")?)?;
                 Event::AttemptEnded(AttemptEnd {
                     id,
                     attempt,
@@ -303,13 +303,13 @@
             "SAMPLED" => {
                 let latency = fields.millis("latency-ms")?;
                 let backend = fields.name("backend")?;
-                let outcome = outcome(fields.text("rc")?)?;
-                let load = load(fields.text("metrics")?)?;
+                let outcome = parse_outcome(fields.text("rc")?)?;
+                let load = parse_load(fields.text("metrics")?)?;
                 Event::ProbeEnded { backend, outcome, latency, load }
             }
             "INBOX" => {
                 let from = fields.number("neighbour")?;
-                let bytes = from_base64(fields.text("msg")?)?;
+                let bytes = decode_base64(fields.text("msg")?)?;
                 Event::PeerMessage { from, bytes }
             }
             "TOTAL" => {
@@ -333,7 +333,7 @@
 
 fn write_action(reply: &mut String, i: u64, action: &Action) -> fmt::Result {
     match action {
-        // On the wire nothing stands for no limit.
+        // In the protocol a timeout of 0 means no limit.
         Action::Send { id, backend, timeout, .. } => {
             writeln!(reply, "HAND_OFF\t{i}\t{id}\t{backend}\t{:.3}", timeout.max(0.001))
         }
@@ -347,13 +347,13 @@
         }
         Action::Broadcast { bytes } => writeln!(reply, "SHARE\t{i}\tall\t{}", STANDARD.encode(bytes)),
         Action::WatchBackends => writeln!(reply, "WATCH\t{i}\t1"),
-        // The simulator's gateways have nobody to tell.
+        // Gateways in the simulator do not exchange health reports.
         Action::HealthObserved { .. } => Ok(()),
         Action::Log(text) => writeln!(reply, "SAY_LOG\t{i}\t{}", text.replace(['\n', '\t'], " ")),
     }
 }
 
-fn from_base64(text: &str) -> Result<Vec<u8>, String> {
+fn decode_base64(text: &str) -> Result<Vec<u8>, String> {
     if text == "-" {
         return Ok(Vec::new());
     }
--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -1,4 +1,4 @@
-//! `doorcourse-simhost`: the wire on standard input and output.
+//! `doorcourse-simhost`: serves the simulator's line protocol on standard input and output.
 
 #![forbid(unsafe_code)]
 
--- a/simhost/src/settings.rs
+++ b/simhost/src/settings.rs
@@ -1,17 +1,16 @@
-//! Reads the settings object, of a `START` line or of a real gateway's configuration, into the library's
-//! `Settings`.
+//! Parses the JSON settings of a `START` line or of a gateway's configuration file into the library's `Settings`.
 
 use doorcourse::{Class, DedupScope, Idempotency, Name, Plan, Reports, Settings};
 use serde_json::Value;
 
-/// One object of the settings; a missing key reads as its zero, a value of the wrong type is a fault.
+/// One JSON object of the settings. A missing key reads as zero; a value of the wrong type is an error.
 pub struct Object<'a>(&'a Value);
 
 impl<'a> Object<'a> {
     /// The object under a key.
     ///
     /// # Errors
-    /// When something else stands there.
+    /// If the value is not an object.
     pub fn of(value: &'a Value, key: &str) -> Result<Self, String> {
         match value.get(key) {
             None => Ok(Self(&Value::Null)),
@@ -21,18 +20,18 @@
     }
 
     fn typed<T>(
-        &self, key: &str, what: &str, zero: T, get: impl Fn(&'a Value) -> Option<T>,
+        &self, key: &str, expected: &str, zero: T, get: impl Fn(&'a Value) -> Option<T>,
     ) -> Result<T, String> {
         match self.0.get(key) {
             None | Some(Value::Null) => Ok(zero),
-            Some(v) => get(v).ok_or_else(|| format!("settings: {key} is not {what}")),
+            Some(v) => get(v).ok_or_else(|| format!("settings: {key} is not {expected}")),
         }
     }
 
     /// The number under a key.
     ///
     /// # Errors
-    /// When something else stands there.
+    /// If the value is not a number.
     pub fn number(&self, key: &str) -> Result<f64, String> {
         self.typed(key, "a number", 0.0, Value::as_f64)
     }
@@ -54,15 +53,15 @@
     }
 }
 
-/// The settings in a `START` line; unknown keys are skipped.
+/// Parses the settings of a `START` line; unknown keys are ignored.
 pub(crate) fn parse(text: &str) -> Result<Settings, String> {
     read(&serde_json::from_str(text).map_err(|e| format!("settings: {e}"))?)
 }
 
-/// The settings in an object; unknown keys are skipped.
+/// Converts a JSON object to settings; unknown keys are ignored.
 ///
 /// # Errors
-/// When a value is of the wrong type or a word unknown.
+/// If a value has the wrong type, or a keyword is unknown.
 pub fn read(root: &Value) -> Result<Settings, String> {
     if !root.is_object() {
         return Err("settings: not an object".into());
