--- a/tests/cost.rs
+++ b/tests/allocations.rs
@@ -11,46 +11,46 @@
 }
 
 /// A gateway that alone grants as much as anybody asks, with so many backends and customers it knows.
-fn door(backends: usize, customers: usize) -> Door {
+fn harness(backends: usize, customers: usize) -> Harness {
     let mut settings = Settings { gateways: 1, counter: false, ..settings() };
     (settings.plans[0].rate, settings.plans[0].burst) = (1e6, 1e6);
     let names = names(backends);
-    let mut door = Door::new(settings, &names.iter().map(String::as_str).collect::<Vec<_>>());
+    let mut harness = Harness::new(settings, &names.iter().map(String::as_str).collect::<Vec<_>>());
     for id in 0..customers as u64 {
-        let (at, _) = serve(&mut door, 1 + id, &format!("c{id}"));
+        let (at, _) = serve(&mut harness, 1 + id, &format!("c{id}"));
         assert!(at.is_some());
     }
-    door
+    harness
 }
 
-fn arrival(door: &Door, id: RequestId, customer: &str) -> Event {
-    Event::Request(Arrival { spread: 1, ..door.arrival(id, customer, "plain", "safe") })
+fn arrival(harness: &Harness, id: RequestId, customer: &str) -> Event {
+    Event::Request(Arrival { spread: 1, ..harness.arrival(id, customer, "plain", "safe") })
 }
 
 /// What it takes to handle an event; what the host allocates for it is left out.
-fn handle(door: &mut Door, event: Event) -> AllocationInfo {
-    door.did.clear();
-    door.did.reserve(64);
+fn handle(harness: &mut Harness, event: Event) -> AllocationInfo {
+    harness.actions.clear();
+    harness.actions.reserve(64);
     let mut event = Some(event);
-    measure(|| door.gateway.handle(door.now, event.take().expect("once"), &mut door.did))
+    measure(|| harness.gateway.handle(harness.now, event.take().expect("once"), &mut harness.actions))
 }
 
 /// A request that is served by the first backend it is sent to: where, and how many allocations that took.
-fn serve(door: &mut Door, id: RequestId, customer: &str) -> (Option<Name>, u64) {
-    let event = arrival(door, id, customer);
-    let asked = handle(door, event).count_total;
-    let Some((_, at)) = sent(&door.did) else { return (None, asked) };
-    let served = handle(door, ended(50.0, id, 0, &at, Outcome::Served)).count_total;
+fn serve(harness: &mut Harness, id: RequestId, customer: &str) -> (Option<Name>, u64) {
+    let event = arrival(harness, id, customer);
+    let asked = handle(harness, event).count_total;
+    let Some((_, at)) = first_send(&harness.actions) else { return (None, asked) };
+    let served = handle(harness, attempt_ended(50.0, id, 0, &at, Outcome::Served)).count_total;
     (Some(at), asked + served)
 }
 
 /// The most allocations of any of fifty requests of a customer that is known.
-fn most(door: &mut Door) -> u64 {
+fn most(harness: &mut Harness) -> u64 {
     let id = 1_000_000;
     (0..50)
         .map(|n| {
-            door.now += 5.0;
-            serve(door, id + n, "c0").1
+            harness.now += 5.0;
+            serve(harness, id + n, "c0").1
         })
         .max()
         .unwrap_or_default()
@@ -60,41 +60,42 @@
 fn a_request_on_the_usual_path_takes_few_allocations_whatever_the_gateway_knows() {
     // Measured: none at all; the slack is one.
     for (backends, customers) in [(2, 1), (10, 1), (200, 1), (10, 5000)] {
-        let most = most(&mut door(backends, customers));
+        let most = most(&mut harness(backends, customers));
         assert!(most <= 1, "{most} allocations with {backends} backends and {customers} customers");
     }
 }
 
 #[test]
 fn a_refusal_takes_no_more_than_a_request_that_is_served() {
-    let mut door = Door::new(Settings { gateways: 1, counter: false, ..settings() }, &["a1", "a2"]);
+    let mut harness = Harness::new(Settings { gateways: 1, counter: false, ..settings() }, &["a1", "a2"]);
     let (mut id, mut refusals) = (0, Vec::new());
     while refusals.len() < 20 {
         id += 1;
-        let event = arrival(&door, id, "c0");
-        let cost = handle(&mut door, event).count_total;
-        match sent(&door.did) {
-            Some((_, at)) => drop(handle(&mut door, ended(50.0, id, 0, &at, Outcome::Served))),
+        let event = arrival(&harness, id, "c0");
+        let cost = handle(&mut harness, event).count_total;
+        match first_send(&harness.actions) {
+            Some((_, at)) => drop(handle(&mut harness, attempt_ended(50.0, id, 0, &at, Outcome::Served))),
             None => refusals.push(cost),
         }
     }
-    assert!(refused(&door.did, id));
+    assert!(refused(&harness.actions, id));
     // Measured: none; the slack is one.
     assert!(refusals.iter().all(|count| *count <= 1), "{refusals:?}");
 }
 
 #[test]
 fn a_further_try_takes_a_few_more() {
-    let mut door = door(5, 1);
+    let mut harness = harness(5, 1);
     let mut most = 0;
     for id in 10..30 {
-        door.now += 400.0;
-        let event = arrival(&door, id, "c0");
-        handle(&mut door, event);
-        let (_, at) = sent(&door.did).expect("sent");
-        most = most.max(handle(&mut door, ended(50.0, id, 0, &at, Outcome::ConnectFailed)).count_total);
-        let (_, next) = sent(&door.did).expect("sent elsewhere");
-        handle(&mut door, ended(50.0, id, 1, &next, Outcome::Served));
+        harness.now += 400.0;
+        let event = arrival(&harness, id, "c0");
+        handle(&mut harness, event);
+        let (_, at) = first_send(&harness.actions).expect("sent");
+        most = most
+            .max(handle(&mut harness, attempt_ended(50.0, id, 0, &at, Outcome::ConnectFailed)).count_total);
+        let (_, next) = first_send(&harness.actions).expect("sent elsewhere");
+        handle(&mut harness, attempt_ended(50.0, id, 1, &next, Outcome::Served));
     }
     // Measured: 1; the slack is one.
     assert!(most <= 2, "{most}");
@@ -103,13 +104,13 @@
 #[test]
 fn customers_seen_once_cost_bounded_memory_which_comes_back() {
     const CUSTOMERS: u64 = 50_000;
-    let mut door = door(10, 1);
-    let before = door.now;
+    let mut harness = harness(10, 1);
+    let before = harness.now;
     let mut ids = 10..;
     let seen = measure(|| {
         for _ in 0..CUSTOMERS {
             let id = ids.next().expect("a number");
-            assert!(serve(&mut door, id, &format!("once-{id}")).0.is_some());
+            assert!(serve(&mut harness, id, &format!("once-{id}")).0.is_some());
         }
     });
     let each = seen.bytes_current / CUSTOMERS as i64;
@@ -117,8 +118,8 @@
     assert!((100..=520).contains(&each), "{each} bytes for a customer");
     // Two turns of a second after the last request they are forgotten.
     let after = measure(|| {
-        door.now = before + 10_000.0;
-        door.tell(Event::Timer { token: 1 });
+        harness.now = before + 10_000.0;
+        harness.handle(Event::Timer { token: 1 });
     });
     let left = seen.bytes_current + after.bytes_current;
     assert!(left < seen.bytes_current / 100, "{left} of {} bytes are left", seen.bytes_current);
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -58,51 +58,51 @@
 }
 
 /// A gateway, its clock and what it did at the last event.
-pub struct Door {
+pub struct Harness {
     pub gateway: Gateway,
     pub now: Millis,
-    pub did: Vec<Action>,
+    pub actions: Vec<Action>,
 }
 
-impl Door {
+impl Harness {
     pub fn new(settings: Settings, backends: &[&str]) -> Self {
         Self::seeded(settings, 1, backends)
     }
 
     pub fn seeded(settings: Settings, seed: u64, backends: &[&str]) -> Self {
         let gateway = Gateway::new(settings, seed).expect("usable settings");
-        let mut door = Self { gateway, now: 1000.0, did: Vec::new() };
+        let mut harness = Self { gateway, now: 1000.0, actions: Vec::new() };
         let list = backends.iter().map(|name| backend(name, BackendState::Ready, None)).collect();
-        door.tell(Event::BackendList(list));
-        door
+        harness.handle(Event::BackendList(list));
+        harness
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
-        self.did.clear();
-        self.gateway.handle(self.now, event, &mut self.did);
-        self.did.clone()
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        self.actions.clear();
+        self.gateway.handle(self.now, event, &mut self.actions);
+        self.actions.clone()
     }
 
     /// Lets time pass and runs the housekeeping timer and the hold timers of the requests named.
-    pub fn pass(&mut self, span: Millis, requests: &[RequestId]) -> Vec<Action> {
+    pub fn advance(&mut self, span: Millis, requests: &[RequestId]) -> Vec<Action> {
         self.now += span;
-        let mut all = self.tell(Event::Timer { token: 1 });
+        let mut all = self.handle(Event::Timer { token: 1 });
         for id in requests {
-            all.extend(self.tell(Event::Timer { token: id * 2 }));
+            all.extend(self.handle(Event::Timer { token: id * 2 }));
         }
         all
     }
 
-    pub fn ask(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Vec<Action> {
-        self.ask_of(id, customer, plan, class, false, 2)
+    pub fn request(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Vec<Action> {
+        self.request_from(id, customer, plan, class, false, 2)
     }
 
     /// The same for a customer of so many gateways, as a first try or as the client's repeat.
-    pub fn ask_of(
+    pub fn request_from(
         &mut self, id: RequestId, customer: &str, plan: &str, class: &str, repeat: bool, spread: u32,
     ) -> Vec<Action> {
         let arrival = self.arrival(id, customer, plan, class);
-        self.tell(Event::Request(Arrival { repeat, spread, ..arrival }))
+        self.handle(Event::Request(Arrival { repeat, spread, ..arrival }))
     }
 
     /// A first try of a customer of two gateways, for which its client waits 2 s.
@@ -120,33 +120,37 @@
         }
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: u32, backend: &Name, outcome: Outcome) -> Vec<Action> {
-        self.end_after(100.0, id, attempt, backend, outcome)
+    pub fn end_attempt(
+        &mut self, id: RequestId, attempt: u32, backend: &Name, outcome: Outcome,
+    ) -> Vec<Action> {
+        self.end_attempt_after(100.0, id, attempt, backend, outcome)
     }
 
-    pub fn end_after(
+    pub fn end_attempt_after(
         &mut self, latency: Millis, id: RequestId, attempt: u32, backend: &Name, outcome: Outcome,
     ) -> Vec<Action> {
-        self.tell(ended(latency, id, attempt, backend, outcome))
+        self.handle(attempt_ended(latency, id, attempt, backend, outcome))
     }
 
     /// Answers a counter call with a total.
-    pub fn total(&mut self, name: u64, total: f64) -> Vec<Action> {
-        self.tell(Event::Counted { name, outcome: CountOutcome::Total(total), latency: 2.0 })
+    pub fn reply_total(&mut self, name: u64, total: f64) -> Vec<Action> {
+        self.handle(Event::Counted { name, outcome: CountOutcome::Total(total), latency: 2.0 })
     }
 
     /// A request that finds the counter answering `others` + what this gateway adds; gives where it was sent.
-    pub fn served(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Name {
-        let mut did = self.ask(id, customer, plan, class);
-        if let Some((name, amount)) = count(&did) {
-            did = self.total(name, amount);
+    pub fn dispatch(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Name {
+        let mut actions = self.request(id, customer, plan, class);
+        if let Some((name, amount)) = counter_call(&actions) {
+            actions = self.reply_total(name, amount);
         }
-        sent(&did).expect("sent on").1
+        first_send(&actions).expect("sent on").1
     }
 }
 
 /// The end of an attempt that was out for so long.
-pub fn ended(latency: Millis, id: RequestId, attempt: u32, backend: &Name, outcome: Outcome) -> Event {
+pub fn attempt_ended(
+    latency: Millis, id: RequestId, attempt: u32, backend: &Name, outcome: Outcome,
+) -> Event {
     Event::AttemptEnded(AttemptEnd {
         id,
         attempt,
@@ -161,7 +165,7 @@
 }
 
 /// The first counter call among actions: its name and amount.
-pub fn count(actions: &[Action]) -> Option<(u64, f64)> {
+pub fn counter_call(actions: &[Action]) -> Option<(u64, f64)> {
     actions.iter().find_map(|a| match a {
         Action::AddToCounter { name, amount, .. } => Some((*name, *amount)),
         _ => None,
@@ -169,7 +173,7 @@
 }
 
 /// The first send among actions.
-pub fn sent(actions: &[Action]) -> Option<(RequestId, Name)> {
+pub fn first_send(actions: &[Action]) -> Option<(RequestId, Name)> {
     actions.iter().find_map(|a| match a {
         Action::Send { id, backend, .. } => Some((*id, backend.clone())),
         _ => None,
@@ -177,7 +181,7 @@
 }
 
 /// How many requests were sent on.
-pub fn sends(actions: &[Action]) -> usize {
+pub fn send_count(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Send { .. })).count()
 }
 
--- a/tests/streams.rs
+++ b/tests/random_events.rs
@@ -116,41 +116,41 @@
 fn play(seed: u64) -> usize {
     let (mut random, mut checker) = (Random(seed), Checker::default());
     let names = ["a1", "a2", "a3", "b1", "b2", "b3"];
-    let mut door = Door::new(settings(), &names);
+    let mut harness = Harness::new(settings(), &names);
     checker.draining.extend(names.iter().map(|n| (Name::from(*n), false)));
-    let first = std::mem::take(&mut door.did);
-    checker.check(door.now, first);
+    let first = std::mem::take(&mut harness.actions);
+    checker.check(harness.now, first);
     for id in 1..=6000 {
-        door.now += random.below(12) as f64;
+        harness.now += random.below(12) as f64;
         while let Some(((at, order), token)) = checker.timers.first_key_value().map(|(k, t)| (*k, *t)) {
-            if at as f64 > door.now {
+            if at as f64 > harness.now {
                 break;
             }
             checker.timers.remove(&(at, order));
-            let did = door.tell(Event::Timer { token });
-            checker.check(door.now, did);
+            let actions = harness.handle(Event::Timer { token });
+            checker.check(harness.now, actions);
         }
-        for (id, event) in outcomes(&mut random, &mut checker, door.now) {
+        for (id, event) in outcomes(&mut random, &mut checker, harness.now) {
             let finished = matches!(&event, Event::AttemptEnded(end) if end.finished);
             if finished && !checker.requests[&id].answered {
-                checker.answer(door.now, id);
+                checker.answer(harness.now, id);
             }
-            let did = door.tell(event);
-            checker.check(door.now, did);
+            let actions = harness.handle(event);
+            checker.check(harness.now, actions);
         }
         let event = match random.below(40) {
             0..20 => {
                 let (class, patience) = (random.below(3) as usize, 300.0 + random.below(2500) as f64);
                 let known = Known {
                     class,
-                    deadline: door.now + patience,
+                    deadline: harness.now + patience,
                     attempts: 0,
                     out: None,
                     may_have_run: None,
                     answered: false,
                 };
                 checker.requests.insert(id, known);
-                arrival(&mut random, id, door.now + patience, class)
+                arrival(&mut random, id, harness.now + patience, class)
             }
             20..34 if !checker.calls.is_empty() => {
                 let at = random.below(checker.calls.len() as u64) as usize;
@@ -178,9 +178,9 @@
             }
             _ => Event::ClientLeft { id: 900_000_000 },
         };
-        let did = door.tell(event);
-        checker.check(door.now, did);
-        assert_eq!(checker.overdue(door.now), None, "a request without its answer");
+        let actions = harness.handle(event);
+        checker.check(harness.now, actions);
+        assert_eq!(checker.overdue(harness.now), None, "a request without its answer");
     }
     checker.answers
 }
