--- a/examples/loop.rs
+++ b/examples/loop.rs
@@ -1,5 +1,5 @@
-//! A host's loop around one gateway: events in, actions out, timers, a counter, a backend, a restart.
-//! Time is a plain number here; a real host uses a clock that agrees with those of the other gateways.
+//! A host's event loop around one gateway, with timers, a counter, a backend and a restart of the gateway.
+//! Time is a plain number here; a real host uses a clock that is synchronized with the other gateways.
 
 use doorcourse::{
     Action, Arrival, AttemptEnd, BackendEntry, BackendState, Class, CountOutcome, DedupScope, Event, Gateway,
@@ -7,8 +7,8 @@
 };
 use std::collections::BTreeMap;
 
-/// What is to happen, by time (whole ms) and order.
-type Agenda = BTreeMap<(u64, u64), Event>;
+/// Scheduled events by time in whole ms, then by order of insertion.
+type Schedule = BTreeMap<(u64, u64), Event>;
 
 fn settings() -> Settings {
     let class = Class {
@@ -50,10 +50,10 @@
 
 fn main() -> Result<(), doorcourse::SettingsError> {
     let mut gateway = Gateway::new(settings(), 42)?;
-    let (mut agenda, mut order) = (Agenda::new(), 0);
-    let mut plan = |agenda: &mut Agenda, at: Millis, event: Event| {
+    let (mut schedule, mut order) = (Schedule::new(), 0);
+    let mut schedule_event = |schedule: &mut Schedule, at: Millis, event: Event| {
         order += 1;
-        agenda.insert((at.ceil() as u64, order), event);
+        schedule.insert((at.ceil() as u64, order), event);
     };
     let backend = BackendEntry {
         name: "b1".into(),
@@ -62,7 +62,7 @@
         state: BackendState::Ready,
         started: None,
     };
-    plan(&mut agenda, 0.0, Event::BackendList(vec![backend.clone()]));
+    schedule_event(&mut schedule, 0.0, Event::BackendList(vec![backend.clone()]));
     for id in 1..=8 {
         let (customer, name, class) = ("customer".into(), "basic".into(), "read".into());
         let arrival = Arrival {
@@ -76,32 +76,34 @@
             first_gateway: 0,
             spread: 1,
         };
-        plan(&mut agenda, id as Millis * 10.0, Event::Request(arrival));
+        schedule_event(&mut schedule, id as Millis * 10.0, Event::Request(arrival));
     }
     let (mut counts, mut attempts) = (BTreeMap::<u64, f64>::new(), BTreeMap::<u64, u32>::new());
     let mut restarted = false;
-    while let Some(((at, _), event)) = agenda.pop_first() {
+    while let Some(((at, _), event)) = schedule.pop_first() {
         let now = at as Millis;
         if now > 500.0 {
             break;
         }
         if now > 60.0 && !restarted {
-            // A restart: a new gateway with a fresh seed and the last list; its requests are the clients' to retry.
+            // Restart: a new gateway with a fresh seed and the last list. Clients retry the requests that were open.
             restarted = true;
             gateway = Gateway::new(settings(), 43)?;
-            agenda.retain(|_, event| matches!(event, Event::Request(_)));
-            plan(&mut agenda, now, Event::BackendList(vec![backend.clone()]));
+            schedule.retain(|_, event| matches!(event, Event::Request(_)));
+            schedule_event(&mut schedule, now, Event::BackendList(vec![backend.clone()]));
         }
         let mut actions = Vec::new();
         gateway.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::SetTimer { after, token } => plan(&mut agenda, now + after, Event::Timer { token }),
+                Action::SetTimer { after, token } => {
+                    schedule_event(&mut schedule, now + after, Event::Timer { token })
+                }
                 Action::AddToCounter { name, amount, .. } => {
                     let total = counts.entry(name).or_default();
                     *total += amount;
                     let outcome = CountOutcome::Total(*total);
-                    plan(&mut agenda, now + 2.0, Event::Counted { name, outcome, latency: 2.0 });
+                    schedule_event(&mut schedule, now + 2.0, Event::Counted { name, outcome, latency: 2.0 });
                 }
                 Action::Send { id, backend, .. } => {
                     println!("{now:>5} ms  {id} sent to {backend}");
@@ -118,10 +120,10 @@
                         body_consumed: false,
                         load: None,
                     };
-                    plan(&mut agenda, now + latency, Event::AttemptEnded(end));
+                    schedule_event(&mut schedule, now + latency, Event::AttemptEnded(end));
                 }
                 Action::Refuse { id, retry_after } => {
-                    println!("{now:>5} ms  {id} refused, come back in {retry_after:.0} ms");
+                    println!("{now:>5} ms  {id} refused, retry after {retry_after:.0} ms");
                 }
                 Action::Fail { id } => println!("{now:>5} ms  {id} failed"),
                 Action::Log(line) => println!("{now:>5} ms  log: {line}"),
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -1,5 +1,5 @@
-//! What the decisions cost, in counts that repeat exactly: allocations a request, and bytes kept for a customer.
-//! Each bound is what was measured when it was set, and the slack that is stated.
+//! The cost of decisions in deterministic counts: allocations per request, and bytes kept per customer.
+//! Each bound is the measured value at the time it was set, plus the slack stated beside it.
 
 mod helper;
 use allocation_counter::{AllocationInfo, measure};
@@ -10,15 +10,15 @@
     (0..count).map(|n| format!("a{n}")).collect()
 }
 
-/// A gateway that alone grants as much as anybody asks, with so many backends and customers it knows.
-fn harness(backends: usize, customers: usize) -> Harness {
+/// A single gateway with practically unlimited quotas that has served this many customers.
+fn loaded_harness(backends: usize, customers: usize) -> Harness {
     let mut settings = Settings { gateways: 1, counter: false, ..settings() };
     (settings.plans[0].rate, settings.plans[0].burst) = (1e6, 1e6);
     let names = names(backends);
     let mut harness = Harness::new(settings, &names.iter().map(String::as_str).collect::<Vec<_>>());
     for id in 0..customers as u64 {
-        let (at, _) = serve(&mut harness, 1 + id, &format!("c{id}"));
-        assert!(at.is_some());
+        let (name, _) = serve(&mut harness, 1 + id, &format!("c{id}"));
+        assert!(name.is_some());
     }
     harness
 }
@@ -27,7 +27,7 @@
     Event::Request(Arrival { spread: 1, ..harness.arrival(id, customer, "plain", "safe") })
 }
 
-/// What it takes to handle an event; what the host allocates for it is left out.
+/// Measures the allocations for handling an event, without those of the host.
 fn handle(harness: &mut Harness, event: Event) -> AllocationInfo {
     harness.actions.clear();
     harness.actions.reserve(64);
@@ -35,17 +35,17 @@
     measure(|| harness.gateway.handle(harness.now, event.take().expect("once"), &mut harness.actions))
 }
 
-/// A request that is served by the first backend it is sent to: where, and how many allocations that took.
+/// Serves a request at its first backend. Returns the backend and the number of allocations.
 fn serve(harness: &mut Harness, id: RequestId, customer: &str) -> (Option<Name>, u64) {
     let event = arrival(harness, id, customer);
-    let asked = handle(harness, event).count_total;
-    let Some((_, at)) = first_send(&harness.actions) else { return (None, asked) };
-    let served = handle(harness, attempt_ended(50.0, id, 0, &at, Outcome::Served)).count_total;
-    (Some(at), asked + served)
+    let on_arrival = handle(harness, event).count_total;
+    let Some((_, name)) = first_send(&harness.actions) else { return (None, on_arrival) };
+    let on_end = handle(harness, attempt_ended(50.0, id, 0, &name, Outcome::Served)).count_total;
+    (Some(name), on_arrival + on_end)
 }
 
-/// The most allocations of any of fifty requests of a customer that is known.
-fn most(harness: &mut Harness) -> u64 {
+/// The maximum allocations of one of fifty requests of a known customer.
+fn max_allocations(harness: &mut Harness) -> u64 {
     let id = 1_000_000;
     (0..50)
         .map(|n| {
@@ -57,16 +57,19 @@
 }
 
 #[test]
-fn a_request_on_the_usual_path_takes_few_allocations_whatever_the_gateway_knows() {
-    // Measured: none at all; the slack is one.
+fn request_on_the_common_path_allocates_little_at_any_size() {
+    // Measured: none; the slack is one.
     for (backends, customers) in [(2, 1), (10, 1), (200, 1), (10, 5000)] {
-        let most = most(&mut harness(backends, customers));
-        assert!(most <= 1, "{most} allocations with {backends} backends and {customers} customers");
+        let max_allocations = max_allocations(&mut loaded_harness(backends, customers));
+        assert!(
+            max_allocations <= 1,
+            "{max_allocations} allocations with {backends} backends and {customers} customers"
+        );
     }
 }
 
 #[test]
-fn a_refusal_takes_no_more_than_a_request_that_is_served() {
+fn refusal_allocates_no_more_than_a_served_request() {
     let mut harness = Harness::new(Settings { gateways: 1, counter: false, ..settings() }, &["a1", "a2"]);
     let (mut id, mut refusals) = (0, Vec::new());
     while refusals.len() < 20 {
@@ -74,7 +77,7 @@
         let event = arrival(&harness, id, "c0");
         let cost = handle(&mut harness, event).count_total;
         match first_send(&harness.actions) {
-            Some((_, at)) => drop(handle(&mut harness, attempt_ended(50.0, id, 0, &at, Outcome::Served))),
+            Some((_, name)) => drop(handle(&mut harness, attempt_ended(50.0, id, 0, &name, Outcome::Served))),
             None => refusals.push(cost),
         }
     }
@@ -84,27 +87,27 @@
 }
 
 #[test]
-fn a_further_try_takes_a_few_more() {
-    let mut harness = harness(5, 1);
-    let mut most = 0;
+fn retry_allocates_little_more() {
+    let mut harness = loaded_harness(5, 1);
+    let mut max_allocations = 0;
     for id in 10..30 {
         harness.now += 400.0;
         let event = arrival(&harness, id, "c0");
         handle(&mut harness, event);
-        let (_, at) = first_send(&harness.actions).expect("sent");
-        most = most
-            .max(handle(&mut harness, attempt_ended(50.0, id, 0, &at, Outcome::ConnectFailed)).count_total);
-        let (_, next) = first_send(&harness.actions).expect("sent elsewhere");
+        let (_, name) = first_send(&harness.actions).expect("an attempt");
+        max_allocations = max_allocations
+            .max(handle(&mut harness, attempt_ended(50.0, id, 0, &name, Outcome::ConnectFailed)).count_total);
+        let (_, next) = first_send(&harness.actions).expect("an attempt at another backend");
         handle(&mut harness, attempt_ended(50.0, id, 1, &next, Outcome::Served));
     }
     // Measured: 1; the slack is one.
-    assert!(most <= 2, "{most}");
+    assert!(max_allocations <= 2, "{max_allocations}");
 }
 
 #[test]
-fn customers_seen_once_cost_bounded_memory_which_comes_back() {
+fn memory_of_one_time_customers_is_bounded_and_released() {
     const CUSTOMERS: u64 = 50_000;
-    let mut harness = harness(10, 1);
+    let mut harness = loaded_harness(10, 1);
     let before = harness.now;
     let mut ids = 10..;
     let seen = measure(|| {
@@ -114,9 +117,9 @@
         }
     });
     let each = seen.bytes_current / CUSTOMERS as i64;
-    // Measured: 472, with a name of 9 or 10 letters; the slack is a tenth.
-    assert!((100..=520).contains(&each), "{each} bytes for a customer");
-    // Two turns of a second after the last request they are forgotten.
+    // Measured: 472 with a name of 9 or 10 letters; the slack is a tenth.
+    assert!((100..=520).contains(&each), "{each} bytes per customer");
+    // The customers are removed two windows of one second after their last request.
     let after = measure(|| {
         harness.now = before + 10_000.0;
         harness.handle(Event::Timer { token: 1 });
--- a/tests/counter_silence.rs
+++ b/tests/counter_silence.rs
@@ -1,34 +1,34 @@
-//! The counter silent, slow or emptied; the ceiling through all of it.
+//! A counter that is silent, slow or emptied, and the quota ceiling in all these cases.
 
 mod helper;
 use doorcourse::*;
 use helper::*;
 
-fn silence(harness: &mut Harness, name: u64) -> Vec<Action> {
+fn time_out(harness: &mut Harness, name: u64) -> Vec<Action> {
     harness.now += 50.0;
     harness.handle(Event::Counted { name, outcome: CountOutcome::Unknown, latency: 50.0 })
 }
 
-/// Offers a request every 20 ms while the counter says nothing; gives how many went on.
-fn spent_in_silence(harness: &mut Harness, plan: &str, span: Millis) -> usize {
+/// Sends a request every 20 ms while the counter does not reply; returns how many reached a backend.
+fn send_during_silence(harness: &mut Harness, plan: &str, span: Millis) -> usize {
     let (mut dispatched, mut id, end) = (0, 1_000_000, harness.now + span);
     while harness.now < end {
         id += 1;
         let mut actions = harness.request(id, "c", plan, "safe");
         if let Some((name, _)) = counter_call(&actions) {
-            actions.extend(silence(harness, name));
+            actions.extend(time_out(harness, name));
         }
-        if let Some((id, at)) = first_send(&actions) {
+        if let Some((id, chosen)) = first_send(&actions) {
             dispatched += 1;
-            harness.end_attempt(id, 0, &at, Outcome::Served);
+            harness.end_attempt(id, 0, &chosen, Outcome::Served);
         }
         harness.now += 20.0;
     }
     dispatched
 }
 
-/// Offers a request under a ceiling while the counter answers with `total`, served at once; gives how many went on.
-fn offer(harness: &mut Harness, id: RequestId, total: &mut f64) -> usize {
+/// Sends a request under a ceiling while the counter replies. Returns how many requests reached a backend.
+fn send_under_ceiling(harness: &mut Harness, id: RequestId, total: &mut f64) -> usize {
     let mut dispatched = Vec::new();
     let mut actions = harness.request(id, "c", "ceiling", "safe");
     loop {
@@ -37,44 +37,47 @@
         *total += amount;
         actions = harness.reply_total(name, *total);
     }
-    for (id, at) in &dispatched {
-        harness.end_attempt(*id, 0, at, Outcome::Served);
+    for (id, chosen) in &dispatched {
+        harness.end_attempt(*id, 0, chosen, Outcome::Served);
     }
     dispatched.len()
 }
 
 #[test]
-fn in_silence_a_gateway_spends_its_even_slice_and_no_more() {
+fn gateway_spends_at_most_its_even_slice_during_silence() {
     let mut harness = Harness::new(settings(), &["a1", "a2", "a3"]);
-    // Burst 10 and rate 5 for two gateways: at most 5 at once and 2.5 a second, 30 in ten seconds.
-    let dispatched = spent_in_silence(&mut harness, "plain", 10_000.0);
+    // Burst 10 and rate 5 for two gateways: at most 5 at once and 2.5 a second each, 30 in ten seconds.
+    let dispatched = send_during_silence(&mut harness, "plain", 10_000.0);
     assert!((26..=30).contains(&dispatched), "{dispatched}");
 }
 
 #[test]
-fn the_ceiling_holds_through_a_spent_burst_an_emptied_count_a_restart_and_silence() {
-    // The other gateway's view: the whole burst of 10 was just granted. This one comes back with nothing, finds
-    // the count emptied, takes what it is given, and then the counter falls silent.
+fn ceiling_holds_through_spent_burst_emptied_count_restart_and_silence() {
+    // The other gateway has just granted the whole burst of 10. This gateway restarts without state, finds the
+    // count emptied, spends the leases it gets, and then the counter falls silent.
     let mut harness = Harness::new(settings(), &["a1", "a2", "a3"]);
     let start = harness.now;
     let (mut dispatched, mut total, mut id) = (0.0, 0.0, 0);
     while harness.now < start + 2000.0 {
         id += 1;
-        dispatched += offer(&mut harness, id, &mut total) as f64;
+        dispatched += send_under_ceiling(&mut harness, id, &mut total) as f64;
         let ceiling = 16.0 + 8.0 * (harness.now - start) / 1000.0 + 1.6;
-        assert!(10.0 + dispatched <= ceiling, "10 + {dispatched} against {ceiling} on the way");
+        assert!(
+            10.0 + dispatched <= ceiling,
+            "10 + {dispatched} exceeds the ceiling of {ceiling} before the silence"
+        );
         harness.now += 20.0;
     }
-    // Two gateways in silence: what each may spend is the same slice.
-    dispatched += 2.0 * spent_in_silence(&mut harness, "ceiling", 4000.0) as f64;
+    // During the silence both gateways may spend the same slice.
+    dispatched += 2.0 * send_during_silence(&mut harness, "ceiling", 4000.0) as f64;
     let ceiling = 16.0 + 8.0 * 6.0 + 1.6;
-    assert!(10.0 + dispatched <= ceiling, "10 + {dispatched} against {ceiling}");
+    assert!(10.0 + dispatched <= ceiling, "10 + {dispatched} exceeds the ceiling of {ceiling}");
 }
 
 #[test]
-fn an_emptied_count_is_told_again_what_is_held() {
+fn held_units_are_reported_again_to_an_emptied_count() {
     let mut harness = Harness::new(settings(), &["a1", "a2", "a3"]);
-    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
+    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("a counter call");
     harness.reply_total(name, amount);
     let mut asked = None;
     for id in 2..=12 {
@@ -83,14 +86,14 @@
             break;
         }
     }
-    let (name, added) = asked.expect("a further block");
+    let (name, added) = asked.expect("another lease");
     harness.reply_total(name, added);
-    let told = counter_call(&harness.advance(60.0, &[])).expect("the count hears what it forgot");
-    assert!(told.1 >= amount, "{told:?}");
+    let report = counter_call(&harness.advance(60.0, &[])).expect("a report of the held units");
+    assert!(report.1 >= amount, "{report:?}");
 }
 
 #[test]
-fn silence_is_told_once_and_the_counter_is_asked_for_few_requests_only() {
+fn silence_is_logged_once_and_few_requests_call_the_counter() {
     let mut harness = Harness::new(settings(), &["a1", "a2", "a3"]);
     let (mut calls, mut lines, mut id) = (0, 0, 0);
     let end = harness.now + 5000.0;
@@ -99,107 +102,107 @@
         let mut actions = harness.request(id, &format!("c{id}"), "plain", "safe");
         if let Some((name, _)) = counter_call(&actions) {
             calls += 1;
-            actions.extend(silence(&mut harness, name));
+            actions.extend(time_out(&mut harness, name));
         }
         lines += actions.iter().filter(|a| matches!(a, Action::Log(line) if line.contains("silent"))).count();
-        if let Some((id, at)) = first_send(&actions) {
-            harness.end_attempt(id, 0, &at, Outcome::Served);
+        if let Some((id, chosen)) = first_send(&actions) {
+            harness.end_attempt(id, 0, &chosen, Outcome::Served);
         }
         harness.now += 10.0;
     }
     assert_eq!(lines, 1);
-    assert!(calls >= 3, "who never asks never learns that the counter is back: {calls}");
+    assert!(calls >= 3, "without calls the gateway would not notice that the counter is back: {calls}");
     assert!(f64::from(calls) <= 0.15 * id as f64, "{calls} calls for {id} requests");
 }
 
-fn late(harness: &mut Harness, name: u64, total: f64, amount: f64) -> Vec<Action> {
+fn late_reply(harness: &mut Harness, name: u64, total: f64, amount: f64) -> Vec<Action> {
     harness.now += 20.0;
     harness.handle(Event::Counted { name, outcome: CountOutcome::Late { total, amount }, latency: 70.0 })
 }
 
 #[test]
-fn a_block_whose_answer_comes_late_is_spent_after_all_and_only_once() {
+fn lease_with_a_late_reply_is_spent_exactly_once() {
     let mut harness = Harness::new(settings(), &["a1", "a2", "a3", "a4", "a5", "a6"]);
-    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
+    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("a counter call");
     assert_eq!(amount, 5.0);
-    silence(&mut harness, name);
-    // The block is in the count, which nobody else has added to.
-    late(&mut harness, name, 5.0, amount);
+    time_out(&mut harness, name);
+    // The count contains the lease, and no other gateway has added to it.
+    late_reply(&mut harness, name, 5.0, amount);
     for id in 2..=6 {
         let actions = harness.request(id, "c", "plain", "safe");
-        assert_eq!(send_count(&actions), 1, "request {id} is paid from the late block: {actions:?}");
+        assert_eq!(send_count(&actions), 1, "request {id} is paid from the late lease: {actions:?}");
     }
-    late(&mut harness, name, 5.0, amount);
+    late_reply(&mut harness, name, 5.0, amount);
     assert_eq!(
         send_count(&harness.request(7, "c", "plain", "safe")),
         0,
-        "the same word twice is no second block"
+        "a duplicate reply grants no second lease"
     );
 }
 
 #[test]
-fn a_late_answer_that_a_newer_total_has_overtaken_adds_its_block_and_no_debt() {
+fn late_reply_older_than_the_last_total_adds_its_lease_and_no_debt() {
     let mut harness =
         Harness::new(Settings { gateways: 4, ..settings() }, &["a1", "a2", "a3", "a4", "a5", "a6"]);
     let (name, amount) =
-        counter_call(&harness.request_from(1, "c", "plain", "safe", false, 4)).expect("call");
-    silence(&mut harness, name);
-    // By another connection the next call's total comes first; it holds both blocks.
+        counter_call(&harness.request_from(1, "c", "plain", "safe", false, 4)).expect("a counter call");
+    time_out(&mut harness, name);
+    // The total of the next call arrives first, by another connection, and contains both leases.
     let (name, next) =
-        counter_call(&harness.request_from(2, "c", "plain", "safe", false, 4)).expect("a further call");
+        counter_call(&harness.request_from(2, "c", "plain", "safe", false, 4)).expect("another counter call");
     assert_eq!(send_count(&harness.reply_total(name, amount + next)), 1);
-    late(&mut harness, name, amount, amount);
-    let told = counter_call(&harness.advance(60.0, &[])).map_or(0.0, |(_, amount)| amount);
-    assert!(told <= 0.0, "nothing was forgotten that had to be told again: {told}");
+    late_reply(&mut harness, name, amount, amount);
+    let report = counter_call(&harness.advance(60.0, &[])).map_or(0.0, |(_, amount)| amount);
+    assert!(report <= 0.0, "the count lost no units that would have to be reported again: {report}");
     assert_eq!(
         send_count(&harness.request_from(3, "c", "plain", "safe", false, 4)),
         1,
-        "the late block is in hand"
+        "the late lease is available"
     );
 }
 
 #[test]
-fn a_late_block_that_does_not_fit_goes_back() {
+fn late_lease_beyond_the_quota_is_returned() {
     let mut harness = Harness::new(settings(), &["a1", "a2"]);
-    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
-    silence(&mut harness, name);
-    // Others hold the whole burst and more. What the silence let in is owed, the late block goes back.
-    late(&mut harness, name, amount + 40.0, amount);
-    let (_, told) = counter_call(&harness.advance(60.0, &[])).expect("what does not fit goes back");
-    assert_eq!(told, 1.0 - amount);
+    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("a counter call");
+    time_out(&mut harness, name);
+    // Others hold more than the burst. The request admitted during the silence is reported; the late lease is returned.
+    late_reply(&mut harness, name, amount + 40.0, amount);
+    let (_, report) = counter_call(&harness.advance(60.0, &[])).expect("a call that returns the excess");
+    assert_eq!(report, 1.0 - amount);
 }
 
 #[test]
-fn a_late_total_of_an_ended_window_grants_nothing() {
+fn total_of_an_ended_window_grants_nothing() {
     let mut harness = Harness::new(settings(), &["a1"]);
-    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("call");
+    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("a counter call");
     harness.advance(100.0, &[1]);
     harness.now += 5000.0;
     let actions = harness.reply_total(name, amount);
     assert_eq!(send_count(&actions), 0);
-    assert_eq!(send_count(&harness.request(2, "c", "plain", "safe")), 0, "no block in hand");
+    assert_eq!(send_count(&harness.request(2, "c", "plain", "safe")), 0, "the gateway holds no lease");
 }
 
 #[test]
-fn after_a_silence_an_idle_gateway_does_not_take_a_ceiling_s_store_for_full() {
+fn idle_gateway_does_not_assume_full_tokens_after_a_silence() {
     let mut harness = Harness::new(settings(), &["a1", "a2", "a3"]);
-    let at = harness.dispatch(1, "c", "ceiling", "safe");
-    harness.end_attempt(1, 0, &at, Outcome::Served);
+    let chosen = harness.dispatch(1, "c", "ceiling", "safe");
+    harness.end_attempt(1, 0, &chosen, Outcome::Served);
     harness.now += 100.0;
     for id in 2..=3 {
-        let (name, _) =
-            counter_call(&harness.request(id, &format!("other{id}"), "plain", "safe")).expect("call");
-        silence(&mut harness, name);
+        let (name, _) = counter_call(&harness.request(id, &format!("other{id}"), "plain", "safe"))
+            .expect("a counter call");
+        time_out(&mut harness, name);
     }
-    // Three seconds in which the other gateway may spend all; then the counter is back, empty.
+    // The other gateway may spend all units within three seconds; then the counter is back with an empty count.
     harness.now += 3000.0;
     let (mut dispatched, mut total, mut id) = (0, 0.0, 100);
     for _ in 0..40 {
         id += 1;
-        dispatched += offer(&mut harness, id, &mut total);
+        dispatched += send_under_ceiling(&mut harness, id, &mut total);
     }
     assert!(
         dispatched <= 5 && total <= 5.0,
-        "only the own slice of the silence: {dispatched} sent, {total} added"
+        "only the gateway's slice is left: {dispatched} sent, {total} added"
     );
 }
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -1,19 +1,19 @@
-//! One budget of time a request: what each try may take of it, what is left for the next, and how many there are.
+//! The time budget of a request: time limits of attempts, stalled attempts, and the retry budget.
 
 mod helper;
 use doorcourse::*;
 use helper::*;
 
-/// The first send among actions, and how long it may take.
-fn limit(actions: &[Action]) -> Option<(Name, Millis)> {
+/// The backend and the time limit of the first attempt among actions.
+fn first_timeout(actions: &[Action]) -> Option<(Name, Millis)> {
     actions.iter().find_map(|a| match a {
         Action::Send { backend, timeout, .. } => Some((backend.clone(), *timeout)),
         _ => None,
     })
 }
 
-/// A request that finds the counter answering: what was done with it.
-fn let_in(harness: &mut Harness, id: RequestId, customer: &str, class: &str) -> Vec<Action> {
+/// Sends a request, replies to its counter call, and returns the resulting actions.
+fn admitted(harness: &mut Harness, id: RequestId, customer: &str, class: &str) -> Vec<Action> {
     let actions = harness.request(id, customer, "plain", class);
     match counter_call(&actions) {
         Some((name, amount)) => harness.reply_total(name, amount),
@@ -21,16 +21,16 @@
     }
 }
 
-/// Teaches a gateway how long answers to a class usually take, by so many of them.
-fn teach(harness: &mut Harness, class: &str, usual: Millis, answers: RequestId) {
+/// Serves `answers` requests of a class with the given latency, which the gateway learns as the mean.
+fn train_latency(harness: &mut Harness, class: &str, mean: Millis, answers: RequestId) {
     for id in 1..=answers {
-        let at = harness.dispatch(id, &format!("c{id}"), "plain", class);
-        harness.end_attempt_after(usual, id, 0, &at, Outcome::Served);
+        let chosen = harness.dispatch(id, &format!("c{id}"), "plain", class);
+        harness.end_attempt_after(mean, id, 0, &chosen, Outcome::Served);
     }
 }
 
-/// When a request's try counts as stalled, where another one may follow.
-fn stalled(actions: &[Action], id: RequestId) -> Option<Millis> {
+/// The time after which a request's attempt counts as stalled, if a retry may follow.
+fn stall_timer(actions: &[Action], id: RequestId) -> Option<Millis> {
     actions.iter().rev().find_map(|a| match a {
         Action::SetTimer { after, token } if *token == id * 2 => Some(*after),
         _ => None,
@@ -41,165 +41,178 @@
     actions.contains(&Action::CallOff { id, attempt: 0 })
 }
 
-/// Two ticks are kept back of each request's 2000 ms.
-const LAST: Millis = 8.0;
+/// Two ticks of each request's 2000 ms are reserved.
+const RESERVED: Millis = 8.0;
 
 #[test]
-fn a_safe_try_that_hears_nothing_leaves_another_one_time_within_the_aim() {
+fn stalled_safe_attempt_leaves_time_for_a_retry_within_the_latency_target() {
     let mut harness = Harness::new(settings(), &["a1", "a2"]);
-    let actions = let_in(&mut harness, 1, "c", "safe");
-    let (at, first) = limit(&actions).expect("sent");
-    assert_eq!((first, stalled(&actions, 1)), (2000.0 - LAST, Some(400.0)), "half of the aim");
+    let actions = admitted(&mut harness, 1, "c", "safe");
+    let (chosen, first) = first_timeout(&actions).expect("an attempt");
+    assert_eq!(
+        (first, stall_timer(&actions, 1)),
+        (2000.0 - RESERVED, Some(400.0)),
+        "half of the latency target"
+    );
     assert!(!called_off(&harness.advance(399.0, &[1]), 1));
     assert!(called_off(&harness.advance(1.0, &[1]), 1));
-    let actions = harness.end_attempt_after(400.0, 1, 0, &at, Outcome::CalledOff);
-    let (next, second) = limit(&actions).expect("sent again");
-    assert_ne!(next, at);
-    assert_eq!((second, stalled(&actions, 1)), (1600.0 - LAST, None), "the last try has all that is left");
+    let actions = harness.end_attempt_after(400.0, 1, 0, &chosen, Outcome::CalledOff);
+    let (next, second) = first_timeout(&actions).expect("a second attempt");
+    assert_ne!(next, chosen);
+    assert_eq!(
+        (second, stall_timer(&actions, 1)),
+        (1600.0 - RESERVED, None),
+        "the last attempt has all the time that is left"
+    );
     let actions = harness.advance(second, &[1]);
     assert!(!actions.iter().any(|a| matches!(a, Action::CallOff { .. })), "{actions:?}");
     let actions = harness.end_attempt_after(second, 1, 1, &next, Outcome::TimedOut);
-    assert!(failed(&actions, 1) && send_count(&actions) == 0, "told before the client gives up: {actions:?}");
+    assert!(
+        failed(&actions, 1) && send_count(&actions) == 0,
+        "answered before the client gives up: {actions:?}"
+    );
 }
 
 #[test]
-fn a_try_that_no_other_one_can_follow_is_left_to_run() {
-    let mut alone = Harness::new(settings(), &["a1"]);
-    let actions = let_in(&mut alone, 1, "c", "safe");
+fn attempt_without_possible_retry_is_left_to_run() {
+    let mut single_backend = Harness::new(settings(), &["a1"]);
+    let actions = admitted(&mut single_backend, 1, "c", "safe");
     assert!(
-        !called_off(&alone.advance(stalled(&actions, 1).expect("a timer"), &[1]), 1),
+        !called_off(&single_backend.advance(stall_timer(&actions, 1).expect("a timer"), &[1]), 1),
         "there is no other backend"
     );
-    let mut only = Harness::new(Settings { max_attempts: 1, ..settings() }, &["a1", "a2"]);
-    assert_eq!(stalled(&let_in(&mut only, 1, "c", "safe"), 1), None);
-    let mut bound = Harness::new(Settings { may_cancel: false, ..settings() }, &["a1", "a2"]);
-    assert_eq!(stalled(&let_in(&mut bound, 1, "c", "safe"), 1), None);
+    let mut single_attempt = Harness::new(Settings { max_attempts: 1, ..settings() }, &["a1", "a2"]);
+    assert_eq!(stall_timer(&admitted(&mut single_attempt, 1, "c", "safe"), 1), None);
+    let mut no_cancel = Harness::new(Settings { may_cancel: false, ..settings() }, &["a1", "a2"]);
+    assert_eq!(stall_timer(&admitted(&mut no_cancel, 1, "c", "safe"), 1), None);
     let mut harness = Harness::new(settings(), &["a1", "a2"]);
-    let actions = let_in(&mut harness, 1, "c", "unsafe");
-    let (at, all) = limit(&actions).expect("sent");
-    assert_eq!(all, 2000.0 - LAST);
-    // The timer of its hold runs out all the same.
-    assert!(!called_off(&harness.advance(all, &[1]), 1));
-    let actions = harness.end_attempt_after(all, 1, 0, &at, Outcome::TimedOut);
+    let actions = admitted(&mut harness, 1, "c", "unsafe");
+    let (chosen, time_limit) = first_timeout(&actions).expect("an attempt");
+    assert_eq!(time_limit, 2000.0 - RESERVED);
+    // The hold timer expires all the same.
+    assert!(!called_off(&harness.advance(time_limit, &[1]), 1));
+    let actions = harness.end_attempt_after(time_limit, 1, 0, &chosen, Outcome::TimedOut);
     assert!(failed(&actions, 1) && send_count(&actions) == 0, "it may have run: {actions:?}");
 }
 
 #[test]
-fn at_a_backend_that_answers_others_a_try_has_twice_as_long() {
+fn stall_timeout_doubles_at_a_backend_that_answers_others() {
     let mut harness = Harness::new(settings(), &["a1", "a2"]);
-    teach(&mut harness, "safe", 80.0, 60);
-    let actions = let_in(&mut harness, 101, "d", "safe");
-    let ((at, _), first) = (limit(&actions).expect("sent"), stalled(&actions, 101).expect("a timer"));
-    assert!((first - 480.0).abs() < 1.0, "six usual latencies: {first}");
+    train_latency(&mut harness, "safe", 80.0, 60);
+    let actions = admitted(&mut harness, 101, "d", "safe");
+    let ((chosen, _), first) =
+        (first_timeout(&actions).expect("an attempt"), stall_timer(&actions, 101).expect("a timer"));
+    assert!((first - 480.0).abs() < 1.0, "six mean latencies: {first}");
     harness.now += 100.0;
-    let beside = (102..=104).find(|id| {
-        let (other, _) = limit(&let_in(&mut harness, *id, &format!("c{id}"), "safe")).expect("sent");
-        other == at
+    let other_request = (102..=104).find(|id| {
+        let (other, _) =
+            first_timeout(&admitted(&mut harness, *id, &format!("c{id}"), "safe")).expect("an attempt");
+        other == chosen
     });
     harness.end_attempt_after(
         80.0,
-        beside.expect("another one at the same backend"),
+        other_request.expect("another attempt at the same backend"),
         0,
-        &at,
+        &chosen,
         Outcome::Served,
     );
     let actions = harness.advance(first - 100.0, &[101]);
-    assert!(!called_off(&actions, 101), "it may be slow");
-    let more = stalled(&actions, 101).expect("a second timer");
-    assert!((first + more - 960.0).abs() < 3.0, "twelve usual latencies: {first} and {more}");
-    // Its connection may have gone blind while others have not.
+    assert!(!called_off(&actions, 101), "the backend may just be slow");
+    let more = stall_timer(&actions, 101).expect("a second timer");
+    assert!((first + more - 960.0).abs() < 3.0, "twelve mean latencies: {first} and {more}");
+    // This connection may be dead while the others are not.
     assert!(called_off(&harness.advance(more, &[101]), 101));
 }
 
 #[test]
-fn slow_answers_are_no_stalls() {
-    // Six usual latencies, within the aim or else within the client's time, or never.
-    for (usual, expected) in [(50.0, Some(400.0)), (100.0, Some(600.0)), (130.0, Some(996.0)), (400.0, None)]
-    {
+fn slow_answers_are_not_stalls() {
+    // Stall timeout: six mean latencies, within the latency target or else the client's deadline; none if neither fits.
+    for (mean, expected) in [(50.0, Some(400.0)), (100.0, Some(600.0)), (130.0, Some(996.0)), (400.0, None)] {
         let mut harness = Harness::new(settings(), &["a1", "a2"]);
-        teach(&mut harness, "safe", usual, 60);
-        let after = stalled(&let_in(&mut harness, 1000, "d", "safe"), 1000);
+        train_latency(&mut harness, "safe", mean, 60);
+        let after = stall_timer(&admitted(&mut harness, 1000, "d", "safe"), 1000);
         assert!(
             matches!((after, expected), (None, None))
                 || after.zip(expected).is_some_and(|(a, b)| (a - b).abs() < 1.0),
-            "{after:?} at the usual {usual}"
+            "{after:?} at a mean of {mean}"
         );
     }
 }
 
 #[test]
-fn while_answers_are_late_nobody_is_loaded_for_one_after_the_aim() {
+fn no_stall_retry_beyond_the_latency_target_while_answers_are_late() {
     let mut harness = Harness::new(settings(), &["a1", "a2"]);
     for id in 1..=40 {
-        let at = harness.dispatch(id, &format!("c{id}"), "plain", "safe");
-        harness.end_attempt_after(if id < 36 { 130.0 } else { 700.0 }, id, 0, &at, Outcome::Served);
+        let chosen = harness.dispatch(id, &format!("c{id}"), "plain", "safe");
+        harness.end_attempt_after(if id < 36 { 130.0 } else { 700.0 }, id, 0, &chosen, Outcome::Served);
     }
-    assert_eq!(stalled(&let_in(&mut harness, 1000, "d", "safe"), 1000), None);
+    assert_eq!(stall_timer(&admitted(&mut harness, 1000, "d", "safe"), 1000), None);
 }
 
 #[test]
-fn what_a_request_has_waited_for_its_block_is_gone() {
+fn wait_for_a_lease_reduces_the_time_limit() {
     let mut harness = Harness::new(settings(), &["a1"]);
-    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "unsafe")).expect("a call");
+    let (name, amount) = counter_call(&harness.request(1, "c", "plain", "unsafe")).expect("a counter call");
     harness.now += 70.0;
     let actions = harness.reply_total(name, amount);
     assert!(
-        matches!(actions[..], [.., Action::Send { timeout, quota_wait, .. }] if timeout == 1930.0 - LAST && quota_wait == 70.0),
+        matches!(actions[..], [.., Action::Send { timeout, quota_wait, .. }] if timeout == 1930.0 - RESERVED && quota_wait == 70.0),
         "{actions:?}"
     );
 }
 
 #[test]
-fn what_a_request_has_waited_for_room_is_gone() {
+fn wait_in_the_queue_reduces_the_time_limit() {
     let mut harness = Harness::new(settings(), &[]);
-    assert_eq!(send_count(&let_in(&mut harness, 1, "c", "unsafe")), 0);
+    assert_eq!(send_count(&admitted(&mut harness, 1, "c", "unsafe")), 0);
     harness.now += 150.0;
     let actions = harness.handle(Event::BackendList(vec![backend("a1", BackendState::Ready, None)]));
     assert!(
-        matches!(actions[..], [Action::Send { timeout, quota_wait: 0.0, .. }] if timeout == 1850.0 - LAST),
+        matches!(actions[..], [Action::Send { timeout, quota_wait: 0.0, .. }] if timeout == 1850.0 - RESERVED),
         "{actions:?}"
     );
 }
 
 #[test]
-fn a_try_that_could_not_connect_leaves_what_it_did_not_use() {
+fn attempt_without_connection_leaves_its_remaining_time_to_the_next() {
     for class in ["safe", "unsafe"] {
         let mut harness = Harness::new(settings(), &["a1", "a2", "a3"]);
-        let (at, _) = limit(&let_in(&mut harness, 1, "c", class)).expect("sent");
+        let (chosen, _) = first_timeout(&admitted(&mut harness, 1, "c", class)).expect("an attempt");
         harness.now += 250.0;
-        let actions = harness.end_attempt_after(250.0, 1, 0, &at, Outcome::ConnectFailed);
-        let (next, second) = limit(&actions).expect("sent elsewhere");
-        assert!(next != at && second == 1750.0 - LAST, "{class}: {second}");
+        let actions = harness.end_attempt_after(250.0, 1, 0, &chosen, Outcome::ConnectFailed);
+        let (next, second) = first_timeout(&actions).expect("an attempt at another backend");
+        assert!(next != chosen && second == 1750.0 - RESERVED, "{class}: {second}");
     }
 }
 
 #[test]
-fn with_too_little_left_a_request_is_refused_unsent_and_later_ones_are_tried_again() {
+fn request_with_too_little_time_is_refused_unsent_and_later_ones_are_sent_again() {
     let mut harness = Harness::new(settings(), &["a1", "a2"]);
-    teach(&mut harness, "unsafe", 600.0, 400);
-    let ask = |harness: &mut Harness, id| {
+    train_latency(&mut harness, "unsafe", 600.0, 400);
+    let request = |harness: &mut Harness, id| {
         let arrival = harness.arrival(id, "d", "plain", "unsafe");
         harness.handle(Event::Request(Arrival { deadline: harness.now + 400.0, ..arrival }))
     };
-    let (name, amount) = counter_call(&ask(&mut harness, 1000)).expect("a call");
+    let (name, amount) = counter_call(&request(&mut harness, 1000)).expect("a counter call");
     let actions = harness.reply_total(name, amount);
     assert!(refused(&actions, 1000) && send_count(&actions) == 0, "an answer takes 600 ms: {actions:?}");
     assert_eq!(harness.gateway.pool(harness.now).too_late, 1);
-    // Nothing is learned while nothing is sent: what is believed of latencies must fade.
-    let sent_on = (1001..1100).find(|id| send_count(&ask(&mut harness, *id)) > 0);
-    assert!(sent_on.is_some(), "refused for ever");
+    // No latency is measured while nothing is sent, so the mean has to decay.
+    let first_sent = (1001..1100).find(|id| send_count(&request(&mut harness, *id)) > 0);
+    assert!(first_sent.is_some(), "refused forever");
 }
 
 #[test]
-fn what_was_written_already_is_not_called_refused_for_want_of_time() {
+fn request_that_may_have_run_fails_instead_of_being_refused_as_too_late() {
     let mut harness = Harness::new(settings(), &["a1", "a2"]);
-    teach(&mut harness, "safe", 400.0, 60);
+    train_latency(&mut harness, "safe", 400.0, 60);
     for (id, outcome, unsent) in [(1000, Outcome::Broken, false), (1001, Outcome::ConnectFailed, true)] {
         harness.now += 3000.0;
-        let (at, _) = limit(&let_in(&mut harness, id, &format!("d{id}"), "safe")).expect("sent");
-        // 200 ms are left, and half of all answers take 280.
+        let (chosen, _) =
+            first_timeout(&admitted(&mut harness, id, &format!("d{id}"), "safe")).expect("an attempt");
+        // 200 ms are left, and half of all answers take 280 ms.
         harness.now += 1800.0;
-        let actions = harness.end_attempt_after(1800.0, id, 0, &at, outcome);
+        let actions = harness.end_attempt_after(1800.0, id, 0, &chosen, outcome);
         assert_eq!(send_count(&actions), 0, "{outcome:?}: {actions:?}");
         assert_eq!(
             (refused(&actions, id), failed(&actions, id)),
@@ -210,70 +223,72 @@
 }
 
 #[test]
-fn further_tries_are_a_share_of_the_fresh_ones_over_the_whole_fleet() {
+fn retries_are_a_share_of_fresh_requests_over_the_whole_fleet() {
     const GATEWAYS: u32 = 300;
-    let (mut fresh, mut further, mut denied) = (0, 0, 0);
+    let (mut fresh, mut retries, mut denied) = (0, 0, 0);
     for gateway_index in 0..GATEWAYS {
         let settings = Settings { gateways: GATEWAYS, gateway_index, ..settings() };
         let mut harness =
             Harness::seeded(settings, 1 + u64::from(gateway_index), &["a1", "a2", "a3", "a4", "a5"]);
-        // What comes at once is no late answer then, which would speak for fewer fresh requests.
-        let (at, _) = limit(&let_in(&mut harness, 99, "first", "safe")).expect("sent");
-        harness.end_attempt_after(100.0, 99, 0, &at, Outcome::Served);
+        // One answer sets the mean latency; without it the errors below would count as late and shed fresh requests.
+        let (chosen, _) = first_timeout(&admitted(&mut harness, 99, "first", "safe")).expect("an attempt");
+        harness.end_attempt_after(100.0, 99, 0, &chosen, Outcome::Served);
         fresh += 1;
         for id in 1..=30 {
             harness.now += 400.0;
-            let mut actions = let_in(&mut harness, id, &format!("c{id}"), "safe");
+            let mut actions = admitted(&mut harness, id, &format!("c{id}"), "safe");
             let mut attempt = 0;
-            // Every backend answers with an error at once.
-            while let Some((at, _)) = limit(&actions) {
-                (fresh, further) = if attempt == 0 { (fresh + 1, further) } else { (fresh, further + 1) };
-                actions = harness.end_attempt_after(1.0, id, attempt, &at, Outcome::Error);
+            // Every backend fails fast.
+            while let Some((chosen, _)) = first_timeout(&actions) {
+                (fresh, retries) = if attempt == 0 { (fresh + 1, retries) } else { (fresh, retries + 1) };
+                actions = harness.end_attempt_after(1.0, id, attempt, &chosen, Outcome::Error);
                 attempt += 1;
             }
         }
         denied += harness.gateway.pool(harness.now).retries_denied;
     }
     assert!(fresh > 4000, "{fresh}");
-    let most = f64::from(fresh) * 0.2 + f64::from(GATEWAYS) * 2.0;
-    assert!(f64::from(further) <= most, "{further} after {fresh}");
-    assert!(further > 600 && denied > 0, "{further}, {denied}");
+    let max = f64::from(fresh) * 0.2 + f64::from(GATEWAYS) * 2.0;
+    assert!(f64::from(retries) <= max, "{retries} retries of {fresh}");
+    assert!(retries > 600 && denied > 0, "{retries}, {denied}");
 }
 
 #[test]
-fn nothing_is_called_off_once_the_further_tries_are_used_up() {
+fn no_attempt_is_called_off_once_the_retry_budget_is_spent() {
     let mut harness = Harness::new(Settings { gateways: 15, ..settings() }, &["a1", "a2", "a3"]);
-    let mut cut = 0;
+    let mut called_off_count = 0;
     for id in 1..=6 {
         harness.now += 3000.0;
-        let (at, _) = limit(&let_in(&mut harness, id, &format!("c{id}"), "safe")).expect("sent");
+        let (chosen, _) =
+            first_timeout(&admitted(&mut harness, id, &format!("c{id}"), "safe")).expect("an attempt");
         if called_off(&harness.advance(400.0, &[id]), id) {
-            cut += 1;
+            called_off_count += 1;
             let (next, _) =
-                limit(&harness.end_attempt_after(400.0, id, 0, &at, Outcome::CalledOff)).expect("sent again");
+                first_timeout(&harness.end_attempt_after(400.0, id, 0, &chosen, Outcome::CalledOff))
+                    .expect("a second attempt");
             harness.end_attempt_after(10.0, id, 1, &next, Outcome::Served);
         } else {
-            harness.end_attempt_after(1900.0, id, 0, &at, Outcome::Served);
+            harness.end_attempt_after(1900.0, id, 0, &chosen, Outcome::Served);
         }
     }
-    assert_eq!(cut, 2, "two at first, and a fifth of six more is one in five");
+    assert_eq!(called_off_count, 2, "two retries at first, and a fifth of a retry per request");
 }
 
 #[test]
 fn no_request_outlives_the_process() {
     let mut harness = Harness::new(settings(), &["a1"]);
-    let (at, _) = limit(&let_in(&mut harness, 1, "c", "unsafe")).expect("sent");
+    let (chosen, _) = first_timeout(&admitted(&mut harness, 1, "c", "unsafe")).expect("an attempt");
     let actions = harness.handle(Event::ShuttingDown { deadline: harness.now + 500.0 });
     let timer = actions.iter().find_map(|a| match a {
         Action::SetTimer { after: 500.0, token } => Some(*token),
         _ => None,
     });
-    let token = timer.expect("a timer for the end");
-    let (_, second) = limit(&let_in(&mut harness, 2, "d", "unsafe")).expect("sent");
-    assert_eq!(second, 500.0, "what comes now has no more than that");
+    let token = timer.expect("a timer for the shutdown");
+    let (_, second) = first_timeout(&admitted(&mut harness, 2, "d", "unsafe")).expect("an attempt");
+    assert_eq!(second, 500.0, "a new request has no more time than the process");
     harness.now += 500.0;
     let actions = harness.handle(Event::Timer { token });
     assert!(actions.contains(&Action::CallOff { id: 1, attempt: 0 }), "{actions:?}");
-    let actions = harness.end_attempt_after(500.0, 1, 0, &at, Outcome::CalledOff);
+    let actions = harness.end_attempt_after(500.0, 1, 0, &chosen, Outcome::CalledOff);
     assert!(failed(&actions, 1) && send_count(&actions) == 0, "{actions:?}");
 }
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -1,9 +1,9 @@
-//! Settings with room to change, and a gateway driven by scripted events.
+//! Test settings, and a harness that drives one gateway with scripted events.
 #![allow(dead_code)]
 
 use doorcourse::*;
 
-/// One safe, one keyed and one unsafe class; a small plan, one under a ceiling and one with an open cap.
+/// Classes: safe, keyed, unsafe. Plans of 10 units and 5 a second: plain, under a ceiling, with a concurrency cap.
 pub fn settings() -> Settings {
     let class = |name: &str, idempotency, dedup_scope| Class {
         name: name.into(),
@@ -51,13 +51,13 @@
     }
 }
 
-/// A list line; backends named `a…` are in cell 0, all others in cell 1.
+/// An entry of the backend list. Backends whose names start with `a` are in cell 0, all others in cell 1.
 pub fn backend(name: &str, state: BackendState, started: Option<Millis>) -> BackendEntry {
     let cell = u64::from(!name.starts_with('a'));
     BackendEntry { name: name.into(), zone: "z1".into(), cell, state, started }
 }
 
-/// A gateway, its clock and what it did at the last event.
+/// A gateway, its clock and its actions at the last event.
 pub struct Harness {
     pub gateway: Gateway,
     pub now: Millis,
@@ -83,7 +83,7 @@
         self.actions.clone()
     }
 
-    /// Lets time pass and runs the housekeeping timer and the hold timers of the requests named.
+    /// Advances the clock, then expires the housekeeping timer and the hold timers of the given requests.
     pub fn advance(&mut self, span: Millis, requests: &[RequestId]) -> Vec<Action> {
         self.now += span;
         let mut all = self.handle(Event::Timer { token: 1 });
@@ -97,7 +97,7 @@
         self.request_from(id, customer, plan, class, false, 2)
     }
 
-    /// The same for a customer of so many gateways, as a first try or as the client's repeat.
+    /// Sends a request of a customer with `spread` gateways, as a first try or as a client's repeat.
     pub fn request_from(
         &mut self, id: RequestId, customer: &str, plan: &str, class: &str, repeat: bool, spread: u32,
     ) -> Vec<Action> {
@@ -105,7 +105,7 @@
         self.handle(Event::Request(Arrival { repeat, spread, ..arrival }))
     }
 
-    /// A first try of a customer of two gateways, for which its client waits 2 s.
+    /// A first try of a customer with two gateways, whose client waits for 2 s.
     pub fn arrival(&self, id: RequestId, customer: &str, plan: &str, class: &str) -> Arrival {
         Arrival {
             id,
@@ -132,22 +132,22 @@
         self.handle(attempt_ended(latency, id, attempt, backend, outcome))
     }
 
-    /// Answers a counter call with a total.
+    /// Replies to a counter call with a total.
     pub fn reply_total(&mut self, name: u64, total: f64) -> Vec<Action> {
         self.handle(Event::Counted { name, outcome: CountOutcome::Total(total), latency: 2.0 })
     }
 
-    /// A request that finds the counter answering `others` + what this gateway adds; gives where it was sent.
+    /// Sends a request, replies to its counter call with its own amount, and returns the backend of the attempt.
     pub fn dispatch(&mut self, id: RequestId, customer: &str, plan: &str, class: &str) -> Name {
         let mut actions = self.request(id, customer, plan, class);
         if let Some((name, amount)) = counter_call(&actions) {
             actions = self.reply_total(name, amount);
         }
-        first_send(&actions).expect("sent on").1
+        first_send(&actions).expect("an attempt").1
     }
 }
 
-/// The end of an attempt that was out for so long.
+/// The end of an attempt with the given latency.
 pub fn attempt_ended(
     latency: Millis, id: RequestId, attempt: u32, backend: &Name, outcome: Outcome,
 ) -> Event {
@@ -180,17 +180,17 @@
     })
 }
 
-/// How many requests were sent on.
+/// The number of attempts sent.
 pub fn send_count(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Send { .. })).count()
 }
 
-/// Whether a request got a refusal.
+/// Whether the request was refused.
 pub fn refused(actions: &[Action], which: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { id, .. } if *id == which))
 }
 
-/// Whether a request got a failure.
+/// Whether the request failed.
 pub fn failed(actions: &[Action], which: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { id } if *id == which))
 }
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -1,5 +1,5 @@
-//! Long seeded streams of legal events in odd orders, and the rules that one gateway alone can be held to. There is
-//! no model of servers or fleets here: outcomes and totals are drawn at random.
+//! Long seeded streams of legal events in unusual orders, checked against the invariants of a single gateway. There
+//! is no model of servers or fleets: outcomes and totals are drawn at random.
 
 mod helper;
 use doorcourse::*;
@@ -15,8 +15,8 @@
     }
 }
 
-/// What the test itself knows of a request.
-struct Known {
+/// The test's own record of a request.
+struct RequestRecord {
     class: usize,
     deadline: Millis,
     attempts: u32,
@@ -28,7 +28,7 @@
 
 #[derive(Default)]
 struct Checker {
-    requests: BTreeMap<RequestId, Known>,
+    requests: BTreeMap<RequestId, RequestRecord>,
     calls: Vec<u64>,
     timers: BTreeMap<(u64, u64), u64>,
     draining: BTreeMap<Name, bool>,
@@ -41,22 +41,25 @@
             match action {
                 Action::Send { id, backend, .. } => self.sent(now, id, backend),
                 Action::Refuse { id, .. } => {
-                    let known = self.answer(now, id);
-                    let keyed_alone = known.class == 1 || known.class == 2;
-                    assert!(known.may_have_run.is_none() || !keyed_alone, "refused though it may have run");
+                    let record = self.answer(now, id);
+                    let not_repeatable = record.class == 1 || record.class == 2;
+                    assert!(
+                        record.may_have_run.is_none() || !not_repeatable,
+                        "refused although the request may have run"
+                    );
                 }
                 Action::Fail { id } => {
                     self.answer(now, id);
                 }
                 Action::CallOff { id, .. } => {
-                    assert!(self.requests[&id].class != 2, "an unsafe attempt called off");
+                    assert!(self.requests[&id].class != 2, "an unsafe attempt was called off");
                 }
                 Action::SetTimer { after, token } => {
                     let order = self.timers.len() as u64;
                     self.timers.insert(((now + after).ceil() as u64, token << 8 | order & 0xff), token);
                 }
                 Action::AddToCounter { name, .. } => {
-                    assert!(!self.calls.contains(&name), "two calls out for one name");
+                    assert!(!self.calls.contains(&name), "two calls in progress for one name");
                     self.calls.push(name);
                     assert!(self.calls.len() <= 64, "calls are bounded");
                 }
@@ -68,31 +71,34 @@
 
     fn sent(&mut self, now: Millis, id: RequestId, backend: Name) {
         assert!(!self.draining.get(&backend).copied().unwrap_or(true), "sent to {backend} after its drain");
-        let known = self.requests.get_mut(&id).expect("a known request");
-        assert!(!known.answered && known.out.is_none(), "a second attempt out, or after the answer");
-        if let Some((home, at)) = &known.may_have_run {
-            assert!(known.class != 2, "an unsafe request repeated");
+        let record = self.requests.get_mut(&id).expect("a known request");
+        assert!(
+            !record.answered && record.out.is_none(),
+            "an attempt while another is in flight, or after the answer"
+        );
+        if let Some((home, at)) = &record.may_have_run {
+            assert!(record.class != 2, "an unsafe request was retried");
             let same_cell = home.starts_with('a') == backend.starts_with('a');
             assert!(
-                known.class == 0 || same_cell && now - at < 4000.0,
-                "a keyed repeat outside group or time"
+                record.class == 0 || same_cell && now - at < 4000.0,
+                "a keyed retry outside its deduplication scope or window"
             );
         }
-        known.attempts += 1;
-        known.out = Some((backend, now));
+        record.attempts += 1;
+        record.out = Some((backend, now));
     }
 
-    fn answer(&mut self, now: Millis, id: RequestId) -> &Known {
-        let known = self.requests.get_mut(&id).expect("a known request");
-        assert!(!known.answered, "two answers");
-        assert!(now <= known.deadline + 16.0, "an answer after the client's patience");
-        known.answered = true;
+    fn answer(&mut self, now: Millis, id: RequestId) -> &RequestRecord {
+        let record = self.requests.get_mut(&id).expect("a known request");
+        assert!(!record.answered, "two answers");
+        assert!(now <= record.deadline + 16.0, "an answer after the client's deadline");
+        record.answered = true;
         self.answers += 1;
-        known
+        record
     }
 
     fn overdue(&self, now: Millis) -> Option<RequestId> {
-        let late = |k: &Known| !k.answered && k.out.is_none() && now > k.deadline + 16.0;
+        let late = |k: &RequestRecord| !k.answered && k.out.is_none() && now > k.deadline + 16.0;
         self.requests.iter().find(|(_, k)| late(k)).map(|(id, _)| *id)
     }
 }
@@ -113,7 +119,7 @@
     })
 }
 
-fn play(seed: u64) -> usize {
+fn run_stream(seed: u64) -> usize {
     let (mut random, mut checker) = (Random(seed), Checker::default());
     let names = ["a1", "a2", "a3", "b1", "b2", "b3"];
     let mut harness = Harness::new(settings(), &names);
@@ -141,7 +147,7 @@
         let event = match random.below(40) {
             0..20 => {
                 let (class, patience) = (random.below(3) as usize, 300.0 + random.below(2500) as f64);
-                let known = Known {
+                let record = RequestRecord {
                     class,
                     deadline: harness.now + patience,
                     attempts: 0,
@@ -149,7 +155,7 @@
                     may_have_run: None,
                     answered: false,
                 };
-                checker.requests.insert(id, known);
+                checker.requests.insert(id, record);
                 arrival(&mut random, id, harness.now + patience, class)
             }
             20..34 if !checker.calls.is_empty() => {
@@ -180,17 +186,17 @@
         };
         let actions = harness.handle(event);
         checker.check(harness.now, actions);
-        assert_eq!(checker.overdue(harness.now), None, "a request without its answer");
+        assert_eq!(checker.overdue(harness.now), None, "a request without an answer after its deadline");
     }
     checker.answers
 }
 
-/// Ends some of the attempts that are out: at random, and all whose client's time is up.
+/// Ends random attempts in flight, and all attempts whose client's deadline has passed.
 fn outcomes(random: &mut Random, checker: &mut Checker, now: Millis) -> Vec<(RequestId, Event)> {
     let mut events = Vec::new();
-    for (id, known) in &mut checker.requests {
-        let Some((backend, sent_at)) = known.out.clone() else { continue };
-        let overdue = now >= known.deadline;
+    for (id, record) in &mut checker.requests {
+        let Some((backend, sent_at)) = record.out.clone() else { continue };
+        let overdue = now >= record.deadline;
         if !overdue && random.below(12) != 0 {
             continue;
         }
@@ -201,13 +207,13 @@
                 [Outcome::Served, Outcome::Error, Outcome::Full, Outcome::ConnectFailed, Outcome::Broken];
             all[random.below(5) as usize]
         };
-        known.out = None;
+        record.out = None;
         let never_ran = matches!(outcome, Outcome::Full | Outcome::ConnectFailed);
-        if !never_ran && known.may_have_run.is_none() {
-            known.may_have_run = Some((backend.clone(), sent_at));
+        if !never_ran && record.may_have_run.is_none() {
+            record.may_have_run = Some((backend.clone(), sent_at));
         }
-        let finished = outcome == Outcome::Served || known.answered;
-        let (attempt, latency) = (known.attempts - 1, now - sent_at);
+        let finished = outcome == Outcome::Served || record.answered;
+        let (attempt, latency) = (record.attempts - 1, now - sent_at);
         let end = AttemptEnd {
             id: *id,
             attempt,
@@ -225,9 +231,9 @@
 }
 
 #[test]
-fn rules_hold_through_long_streams_of_odd_events() {
+fn invariants_hold_through_long_streams_of_random_events() {
     for seed in 1..=6 {
-        let answers = play(seed);
-        assert!(answers > 1000, "the stream must reach the answers it checks: {answers}");
+        let answers = run_stream(seed);
+        assert!(answers > 1000, "the stream must produce enough answers to check: {answers}");
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that cannot be used are an error value.
+//! Unusable settings are reported as an error value.
 
 mod helper;
 use doorcourse::*;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn unusable_settings_are_refused() {
+fn unusable_settings_are_rejected() {
     assert_eq!(error(|_| ()), None);
     assert_eq!(error(|s| s.classes.clear()), Some(SettingsError::NoClasses));
     assert_eq!(error(|s| s.gateway_index = 2), Some(SettingsError::GatewayIndexTooHigh));
