--- a/examples/loop.rs
+++ b/examples/loop.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 /// Scheduled events by time in whole ms, then by order of insertion.
-type Schedule = BTreeMap<(u64, u64), Event>;
+type EventQueue = BTreeMap<(u64, u64), Event>;
 
 fn settings() -> Settings {
     let class = Class {
@@ -50,10 +50,10 @@
 
 fn main() -> Result<(), doorcourse::SettingsError> {
     let mut gateway = Gateway::new(settings(), 42)?;
-    let (mut schedule, mut order) = (Schedule::new(), 0);
-    let mut schedule_event = |schedule: &mut Schedule, at: Millis, event: Event| {
+    let (mut queue, mut order) = (EventQueue::new(), 0);
+    let mut push = |queue: &mut EventQueue, at: Millis, event: Event| {
         order += 1;
-        schedule.insert((at.ceil() as u64, order), event);
+        queue.insert((at.ceil() as u64, order), event);
     };
     let backend = BackendEntry {
         name: "b1".into(),
@@ -62,7 +62,7 @@
         state: BackendState::Ready,
         started: None,
     };
-    schedule_event(&mut schedule, 0.0, Event::BackendList(vec![backend.clone()]));
+    push(&mut queue, 0.0, Event::BackendList(vec![backend.clone()]));
     for id in 1..=8 {
         let (customer, name, class) = ("customer".into(), "basic".into(), "read".into());
         let arrival = Arrival {
@@ -76,11 +76,11 @@
             first_gateway: 0,
             spread: 1,
         };
-        schedule_event(&mut schedule, id as Millis * 10.0, Event::Request(arrival));
+        push(&mut queue, id as Millis * 10.0, Event::Request(arrival));
     }
     let (mut counts, mut attempts) = (BTreeMap::<u64, f64>::new(), BTreeMap::<u64, u32>::new());
     let mut restarted = false;
-    while let Some(((at, _), event)) = schedule.pop_first() {
+    while let Some(((at, _), event)) = queue.pop_first() {
         let now = at as Millis;
         if now > 500.0 {
             break;
@@ -89,21 +89,19 @@
             // Restart: a new gateway with a fresh seed and the last list. Clients retry the requests that were open.
             restarted = true;
             gateway = Gateway::new(settings(), 43)?;
-            schedule.retain(|_, event| matches!(event, Event::Request(_)));
-            schedule_event(&mut schedule, now, Event::BackendList(vec![backend.clone()]));
+            queue.retain(|_, event| matches!(event, Event::Request(_)));
+            push(&mut queue, now, Event::BackendList(vec![backend.clone()]));
         }
         let mut actions = Vec::new();
         gateway.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::SetTimer { after, token } => {
-                    schedule_event(&mut schedule, now + after, Event::Timer { token })
-                }
+                Action::SetTimer { after, token } => push(&mut queue, now + after, Event::Timer { token }),
                 Action::AddToCounter { name, amount, .. } => {
                     let total = counts.entry(name).or_default();
                     *total += amount;
                     let outcome = CountOutcome::Total(*total);
-                    schedule_event(&mut schedule, now + 2.0, Event::Counted { name, outcome, latency: 2.0 });
+                    push(&mut queue, now + 2.0, Event::Counted { name, outcome, latency: 2.0 });
                 }
                 Action::Send { id, backend, .. } => {
                     println!("{now:>5} ms  {id} sent to {backend}");
@@ -120,7 +118,7 @@
                         body_consumed: false,
                         load: None,
                     };
-                    schedule_event(&mut schedule, now + latency, Event::AttemptEnded(end));
+                    push(&mut queue, now + latency, Event::AttemptEnded(end));
                 }
                 Action::Refuse { id, retry_after } => {
                     println!("{now:>5} ms  {id} refused, retry after {retry_after:.0} ms");
--- a/simhost/src/lib.rs
+++ b/simhost/src/lib.rs
@@ -333,7 +333,7 @@
 
 fn write_action(reply: &mut String, i: u64, action: &Action) -> fmt::Result {
     match action {
-        // In the protocol a timeout of 0 means no limit.
+        // In the protocol a missing or zero timeout means no limit.
         Action::Send { id, backend, timeout, .. } => {
             writeln!(reply, "HAND_OFF\t{i}\t{id}\t{backend}\t{:.3}", timeout.max(0.001))
         }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -85,7 +85,7 @@
                 harness.end_attempt(id, 0, &chosen, Outcome::Served);
             }
         }
-        // An even part is 500 of 5000 requests; a backend at 0.2 of its capacity gets a fifth of that, times `COLD_LOAD`.
+        // An even part is 500 of 5000 requests. At 0.2 of its capacity a backend gets 0.2 of that, times `COLD_LOAD`.
         assert!((40..=120).contains(&to_cold), "{gateways} gateways: {to_cold}");
     }
 }
