--- a/src/logic/backends.rs
+++ b/src/logic/backends.rs
@@ -227,7 +227,7 @@
         let late = match end.outcome {
             Outcome::Served => {
                 if backend.failures >= REPORT_AT {
-                    out.push(Action::Log(format!("backend {name} answers again")));
+                    out.push(Action::Log(format!("backend {name} back: it answers again")));
                     out.push(backend.health_observed(name, false));
                 }
                 backend.failures = 0;
--- a/src/logic/counter.rs
+++ b/src/logic/counter.rs
@@ -46,7 +46,7 @@
         };
         if std::mem::take(&mut self.silence_logged) {
             self.counter_back_at = self.now;
-            out.push(Action::Log("counter replies again".into()));
+            out.push(Action::Log("counter back".into()));
         }
         (self.failed_calls, self.last_counter_reply) = (0, self.now);
         self.on_total(&name, total, out);
@@ -130,7 +130,7 @@
     pub(super) fn on_no_reply(&mut self, count: u64, name: Name, timed_out: bool, out: &mut Vec<Action>) {
         self.failed_calls += 1;
         if self.counter_silent() && !std::mem::replace(&mut self.silence_logged, true) {
-            out.push(Action::Log("counter silent: spending held leases and even shares".into()));
+            out.push(Action::Log("counter silent: spending blocks and even slices".into()));
         }
         let large_fleet = self.large_fleet();
         let Some(customer) = self.customers.get_mut(&name) else { return };
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -190,7 +190,7 @@
 
 #[test]
 fn waiting_request_gets_a_late_total_without_a_second_call() {
-    for (customer, plan) in [("sampled", "plain"), ("under a ceiling", "ceiling")] {
+    for (customer, plan) in [("wide", "plain"), ("under a ceiling", "ceiling")] {
         let mut harness = fleet(GATEWAYS, &names(5), false).swap_remove(0);
         let spread = if plan == "plain" { GATEWAYS } else { 10 };
         // Only a share of the requests of a sampled quota is counted.
