--- a/src/logic.rs
+++ b/src/logic.rs
@@ -40,10 +40,10 @@
     cell: u64,
     state: BackendState,
     detached: bool,
-    /// When operators last put it back into use; it may have been restarted meanwhile.
+    /// When operators last put the backend back into use; it may have been restarted meanwhile.
     returned: Option<Millis>,
     started: Option<Millis>,
-    /// When this gateway last sent an attempt to it, and when it last answered one.
+    /// When this gateway last sent the backend an attempt, and when the backend last answered one.
     sent: Millis,
     #[serde(rename = "heard")]
     answered_at: Millis,
@@ -128,7 +128,7 @@
     unverified: bool,
     repeat: bool,
     arrived: Millis,
-    /// When its answer has to leave: a little before the client gives up.
+    /// When the answer has to leave: a little before the client gives up.
     answer_by: Millis,
     admitted_at: Option<Millis>,
     hold_until: Millis,
@@ -141,7 +141,7 @@
     sent_to: Option<Name>,
 }
 
-/// Leases, totals and learned values for a successor process. Attempts in flight stay with their process.
+/// Leases, totals and learned values for a successor process; attempts in flight stay with the old one.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HandoverState {
@@ -234,7 +234,7 @@
         }
     }
 
-    /// Hands leases and slices over to another process: both together spend the quota share of one gateway.
+    /// Hands over all state and keeps no lease or slice: both processes share one gateway's part of quotas.
     pub fn hand_over(&mut self) -> HandoverState {
         let customers = self.customers.clone();
         for customer in self.customers.values_mut() {
--- a/src/logic/backends.rs
+++ b/src/logic/backends.rs
@@ -34,8 +34,8 @@
 /// In a large fleet a gateway prefers this many backends, to have few connections; others score worse.
 pub(super) const PREFERRED_BACKENDS: usize = 5;
 pub(super) const NON_PREFERRED_FACTOR: f64 = 100.0;
-/// A cold backend gets this part of its capacity's share of an even load. Warm backends get no more than
-/// their capacity, so all gateways together stay below the factor that overloads the cold one.
+/// A cold backend gets an even part of the requests, times its present share of capacity, times this. Warm
+/// backends get no more than their capacity, so all gateways together stay below the cold overload factor.
 pub(super) const COLD_LOAD: f64 = 0.8;
 /// In a large fleet a cold backend is loaded like a warm one, up to this part of the overload factor.
 pub(super) const COLD_LOAD_LARGE_FLEET: f64 = 0.5;
@@ -43,7 +43,7 @@
 pub(super) const MAX_UNUSED_AFTER_ATTACH: Millis = 2500.0;
 
 impl Backend {
-    /// Keeps late answers at `LATE_TARGET`. Guards against overload of any cause, without a known capacity.
+    /// Adapts the limit to `LATE_TARGET`: protects from overload of any cause, without knowing the capacity.
     pub(super) fn note_latency(&mut self, late: bool) {
         let used = f64::from(self.in_flight) + 1.0 >= self.limit.floor();
         if late || used {
@@ -155,7 +155,7 @@
         self.backends.values().filter(|b| b.ready()).map(|b| b.limit).sum()
     }
 
-    /// Chooses the backend with the fewest attempts of this gateway in flight, in the own zone if equal.
+    /// Chooses the backend with the fewest attempts of this gateway in flight, in its own zone if equal.
     pub(super) fn pick(&mut self, id: RequestId) -> Option<Name> {
         let request = self.requests.get(&id)?;
         let class = &self.settings.classes[request.class];
--- a/src/logic/counter.rs
+++ b/src/logic/counter.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Gateway {
-    /// Requests a lease for a customer: at most one call per count in progress, and a bound on all calls.
+    /// Calls the counter for a customer's lease, with at most one call per count and `MAX_CALLS` in progress.
     pub(super) fn call_counter(&mut self, name: &Name, out: &mut Vec<Action>) {
         let (large_fleet, timeout) = (self.large_fleet(), self.settings.counter_timeout);
         let Some(customer) = self.customers.get_mut(name) else { return };
@@ -95,7 +95,7 @@
 
     /// Grants the lease of a call that timed out, and reports its debt, when the reply comes late. Otherwise
     /// the count would hold units that no gateway can spend, and a slow counter would use up the quotas. In a
-    /// large fleet a late reply ends a silence: with few calls each, two late replies in a row look like one.
+    /// large fleet the reply also ends a silence: each gateway makes few calls, and two in a row may be late.
     pub(super) fn on_late_total(&mut self, count: u64, total: f64, amount: f64, out: &mut Vec<Action>) {
         let large_fleet = self.large_fleet();
         if large_fleet {
--- a/src/logic/quota.rs
+++ b/src/logic/quota.rs
@@ -18,11 +18,11 @@
 pub(super) const LEASE_WAIT_SHARE: f64 = 0.12;
 /// Under a ceiling an unknown customer starts with this share of its burst (see `Customer::initial_tokens`).
 pub(super) const CEILING_START_SHARE: f64 = 0.5;
-/// The counter counts as silent after this many timeouts without a reply: a single call may just be late.
+/// The counter is considered silent after this many timeouts without a reply: one call may just be late.
 pub(super) const SILENT_AFTER: f64 = 3.0;
 /// Most counter calls of one gateway in progress while the counter replies in time.
 pub(super) const MAX_CALLS: f64 = 12.0;
-/// Replies should arrive within this share of the call timeout; requests of a large fleet can wait longer.
+/// Target reply time as a share of the call timeout; in a large fleet requests can wait for slower replies.
 pub(super) const REPLY_TARGET_SHARE: f64 = 0.3;
 pub(super) const REPLY_TARGET_SHARE_LARGE_FLEET: f64 = 0.5;
 /// An instant reply raises the share of calls made by this factor; a late one lowers it by up to twice that.
--- a/src/logic/requests.rs
+++ b/src/logic/requests.rs
@@ -62,8 +62,8 @@
         out.push(Action::SetTimer { after, token: id * 2 });
     }
 
-    /// Dispatches a request or queues it by worth. Refuses early under overload: a queue longer than the
-    /// total in-flight limit would not be served in time.
+    /// Dispatches a request, or queues it in order of worth. Refuses early under overload: a queue longer
+    /// than the total in-flight limit would not be served in time.
     pub(super) fn submit(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.stage = Stage::Queued;
--- a/tests/health_reports.rs
+++ b/tests/health_reports.rs
@@ -38,7 +38,7 @@
         if withdrawn {
             report(&mut harness, "a1", false);
         } else {
-            // A fifth of the warm-up time.
+            // The report expires after a fifth of the warm-up time.
             harness.now += 3_600.0;
         }
         assert!(backends_used(&mut harness, 20..40).contains(&"a1".to_owned()), "withdrawn: {withdrawn}");
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -318,7 +318,7 @@
 fn slices_below_one_unit_are_rounded_by_chance_during_silence() {
     let mut dispatched = 0;
     for harness in &mut fleet(GATEWAYS, &names(5), false) {
-        // The counter counts as silent after two rejected calls without any earlier total.
+        // The counter is considered silent after two rejected calls without any earlier total.
         for id in 1..=3 {
             let mut actions = harness.request_from(id, &format!("c{id}"), "ceiling", "safe", false, 10);
             if let Some((name, _)) = counter_call(&actions) {
