--- a/crates/data-plane/tests/answers/backend.rs
+++ b/crates/data-plane/tests/answers/backend.rs
@@ -1,8 +1,8 @@
-//! Backends that misbehave by a seed.
+//! Backends that misbehave at random, determined by a seed.
 
 use crate::helper::script::reset;
-use crate::helper::{Heard, ScriptedBackend, hear_body, hear_head};
-use crate::history::{History, Violation, body_of};
+use crate::helper::{HttpMessage, ScriptedBackend, read_body, read_head};
+use crate::history::{History, Violation, body_for};
 use fault_injection::Random;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,275 +11,309 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// The body of a long answer.
-const LONG: usize = 150_000;
+/// The length of the body of a long answer, in bytes.
+const LONG_BODY: usize = 150_000;
 
-/// What a backend does with a request.
+/// The behavior of a backend towards one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
-    Good,
+pub enum Behavior {
+    Success,
     Chunked,
     Slow,
     Long,
     Interim,
-    OwnFailure,
+    Failure,
     Full,
     FullEarly,
-    FullBare,
+    Plain503,
     Misdirected,
-    Last,
-    GoodTwice,
+    ConnectionClose,
+    SuccessTwice,
     FullTwice,
-    GoodThenLate,
+    SuccessThenLate,
     FullThenLate,
     WrongId,
     FullWithoutId,
     NoSeal,
     Encoded,
     TwoFramings,
-    OldVersion,
+    Http10,
     Switching,
     Garbage,
     Silent,
-    SilentUnrun,
-    Cut,
-    ChunksCut,
-    LongCut,
-    ResetInHead,
-    ResetAfterHead,
-    ResetAfter,
-    CloseAfter,
+    SilentNotRun,
+    Truncated,
+    TruncatedChunks,
+    TruncatedLong,
+    ResetInRequestHead,
+    ResetAfterRequestHead,
+    ResetAfterRequest,
+    CloseAfterRequest,
 }
 
-/// All that is odd, or no success.
-const ODD: [Act; 28] = [
-    Act::OwnFailure,
-    Act::CloseAfter,
-    Act::Full,
-    Act::FullEarly,
-    Act::FullBare,
-    Act::Misdirected,
-    Act::Last,
-    Act::GoodTwice,
-    Act::FullTwice,
-    Act::GoodThenLate,
-    Act::FullThenLate,
-    Act::FullThenLate,
-    Act::WrongId,
-    Act::FullWithoutId,
-    Act::NoSeal,
-    Act::Encoded,
-    Act::TwoFramings,
-    Act::OldVersion,
-    Act::Switching,
-    Act::Garbage,
-    Act::Silent,
-    Act::SilentUnrun,
-    Act::Cut,
-    Act::ChunksCut,
-    Act::LongCut,
-    Act::ResetInHead,
-    Act::ResetAfterHead,
-    Act::ResetAfter,
+/// Faulty behaviors, and valid ones that report a failure.
+const FAULTY: [Behavior; 28] = [
+    Behavior::Failure,
+    Behavior::CloseAfterRequest,
+    Behavior::Full,
+    Behavior::FullEarly,
+    Behavior::Plain503,
+    Behavior::Misdirected,
+    Behavior::ConnectionClose,
+    Behavior::SuccessTwice,
+    Behavior::FullTwice,
+    Behavior::SuccessThenLate,
+    Behavior::FullThenLate,
+    Behavior::FullThenLate,
+    Behavior::WrongId,
+    Behavior::FullWithoutId,
+    Behavior::NoSeal,
+    Behavior::Encoded,
+    Behavior::TwoFramings,
+    Behavior::Http10,
+    Behavior::Switching,
+    Behavior::Garbage,
+    Behavior::Silent,
+    Behavior::SilentNotRun,
+    Behavior::Truncated,
+    Behavior::TruncatedChunks,
+    Behavior::TruncatedLong,
+    Behavior::ResetInRequestHead,
+    Behavior::ResetAfterRequestHead,
+    Behavior::ResetAfterRequest,
 ];
-const PROPER: [Act; 6] = [Act::Good, Act::Good, Act::Chunked, Act::Slow, Act::Long, Act::Interim];
-/// How often something odd happens.
-const OFTEN: f64 = 0.4;
+const VALID: [Behavior; 6] = [
+    Behavior::Success,
+    Behavior::Success,
+    Behavior::Chunked,
+    Behavior::Slow,
+    Behavior::Long,
+    Behavior::Interim,
+];
+/// The probability of a behavior from [`FAULTY`].
+const FAULT_PROBABILITY: f64 = 0.4;
 
-/// What is to come of a connection.
-enum Next {
-    /// It may be used again.
-    Kept,
-    /// It must not.
-    Odd,
-    /// It is over.
-    Over,
+/// The state of a connection after an exchange.
+enum ConnectionState {
+    /// The connection may be reused.
+    Reusable,
+    /// The connection must not be reused.
+    Invalid,
+    /// The backend has closed the connection, or will.
+    Closed,
 }
 
-/// One backend.
-pub struct Unruly {
+/// A backend that misbehaves.
+pub struct FaultyBackend {
     id: String,
     random: RefCell<Random>,
     history: Rc<History>,
-    /// The request that came last, to any connection.
+    /// The id of the last request on any connection of the backend.
     last: RefCell<String>,
 }
 
-impl Unruly {
+impl FaultyBackend {
     pub async fn start(id: &str, random: Random, history: Rc<History>) -> ScriptedBackend {
-        let unruly = Rc::new(Self {
+        let faulty_backend = Rc::new(Self {
             id: id.to_owned(),
             random: RefCell::new(random),
             history,
             last: RefCell::default(),
         });
-        ScriptedBackend::on_streams(id, "one", move |stream, _| unruly.clone().serve(stream)).await
+        ScriptedBackend::on_streams(id, "one", move |stream, _| faulty_backend.clone().serve(stream)).await
     }
 
     async fn serve(self: Rc<Self>, stream: TcpStream) {
         let mut stream = BufReader::new(stream);
-        let (mut odd, mut late, mut served) = (None, None, false);
+        let (mut invalid_after, mut late, mut served) = (None, None, false);
         while stream.fill_buf().await.is_ok_and(|bytes| !bytes.is_empty()) {
-            if let Some(act) = odd {
-                self.history.found.borrow_mut().push(Violation::OddReused { act });
+            if let Some(behavior) = invalid_after {
+                self.history.violations.borrow_mut().push(Violation::InvalidConnectionReused { behavior });
                 return;
             }
             if served {
                 self.history.reused.set(self.history.reused.get() + 1);
             }
-            let act = self.draw();
+            let behavior = self.pick_behavior();
             if let Some(late) = late.take() {
-                // In the place of the next answer comes one more of the last.
-                if !self.follows_late(&mut stream, late).await {
+                // A second answer to the previous request comes before the answer to this request.
+                if !self.respond_after_late_answer(&mut stream, late).await {
                     return;
                 }
-                odd = Some(Act::GoodThenLate);
+                invalid_after = Some(Behavior::SuccessThenLate);
                 continue;
             }
-            match self.act(act, &mut stream, &mut late).await {
-                Next::Kept => served = true,
-                Next::Odd => odd = Some(act),
-                Next::Over => return,
+            match self.respond(behavior, &mut stream, &mut late).await {
+                ConnectionState::Reusable => served = true,
+                ConnectionState::Invalid => invalid_after = Some(behavior),
+                ConnectionState::Closed => return,
             }
         }
     }
 
-    fn draw(&self) -> Act {
+    fn pick_behavior(&self) -> Behavior {
         let mut random = self.random.borrow_mut();
-        if random.happens(OFTEN) { *random.one_of(&ODD) } else { *random.one_of(&PROPER) }
+        if random.happens(FAULT_PROBABILITY) { *random.one_of(&FAULTY) } else { *random.one_of(&VALID) }
     }
 
-    async fn head(&self, stream: &mut BufReader<TcpStream>) -> Option<(Heard, String)> {
-        let heard = hear_head(stream).await?;
-        let id = heard.header("x-attempt-id").unwrap_or_default().to_owned();
-        self.history.arrives(&id, &self.id);
-        Some((heard, id))
+    async fn request_head(&self, stream: &mut BufReader<TcpStream>) -> Option<(HttpMessage, String)> {
+        let request = read_head(stream).await?;
+        let id = request.header("x-attempt-id").unwrap_or_default().to_owned();
+        self.history.record_arrival(&id, &self.id);
+        Some((request, id))
     }
 
-    async fn whole(&self, stream: &mut BufReader<TcpStream>) -> Option<(Heard, String)> {
-        let (mut heard, id) = self.head(stream).await?;
-        hear_body(stream, &mut heard).await;
-        heard.whole.then_some((heard, id))
+    async fn whole_request(&self, stream: &mut BufReader<TcpStream>) -> Option<(HttpMessage, String)> {
+        let (mut request, id) = self.request_head(stream).await?;
+        read_body(stream, &mut request).await;
+        request.whole.then_some((request, id))
     }
 
-    async fn follows_late(&self, stream: &mut BufReader<TcpStream>, late: String) -> bool {
-        let Some((heard, id)) = self.whole(stream).await else { return false };
+    async fn respond_after_late_answer(&self, stream: &mut BufReader<TcpStream>, late: String) -> bool {
+        let Some((request, id)) = self.whole_request(stream).await else { return false };
         let _ = stream.write_all(late.as_bytes()).await;
-        self.history.runs(Act::Good, &id, &heard);
-        stream.write_all(good(&id, 40, "").as_bytes()).await.is_ok()
+        self.history.record_run(Behavior::Success, &id, &request);
+        stream.write_all(success(&id, 40, "").as_bytes()).await.is_ok()
     }
 
-    async fn act(&self, act: Act, stream: &mut BufReader<TcpStream>, late: &mut Option<String>) -> Next {
-        match act {
-            Act::ResetInHead => {
+    async fn respond(
+        &self, behavior: Behavior, stream: &mut BufReader<TcpStream>, late: &mut Option<String>,
+    ) -> ConnectionState {
+        match behavior {
+            Behavior::ResetInRequestHead => {
                 let _ = stream.read_exact(&mut [0; 10]).await;
                 reset(stream.get_ref());
-                return Next::Over;
+                return ConnectionState::Closed;
             }
-            Act::ResetAfterHead => {
-                if let Some((heard, id)) = self.head(stream).await {
-                    self.history.runs(act, &id, &heard);
+            Behavior::ResetAfterRequestHead => {
+                if let Some((request, id)) = self.request_head(stream).await {
+                    self.history.record_run(behavior, &id, &request);
                 }
                 reset(stream.get_ref());
-                return Next::Over;
+                return ConnectionState::Closed;
             }
-            Act::FullEarly => {
-                let Some((mut heard, id)) = self.head(stream).await else { return Next::Over };
+            Behavior::FullEarly => {
+                let Some((mut request, id)) = self.request_head(stream).await else {
+                    return ConnectionState::Closed;
+                };
                 let _ = stream.write_all(full(&id).as_bytes()).await;
-                hear_body(stream, &mut heard).await;
-                return Next::Kept;
+                read_body(stream, &mut request).await;
+                return ConnectionState::Reusable;
             }
             _ => {}
         }
-        let Some((heard, id)) = self.whole(stream).await else { return Next::Over };
-        let before = self.last.replace(id.clone());
-        let unrun = matches!(
-            act,
-            Act::Full | Act::FullTwice | Act::FullThenLate | Act::Misdirected | Act::SilentUnrun
+        let Some((request, id)) = self.whole_request(stream).await else {
+            return ConnectionState::Closed;
+        };
+        let previous = self.last.replace(id.clone());
+        let not_run = matches!(
+            behavior,
+            Behavior::Full
+                | Behavior::FullTwice
+                | Behavior::FullThenLate
+                | Behavior::Misdirected
+                | Behavior::SilentNotRun
         );
-        if !unrun {
-            self.history.runs(act, &id, &heard);
+        if !not_run {
+            self.history.record_run(behavior, &id, &request);
         }
-        if act == Act::Slow {
+        if behavior == Behavior::Slow {
             sleep(Duration::from_millis(30)).await;
         }
-        if matches!(act, Act::GoodThenLate | Act::FullThenLate) {
-            *late = Some(if act == Act::GoodThenLate { good(&id, 40, "") } else { full(&id) });
+        if matches!(behavior, Behavior::SuccessThenLate | Behavior::FullThenLate) {
+            *late =
+                Some(if behavior == Behavior::SuccessThenLate { success(&id, 40, "") } else { full(&id) });
         }
-        let text = said(act, &id, &before);
+        let text = response_text(behavior, &id, &previous);
         if stream.write_all(text.as_bytes()).await.is_err() {
-            return Next::Over;
+            return ConnectionState::Closed;
         }
-        if act == Act::ResetAfter {
+        if behavior == Behavior::ResetAfterRequest {
             reset(stream.get_ref());
         }
-        after(act)
+        state_after(behavior)
     }
 }
 
-/// What becomes of a connection on which this was said.
-fn after(act: Act) -> Next {
-    match act {
-        Act::Good | Act::Chunked | Act::Slow | Act::Long | Act::Interim | Act::OwnFailure => Next::Kept,
-        Act::Full | Act::FullEarly | Act::FullBare | Act::Misdirected => Next::Kept,
-        Act::GoodThenLate | Act::FullThenLate => Next::Kept,
-        Act::Cut | Act::ChunksCut | Act::LongCut | Act::ResetAfter | Act::CloseAfter => Next::Over,
-        Act::ResetInHead | Act::ResetAfterHead => Next::Over,
-        _ => Next::Odd,
+/// The state of a connection after this behavior.
+fn state_after(behavior: Behavior) -> ConnectionState {
+    match behavior {
+        Behavior::Success
+        | Behavior::Chunked
+        | Behavior::Slow
+        | Behavior::Long
+        | Behavior::Interim
+        | Behavior::Failure => ConnectionState::Reusable,
+        Behavior::Full | Behavior::FullEarly | Behavior::Plain503 | Behavior::Misdirected => {
+            ConnectionState::Reusable
+        }
+        Behavior::SuccessThenLate | Behavior::FullThenLate => ConnectionState::Reusable,
+        Behavior::Truncated
+        | Behavior::TruncatedChunks
+        | Behavior::TruncatedLong
+        | Behavior::ResetAfterRequest
+        | Behavior::CloseAfterRequest => ConnectionState::Closed,
+        Behavior::ResetInRequestHead | Behavior::ResetAfterRequestHead => ConnectionState::Closed,
+        _ => ConnectionState::Invalid,
     }
 }
 
-fn said(act: Act, id: &str, other: &str) -> String {
-    let framed = |length: usize| good(id, length, "");
-    match act {
-        Act::Good | Act::Slow | Act::GoodThenLate => framed(40),
-        Act::Long => framed(LONG),
-        Act::Chunked => chunked(id),
-        Act::Interim => {
+fn response_text(behavior: Behavior, id: &str, previous_id: &str) -> String {
+    let with_length = |length: usize| success(id, length, "");
+    match behavior {
+        Behavior::Success | Behavior::Slow | Behavior::SuccessThenLate => with_length(40),
+        Behavior::Long => with_length(LONG_BODY),
+        Behavior::Chunked => chunked(id),
+        Behavior::Interim => {
             format!(
-                "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-Attempt-Id: {other}\r\n\r\n{}",
-                framed(40)
+                "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-Attempt-Id: {previous_id}\r\n\r\n{}",
+                with_length(40)
             )
         }
-        Act::OwnFailure => format!("HTTP/1.1 500 Oh\r\nX-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n"),
-        Act::Full | Act::FullEarly | Act::FullThenLate => full(id),
-        Act::FullBare => full(id).replace("X-Not-Executed: 1\r\n", ""),
-        Act::Misdirected => {
+        Behavior::Failure => format!("HTTP/1.1 500 Oh\r\nX-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n"),
+        Behavior::Full | Behavior::FullEarly | Behavior::FullThenLate => full(id),
+        Behavior::Plain503 => full(id).replace("X-Not-Executed: 1\r\n", ""),
+        Behavior::Misdirected => {
             format!(
                 "HTTP/1.1 421 Misdirected Request\r\nX-Attempt-Id: {id}\r\nX-Instance-Id: i-9\r\nContent-Length: 0\r\n\r\n"
             )
         }
-        Act::Last => good(id, 40, "Connection: close\r\n"),
-        Act::GoodTwice => framed(40) + &framed(40),
-        Act::FullTwice => full(id) + &full(id),
-        // The last one may have been this request as well, on another connection.
-        Act::WrongId => good(if other.is_empty() || other == id { "0000" } else { other }, 40, ""),
-        Act::FullWithoutId => full(id).replace(&format!("X-Attempt-Id: {id}\r\n"), ""),
-        Act::NoSeal => framed(40).replace("X-Server-Seal", "X-Seal"),
-        Act::Encoded => good(id, 40, "Content-Encoding: gzip\r\n"),
-        Act::TwoFramings => chunked(id).replace("\r\n\r\n28", "\r\nContent-Length: 40\r\n\r\n28"),
-        Act::OldVersion => good(id, 40, "Connection: keep-alive\r\n").replace("HTTP/1.1", "HTTP/1.0"),
-        Act::Switching => {
+        Behavior::ConnectionClose => success(id, 40, "Connection: close\r\n"),
+        Behavior::SuccessTwice => with_length(40) + &with_length(40),
+        Behavior::FullTwice => full(id) + &full(id),
+        // On another connection, the last request may have had the same id.
+        Behavior::WrongId => {
+            success(if previous_id.is_empty() || previous_id == id { "0000" } else { previous_id }, 40, "")
+        }
+        Behavior::FullWithoutId => full(id).replace(&format!("X-Attempt-Id: {id}\r\n"), ""),
+        Behavior::NoSeal => with_length(40).replace("X-Server-Seal", "X-Seal"),
+        Behavior::Encoded => success(id, 40, "Content-Encoding: gzip\r\n"),
+        Behavior::TwoFramings => chunked(id).replace("\r\n\r\n28", "\r\nContent-Length: 40\r\n\r\n28"),
+        Behavior::Http10 => success(id, 40, "Connection: keep-alive\r\n").replace("HTTP/1.1", "HTTP/1.0"),
+        Behavior::Switching => {
             format!("HTTP/1.1 101 Switching Protocols\r\nX-Attempt-Id: {id}\r\nUpgrade: x\r\n\r\n")
         }
-        Act::Garbage => "this is no answer\r\n\r\n".to_owned(),
-        Act::Cut => framed(40)[..framed(40).len() - 7].to_owned(),
-        Act::ChunksCut => chunked(id).replace("0\r\n\r\n", ""),
-        Act::LongCut => framed(LONG)[..LONG / 2].to_owned(),
-        Act::Silent | Act::SilentUnrun | Act::ResetInHead | Act::ResetAfterHead => String::new(),
-        Act::ResetAfter | Act::CloseAfter => String::new(),
+        Behavior::Garbage => "this is no answer\r\n\r\n".to_owned(),
+        Behavior::Truncated => with_length(40)[..with_length(40).len() - 7].to_owned(),
+        Behavior::TruncatedChunks => chunked(id).replace("0\r\n\r\n", ""),
+        Behavior::TruncatedLong => with_length(LONG_BODY)[..LONG_BODY / 2].to_owned(),
+        Behavior::Silent
+        | Behavior::SilentNotRun
+        | Behavior::ResetInRequestHead
+        | Behavior::ResetAfterRequestHead => String::new(),
+        Behavior::ResetAfterRequest | Behavior::CloseAfterRequest => String::new(),
     }
 }
 
-fn good(id: &str, length: usize, more: &str) -> String {
-    let body = String::from_utf8(body_of(id, length)).expect("ids are text");
+fn success(id: &str, length: usize, extra: &str) -> String {
+    let body = String::from_utf8(body_for(id, length)).expect("the id is UTF-8");
     format!(
-        "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Seal: s-{id}\r\nX-Length: {length}\r\n{more}Content-Length: {length}\r\n\r\n{body}"
+        "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Seal: s-{id}\r\nX-Length: {length}\r\n{extra}Content-Length: {length}\r\n\r\n{body}"
     )
 }
 
 fn chunked(id: &str) -> String {
-    let body = String::from_utf8(body_of(id, 40)).expect("ids are text");
+    let body = String::from_utf8(body_for(id, 40)).expect("the id is UTF-8");
     format!(
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Seal: s-{id}\r\nX-Length: 40\r\nTransfer-Encoding: chunked\r\n\r\n28\r\n{body}\r\n0\r\n\r\n"
     )
--- a/crates/data-plane/tests/answers/main.rs
+++ b/crates/data-plane/tests/answers/main.rs
@@ -1,5 +1,6 @@
-//! Many callers over kept connections to backends that misbehave in every way that is known, by a seed: each caller gets
-//! its own answer or a failure, an effectful request runs once at most, and what is promised not to run never does.
+//! Random scenarios: many clients send requests on reused connections to backends that misbehave in every known way.
+//! Each client receives its own answer or a failure, an effectful request runs at most once, and a request whose answer
+//! promises that it did not run never runs.
 
 mod backend;
 mod callers;
@@ -9,46 +10,46 @@
 mod history;
 
 use data_plane::Faults;
-use history::{Violation, play};
+use history::{Violation, run_scenario};
 
-/// Worlds that are drawn.
-const WORLDS: u64 = 6;
-/// A planted fault is found in one of so many; most in the first.
-const MOST_WORLDS: u64 = 40;
-/// Says how many worlds are drawn, for longer searches.
-const WORLDS_VARIABLE: &str = "ANSWERS_WORLDS";
+/// The default number of scenarios.
+const SCENARIOS: u64 = 6;
+/// The number of scenarios within which an injected fault must be found. Most faults are found in the first scenario.
+const MAX_SCENARIOS: u64 = 40;
+/// The environment variable for the number of scenarios, for longer searches.
+const SCENARIOS_VARIABLE: &str = "ANSWERS_WORLDS";
 
-fn worlds() -> u64 {
-    std::env::var(WORLDS_VARIABLE).ok().and_then(|worlds| worlds.parse().ok()).unwrap_or(WORLDS)
+fn scenarios() -> u64 {
+    std::env::var(SCENARIOS_VARIABLE).ok().and_then(|scenarios| scenarios.parse().ok()).unwrap_or(SCENARIOS)
 }
 
 #[test]
-fn everybody_gets_the_own_answer_and_nothing_runs_that_must_not() {
-    let (mut served, mut kept, mut refused, mut failed) = (0, 0, 0, 0);
-    for seed in 1..=worlds() {
-        let outcome = play(seed, Faults::default());
+fn clients_get_their_own_answers_and_nothing_runs_against_a_promise() {
+    let (mut served, mut reused, mut refused, mut failed) = (0, 0, 0, 0);
+    for seed in 1..=scenarios() {
+        let outcome = run_scenario(seed, Faults::default());
         assert_eq!(outcome.violations, [], "seed {seed}");
         served += outcome.served;
-        kept += outcome.reused;
+        reused += outcome.reused;
         refused += outcome.refused;
         failed += outcome.failed;
     }
-    println!("{served} served, {kept} on kept connections, {refused} refused, {failed} failed");
-    // Else the worlds would show little.
+    println!("{served} served, {reused} on reused connections, {refused} refused, {failed} failed");
+    // With fewer requests of each kind, the scenarios would prove little.
     assert!(
-        served > 500 && kept > 500 && refused > 100 && failed > 100,
-        "{served} {kept} {refused} {failed}"
+        served > 500 && reused > 500 && refused > 100 && failed > 100,
+        "{served} {reused} {refused} {failed}"
     );
 }
 
 #[yare::parameterized(
     ids_are_not_compared = { Faults { any_answer: true, ..Faults::default() }, |v| matches!(v, Violation::ForeignAnswer { .. }) },
-    a_broken_request_is_sent_again = { Faults { repeats_broken: true, ..Faults::default() }, |v| matches!(v, Violation::RanTwice { .. }) },
-    silence_counts_as_never_sent = { Faults { silence_is_unsent: true, ..Faults::default() }, |v| matches!(v, Violation::BrokenPromise { .. } | Violation::RanTwice { .. }) },
-    a_connection_is_kept_after_a_time_out = { Faults { keeps_given_up: true, ..Faults::default() }, |v| matches!(v, Violation::OddReused { .. }) },
-    a_connection_is_kept_after_what_is_no_answer = { Faults { keeps_odd: true, ..Faults::default() }, |v| matches!(v, Violation::OddReused { .. }) },
-    a_request_uses_a_connection_twice = { Faults { any_carrier: true, ..Faults::default() }, |v| matches!(v, Violation::BrokenPromise { .. } | Violation::RanTwice { .. }) },
+    a_broken_request_is_sent_again = { Faults { repeats_broken: true, ..Faults::default() }, |v| matches!(v, Violation::DuplicateExecution { .. }) },
+    a_timeout_counts_as_never_sent = { Faults { silence_is_unsent: true, ..Faults::default() }, |v| matches!(v, Violation::BrokenPromise { .. } | Violation::DuplicateExecution { .. }) },
+    a_connection_is_reused_after_a_timeout = { Faults { keeps_given_up: true, ..Faults::default() }, |v| matches!(v, Violation::InvalidConnectionReused { .. }) },
+    a_connection_is_reused_after_an_invalid_answer = { Faults { keeps_odd: true, ..Faults::default() }, |v| matches!(v, Violation::InvalidConnectionReused { .. }) },
+    attempts_of_a_request_share_a_connection = { Faults { any_carrier: true, ..Faults::default() }, |v| matches!(v, Violation::BrokenPromise { .. } | Violation::DuplicateExecution { .. }) },
 )]
-fn planted_faults_are_found(faults: Faults, is_it: fn(&Violation) -> bool) {
-    assert!((1..=MOST_WORLDS).any(|seed| play(seed, faults).violations.iter().any(is_it)));
+fn injected_faults_are_found(faults: Faults, matches_fault: fn(&Violation) -> bool) {
+    assert!((1..=MAX_SCENARIOS).any(|seed| run_scenario(seed, faults).violations.iter().any(matches_fault)));
 }
--- a/crates/data-plane/tests/helper/mod.rs
+++ b/crates/data-plane/tests/helper/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins on loopback sockets: backends that do as they are told, a client, an admission, and the data plane between.
+//! Test fixtures on loopback sockets: scripted backends, a client, an admission, and the data plane between them.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of the fixtures")]
 
 pub mod script;
 
@@ -16,28 +16,29 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 
-/// Only a hang takes as long.
-const LONG: Duration = Duration::from_secs(20);
+/// A test that runs longer has hung.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs a test on one thread, as the data plane runs.
-pub fn on_one_thread(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+/// Runs a test on a single thread, as the data plane runs in production.
+pub fn run_on_one_thread(test: impl Future<Output = ()>) {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(LONG, test).await.expect("a test that ends");
+        tokio::time::timeout(TEST_TIMEOUT, test).await.expect("the test finishes in time");
     });
 }
 
-/// One HTTP message.
+/// An HTTP request or response.
 #[derive(Clone, Debug, Default)]
-pub struct Heard {
+pub struct HttpMessage {
     pub line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Whether its body came whole.
+    /// Whether the body was received completely.
     pub whole: bool,
 }
 
-impl Heard {
+impl HttpMessage {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
@@ -46,122 +47,123 @@
         self.line.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
     }
 
-    /// Seconds of `Retry-After`.
-    pub fn wait(&self) -> Option<f64> {
+    /// The value of `Retry-After`, in seconds.
+    pub fn retry_after(&self) -> Option<f64> {
         self.header("retry-after")?.parse().ok()
     }
 }
 
-async fn line(from: &mut (impl AsyncBufRead + Unpin)) -> Option<String> {
+async fn read_line(from: &mut (impl AsyncBufRead + Unpin)) -> Option<String> {
     let mut bytes = Vec::new();
     from.read_until(b'\n', &mut bytes).await.ok().filter(|_| bytes.ends_with(b"\r\n"))?;
     bytes.truncate(bytes.len() - 2);
     String::from_utf8(bytes).ok()
 }
 
-/// Reads one message, or as much of its body as comes.
-pub async fn hear(from: &mut (impl AsyncBufRead + Unpin)) -> Option<Heard> {
-    let mut heard = hear_head(from).await?;
-    hear_body(from, &mut heard).await;
-    Some(heard)
+/// Reads a message with its body, or with as much of the body as is received.
+pub async fn read_message(from: &mut (impl AsyncBufRead + Unpin)) -> Option<HttpMessage> {
+    let mut message = read_head(from).await?;
+    read_body(from, &mut message).await;
+    Some(message)
 }
 
 /// Reads the head of a message.
-pub async fn hear_head(from: &mut (impl AsyncBufRead + Unpin)) -> Option<Heard> {
-    let mut heard = Heard { line: line(from).await?, ..Heard::default() };
+pub async fn read_head(from: &mut (impl AsyncBufRead + Unpin)) -> Option<HttpMessage> {
+    let mut message = HttpMessage { line: read_line(from).await?, ..HttpMessage::default() };
     loop {
-        let text = line(from).await?;
-        let Some((name, value)) = text.split_once(": ") else { return Some(heard) };
-        heard.headers.push((name.to_ascii_lowercase(), value.to_owned()));
+        let text = read_line(from).await?;
+        let Some((name, value)) = text.split_once(": ") else { return Some(message) };
+        message.headers.push((name.to_ascii_lowercase(), value.to_owned()));
     }
 }
 
-/// Reads the body of a message, or as much as comes.
-pub async fn hear_body(from: &mut (impl AsyncBufRead + Unpin), heard: &mut Heard) {
-    if heard.header("transfer-encoding").is_some() {
+/// Reads the body of a message, or as much of the body as is received.
+pub async fn read_body(from: &mut (impl AsyncBufRead + Unpin), message: &mut HttpMessage) {
+    if message.header("transfer-encoding").is_some() {
         loop {
-            let Some(size) = line(from).await else { return };
-            let size = usize::from_str_radix(&size, 16).expect("a chunk's size");
+            let Some(size) = read_line(from).await else { return };
+            let size = usize::from_str_radix(&size, 16).expect("the chunk size is hexadecimal");
             let mut chunk = vec![0; size + 2];
             if from.read_exact(&mut chunk).await.is_err() {
                 return;
             }
             if size == 0 {
-                heard.whole = true;
+                message.whole = true;
                 return;
             }
-            heard.body.extend_from_slice(&chunk[..size]);
+            message.body.extend_from_slice(&chunk[..size]);
         }
     }
-    let length: usize = heard.header("content-length").map_or(0, |n| n.parse().expect("a length"));
-    while heard.body.len() < length {
-        let mut part = vec![0; (length - heard.body.len()).min(65536)];
+    let length: usize =
+        message.header("content-length").map_or(0, |n| n.parse().expect("the content length is a number"));
+    while message.body.len() < length {
+        let mut part = vec![0; (length - message.body.len()).min(65536)];
         match from.read(&mut part).await {
-            Ok(read) if read > 0 => heard.body.extend_from_slice(&part[..read]),
+            Ok(read) if read > 0 => message.body.extend_from_slice(&part[..read]),
             _ => return,
         }
     }
-    heard.whole = true;
+    message.whole = true;
 }
 
-/// What a backend does with a request.
+/// The reaction of a backend to a request.
 #[derive(Clone)]
-pub enum Do {
-    /// Answers, and keeps the connection.
-    Say(String),
-    /// Says something, then closes.
-    Break(String),
-    /// Nothing at all.
+pub enum Action {
+    /// Sends these bytes and keeps the connection open.
+    Respond(String),
+    /// Sends these bytes and closes the connection.
+    RespondAndClose(String),
+    /// Sends nothing.
     Hang,
-    /// Answers once it is told to.
-    Await(Rc<Notify>, String),
+    /// Sends these bytes once notified.
+    RespondAfter(Rc<Notify>, String),
 }
 
-/// A proper answer, with these headers and this body besides.
-pub fn good(heard: &Heard, headers: &str, body: &str) -> String {
-    let id = heard.header("x-attempt-id").unwrap_or("none");
+/// A valid success response with additional headers and a body.
+pub fn success(request: &HttpMessage, headers: &str, body: &str) -> String {
+    let id = request.header("x-attempt-id").unwrap_or("none");
     let length = body.len();
     format!(
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Seal: s\r\nContent-Length: {length}\r\n{headers}\r\n{body}"
     )
 }
 
-/// An answer with another status, headers and no body.
-pub fn other(heard: &Heard, status: &str, headers: &str) -> String {
-    let id = heard.header("x-attempt-id").unwrap_or("none");
+/// A response with the given status, additional headers and no body.
+pub fn status_only(request: &HttpMessage, status: &str, headers: &str) -> String {
+    let id = request.header("x-attempt-id").unwrap_or("none");
     format!("HTTP/1.1 {status}\r\nX-Attempt-Id: {id}\r\nContent-Length: 0\r\n{headers}\r\n")
 }
 
-pub fn says_good(heard: &Heard) -> Do {
-    Do::Say(good(heard, "", "fine"))
+pub fn respond_ok(request: &HttpMessage) -> Action {
+    Action::Respond(success(request, "", "fine"))
 }
 
-/// A backend.
+/// A backend whose reactions a test defines.
 pub struct ScriptedBackend {
     pub backend: Backend,
-    pub heard: Rc<RefCell<Vec<Heard>>>,
+    pub requests: Rc<RefCell<Vec<HttpMessage>>>,
     pub connections: Rc<Cell<usize>>,
 }
 
 impl ScriptedBackend {
-    pub async fn start(id: &str, service: &str, does: impl Fn(&Heard) -> Do + 'static) -> Self {
-        let does = Rc::new(does);
-        Self::on_streams(id, service, move |stream, all| {
-            let does = does.clone();
+    pub async fn start(id: &str, service: &str, respond: impl Fn(&HttpMessage) -> Action + 'static) -> Self {
+        let respond = Rc::new(respond);
+        Self::on_streams(id, service, move |stream, received| {
+            let respond = respond.clone();
             async move {
                 let (from, mut to) = stream.into_split();
                 let mut from = BufReader::new(from);
-                while let Some(heard) = hear(&mut from).await {
-                    all.borrow_mut().push(heard.clone());
-                    match does(&heard) {
-                        Do::Say(text) => drop(to.write_all(text.as_bytes()).await),
-                        Do::Break(text) => {
+                while let Some(request) = read_message(&mut from).await {
+                    received.borrow_mut().push(request.clone());
+                    match respond(&request) {
+                        Action::Respond(text) => drop(to.write_all(text.as_bytes()).await),
+                        Action::RespondAndClose(text) => {
                             let _ = to.write_all(text.as_bytes()).await;
                             return;
                         }
-                        Do::Hang => std::future::pending().await,
-                        Do::Await(word, text) => {
-                            word.notified().await;
+                        Action::Hang => std::future::pending().await,
+                        Action::RespondAfter(notify, text) => {
+                            notify.notified().await;
                             let _ = to.write_all(text.as_bytes()).await;
                         }
                     }
@@ -171,18 +173,19 @@
         .await
     }
 
-    /// One that does with its connections what it is told; it notes there what it hears.
+    /// Starts a backend that handles each connection with `serve`. `serve` also receives the list of requests to fill.
     pub async fn on_streams<F: Future<Output = ()> + 'static>(
-        id: &str, service: &str, serve: impl Fn(TcpStream, Rc<RefCell<Vec<Heard>>>) -> F + 'static,
+        id: &str, service: &str, serve: impl Fn(TcpStream, Rc<RefCell<Vec<HttpMessage>>>) -> F + 'static,
     ) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address").to_string();
-        let (heard, connections) = (Rc::<RefCell<Vec<Heard>>>::default(), Rc::<Cell<usize>>::default());
-        let (all, counted) = (heard.clone(), connections.clone());
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port is available");
+        let address = listener.local_addr().expect("the listener has an address").to_string();
+        let (requests, connections) =
+            (Rc::<RefCell<Vec<HttpMessage>>>::default(), Rc::<Cell<usize>>::default());
+        let (received, counted) = (requests.clone(), connections.clone());
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 counted.set(counted.get() + 1);
-                spawn_local(serve(stream, all.clone()));
+                spawn_local(serve(stream, received.clone()));
             }
         });
         let backend = Backend {
@@ -197,60 +200,62 @@
             call_count: 1,
             overdue: false,
         };
-        Self { backend, heard, connections }
+        Self { backend, requests, connections }
     }
 
-    pub fn count(&self) -> usize {
-        self.heard.borrow().len()
+    pub fn request_count(&self) -> usize {
+        self.requests.borrow().len()
     }
 
-    pub fn last(&self) -> Heard {
-        self.heard.borrow().last().cloned().expect("a request")
+    pub fn last_request(&self) -> HttpMessage {
+        self.requests.borrow().last().cloned().expect("the backend received a request")
     }
 
-    pub fn told(&self, phase: Phase, call_count: u64) -> Backend {
+    pub fn with_phase(&self, phase: Phase, call_count: u64) -> Backend {
         Backend { phase, call_count, ..self.backend.clone() }
     }
 }
 
-/// Who says what tenants have left.
+/// An admission whose decisions a test sets.
 #[derive(Default)]
-pub struct LeaseClient {
-    pub refuses: Cell<Option<Duration>>,
-    /// Answers later, with this.
-    pub later: Cell<Option<Result<(), Duration>>>,
-    pub asked: Cell<u32>,
-    pub back: Cell<u32>,
+pub struct FakeAdmission {
+    pub refuse_with: Cell<Option<Duration>>,
+    /// If set, decisions arrive later, with this result.
+    pub delayed_result: Cell<Option<Result<(), Duration>>>,
+    pub acquired: Cell<u32>,
+    pub refunded: Cell<u32>,
 }
 
-impl Admission for LeaseClient {
+impl Admission for FakeAdmission {
     fn acquire(&self, _: &str, _: Duration) -> AdmissionDecision {
-        self.asked.set(self.asked.get() + 1);
-        if let Some(answer) = self.later.get() {
+        self.acquired.set(self.acquired.get() + 1);
+        if let Some(answer) = self.delayed_result.get() {
             let (sender, receiver) = oneshot::channel();
-            spawn_local(async move { assert!(sender.send(answer).is_ok(), "it is waited for") });
+            spawn_local(async move {
+                assert!(sender.send(answer).is_ok(), "the receiver waits for the decision")
+            });
             return AdmissionDecision::Pending(receiver);
         }
-        self.refuses
+        self.refuse_with
             .get()
             .map_or(AdmissionDecision::Granted, |retry_after| AdmissionDecision::Refused { retry_after })
     }
 
     fn refund(&self, _: &str) {
-        self.back.set(self.back.get() + 1);
+        self.refunded.set(self.refunded.get() + 1);
     }
 }
 
-/// A route with further fields, which are JSON.
-pub fn route(label: &str, prefix: &str, variant: &str, target: &str, more: &str) -> String {
+/// The JSON of a route. `extra` holds further fields.
+pub fn route(label: &str, prefix: &str, variant: &str, target: &str, extra: &str) -> String {
     format!(
         r#""{label}":{{"authority":"a.example","path_prefix":"{prefix}","variant":"{variant}","deadline_ms":5000,
-        "goal_ms":1000,"rank":1,"target":"{target}","max_tries":2,"public":false{more}}}"#
+        "goal_ms":1000,"rank":1,"target":"{target}","max_tries":2,"public":false{extra}}}"#
     )
 }
 
-/// A configuration of some routes over the services `one` and `two`, and a tenant with the key `k1`.
-pub fn conf(version: u64, routes: &[String]) -> Rc<GatewayConfig> {
+/// A configuration with the given routes, the services `one` and `two`, and a tenant with the key `k1`.
+pub fn config(version: u64, routes: &[String]) -> Rc<GatewayConfig> {
     let routes = routes.join(",");
     let service = r#"{"health_path":"/health","max_conns":130,"protocol":"h1","tls_mode":false}"#;
     let text = format!(
@@ -258,12 +263,12 @@
         "limits":{{"max_header_bytes":16384,"max_body_bytes":1000000,"header_wait_ms":3000,"idle_timeout_ms":15000}},
         "tenant_table":{{"mira":{{"api_keys":["k1"],"rate_per_s":50,"burst_size":50}}}}}}"#
     );
-    Rc::new(GatewayConfig::parse(text.as_bytes()).expect("a configuration"))
+    Rc::new(GatewayConfig::parse(text.as_bytes()).expect("the configuration is valid"))
 }
 
-/// A pure route `/p/`, an effectful one `/e/` and a public one `/open/`, all to `one`.
-pub fn usual() -> Rc<GatewayConfig> {
-    conf(
+/// A configuration with a pure route `/p/`, an effectful route `/e/` and a public route `/open/`, all to service `one`.
+pub fn default_config() -> Rc<GatewayConfig> {
+    config(
         1,
         &[
             route("p", "/p/", "pure", "one", ""),
@@ -273,88 +278,99 @@
     )
 }
 
-/// A data plane that serves.
-pub struct World {
+/// A running data plane with its fake admission.
+pub struct TestGateway {
     pub data_plane: Rc<DataPlane>,
-    pub lease_client: Rc<LeaseClient>,
-    pub front: SocketAddr,
-    pub readiness: SocketAddr,
-    pub end: Option<oneshot::Sender<()>>,
-    pub served: JoinHandle<()>,
+    pub admission: Rc<FakeAdmission>,
+    pub client_address: SocketAddr,
+    pub readiness_address: SocketAddr,
+    pub shutdown: Option<oneshot::Sender<()>>,
+    pub server: JoinHandle<()>,
 }
 
-impl World {
-    pub async fn start(conf: Rc<GatewayConfig>, backends: &[&ScriptedBackend]) -> Self {
-        let world = Self::blank(backends).await;
-        world.data_plane.apply_config(conf);
-        world
+impl TestGateway {
+    pub async fn start(config: Rc<GatewayConfig>, backends: &[&ScriptedBackend]) -> Self {
+        let gateway = Self::unconfigured(backends).await;
+        gateway.data_plane.apply_config(config);
+        gateway
     }
 
-    /// A data plane that knows no configuration yet.
-    pub async fn blank(backends: &[&ScriptedBackend]) -> Self {
-        let front = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let readiness = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let addresses =
-            (front.local_addr().expect("an address"), readiness.local_addr().expect("an address"));
+    /// Starts a data plane without a configuration.
+    pub async fn unconfigured(backends: &[&ScriptedBackend]) -> Self {
+        let front = TcpListener::bind("127.0.0.1:0").await.expect("a free port is available");
+        let readiness = TcpListener::bind("127.0.0.1:0").await.expect("a free port is available");
+        let addresses = (
+            front.local_addr().expect("the listener has an address"),
+            readiness.local_addr().expect("the listener has an address"),
+        );
         let mut settings = DataPlaneSettings::new(addresses.0, addresses.1, "z1", "q1");
         settings.shutdown_delay = Duration::from_millis(100);
-        let lease_client = Rc::<LeaseClient>::default();
-        let data_plane = DataPlane::new(settings, lease_client.clone(), 7);
+        let admission = Rc::<FakeAdmission>::default();
+        let data_plane = DataPlane::new(settings, admission.clone(), 7);
         data_plane.update_backends(
             &backends.iter().map(|backend| backend.backend.clone()).collect::<Vec<_>>(),
             true,
         );
-        let (end, ended) = oneshot::channel::<()>();
-        let served =
-            spawn_local(data_plane.clone().serve(front, readiness, async move { drop(ended.await) }));
-        Self { data_plane, lease_client, front: addresses.0, readiness: addresses.1, end: Some(end), served }
+        let (shutdown, shutdown_received) = oneshot::channel::<()>();
+        let server = spawn_local(
+            data_plane.clone().serve(front, readiness, async move { drop(shutdown_received.await) }),
+        );
+        Self {
+            data_plane,
+            admission,
+            client_address: addresses.0,
+            readiness_address: addresses.1,
+            shutdown: Some(shutdown),
+            server,
+        }
     }
 
-    pub async fn ask(&self, request: &str) -> Heard {
-        Client::connect(self.front).await.ask(request).await.expect("an answer")
+    pub async fn exchange(&self, request: &str) -> HttpMessage {
+        Client::connect(self.client_address).await.exchange(request).await.expect("the gateway answers")
     }
 }
 
-/// A request with the usual headers, and further ones.
-pub fn request(method: &str, path: &str, more: &str, body: &str) -> String {
+/// A request with the usual headers and additional ones.
+pub fn request(method: &str, path: &str, extra: &str, body: &str) -> String {
     let length = body.len();
     format!(
         "{method} {path} HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: 7f\r\nX-Deadline-Left: 2000\r\n\
-         Authorization: Bearer k1\r\nContent-Length: {length}\r\n{more}\r\n{body}"
+         Authorization: Bearer k1\r\nContent-Length: {length}\r\n{extra}\r\n{body}"
     )
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct Client(BufReader<OwnedReadHalf>, OwnedWriteHalf);
 
 impl Client {
     pub async fn connect(to: SocketAddr) -> Self {
-        let (from, to) = TcpStream::connect(to).await.expect("a connection").into_split();
+        let (from, to) =
+            TcpStream::connect(to).await.expect("the gateway accepts the connection").into_split();
         Self(BufReader::new(from), to)
     }
 
     pub async fn send(&mut self, request: &str) {
-        self.1.write_all(request.as_bytes()).await.expect("written");
+        self.1.write_all(request.as_bytes()).await.expect("the request is written");
     }
 
-    /// Whether all of it could be written.
+    /// Sends bytes. Returns whether all of them were written.
     pub async fn try_send(&mut self, text: &str) -> bool {
         self.1.write_all(text.as_bytes()).await.is_ok()
     }
 
-    pub async fn hear(&mut self) -> Option<Heard> {
-        hear(&mut self.0).await
+    pub async fn receive(&mut self) -> Option<HttpMessage> {
+        read_message(&mut self.0).await
     }
 
-    pub async fn ask(&mut self, request: &str) -> Option<Heard> {
+    pub async fn exchange(&mut self, request: &str) -> Option<HttpMessage> {
         self.send(request).await;
-        self.hear().await
+        self.receive().await
     }
 }
 
-/// Waits until something is the case.
-pub async fn until(met: impl Fn() -> bool) {
-    while !met() {
+/// Waits until a condition holds.
+pub async fn wait_until(condition: impl Fn() -> bool) {
+    while !condition() {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
--- a/crates/data-plane/tests/helper/script.rs
+++ b/crates/data-plane/tests/helper/script.rs
@@ -1,23 +1,23 @@
 //! Backends that follow a script byte by byte.
 
-use super::{Do, Heard, ScriptedBackend, hear, hear_head, says_good};
+use super::{Action, HttpMessage, ScriptedBackend, read_head, read_message, respond_ok};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// One step of a connection.
+/// A step of a scripted connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Reads exactly so many bytes.
+    /// Reads exactly this many bytes.
     Read(usize),
     /// Reads the head of a request.
     ReadHead,
-    /// Reads a request whole.
+    /// Reads a complete request.
     ReadRequest,
     /// Writes these bytes.
     Write(&'static str),
-    /// Keeps the connection open until the gateway closes it.
+    /// Keeps the connection open until the gateway closes the connection.
     Stall,
     /// Resets the connection.
     Reset,
@@ -25,37 +25,37 @@
     Close,
 }
 
-/// How far the scripted connection is.
+/// The progress of the scripted connection.
 #[derive(Default)]
 pub struct Progress {
-    taken: Cell<bool>,
+    claimed: Cell<bool>,
     steps: Cell<usize>,
 }
 
 impl Progress {
-    /// How many steps are done.
+    /// The number of completed steps.
     pub fn steps(&self) -> usize {
         self.steps.get()
     }
 }
 
-/// Two backends of the service `one`. The first connection to either of them follows the script, all others serve
-/// properly.
-pub struct Pair {
+/// Two backends of the service `one`. The first connection to either of them follows the script. All other connections
+/// are served normally.
+pub struct ScriptedPair {
     pub backends: [ScriptedBackend; 2],
     pub progress: Rc<Progress>,
 }
 
-impl Pair {
+impl ScriptedPair {
     pub async fn start(script: &'static [Step]) -> Self {
         let progress = Rc::<Progress>::default();
         let start = |id| {
             let progress = progress.clone();
-            ScriptedBackend::on_streams(id, "one", move |stream, heard| {
+            ScriptedBackend::on_streams(id, "one", move |stream, request| {
                 let progress = progress.clone();
                 async move {
-                    if progress.taken.replace(true) {
-                        serve(stream, heard).await;
+                    if progress.claimed.replace(true) {
+                        serve(stream, request).await;
                     } else {
                         follow(stream, script, &progress).await;
                     }
@@ -66,22 +66,22 @@
         Self { backends, progress }
     }
 
-    /// How many requests were served on proper connections.
+    /// The number of requests that were served normally.
     pub fn served(&self) -> usize {
-        self.backends.iter().map(ScriptedBackend::count).sum()
+        self.backends.iter().map(ScriptedBackend::request_count).sum()
     }
 
-    /// How many connections were made.
+    /// The number of connections that were opened.
     pub fn connections(&self) -> usize {
         self.backends.iter().map(|backend| backend.connections.get()).sum()
     }
 }
 
-async fn serve(stream: TcpStream, all: Rc<RefCell<Vec<Heard>>>) {
+async fn serve(stream: TcpStream, received: Rc<RefCell<Vec<HttpMessage>>>) {
     let mut stream = BufReader::new(stream);
-    while let Some(heard) = hear(&mut stream).await {
-        all.borrow_mut().push(heard.clone());
-        let Do::Say(text) = says_good(&heard) else { return };
+    while let Some(request) = read_message(&mut stream).await {
+        received.borrow_mut().push(request.clone());
+        let Action::Respond(text) = respond_ok(&request) else { return };
         if stream.write_all(text.as_bytes()).await.is_err() {
             return;
         }
@@ -93,8 +93,8 @@
     for step in script {
         match step {
             Step::Read(bytes) => drop(stream.read_exact(&mut vec![0; *bytes]).await),
-            Step::ReadHead => drop(hear_head(&mut stream).await),
-            Step::ReadRequest => drop(hear(&mut stream).await),
+            Step::ReadHead => drop(read_head(&mut stream).await),
+            Step::ReadRequest => drop(read_message(&mut stream).await),
             Step::Write(text) => drop(stream.write_all(text.as_bytes()).await),
             Step::Stall => while stream.read_u8().await.is_ok() {},
             Step::Reset => reset(stream.get_ref()),
@@ -107,7 +107,7 @@
     }
 }
 
-/// Has the connection be reset once it is dropped.
+/// Makes the kernel reset the connection when the stream is dropped.
 pub fn reset(stream: &TcpStream) {
-    stream.set_zero_linger().expect("an option of the socket");
+    stream.set_zero_linger().expect("the linger option can be set");
 }
