--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -35,12 +35,12 @@
 const MAX_BUFFERED_BODY: usize = 256 * 1024;
 /// A client whose machine acknowledges no data for this long is considered dead.
 const CLIENT_DEAD_AFTER: Duration = Duration::from_secs(10);
-/// A request waits for a unit of its tenant's quota for at most this share of the route's goal.
+/// A request waits for a unit of its tenant's quota for at most this share of the route's latency goal.
 const QUOTA_WAIT_RATIO: f64 = 0.12;
-/// A request waits for a backend with free capacity until this share of the route's goal has passed since its arrival.
-/// A refusal that reaches the client later than a quarter of the goal counts against the service level.
+/// A request waits for a backend with free capacity until this share of the route's latency goal has passed since its
+/// arrival. A refusal that reaches the client later than a quarter of the goal counts against the service level.
 const CAPACITY_WAIT_RATIO: f64 = 0.2;
-/// The range of the retry delay after a refusal for lack of capacity, as shares of the route's goal.
+/// The range of the retry delay after a refusal for lack of capacity, as shares of the route's latency goal.
 const RETRY_AFTER_GOAL_RATIO: (f64, f64) = (0.2, 0.6);
 /// The longest such retry delay, as a share of the request's timeout at its arrival. Clients honour `Retry-After` only
 /// up to a third of the time until their deadline.
--- a/crates/data-plane/src/headers.rs
+++ b/crates/data-plane/src/headers.rs
@@ -3,13 +3,20 @@
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName};
 use std::time::Duration;
 
+/// The id of a request. Answers have to echo the id.
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("x-attempt-id");
+/// The time until the client's deadline, in ms.
 pub const DEADLINE_LEFT: HeaderName = HeaderName::from_static("x-deadline-left");
+/// The id of the backend instance that answers.
 pub const INSTANCE_ID: HeaderName = HeaderName::from_static("x-instance-id");
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
+/// Set by a backend to state that the request did not run.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
+/// Set by a backend on its own successful answers. A success without the header is not accepted.
 pub const SEAL: HeaderName = HeaderName::from_static("x-server-seal");
+/// The id of the backend instance that the request is meant for.
 pub const TARGET_INSTANCE: HeaderName = HeaderName::from_static("x-target-instance");
+/// The label of the tenant, set by the gateway.
 pub const TENANT: HeaderName = HeaderName::from_static("x-tenant");
 
 /// Headers that apply to a single connection. `Content-Length` is included because the HTTP library sets the header
--- a/crates/data-plane/src/instances.rs
+++ b/crates/data-plane/src/instances.rs
@@ -163,7 +163,7 @@
     }
 
     /// When the warmup of a new instance began, if the instance is to receive reduced load. If half or more of a
-    /// service's instances are warming up, none of them is spared, because the requests have nowhere else to go.
+    /// service's instances are warming up, none of them gets reduced load, because the requests have nowhere else to go.
     fn reduced_load_since(&self, new: &Instance) -> Option<Instant> {
         let now = Instant::now();
         let of_service = self.serving().filter(|(_, instance)| instance.service == new.service);
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -6,8 +6,8 @@
 //!
 //! Invariants:
 //!
-//! - A request that is not pure is sent to another backend only if the first backend states that it did not run the
-//!   request.
+//! - A request that is not pure must not run twice. Such a request is sent to another backend only if no byte of it
+//!   was written before, or if the first backend states that it did not run the request.
 //! - The data plane itself answers 429 and 503 only to requests that never ran.
 //! - A successful answer is passed on only if it is complete, carries the backend's seal and echoes the request's id.
 //! - An API key never leaves the process.
--- a/crates/data-plane/tests/retries.rs
+++ b/crates/data-plane/tests/retries.rs
@@ -249,7 +249,7 @@
             (backend.request_count(), gateway.admission.acquired.get(), gateway.admission.refunded.get()),
             (2, 3, 1)
         );
-        // A client that disconnects before its request was sent gets its unit back; after that the unit stays spent.
+        // If a client disconnects before its request was sent, the unit is refunded. After that, the unit stays spent.
         let mut client = Client::connect(gateway.client_address).await;
         client.send(&request("POST", "/e/x", "", "b")).await;
         wait_until(|| gateway.admission.acquired.get() == 4).await;
