--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -47,7 +47,8 @@
 /// The name of the engine's only rate plan. Tenants are metered before, by the host's `Admission`.
 pub const PLAN_NAME: &str = "all";
 
-/// What distinguishes request classes: whether the route is pure, its latency goal in ms, and the rank up to [`MAX_RANK`].
+/// What distinguishes request classes: whether the route is pure, the latency goal in ms, and the rank up to
+/// [`MAX_RANK`].
 type ClassKey = (bool, u64, u32);
 /// The engine gives the same value to all ranks from this one on.
 const MAX_RANK: u32 = 4;
--- a/crates/data-plane/src/instances.rs
+++ b/crates/data-plane/src/instances.rs
@@ -122,7 +122,7 @@
             instance.initial_capacity = Some(backend.capacity);
             return Some((id, instance));
         };
-        let (state, before) = (instance.state(), instance.clone());
+        let (state, previous) = (instance.state(), instance.clone());
         if instance.phase == Phase::Gone {
             return None;
         }
@@ -139,8 +139,8 @@
         }
         instance.call_count = instance.call_count.max(backend.call_count);
         let is_changed = instance.state() != state
-            || instance.address != before.address
-            || instance.overdue != before.overdue;
+            || instance.address != previous.address
+            || instance.overdue != previous.overdue;
         let (id, instance) = (Name::from(&*backend.id), instance.clone());
         if instance.phase == Phase::Gone {
             self.remember_ended(&id);
@@ -163,7 +163,7 @@
     }
 
     /// When the warmup of a new instance began, if the instance is to receive reduced load. If half or more of a
-    /// service's instances are warming up, none of them gets reduced load, because the requests have nowhere else to go.
+    /// service's instances are warming up, none of them gets reduced load: the requests have nowhere else to go.
     fn reduced_load_since(&self, new: &Instance) -> Option<Instant> {
         let now = Instant::now();
         let of_service = self.serving().filter(|(_, instance)| instance.service == new.service);
--- a/crates/data-plane/src/recorder.rs
+++ b/crates/data-plane/src/recorder.rs
@@ -91,8 +91,8 @@
 
 /// A record of a request that did not succeed at the first attempt.
 struct RequestRecord {
-    at: Instant,
-    took: Duration,
+    recorded_at: Instant,
+    duration: Duration,
     /// A copy, because the header value would keep the whole read buffer of its connection alive.
     id: Box<str>,
     route: Option<Arc<str>>,
@@ -104,7 +104,7 @@
 
 /// An event other than a request.
 struct EventRecord {
-    at: Instant,
+    recorded_at: Instant,
     step: &'static str,
     text: Box<str>,
     version: u64,
@@ -120,16 +120,16 @@
 }
 
 impl RequestCounts {
-    fn add(&self, outcome: RequestOutcome, took: Duration) {
+    fn add(&self, outcome: RequestOutcome, duration: Duration) {
         self.outcomes[outcome as usize].update(|n| n + 1);
         if outcome == RequestOutcome::Served {
-            let took = took.as_secs_f64();
-            let at = ANSWER_TIME_BOUNDS
+            let duration = duration.as_secs_f64();
+            let index = ANSWER_TIME_BOUNDS
                 .iter()
-                .position(|bound| took <= *bound)
+                .position(|bound| duration <= *bound)
                 .unwrap_or(ANSWER_TIME_BOUNDS.len());
-            self.buckets[at].update(|n| n + 1);
-            self.answer_time_sum.update(|sum| sum + took);
+            self.buckets[index].update(|n| n + 1);
+            self.answer_time_sum.update(|sum| sum + duration);
         }
     }
 }
@@ -193,7 +193,12 @@
     pub fn record_event(&self, step: &'static str, text: fmt::Arguments<'_>) {
         let stored = truncate(&text.to_string());
         let version = self.version.get();
-        self.events.borrow_mut().push(EventRecord { at: Instant::now(), step, text: stored, version });
+        self.events.borrow_mut().push(EventRecord {
+            recorded_at: Instant::now(),
+            step,
+            text: stored,
+            version,
+        });
         let mut log_limiters = self.log_limiters.borrow_mut();
         let limiter = log_limiters.iter_mut().find(|(known, _)| *known == step).map(|(_, limiter)| limiter);
         let suppressed =
@@ -229,8 +234,8 @@
         let id = id.map(HeaderValue::as_bytes).unwrap_or_default();
         let id = &id[..id.len().min(MAX_TEXT_LENGTH)];
         let record = RequestRecord {
-            at: now,
-            took: now.saturating_duration_since(arrived),
+            recorded_at: now,
+            duration: now.saturating_duration_since(arrived),
             id: String::from_utf8_lossy(id).into(),
             route: request.map(|request| request.route.clone()),
             tenant: request.and_then(|request| request.tenant.clone()),
@@ -253,15 +258,19 @@
         let (sent, unsent, now) = (self.sent.borrow(), self.unsent.borrow(), Instant::now());
         let all = sent.newest().chain(unsent.newest());
         let mut found: Vec<_> = all.filter(|r| id.is_none_or(|id| &*r.id == id)).collect();
-        found.sort_by_key(|record| std::cmp::Reverse(record.at));
+        found.sort_by_key(|record| std::cmp::Reverse(record.recorded_at));
         let to_json = |r: &RequestRecord| {
             let attempts: Vec<_> = r
                 .attempts
                 .iter()
-                .map(|(backend, outcome)| json!({ "backend": &**backend, "outcome": ATTEMPT_OUTCOMES[outcome_index(*outcome)].1 }))
+                .map(|(backend, outcome)| {
+                    json!({ "backend": &**backend,
+                    "outcome": ATTEMPT_OUTCOMES[outcome_index(*outcome)].1 })
+                })
                 .collect();
-            json!({ "id": &*r.id, "age_ms": (now - r.at).as_millis() as u64, "took_ms": r.took.as_millis() as u64,
-                "route": r.route.as_deref(), "tenant": r.tenant.as_deref(), "tries": attempts, "status": r.status,
+            json!({ "id": &*r.id, "age_ms": (now - r.recorded_at).as_millis() as u64,
+                "took_ms": r.duration.as_millis() as u64, "route": r.route.as_deref(),
+                "tenant": r.tenant.as_deref(), "tries": attempts, "status": r.status,
                 "outcome": REQUEST_OUTCOMES[r.outcome as usize].1, "why": REQUEST_OUTCOMES[r.outcome as usize].2 })
         };
         found.into_iter().take(limit).map(to_json).collect()
@@ -276,7 +285,7 @@
             word.is_none_or(contains)
         };
         let to_json = |n: &EventRecord| {
-            json!({ "age_ms": (now - n.at).as_millis() as u64, "step": n.step, "subject": word,
+            json!({ "age_ms": (now - n.recorded_at).as_millis() as u64, "step": n.step, "subject": word,
                 "text": &*n.text, "version": format!("r{}", n.version) })
         };
         events.newest().filter(matches).map(to_json).collect()
--- a/crates/data-plane/tests/forward.rs
+++ b/crates/data-plane/tests/forward.rs
@@ -20,9 +20,9 @@
         };
         let backend = ScriptedBackend::start("i-1", "one", respond).await;
         let gateway = TestGateway::start(default_config(), &[&backend]).await;
-        let more = "X-Mine: 2\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 3\r\nTE: trailers\r\nX-Tenant: other\r\n\
+        let extra = "X-Mine: 2\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 3\r\nTE: trailers\r\nX-Tenant: other\r\n\
                     X-Target-Instance: i-9\r\nProxy-Authorization: p\r\nCookie: c\r\n";
-        let reply = gateway.exchange(&request("PUT", "/e/x%2f?q=a%20b", more, "the body")).await;
+        let reply = gateway.exchange(&request("PUT", "/e/x%2f?q=a%20b", extra, "the body")).await;
         assert_eq!((reply.status(), &*reply.body), (200, &b"b"[..]));
         assert_eq!((reply.header("x-server-seal"), reply.header("x-other")), (Some("s"), Some("1")));
         assert_eq!((reply.header("x-hop"), reply.header("keep-alive")), (None, Some("timeout=14")));
--- a/crates/data-plane/tests/operator_queries.rs
+++ b/crates/data-plane/tests/operator_queries.rs
@@ -23,8 +23,8 @@
         let full = ScriptedBackend::start("i-1", "one", |request| {
             Action::Respond(status_only(request, "503 Service Unavailable", "X-Not-Executed: 1\r\n"))
         });
-        let (full, good) = (full.await, ScriptedBackend::start("i-2", "one", respond_ok).await);
-        let gateway = TestGateway::start(default_config(), &[&good]).await;
+        let (full, healthy) = (full.await, ScriptedBackend::start("i-2", "one", respond_ok).await);
+        let gateway = TestGateway::start(default_config(), &[&healthy]).await;
         assert_eq!(gateway.exchange(&request("GET", "/p/x", "", "")).await.status(), 200);
         let served = get(&gateway, "/requests/7f").await;
         assert_eq!(served, (200, r#"{"name":"q1","requests":[]}"#.to_owned()));
@@ -32,9 +32,10 @@
             gateway.exchange(&request("GET", "/none/", "", "").replace("7f", "8f")).await.status(),
             404
         );
-        gateway
-            .data_plane
-            .update_backends(&[good.with_phase(Phase::Gone, 2), full.with_phase(Phase::Serving, 2)], false);
+        gateway.data_plane.update_backends(
+            &[healthy.with_phase(Phase::Gone, 2), full.with_phase(Phase::Serving, 2)],
+            false,
+        );
         assert_eq!(gateway.exchange(&request("GET", "/p/x", "", "").replace("7f", "9f")).await.status(), 503);
         let (_, unrouted) = get(&gateway, "/requests/8f").await;
         assert!(
--- a/crates/data-plane/tests/retries.rs
+++ b/crates/data-plane/tests/retries.rs
@@ -36,7 +36,7 @@
 fn encoded(request: &HttpMessage) -> Action {
     Action::Respond(success(request, "Content-Encoding: gzip\r\n", "b"))
 }
-fn cut(request: &HttpMessage) -> Action {
+fn truncated(request: &HttpMessage) -> Action {
     Action::RespondAndClose(success(request, "", "b").replace("Content-Length: 1", "Content-Length: 9"))
 }
 fn unframed(request: &HttpMessage) -> Action {
@@ -53,7 +53,7 @@
 }
 
 #[yare::parameterized(
-    wrong_id = { crate::wrong_id }, no_id = { crate::no_id }, no_seal = { crate::no_seal }, encoded = { crate::encoded }, cut = { crate::cut },
+    wrong_id = { crate::wrong_id }, no_id = { crate::no_id }, no_seal = { crate::no_seal }, encoded = { crate::encoded }, truncated = { crate::truncated },
     unframed = { crate::unframed }, garbage = { crate::garbage }, silence = { crate::silence }, failed = { crate::failed },
 )]
 fn a_request_that_may_have_run_fails_unless_it_is_pure_and_can_be_retried(
