--- a/crates/data-plane/src/recorder.rs
+++ b/crates/data-plane/src/recorder.rs
@@ -264,8 +264,7 @@
                 .attempts
                 .iter()
                 .map(|(backend, outcome)| {
-                    json!({ "backend": &**backend,
-                    "outcome": ATTEMPT_OUTCOMES[outcome_index(*outcome)].1 })
+                    json!({ "backend": &**backend, "outcome": ATTEMPT_OUTCOMES[outcome_index(*outcome)].1 })
                 })
                 .collect();
             json!({ "id": &*r.id, "age_ms": (now - r.recorded_at).as_millis() as u64,
