--- a/crates/data-plane/src/backend_protocol.rs
+++ b/crates/data-plane/src/backend_protocol.rs
@@ -85,10 +85,14 @@
 impl Dialect for BackendProtocol {
     type Ask = Rc<ClientRequest>;
 
-    // While a backend sends an answer, only the deadline of the request ends the wait, not the backend's silence.
+    /// How long a backend may be silent while it sends an answer. The value is long because the deadline of the request
+    /// ends the wait, not the backend's silence.
     const SILENT: Duration = Duration::from_secs(60);
+    /// A backend may run a request although the gateway has written only a part of the request.
     const PART_MAY_RUN: bool = true;
+    /// The kernel gives up a connection whose peer acknowledges no data for this long.
     const DEAD_AFTER: Option<Duration> = Some(Duration::from_secs(4));
+    /// A backend may answer a request twice, the second time late.
     const ANSWERS_TWICE: bool = true;
 
     fn request(
--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -53,7 +53,7 @@
 /// The engine gives the same value to all ranks from this one on.
 const MAX_RANK: u32 = 4;
 
-/// A service and the engine that decides for it.
+/// A service with the engine that decides about its requests.
 pub struct Service {
     pub engine: Rc<Engine<BackendProtocol>>,
     /// How many backends of the service accept requests.
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Passes changes to the connection pool first, so that nothing is sent by outdated state, and then to the engines.
+    /// Passes changes to the connection pool first, so that no request is sent on outdated state, then to the engines.
     fn publish_changes(&self, changed: Vec<(Name, Instance)>) {
         let mut by_service: BTreeMap<Name, Vec<(Name, Instance)>> = BTreeMap::new();
         for (id, instance) in changed {
--- a/crates/data-plane/src/instances.rs
+++ b/crates/data-plane/src/instances.rs
@@ -24,7 +24,8 @@
     /// The address to connect to, after detours.
     pub address: SocketAddr,
     pub phase: Phase,
-    /// The highest call count received; updates with a lower count are older.
+    /// The highest call count received. The count rises with each call of the backend to the control plane, so that an
+    /// update with a lower count is older.
     pub call_count: u64,
     /// Whether the heartbeats of the instance are overdue.
     pub overdue: bool,
--- a/crates/data-plane/src/recorder.rs
+++ b/crates/data-plane/src/recorder.rs
@@ -22,7 +22,7 @@
 const MAX_UNSENT_RECORDS: usize = 300;
 /// The maximum number of event records.
 const MAX_EVENT_RECORDS: usize = 128;
-/// The maximum length of texts and ids, in characters and bytes. Both contain input from outside.
+/// The maximum length of a recorded text, in characters, or id, in bytes. Both contain input from outside.
 const MAX_TEXT_LENGTH: usize = 160;
 /// The maximum number of recorded attempts of one request.
 const MAX_RECORDED_ATTEMPTS: usize = 8;
@@ -138,9 +138,9 @@
 pub struct Recorder {
     started: Instant,
     log: LogSink,
-    /// Records of requests that were sent to a backend.
+    /// The records of requests that were sent to a backend.
     sent: RefCell<Ring<RequestRecord>>,
-    /// Records of requests that were never sent to a backend.
+    /// The records of requests that were never sent to a backend.
     unsent: RefCell<Ring<RequestRecord>>,
     events: RefCell<Ring<EventRecord>>,
     version: Cell<u64>,
