--- a/crates/data-plane/src/instances.rs
+++ b/crates/data-plane/src/instances.rs
@@ -24,7 +24,8 @@
     /// The address to connect to, after detours.
     pub address: SocketAddr,
     pub phase: Phase,
-    /// The highest call count received; updates with a lower count are older.
+    /// The highest call count received. The count rises with each call of the backend to the control plane, so that an
+    /// update with a lower count is older.
     pub call_count: u64,
     /// Whether the heartbeats of the instance are overdue.
     pub overdue: bool,
@@ -122,7 +123,7 @@
             instance.initial_capacity = Some(backend.capacity);
             return Some((id, instance));
         };
-        let (state, before) = (instance.state(), instance.clone());
+        let (state, previous) = (instance.state(), instance.clone());
         if instance.phase == Phase::Gone {
             return None;
         }
@@ -139,8 +140,8 @@
         }
         instance.call_count = instance.call_count.max(backend.call_count);
         let is_changed = instance.state() != state
-            || instance.address != before.address
-            || instance.overdue != before.overdue;
+            || instance.address != previous.address
+            || instance.overdue != previous.overdue;
         let (id, instance) = (Name::from(&*backend.id), instance.clone());
         if instance.phase == Phase::Gone {
             self.remember_ended(&id);
@@ -163,7 +164,7 @@
     }
 
     /// When the warmup of a new instance began, if the instance is to receive reduced load. If half or more of a
-    /// service's instances are warming up, none of them is spared, because the requests have nowhere else to go.
+    /// service's instances are warming up, none of them gets reduced load: the requests have nowhere else to go.
     fn reduced_load_since(&self, new: &Instance) -> Option<Instant> {
         let now = Instant::now();
         let of_service = self.serving().filter(|(_, instance)| instance.service == new.service);
