--- a/crates/control-plane/src/calls.rs
+++ b/crates/control-plane/src/calls.rs
@@ -346,31 +346,31 @@
 ) -> Response<Full<Bytes>> {
     let (head, body) = request.into_parts();
     let path = head.uri.path();
-    let matches = |call: &&Endpoint| {
-        if call.takes_id {
-            path.len() > call.path.len() && path.starts_with(call.path)
+    let matches = |endpoint: &&Endpoint| {
+        if endpoint.takes_id {
+            path.len() > endpoint.path.len() && path.starts_with(endpoint.path)
         } else {
-            path == call.path
+            path == endpoint.path
         }
     };
-    let Some(call) = ENDPOINTS.iter().find(matches) else {
+    let Some(endpoint) = ENDPOINTS.iter().find(matches) else {
         return respond(Reply::error(404, "no such call"));
     };
-    if head.method != call.method {
+    if head.method != endpoint.method {
         return respond(Reply::error(405, "another method is wanted"));
     }
-    let body = match read_body(body, call.max_body_bytes, &mut reservation).await {
+    let body = match read_body(body, endpoint.max_body_bytes, &mut reservation).await {
         Ok(body) => body,
         Err(reply) => return respond(reply),
     };
     // The timeout starts after the body: a large body may take longer to arrive than the response may.
-    let deadline = Instant::now() + call.response_timeout;
-    let id = if call.takes_id {
-        path.strip_prefix(call.path).unwrap_or_default()
+    let deadline = Instant::now() + endpoint.response_timeout;
+    let id = if endpoint.takes_id {
+        path.strip_prefix(endpoint.path).unwrap_or_default()
     } else {
         head.uri.query().unwrap_or_default()
     };
-    let parsed_call = match (call.parse)(id, &head.headers, &body) {
+    let parsed_call = match (endpoint.parse)(id, &head.headers, &body) {
         Ok(read) => read,
         Err(reply) => return respond(reply),
     };
@@ -379,7 +379,7 @@
         return respond(Reply::error(503, "this process ends"));
     }
     match timeout_at(deadline, response).await {
-        Ok(Ok(reply)) => respond_as(if reply.status == 200 { call.content_type } else { JSON }, reply),
+        Ok(Ok(reply)) => respond_as(if reply.status == 200 { endpoint.content_type } else { JSON }, reply),
         _ => respond(Reply::error(503, "no answer in time: ask again, here or at another gateway")),
     }
 }
--- a/crates/control-plane/tests/played/mod.rs
+++ b/crates/control-plane/tests/fake_peer/mod.rs
@@ -5,12 +5,12 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// A connection of another process, played by the test.
-pub struct Played {
+pub struct FakePeer {
     pub stream: TcpStream,
     read: Vec<u8>,
 }
 
-impl Played {
+impl FakePeer {
     pub fn new(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(super::PATIENCE)).expect("a limit");
         Self { stream, read: Vec::new() }
--- a/crates/control-plane/tests/forwarded.rs
+++ b/crates/control-plane/tests/forwarded_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that go on to the leader: their answers come on the connection that carried them, or not at all.
+//! Calls forwarded to the leader: a reply counts only on the connection that carried the call.
 
 use control_plane::{ControlPlane, ControlPlaneSettings, Tolerance};
 use protocol::{Heartbeat, Hello, Message, Plane};
@@ -13,8 +13,8 @@
 use tokio::task::{LocalSet, spawn_local};
 use transport::{Line, Reader, attach, dial};
 
-/// Only a hang takes as long.
-const LONG: Duration = Duration::from_secs(20);
+/// Time limit that only a hanging test reaches.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn hello(name: &str, address: SocketAddr) -> Hello {
     Hello {
@@ -28,9 +28,9 @@
     }
 }
 
-/// A process without a log that knows of one leader. Gives where it takes connections and calls.
-async fn follower(leader: SocketAddr) -> (SocketAddr, SocketAddr) {
-    let (peers, calls) = (listener().await, listener().await);
+/// Starts a process without a Raft log that knows one leader. Returns its addresses for processes and for calls.
+async fn start_non_voter(leader: SocketAddr) -> (SocketAddr, SocketAddr) {
+    let (peers, calls) = (bind().await, bind().await);
     let addresses = (peers.local_addr().expect("an address"), calls.local_addr().expect("an address"));
     let settings = ControlPlaneSettings {
         me: hello("m1", addresses.0),
@@ -57,12 +57,12 @@
     addresses
 }
 
-async fn listener() -> TcpListener {
+async fn bind() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").await.expect("a port")
 }
 
-/// The leader's side of the connection that the process made to it, told that it leads.
-async fn led(leader: &TcpListener) -> (Line, Reader) {
+/// Accepts the connection from the process as the leader, and announces the leadership.
+async fn accept_as_leader(leader: &TcpListener) -> (Line, Reader) {
     let (stream, peer) = leader.accept().await.expect("a connection");
     let (line, reader) = attach(stream, peer);
     let address = leader.local_addr().expect("an address").to_string();
@@ -75,7 +75,7 @@
     (line, reader)
 }
 
-async fn asked(from: &mut Reader) -> u64 {
+async fn next_forwarded_token(from: &mut Reader) -> u64 {
     loop {
         if let Message::Ask { token, .. } = from.next().await.expect("a message") {
             return token;
@@ -83,11 +83,11 @@
     }
 }
 
-fn told(token: u64, body: &str) -> Message {
+fn reply(token: u64, body: &str) -> Message {
     Message::Told { token, status: 200, body: body.into() }
 }
 
-async fn read(calls: SocketAddr) -> String {
+async fn read_config(calls: SocketAddr) -> String {
     let mut stream = TcpStream::connect(calls).await.expect("a connection");
     let request = b"GET /Config.Read HTTP/1.1\r\nHost: m\r\nConnection: close\r\n\r\n";
     stream.write_all(request).await.expect("written");
@@ -97,31 +97,32 @@
 }
 
 #[test]
-fn an_answer_counts_only_on_the_connection_that_carried_the_call() {
+fn a_reply_counts_only_on_the_connection_that_carried_the_call() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let test = async {
-        let leader = listener().await;
-        let (peers, calls) = follower(leader.local_addr().expect("an address")).await;
-        let (line, mut reader) = led(&leader).await;
-        let call = spawn_local(read(calls));
-        let token = asked(&mut reader).await;
-        // Somebody else, an earlier leader perhaps, answers under the same number; so does this one under others.
+        let leader = bind().await;
+        let (peers, calls) = start_non_voter(leader.local_addr().expect("an address")).await;
+        let (line, mut reader) = accept_as_leader(&leader).await;
+        let call = spawn_local(read_config(calls));
+        let token = next_forwarded_token(&mut reader).await;
+        // Another process, perhaps a former leader, replies with the same token. The leader replies with other
+        // tokens.
         let (other, mut answers) = dial(peers, &config::Detours::default()).await.expect("a connection");
-        other.send(&told(token, "of another connection"));
-        // Once this is answered, what was sent before has been read.
+        other.send(&reply(token, "of another connection"));
+        // Once this hello is answered, the message sent before it has been handled.
         other.send(&Message::Hello(hello("m2", peers)));
         assert!(matches!(answers.next().await, Ok(Message::Welcome(_))));
-        line.send(&told(token + 1, "of another call"));
-        let second = spawn_local(read(calls));
-        let next = asked(&mut reader).await;
-        assert!(next > token, "no number is used twice");
-        line.send(&told(next, "the second"));
-        line.send(&told(token, "the first"));
-        line.send(&told(token, "the first once more"));
+        line.send(&reply(token + 1, "of another call"));
+        let second = spawn_local(read_config(calls));
+        let next = next_forwarded_token(&mut reader).await;
+        assert!(next > token, "no token is used twice");
+        line.send(&reply(next, "the second"));
+        line.send(&reply(token, "the first"));
+        line.send(&reply(token, "the first once more"));
         assert!(call.await.expect("an answer").ends_with("\r\n\r\nthe first"));
         assert!(second.await.expect("an answer").ends_with("\r\n\r\nthe second"));
     };
     LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(LONG, test).await.expect("a test that ends");
+        tokio::time::timeout(TEST_TIMEOUT, test).await.expect("a test that ends");
     });
 }
--- a/crates/control-plane/tests/heartbeats.rs
+++ b/crates/control-plane/tests/heartbeats.rs
@@ -1,7 +1,7 @@
-//! Ordinary heartbeats of backends at processes that are cut off, and who knows of these backends then.
+//! Heartbeats of backends at isolated processes, and which processes know these backends then.
 
 #[path = "support/simulation.rs"]
-#[allow(dead_code)] // Not all that share this simulation freeze processes or hang disks.
+#[allow(dead_code)] // These tests freeze no processes and hang no disks.
 mod simulation;
 
 use control_plane::{Call, Faults};
@@ -13,20 +13,21 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 const VOTERS: usize = 3;
-const OTHERS: usize = 2;
-/// Until all have met and a leader is known everywhere.
-const SETTLED: Duration = Duration::from_secs(6);
-/// A caller goes on to another process after this.
-const CALLER_WAITS: Duration = Duration::from_secs(1);
-/// Who is cut off does not say so sooner than this after the cut, and does after the second one.
-const ELECTION: Duration = Duration::from_millis(1400);
-const NOTICED: Duration = Duration::from_millis(2500);
-const STEP: Duration = Duration::from_millis(100);
+const NON_VOTERS: usize = 2;
+/// Time until all processes are connected and know the leader.
+const SETTLE_TIME: Duration = Duration::from_secs(6);
+/// Timeout after which a backend calls another process.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// An isolated process still accepts heartbeats for the first of these times after the cut, and refuses them after
+/// the second.
+const MAX_ELECTION_TIME: Duration = Duration::from_millis(1400);
+const ISOLATION_NOTICE_TIME: Duration = Duration::from_millis(2500);
+const HEARTBEAT_PAUSE: Duration = Duration::from_millis(100);
 
 fn heartbeat(id: &str, capacity: u32, call_count: u64) -> Call {
     Call::Heartbeat(Backend {
         service: "s".into(),
-        // Each at an address of its own, or the next one at it would end the one before.
+        // Each backend needs its own address: a new backend replaces the former one at the same address.
         address: format!(
             "10.1.0.1:{}",
             1000 + id.bytes().fold(0u32, |sum, byte| (sum * 31 + u32::from(byte)) % 60_000)
@@ -39,21 +40,23 @@
     })
 }
 
-fn cut(simulation: &Simulation, victim: usize, others: impl IntoIterator<Item = usize>, link: Option<Link>) {
-    for other in others.into_iter().filter(|other| *other != victim) {
-        simulation.link(victim, other, link);
-        simulation.link(other, victim, link);
+fn cut(
+    simulation: &Simulation, isolated: usize, others: impl IntoIterator<Item = usize>, link: Option<Link>,
+) {
+    for other in others.into_iter().filter(|other| *other != isolated) {
+        simulation.link(isolated, other, link);
+        simulation.link(other, isolated, link);
     }
 }
 
 async fn acknowledges(simulation: &Simulation, process: usize, call: Call) -> bool {
-    simulation.call(process, call, CALLER_WAITS).await.is_some_and(|reply| reply.status == 200)
+    simulation.call(process, call, CALL_TIMEOUT).await.is_some_and(|reply| reply.status == 200)
 }
 
-/// Who leads, by its own word.
+/// The process that says of itself that it holds the lease.
 async fn leader(simulation: &Simulation) -> usize {
     for process in 0..VOTERS {
-        let status = simulation.call(process, Call::Status, CALLER_WAITS).await;
+        let status = simulation.call(process, Call::Status, CALL_TIMEOUT).await;
         let body = status.map(|reply| String::from_utf8_lossy(&reply.body).into_owned());
         if body.is_some_and(|body| body.contains(r#""holds_lease":true"#)) {
             return process;
@@ -62,9 +65,9 @@
     unreachable!("a settled system has a leader")
 }
 
-/// The capacity of a backend, as a process tells a follower that has just come.
-async fn capacity_told(simulation: &Simulation, process: usize, id: &str) -> Option<u32> {
-    let (_, mut frames) = simulation.follow(process).await;
+/// The capacity of a backend, as a process sends it to a new subscriber.
+async fn published_capacity(simulation: &Simulation, process: usize, id: &str) -> Option<u32> {
+    let (_, mut frames) = simulation.subscribe(process).await;
     while let Some(frame) = frames.recv().await {
         if let Ok(Some((Message::Backends { backends, .. }, _))) = protocol::unframe::<Message>(&frame) {
             return backends.into_iter().find(|backend| backend.id == id).map(|backend| backend.capacity);
@@ -73,125 +76,136 @@
     None
 }
 
-fn run<F: Future>(story: impl FnOnce(Simulation) -> F) {
+fn run<F: Future>(scenario: impl FnOnce(Simulation) -> F) {
     spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async move {
-        let simulation = Simulation::start(VOTERS, OTHERS, 3, Faults::default());
-        sleep(SETTLED).await;
-        story(simulation).await;
+        let simulation = Simulation::start(VOTERS, NON_VOTERS, 3, Faults::default());
+        sleep(SETTLE_TIME).await;
+        scenario(simulation).await;
     });
 }
 
-/// A voter and a process without a log: cut off from all, or from the voters only.
+/// A voter and a process without a Raft log are isolated from all processes, or from the voters only.
 #[test]
-fn who_is_cut_off_sends_backends_on_and_the_others_learn_what_is_new() {
-    for (victim, from) in [(2, 0..VOTERS + OTHERS), (2, 0..VOTERS), (3, 0..VOTERS), (4, 0..VOTERS + OTHERS)] {
+fn an_isolated_process_refuses_heartbeats_and_the_others_learn_of_changes() {
+    for (isolated, from) in
+        [(2, 0..VOTERS + NON_VOTERS), (2, 0..VOTERS), (3, 0..VOTERS), (4, 0..VOTERS + NON_VOTERS)]
+    {
         run(|simulation| async move {
-            assert!(acknowledges(&simulation, victim, heartbeat("b", 4, 1)).await);
-            sleep(SETTLED).await;
-            cut(&simulation, victim, from.clone(), Some(Link::Cut));
+            assert!(acknowledges(&simulation, isolated, heartbeat("b", 4, 1)).await);
+            sleep(SETTLE_TIME).await;
+            cut(&simulation, isolated, from.clone(), Some(Link::Cut));
             let began = Instant::now();
             let mut call_count = 2;
-            while acknowledges(&simulation, victim, heartbeat("b", 9, call_count)).await {
+            while acknowledges(&simulation, isolated, heartbeat("b", 9, call_count)).await {
                 assert!(
-                    began.elapsed() < NOTICED,
-                    "{victim} acknowledges {:?} after the cut",
+                    began.elapsed() < ISOLATION_NOTICE_TIME,
+                    "{isolated} acknowledges {:?} after the cut",
                     began.elapsed()
                 );
                 call_count += 1;
-                sleep(STEP).await;
+                sleep(HEARTBEAT_PAUSE).await;
             }
-            // Sent on, the backend calls another process: its new room is known there.
-            let other = (0..VOTERS).find(|at| *at != victim).expect("another one");
+            // The refused backend calls another process, which publishes its new capacity.
+            let other = (0..VOTERS).find(|at| *at != isolated).expect("another one");
             assert!(acknowledges(&simulation, other, heartbeat("b", 9, call_count + 1)).await);
-            for process in (0..VOTERS).filter(|at| *at != victim) {
-                sleep(STEP).await;
-                assert_eq!(capacity_told(&simulation, process, "b").await, Some(9), "{victim}, {process}");
+            for process in (0..VOTERS).filter(|at| *at != isolated) {
+                sleep(HEARTBEAT_PAUSE).await;
+                assert_eq!(
+                    published_capacity(&simulation, process, "b").await,
+                    Some(9),
+                    "{isolated}, {process}"
+                );
             }
-            cut(&simulation, victim, from, None);
-            sleep(SETTLED).await;
-            assert!(acknowledges(&simulation, victim, heartbeat("b", 9, call_count + 2)).await, "it is back");
+            cut(&simulation, isolated, from, None);
+            sleep(SETTLE_TIME).await;
+            assert!(
+                acknowledges(&simulation, isolated, heartbeat("b", 9, call_count + 2)).await,
+                "after the isolation"
+            );
         });
     }
 }
 
-/// What a follower of a process is told of backends in this time: messages, and the ids of those that serve and that leave.
-async fn told(simulation: &Simulation, process: usize, span: Duration) -> impl Future<Output = Told> + use<> {
-    let (_, mut frames) = simulation.follow(process).await;
+/// Collects the updates about backends that a process sends to a subscriber within this time.
+async fn collect_updates(
+    simulation: &Simulation, process: usize, span: Duration,
+) -> impl Future<Output = Updates> + use<> {
+    let (_, mut frames) = simulation.subscribe(process).await;
     async move {
-        let mut told = Told::default();
+        let mut updates = Updates::default();
         let until = Instant::now() + span;
         while let Ok(Some(frame)) = timeout_at(until, frames.recv()).await {
             if let Ok(Some((Message::Backends { whole: false, backends }, _))) =
                 protocol::unframe::<Message>(&frame)
             {
-                told.messages += 1;
+                updates.messages += 1;
                 for backend in backends {
                     match backend.phase {
-                        Phase::Serving => told.serving.insert(backend.id),
-                        _ => told.leaving.insert(backend.id),
+                        Phase::Serving => updates.serving.insert(backend.id),
+                        _ => updates.draining.insert(backend.id),
                     };
                 }
             }
         }
-        told
+        updates
     }
 }
 
 #[derive(Debug, Default)]
-struct Told {
+struct Updates {
     messages: usize,
     serving: BTreeSet<String>,
-    leaving: BTreeSet<String>,
+    draining: BTreeSet<String>,
 }
 
-/// Hundreds of backends come within moments: few messages tell of them, here and elsewhere, and none is left out. Who leaves
-/// is told of at once.
+/// Hundreds of new backends within moments are published in few messages, at the same process and at others, and none
+/// is missing. A draining backend is published immediately.
 #[test]
-fn many_that_come_at_once_are_told_of_together_and_who_leaves_at_once() {
+fn new_backends_are_published_in_batches_and_draining_ones_immediately() {
     run(|simulation| async move {
         assert!(acknowledges(&simulation, 0, heartbeat("old", 4, 1)).await);
-        sleep(SETTLED).await;
+        sleep(SETTLE_TIME).await;
         for process in [0, 1, VOTERS] {
             let prefix = format!("b-{process}");
-            let hears = told(&simulation, process, Duration::from_millis(300)).await;
-            for number in 0..HERD {
+            let collecting = collect_updates(&simulation, process, Duration::from_millis(300)).await;
+            for number in 0..NEW_BACKENDS {
                 assert!(acknowledges(&simulation, 0, heartbeat(&format!("{prefix}-{number}"), 4, 1)).await);
             }
-            let told = hears.await;
-            let heard = told.serving.iter().filter(|id| id.starts_with(&prefix)).count();
-            assert_eq!(heard, HERD as usize, "process {process}");
-            assert!(told.messages <= MOST_MESSAGES, "process {process}: {} messages", told.messages);
+            let updates = collecting.await;
+            let published = updates.serving.iter().filter(|id| id.starts_with(&prefix)).count();
+            assert_eq!(published, NEW_BACKENDS as usize, "process {process}");
+            assert!(updates.messages <= MAX_MESSAGES, "process {process}: {} messages", updates.messages);
         }
-        let hears = told(&simulation, 0, Duration::from_millis(10)).await;
-        let leaving = Backend { call_count: 2, ..Backend::leaving("old".into()) };
-        let leaving = Backend { address: "10.1.0.1:80".into(), service: "s".into(), ..leaving };
-        let _ = simulation.call(0, Call::Heartbeat(leaving), Duration::from_millis(1)).await;
-        assert!(hears.await.leaving.contains("old"));
+        let collecting = collect_updates(&simulation, 0, Duration::from_millis(10)).await;
+        let draining = Backend { call_count: 2, ..Backend::leaving("old".into()) };
+        let draining = Backend { address: "10.1.0.1:80".into(), service: "s".into(), ..draining };
+        let _ = simulation.call(0, Call::Heartbeat(draining), Duration::from_millis(1)).await;
+        assert!(collecting.await.draining.contains("old"));
     });
 }
 
-const HERD: u32 = 200;
-/// Within 300 ms: a message for each 50 ms, and some.
-const MOST_MESSAGES: usize = 12;
+const NEW_BACKENDS: u32 = 200;
+/// Limit for 300 ms: one message per 50 ms, plus a margin.
+const MAX_MESSAGES: usize = 12;
 
 #[test]
-fn an_election_sends_no_backend_on() {
+fn no_heartbeat_is_refused_during_an_election() {
     run(|simulation| async move {
         let mut call_count = 1;
         let leader = leader(&simulation).await;
-        cut(&simulation, leader, 0..VOTERS + OTHERS, Some(Link::Cut));
-        let others = || (0..VOTERS + OTHERS).filter(|process| *process != leader);
+        cut(&simulation, leader, 0..VOTERS + NON_VOTERS, Some(Link::Cut));
+        let others = || (0..VOTERS + NON_VOTERS).filter(|process| *process != leader);
         let began = Instant::now();
-        while began.elapsed() < ELECTION {
+        while began.elapsed() < MAX_ELECTION_TIME {
             for process in others() {
                 assert!(acknowledges(&simulation, process, heartbeat("b", 4, call_count)).await, "{process}");
                 call_count += 1;
             }
-            sleep(STEP).await;
+            sleep(HEARTBEAT_PAUSE).await;
         }
-        sleep(SETTLED).await;
+        sleep(SETTLE_TIME).await;
         for process in others() {
             assert!(acknowledges(&simulation, process, heartbeat("b", 4, call_count)).await, "{process}");
             call_count += 1;
--- a/crates/control-plane/tests/orders/drawn.rs
+++ b/crates/control-plane/tests/orders/chaos.rs
@@ -152,7 +152,7 @@
         let reply = reply_to(verdict);
         self.promises.answered(self.orders[sent.order.expect("an order")], &reply);
         let answer = match reply.status {
-            200 => Answer::Taken,
+            200 => Answer::Accepted,
             400..500 => Answer::Refused,
             _ => return,
         };
--- a/crates/control-plane/tests/orders/main.rs
+++ b/crates/control-plane/tests/orders/main.rs
@@ -1,7 +1,7 @@
 //! Orders of several operators, sent again and again: what must never be, in all that may happen to a few of them up to
 //! a depth, and in drawn worlds on real nodes of the log. Planted faults are found by both.
 
-mod drawn;
+mod chaos;
 #[path = "../../../raft/tests/kept/mod.rs"]
 mod kept;
 #[path = "../support/linearizability.rs"]
--- a/crates/control-plane/tests/processes.rs
+++ b/crates/control-plane/tests/processes.rs
@@ -1,7 +1,7 @@
 //! ControlPlanes as threads with a runtime each, over loopback and on real files: what an operator sees while they come and go.
 
-mod fleet;
-mod played;
+mod data_planes;
+mod fake_peer;
 
 use control_plane::{Change, ControlPlane, ControlPlaneSettings, Disk, Losses, Tolerance};
 use protocol::{ConfigSnapshot, Heartbeat, Held, Hello, Message, Plane};
--- a/crates/control-plane/tests/support/linearizability.rs
+++ b/crates/control-plane/tests/support/linearizability.rs
@@ -1,44 +1,45 @@
-//! A linearizability checker for recorded histories, and the register that operators call.
+//! A linearizability checker for recorded histories, and a model of the configuration register that operators use.
 //!
-//! The search is that of Wing and Gong (1993) with the memoised states of Lowe (2017): an order of the calls is looked
-//! for that keeps the real-time order of calls that did not overlap, and in which a sequential model gives each call the
-//! answer that was seen. A call without a clear answer may have happened at any moment after its invocation, or never.
+//! The search follows Wing and Gong (1993) with the memoized states of Lowe (2017). It looks for an order of the
+//! calls that keeps the real-time order of calls that did not overlap, and in which a sequential model gives each
+//! call the observed answer. A call without a definite answer may take effect at any time after its invocation, or
+//! never.
 
 use std::collections::{BTreeMap, HashSet};
 use std::fmt::{Debug, Display, Formatter};
 use std::hash::Hash;
 
-/// So many of the calls that could not come next are shown.
-const SHOWN: usize = 8;
+/// Number of calls shown that could not come next.
+const MAX_SHOWN: usize = 8;
 
 /// A sequential object.
 pub trait Model {
-    /// Its state.
+    /// State of the object.
     type State: Clone + Debug + Eq + Hash;
-    /// What it is asked.
+    /// Operation on the object.
     type Operation: Clone + Debug;
-    /// What it says.
+    /// Answer to an operation.
     type Answer: Clone + Debug + PartialEq;
 
     /// The state before the first call.
     fn initial(&self) -> Self::State;
 
-    /// What a call answers in a state, and the state after it; none where it changes nothing.
+    /// The answer to an operation in a state, and the state afterwards; no state if the operation changes nothing.
     fn apply(&self, state: &Self::State, operation: &Self::Operation) -> (Self::Answer, Option<Self::State>);
 }
 
-/// One call, in the order of events.
+/// One call with the numbers of its events.
 #[derive(Clone, Debug)]
 pub struct Call<O, A> {
-    /// What was asked.
+    /// The requested operation.
     pub operation: O,
-    /// The number of the event of its invocation.
+    /// Event number of the invocation.
     pub invoked: u64,
-    /// The number of the event of its answer, and the answer; none where no clear one came.
+    /// Event number of the answer, and the answer; `None` without a definite answer.
     pub answered: Option<(u64, A)>,
 }
 
-/// Calls as they were seen by those who made them. Events are numbered in the order in which they are recorded.
+/// Calls as observed by the callers. Events are numbered in the order in which they are recorded.
 #[derive(Clone, Debug)]
 pub struct History<O, A> {
     calls: Vec<Call<O, A>>,
@@ -52,60 +53,60 @@
 }
 
 impl<O, A> History<O, A> {
-    /// Somebody calls; gives the number of the call.
+    /// Records an invocation and returns the number of the call.
     pub fn invoke(&mut self, operation: O) -> usize {
         self.events += 1;
         self.calls.push(Call { operation, invoked: self.events, answered: None });
         self.calls.len() - 1
     }
 
-    /// A clear answer came. A call that gets none is one whose answer was lost.
+    /// Records a definite answer. A call without one is a call whose answer was lost.
     pub fn answer(&mut self, call: usize, answer: A) {
         self.events += 1;
         self.calls[call].answered = Some((self.events, answer));
     }
 
-    /// All calls.
+    /// All recorded calls.
     pub fn calls(&self) -> &[Call<O, A>] {
         &self.calls
     }
 }
 
-/// Why a history is not linearizable: the longest order that was found, and what could not come next.
+/// Why a history is not linearizable: the longest order found, and the calls that could not come next.
 #[derive(Clone, Debug)]
 pub struct Violation<M: Model> {
-    /// How many calls could be put in order.
+    /// Number of calls in the longest order.
     pub ordered: usize,
-    /// The state after them.
+    /// State after the longest order.
     pub state: M::State,
-    /// The first calls that have no place after them.
-    pub stuck: Vec<Misfit<M>>,
+    /// The first calls that cannot follow the longest order.
+    pub stuck: Vec<UnorderedCall<M>>,
 }
 
-/// A call that has no place, and the answer that the model would have given.
+/// A call that cannot come next, and the answer that the model would give.
 #[derive(Clone, Debug)]
-pub struct Misfit<M: Model> {
-    /// The call and the answer that was seen.
+pub struct UnorderedCall<M: Model> {
+    /// The call with its observed answer.
     pub call: Call<M::Operation, M::Answer>,
-    /// The model's answer.
+    /// Answer of the model.
     pub modelled: M::Answer,
 }
 
 impl<M: Model> Display for Violation<M> {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
-        writeln!(f, "no order of all calls: after {} of them the state is {:?}", self.ordered, self.state)?;
-        for Misfit { call, modelled } in &self.stuck {
-            writeln!(f, "{call:?} has no place: the answer would be {modelled:?}")?;
+        writeln!(f, "no linearization found: after {} calls the state is {:?}", self.ordered, self.state)?;
+        for UnorderedCall { call, modelled } in &self.stuck {
+            writeln!(f, "{call:?} cannot come next: the answer would be {modelled:?}")?;
         }
         Ok(())
     }
 }
 
-/// Which calls are in order already.
+/// The set of calls that are already ordered.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Done(Vec<u64>);
+struct Ordered(Vec<u64>);
 
-impl Done {
+impl Ordered {
     fn has(&self, call: usize) -> bool {
         self.0[call / 64] >> (call % 64) & 1 == 1
     }
@@ -121,7 +122,7 @@
     }
 }
 
-/// Whether there is an order that explains a history.
+/// Checks that some order of the calls explains a history.
 ///
 /// # Errors
 /// When there is none.
@@ -130,12 +131,12 @@
 ) -> Result<(), Box<Violation<M>>> {
     let calls = history.calls();
     let mut seen = HashSet::new();
-    let mut ways = vec![(Done(vec![0; calls.len().div_ceil(64)]), model.initial())];
-    let mut longest = ways[0].clone();
-    while let Some((done, state)) = ways.pop() {
-        let Some(next) = next_calls(calls, &done) else { return Ok(()) };
-        if done.count() > longest.0.count() {
-            longest = (done.clone(), state.clone());
+    let mut candidates = vec![(Ordered(vec![0; calls.len().div_ceil(64)]), model.initial())];
+    let mut longest = candidates[0].clone();
+    while let Some((ordered, state)) = candidates.pop() {
+        let Some(next) = next_calls(calls, &ordered) else { return Ok(()) };
+        if ordered.count() > longest.0.count() {
+            longest = (ordered.clone(), state.clone());
         }
         let mut changes = Vec::new();
         let mut unchanging = None;
@@ -143,37 +144,38 @@
             let (answer, after) = model.apply(&state, &calls[number].operation);
             let fits = calls[number].answered.as_ref().is_none_or(|(_, seen)| *seen == answer);
             match after {
-                Some(after) if fits => changes.push((done.with(number), after)),
+                Some(after) if fits => changes.push((ordered.with(number), after)),
                 None if fits && calls[number].answered.is_some() => unchanging = Some(number),
                 _ => {}
             }
         }
-        // A call that may come next and changes nothing may come first in any order that there is.
+        // A call that may come next and changes nothing can come first in any valid order.
         if let Some(number) = unchanging {
-            ways.push((done.with(number), state));
+            candidates.push((ordered.with(number), state));
             continue;
         }
-        ways.extend(changes.into_iter().filter(|way| seen.insert(way.clone())));
+        candidates.extend(changes.into_iter().filter(|candidate| seen.insert(candidate.clone())));
     }
-    let (done, state) = longest;
-    let open = (0..calls.len()).filter(|number| !done.has(*number) && calls[*number].answered.is_some());
-    let stuck = open.take(SHOWN).map(|number| {
+    let (ordered, state) = longest;
+    let open = (0..calls.len()).filter(|number| !ordered.has(*number) && calls[*number].answered.is_some());
+    let stuck = open.take(MAX_SHOWN).map(|number| {
         let call = calls[number].clone();
         let (modelled, _) = model.apply(&state, &call.operation);
-        Misfit { call, modelled }
+        UnorderedCall { call, modelled }
     });
-    Err(Box::new(Violation { ordered: done.count(), stuck: stuck.collect(), state: state.clone() }))
+    Err(Box::new(Violation { ordered: ordered.count(), stuck: stuck.collect(), state: state.clone() }))
 }
 
-/// Which calls may come next: those that began before any other open one was answered. None once no answer is open.
-fn next_calls<O, A>(calls: &[Call<O, A>], done: &Done) -> Option<Vec<usize>> {
+/// The calls that may come next: those invoked before any other unordered call was answered. `None` once every
+/// answered call is ordered.
+fn next_calls<O, A>(calls: &[Call<O, A>], ordered: &Ordered) -> Option<Vec<usize>> {
     let mut first_answer = None;
     let mut next = Vec::new();
     for (number, call) in calls.iter().enumerate() {
-        if done.has(number) {
+        if ordered.has(number) {
             continue;
         }
-        // Calls stand in the order of their invocations, and none is answered before it is made.
+        // Calls are stored in the order of their invocations, and each is answered after its invocation.
         if first_answer.is_some_and(|first| call.invoked > first) {
             break;
         }
@@ -184,39 +186,41 @@
     first_answer.map(|first| next.into_iter().filter(|number| calls[*number].invoked < first).collect())
 }
 
-/// The configuration as operators see it: a register with compare-and-set on the version that also knows what it took.
+/// The configuration as operators see it: a register with compare-and-set on the version that also remembers all
+/// accepted configurations.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConfigRegister;
 
-/// A call of an operator.
+/// An operation of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// A configuration that builds on another one.
+    /// Replaces the configuration.
     Replace {
-        /// The version that it builds on.
+        /// The version that the new configuration builds on.
         base: u64,
-        /// Its own version.
+        /// The new version.
         version: u64,
-        /// Tells bodies apart.
+        /// Distinguishes bodies of the same version.
         content: u64,
     },
-    /// Which one is the newest?
+    /// Reads the newest configuration.
     Read,
 }
 
-/// The answer to it.
+/// Answer to an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The configuration is taken, now or before.
-    Taken,
-    /// It was not taken: another version than its base is current, or its own is not above that. 412 and 409.
+    /// The configuration was accepted, now or earlier.
+    Accepted,
+    /// The configuration was refused because its base is not current or its version is not above the current one
+    /// (status 412 or 409).
     Refused,
-    /// The newest version and its content; nothing before the first.
+    /// The newest version and its content; `None` before the first version.
     Newest(Option<(u64, u64)>),
 }
 
 impl Model for ConfigRegister {
-    /// All that was taken, by version: the newest is current.
+    /// All accepted configurations by version; the newest one is current.
     type State = BTreeMap<u64, u64>;
     type Operation = Order;
     type Answer = Answer;
@@ -231,12 +235,12 @@
         match order {
             Order::Read => (Answer::Newest(newest), None),
             Order::Replace { version, content, .. } if state.get(version) == Some(content) => {
-                (Answer::Taken, None)
+                (Answer::Accepted, None)
             }
             Order::Replace { base, version, content } if *base == current && *version > current => {
                 let mut after = state.clone();
                 after.insert(*version, *content);
-                (Answer::Taken, Some(after))
+                (Answer::Accepted, Some(after))
             }
             Order::Replace { .. } => (Answer::Refused, None),
         }
--- a/crates/control-plane/tests/support/simulation.rs
+++ b/crates/control-plane/tests/support/simulation.rs
@@ -1,5 +1,5 @@
-//! Whole control planes in one thread under a simulated clock: links that are cut, held or half open, processes that
-//! freeze, disks that hang.
+//! Complete control planes in one thread under a simulated clock, with links that are cut, held or cut in one
+//! direction, processes that freeze, and disks that hang.
 
 use control_plane::{
     Command, Connector, ControlPlane, ControlPlaneSettings, Disk, Faults, Losses, Reply, Tolerance,
@@ -20,28 +20,28 @@
 use tokio::time::{Instant, sleep, timeout};
 use transport::{Line, LineError};
 
-/// The kernel gives a connection up when what was sent has not been acknowledged for so long.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1500);
-/// A connection that does not come up by then does not.
-const CONNECT: Duration = Duration::from_millis(300);
-/// What a disk takes for a save.
-const SYNC: Duration = Duration::from_millis(3);
-/// Commands that wait for a process, frames that wait on a line.
-const COMMANDS: usize = 1024;
-const FRAMES: usize = 512;
-/// As in service.
+/// The sender's kernel closes a connection whose data has not been acknowledged for this long.
+const RETRANSMISSION_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Duration of a disk write.
+const WRITE_DURATION: Duration = Duration::from_millis(3);
+/// Queue capacities: commands per process and frames per connection.
+const COMMAND_QUEUE_CAPACITY: usize = 1024;
+const FRAME_QUEUE_CAPACITY: usize = 512;
+/// Raft timing as in production.
 const TIMING: Timing = Timing { heartbeat: 60, election: 320, lease: 230 };
 
-/// What becomes of frames in one direction.
+/// Fault of a link in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
-    /// They are lost, until the kernel of the sender gives the connection up.
+    /// Frames are lost, until the sender's kernel closes the connection.
     Cut,
-    /// They wait, and arrive once the link is open again: something on the way acknowledges them.
+    /// Frames are acknowledged by a relay on the way, but delivered only once the link works again.
     Held,
 }
 
-/// A seeded generator (splitmix64).
+/// Seeded random number generator (splitmix64).
 pub struct Random(u64);
 
 impl Random {
@@ -58,13 +58,13 @@
     }
 }
 
-/// The network, and what ails it.
+/// The simulated network and its faults.
 pub struct Network {
     processes: RefCell<BTreeMap<SocketAddr, (usize, Sender<Command>)>>,
     links: RefCell<BTreeMap<(usize, usize), Link>>,
     frozen: RefCell<BTreeSet<usize>>,
-    asleep: RefCell<Vec<Waker>>,
-    hung: RefCell<BTreeSet<usize>>,
+    sleeping_wakers: RefCell<Vec<Waker>>,
+    hung_disks: RefCell<BTreeSet<usize>>,
     changed: Notify,
     last_connection: Cell<u64>,
     random: RefCell<Random>,
@@ -80,11 +80,11 @@
         self.links.borrow().get(&(from, to)).copied()
     }
 
-    /// Waits until something is so.
-    async fn until(&self, holds: impl Fn(&Self) -> bool) {
+    /// Waits until a condition holds.
+    async fn wait_until(&self, condition: impl Fn(&Self) -> bool) {
         loop {
             let changed = self.changed.notified();
-            if holds(self) {
+            if condition(self) {
                 return;
             }
             changed.await;
@@ -92,22 +92,22 @@
     }
 
     async fn delay(&self) {
-        let span = 500 + self.random.borrow_mut().below(1500);
-        sleep(Duration::from_micros(span)).await;
+        let micros = 500 + self.random.borrow_mut().below(1500);
+        sleep(Duration::from_micros(micros)).await;
     }
 
-    /// Whether a frame gets through, sooner or later.
-    async fn passes(&self, from: usize, to: usize) -> bool {
-        self.until(|network| !network.frozen.borrow().contains(&from)).await;
+    /// Waits until a frame can be delivered; returns false if the frame is lost.
+    async fn deliver(&self, from: usize, to: usize) -> bool {
+        self.wait_until(|network| !network.frozen.borrow().contains(&from)).await;
         self.delay().await;
-        self.until(|network| network.link(from, to) != Some(Link::Held)).await;
-        let open = self.until(|network| network.link(from, to) != Some(Link::Cut));
-        if timeout(UNACKNOWLEDGED, open).await.is_err() {
+        self.wait_until(|network| network.link(from, to) != Some(Link::Held)).await;
+        let open = self.wait_until(|network| network.link(from, to) != Some(Link::Cut));
+        if timeout(RETRANSMISSION_TIMEOUT, open).await.is_err() {
             return false;
         }
-        // Whoever was frozen reads its sockets in any order: calls that wait there may come first.
+        // A thawed process reads its sockets in any order, so that calls waiting elsewhere may be handled first.
         if self.frozen.borrow().contains(&to) {
-            self.until(|network| !network.frozen.borrow().contains(&to)).await;
+            self.wait_until(|network| !network.frozen.borrow().contains(&to)).await;
             self.delay().await;
         }
         true
@@ -129,32 +129,33 @@
     }
 }
 
-/// Carries frames in one direction until the sender's kernel gives up; the other end does not hear of that.
-async fn carry(network: Rc<Network>, mut frames: Receiver<Rc<[u8]>>, sender: End, receiver: End) {
+/// Delivers frames in one direction until the sender's kernel closes the connection; the receiver is not notified
+/// then.
+async fn forward_frames(network: Rc<Network>, mut frames: Receiver<Rc<[u8]>>, sender: End, receiver: End) {
     let peer = address(receiver.process);
-    let mut unacknowledged: Option<Instant> = None;
+    let mut unacknowledged_since: Option<Instant> = None;
     while let Some(frame) = frames.recv().await {
         let (from, to) = (sender.process, receiver.process);
-        let mut lost = !network.passes(from, to).await;
+        let mut lost = !network.deliver(from, to).await;
         if !lost && let Ok(Some((message, _))) = protocol::unframe::<Message>(&frame) {
             let _ =
                 receiver.commands.send(Command::Message { connection: receiver.connection, message }).await;
         }
         if network.link(to, from) == Some(Link::Cut) {
-            lost |= unacknowledged.get_or_insert_with(Instant::now).elapsed() > UNACKNOWLEDGED;
+            lost |= unacknowledged_since.get_or_insert_with(Instant::now).elapsed() > RETRANSMISSION_TIMEOUT;
         } else {
-            unacknowledged = None;
+            unacknowledged_since = None;
         }
         if lost {
             return sender.close(peer).await;
         }
     }
-    if network.passes(sender.process, receiver.process).await {
+    if network.deliver(sender.process, receiver.process).await {
         receiver.close(address(sender.process)).await;
     }
 }
 
-/// How one process connects.
+/// Connects one process to others.
 struct Dialer {
     own: usize,
     network: Rc<Network>,
@@ -164,28 +165,28 @@
     fn connect(&self, connection: u64, to: SocketAddr, commands: Sender<Command>) {
         let (own, network) = (self.own, self.network.clone());
         spawn_local(async move {
-            let here = End { process: own, connection, commands };
+            let local = End { process: own, connection, commands };
             let target = network.processes.borrow().get(&to).cloned();
-            let Some((process, commands)) = target else { return here.close(to).await };
+            let Some((process, commands)) = target else { return local.close(to).await };
             let open = |network: &Network| {
                 network.link(own, process).is_none() && network.link(process, own).is_none()
             };
             network.delay().await;
-            if timeout(CONNECT, network.until(open)).await.is_err() {
-                return here.close(to).await;
+            if timeout(CONNECT_TIMEOUT, network.wait_until(open)).await.is_err() {
+                return local.close(to).await;
             }
-            let there = End { process, connection: network.next_connection(), commands };
-            for (from, to, dialed) in [(&here, &there, Some(to)), (&there, &here, None)] {
-                let (line, frames) = channel(FRAMES);
+            let remote = End { process, connection: network.next_connection(), commands };
+            for (from, to, dialed) in [(&local, &remote, Some(to)), (&remote, &local, None)] {
+                let (line, frames) = channel(FRAME_QUEUE_CAPACITY);
                 let opened = Command::Opened { connection: from.connection, line: Line::over(line), dialed };
                 let _ = from.commands.send(opened).await;
-                spawn_local(carry(network.clone(), frames, from.clone(), to.clone()));
+                spawn_local(forward_frames(network.clone(), frames, from.clone(), to.clone()));
             }
         });
     }
 }
 
-/// A process that is not run while it is frozen.
+/// The future of a process, not polled while the process is frozen.
 struct Freezable {
     process: usize,
     network: Rc<Network>,
@@ -197,7 +198,7 @@
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
         if self.network.frozen.borrow().contains(&self.process) {
-            self.network.asleep.borrow_mut().push(context.waker().clone());
+            self.network.sleeping_wakers.borrow_mut().push(context.waker().clone());
             return Poll::Pending;
         }
         self.inner.as_mut().poll(context)
@@ -208,20 +209,20 @@
     SocketAddr::from(([10, 0, 0, process as u8 + 1], 7000))
 }
 
-/// A disk that says when a save is on it, unless it hangs.
+/// A disk that reports each write as saved, unless it hangs.
 fn disk(process: usize, network: Rc<Network>, commands: Sender<Command>) -> Disk {
     let (saves, mut queue) = unbounded_channel::<Save>();
     spawn_local(async move {
         while let Some(save) = queue.recv().await {
-            sleep(SYNC).await;
-            network.until(|network| !network.hung.borrow().contains(&process)).await;
+            sleep(WRITE_DURATION).await;
+            network.wait_until(|network| !network.hung_disks.borrow().contains(&process)).await;
             let _ = commands.send(Command::Saved { ticket: save.ticket }).await;
         }
     });
     Disk::from_fn(move |save| drop(saves.send(save)))
 }
 
-/// Control planes: the first ones vote, the others have no log.
+/// A set of control planes: the first ones vote, the others have no Raft log.
 pub struct Simulation {
     pub network: Rc<Network>,
     commands: Vec<Sender<Command>>,
@@ -233,8 +234,8 @@
             processes: RefCell::default(),
             links: RefCell::default(),
             frozen: RefCell::default(),
-            asleep: RefCell::default(),
-            hung: RefCell::default(),
+            sleeping_wakers: RefCell::default(),
+            hung_disks: RefCell::default(),
             changed: Notify::new(),
             last_connection: Cell::new(0),
             random: RefCell::new(Random::new(seed)),
@@ -248,7 +249,7 @@
         self.commands.len()
     }
 
-    /// What is done with frames from one process to another.
+    /// Sets or clears the fault of the link from one process to another.
     pub fn link(&self, from: usize, to: usize, link: Option<Link>) {
         let mut links = self.network.links.borrow_mut();
         match link {
@@ -264,39 +265,39 @@
 
     pub fn thaw(&self, process: usize) {
         self.network.frozen.borrow_mut().remove(&process);
-        self.network.asleep.take().into_iter().for_each(Waker::wake);
+        self.network.sleeping_wakers.take().into_iter().for_each(Waker::wake);
         self.network.changed.notify_waiters();
     }
 
     pub fn hang_disk(&self, process: usize, hangs: bool) {
-        let mut hung = self.network.hung.borrow_mut();
+        let mut hung_disks = self.network.hung_disks.borrow_mut();
         if hangs {
-            hung.insert(process)
+            hung_disks.insert(process)
         } else {
-            hung.remove(&process)
+            hung_disks.remove(&process)
         };
         self.network.changed.notify_waiters();
     }
 
-    /// A call on the control socket of a process; nothing if no answer came in time.
-    pub async fn call(&self, process: usize, call: control_plane::Call, within: Duration) -> Option<Reply> {
-        let (reply, answer) = oneshot::channel();
+    /// Makes a call on the control socket of a process; `None` if no reply arrives in time.
+    pub async fn call(&self, process: usize, call: control_plane::Call, limit: Duration) -> Option<Reply> {
+        let (reply, response) = oneshot::channel();
         let sent = self.commands[process].send(Command::Call { call, reply });
-        let both = async { if sent.await.is_ok() { answer.await.ok() } else { None } };
-        timeout(within, both).await.ok().flatten()
+        let exchange = async { if sent.await.is_ok() { response.await.ok() } else { None } };
+        timeout(limit, exchange).await.ok().flatten()
     }
 
-    /// Tells a process to end in order; when nothing is left to do, the sender hears.
+    /// Starts the graceful shutdown of a process. The receiver is notified once the process has nothing left to do.
     #[allow(dead_code)] // Not all that share this simulation end processes.
-    pub async fn end(&self, process: usize) -> oneshot::Receiver<()> {
-        let (ending, ended) = oneshot::channel();
-        let _ = self.commands[process].send(Command::Shutdown(ending)).await;
-        ended
+    pub async fn shut_down(&self, process: usize) -> oneshot::Receiver<()> {
+        let (done_sender, done) = oneshot::channel();
+        let _ = self.commands[process].send(Command::Shutdown(done_sender)).await;
+        done
     }
 
-    /// Follows a process from its own machine: the number of the connection, and what the process sends.
-    pub async fn follow(&self, process: usize) -> (u64, Receiver<Rc<[u8]>>) {
-        let (line, frames) = channel(FRAMES);
+    /// Subscribes to a process as a data plane. Returns the connection id and the received frames.
+    pub async fn subscribe(&self, process: usize) -> (u64, Receiver<Rc<[u8]>>) {
+        let (line, frames) = channel(FRAME_QUEUE_CAPACITY);
         let connection = self.network.next_connection();
         let name = format!("data-plane-{process}");
         let hello = Hello {
@@ -317,20 +318,20 @@
         (connection, frames)
     }
 
-    /// A data plane that follows a process says something on its connection.
+    /// Sends a message of a subscribed data plane.
     #[allow(dead_code)] // Not all that share this simulation say more.
-    pub async fn say(&self, process: usize, connection: u64, message: Message) {
+    pub async fn send(&self, process: usize, connection: u64, message: Message) {
         let _ = self.commands[process].send(Command::Message { connection, message }).await;
     }
 }
 
 fn start(process: usize, voters: usize, seed: u64, network: &Rc<Network>, faults: Faults) -> Sender<Command> {
-    let (commands, queue) = channel(COMMANDS);
+    let (commands, queue) = channel(COMMAND_QUEUE_CAPACITY);
     let own = address(process);
     network.processes.borrow_mut().insert(own, (process, commands.clone()));
-    let votes = process < voters;
+    let is_voter = process < voters;
     let voter = |process| VoterId { address: address(process).to_string(), incarnation: 0 };
-    let log = votes.then(|| {
+    let log = is_voter.then(|| {
         let founders = (0..voters).map(voter).collect();
         let me = voter(process);
         let saved = Saved { me, term: 0, vote: None, snapshot: None, entries: Vec::new(), founders };
@@ -342,8 +343,8 @@
         plane: Plane::ControlPlane,
         address: own.to_string(),
         zone: "a".into(),
-        quorum: votes,
-        incarnation: votes.then_some(0),
+        quorum: is_voter,
+        incarnation: is_voter.then_some(0),
     };
     let settings = ControlPlaneSettings {
         me,
