--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -35,7 +35,8 @@
     /// its argument says whether a damaged file was set aside. A damaged log loses its voter, so a new voter starts
     /// instead.
     ///
-    /// # Errors When the directory cannot be written or the log cannot be read.
+    /// # Errors
+    /// When the directory cannot be written or the log cannot be read.
     pub fn open(
         folder: &Path, new_voter: impl FnOnce(bool) -> (VoterId, Vec<VoterId>),
         commands: mpsc::Sender<Command>,
--- a/crates/control-plane/tests/data_planes/mod.rs
+++ b/crates/control-plane/tests/data_planes/mod.rs
@@ -1,76 +1,77 @@
-//! Who counts among the data planes, at processes of control over real connections.
+//! Which data planes control planes count, over real connections.
 
 use super::fake_peer::{FakePeer, hello};
 use super::*;
 
-/// Waits until a process counts these data planes.
-fn counts(process: &Process, names: &[&str]) {
-    until(|| {
+/// Waits until a process counts exactly these data planes.
+fn wait_for_data_planes(process: &Process, names: &[&str]) {
+    wait_for(|| {
         let (_, status) = process.call("GET /Harbour.Status HTTP/1.1", "")?;
         let status: serde_json::Value = serde_json::from_str(&status).ok()?;
         (status["data_planes"] == serde_json::json!(names)).then_some(())
     });
 }
 
-/// A list from before a departure comes by way of another process; `marker` shows that it was read.
-fn late_list(to: SocketAddr, name: &str, marker: &str) -> FakePeer {
+/// Sends a list of data planes from before a departure, as another process. `marker` shows when the list has been
+/// handled.
+fn send_late_list(to: SocketAddr, name: &str, marker: &str) -> FakePeer {
     let mut other = FakePeer::new(TcpStream::connect(to).expect("a connection"));
-    other.say(&Message::Hello(hello("late", 1, Plane::ControlPlane)));
-    other.say(&Message::DataPlanes(vec![(name.into(), 1), (marker.into(), 1)]));
+    other.send(&Message::Hello(hello("late", 1, Plane::ControlPlane)));
+    other.send(&Message::DataPlanes(vec![(name.into(), 1), (marker.into(), 1)]));
     other
 }
 
 #[test]
-fn a_data_plane_that_said_it_ended_counts_nowhere_and_for_nobody_who_leads_next() {
+fn a_departed_data_plane_counts_at_no_process_and_under_no_later_leader() {
     let fleet = TestFleet::new();
     let mut control_planes = fleet.all(true);
     let first = leader(&control_planes);
     let stays = FakePeer::data_plane(fleet.peers[first], "a", 1);
     let mut leaves = FakePeer::data_plane(fleet.peers[(first + 1) % 3], "b", 1);
-    control_planes.iter().for_each(|control_plane| counts(control_plane, &["a", "b"]));
+    control_planes.iter().for_each(|control_plane| wait_for_data_planes(control_plane, &["a", "b"]));
     let begun = Instant::now();
     leaves.leave();
-    control_planes.iter().for_each(|control_plane| counts(control_plane, &["a"]));
-    assert!(begun.elapsed() < Duration::from_secs(20), "one that fell silent counts for 30 s");
-    let _late = late_list(fleet.peers[first], "b", "c");
-    counts(&control_planes[first], &["a", "c"]);
-    // Whoever starts now is told as well.
+    control_planes.iter().for_each(|control_plane| wait_for_data_planes(control_plane, &["a"]));
+    assert!(begun.elapsed() < Duration::from_secs(20), "a silent data plane counts for 30 s");
+    let _late = send_late_list(fleet.peers[first], "b", "c");
+    wait_for_data_planes(&control_planes[first], &["a", "c"]);
+    // A process that starts now learns of the departure as well.
     control_planes[first].kill();
     control_planes[first] = fleet.start(first, false);
     stays.stream.shutdown(std::net::Shutdown::Both).expect("closed");
     let _stays = FakePeer::data_plane(fleet.peers[first], "a", 1);
-    let told = |process: &Process| {
+    let is_connected_to_all = |process: &Process| {
         let (_, status) = process.call("GET /Harbour.Status HTTP/1.1", "")?;
         (status.matches(r#""reached":true"#).count() == 3).then_some(())
     };
-    control_planes.iter().for_each(|control_plane| until(|| told(control_plane)));
+    control_planes.iter().for_each(|control_plane| wait_for(|| is_connected_to_all(control_plane)));
     leader(&control_planes);
-    let _late = late_list(fleet.peers[first], "b", "d");
-    counts(&control_planes[first], &["a", "d"]);
-    // Started again it is somebody else.
+    let _late = send_late_list(fleet.peers[first], "b", "d");
+    wait_for_data_planes(&control_planes[first], &["a", "d"]);
+    // A restarted data plane is another incarnation and counts again.
     let _again = FakePeer::data_plane(fleet.peers[(first + 2) % 3], "b", 2);
-    counts(&control_planes[first], &["a", "b", "d"]);
+    wait_for_data_planes(&control_planes[first], &["a", "b", "d"]);
 }
 
 #[test]
-fn only_processes_that_read_departures_are_sent_them() {
+fn departures_are_sent_only_to_processes_that_understand_them() {
     let ports = free_ports(3);
     let earlier = TcpListener::bind(ports[2]).expect("a listener");
     let process = Process::start(0, ports[0], &[ports[0], ports[2]], ports[1], None, true);
     let mut earlier = FakePeer::new(earlier.accept().expect("a connection").0);
-    earlier.say(&Message::Welcome(hello("earlier", 1, Plane::ControlPlane)));
+    earlier.send(&Message::Welcome(hello("earlier", 1, Plane::ControlPlane)));
     FakePeer::data_plane(ports[0], "a", 1).leave();
-    counts(&process, &[]);
+    wait_for_data_planes(&process, &[]);
     let mut rounds = 0;
     while rounds < 2 {
         match earlier.next() {
             Message::ControlPlanes(_) => rounds += 1,
-            Message::Departures(_) => panic!("it would have closed the connection"),
+            Message::Departures(_) => panic!("an earlier version closes the connection on this message"),
             _ => {}
         }
     }
-    earlier.say(&Message::NotHolder { number: protocol::UNDERSTANDS_DEPARTURES });
-    let departures = until(|| match earlier.next() {
+    earlier.send(&Message::NotHolder { number: protocol::UNDERSTANDS_DEPARTURES });
+    let departures = wait_for(|| match earlier.next() {
         Message::Departures(departures) => Some(departures),
         _ => None,
     });
@@ -78,23 +79,24 @@
 }
 
 #[test]
-fn a_process_without_a_log_starts_from_the_fleet_that_it_is_told() {
+fn a_process_without_a_log_starts_with_the_reported_fleet_size() {
     let ports = free_ports(2);
     let _process = Process::start(VOTERS, ports[0], &[ports[0]], ports[1], None, true);
-    let mut voter = FakePeer::new(until(|| TcpStream::connect(ports[0]).ok()));
-    voter.say(&Message::Hello(hello("voter", 1, Plane::ControlPlane)));
+    let mut voter = FakePeer::new(wait_for(|| TcpStream::connect(ports[0]).ok()));
+    voter.send(&Message::Hello(hello("voter", 1, Plane::ControlPlane)));
     let leader = Some(ports[1].to_string());
-    voter.say(&Message::Heartbeat(Heartbeat {
+    voter.send(&Message::Heartbeat(Heartbeat {
         leader,
         epoch: 1,
         fresh: true,
         fleet: 9,
         ..Heartbeat::default()
     }));
-    // It has heard of one data plane itself: that one's slice would be the whole of each quota. The leader that it was told
-    // of answers nothing, so that no word is of this moment; none of them may say less than it was told.
+    // The process itself is connected with one data plane only, whose slice would be the whole of each quota. The
+    // reported leader does not respond, so no heartbeat is marked as current; none of them may contain a smaller
+    // fleet.
     let mut only = FakePeer::data_plane(ports[0], "a", 1);
-    let fleet = until(|| match only.next() {
+    let fleet = wait_for(|| match only.next() {
         Message::Heartbeat(heartbeat) if heartbeat.leader.is_some() => Some(heartbeat.fleet),
         _ => None,
     });
--- a/crates/control-plane/tests/fake_peer/mod.rs
+++ b/crates/control-plane/tests/fake_peer/mod.rs
@@ -1,10 +1,10 @@
-//! Other processes as a process of control meets them, played by a test.
+//! A peer process simulated by a test over a real connection.
 
 use protocol::{Held, Hello, Message, Plane};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A connection of another process, played by the test.
+/// A connection on which the test acts as another process.
 pub struct FakePeer {
     pub stream: TcpStream,
     read: Vec<u8>,
@@ -12,19 +12,19 @@
 
 impl FakePeer {
     pub fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(super::PATIENCE)).expect("a limit");
+        stream.set_read_timeout(Some(super::WAIT_TIMEOUT)).expect("a read timeout");
         Self { stream, read: Vec::new() }
     }
 
     /// Connects as a data plane.
     pub fn data_plane(to: SocketAddr, name: &str, incarnation: u64) -> Self {
-        let mut played = Self::new(super::until(|| TcpStream::connect(to).ok()));
-        played.say(&Message::Hello(hello(name, incarnation, Plane::DataPlane)));
-        played.say(&Message::Follow { have: Held::default() });
-        played
+        let mut peer = Self::new(super::wait_for(|| TcpStream::connect(to).ok()));
+        peer.send(&Message::Hello(hello(name, incarnation, Plane::DataPlane)));
+        peer.send(&Message::Follow { have: Held::default() });
+        peer
     }
 
-    pub fn say(&mut self, message: &Message) {
+    pub fn send(&mut self, message: &Message) {
         self.stream.write_all(&protocol::frame(message)).expect("sent");
     }
 
@@ -36,18 +36,18 @@
             }
             let mut bytes = [0; 4096];
             let length = self.stream.read(&mut bytes).expect("the next bytes");
-            assert!(length > 0, "the connection is over");
+            assert!(length > 0, "the connection is closed");
             self.read.extend_from_slice(&bytes[..length]);
         }
     }
 
     pub fn leave(&mut self) {
-        self.say(&Message::Leave);
+        self.send(&Message::Leave);
         while self.next() != Message::LeaveAccepted {}
     }
 }
 
-/// Who says that it connects.
+/// The identity of a peer.
 pub fn hello(name: &str, incarnation: u64, plane: Plane) -> Hello {
     Hello {
         name: name.into(),
--- a/crates/control-plane/tests/forwarded_calls.rs
+++ b/crates/control-plane/tests/forwarded_calls.rs
@@ -45,13 +45,13 @@
         detours: config::Detours::default(),
     };
     let (commands, queue) = mpsc::channel(64);
-    let numbers = Rc::new(Cell::new(0));
-    let numbers: Rc<dyn Fn() -> u64> = Rc::new(move || {
-        numbers.set(numbers.get() + 1);
-        numbers.get()
+    let connection_ids = Rc::new(Cell::new(0));
+    let connection_ids: Rc<dyn Fn() -> u64> = Rc::new(move || {
+        connection_ids.set(connection_ids.get() + 1);
+        connection_ids.get()
     });
-    let control_plane = ControlPlane::new(settings, None, commands.clone(), numbers.clone());
-    spawn_local(control_plane::listen(peers, commands.clone(), move || numbers()));
+    let control_plane = ControlPlane::new(settings, None, commands.clone(), connection_ids.clone());
+    spawn_local(control_plane::listen(peers, commands.clone(), move || connection_ids()));
     spawn_local(control_plane::serve(calls, commands, 16));
     spawn_local(control_plane.run(queue));
     addresses
--- a/crates/control-plane/tests/orders/chaos.rs
+++ b/crates/control-plane/tests/orders/chaos.rs
@@ -1,7 +1,7 @@
-//! Operators in drawn worlds: real nodes of the log with kills, lost disks, freezes and cuts, and the history as the
-//! state that their log makes. Copies of orders come late, to any machine.
+//! Orders of operators in random runs: real Raft nodes with kills, lost disks, freezes and cuts, and the histories
+//! that their log produces. Copies of orders arrive late and at any process.
 
-#[allow(dead_code, reason = "the log's own tests use the rest")]
+#[allow(dead_code, reason = "the Raft crate's own tests use the rest")]
 #[path = "../../../raft/tests/world/mod.rs"]
 mod nodes;
 
@@ -15,29 +15,29 @@
 use yare::parameterized;
 
 const VOTERS: usize = 3;
-/// How long there is trouble, and for how long there is none after it, in ms.
-const TROUBLE: u64 = 8_000;
-const CALM: u64 = 5_000;
-const STEP: u64 = 10;
-/// Most copies come within this, and some ten times as late.
-const DELAY: u64 = 600;
-/// How many answers of a hundred are lost.
-const LOST: u64 = 30;
-/// How many digests a history remembers.
-const REMEMBERED: u64 = 4096;
+/// Duration of the disruptions and of the recovery after them, in milliseconds.
+const DISRUPTION_MS: u64 = 8_000;
+const RECOVERY_MS: u64 = 5_000;
+const STEP_MS: u64 = 10;
+/// Maximum delay of most copies, in milliseconds; some are ten times as late.
+const MAX_DELAY_MS: u64 = 600;
+/// Percentage of lost answers.
+const LOST_ANSWER_PERCENT: u64 = 30;
+/// Number of digests that a history remembers.
+const MAX_DIGESTS: u64 = 4096;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Plant {
+enum InjectedFault {
     Nothing,
-    /// The rule before: who builds on a version above the newest is refused.
-    AheadRefused,
-    /// A leader confirms what is in its log.
+    /// An order on a version above the newest is refused, as an earlier version of the rules had it.
+    FutureBaseRefused,
+    /// A leader confirms an order as soon as the order is in its log.
     AnswerBeforeCommit,
-    /// Whoever has the log answers reads.
+    /// Every process answers reads from its own log.
     ReadAnywhere,
 }
 
-/// A copy of an order, or a read, on its way: the call with this number.
+/// A copy of an order, or a read, in transit; `call` is its number in the history.
 #[derive(Clone, Copy)]
 struct Sent {
     call: usize,
@@ -46,8 +46,8 @@
     due: u64,
 }
 
-/// An order that a leader has in its log.
-struct Accepted {
+/// An order in the log of a leader.
+struct LogEntry {
     host: usize,
     index: u64,
     term: u64,
@@ -56,46 +56,46 @@
 
 struct Operators {
     world: World,
-    plant: Plant,
-    /// The state after each entry of the log.
+    injected: InjectedFault,
+    /// The history after each log entry.
     states: Vec<Rc<ConfigHistory>>,
     verdicts: Vec<Option<Verdict>>,
     orders: Vec<Order>,
     copies: Vec<Sent>,
-    accepted: Vec<Accepted>,
+    in_log: Vec<LogEntry>,
     promises: Promises,
     history: History<Operation, Answer>,
     answered: BTreeSet<usize>,
 }
 
 impl Operators {
-    /// `before` versions are in place already.
-    fn new(seed: u64, before: u64, plant: Plant) -> Self {
+    /// Starts with `before` accepted versions.
+    fn new(seed: u64, before: u64, injected: InjectedFault) -> Self {
         let mut config_history = ConfigHistory::default();
         let mut promises = Promises::default();
         for version in 1..=before {
             let digest = [0; 32];
             config_history
                 .apply(LogPosition::default(), Change { base: version - 1, version, digest, body: vec![0] });
-            promises.taken.push(Order::new(version - 1, version, 0));
+            promises.accepted.push(Order::new(version - 1, version, 0));
         }
         Self {
             world: World::new(seed, VOTERS, Faults::default()),
-            plant,
+            injected,
             states: vec![Rc::new(config_history)],
             verdicts: vec![None],
             orders: Vec::new(),
             copies: Vec::new(),
-            accepted: Vec::new(),
+            in_log: Vec::new(),
             promises,
             history: History::default(),
             answered: BTreeSet::new(),
         }
     }
 
-    /// Time goes on, and what is due happens.
+    /// Advances the time by one step and handles what is due.
     fn step(&mut self) -> Result<(), String> {
-        self.world.run_until(self.world.now + STEP)?;
+        self.world.run_until(self.world.now + STEP_MS)?;
         self.world.chores()?;
         self.commit();
         self.answer();
@@ -106,10 +106,10 @@
         due.into_iter().try_for_each(|sent| self.arrive(sent))
     }
 
-    /// Takes in what the log has committed. Each state is written to a snapshot and read again.
+    /// Applies the entries that were committed. Each history is encoded as a snapshot and restored.
     fn commit(&mut self) {
         while let Some((entry, _)) = self.world.committed.get(&(self.states.len() as u64)) {
-            let mut state = self.states.last().expect("the first").clone();
+            let mut state = self.states.last().expect("an initial state").clone();
             let mut verdict = None;
             if let What::Change(bytes) = &entry.what
                 && let Ok(change) = Change::decode(bytes)
@@ -123,22 +123,23 @@
                 let at = LogPosition { index: entry.index, epoch: entry.term };
                 let outcome = config_history.apply(at, change.clone());
                 if outcome == Verdict::Accepted {
-                    self.promises.taken.extend(order);
+                    self.promises.accepted.extend(order);
                 }
                 verdict = Some(outcome);
-                state = Rc::new(ConfigHistory::restore(&config_history.snapshot()).expect("what it wrote"));
+                state =
+                    Rc::new(ConfigHistory::restore(&config_history.snapshot()).expect("a valid snapshot"));
             }
             self.states.push(state);
             self.verdicts.push(verdict);
         }
     }
 
-    /// Leaders answer for what they have in their logs once it comes back committed.
+    /// Leaders answer for the entries in their logs once these are committed and applied.
     fn answer(&mut self) {
-        for accepted in std::mem::take(&mut self.accepted) {
-            let Accepted { host, index, term, sent } = accepted;
+        for in_log in std::mem::take(&mut self.in_log) {
+            let LogEntry { host, index, term, sent } = in_log;
             if self.world.hosts[host].applied < index {
-                self.accepted.push(accepted);
+                self.in_log.push(in_log);
             } else if self.world.committed[&index].0.term == term
                 && let Some(verdict) = self.verdicts[index as usize]
             {
@@ -147,7 +148,7 @@
         }
     }
 
-    /// An answer was given. It counts as a promise whether it is lost on its way or not.
+    /// Records an answer. An answer counts as a promise even if it is lost on the way.
     fn reply(&mut self, sent: Sent, verdict: Verdict) {
         let reply = reply_to(verdict);
         self.promises.answered(self.orders[sent.order.expect("an order")], &reply);
@@ -160,13 +161,13 @@
     }
 
     fn answer_call(&mut self, sent: Sent, answer: Answer) {
-        if !self.world.draw.chance(LOST) && self.answered.insert(sent.call) {
+        if !self.world.draw.chance(LOST_ANSWER_PERCENT) && self.answered.insert(sent.call) {
             self.history.answer(sent.call, answer);
         }
     }
 
-    /// A copy comes to a machine, which passes it on to the leader. All that would be final anywhere on its way is taken
-    /// for an answer, though only leaders give one.
+    /// A copy reaches a process, which forwards it to the leader. Every final decision on the way is treated as an
+    /// answer, although only leaders give answers.
     fn arrive(&mut self, sent: Sent) -> Result<(), String> {
         let host = sent.host;
         self.decide(host, sent)?;
@@ -184,8 +185,8 @@
         let (leads, reads) = (node.is_leader(), node.holds_lease(self.world.now));
         let state = &self.states[host.applied as usize];
         let Some(number) = sent.order else {
-            if reads || self.plant == Plant::ReadAnywhere {
-                let newest = self.promises.taken.iter().find(|order| order.version == state.version());
+            if reads || self.injected == InjectedFault::ReadAnywhere {
+                let newest = self.promises.accepted.iter().find(|order| order.version == state.version());
                 let newest = newest.map(|order| (order.version, order.variant));
                 self.answer_call(sent, Answer::Newest(newest));
             }
@@ -194,9 +195,9 @@
         match self.orders[number].decide(state) {
             Decision::Propose(change) if leads => self.propose(at, sent, &change),
             Decision::Decided { verdict, .. } => {
-                let planted =
-                    self.plant == Plant::AheadRefused && matches!(verdict, Verdict::BaseAhead { .. });
-                let verdict = if planted { Verdict::Stale { current: 0 } } else { verdict };
+                let is_injected = self.injected == InjectedFault::FutureBaseRefused
+                    && matches!(verdict, Verdict::BaseAhead { .. });
+                let verdict = if is_injected { Verdict::Stale { current: 0 } } else { verdict };
                 self.reply(sent, verdict);
                 Ok(())
             }
@@ -208,24 +209,24 @@
         let token = sent.call as u64;
         self.world.input(at, Input::Propose { token, change: bitcode::encode(change) })?;
         for (host, index, term) in std::mem::take(&mut self.world.accepted) {
-            self.accepted.push(Accepted { host, index, term, sent });
-            if self.plant == Plant::AnswerBeforeCommit {
+            self.in_log.push(LogEntry { host, index, term, sent });
+            if self.injected == InjectedFault::AnswerBeforeCommit {
                 self.reply(sent, Verdict::Accepted);
             }
         }
         Ok(())
     }
 
-    /// An operator sends a new order, or one of the earlier ones again.
+    /// Sends a new order or repeats an earlier one.
     fn send(&mut self) {
         let draw = &mut self.world.draw;
-        let newest = self.states.last().expect("the first").version();
+        let newest = self.states.last().expect("an initial state").version();
         let again = draw.chance(40) && !self.orders.is_empty();
         let order = if again {
             let last = self.orders.len() as u64;
             (last - 1 - draw.below(last.min(12))) as usize
         } else {
-            // Most build on the newest version, some on one before it, and some on one that is on its way.
+            // Most orders build on the newest version, some on the version before it, and some on a future one.
             let base = match draw.below(10) {
                 0 => newest.saturating_sub(1),
                 1 | 2 => newest + 1 + draw.below(2),
@@ -246,11 +247,12 @@
         let call = self.history.invoke(operation);
         let draw = &mut self.world.draw;
         let late = if draw.chance(10) { 10 } else { 1 };
-        let (host, due) = (draw.below(VOTERS as u64) as usize, self.world.now + draw.below(DELAY * late));
+        let (host, due) =
+            (draw.below(VOTERS as u64) as usize, self.world.now + draw.below(MAX_DELAY_MS * late));
         self.copies.push(Sent { call, order, host, due });
     }
 
-    fn trouble(&mut self, wiped: &mut usize) {
+    fn disrupt(&mut self, wiped: &mut usize) {
         let world = &mut self.world;
         if world.settled() {
             *wiped = 0;
@@ -261,7 +263,7 @@
         match kind {
             0..20 => world.kill(at, span),
             20..25 => (0..VOTERS).for_each(|at| world.kill(at, span / 2)),
-            // No more disks may be lost at a time than the voters can bear.
+            // At most one disk is lost at a time, as many as the voters tolerate.
             25..32 if *wiped == 0 => {
                 *wiped += 1;
                 world.wipe(at, span / 3);
@@ -272,9 +274,9 @@
         }
     }
 
-    fn play(&mut self) -> Result<(), String> {
+    fn run(&mut self) -> Result<(), String> {
         let mut wiped = 0;
-        let end = self.world.now + TROUBLE;
+        let end = self.world.now + DISRUPTION_MS;
         while self.world.now < end {
             self.step()?;
             if self.world.draw.chance(25) {
@@ -284,12 +286,12 @@
                 self.call(Operation::Read, None);
             }
             if self.world.draw.chance(2) {
-                self.trouble(&mut wiped);
+                self.disrupt(&mut wiped);
             }
         }
         self.world.cut.iter_mut().flatten().for_each(|cut| *cut = false);
         self.world.lossy = false;
-        let end = self.world.now + CALM;
+        let end = self.world.now + RECOVERY_MS;
         while self.world.now < end {
             self.step()?;
         }
@@ -298,40 +300,40 @@
             check(&ConfigRegister, &self.history)
                 .map_err(|violation| format!("not linearizable: {violation:?}"))?;
         }
-        let leader = self.world.leader().ok_or("nobody leads after the trouble")?;
+        let leader = self.world.leader().ok_or("no leader after the disruptions")?;
         let state = self.states[self.world.hosts[leader].applied as usize].clone();
         self.promises.check_leader(&state, &self.orders)
     }
 }
 
-/// Plays this many worlds, and says how many orders came into force in all of them.
-fn play(worlds: u64, before: u64, plant: Plant) -> Result<usize, String> {
-    let mut taken = 0;
-    for seed in 0..worlds {
-        let mut operators = Operators::new(seed, before, plant);
-        operators.play().map_err(|fault| format!("seed {seed}: {fault}"))?;
-        taken += operators.promises.taken.len() - before as usize;
+/// Runs this many seeds and returns the total number of accepted orders.
+fn run_seeds(seeds: u64, before: u64, injected: InjectedFault) -> Result<usize, String> {
+    let mut accepted = 0;
+    for seed in 0..seeds {
+        let mut operators = Operators::new(seed, before, injected);
+        operators.run().map_err(|fault| format!("seed {seed}: {fault}"))?;
+        accepted += operators.promises.accepted.len() - before as usize;
     }
-    Ok(taken)
+    Ok(accepted)
 }
 
 #[parameterized(
-    from_the_first = { 60, 0 },
-    with_a_memory_that_is_full = { 10, REMEMBERED + 5 },
+    from_an_empty_history = { 60, 0 },
+    with_all_digests_in_use = { 10, MAX_DIGESTS + 5 },
 )]
-fn no_order_is_refused_and_in_force_in_drawn_worlds(worlds: u64, before: u64) {
-    let taken = play(worlds, before, Plant::Nothing).unwrap_or_else(|fault| panic!("{fault}"));
-    println!("{taken} orders came into force in {worlds} worlds");
-    assert!(taken as u64 > worlds * 15, "hardly anything happened: {taken}");
+fn no_order_is_both_refused_and_in_force_in_random_runs(seeds: u64, before: u64) {
+    let accepted = run_seeds(seeds, before, InjectedFault::Nothing).unwrap_or_else(|fault| panic!("{fault}"));
+    println!("{accepted} orders came into force with {seeds} seeds");
+    assert!(accepted as u64 > seeds * 15, "too few accepted orders: {accepted}");
 }
 
 #[parameterized(
-    ahead_refused = { Plant::AheadRefused, "refused" },
-    answer_before_commit = { Plant::AnswerBeforeCommit, "confirmed and not in force" },
-    read_anywhere = { Plant::ReadAnywhere, "not linearizable" },
+    future_base_refused = { InjectedFault::FutureBaseRefused, "refused" },
+    answer_before_commit = { InjectedFault::AnswerBeforeCommit, "confirmed and not in force" },
+    read_anywhere = { InjectedFault::ReadAnywhere, "not linearizable" },
 )]
-fn planted_faults_are_found_in_drawn_worlds(plant: Plant, what: &str) {
-    let fault = play(60, 0, plant).expect_err("no world finds it");
+fn injected_faults_are_detected_in_random_runs(injected: InjectedFault, what: &str) {
+    let fault = run_seeds(60, 0, injected).expect_err("no seed detects the fault");
     println!("{fault}");
     assert!(fault.contains(what), "{fault}");
 }
--- a/crates/control-plane/tests/orders/orders.rs
+++ b/crates/control-plane/tests/orders/orders.rs
@@ -1,4 +1,4 @@
-//! The orders that operators send, what they were promised by answers, and what must never be.
+//! Orders of operators, the promises made by answers, and the checks of these promises.
 
 use config::Config;
 use control_plane::{ConfigHistory, Decision, Reply, Verdict, decide};
@@ -6,18 +6,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 thread_local! {
-    /// Searches ask for a few of them again and again.
+    /// Cache, since searches compute the digests of few orders again and again.
     static DIGESTS: RefCell<BTreeMap<Order, [u8; 32]>> = const { RefCell::new(BTreeMap::new()) };
 }
 
-/// A configuration that an operator wants in force.
+/// An order for a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Order {
-    /// The version that it builds on.
+    /// The version that the order builds on.
     pub base: u64,
-    /// Its own version.
+    /// The version of the order itself.
     pub version: u64,
-    /// Tells different configurations of one version apart.
+    /// Distinguishes configurations of the same version.
     pub variant: u64,
 }
 
@@ -36,29 +36,29 @@
         .into_bytes()
     }
 
-    /// The digest by which its repetition is known.
+    /// The digest by which a retry of the order is recognized.
     pub fn digest(self) -> [u8; 32] {
-        let read = || Config::parse(&self.body()).expect("a valid configuration").digest();
-        DIGESTS.with_borrow_mut(|digests| *digests.entry(self).or_insert_with(read))
+        let compute = || Config::parse(&self.body()).expect("a valid configuration").digest();
+        DIGESTS.with_borrow_mut(|digests| *digests.entry(self).or_insert_with(compute))
     }
 
-    /// What a leader with this state does with it.
+    /// The decision of a leader with this history.
     pub fn decide(self, config_history: &ConfigHistory) -> Decision {
         decide(config_history, self.base, self.body())
     }
 }
 
-/// What the answers so far have promised, also those that were lost on their way, and what is in force.
+/// Promises made by all answers so far, including lost answers, and the orders that came into force.
 #[derive(Clone, Debug, Default, Hash)]
 pub struct Promises {
     confirmed: BTreeSet<Order>,
     refused: BTreeSet<Order>,
-    /// The orders that came into force, the newest last.
-    pub taken: Vec<Order>,
+    /// The orders that came into force, newest last.
+    pub accepted: Vec<Order>,
 }
 
 impl Promises {
-    /// An answer was given.
+    /// Records an answer.
     pub fn answered(&mut self, order: Order, reply: &Reply) {
         match reply.status {
             200 => drop(self.confirmed.insert(order)),
@@ -67,19 +67,19 @@
         }
     }
 
-    /// Looks for what must never be. As versions in force rise, no two orders of one number are confirmed.
+    /// Checks the promises. Since accepted versions rise, no two orders of one version are both confirmed.
     ///
     /// # Errors
-    /// What was found.
+    /// The violated promise.
     pub fn check(&self) -> Result<(), String> {
-        if let Some(order) = self.confirmed.iter().find(|order| !self.taken.contains(order)) {
+        if let Some(order) = self.confirmed.iter().find(|order| !self.accepted.contains(order)) {
             return Err(format!("{order:?} is confirmed and not in force"));
         }
-        if let Some(order) = self.refused.iter().find(|order| self.taken.contains(order)) {
+        if let Some(order) = self.refused.iter().find(|order| self.accepted.contains(order)) {
             return Err(format!("{order:?} is refused and in force"));
         }
         let mut before = 0;
-        for order in &self.taken {
+        for order in &self.accepted {
             if order.base != before || order.version <= before {
                 return Err(format!("{order:?} came into force on top of r{before}"));
             }
@@ -88,22 +88,22 @@
         Ok(())
     }
 
-    /// Looks for orders that a leader with this state would not deal with as it should: those in force are
-    /// acknowledged, and others that build on the newest version are proposed.
+    /// Checks that a leader with this history treats orders correctly: orders in force are acknowledged, and others
+    /// that build on the newest version are proposed.
     ///
     /// # Errors
-    /// What was found.
+    /// The order that would be treated wrongly.
     pub fn check_leader(&self, config_history: &ConfigHistory, orders: &[Order]) -> Result<(), String> {
         let current = config_history.version();
         for order in orders {
             let verdict = config_history.evaluate(order.base, order.version, &order.digest());
-            let proper = order.base == current && order.version > current;
-            let right = match self.taken.contains(order) {
+            let is_next = order.base == current && order.version > current;
+            let is_correct = match self.accepted.contains(order) {
                 true => verdict == Verdict::AlreadyAccepted,
-                false => !proper || verdict == Verdict::Accepted,
+                false => !is_next || verdict == Verdict::Accepted,
             };
-            if !right {
-                return Err(format!("{order:?} on top of r{current} is found {verdict:?}"));
+            if !is_correct {
+                return Err(format!("{order:?} on top of r{current} gets the verdict {verdict:?}"));
             }
         }
         Ok(())
--- a/crates/control-plane/tests/orders/world.rs
+++ b/crates/control-plane/tests/orders/world.rs
@@ -1,7 +1,8 @@
-//! A few operators and a log that is led by one process after another, as a state and what may happen next.
+//! A model of a few operators and a log with changing leaders, as a state and the events that may happen next.
 //!
-//! The log is an abstract one. Its own proof (`crates/raft`) is that the entries of a leader that lost its place come
-//! into force with the first entry of the next one, up to one of them, or never: that is the event `Elect`.
+//! The log is abstract. The tests of `crates/raft` show the property that the model relies on: the uncommitted
+//! entries of a former leader are committed, up to some entry, with the first entry of the next leader, or never. The
+//! event `Elect` models this.
 
 use super::search::Reach;
 use crate::orders::{Order, Promises};
@@ -9,58 +10,60 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
 
-/// A fault that the search must find.
+/// A fault that the search must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedFault {
     Nothing,
-    /// An order that builds on a version above the newest is refused, though that version may be in flight.
-    AheadRefused,
-    /// A leader refuses by what it has proposed, not by what is committed.
+    /// An order on a version above the newest is refused, although that version may be in flight.
+    FutureBaseRefused,
+    /// A leader refuses orders by the entries it has proposed instead of the committed ones.
     UncommittedState,
-    /// What a leader has in its log is confirmed.
+    /// A leader confirms an order before its entry is committed.
     AnswerBeforeCommit,
-    /// The version that an order builds on is not looked at.
-    AnyBase,
-    /// Snapshots hold no digests.
+    /// The base version of an order is not checked.
+    UncheckedBase,
+    /// Snapshots contain no digests.
     DigestsDropped,
 }
 
-/// How often rare events may happen.
+/// Limits for rare events.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    /// How many copies of each order come to a leader.
+    /// Copies of each order that reach a leader.
     pub copies: u8,
-    /// How often another process leads.
+    /// Number of elections.
     pub elections: u8,
 }
 
-/// What may happen.
+/// An event.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A copy of an order comes to the leader. When it was sent, and by which machines it came, makes no difference.
+    /// A copy of an order reaches the leader. When the copy was sent, and through which processes, makes no
+    /// difference.
     Arrive(usize),
-    /// ... or to the one that led before, is cut off, and does not know that another one leads.
+    /// A copy of an order reaches the former leader, which is isolated and does not know of its successor.
     ArriveAtFormer(usize),
-    /// The leader's oldest entry in flight is on a majority's disks.
+    /// The leader's oldest entry in flight is stored by a majority.
     Commit,
-    /// Another process leads, from a snapshot. It has so many of the entries in flight; the others are lost.
+    /// Another process becomes leader from a snapshot. It has this many of the entries in flight; the others are
+    /// lost.
     Elect(usize),
 }
 
-/// A process that leads, or thinks so.
+/// A leader, or a former one that still considers itself the leader.
 #[derive(Clone, Debug, Default)]
 struct Leader {
     config_history: ConfigHistory,
     in_flight: Vec<usize>,
 }
 
-/// A state.
+/// A state of the model.
 #[derive(Clone, Debug)]
 pub struct World {
     orders: Rc<[Order]>,
-    plant: Plant,
+    injected: InjectedFault,
     budget: Budget,
-    /// How many copies of each order have come.
+    /// Copies of each order that have arrived.
     copies: Vec<u8>,
     elections: u8,
     leader: Leader,
@@ -69,10 +72,10 @@
 }
 
 impl World {
-    pub fn new(orders: &[Order], budget: Budget, plant: Plant) -> Self {
+    pub fn new(orders: &[Order], budget: Budget, injected: InjectedFault) -> Self {
         Self {
             orders: orders.into(),
-            plant,
+            injected,
             budget,
             copies: vec![0; orders.len()],
             elections: 0,
@@ -82,7 +85,7 @@
         }
     }
 
-    /// Equal for states that differ in nothing.
+    /// A digest that is equal for equal states.
     pub fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         (&self.copies, self.elections, &self.promises).hash(&mut hasher);
@@ -92,12 +95,12 @@
         hasher.finish()
     }
 
-    /// Adds to what a search has reached: orders that are in force.
+    /// Updates the statistics of a search: the number of accepted orders.
     pub fn measure(&self, reach: &mut Reach) {
-        reach.committed = reach.committed.max(self.promises.taken.len());
+        reach.committed = reach.committed.max(self.promises.accepted.len());
     }
 
-    /// All that may happen next.
+    /// The events that may happen next.
     pub fn events(&self) -> Vec<Event> {
         let mut events = Vec::new();
         for order in 0..self.orders.len() {
@@ -116,10 +119,10 @@
         events
     }
 
-    /// The state after an event. The second one is for searches that need two.
+    /// The state after an event. The second state is for searches that need two.
     ///
     /// # Errors
-    /// What must never be.
+    /// The violated guarantee.
     pub fn after(&self, event: &Event) -> Result<(Self, Option<Self>), String> {
         let mut world = self.clone();
         match *event {
@@ -145,7 +148,7 @@
         Ok((world, None))
     }
 
-    /// An event in words.
+    /// Description of an event.
     pub fn told(&self, event: &Event, _: bool) -> String {
         match event {
             Event::Arrive(order) | Event::ArriveAtFormer(order) => {
@@ -160,18 +163,20 @@
         self.copies[number] += 1;
         let decision = self.decide(order, leader);
         if let Some(reply) = decision.reply() {
-            return self.promises.answered(order, &self.planted_reply(&decision, reply));
+            return self.promises.answered(order, &self.faulty_reply(&decision, reply));
         }
         leader.in_flight.push(number);
-        if self.plant == Plant::AnswerBeforeCommit {
+        if self.injected == InjectedFault::AnswerBeforeCommit {
             self.promises.answered(order, &Reply::ok());
         }
     }
 
     fn decide(&self, order: Order, leader: &Leader) -> Decision {
-        match self.plant {
-            Plant::AnyBase => decide(&leader.config_history, leader.config_history.version(), order.body()),
-            Plant::UncommittedState => {
+        match self.injected {
+            InjectedFault::UncheckedBase => {
+                decide(&leader.config_history, leader.config_history.version(), order.body())
+            }
+            InjectedFault::UncommittedState => {
                 let mut config_history = leader.config_history.clone();
                 for number in &leader.in_flight {
                     self.apply(&mut config_history, *number);
@@ -184,14 +189,19 @@
         }
     }
 
-    fn planted_reply(&self, decision: &Decision, reply: Reply) -> Reply {
+    fn faulty_reply(&self, decision: &Decision, reply: Reply) -> Reply {
         let ahead = matches!(decision, Decision::Decided { verdict: Verdict::BaseAhead { .. }, .. });
-        if ahead && self.plant == Plant::AheadRefused { Reply::error(412, "planted") } else { reply }
+        if ahead && self.injected == InjectedFault::FutureBaseRefused {
+            Reply::error(412, "injected fault")
+        } else {
+            reply
+        }
     }
 
     fn apply(&self, config_history: &mut ConfigHistory, number: usize) -> Verdict {
         let order = self.orders[number];
-        let base = if self.plant == Plant::AnyBase { config_history.version() } else { order.base };
+        let base =
+            if self.injected == InjectedFault::UncheckedBase { config_history.version() } else { order.base };
         let change = Change { base, version: order.version, digest: order.digest(), body: order.body() };
         config_history.apply(LogPosition::default(), change)
     }
@@ -201,12 +211,12 @@
         let verdict = self.apply(&mut config_history, number);
         self.leader.config_history = config_history;
         if verdict == Verdict::Accepted {
-            self.promises.taken.push(self.orders[number]);
+            self.promises.accepted.push(self.orders[number]);
         }
         verdict
     }
 
-    /// Nobody answers for the entries that the next leader finds in its log.
+    /// No process answers for the entries that a new leader finds in its log.
     fn elect(&mut self, kept: usize) {
         self.elections += 1;
         self.former = Some(self.leader.clone());
@@ -215,7 +225,7 @@
             self.commit(number);
         }
         let config_history = &mut self.leader.config_history;
-        if self.plant == Plant::DigestsDropped
+        if self.injected == InjectedFault::DigestsDropped
             && let Some(body) = config_history.body()
         {
             let change =
--- a/crates/control-plane/tests/processes.rs
+++ b/crates/control-plane/tests/processes.rs
@@ -1,4 +1,5 @@
-//! ControlPlanes as threads with a runtime each, over loopback and on real files: what an operator sees while they come and go.
+//! Control planes in threads with a runtime each, over loopback and on real files, as operators see them across
+//! restarts.
 
 mod data_planes;
 mod fake_peer;
@@ -17,10 +18,10 @@
 use tokio::sync::{mpsc, oneshot};
 use transport::config_snapshots::rebuild;
 
-/// Whatever is waited for comes much sooner; a busy machine is given time.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time limit for each awaited condition, generous enough for a busy machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// So many of a fleet's five places have a disk.
+/// How many of a fleet's five processes store the Raft log.
 const VOTERS: usize = 3;
 
 fn tolerance() -> Tolerance {
@@ -35,12 +36,12 @@
 }
 
 impl Process {
-    /// One with a disk that counts, or without one where no folder is given.
+    /// Starts a process that stores the Raft log in `folder`, or one without a log if there is no folder.
     fn start(
         at: usize, address: SocketAddr, seeds: &[SocketAddr], control: SocketAddr, folder: Option<PathBuf>,
         first: bool,
     ) -> Self {
-        let (stop, stopped) = oneshot::channel::<()>();
+        let (stop, stop_signal) = oneshot::channel::<()>();
         let seeds = seeds.to_vec();
         let thread = std::thread::spawn(move || {
             let runtime =
@@ -53,8 +54,9 @@
                     let founders = if first { founders.collect() } else { Vec::new() };
                     (VoterId { address: address.to_string(), incarnation }, founders)
                 };
-                // The thread of the process before may take a moment to let go of the file.
-                let log = folder.map(|folder| until(|| Disk::open(&folder, newcomer, commands.clone()).ok()));
+                // The thread of the former process may still be closing the file.
+                let log =
+                    folder.map(|folder| wait_for(|| Disk::open(&folder, newcomer, commands.clone()).ok()));
                 let me = Hello {
                     name: format!("m{at}"),
                     life: 1,
@@ -78,28 +80,30 @@
                     seed,
                     detours: config::Detours::default(),
                 };
-                let numbers = Rc::new(Cell::new(0));
-                let numbers: Rc<dyn Fn() -> u64> = Rc::new(move || {
-                    numbers.set(numbers.get() + 1);
-                    numbers.get()
+                let connection_ids = Rc::new(Cell::new(0));
+                let connection_ids: Rc<dyn Fn() -> u64> = Rc::new(move || {
+                    connection_ids.set(connection_ids.get() + 1);
+                    connection_ids.get()
                 });
-                let control_plane = ControlPlane::new(settings, log, commands.clone(), numbers.clone());
+                let control_plane =
+                    ControlPlane::new(settings, log, commands.clone(), connection_ids.clone());
                 let listen = |address| {
                     let listener = TcpListener::bind(address).expect("the port");
                     listener.set_nonblocking(true).expect("not blocking");
                     tokio::net::TcpListener::from_std(listener).expect("a listener")
                 };
-                let to_peers = control_plane::listen(listen(address), commands.clone(), move || numbers());
+                let to_peers =
+                    control_plane::listen(listen(address), commands.clone(), move || connection_ids());
                 tokio::task::spawn_local(to_peers);
                 tokio::task::spawn_local(control_plane::serve(listen(control), commands.clone(), 64));
                 tokio::task::spawn_local(control_plane.run(queue));
-                let _ = stopped.await;
+                let _ = stop_signal.await;
             });
         });
         Self { control, stop: Some(stop), thread: Some(thread) }
     }
 
-    /// Ends it with all its connections, as a killed process does; its files stay.
+    /// Stops the process with all its connections, as a kill does. Its files remain.
     fn kill(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
@@ -108,7 +112,7 @@
         }
     }
 
-    /// Status and body of one call; none where nobody answers.
+    /// Status and body of one call; `None` if there is no response.
     fn call(&self, head: &str, body: &str) -> Option<(u16, String)> {
         let mut stream = TcpStream::connect(self.control).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
@@ -125,13 +129,13 @@
         self.call(&format!("POST /Config.Replace HTTP/1.1\r\nX-Base-Version: r{base}"), body).map(|(s, _)| s)
     }
 
-    /// Sends until there is an answer that is none of the kind that asks to come again.
-    fn insist(&self, base: u64, body: &str) -> u16 {
-        until(|| self.replace(base, body).filter(|status| *status < 500))
+    /// Retries until the response is not a 5xx status.
+    fn replace_until_final(&self, base: u64, body: &str) -> u16 {
+        wait_for(|| self.replace(base, body).filter(|status| *status < 500))
     }
 
     fn read(&self) -> (u16, String) {
-        until(|| self.call("GET /Config.Read HTTP/1.1", "").filter(|(status, _)| *status < 500))
+        wait_for(|| self.call("GET /Config.Read HTTP/1.1", "").filter(|(status, _)| *status < 500))
     }
 }
 
@@ -141,13 +145,13 @@
     }
 }
 
-fn until<T>(mut what: impl FnMut() -> Option<T>) -> T {
+fn wait_for<T>(mut attempt: impl FnMut() -> Option<T>) -> T {
     let begun = Instant::now();
     loop {
-        if let Some(found) = what() {
+        if let Some(found) = attempt() {
             return found;
         }
-        assert!(begun.elapsed() < PATIENCE, "it did not come");
+        assert!(begun.elapsed() < WAIT_TIMEOUT, "the awaited condition did not hold in time");
         std::thread::yield_now();
     }
 }
@@ -161,8 +165,8 @@
     )
 }
 
-/// Ports of a loopback address of its own: on a shared one, ports that are free now may be taken by the connections of
-/// another test a moment later.
+/// Ports on a loopback address of this test only. On a shared address, the connections of another test could take a
+/// port that is free now.
 fn free_ports(count: usize) -> Vec<SocketAddr> {
     static FLEETS: AtomicU8 = AtomicU8::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
@@ -189,7 +193,7 @@
         Process::start(at, self.peers[at], &self.peers[..VOTERS], self.controls[at], folder, first)
     }
 
-    /// One with a disk that is told of these seeds only.
+    /// Starts a process with a log that knows only these seeds.
     fn start_with_seeds(&self, at: usize, seeds: &[SocketAddr]) -> Process {
         Process::start(at, self.peers[at], seeds, self.controls[at], Some(self.disk(at)), false)
     }
@@ -203,9 +207,9 @@
     }
 }
 
-/// Which of them leads, by its own word.
+/// The process that says of itself that it holds the lease.
 fn leader(processes: &[Process]) -> usize {
-    until(|| {
+    wait_for(|| {
         processes.iter().position(|process| {
             let status = process.call("GET /Harbour.Status HTTP/1.1", "");
             status.is_some_and(|(_, body)| body.contains(r#""holds_lease":true"#))
@@ -214,33 +218,41 @@
 }
 
 #[test]
-fn any_process_takes_a_change_and_gives_it_back() {
+fn every_process_accepts_changes_and_serves_reads() {
     let fleet = TestFleet::new();
     let control_planes = fleet.all(true);
-    assert_eq!(control_planes[0].insist(0, &config(3)), 200);
+    assert_eq!(control_planes[0].replace_until_final(0, &config(3)), 200);
     for control_plane in &control_planes {
         assert_eq!(control_plane.read(), (200, config(3)));
-        assert_eq!(control_plane.insist(0, &config(3)), 200, "the same again is taken already");
-        assert_eq!(control_plane.insist(0, &config(4)), 412);
         assert_eq!(
-            control_plane.insist(3, &config(3).replace("500", "600")),
+            control_plane.replace_until_final(0, &config(3)),
+            200,
+            "a repeated change is acknowledged"
+        );
+        assert_eq!(control_plane.replace_until_final(0, &config(4)), 412);
+        assert_eq!(
+            control_plane.replace_until_final(3, &config(3).replace("500", "600")),
             409,
-            "another one of this number"
+            "another body of the same version"
         );
-        assert_eq!(control_plane.insist(3, "{"), 400);
+        assert_eq!(control_plane.replace_until_final(3, "{"), 400);
     }
-    assert_eq!(control_planes[2].insist(3, &config(5)), 200);
-    assert_eq!(control_planes[1].insist(0, &config(3)), 200, "also after a newer one");
+    assert_eq!(control_planes[2].replace_until_final(3, &config(5)), 200);
+    assert_eq!(
+        control_planes[1].replace_until_final(0, &config(3)),
+        200,
+        "acknowledged after a newer version"
+    );
     assert_eq!(control_planes[1].read(), (200, config(5)));
 }
 
 #[test]
-fn operators_see_history_records_and_metrics() {
+fn operators_see_history_events_and_metrics() {
     let fleet = TestFleet::new();
     let control_planes = fleet.all(true);
-    assert_eq!(control_planes[0].insist(0, &config(1)), 200);
-    assert_eq!(control_planes[0].insist(1, &config(2)), 200);
-    assert_eq!(control_planes[0].insist(1, &config(4)), 412);
+    assert_eq!(control_planes[0].replace_until_final(0, &config(1)), 200);
+    assert_eq!(control_planes[0].replace_until_final(1, &config(2)), 200);
+    assert_eq!(control_planes[0].replace_until_final(1, &config(4)), 412);
     let leader = &control_planes[leader(&control_planes)];
     let get = |path: &str| leader.call(&format!("GET {path} HTTP/1.1"), "").unwrap_or_default();
     assert_eq!(get("/Config.History/r1"), (200, config(1)));
@@ -257,7 +269,7 @@
 }
 
 #[test]
-fn of_two_on_one_version_one_wins() {
+fn of_two_concurrent_changes_on_one_version_one_is_accepted() {
     let fleet = TestFleet::new();
     let control_planes = fleet.all(true);
     let mut base = 0;
@@ -265,8 +277,8 @@
         let (one, other) = (config(base + 1), config(base + 2));
         let answers = std::thread::scope(|scope| {
             let threads = [
-                scope.spawn(|| control_planes[0].insist(base, &one)),
-                scope.spawn(|| control_planes[1].insist(base, &other)),
+                scope.spawn(|| control_planes[0].replace_until_final(base, &one)),
+                scope.spawn(|| control_planes[1].replace_until_final(base, &other)),
             ];
             threads.map(|thread| thread.join().expect("an answer"))
         });
@@ -278,45 +290,52 @@
 }
 
 #[test]
-fn a_change_survives_its_leader_and_all_of_them() {
+fn a_change_survives_the_loss_of_its_leader_and_a_restart_of_all() {
     let fleet = TestFleet::new();
     let mut control_planes = fleet.all(true);
-    assert_eq!(control_planes[0].insist(0, &config(1)), 200);
+    assert_eq!(control_planes[0].replace_until_final(0, &config(1)), 200);
     let first = leader(&control_planes);
     control_planes[first].kill();
     let left = (first + 1) % 3;
     assert_eq!(control_planes[left].read(), (200, config(1)));
-    assert_eq!(control_planes[left].insist(1, &config(2)), 200);
+    assert_eq!(control_planes[left].replace_until_final(1, &config(2)), 200);
     control_planes.iter_mut().for_each(Process::kill);
     let control_planes = fleet.all(false);
-    assert_eq!(control_planes[first].read(), (200, config(2)), "also at the one that was away");
+    assert_eq!(control_planes[first].read(), (200, config(2)), "at the restarted process");
 }
 
 #[test]
-fn an_order_is_acknowledged_again_after_many_others_and_a_restart_of_all() {
-    /// More than two snapshots hold.
+fn a_repeated_order_is_acknowledged_after_many_others_and_a_restart_of_all() {
+    /// More changes than two snapshots cover.
     const ORDERS: u64 = 40;
     let fleet = TestFleet::new();
     let mut control_planes = fleet.all(true);
     for version in 1..=ORDERS {
-        assert_eq!(control_planes[version as usize % VOTERS].insist(version - 1, &config(version)), 200);
+        assert_eq!(
+            control_planes[version as usize % VOTERS].replace_until_final(version - 1, &config(version)),
+            200
+        );
     }
     control_planes.iter_mut().for_each(Process::kill);
     let control_planes = fleet.all(false);
     for version in 1..=ORDERS {
         let at = &control_planes[(version as usize + 1) % VOTERS];
-        assert_eq!(at.insist(version - 1, &config(version)), 200, "r{version} again");
-        assert_eq!(at.insist(version - 1, &config(version).replace("500", "600")), 412, "another r{version}");
+        assert_eq!(at.replace_until_final(version - 1, &config(version)), 200, "r{version} repeated");
+        assert_eq!(
+            at.replace_until_final(version - 1, &config(version).replace("500", "600")),
+            412,
+            "another body of r{version}"
+        );
     }
     assert_eq!(control_planes[0].read(), (200, config(ORDERS)));
 }
 
 #[test]
-fn the_first_order_may_come_to_all_machines_before_any_of_them_leads() {
+fn the_first_order_may_reach_all_processes_before_one_leads() {
     let fleet = TestFleet::new();
     let control_planes = fleet.all(true);
     let rival = config(1).replace("500", "600");
-    let both = |at: &Process| (at.insist(0, &config(1)), at.insist(0, &rival));
+    let both = |at: &Process| (at.replace_until_final(0, &config(1)), at.replace_until_final(0, &rival));
     let answers: Vec<(u16, u16)> = std::thread::scope(|scope| {
         let threads: Vec<_> =
             control_planes.iter().map(|control_plane| scope.spawn(|| both(control_plane))).collect();
@@ -327,7 +346,7 @@
 }
 
 #[test]
-fn an_order_whose_leader_ends_meanwhile_is_confirmed_once_and_its_rival_refused() {
+fn of_two_rival_orders_at_a_stopping_leader_exactly_one_is_accepted() {
     let fleet = TestFleet::new();
     let mut control_planes = fleet.all(true);
     for version in 1..=3 {
@@ -336,8 +355,8 @@
         let first = leader(&control_planes);
         let mut ending = control_planes.remove(first);
         let (one, other) = std::thread::scope(|scope| {
-            let one = scope.spawn(|| control_planes[0].insist(base, &order));
-            let other = scope.spawn(|| control_planes[1].insist(base, &rival));
+            let one = scope.spawn(|| control_planes[0].replace_until_final(base, &order));
+            let other = scope.spawn(|| control_planes[1].replace_until_final(base, &rival));
             ending.kill();
             (one.join().expect("an answer"), other.join().expect("an answer"))
         });
@@ -346,31 +365,35 @@
         let (kept, lost) = if one == 200 { (order, rival) } else { (rival, order) };
         control_planes.insert(first, fleet.start(first, false));
         for at in &control_planes {
-            assert_eq!((at.insist(base, &kept), at.insist(base, &lost)), (200, 412), "r{version}");
+            assert_eq!(
+                (at.replace_until_final(base, &kept), at.replace_until_final(base, &lost)),
+                (200, 412),
+                "r{version}"
+            );
             assert_eq!(at.read(), (200, kept.clone()));
         }
     }
 }
 
 #[test]
-fn an_order_on_a_version_to_come_is_neither_taken_nor_refused() {
+fn an_order_on_a_future_version_is_neither_accepted_nor_refused() {
     let fleet = TestFleet::new();
     let control_planes = fleet.all(true);
-    assert_eq!(control_planes[0].insist(0, &config(1)), 200);
-    assert_eq!(until(|| control_planes[1].replace(3, &config(4))), 503);
-    assert_eq!(control_planes[2].insist(1, &config(3)), 200);
-    assert_eq!(control_planes[1].insist(3, &config(4)), 200, "its version has come");
+    assert_eq!(control_planes[0].replace_until_final(0, &config(1)), 200);
+    assert_eq!(wait_for(|| control_planes[1].replace(3, &config(4))), 503);
+    assert_eq!(control_planes[2].replace_until_final(1, &config(3)), 200);
+    assert_eq!(control_planes[1].replace_until_final(3, &config(4)), 200, "its base version is accepted now");
 }
 
 #[test]
-fn an_order_that_breaks_off_is_not_refused_for_good() {
+fn an_interrupted_upload_gets_no_final_refusal() {
     let fleet = TestFleet::new();
     let control_planes = fleet.all(true);
     for (length, body) in
         [("Content-Length: 100", "{"), ("Transfer-Encoding: chunked", "1\r\n{\r\nno length")]
     {
-        let mut stream = until(|| TcpStream::connect(control_planes[0].control).ok());
-        stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
+        let mut stream = wait_for(|| TcpStream::connect(control_planes[0].control).ok());
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
         write!(stream, "POST /Config.Replace HTTP/1.1\r\nHost: c\r\n{length}\r\n\r\n{body}").expect("sent");
         stream.shutdown(std::net::Shutdown::Write).expect("half closed");
         let mut answer = String::new();
@@ -380,9 +403,9 @@
     }
 }
 
-/// The next configuration on this connection, in whatever form.
+/// The next configuration on this connection, as a snapshot or as a delta.
 fn next_config_snapshot(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Message {
-    until(|| {
+    wait_for(|| {
         while let Some((message, taken)) = protocol::unframe::<Message>(buffer).expect("a message") {
             buffer.drain(..taken);
             if matches!(message, Message::ConfigSnapshot(_) | Message::ConfigDelta(_)) {
@@ -397,11 +420,11 @@
 }
 
 #[test]
-fn a_follower_gets_differences_and_the_whole_when_it_asks() {
+fn a_subscriber_gets_deltas_and_the_whole_configuration_on_request() {
     let fleet = TestFleet::new();
     let control_planes = fleet.all(true);
-    assert_eq!(control_planes[0].insist(0, &config(3)), 200);
-    assert_eq!(until(|| control_planes[1].read().1.contains("r3").then_some(())), ());
+    assert_eq!(control_planes[0].replace_until_final(0, &config(3)), 200);
+    assert_eq!(wait_for(|| control_planes[1].read().1.contains("r3").then_some(())), ());
     let hello = Hello {
         name: "q".into(),
         life: 1,
@@ -411,62 +434,62 @@
         quorum: false,
         incarnation: None,
     };
-    let mut stream = TcpStream::connect(fleet.peers[1]).expect("a line");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
-    let mut say = |message: Message| stream.write_all(&protocol::frame(&message)).expect("sent");
-    say(Message::Hello(hello));
-    say(Message::Follow { have: Held::default() });
-    let (mut read, mut buffer) = (stream.try_clone().expect("the same"), Vec::new());
+    let mut stream = TcpStream::connect(fleet.peers[1]).expect("a connection");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
+    let mut send = |message: Message| stream.write_all(&protocol::frame(&message)).expect("sent");
+    send(Message::Hello(hello));
+    send(Message::Follow { have: Held::default() });
+    let (mut read, mut buffer) = (stream.try_clone().expect("a second handle"), Vec::new());
     let Message::ConfigDelta(first) = next_config_snapshot(&mut read, &mut buffer) else {
-        panic!("nothing was known")
+        panic!("a whole configuration instead of a delta to nothing")
     };
     assert_eq!(first.base, 0);
     let first = rebuild(None, &first).expect("the first");
     assert_eq!(first.body, config(3).into_bytes());
-    assert_eq!(control_planes[2].insist(3, &config(4)), 200);
+    assert_eq!(control_planes[2].replace_until_final(3, &config(4)), 200);
     let Message::ConfigDelta(next) = next_config_snapshot(&mut read, &mut buffer) else {
-        panic!("it has the one before")
+        panic!("a whole configuration instead of a delta to the former one")
     };
     assert_eq!(next.base, 3);
     assert_eq!(rebuild(Some(&first.body), &next).expect("the next").body, config(4).into_bytes());
-    // It could not make it out, so it says.
-    let mut say = |message: Message| stream.write_all(&protocol::frame(&message)).expect("sent");
-    say(Message::Whole);
+    // The data plane requests the whole configuration, as after a delta that does not apply.
+    let mut send = |message: Message| stream.write_all(&protocol::frame(&message)).expect("sent");
+    send(Message::Whole);
     let whole = ConfigSnapshot { version: 4, body: config(4).into_bytes() };
     assert_eq!(next_config_snapshot(&mut read, &mut buffer), Message::ConfigSnapshot(whole));
 }
 
 #[test]
-fn who_lost_its_disk_joins_as_somebody_else() {
+fn a_process_that_lost_its_disk_joins_as_a_new_voter() {
     let fleet = TestFleet::new();
     let mut control_planes = fleet.all(true);
-    assert_eq!(control_planes[0].insist(0, &config(1)), 200);
+    assert_eq!(control_planes[0].replace_until_final(0, &config(1)), 200);
     let lost = leader(&control_planes);
     control_planes[lost].kill();
-    std::fs::remove_dir_all(fleet.disk(lost)).expect("its disk is gone");
+    std::fs::remove_dir_all(fleet.disk(lost)).expect("the disk is removed");
     control_planes[lost] = fleet.start(lost, false);
-    until(|| {
+    wait_for(|| {
         let (_, body) = control_planes[lost].call("GET /Harbour.Status HTTP/1.1", "")?;
         body.contains(r#""voter":true"#).then_some(())
     });
-    // It counts now: with one of the others away there is a majority.
+    // The new voter counts: it forms a majority with only one of the others.
     control_planes[(lost + 1) % 3].kill();
-    assert_eq!(control_planes[lost].insist(1, &config(2)), 200);
+    assert_eq!(control_planes[lost].replace_until_final(1, &config(2)), 200);
     assert_eq!(control_planes[lost].read(), (200, config(2)));
 }
 
-/// Right after an acknowledgement one voter, the leader or another one, loses its disk, and everybody else is gone in the
-/// same moment, also who has none. Whoever is asked afterwards tells of the change, or nothing yet.
+/// Right after an acknowledgement, one voter loses its disk (the leader or another one) and all processes stop,
+/// including those without a log. After the restart, every read returns the change or is refused for the moment.
 #[test]
-fn a_change_outlives_a_lost_disk_while_all_others_are_gone() {
+fn a_change_survives_a_lost_disk_and_a_simultaneous_restart() {
     for is_leader in [true, false] {
         let fleet = TestFleet::new();
         let mut processes: Vec<_> = (0..=VOTERS).map(|at| fleet.start(at, true)).collect();
-        assert_eq!(processes[0].insist(0, &config(1)), 200);
+        assert_eq!(processes[0].replace_until_final(0, &config(1)), 200);
         let lost = (leader(&processes[..VOTERS]) + usize::from(!is_leader)) % VOTERS;
-        assert_eq!(processes[VOTERS].insist(1, &config(2)), 200);
+        assert_eq!(processes[VOTERS].replace_until_final(1, &config(2)), 200);
         processes.iter_mut().for_each(Process::kill);
-        std::fs::remove_dir_all(fleet.disk(lost)).expect("its disk is gone");
+        std::fs::remove_dir_all(fleet.disk(lost)).expect("the disk is removed");
         let processes: Vec<_> = (0..=VOTERS).map(|at| fleet.start(at, false)).collect();
         for process in processes.iter().chain(&processes) {
             assert_eq!(process.read(), (200, config(2)), "leader: {is_leader}");
@@ -475,94 +498,94 @@
 }
 
 #[test]
-fn a_voter_that_is_gone_is_taken_off_the_list_and_one_that_lives_is_not() {
+fn a_stopped_voter_can_be_removed_and_a_running_one_cannot() {
     let fleet = TestFleet::new();
     let mut control_planes = fleet.all(true);
-    assert_eq!(control_planes[0].insist(0, &config(1)), 200);
+    assert_eq!(control_planes[0].replace_until_final(0, &config(1)), 200);
     let first = leader(&control_planes);
     let (gone, other) = ((first + 1) % 3, (first + 2) % 3);
     let remove = |by: &Process, address: &str| {
-        until(|| {
+        wait_for(|| {
             let answer = by.call(&format!("POST /Voters.Remove/{address} HTTP/1.1"), "");
             answer.filter(|(status, _)| *status < 500 && *status != 202)
         })
     };
     let address = fleet.peers[gone].to_string();
-    assert_eq!(remove(&control_planes[other], &address).0, 409, "it lives");
+    assert_eq!(remove(&control_planes[other], &address).0, 409, "the voter is alive");
     assert_eq!(remove(&control_planes[other], "127.0.0.1:1").0, 404);
     assert_eq!(remove(&control_planes[other], "m1").0, 400);
-    until(|| {
+    wait_for(|| {
         let (status, why) = remove(&control_planes[other], &fleet.peers[leader(&control_planes)].to_string());
         (status == 409 && why.contains("leads")).then_some(())
     });
     control_planes[gone].kill();
-    // Heard a moment ago, it counts as alive; who does not lead passes the call on.
+    // For a short time after its last message the voter still counts as alive. A non-leader forwards the call.
     let (_, why) =
-        until(|| Some(remove(&control_planes[other], &address)).filter(|(status, _)| *status == 404));
+        wait_for(|| Some(remove(&control_planes[other], &address)).filter(|(status, _)| *status == 404));
     let left = [first, other].map(|at| fleet.peers[at].to_string());
     assert!(left.iter().all(|voter| why.contains(voter)) && why.matches(&address).count() == 1, "{why}");
-    assert_eq!(control_planes[other].insist(1, &config(2)), 200);
-    // Started again with its disk, it joins again.
+    assert_eq!(control_planes[other].replace_until_final(1, &config(2)), 200);
+    // Restarted with its disk, the voter joins again.
     control_planes[gone] = fleet.start(gone, false);
-    until(|| Some(remove(&control_planes[other], &address)).filter(|(status, _)| *status == 409));
+    wait_for(|| Some(remove(&control_planes[other], &address)).filter(|(status, _)| *status == 409));
 }
 
-/// Waits until the leader says that its list of three bears the loss of a machine and names this one.
-fn until_three_bear_a_loss(processes: &[&Process], voter: SocketAddr) {
-    until(|| {
+/// Waits until the leader reports three voters, including this one, that tolerate the loss of a machine.
+fn wait_for_three_healthy_voters(processes: &[&Process], voter: SocketAddr) {
+    wait_for(|| {
         let answers = processes.iter().filter_map(|process| process.call("GET /Harbour.Status HTTP/1.1", ""));
         let mut standings = answers.filter_map(|(_, body)| {
             let status: serde_json::Value = serde_json::from_str(&body).expect("JSON");
             let members = status["log"]["members"].to_string();
             Some(status["log"]["standing"].clone())
-                .filter(|it| it.is_object() && members.contains(&voter.to_string()))
+                .filter(|standing| standing.is_object() && members.contains(&voter.to_string()))
         });
         let standing = standings.next()?;
-        let borne = &standing["further_losses"]["machines"];
-        (standing["voters"] == 3 && *borne == 1 && standing["learners"] == serde_json::json!([]))
+        let tolerated = &standing["further_losses"]["machines"];
+        (standing["voters"] == 3 && *tolerated == 1 && standing["learners"] == serde_json::json!([]))
             .then_some(())
     });
 }
 
 #[test]
-fn a_voter_that_was_replaced_under_another_address_leaves_the_list() {
+fn a_voter_replaced_at_another_address_is_removed() {
     let fleet = TestFleet::new();
     let mut control_planes = fleet.all(true);
-    assert_eq!(control_planes[0].insist(0, &config(1)), 200);
+    assert_eq!(control_planes[0].replace_until_final(0, &config(1)), 200);
     let first = leader(&control_planes);
     let (gone, other) = ((first + 1) % 3, (first + 2) % 3);
     control_planes[gone].kill();
     let successor = fleet.start_with_seeds(3, &fleet.peers[..VOTERS]);
-    until_three_bear_a_loss(&[&control_planes[first], &control_planes[other]], fleet.peers[3]);
-    // The next loss is borne: of a list of four with a dead one, two would be left.
+    wait_for_three_healthy_voters(&[&control_planes[first], &control_planes[other]], fleet.peers[3]);
+    // The next loss is tolerated: of four voters including a dead one, only two would be left.
     control_planes[first].kill();
-    assert_eq!(successor.insist(1, &config(2)), 200);
+    assert_eq!(successor.replace_until_final(1, &config(2)), 200);
     assert_eq!(control_planes[other].read(), (200, config(2)));
 }
 
 #[test]
-fn voters_find_each_other_again_though_no_seed_is_left() {
+fn voters_reconnect_when_no_seed_is_left() {
     let fleet = TestFleet::new();
     let mut control_planes = fleet.all(true);
-    assert_eq!(control_planes[0].insist(0, &config(1)), 200);
+    assert_eq!(control_planes[0].replace_until_final(0, &config(1)), 200);
     control_planes.iter_mut().for_each(Process::kill);
-    // All seeds were exchanged meanwhile, and whoever they name is not up either.
+    // All seeds were replaced meanwhile, and the processes that they name are not running either.
     let restarted: Vec<_> = (0..VOTERS).map(|at| fleet.start_with_seeds(at, &fleet.peers[4..])).collect();
-    assert_eq!(restarted[0].insist(1, &config(2)), 200);
+    assert_eq!(restarted[0].replace_until_final(1, &config(2)), 200);
     assert_eq!(restarted[2].read(), (200, config(2)));
 }
 
 #[test]
-fn a_log_that_is_told_again_sends_followers_its_last_configuration_only() {
+fn a_replayed_log_sends_subscribers_only_its_last_configuration() {
     let fleet = TestFleet::new();
     let mut control_planes = fleet.all(true);
     for version in 1..=9 {
-        assert_eq!(control_planes[0].insist(version - 1, &config(version)), 200);
+        assert_eq!(control_planes[0].replace_until_final(version - 1, &config(version)), 200);
     }
     control_planes.iter_mut().for_each(Process::kill);
     let _control_planes = fleet.all(false);
-    // It follows before there is a leader, as all do whose machines come back together.
-    let mut follower = until(|| TcpStream::connect(fleet.peers[0]).ok());
+    // The data plane subscribes before there is a leader, as after a simultaneous restart of all machines.
+    let mut follower = wait_for(|| TcpStream::connect(fleet.peers[0]).ok());
     let hello = Hello {
         name: "q".into(),
         life: 1,
@@ -576,7 +599,7 @@
         .map(|message| protocol::frame(&message))
         .concat();
     follower.write_all(&frames).expect("sent");
-    follower.set_read_timeout(Some(PATIENCE)).expect("a limit");
+    follower.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
     let (mut read, mut config_snapshots) = (Vec::new(), Vec::new());
     loop {
         while let Some((message, length)) = protocol::unframe::<Message>(&read).expect("a frame") {
@@ -592,14 +615,14 @@
             }
         }
         let mut bytes = [0; 4096];
-        let length = follower.read(&mut bytes).expect("news");
-        assert!(length > 0, "the line is over");
+        let length = follower.read(&mut bytes).expect("the next bytes");
+        assert!(length > 0, "the connection is closed");
         read.extend_from_slice(&bytes[..length]);
     }
 }
 
 #[test]
-fn control_planes_without_a_log_do_not_send_each_other_round_in_a_circle() {
+fn control_planes_without_a_log_do_not_echo_updates_to_each_other() {
     let fleet = TestFleet::new();
     let pair = &fleet.peers[VOTERS..];
     let start = |at: usize| Process::start(at, fleet.peers[at], pair, fleet.controls[at], None, true);
@@ -608,11 +631,12 @@
         let (_, body) = process.call("GET /Harbour.Status HTTP/1.1", "")?;
         serde_json::from_str::<serde_json::Value>(&body).ok()?.get(name)?.as_u64()
     };
-    // They have met once each has heard the other's lists.
+    // The two processes are connected once each has received the other's lists.
     for process in &control_planes {
-        until(|| figure(process, "frames").filter(|frames| *frames > 6));
+        wait_for(|| figure(process, "frames").filter(|frames| *frames > 6));
     }
-    // Each hears of another leader, both as of this moment: as after a herd's death, when old news is still about.
+    // Each process receives a heartbeat that names another leader, both marked as current, like outdated updates
+    // after a mass restart.
     let voters: Vec<_> = (0..2)
         .map(|at| {
             let address = fleet.peers[at];
@@ -631,7 +655,7 @@
                 fresh: true,
                 ..Heartbeat::default()
             };
-            let mut stream = TcpStream::connect(pair[at]).expect("a line");
+            let mut stream = TcpStream::connect(pair[at]).expect("a connection");
             let frames = [Message::Hello(hello), Message::Heartbeat(heartbeat)]
                 .map(|message| protocol::frame(&message))
                 .concat();
@@ -640,18 +664,18 @@
         })
         .collect();
     for process in &control_planes {
-        let (began, before) = until(|| Some((figure(process, "up_ms")?, figure(process, "frames")?)));
-        let after = until(|| {
+        let (began, before) = wait_for(|| Some((figure(process, "up_ms")?, figure(process, "frames")?)));
+        let after = wait_for(|| {
             let up = figure(process, "up_ms")?;
             (up > began + 600).then(|| figure(process, "frames"))?
         });
-        assert!(after - before < 100, "{} messages in some 600 ms", after - before);
+        assert!(after - before < 100, "{} messages in about 600 ms", after - before);
     }
     drop(voters);
 }
 
-/// A connection to a process from one that says of itself that it is another voter.
-fn line_of_voter(fleet: &TestFleet, at: usize, to: usize) -> TcpStream {
+/// Opens a connection to a process that introduces itself as another voter.
+fn connect_as_voter(fleet: &TestFleet, at: usize, to: usize) -> TcpStream {
     let hello = Hello {
         name: format!("m{at}"),
         life: 1,
@@ -661,29 +685,29 @@
         quorum: true,
         incarnation: Some(0),
     };
-    let mut stream = until(|| TcpStream::connect(fleet.peers[to]).ok());
+    let mut stream = wait_for(|| TcpStream::connect(fleet.peers[to]).ok());
     stream.write_all(&protocol::frame(&Message::Hello(hello))).expect("sent");
     stream
 }
 
-fn log_frame(message: &LogMessage) -> Vec<u8> {
+fn raft_frame(message: &LogMessage) -> Vec<u8> {
     protocol::frame(&Message::Log { incarnation: 0, message: bitcode::encode(message) })
 }
 
-fn has_status(process: &Process, what: &str) {
-    until(|| {
+fn wait_for_status(process: &Process, what: &str) {
+    wait_for(|| {
         let (_, body) = process.call("GET /Harbour.Status HTTP/1.1", "")?;
         body.contains(what).then_some(())
     });
 }
 
-/// What a process that was killed has on its disk.
-fn on_disk(fleet: &TestFleet, at: usize) -> raft::Saved {
+/// The log on the disk of a killed process.
+fn read_log(fleet: &TestFleet, at: usize) -> raft::Saved {
     let opened = raft::store::Store::open(fleet.disk(at).join("log.redb"));
-    opened.expect("the file is whole").1.expect("it is a voter's")
+    opened.expect("an intact file").1.expect("a voter's log")
 }
 
-/// Entries that come already committed compact the log before they are on disk themselves.
+/// Entries that arrive already committed cause a compaction before they are on disk themselves.
 #[test]
 fn a_voter_that_catches_up_in_one_message_writes_its_entries_before_its_snapshot() {
     let fleet = TestFleet::new();
@@ -695,30 +719,30 @@
     };
     let entries = (1..=20).map(entry).collect();
     let append = LogMessage::Append { term: 1, prev_index: 0, prev_term: 0, entries, commit: 20 };
-    let mut line = line_of_voter(&fleet, 1, 0);
-    // A message that a later version has added is ignored, and the connection stands.
+    let mut line = connect_as_voter(&fleet, 1, 0);
+    // An unknown message of a later version is ignored, and the connection stays open.
     let unknown = protocol::frame(&Message::Log { incarnation: 0, message: vec![200, 1, 2, 3] });
     line.write_all(&unknown).expect("sent");
-    line.write_all(&log_frame(&append)).expect("sent");
-    has_status(&process, r#""commit":20"#);
+    line.write_all(&raft_frame(&append)).expect("sent");
+    wait_for_status(&process, r#""commit":20"#);
     process.kill();
-    let saved = on_disk(&fleet, 0);
+    let saved = read_log(&fleet, 0);
     let base = saved.snapshot.map(|snapshot| snapshot.index);
     assert_eq!((base, saved.entries.len()), (Some(16), 4));
 }
 
 #[test]
-fn a_voter_that_can_not_read_the_leaders_snapshot_falls_silent_and_keeps_its_log() {
+fn a_voter_that_cannot_read_a_snapshot_stops_and_keeps_its_log() {
     let fleet = TestFleet::new();
     let mut process = fleet.start(0, true);
     let members =
         fleet.peers[..VOTERS].iter().map(|at| VoterId { address: at.to_string(), incarnation: 0 }).collect();
     let snapshot = Snapshot { index: 9, term: 1, members, state: b"of a version to come".to_vec() };
-    let mut line = line_of_voter(&fleet, 1, 0);
-    line.write_all(&log_frame(&LogMessage::InstallSnapshot { term: 1, snapshot })).expect("sent");
-    has_status(&process, r#""log":null"#);
+    let mut line = connect_as_voter(&fleet, 1, 0);
+    line.write_all(&raft_frame(&LogMessage::InstallSnapshot { term: 1, snapshot })).expect("sent");
+    wait_for_status(&process, r#""log":null"#);
     process.kill();
-    let saved = on_disk(&fleet, 0);
+    let saved = read_log(&fleet, 0);
     assert!(saved.snapshot.is_none() && saved.entries.is_empty(), "{saved:?}");
 }
 
@@ -731,11 +755,11 @@
     control_planes[away].kill();
     let asked = (away + 1) % 3;
     for version in 1..=20 {
-        assert_eq!(control_planes[asked].insist(version - 1, &large(version)), 200);
+        assert_eq!(control_planes[asked].replace_until_final(version - 1, &large(version)), 200);
     }
     control_planes[away] = fleet.start(away, false);
-    has_status(&control_planes[away], r#""version":"r20""#);
+    wait_for_status(&control_planes[away], r#""version":"r20""#);
     control_planes[asked].kill();
     assert_eq!(control_planes[away].read(), (200, large(20)));
-    assert_eq!(control_planes[away].insist(20, &config(21)), 200);
+    assert_eq!(control_planes[away].replace_until_final(20, &config(21)), 200);
 }
