--- a/crates/control-plane/src/calls.rs
+++ b/crates/control-plane/src/calls.rs
@@ -311,7 +311,7 @@
                     open_connections.set(open_connections.get() - 1);
                 });
             }
-            // A connection beyond the limit is closed at once, so that the caller tries another gateway.
+            // A connection beyond the limit is closed at once, so that the caller tries another control plane.
             Ok((_, peer)) => {
                 if let Some(left_out) = rejections.pass(started_at.elapsed().as_millis() as u64) {
                     let peer = peer.to_string();
--- a/crates/control-plane/src/contact.rs
+++ b/crates/control-plane/src/contact.rs
@@ -4,7 +4,7 @@
 //! the link was blocked, and the sender may have lost its majority meanwhile. So each process that does not lead
 //! queries the leader for its read index (section 6.4 of Ongaro's dissertation on Raft, here for a span of time
 //! instead of one read). Only a leader that holds its lease responds, and the confirmation dates from when the query
-//! was sent, by the monotonic clock of the querying process. No delay on the way can make it appear newer.
+//! was sent, by the monotonic clock of the querying process. No delay on the way makes a confirmation appear newer.
 
 use bitcode::{Decode, Encode};
 use registry::DrainRun;
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -52,7 +52,7 @@
 /// Data planes leave a control plane 0.9 s after its last current heartbeat, so that data planes behind an isolated
 /// control plane receive updates again within 2 s.
 const LEADER_REPORT_TTL_MS: u64 = 800;
-/// Interval at which other control planes receive the backends heard here and the known control planes.
+/// Interval of gossip: other control planes receive the ids of backends with new heartbeats, and the known addresses.
 const GOSSIP_INTERVAL_MS: u64 = 400;
 /// Interval at which an unchanged list of connected data planes is sent again. A list stays valid as long as its
 /// connection; the previous version treats each list as a sign of life and counts a data plane for 30 s after it.
@@ -163,6 +163,7 @@
     commands: mpsc::Sender<Command>,
     connection_ids: Rc<dyn Fn() -> u64>,
     peers: BTreeMap<u64, Peer>,
+    /// Connection attempts in progress: id of the connection, and when the address may be dialed again.
     dialing: BTreeMap<SocketAddr, (u64, u64)>,
     directory: Directory,
     /// Incarnations of the known control planes that store the Raft log.
@@ -213,6 +214,7 @@
     messages_received: u64,
     /// The leader in the last heartbeat to subscribers, and whether that heartbeat was current.
     last_reported_leader: (Option<SocketAddr>, bool),
+    /// Due times of the periodic work, of the heartbeats to subscribers, and of the gossip round.
     next_due: [u64; 3],
     /// The list of data planes last sent to other control planes, and when it was sent.
     last_sent_data_planes: (Vec<(String, u64)>, u64),
--- a/crates/control-plane/src/control_plane/connections.rs
+++ b/crates/control-plane/src/control_plane/connections.rs
@@ -238,7 +238,8 @@
         match hello.plane {
             Plane::DataPlane => {
                 self.fleet.heard(now, &hello.name, hello.life);
-                // Count the data plane first; otherwise it would be taken for one of the silent data planes.
+                // The fleet size must include the new data plane first; otherwise the quota service takes the new data
+                // plane for one of the silent ones.
                 self.resize_fleet(now);
                 self.on_data_plane_contact(&hello, quota::Epoch::default(), now);
                 if let Some(peer) = self.peers.get(&connection) {
--- a/crates/control-plane/src/control_plane/contact.rs
+++ b/crates/control-plane/src/control_plane/contact.rs
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Whether a voter has applied everything that was committed when the leader last responded.
+    /// Whether this voter has all entries that were committed when the leader last responded.
     fn is_caught_up(&self, node: &Node, now: u64) -> bool {
         if node.commit() == 0 || node.lags() {
             return false;
--- a/crates/control-plane/src/control_plane/departures.rs
+++ b/crates/control-plane/src/control_plane/departures.rs
@@ -13,7 +13,7 @@
 const SLICE_DIVISOR_WINDOW_MS: u64 = COUNTED_WHILE_SILENT;
 /// A smaller fleet is recorded in the log only after this long: a restarted data plane is back by then.
 const FLEET_SHRINK_DELAY_MS: u64 = 5000;
-/// A process that has run for this long knows of every data plane; those it has not heard of no longer count.
+/// A process that has run for this long knows every data plane that still counts.
 const FLEET_DISCOVERY_MS: u64 = 30_000;
 
 impl ControlPlane {
@@ -75,7 +75,7 @@
         self.fleet.has_departed(&hello.name, hello.life)
     }
 
-    /// Removes departed data planes from the quota service: they must not be mistaken for silent ones.
+    /// Removes departed data planes from the quota service, which must not mistake them for silent ones.
     pub(super) fn exclude_departed(&mut self) {
         for name in self.fleet.departed_names() {
             self.quota_service.left(name);
@@ -110,7 +110,7 @@
         self.fleet.size_within(now, FLEET_SHRINK_DELAY_MS)
     }
 
-    /// The fleet size known from before this process started: a new process has not heard of most data planes yet.
+    /// The fleet size known from before this process started: a new process does not know most data planes yet.
     /// The size comes from the log, or, without a Raft log, from the last heartbeat.
     fn recorded_fleet_size(&self, now: u64) -> u32 {
         match &self.node {
--- a/crates/control-plane/src/control_plane/drains.rs
+++ b/crates/control-plane/src/control_plane/drains.rs
@@ -1,10 +1,10 @@
 //! Backends that drain or depart.
 //!
 //! A backend ends soon after its drain is acknowledged, and from a deadline on no request may reach it, whichever
-//! process dies or is isolated meanwhile. An update sent by one process proves nothing, since it may reach nobody. So
-//! a drain is acknowledged only once its record is committed in the log. Every process that relies on a later
-//! response of the leader has that record (see `contact`), and a data plane obtains such a response before its
-//! current one expires (see `transport::freshness`).
+//! process dies or is isolated meanwhile. An update sent by one process proves nothing, since the update may reach no
+//! other process. So a drain is acknowledged only once its record is committed in the log. Every process that relies
+//! on a later response of the leader has that record (see `contact`), and a data plane obtains such a response before
+//! its current confirmation expires (see `transport::freshness`).
 
 use super::*;
 use crate::drain_entry::DrainEntry;
@@ -147,7 +147,7 @@
         self.propose_drains();
     }
 
-    /// This process stopped leading. Its entry may still be committed, so all callers are asked to retry.
+    /// This process stopped leading. The entry in flight may still be committed, so all callers are told to retry.
     pub(super) fn abort_drains(&mut self) {
         let now = self.now();
         for drain in self.drain_proposals.take_all() {
--- a/crates/control-plane/src/control_plane/entries.rs
+++ b/crates/control-plane/src/control_plane/entries.rs
@@ -23,7 +23,7 @@
     }
 
     pub(super) fn on_output(&mut self, output: Output) {
-        // A process that could not restore a snapshot has no node any more; it neither writes nor answers.
+        // A process that failed to restore a snapshot has dropped its Raft node, and neither writes nor answers.
         if self.node.is_none() {
             return;
         }
--- a/crates/control-plane/src/control_plane/orders.rs
+++ b/crates/control-plane/src/control_plane/orders.rs
@@ -260,10 +260,10 @@
         }
     }
 
-    /// Removes a voter. The Raft node has to be asked until a majority of the other voters has the new list, so the
-    /// caller repeats the call: 202 means in progress, 404 means that no voter has this address. A leader with a
-    /// lease is in contact with a majority of the voters; removing a voter that the leader does not hear keeps all
-    /// voters that it does hear.
+    /// Removes a voter. The Raft node completes a removal only if the request is repeated until a majority of the
+    /// other voters has the new list, so the caller repeats the call: 202 means in progress, 404 means that no voter
+    /// has this address. A leader with a lease is in contact with a majority of the voters; removing a voter that the
+    /// leader does not hear keeps all voters that the leader hears.
     fn remove_voter(&mut self, address: &str, now: u64) -> Reply {
         let Some(node) = &self.node else { return Reply::error(503, "this process does not lead") };
         let in_progress = Reply::error(202, "under way: ask again");
--- a/crates/control-plane/src/control_plane/quota_service.rs
+++ b/crates/control-plane/src/control_plane/quota_service.rs
@@ -9,7 +9,7 @@
 /// Maximum number of outstanding offers; a response to an older offer is ignored.
 const MAX_OUTSTANDING_OFFERS: usize = 16;
 
-/// A new fleet size is recorded in the log once it differs from the recorded one by more than one part in this many.
+/// A new fleet size is recorded in the log once the difference exceeds the recorded size divided by this.
 const FLEET_CHANGE_DIVISOR: u32 = 8;
 impl ControlPlane {
     /// The leader holds the quota counters while it holds its Raft lease, and may share them with deputies.
--- a/crates/control-plane/src/control_plane/shutdown.rs
+++ b/crates/control-plane/src/control_plane/shutdown.rs
@@ -14,9 +14,9 @@
         self.node.as_ref().is_some_and(|node| node.is_leader())
     }
 
-    /// Transfers leadership once all proposed orders are answered. With deputy quota holders leadership is not
-    /// transferred: deputies' leases derive from the leader's lease and cannot be revoked, so they must expire before
-    /// another process leads.
+    /// Transfers leadership once all proposed orders are answered. With deputy quota holders enabled, leadership is
+    /// not transferred: deputies' leases derive from the leader's lease and cannot be revoked, so these leases must
+    /// expire before another process leads.
     fn transfer_leadership(&mut self) {
         if !self.pending_proposals.is_empty()
             || !self.drain_proposals.is_empty()
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -131,8 +131,8 @@
         self.send_to_control_planes(&Message::ControlPlanes(self.connected_addresses(now)));
         self.fleet.sweep(now);
         let (.., current) = self.leader(now);
-        // An outdated process, like one that has just started, may know only few data planes. Its count must not
-        // enlarge any slice.
+        // An outdated process, like one that has just started, may know only few data planes. The count of
+        // such a process must not enlarge any slice.
         if current {
             self.fleet.divides_by(now, self.slice_divisor(now));
         }
--- a/crates/control-plane/src/directory.rs
+++ b/crates/control-plane/src/directory.rs
@@ -1,9 +1,8 @@
 //! Directory of known control planes: a state machine without I/O or clock.
 //!
-//! Replaced machines come back at other addresses, so old addresses fall out of use. A control plane that no process
-//! is connected to is forgotten after a while. To let all processes forget it, each one advertises only control
-//! planes that it was itself connected to recently: otherwise processes would pass an unused address on to each other
-//! forever.
+//! Replaced machines come back at other addresses, so old addresses fall out of use. A control plane without a
+//! connection to any process is forgotten after a while. For this, each process advertises only control planes with a
+//! recent connection of its own: otherwise processes would pass an unused address on to each other forever.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/control-plane/src/event_log.rs
+++ b/crates/control-plane/src/event_log.rs
@@ -231,7 +231,7 @@
         kind.map_or(Some(0), |kind| self.line_limits[kind].pass(at))
     }
 
-    /// This process stands for election; without a majority it does so repeatedly.
+    /// Logs a candidacy of this process. Without a majority, candidacies repeat.
     pub fn on_candidacy(&mut self, at: u64, epoch: u64) {
         if let Some(left_out) = self.candidacy_limit.pass(at) {
             let version = self.version;
--- a/crates/control-plane/tests/config_history.rs
+++ b/crates/control-plane/tests/config_history.rs
@@ -312,7 +312,8 @@
     }
 }
 
-/// Shows that the check of formats detects a new format that differs from a former one only in the meaning of its fields.
+/// Shows that the check of formats detects a new format that differs from a former one only in the meaning of its
+/// fields.
 #[test]
 fn an_untagged_format_with_the_layout_of_a_former_one_is_detected() {
     #[derive(Encode)]
--- a/crates/control-plane/tests/drains.rs
+++ b/crates/control-plane/tests/drains.rs
@@ -260,7 +260,7 @@
         let id = format!("b-{round}");
         let first_process = draw(size) as usize;
         world.call(first_process, Call::Heartbeat(backend(&id, Phase::Serving, 1))).await;
-        // Some backends drain before any other process has heard of them.
+        // Some backends drain before any other process knows them.
         sleep(Duration::from_millis([0, 40, 1500][draw(3) as usize])).await;
         let departs = draw(2) == 0;
         let order: Vec<usize> = (0..4).map(|_| draw(size) as usize).collect();
--- a/crates/control-plane/tests/processes.rs
+++ b/crates/control-plane/tests/processes.rs
@@ -585,7 +585,7 @@
     control_planes.iter_mut().for_each(Process::kill);
     let _control_planes = fleet.all(false);
     // The data plane subscribes before there is a leader, as after a simultaneous restart of all machines.
-    let mut follower = wait_for(|| TcpStream::connect(fleet.peers[0]).ok());
+    let mut subscriber = wait_for(|| TcpStream::connect(fleet.peers[0]).ok());
     let hello = Hello {
         name: "q".into(),
         life: 1,
@@ -598,8 +598,8 @@
     let frames = [Message::Hello(hello), Message::Follow { have: Held::default() }]
         .map(|message| protocol::frame(&message))
         .concat();
-    follower.write_all(&frames).expect("sent");
-    follower.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
+    subscriber.write_all(&frames).expect("sent");
+    subscriber.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
     let (mut read, mut config_snapshots) = (Vec::new(), Vec::new());
     loop {
         while let Some((message, length)) = protocol::unframe::<Message>(&read).expect("a frame") {
@@ -615,7 +615,7 @@
             }
         }
         let mut bytes = [0; 4096];
-        let length = follower.read(&mut bytes).expect("the next bytes");
+        let length = subscriber.read(&mut bytes).expect("the next bytes");
         assert!(length > 0, "the connection is closed");
         read.extend_from_slice(&bytes[..length]);
     }
