--- a/crates/control-plane/src/config_history.rs
+++ b/crates/control-plane/src/config_history.rs
@@ -9,7 +9,7 @@
 /// Number of versions whose digest is remembered, 32 bytes each. A retry of an older order gets no final answer,
 /// since the order may have been accepted.
 const MAX_DIGESTS: usize = 4096;
-/// Maximum number of quota floors. Under a new holder, tenants beyond this limit start with an empty counter.
+/// Maximum number of quota floors. Under a new holder, tenants beyond this limit start without any units.
 const MAX_FLOORS: usize = 4096;
 /// Number of versions whose log position is remembered.
 const MAX_POSITIONS: usize = 64;
