--- a/crates/control-plane/src/event_log.rs
+++ b/crates/control-plane/src/event_log.rs
@@ -231,7 +231,7 @@
         kind.map_or(Some(0), |kind| self.line_limits[kind].pass(at))
     }
 
-    /// This process stands for election; without a majority it does so repeatedly.
+    /// Logs a candidacy of this process. Without a majority, candidacies repeat.
     pub fn on_candidacy(&mut self, at: u64, epoch: u64) {
         if let Some(left_out) = self.candidacy_limit.pass(at) {
             let version = self.version;
@@ -243,7 +243,7 @@
     pub fn on_leader_state(&mut self, at: u64, leader: Option<SocketAddr>, epoch: u64, version: u64) {
         (self.epoch, self.version) = (epoch, version);
         if leader != self.leader {
-            let subject = leader.or(self.leader).map_or_else(String::new, |who| who.to_string());
+            let subject = leader.or(self.leader).map_or_else(String::new, |address| address.to_string());
             self.leader = leader;
             self.counters.leader_changes += u64::from(leader.is_some());
             self.record(at, subject, EventKind::Leader(leader));
