--- a/crates/quota/tests/world/membership.rs
+++ b/crates/quota/tests/world/membership.rs
@@ -1,31 +1,37 @@
-//! Gateways that come and go in a drawn world: who knows of it, by which messages, and what follows for the counts.
-//! It follows `control-plane`, whose own tests show that it does the same.
+//! Simulated fleet membership: gateways that join and leave, the messages about them, and the fleet size that
+//! results.
+//!
+//! The model follows `control-plane`, whose own tests cover the real implementation.
 
-use super::{Event, Said, Who, World, name};
+use super::{Event, Message, Node, World, control_plane_name};
 use protocol::Departure;
 use registry::{COUNTED_WHILE_SILENT, Fleet, FleetFaults};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Processes that serve control tell each other this often whom they hear.
-const ROUND: f64 = 400.0;
-/// A gateway that has said nothing for this long is not heard; nor is the word of a process that has said nothing.
-const GATEWAY_TIMEOUT: f64 = 2500.0;
-/// A process this old has heard of all gateways, or they count no more.
-const SETTLED: f64 = 30_000.0;
-/// The log is told of a smaller fleet after this long.
-const SETTLES: u64 = 5000;
-/// A process that has just started has read its log after this.
-const LOG_READ: f64 = 300.0;
-/// A leaving gateway says so again after this, and ends without an answer after that.
-const LEAVE_AGAIN: f64 = 50.0;
-const LEAVE_WAIT: f64 = 400.0;
-/// Of the messages of an unruly network so many come twice, and so many late by up to this.
-const TWICE: f64 = 0.2;
-const LATE: f64 = 0.2;
-const LATE_MOST: f64 = 3000.0;
+/// Interval at which control planes send each other the gateways they are in contact with.
+const BROADCAST_INTERVAL: f64 = 400.0;
+/// A gateway counts as in contact for this long after its last message. The same applies to the report of a control
+/// plane.
+const CONTACT_TIMEOUT: f64 = 2500.0;
+/// A control plane uses the fleet size of the log until this long after its start. By then it has received messages
+/// from all gateways, or silent gateways no longer count.
+const FLEET_LEARNING_TIME: f64 = 30_000.0;
+/// The log records a smaller fleet only after this delay.
+const SHRINK_DELAY: u64 = 5000;
+/// A restarted control plane has replayed its log after this time.
+const LOG_REPLAY_TIME: f64 = 300.0;
+/// A departing gateway repeats its leave message at this interval, and shuts down without an answer after the
+/// timeout.
+const LEAVE_RETRY_INTERVAL: f64 = 50.0;
+const LEAVE_TIMEOUT: f64 = 400.0;
+/// In an unreliable network, a message is duplicated with the first probability, and delayed by up to `MAX_DELAY`
+/// with the second.
+const DUPLICATE_PROBABILITY: f64 = 0.2;
+const DELAY_PROBABILITY: f64 = 0.2;
+const MAX_DELAY: f64 = 3000.0;
 
 #[derive(Debug, Clone)]
-pub(super) enum Word {
+pub(super) enum MembershipMessage {
     Hello { incarnation: u64 },
     Leave { incarnation: u64 },
     LeaveAccepted,
@@ -33,52 +39,53 @@
     Present(Vec<(String, u64)>),
 }
 
-/// What goes wrong on purpose.
+/// Faults injected into the membership.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct MembershipFaults {
     pub fleet: FleetFaults,
-    /// A gateway says that it has ended, and goes on admitting requests for so long.
+    /// The gateway announces its departure but admits requests for this much longer.
     pub admits_after_leave: f64,
 }
 
-/// What a process that serves control knows of gateways.
+/// The knowledge of one control plane about the gateways.
 #[derive(Default)]
-struct Knows {
+struct View {
     fleet: Fleet,
-    started: f64,
-    /// Gateways that it hears itself, by name: incarnation, and when.
-    hears: BTreeMap<String, (u64, f64)>,
-    /// What others said that they hear, and when.
-    told: BTreeMap<usize, (f64, Vec<(String, u64)>)>,
-    next_round: f64,
+    started_at: f64,
+    /// Gateways in direct contact, by name, with their incarnation and the time of their last message.
+    local_contacts: BTreeMap<String, (u64, f64)>,
+    /// The latest report of each other control plane and the time of its arrival.
+    reported: BTreeMap<usize, (f64, Vec<(String, u64)>)>,
+    next_broadcast: f64,
 }
 
 struct Leaving {
-    since: f64,
-    next: f64,
-    accepted: BTreeSet<usize>,
+    started_at: f64,
+    next_attempt: f64,
+    accepted_by: BTreeSet<usize>,
 }
 
 pub struct Membership {
-    knows: Vec<Knows>,
+    views: Vec<View>,
     leaving: BTreeMap<usize, Leaving>,
-    /// The number of gateways by the log.
-    logged: u32,
+    /// The fleet size recorded in the log.
+    logged_fleet_size: u32,
     faults: MembershipFaults,
-    /// Messages about gateways come twice, late and in another order.
-    pub unruly: bool,
-    /// All words of leaving gateways are late by this.
-    pub leaves_late: f64,
+    /// Messages about gateways are duplicated, delayed and reordered.
+    pub unreliable: bool,
+    /// Delay of every leave message.
+    pub leave_delay: f64,
 }
 
 impl World {
-    /// Gateways may come and go from now on.
+    /// Enables membership: gateways can join and leave.
     pub fn with_membership(mut self, faults: MembershipFaults) -> Self {
-        let knows = (0..self.control_planes.len()).map(|_| Knows::new(0.0, faults)).collect();
+        let views = (0..self.control_planes.len()).map(|_| View::new(0.0, faults)).collect();
         let leaving = BTreeMap::new();
-        let (unruly, leaves_late) = (false, 0.0);
-        self.membership = Some(Membership { knows, leaving, logged: 0, faults, unruly, leaves_late });
-        (0..self.gateways.len()).for_each(|place| self.says_hello(place));
+        let (unreliable, leave_delay) = (false, 0.0);
+        self.membership =
+            Some(Membership { views, leaving, logged_fleet_size: 0, faults, unreliable, leave_delay });
+        (0..self.gateways.len()).for_each(|index| self.send_hello(index));
         self
     }
 
@@ -86,272 +93,297 @@
         self.membership.as_mut().expect("a world with membership")
     }
 
-    /// The number of gateways by which the leader holds back slices.
-    pub fn counted(&self) -> u32 {
-        self.leader.map_or(0, |leader| self.counted_at(leader))
+    /// The fleet size by which the leader reserves fallback slices.
+    pub fn counted_fleet_size(&self) -> u32 {
+        self.leader.map_or(0, |leader| self.fleet_size_at(leader))
     }
 
-    /// A gateway has served its last request, says so, and ends. It starts again after a pause, if one is given.
-    pub fn leave(&mut self, place: usize, again_after: Option<f64>) {
+    /// Shuts down a gateway in order: it stops admitting requests, announces its departure and ends. With
+    /// `restart_delay`, the gateway starts again after that delay.
+    pub fn leave(&mut self, index: usize, restart_delay: Option<f64>) {
         let now = self.now;
         let mut refused = Vec::new();
         let admits = self.membership().faults.admits_after_leave;
         if admits == 0.0 {
-            self.gateways[place].cache.close(now, &mut refused);
+            self.gateways[index].cache.close(now, &mut refused);
         }
-        self.verdicts(place, refused);
-        let leaving = Leaving { since: now, next: now, accepted: BTreeSet::new() };
-        self.membership().leaving.insert(place, leaving);
-        if let Some(pause) = again_after {
-            self.at(now + LEAVE_WAIT + admits + pause, Event::Starts(place));
+        self.apply_verdicts(index, refused);
+        let leaving = Leaving { started_at: now, next_attempt: now, accepted_by: BTreeSet::new() };
+        self.membership().leaving.insert(index, leaving);
+        if let Some(pause) = restart_delay {
+            self.schedule(now + LEAVE_TIMEOUT + admits + pause, Event::Restart(index));
         }
-        self.tend_leaving(place);
+        self.advance_leaving(index);
     }
 
-    pub(super) fn says_hello(&mut self, place: usize) {
+    pub(super) fn send_hello(&mut self, index: usize) {
         if self.membership.is_none() {
             return;
         }
-        let incarnation = incarnation(place, self.gateways[place].life);
-        for to in self.spoken_to(place) {
-            self.send_word(Who::Q(place), Who::M(to), Word::Hello { incarnation });
+        let incarnation = incarnation(index, self.gateways[index].generation);
+        for to in self.connected_control_planes(index) {
+            self.send_membership(
+                Node::Gateway(index),
+                Node::Control(to),
+                MembershipMessage::Hello { incarnation },
+            );
         }
     }
 
-    /// Whom a gateway has connections with.
-    fn spoken_to(&self, place: usize) -> Vec<usize> {
-        let (assignment, follows) = (self.assignment_at(place), self.gateways[place].follows);
+    /// The control planes that a gateway is connected to.
+    fn connected_control_planes(&self, index: usize) -> Vec<usize> {
+        let (assignment, follows) = (self.gateway_assignment(index), self.gateways[index].follows);
         (0..self.control_planes.len())
-            .filter(|to| *to == follows || assignment.contains(&name(*to)))
+            .filter(|to| *to == follows || assignment.contains(&control_plane_name(*to)))
             .collect()
     }
 
-    pub(super) fn tend_leaving(&mut self, place: usize) {
+    pub(super) fn advance_leaving(&mut self, index: usize) {
         let now = self.now;
         let Some(membership) = &mut self.membership else { return };
         let admits = membership.faults.admits_after_leave;
-        let Some(leaving) = membership.leaving.get_mut(&place) else { return };
-        let since = leaving.since;
-        let accepted = leaving.accepted.clone();
-        if now >= leaving.next {
-            leaving.next = now + LEAVE_AGAIN;
-            let incarnation = incarnation(place, self.gateways[place].life);
-            for to in self.spoken_to(place) {
-                if !accepted.contains(&to) {
-                    self.send_word(Who::Q(place), Who::M(to), Word::Leave { incarnation });
+        let Some(leaving) = membership.leaving.get_mut(&index) else { return };
+        let since = leaving.started_at;
+        let accepted_by = leaving.accepted_by.clone();
+        if now >= leaving.next_attempt {
+            leaving.next_attempt = now + LEAVE_RETRY_INTERVAL;
+            let incarnation = incarnation(index, self.gateways[index].generation);
+            for to in self.connected_control_planes(index) {
+                if !accepted_by.contains(&to) {
+                    self.send_membership(
+                        Node::Gateway(index),
+                        Node::Control(to),
+                        MembershipMessage::Leave { incarnation },
+                    );
                 }
             }
         }
-        let all = self.spoken_to(place).iter().all(|to| accepted.contains(to));
-        if (all || now > since + LEAVE_WAIT) && now >= since + admits {
-            self.membership().leaving.remove(&place);
-            self.kill(Who::Q(place));
+        let all_accepted = self.connected_control_planes(index).iter().all(|to| accepted_by.contains(to));
+        if (all_accepted || now > since + LEAVE_TIMEOUT) && now >= since + admits {
+            self.membership().leaving.remove(&index);
+            self.kill(Node::Gateway(index));
         }
     }
 
-    pub(super) fn hear_word(&mut self, from: Who, to: Who, word: Word) {
+    pub(super) fn handle_membership_message(&mut self, from: Node, to: Node, message: MembershipMessage) {
         match (to, from) {
-            (Who::M(place), Who::Q(gateway)) => self.hear_gateway_word(place, gateway, word),
-            (Who::M(place), Who::M(other)) => self.hear_control_word(place, other, word),
-            (Who::Q(place), Who::M(other)) => {
-                if let Some(leaving) = self.membership().leaving.get_mut(&place) {
-                    leaving.accepted.insert(other);
+            (Node::Control(index), Node::Gateway(other)) => self.gateway_membership(index, other, message),
+            (Node::Control(index), Node::Control(other)) => self.peer_membership(index, other, message),
+            (Node::Gateway(index), Node::Control(other)) => {
+                if let Some(leaving) = self.membership().leaving.get_mut(&index) {
+                    leaving.accepted_by.insert(other);
                 }
             }
-            (Who::Q(_), Who::Q(_)) => {}
+            (Node::Gateway(_), Node::Gateway(_)) => {}
         }
     }
 
-    fn hear_gateway_word(&mut self, place: usize, gateway: usize, word: Word) {
+    fn gateway_membership(&mut self, index: usize, gateway: usize, message: MembershipMessage) {
         let (now, gateway_name) = (self.now, gateway_name(gateway));
-        match word {
-            Word::Hello { incarnation } => {
-                let knows = &mut self.membership().knows[place];
-                knows.fleet.heard(now as u64, &gateway_name, incarnation);
-                knows.hears.insert(gateway_name.clone(), (incarnation, now));
-                let counts = !knows.fleet.has_departed(&gateway_name, incarnation);
-                self.resize(place);
+        match message {
+            MembershipMessage::Hello { incarnation } => {
+                let view = &mut self.membership().views[index];
+                view.fleet.heard(now as u64, &gateway_name, incarnation);
+                view.local_contacts.insert(gateway_name.clone(), (incarnation, now));
+                let counts = !view.fleet.has_departed(&gateway_name, incarnation);
+                self.update_fleet_size(index);
                 if counts {
                     let epoch = quota::Epoch::default();
-                    self.control_planes[place].quota_service.record_contact(now, &gateway_name, epoch);
+                    self.control_planes[index].quota_service.record_contact(now, &gateway_name, epoch);
                 }
             }
-            Word::Leave { incarnation } => {
+            MembershipMessage::Leave { incarnation } => {
                 let departure = Departure { name: gateway_name, incarnation, ago_ms: 0 };
-                self.take_departures(place, vec![departure]);
-                self.send_word(Who::M(place), Who::Q(gateway), Word::LeaveAccepted);
+                self.apply_departures(index, vec![departure]);
+                self.send_membership(
+                    Node::Control(index),
+                    Node::Gateway(gateway),
+                    MembershipMessage::LeaveAccepted,
+                );
             }
             _ => {}
         }
     }
 
-    fn hear_control_word(&mut self, place: usize, other: usize, word: Word) {
+    fn peer_membership(&mut self, index: usize, other: usize, message: MembershipMessage) {
         let now = self.now;
-        match word {
-            Word::Departed(departures) => self.take_departures(place, departures),
-            Word::Present(present) => {
-                let knows = &mut self.membership().knows[place];
-                present.iter().for_each(|(name, number)| knows.fleet.heard(now as u64, name, *number));
-                knows.told.insert(other, (now, present));
-                self.resize(place);
+        match message {
+            MembershipMessage::Departed(departures) => self.apply_departures(index, departures),
+            MembershipMessage::Present(present) => {
+                let view = &mut self.membership().views[index];
+                present.iter().for_each(|(name, number)| view.fleet.heard(now as u64, name, *number));
+                view.reported.insert(other, (now, present));
+                self.update_fleet_size(index);
             }
             _ => {}
         }
     }
 
-    fn take_departures(&mut self, place: usize, mut departures: Vec<Departure>) {
+    fn apply_departures(&mut self, index: usize, mut departures: Vec<Departure>) {
         let now = self.now as u64;
-        let fleet = &mut self.membership().knows[place].fleet;
+        let fleet = &mut self.membership().views[index].fleet;
         departures.retain(|departure| fleet.departed(now, departure));
-        let gone = |departure: &&Departure| !fleet.is_present(&departure.name);
-        let gone: Vec<String> = departures.iter().filter(gone).map(|one| one.name.clone()).collect();
-        gone.iter().for_each(|name| self.control_planes[place].quota_service.remove_gateway(name));
-        self.resize(place);
+        let departed_names = |departure: &&Departure| !fleet.is_present(&departure.name);
+        let departed_names: Vec<String> =
+            departures.iter().filter(departed_names).map(|one| one.name.clone()).collect();
+        departed_names.iter().for_each(|name| self.control_planes[index].quota_service.remove_gateway(name));
+        self.update_fleet_size(index);
         if !departures.is_empty() {
-            self.tell_control(place, &Word::Departed(departures));
+            self.broadcast_membership(index, &MembershipMessage::Departed(departures));
         }
     }
 
-    fn tell_control(&mut self, place: usize, word: &Word) {
-        for other in (0..self.control_planes.len()).filter(|other| *other != place) {
-            self.send_word(Who::M(place), Who::M(other), word.clone());
+    fn broadcast_membership(&mut self, index: usize, message: &MembershipMessage) {
+        for other in (0..self.control_planes.len()).filter(|other| *other != index) {
+            self.send_membership(Node::Control(index), Node::Control(other), message.clone());
         }
     }
 
-    /// A connection between two processes that serve control has come up.
-    pub(super) fn tell_all(&mut self, place: usize, other: usize) {
+    /// Sends all departures and all gateways in contact over a new connection between two control planes.
+    pub(super) fn send_full_state(&mut self, index: usize, other: usize) {
         let now = self.now as u64;
-        if self.membership.is_none() || place == other {
+        if self.membership.is_none() || index == other {
             return;
         }
-        let departures = self.membership().knows[place].fleet.departures(now);
-        let present = self.present(place);
-        self.send_word(Who::M(place), Who::M(other), Word::Departed(departures));
-        self.send_word(Who::M(place), Who::M(other), Word::Present(present));
+        let departures = self.membership().views[index].fleet.departures(now);
+        let present = self.present_gateways(index);
+        self.send_membership(
+            Node::Control(index),
+            Node::Control(other),
+            MembershipMessage::Departed(departures),
+        );
+        self.send_membership(Node::Control(index), Node::Control(other), MembershipMessage::Present(present));
     }
 
-    fn present(&mut self, place: usize) -> Vec<(String, u64)> {
+    fn present_gateways(&mut self, index: usize) -> Vec<(String, u64)> {
         let now = self.now;
-        let knows = &self.membership().knows[place];
-        let heard = knows.hears.iter().filter(|(_, (_, at))| now < at + GATEWAY_TIMEOUT);
-        let heard = heard.map(|(name, (incarnation, _))| (name.clone(), *incarnation));
-        heard.filter(|(name, incarnation)| !knows.fleet.has_departed(name, *incarnation)).collect()
+        let view = &self.membership().views[index];
+        let contacts = view.local_contacts.iter().filter(|(_, (_, at))| now < at + CONTACT_TIMEOUT);
+        let contacts = contacts.map(|(name, (incarnation, _))| (name.clone(), *incarnation));
+        contacts.filter(|(name, incarnation)| !view.fleet.has_departed(name, *incarnation)).collect()
     }
 
-    /// A round of a process that serves control.
-    pub(super) fn tend_membership(&mut self, place: usize) {
+    /// Runs a control plane's periodic membership broadcast.
+    pub(super) fn tick_membership(&mut self, index: usize) {
         let now = self.now;
         match &mut self.membership {
-            Some(membership) if now >= membership.knows[place].next_round => {
-                membership.knows[place].next_round = now + ROUND;
+            Some(membership) if now >= membership.views[index].next_broadcast => {
+                membership.views[index].next_broadcast = now + BROADCAST_INTERVAL;
             }
             _ => return,
         }
-        let present = self.present(place);
-        let leads = self.leader == Some(place);
+        let present = self.present_gateways(index);
+        let leads = self.leader == Some(index);
         let membership = self.membership();
-        let knows = &mut membership.knows[place];
-        let told = knows.told.values().filter(|(at, _)| now < at + GATEWAY_TIMEOUT);
-        let all = present.iter().chain(told.flat_map(|(_, told)| told));
-        all.for_each(|(name, incarnation)| knows.fleet.heard(now as u64, name, *incarnation));
-        knows.fleet.sweep(now as u64);
-        let settled = knows.fleet.size_within(now as u64, SETTLES);
-        if leads && settled > 0 && settled.abs_diff(membership.logged) * 8 > membership.logged {
-            membership.logged = settled;
+        let view = &mut membership.views[index];
+        let reported = view.reported.values().filter(|(at, _)| now < at + CONTACT_TIMEOUT);
+        let known = present.iter().chain(reported.flat_map(|(_, reported)| reported));
+        known.for_each(|(name, incarnation)| view.fleet.heard(now as u64, name, *incarnation));
+        view.fleet.sweep(now as u64);
+        let settled_size = view.fleet.size_within(now as u64, SHRINK_DELAY);
+        if leads
+            && settled_size > 0
+            && settled_size.abs_diff(membership.logged_fleet_size) * 8 > membership.logged_fleet_size
+        {
+            membership.logged_fleet_size = settled_size;
         }
-        self.tell_control(place, &Word::Present(present));
-        if let Some(divisor) = self.divisor(place).filter(|_| self.is_current(place)) {
-            self.membership().knows[place].fleet.divides_by(now as u64, divisor);
+        self.broadcast_membership(index, &MembershipMessage::Present(present));
+        if let Some(divisor) = self.divisor(index).filter(|_| self.is_fresh(index)) {
+            self.membership().views[index].fleet.divides_by(now as u64, divisor);
         }
-        self.resize(place);
+        self.update_fleet_size(index);
     }
 
-    fn resize(&mut self, place: usize) {
-        let (now, counted) = (self.now, self.counted_at(place));
-        self.control_planes[place].quota_service.set_fleet_size(now, counted);
+    fn update_fleet_size(&mut self, index: usize) {
+        let (now, counted) = (self.now, self.fleet_size_at(index));
+        self.control_planes[index].quota_service.set_fleet_size(now, counted);
         let Some(membership) = &self.membership else { return };
-        let wide = membership.knows[place].fleet.wide_slices(counted);
-        self.control_planes[place].quota_service.set_oversized_slices(wide);
+        let oversized_slices = membership.views[index].fleet.wide_slices(counted);
+        self.control_planes[index].quota_service.set_oversized_slices(oversized_slices);
     }
 
-    fn counted_at(&self, place: usize) -> u32 {
+    fn fleet_size_at(&self, index: usize) -> u32 {
         let Some(membership) = &self.membership else { return self.gateways.len() as u32 };
-        membership.knows[place].fleet.size().max(self.logged_at(place)).max(1)
+        membership.views[index].fleet.size().max(self.logged_fleet_size_at(index)).max(1)
     }
 
-    fn logged_at(&self, place: usize) -> u32 {
+    fn logged_fleet_size_at(&self, index: usize) -> u32 {
         let Some(membership) = &self.membership else { return 0 };
-        let age = self.now - membership.knows[place].started;
-        if (LOG_READ..SETTLED).contains(&age) { membership.logged } else { 0 }
+        let age = self.now - membership.views[index].started_at;
+        if (LOG_REPLAY_TIME..FLEET_LEARNING_TIME).contains(&age) { membership.logged_fleet_size } else { 0 }
     }
 
-    /// Whether what a process says is of this moment: it has heard the leader just now, and has read its log.
-    pub(super) fn is_current(&self, place: usize) -> bool {
-        let hears = self.leader.is_some_and(|leader| {
-            self.now < self.lease && !self.cuts.contains(&(Who::M(leader), Who::M(place)))
+    /// Whether the reports of a control plane are current: it is in contact with the leader and has replayed its log.
+    pub(super) fn is_fresh(&self, index: usize) -> bool {
+        let hears_leader = self.leader.is_some_and(|leader| {
+            self.now < self.lease_until
+                && !self.cut_links.contains(&(Node::Control(leader), Node::Control(index)))
         });
-        let started = self.membership.as_ref().map_or(f64::NEG_INFINITY, |all| all.knows[place].started);
-        hears && (started == 0.0 || self.now >= started + LOG_READ)
+        let started_at = self
+            .membership
+            .as_ref()
+            .map_or(f64::NEG_INFINITY, |membership| membership.views[index].started_at);
+        hears_leader && (started_at == 0.0 || self.now >= started_at + LOG_REPLAY_TIME)
     }
 
-    /// By what gateways divide their slices, as this process tells them.
-    pub(super) fn divisor(&self, place: usize) -> Option<u32> {
+    /// The fleet size that a control plane tells gateways to divide the quota by.
+    pub(super) fn divisor(&self, index: usize) -> Option<u32> {
         let membership = self.membership.as_ref()?;
-        let size = membership.knows[place].fleet.size_within(self.now as u64, COUNTED_WHILE_SILENT);
-        Some(size.max(self.logged_at(place)).max(1))
+        let size = membership.views[index].fleet.size_within(self.now as u64, COUNTED_WHILE_SILENT);
+        Some(size.max(self.logged_fleet_size_at(index)).max(1))
     }
 
-    pub(super) fn has_departed(&self, place: usize, gateway: usize, life: u64) -> bool {
+    pub(super) fn has_departed(&self, index: usize, gateway: usize, generation: u64) -> bool {
         let Some(membership) = &self.membership else { return false };
-        membership.knows[place].fleet.has_departed(&gateway_name(gateway), incarnation(gateway, life))
+        membership.views[index].fleet.has_departed(&gateway_name(gateway), incarnation(gateway, generation))
     }
 
-    /// A process that serves control starts with nothing but its disk.
-    pub(super) fn starts_anew(&mut self, place: usize) {
+    /// Resets a control plane's view at its restart. Only the log survives.
+    pub(super) fn restart_control_plane(&mut self, index: usize) {
         let now = self.now;
         let Some(membership) = &mut self.membership else { return };
-        membership.knows[place] = Knows::new(now, membership.faults);
-        self.resize(place);
+        membership.views[index] = View::new(now, membership.faults);
+        self.update_fleet_size(index);
         (0..self.control_planes.len()).for_each(|other| {
-            self.tell_all(other, place);
+            self.send_full_state(other, index);
         });
     }
 
-    fn send_word(&mut self, from: Who, to: Who, word: Word) {
-        let leave = matches!(word, Word::Leave { .. });
-        let (unruly, leaves_late) = (self.membership().unruly, self.membership().leaves_late);
-        let twice = unruly && self.lots.unit() < TWICE;
-        for _ in 0..1 + usize::from(twice) {
-            let late = unruly && self.lots.unit() < LATE;
-            let late = if late { self.lots.unit() * LATE_MOST } else { 0.0 };
-            let late = late + if leave { leaves_late } else { 0.0 };
-            self.send_later(from, to, Said::Word(word.clone()), late);
+    fn send_membership(&mut self, from: Node, to: Node, message: MembershipMessage) {
+        let is_leave = matches!(message, MembershipMessage::Leave { .. });
+        let (unreliable, leave_delay) = (self.membership().unreliable, self.membership().leave_delay);
+        let duplicated = unreliable && self.rng.uniform() < DUPLICATE_PROBABILITY;
+        for _ in 0..1 + usize::from(duplicated) {
+            let delay = unreliable && self.rng.uniform() < DELAY_PROBABILITY;
+            let delay = if delay { self.rng.uniform() * MAX_DELAY } else { 0.0 };
+            let delay = delay + if is_leave { leave_delay } else { 0.0 };
+            self.send_delayed(from, to, Message::Membership(message.clone()), delay);
         }
     }
 
-    /// The gateways that clients find.
-    pub fn open_gateways(&self) -> Vec<usize> {
-        let leaving = |place: &usize| {
+    /// The gateways to which clients can send requests.
+    pub fn admitting_gateways(&self) -> Vec<usize> {
+        let leaving = |index: &usize| {
             self.membership.as_ref().is_some_and(|membership| {
-                membership.faults.admits_after_leave == 0.0 && membership.leaving.contains_key(place)
+                membership.faults.admits_after_leave == 0.0 && membership.leaving.contains_key(index)
             })
         };
-        (0..self.gateways.len()).filter(|place| self.gateways[*place].up && !leaving(place)).collect()
+        (0..self.gateways.len()).filter(|index| self.gateways[*index].up && !leaving(index)).collect()
     }
 }
 
-impl Knows {
-    fn new(started: f64, faults: MembershipFaults) -> Self {
+impl View {
+    fn new(started_at: f64, faults: MembershipFaults) -> Self {
         let mut fleet = Fleet::default();
         fleet.plant(faults.fleet);
-        Self { fleet, started, ..Self::default() }
+        Self { fleet, started_at, ..Self::default() }
     }
 }
 
-fn incarnation(gateway: usize, life: u64) -> u64 {
-    life << 8 | gateway as u64
+fn incarnation(gateway: usize, generation: u64) -> u64 {
+    generation << 8 | gateway as u64
 }
 
-pub(super) fn gateway_name(place: usize) -> String {
-    format!("data plane-{place:02}")
+pub(super) fn gateway_name(index: usize) -> String {
+    format!("data plane-{index:02}")
 }
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -1,5 +1,7 @@
-//! A drawn fleet: control planes that hold counts, gateways that draw on them, links and machines that fail, and clients.
-//! Time is the world's own; the log is played by a lease and elections as its state machine would have them.
+//! Randomized simulation of a fleet: control planes that hold quota counters, gateways with lease caches, failing
+//! links and machines, and clients.
+//!
+//! The simulation has its own clock. The replicated log is modelled only by its leader lease and its elections.
 
 #![allow(dead_code)]
 
@@ -10,24 +12,24 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
 
-pub mod judge;
+pub mod load_metrics;
 pub mod membership;
-mod troubles;
-use judge::Judge;
+mod node_faults;
+use load_metrics::LoadMetrics;
 
 const LOG_LEASE: f64 = 230.0;
-const ELECTION: f64 = 320.0;
-const HEARTBEAT: f64 = 350.0;
-const SIGN: f64 = 800.0;
-const DRAW_LOST: f64 = 400.0;
-const SILENT: f64 = 1300.0;
-const RENEW: f64 = 70.0;
-
-/// Random numbers (splitmix64).
-pub struct Lots(pub u64);
-
-impl Lots {
-    pub fn unit(&mut self) -> f64 {
+const ELECTION_TIMEOUT: f64 = 320.0;
+const HEARTBEAT_INTERVAL: f64 = 350.0;
+const CONTACT_INTERVAL: f64 = 800.0;
+const REQUEST_TIMEOUT: f64 = 400.0;
+const HEARTBEAT_TIMEOUT: f64 = 1300.0;
+const LEASE_RENEWAL_INTERVAL: f64 = 70.0;
+
+/// Random number generator (splitmix64).
+pub struct Rng(pub u64);
+
+impl Rng {
+    pub fn uniform(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -35,378 +37,393 @@
         ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    pub fn below(&mut self, most: usize) -> usize {
-        ((self.unit() * most as f64) as usize).min(most.saturating_sub(1))
+    pub fn below(&mut self, limit: usize) -> usize {
+        ((self.uniform() * limit as f64) as usize).min(limit.saturating_sub(1))
     }
 
-    fn span(&mut self, mean: f64) -> f64 {
-        -mean * (1.0 - self.unit()).ln()
+    fn exponential(&mut self, mean: f64) -> f64 {
+        -mean * (1.0 - self.uniform()).ln()
     }
 }
 
-/// A machine: `M` serves control, `Q` carries requests.
+/// A process of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Who {
-    M(usize),
-    Q(usize),
+pub enum Node {
+    Control(usize),
+    Gateway(usize),
 }
 
 #[derive(Debug, Clone)]
-enum Said {
+enum Message {
     LeaseRequest(LeaseRequest),
     Grant(Grant),
     NotHolder(u64),
-    Ask { number: u64, answered: u64, draws: f64 },
+    Offer { number: u64, last_answered_offer: u64, request_rate: f64 },
     Lease { number: u64, assignment: HolderAssignment, ends_in: f64 },
     HolderAssignment(HolderAssignment),
     Handover(Handover),
     Heartbeat { assignment: HolderAssignment, fresh: bool, gateways: Option<u32> },
-    Here(Epoch),
-    Word(membership::Word),
+    Contact(Epoch),
+    Membership(membership::MembershipMessage),
 }
 
 #[derive(Debug, Clone)]
 enum Event {
-    Arrives { from: Who, from_life: u64, to: Who, life: u64, said: Said },
-    Ticks(Who),
-    Starts(usize),
-    Sign(usize),
-    Pulses(usize),
-    Request(usize),
+    Delivery { from: Node, from_generation: u64, to: Node, generation: u64, message: Message },
+    Tick(Node),
+    Restart(usize),
+    ContactTimer(usize),
+    HeartbeatTimer(usize),
+    ClientRequest(usize),
 }
 
-struct Due {
+struct Scheduled {
     at: f64,
-    order: u64,
+    sequence: u64,
     event: Event,
 }
 
-impl PartialEq for Due {
+impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
-impl Eq for Due {}
-impl PartialOrd for Due {
+impl Eq for Scheduled {}
+impl PartialOrd for Scheduled {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Due {
+impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.at.total_cmp(&other.at).then(self.order.cmp(&other.order))
+        self.at.total_cmp(&other.at).then(self.sequence.cmp(&other.sequence))
     }
 }
 
 struct ControlPlane {
     quota_service: QuotaService,
-    placer: Option<HolderAssigner>,
-    known: HolderAssignment,
-    asks: VecDeque<(u64, f64)>,
-    answered: u64,
-    next_ask: f64,
-    next_round: f64,
-    draws: (f64, u64, f64),
-    life: u64,
+    assigner: Option<HolderAssigner>,
+    assignment: HolderAssignment,
+    offers: VecDeque<(u64, f64)>,
+    last_answered_offer: u64,
+    offer_at: f64,
+    next_broadcast: f64,
+    request_counter: (f64, u64, f64),
+    generation: u64,
     up: bool,
 }
 
 struct Gateway {
     cache: LeaseCache,
     follows: usize,
-    heard: f64,
-    drawn: BTreeMap<u64, f64>,
-    waits: HashMap<u64, (usize, f64)>,
-    life: u64,
+    last_heartbeat: f64,
+    in_flight: BTreeMap<u64, f64>,
+    waiting: HashMap<u64, (usize, f64)>,
+    generation: u64,
     up: bool,
 }
 
-/// What a tenant may and what it does.
+/// The quota of a tenant and the load of its clients.
 #[derive(Clone, Debug)]
 pub struct Load {
     pub quota: Quota,
-    /// Its clients ask this often, of the quota's rate.
-    pub asks: f64,
-    /// From when to when, and how many times as often; again and again with this period.
-    pub hot: (f64, f64, f64),
-    pub every: f64,
+    /// Average request rate of the clients, as a fraction of the quota's rate.
+    pub demand_ratio: f64,
+    /// Start and end of a load peak within each period, and the factor by which the request rate rises.
+    pub peak: (f64, f64, f64),
+    pub period: f64,
 }
 
 impl Load {
-    pub fn new(name: usize, rate: f64, burst: f64, asks: f64) -> Self {
+    pub fn new(name: usize, rate: f64, burst: f64, demand_ratio: f64) -> Self {
         let quota = Quota { tenant: format!("tenant-{name}"), rate_per_s: rate, burst };
-        Self { quota, asks, hot: (0.0, 0.0, 1.0), every: f64::INFINITY }
+        Self { quota, demand_ratio, peak: (0.0, 0.0, 1.0), period: f64::INFINITY }
     }
 }
 
 pub struct World {
     pub now: f64,
-    pub lots: Lots,
-    /// The clients' own numbers: they ask the same whatever else is drawn.
-    clients: Lots,
-    pub judge: Judge,
+    pub rng: Rng,
+    /// Random numbers of the clients, separate so that the client load does not depend on the other random events.
+    client_rng: Rng,
+    pub metrics: LoadMetrics,
     loads: Vec<Load>,
     control_planes: Vec<ControlPlane>,
     gateways: Vec<Gateway>,
-    queue: BinaryHeap<Reverse<Due>>,
-    order: u64,
-    requests: u64,
-    frozen: BTreeMap<Who, f64>,
-    cuts: BTreeSet<(Who, Who)>,
+    queue: BinaryHeap<Reverse<Scheduled>>,
+    sequence: u64,
+    request_count: u64,
+    frozen_until: BTreeMap<Node, f64>,
+    cut_links: BTreeSet<(Node, Node)>,
     pub leader: Option<usize>,
     term: u64,
-    lease: f64,
-    election: f64,
+    lease_until: f64,
+    election_at: f64,
     faults: Faults,
-    spread: bool,
-    /// Draws a second that one holder bears.
-    bears: f64,
-    /// Requests of a tenant come to this share of the gateways only.
-    pub reach: f64,
-    /// Requests wait at most this long for a block.
-    pub patience: f64,
-    /// Who knows of which gateways, where they come and go.
+    multi_holder: bool,
+    /// Lease requests per second that one holder can serve.
+    requests_per_holder: f64,
+    /// Fraction of the gateways that receive requests of a given tenant.
+    pub gateway_fraction: f64,
+    /// Maximum time that a request waits for a block.
+    pub max_wait: f64,
+    /// Fleet membership, in simulations where gateways join and leave.
     membership: Option<membership::Membership>,
 }
 
 impl World {
     pub fn new(
-        seed: u64, control_planes: usize, gateways: usize, loads: Vec<Load>, bears: Option<f64>,
-        faults: Faults,
+        seed: u64, control_planes: usize, gateways: usize, loads: Vec<Load>,
+        requests_per_holder: Option<f64>, faults: Faults,
     ) -> Self {
-        let judge = Judge::new(&loads);
+        let metrics = LoadMetrics::new(&loads);
         let quotas: Vec<Quota> = loads.iter().map(|load| load.quota.clone()).collect();
         let mut world = Self {
             now: 0.0,
-            lots: Lots(seed),
-            clients: Lots(seed ^ 0x5eed),
-            judge,
+            rng: Rng(seed),
+            client_rng: Rng(seed ^ 0x5eed),
+            metrics,
             loads,
             control_planes: Vec::new(),
             gateways: Vec::new(),
             queue: BinaryHeap::new(),
-            order: 0,
-            requests: 0,
-            frozen: BTreeMap::new(),
-            cuts: BTreeSet::new(),
+            sequence: 0,
+            request_count: 0,
+            frozen_until: BTreeMap::new(),
+            cut_links: BTreeSet::new(),
             leader: None,
             term: 0,
-            lease: 0.0,
-            election: 0.0,
+            lease_until: 0.0,
+            election_at: 0.0,
             faults,
-            spread: bears.is_some(),
-            bears: bears.unwrap_or(f64::INFINITY),
-            reach: 1.0,
-            patience: 72.0,
+            multi_holder: requests_per_holder.is_some(),
+            requests_per_holder: requests_per_holder.unwrap_or(f64::INFINITY),
+            gateway_fraction: 1.0,
+            max_wait: 72.0,
             membership: None,
         };
-        for place in 0..control_planes {
-            let control_plane = world.control_plane(place, 0, &quotas, gateways);
+        for index in 0..control_planes {
+            let control_plane = world.new_control_plane(index, 0, &quotas, gateways);
             world.control_planes.push(control_plane);
-            let (tick, heartbeat) = (world.lots.unit() * 50.0, world.lots.unit() * HEARTBEAT);
-            world.at(tick, Event::Ticks(Who::M(place)));
-            world.at(heartbeat, Event::Pulses(place));
+            let (tick, heartbeat) = (world.rng.uniform() * 50.0, world.rng.uniform() * HEARTBEAT_INTERVAL);
+            world.schedule(tick, Event::Tick(Node::Control(index)));
+            world.schedule(heartbeat, Event::HeartbeatTimer(index));
         }
-        for place in 0..gateways {
-            let gateway = world.gateway(place, 0, &quotas, gateways);
+        for index in 0..gateways {
+            let gateway = world.new_gateway(index, 0, &quotas, gateways);
             world.gateways.push(gateway);
-            let (tick, sign) = (world.lots.unit() * 10.0, world.lots.unit() * SIGN);
-            world.at(tick, Event::Ticks(Who::Q(place)));
-            world.at(sign, Event::Sign(place));
+            let (tick, sign) = (world.rng.uniform() * 10.0, world.rng.uniform() * CONTACT_INTERVAL);
+            world.schedule(tick, Event::Tick(Node::Gateway(index)));
+            world.schedule(sign, Event::ContactTimer(index));
         }
         for tenant in 0..world.loads.len() {
-            world.next_request(tenant, 2000.0);
+            world.schedule_request(tenant, 2000.0);
         }
         world
     }
 
-    fn control_plane(&mut self, place: usize, life: u64, quotas: &[Quota], gateways: usize) -> ControlPlane {
-        let mut quota_service = QuotaService::new(&name(place));
+    fn new_control_plane(
+        &mut self, index: usize, generation: u64, quotas: &[Quota], gateways: usize,
+    ) -> ControlPlane {
+        let mut quota_service = QuotaService::new(&control_plane_name(index));
         quota_service.inject_faults(self.faults);
         quota_service.set_fleet_size(self.now, gateways as u32);
         quota_service.set_quotas(self.now, quotas.to_vec());
         ControlPlane {
             quota_service,
-            placer: None,
-            known: HolderAssignment::default(),
-            asks: VecDeque::new(),
-            answered: 0,
-            next_ask: 0.0,
-            next_round: 0.0,
-            draws: (self.now, 0, 0.0),
-            life,
+            assigner: None,
+            assignment: HolderAssignment::default(),
+            offers: VecDeque::new(),
+            last_answered_offer: 0,
+            offer_at: 0.0,
+            next_broadcast: 0.0,
+            request_counter: (self.now, 0, 0.0),
+            generation,
             up: true,
         }
     }
 
-    fn gateway(&mut self, place: usize, life: u64, quotas: &[Quota], gateways: usize) -> Gateway {
-        let mut cache = LeaseCache::new(place as u64 + 77 + life * 1000);
+    fn new_gateway(&mut self, index: usize, generation: u64, quotas: &[Quota], gateways: usize) -> Gateway {
+        let mut cache = LeaseCache::new(index as u64 + 77 + generation * 1000);
         cache.set_quotas(self.now, quotas.to_vec());
         cache.set_fleet_size(gateways as u32);
-        let follows = place % self.control_planes.len().max(1);
-        let (drawn, waits) = (BTreeMap::new(), HashMap::new());
-        Gateway { cache, follows, heard: self.now, drawn, waits, life, up: true }
+        let follows = index % self.control_planes.len().max(1);
+        let (in_flight, waiting) = (BTreeMap::new(), HashMap::new());
+        Gateway { cache, follows, last_heartbeat: self.now, in_flight, waiting, generation, up: true }
     }
 
     fn quotas(&self) -> Vec<Quota> {
         self.loads.iter().map(|load| load.quota.clone()).collect()
     }
 
-    fn at(&mut self, at: f64, event: Event) {
-        self.order += 1;
-        self.queue.push(Reverse(Due { at, order: self.order, event }));
+    fn schedule(&mut self, at: f64, event: Event) {
+        self.sequence += 1;
+        self.queue.push(Reverse(Scheduled { at, sequence: self.sequence, event }));
     }
 
-    fn next_request(&mut self, tenant: usize, from: f64) {
+    fn schedule_request(&mut self, tenant: usize, from: f64) {
         let Some(load) = self.loads.get(tenant) else { return };
-        let (since, rate) = (from % load.every, load.quota.rate_per_s * load.asks / 1000.0);
-        let (begins, times) = (load.hot.0, load.hot.2);
-        let hot = if (begins..load.hot.1).contains(&since) { times } else { 1.0 };
-        let turn = from - since + begins;
-        let at = from + self.clients.span(1.0 / (rate * hot).max(1e-9));
-        // What is drawn for calmer times ends with them.
-        let turns = since < begins && at > turn;
-        let at = if turns { turn + self.clients.span(1.0 / (rate * times).max(1e-9)) } else { at };
-        self.at(at, Event::Request(tenant));
-    }
-
-    fn is_awake(&self, who: Who) -> bool {
-        let up = match who {
-            Who::M(place) => self.control_planes[place].up,
-            Who::Q(place) => self.gateways[place].up,
+        let (phase, rate) = (from % load.period, load.quota.rate_per_s * load.demand_ratio / 1000.0);
+        let (peak_offset, peak_factor) = (load.peak.0, load.peak.2);
+        let rate_factor = if (peak_offset..load.peak.1).contains(&phase) { peak_factor } else { 1.0 };
+        let peak_start = from - phase + peak_offset;
+        let at = from + self.client_rng.exponential(1.0 / (rate * rate_factor).max(1e-9));
+        // A request time drawn for the low rate must not skip the start of the peak.
+        let reaches_peak = phase < peak_offset && at > peak_start;
+        let at = if reaches_peak {
+            peak_start + self.client_rng.exponential(1.0 / (rate * peak_factor).max(1e-9))
+        } else {
+            at
         };
-        up && self.frozen.get(&who).is_none_or(|until| self.now >= *until)
+        self.schedule(at, Event::ClientRequest(tenant));
     }
 
-    fn life(&self, who: Who) -> u64 {
-        match who {
-            Who::M(place) => self.control_planes[place].life,
-            Who::Q(place) => self.gateways[place].life,
+    fn is_running(&self, node: Node) -> bool {
+        let up = match node {
+            Node::Control(index) => self.control_planes[index].up,
+            Node::Gateway(index) => self.gateways[index].up,
+        };
+        up && self.frozen_until.get(&node).is_none_or(|until| self.now >= *until)
+    }
+
+    fn generation(&self, node: Node) -> u64 {
+        match node {
+            Node::Control(index) => self.control_planes[index].generation,
+            Node::Gateway(index) => self.gateways[index].generation,
         }
     }
 
     pub fn run_until(&mut self, end: f64) -> Result<(), String> {
-        while self.queue.peek().is_some_and(|Reverse(due)| due.at <= end) {
-            let Some(Reverse(due)) = self.queue.pop() else { break };
-            self.now = self.now.max(due.at);
-            self.play(due.event)?;
+        while self.queue.peek().is_some_and(|Reverse(scheduled)| scheduled.at <= end) {
+            let Some(Reverse(scheduled)) = self.queue.pop() else { break };
+            self.now = self.now.max(scheduled.at);
+            self.handle_event(scheduled.event)?;
         }
         self.now = end;
         Ok(())
     }
 
-    fn play(&mut self, event: Event) -> Result<(), String> {
+    fn handle_event(&mut self, event: Event) -> Result<(), String> {
         let now = self.now;
         match event {
-            Event::Arrives { from, from_life, to, life, said } => {
-                let frozen = self.frozen.get(&to).copied().filter(|until| now < *until);
-                if let Some(until) = frozen {
-                    self.at(until, Event::Arrives { from, from_life, to, life, said });
-                } else if self.is_awake(to) && self.life(to) == life {
-                    self.hear(from, from_life, to, said);
+            Event::Delivery { from, from_generation, to, generation, message } => {
+                let frozen_until = self.frozen_until.get(&to).copied().filter(|until| now < *until);
+                if let Some(until) = frozen_until {
+                    self.schedule(until, Event::Delivery { from, from_generation, to, generation, message });
+                } else if self.is_running(to) && self.generation(to) == generation {
+                    self.deliver(from, from_generation, to, message);
                 }
             }
-            Event::Starts(place) => self.start(Who::Q(place)),
-            Event::Ticks(who) => {
-                if self.is_awake(who) {
-                    match who {
-                        Who::M(place) => self.tick_control_plane(place),
-                        Who::Q(place) => self.tick_gateway(place),
+            Event::Restart(index) => self.start(Node::Gateway(index)),
+            Event::Tick(node) => {
+                if self.is_running(node) {
+                    match node {
+                        Node::Control(index) => self.tick_control_plane(index),
+                        Node::Gateway(index) => self.tick_gateway(index),
                     }
                 }
-                let pause = if matches!(who, Who::M(_)) { 25.0 } else { 4.0 };
-                self.at(now + pause, Event::Ticks(who));
-                if who == Who::M(0) {
-                    self.play_log();
-                    self.single()?;
+                let pause = if matches!(node, Node::Control(_)) { 25.0 } else { 4.0 };
+                self.schedule(now + pause, Event::Tick(node));
+                if node == Node::Control(0) {
+                    self.simulate_log();
+                    self.check_single_holder()?;
                 }
             }
-            Event::Sign(place) => {
-                if self.is_awake(Who::Q(place)) {
+            Event::ContactTimer(index) => {
+                if self.is_running(Node::Gateway(index)) {
                     for to in 0..self.control_planes.len() {
-                        let assignment = self.assignment_at(place);
-                        if assignment.contains(&name(to)) {
-                            self.send(Who::Q(place), Who::M(to), Said::Here(assignment.epoch));
+                        let assignment = self.gateway_assignment(index);
+                        if assignment.contains(&control_plane_name(to)) {
+                            self.send(
+                                Node::Gateway(index),
+                                Node::Control(to),
+                                Message::Contact(assignment.epoch),
+                            );
                         }
                     }
-                    self.says_hello(place);
+                    self.send_hello(index);
                 }
-                self.at(now + SIGN, Event::Sign(place));
+                self.schedule(now + CONTACT_INTERVAL, Event::ContactTimer(index));
             }
-            Event::Pulses(place) => {
-                self.heartbeat(place);
-                self.at(now + HEARTBEAT, Event::Pulses(place));
+            Event::HeartbeatTimer(index) => {
+                self.send_heartbeats(index);
+                self.schedule(now + HEARTBEAT_INTERVAL, Event::HeartbeatTimer(index));
             }
-            Event::Request(tenant) => {
-                self.request(tenant);
-                self.next_request(tenant, now);
+            Event::ClientRequest(tenant) => {
+                self.handle_client_request(tenant);
+                self.schedule_request(tenant, now);
             }
         }
         Ok(())
     }
 
-    /// The log as its own tests prove it: a lease rests on a majority and ends before anyone else is elected.
-    fn play_log(&mut self) {
+    /// Models the replicated log: a leader lease needs a majority and expires before another leader is elected.
+    fn simulate_log(&mut self) {
         let now = self.now;
-        let reaches = |world: &Self, place: usize| {
-            let me = Who::M(place);
-            let both = |other: usize| {
-                let other = Who::M(other);
+        let has_majority = |world: &Self, index: usize| {
+            let me = Node::Control(index);
+            let connected = |other: usize| {
+                let other = Node::Control(other);
                 other == me
-                    || world.is_awake(other)
-                        && !world.cuts.contains(&(me, other))
-                        && !world.cuts.contains(&(other, me))
+                    || world.is_running(other)
+                        && !world.cut_links.contains(&(me, other))
+                        && !world.cut_links.contains(&(other, me))
             };
-            world.is_awake(me)
-                && (0..world.control_planes.len()).filter(|o| both(*o)).count() * 2
+            world.is_running(me)
+                && (0..world.control_planes.len()).filter(|o| connected(*o)).count() * 2
                     > world.control_planes.len()
         };
         if let Some(leader) = self.leader
-            && reaches(self, leader)
-            && now < self.lease + ELECTION - LOG_LEASE
+            && has_majority(self, leader)
+            && now < self.lease_until + ELECTION_TIMEOUT - LOG_LEASE
         {
-            self.lease = now + LOG_LEASE - 5.0;
-            self.election = now + ELECTION + self.lots.unit() * ELECTION;
-            let lease = self.lease;
-            self.control_planes[leader].quota_service.set_lease(lease);
+            self.lease_until = now + LOG_LEASE - 5.0;
+            self.election_at = now + ELECTION_TIMEOUT + self.rng.uniform() * ELECTION_TIMEOUT;
+            let lease_until = self.lease_until;
+            self.control_planes[leader].quota_service.set_lease(lease_until);
             return;
         }
-        if now >= self.election {
-            let able: Vec<usize> =
-                (0..self.control_planes.len()).filter(|place| reaches(self, *place)).collect();
-            if able.is_empty() {
+        if now >= self.election_at {
+            let candidates: Vec<usize> =
+                (0..self.control_planes.len()).filter(|index| has_majority(self, *index)).collect();
+            if candidates.is_empty() {
                 return;
             }
-            let next = able[self.lots.below(able.len())];
+            let next = candidates[self.rng.below(candidates.len())];
             let first = self.term == 0;
             self.term += 1;
             self.leader = Some(next);
-            self.lease = now + LOG_LEASE - 5.0;
-            let placer = HolderAssigner::new(&name(next), self.term, now, self.bears);
-            let assignment = placer.assignment().clone();
-            let lease = self.lease;
-            let m = &mut self.control_planes[next];
-            m.placer = Some(placer);
-            m.quota_service.apply_assignment(now, &assignment, first);
-            m.quota_service.set_lease(lease);
-            m.known = assignment;
-            self.tell(next);
-        }
-    }
-
-    fn tell(&mut self, leader: usize) {
-        let assignment = self.control_planes[leader].known.clone();
+            self.lease_until = now + LOG_LEASE - 5.0;
+            let assigner =
+                HolderAssigner::new(&control_plane_name(next), self.term, now, self.requests_per_holder);
+            let assignment = assigner.assignment().clone();
+            let lease_until = self.lease_until;
+            let control_plane = &mut self.control_planes[next];
+            control_plane.assigner = Some(assigner);
+            control_plane.quota_service.apply_assignment(now, &assignment, first);
+            control_plane.quota_service.set_lease(lease_until);
+            control_plane.assignment = assignment;
+            self.broadcast_assignment(next);
+        }
+    }
+
+    fn broadcast_assignment(&mut self, leader: usize) {
+        let assignment = self.control_planes[leader].assignment.clone();
         for other in (0..self.control_planes.len()).filter(|other| *other != leader) {
-            self.send(Who::M(leader), Who::M(other), Said::HolderAssignment(assignment.clone()));
+            self.send(
+                Node::Control(leader),
+                Node::Control(other),
+                Message::HolderAssignment(assignment.clone()),
+            );
         }
-        self.heartbeat(leader);
+        self.send_heartbeats(leader);
     }
 
-    /// No tenant's count is granted from by two.
-    fn single(&self) -> Result<(), String> {
+    /// Checks that at most one control plane grants units of each tenant.
+    fn check_single_holder(&self) -> Result<(), String> {
         for load in &self.loads {
             let tenant = &load.quota.tenant;
-            let holds = |m: &&ControlPlane| m.up && m.quota_service.may_grant_for(self.now, tenant);
+            let holds = |c: &&ControlPlane| c.up && c.quota_service.may_grant_for(self.now, tenant);
             if self.control_planes.iter().filter(holds).count() > 1 {
                 return Err(format!("{tenant} is held twice at {:.0} ms", self.now));
             }
@@ -414,317 +431,335 @@
         Ok(())
     }
 
-    fn tick_control_plane(&mut self, place: usize) {
+    fn tick_control_plane(&mut self, index: usize) {
         let now = self.now;
-        self.tend_membership(place);
-        let m = &mut self.control_planes[place];
-        if now >= m.draws.0 + 1000.0 {
-            m.draws = (now, 0, m.draws.1 as f64 * 1000.0 / (now - m.draws.0));
-        }
-        if self.leader != Some(place) && m.placer.take().is_some() {
-            m.quota_service.resign();
-        }
-        if let Some(placer) = &mut m.placer {
-            if self.spread && now < m.quota_service.lease_until() && placer.update(now, m.draws.2) {
-                let assignment = placer.assignment().clone();
-                m.known = assignment.clone();
-                let told = m.quota_service.apply_assignment(now, &assignment, false);
-                self.hand(place, told);
-                self.tell(place);
-            } else if now >= m.next_round {
-                m.next_round = now + 400.0;
-                self.tell(place);
+        self.tick_membership(index);
+        let control_plane = &mut self.control_planes[index];
+        if now >= control_plane.request_counter.0 + 1000.0 {
+            control_plane.request_counter = (
+                now,
+                0,
+                control_plane.request_counter.1 as f64 * 1000.0 / (now - control_plane.request_counter.0),
+            );
+        }
+        if self.leader != Some(index) && control_plane.assigner.take().is_some() {
+            control_plane.quota_service.resign();
+        }
+        if let Some(assigner) = &mut control_plane.assigner {
+            if self.multi_holder
+                && now < control_plane.quota_service.lease_until()
+                && assigner.update(now, control_plane.request_counter.2)
+            {
+                let assignment = assigner.assignment().clone();
+                control_plane.assignment = assignment.clone();
+                let handovers = control_plane.quota_service.apply_assignment(now, &assignment, false);
+                self.send_handovers(index, handovers);
+                self.broadcast_assignment(index);
+            } else if now >= control_plane.next_broadcast {
+                control_plane.next_broadcast = now + 400.0;
+                self.broadcast_assignment(index);
             }
             return;
         }
-        self.ask(place);
+        self.send_offer(index);
     }
 
-    /// A lease, or an offer to hold counts.
-    fn ask(&mut self, place: usize) {
-        let (now, me) = (self.now, name(place));
-        let m = &mut self.control_planes[place];
-        let Some(leader) = self.leader.filter(|_| self.spread && now >= m.next_ask) else { return };
-        m.next_ask = now + if m.known.contains(&me) { RENEW } else { 1000.0 };
-        let number = m.asks.back().map_or(1, |(number, _)| number + 1);
-        m.asks.push_back((number, now));
-        while m.asks.len() > 32 {
-            m.asks.pop_front();
+    /// Requests a lease renewal, or offers to hold counters.
+    fn send_offer(&mut self, index: usize) {
+        let (now, me) = (self.now, control_plane_name(index));
+        let node = &mut self.control_planes[index];
+        let Some(leader) = self.leader.filter(|_| self.multi_holder && now >= node.offer_at) else { return };
+        node.offer_at = now + if node.assignment.contains(&me) { LEASE_RENEWAL_INTERVAL } else { 1000.0 };
+        let number = node.offers.back().map_or(1, |(number, _)| number + 1);
+        node.offers.push_back((number, now));
+        while node.offers.len() > 32 {
+            node.offers.pop_front();
         }
-        let (draws, answered) = (m.draws.2, m.answered);
-        self.send(Who::M(place), Who::M(leader), Said::Ask { number, answered, draws });
+        let (request_rate, last_answered_offer) = (node.request_counter.2, node.last_answered_offer);
+        self.send(
+            Node::Control(index),
+            Node::Control(leader),
+            Message::Offer { number, last_answered_offer, request_rate },
+        );
     }
 
-    fn hand(&mut self, place: usize, told: Vec<(String, Handover)>) {
-        for (to, handover) in told {
-            let to = (0..self.control_planes.len()).find(|other| name(*other) == to);
+    fn send_handovers(&mut self, index: usize, handovers: Vec<(String, Handover)>) {
+        for (to, handover) in handovers {
+            let to = (0..self.control_planes.len()).find(|other| control_plane_name(*other) == to);
             if let Some(to) = to {
-                self.send(Who::M(place), Who::M(to), Said::Handover(handover));
+                self.send(Node::Control(index), Node::Control(to), Message::Handover(handover));
             }
         }
     }
 
-    fn take_assignment(&mut self, place: usize, assignment: &HolderAssignment) {
+    fn apply_assignment(&mut self, index: usize, assignment: &HolderAssignment) {
         let now = self.now;
-        let m = &mut self.control_planes[place];
-        if assignment.epoch <= m.known.epoch {
+        let control_plane = &mut self.control_planes[index];
+        if assignment.epoch <= control_plane.assignment.epoch {
             return;
         }
-        m.known = assignment.clone();
-        m.next_ask = 0.0;
-        let told = m.quota_service.apply_assignment(now, assignment, false);
-        self.hand(place, told);
-        self.ask(place);
-        self.heartbeat(place);
+        control_plane.assignment = assignment.clone();
+        control_plane.offer_at = 0.0;
+        let handovers = control_plane.quota_service.apply_assignment(now, assignment, false);
+        self.send_handovers(index, handovers);
+        self.send_offer(index);
+        self.send_heartbeats(index);
     }
 
-    fn heartbeat(&mut self, place: usize) {
-        if !self.is_awake(Who::M(place)) {
+    fn send_heartbeats(&mut self, index: usize) {
+        if !self.is_running(Node::Control(index)) {
             return;
         }
-        let assignment = self.control_planes[place].known.clone();
-        let fresh = self.is_current(place);
-        let gateways = self.divisor(place);
+        let assignment = self.control_planes[index].assignment.clone();
+        let fresh = self.is_fresh(index);
+        let gateways = self.divisor(index);
         for gateway in 0..self.gateways.len() {
-            if self.gateways[gateway].follows == place {
-                let heartbeat = Said::Heartbeat { assignment: assignment.clone(), fresh, gateways };
-                self.send(Who::M(place), Who::Q(gateway), heartbeat);
+            if self.gateways[gateway].follows == index {
+                let heartbeat = Message::Heartbeat { assignment: assignment.clone(), fresh, gateways };
+                self.send(Node::Control(index), Node::Gateway(gateway), heartbeat);
             }
         }
     }
 
-    fn assignment_at(&self, place: usize) -> HolderAssignment {
-        self.gateways[place].cache.assignment().clone()
+    fn gateway_assignment(&self, index: usize) -> HolderAssignment {
+        self.gateways[index].cache.assignment().clone()
     }
 
-    fn send(&mut self, from: Who, to: Who, said: Said) {
-        self.send_later(from, to, said, 0.0);
+    fn send(&mut self, from: Node, to: Node, message: Message) {
+        self.send_delayed(from, to, message, 0.0);
     }
 
-    fn send_later(&mut self, from: Who, to: Who, said: Said, late: f64) {
-        if self.cuts.contains(&(from, to)) {
+    fn send_delayed(&mut self, from: Node, to: Node, message: Message, delay: f64) {
+        if self.cut_links.contains(&(from, to)) {
             return;
         }
-        self.judge.sent(match &said {
-            Said::LeaseRequest(draw) => Some(bitcode::encode(draw).len() + 5),
-            Said::Grant(grant) => Some(bitcode::encode(grant).len() + 5),
+        self.metrics.record_message(match &message {
+            Message::LeaseRequest(request) => Some(bitcode::encode(request).len() + 5),
+            Message::Grant(grant) => Some(bitcode::encode(grant).len() + 5),
             _ => None,
         });
-        let at = self.now + late + 0.7 + self.lots.span(0.8);
-        let (from_life, life) = (self.life(from), self.life(to));
-        self.at(at, Event::Arrives { from, from_life, to, life, said });
+        let at = self.now + delay + 0.7 + self.rng.exponential(0.8);
+        let (from_generation, generation) = (self.generation(from), self.generation(to));
+        self.schedule(at, Event::Delivery { from, from_generation, to, generation, message });
     }
 
-    fn hear(&mut self, from: Who, from_life: u64, to: Who, said: Said) {
-        if let Said::Word(word) = said {
-            return self.hear_word(from, to, word);
+    fn deliver(&mut self, from: Node, from_generation: u64, to: Node, message: Message) {
+        if let Message::Membership(inner) = message {
+            return self.handle_membership_message(from, to, inner);
         }
         match (to, from) {
-            (Who::M(place), Who::Q(gateway)) => {
-                if !self.has_departed(place, gateway, from_life) {
-                    self.serve_gateway(place, gateway, said);
+            (Node::Control(index), Node::Gateway(gateway)) => {
+                if !self.has_departed(index, gateway, from_generation) {
+                    self.handle_gateway_message(index, gateway, message);
                 }
             }
-            (Who::M(place), Who::M(other)) => self.hear_control_plane(place, other, said),
-            (Who::Q(place), _) => self.hear_gateway(place, said),
+            (Node::Control(index), Node::Control(other)) => self.handle_peer_message(index, other, message),
+            (Node::Gateway(index), _) => self.handle_message_to_gateway(index, message),
         }
     }
 
-    fn serve_gateway(&mut self, place: usize, gateway: usize, said: Said) {
+    fn handle_gateway_message(&mut self, index: usize, gateway: usize, message: Message) {
         let (now, data_plane) = (self.now, membership::gateway_name(gateway));
-        let m = &mut self.control_planes[place];
-        match said {
-            Said::Here(epoch) => m.quota_service.record_contact(now, &data_plane, epoch),
-            Said::LeaseRequest(draw) => {
-                m.draws.1 += 1;
-                let answer = match m.quota_service.handle_request(now, &data_plane, &draw) {
-                    Some(grant) => Said::Grant(grant),
-                    None => Said::NotHolder(draw.number),
+        let control_plane = &mut self.control_planes[index];
+        match message {
+            Message::Contact(epoch) => control_plane.quota_service.record_contact(now, &data_plane, epoch),
+            Message::LeaseRequest(request) => {
+                control_plane.request_counter.1 += 1;
+                let answer = match control_plane.quota_service.handle_request(now, &data_plane, &request) {
+                    Some(grant) => Message::Grant(grant),
+                    None => Message::NotHolder(request.number),
                 };
-                if let Said::Grant(grant) = &answer {
-                    self.judge.granted(grant);
+                if let Message::Grant(grant) = &answer {
+                    self.metrics.record_grant(grant);
                 }
-                self.send(Who::M(place), Who::Q(gateway), answer);
+                self.send(Node::Control(index), Node::Gateway(gateway), answer);
             }
             _ => {}
         }
     }
 
-    fn hear_control_plane(&mut self, place: usize, other: usize, said: Said) {
+    fn handle_peer_message(&mut self, index: usize, other: usize, message: Message) {
         let now = self.now;
-        match said {
-            Said::Ask { number, answered, draws } => {
-                let m = &mut self.control_planes[place];
-                let lease = m.quota_service.lease_until();
-                let Some(placer) = &mut m.placer else { return };
-                let member = placer.record_offer(now, &name(other), answered, draws);
-                if now < lease {
+        match message {
+            Message::Offer { number, last_answered_offer, request_rate } => {
+                let control_plane = &mut self.control_planes[index];
+                let lease_until = control_plane.quota_service.lease_until();
+                let Some(assigner) = &mut control_plane.assigner else { return };
+                let member =
+                    assigner.record_offer(now, &control_plane_name(other), last_answered_offer, request_rate);
+                if now < lease_until {
                     let (assignment, ends_in) =
-                        (placer.assignment().clone(), if member { lease - now } else { 0.0 });
-                    self.send(Who::M(place), Who::M(other), Said::Lease { number, assignment, ends_in });
+                        (assigner.assignment().clone(), if member { lease_until - now } else { 0.0 });
+                    self.send(
+                        Node::Control(index),
+                        Node::Control(other),
+                        Message::Lease { number, assignment, ends_in },
+                    );
                 }
             }
-            Said::Lease { number, assignment, ends_in } => {
-                self.take_assignment(place, &assignment);
-                let m = &mut self.control_planes[place];
-                m.answered = m.answered.max(number);
-                if let Some((_, sent)) = m.asks.iter().find(|(n, _)| *n == number)
-                    && m.quota_service.assignment().epoch == assignment.epoch
+            Message::Lease { number, assignment, ends_in } => {
+                self.apply_assignment(index, &assignment);
+                let control_plane = &mut self.control_planes[index];
+                control_plane.last_answered_offer = control_plane.last_answered_offer.max(number);
+                if let Some((_, sent)) = control_plane.offers.iter().find(|(n, _)| *n == number)
+                    && control_plane.quota_service.assignment().epoch == assignment.epoch
                 {
                     let until = sent + ends_in.min(MAX_DEPUTY_LEASE);
-                    let until = until.max(m.quota_service.lease_until());
-                    m.quota_service.set_lease(until);
+                    let until = until.max(control_plane.quota_service.lease_until());
+                    control_plane.quota_service.set_lease(until);
                 }
             }
-            Said::HolderAssignment(assignment) => self.take_assignment(place, &assignment),
-            Said::Handover(handover) => {
-                let m = &mut self.control_planes[place];
-                if handover.assignment.epoch > m.known.epoch {
-                    m.known = handover.assignment.clone();
+            Message::HolderAssignment(assignment) => self.apply_assignment(index, &assignment),
+            Message::Handover(handover) => {
+                let control_plane = &mut self.control_planes[index];
+                if handover.assignment.epoch > control_plane.assignment.epoch {
+                    control_plane.assignment = handover.assignment.clone();
                 }
-                m.next_ask = 0.0;
-                let told = m.quota_service.accept_handover(now, handover);
-                self.hand(place, told);
-                self.ask(place);
+                control_plane.offer_at = 0.0;
+                let handovers = control_plane.quota_service.accept_handover(now, handover);
+                self.send_handovers(index, handovers);
+                self.send_offer(index);
             }
             _ => {}
         }
     }
 
-    fn hear_gateway(&mut self, place: usize, said: Said) {
+    fn handle_message_to_gateway(&mut self, index: usize, message: Message) {
         let now = self.now;
-        let g = &mut self.gateways[place];
-        let mut told = Vec::new();
-        match said {
-            Said::Heartbeat { assignment, fresh, gateways } => {
-                g.heard = now;
+        let g = &mut self.gateways[index];
+        let mut verdicts = Vec::new();
+        match message {
+            Message::Heartbeat { assignment, fresh, gateways } => {
+                g.last_heartbeat = now;
                 match gateways {
                     Some(gateways) => g.cache.update_fleet_size(now, gateways, fresh),
                     None if fresh => g.cache.record_contact(now),
                     None => {}
                 }
-                let known = g.cache.assignment().clone();
+                let previous = g.cache.assignment().clone();
                 g.cache.set_assignment(&assignment);
-                let now_known = g.cache.assignment().clone();
-                // A new connection says who has come.
+                let current = g.cache.assignment().clone();
+                // A gateway that connects to a holder sends a message at once.
                 for to in 0..self.control_planes.len() {
-                    if now_known.contains(&name(to))
-                        && (!known.contains(&name(to)) || known.epoch.term < now_known.epoch.term)
+                    if current.contains(&control_plane_name(to))
+                        && (!previous.contains(&control_plane_name(to))
+                            || previous.epoch.term < current.epoch.term)
                     {
-                        self.send(Who::Q(place), Who::M(to), Said::Here(now_known.epoch));
+                        self.send(Node::Gateway(index), Node::Control(to), Message::Contact(current.epoch));
                     }
                 }
             }
-            Said::Grant(grant) => {
-                g.drawn.remove(&grant.number);
-                g.cache.handle_grant(now, grant, &mut told);
+            Message::Grant(grant) => {
+                g.in_flight.remove(&grant.number);
+                g.cache.handle_grant(now, grant, &mut verdicts);
             }
-            Said::NotHolder(number) => {
-                g.drawn.remove(&number);
+            Message::NotHolder(number) => {
+                g.in_flight.remove(&number);
                 g.cache.request_failed(now, number);
             }
             _ => {}
         }
-        self.verdicts(place, told);
-        self.draw(place);
+        self.apply_verdicts(index, verdicts);
+        self.send_lease_requests(index);
     }
 
-    fn tick_gateway(&mut self, place: usize) {
+    fn tick_gateway(&mut self, index: usize) {
         let now = self.now;
-        self.tend_leaving(place);
+        self.advance_leaving(index);
         let control_planes = self.control_planes.len();
-        let lot = self.lots.below(control_planes);
-        let g = &mut self.gateways[place];
-        if now > g.heard + SILENT {
-            (g.follows, g.heard) = (lot, now);
-        }
-        let lost: Vec<u64> =
-            g.drawn.iter().filter(|(_, at)| now > **at + DRAW_LOST).map(|(n, _)| *n).collect();
-        for number in lost {
-            g.drawn.remove(&number);
+        let new_index = self.rng.below(control_planes);
+        let g = &mut self.gateways[index];
+        if now > g.last_heartbeat + HEARTBEAT_TIMEOUT {
+            (g.follows, g.last_heartbeat) = (new_index, now);
+        }
+        let timed_out: Vec<u64> =
+            g.in_flight.iter().filter(|(_, at)| now > **at + REQUEST_TIMEOUT).map(|(n, _)| *n).collect();
+        for number in timed_out {
+            g.in_flight.remove(&number);
             g.cache.request_failed(now, number);
         }
-        let mut told = Vec::new();
-        if g.cache.next_deadline().is_some_and(|due| now >= due) {
-            g.cache.tick(now, &mut told);
+        let mut verdicts = Vec::new();
+        if g.cache.next_deadline().is_some_and(|scheduled| now >= scheduled) {
+            g.cache.tick(now, &mut verdicts);
         }
-        self.verdicts(place, told);
-        self.draw(place);
+        self.apply_verdicts(index, verdicts);
+        self.send_lease_requests(index);
     }
 
-    fn draw(&mut self, place: usize) {
+    fn send_lease_requests(&mut self, index: usize) {
         let now = self.now;
-        for (to, draw) in self.gateways[place].cache.lease_requests(now) {
-            self.judge.drew();
-            let to = (0..self.control_planes.len()).find(|other| *name(*other) == *to);
+        for (to, request) in self.gateways[index].cache.lease_requests(now) {
+            self.metrics.record_lease_request();
+            let to = (0..self.control_planes.len()).find(|other| *control_plane_name(*other) == *to);
             match to {
                 Some(to) => {
-                    self.gateways[place].drawn.insert(draw.number, now);
-                    self.send(Who::Q(place), Who::M(to), Said::LeaseRequest(draw));
+                    self.gateways[index].in_flight.insert(request.number, now);
+                    self.send(Node::Gateway(index), Node::Control(to), Message::LeaseRequest(request));
                 }
-                None => self.gateways[place].cache.request_failed(now, draw.number),
+                None => self.gateways[index].cache.request_failed(now, request.number),
             }
         }
     }
 
-    fn request(&mut self, tenant: usize) {
-        let (now, number) = (self.now, self.requests);
-        self.requests += 1;
-        let Some(place) = self.gateway_for(tenant) else { return };
-        self.judge.asked(now, tenant);
-        if !self.is_awake(Who::Q(place)) {
+    fn handle_client_request(&mut self, tenant: usize) {
+        let (now, number) = (self.now, self.request_count);
+        self.request_count += 1;
+        let Some(index) = self.choose_gateway(tenant) else { return };
+        self.metrics.record_request(now, tenant);
+        if !self.is_running(Node::Gateway(index)) {
             return;
         }
-        let patience = self.patience;
-        let g = &mut self.gateways[place];
-        match g.cache.admit(now, number, &self.loads[tenant].quota.tenant, patience) {
-            Verdict::Granted => self.runs(tenant, 0.0),
-            Verdict::Refused { .. } => self.judge.refused(tenant),
+        let max_wait = self.max_wait;
+        let g = &mut self.gateways[index];
+        match g.cache.admit(now, number, &self.loads[tenant].quota.tenant, max_wait) {
+            Verdict::Granted => self.record_run(tenant, 0.0),
+            Verdict::Refused { .. } => self.metrics.record_refusal(tenant),
             Verdict::Wait { .. } => {
-                g.waits.insert(number, (tenant, now));
+                g.waiting.insert(number, (tenant, now));
             }
         }
-        self.draw(place);
+        self.send_lease_requests(index);
     }
 
-    /// The gateway that a client of the tenant goes to.
-    fn gateway_for(&mut self, tenant: usize) -> Option<usize> {
+    /// Selects the gateway for a client request of a tenant.
+    fn choose_gateway(&mut self, tenant: usize) -> Option<usize> {
         if self.membership.is_some() {
-            let open = self.open_gateways();
-            let lot = self.clients.below(open.len());
-            return open.get(lot).copied();
+            let open = self.admitting_gateways();
+            let choice = self.client_rng.below(open.len());
+            return open.get(choice).copied();
         }
-        let some = ((self.gateways.len() as f64 * self.reach).ceil() as usize).clamp(1, self.gateways.len());
-        let place = (self.clients.below(some) + tenant * 7) % self.gateways.len();
-        self.gateways[place].up.then_some(place)
+        let count = ((self.gateways.len() as f64 * self.gateway_fraction).ceil() as usize)
+            .clamp(1, self.gateways.len());
+        let index = (self.client_rng.below(count) + tenant * 7) % self.gateways.len();
+        self.gateways[index].up.then_some(index)
     }
 
-    fn runs(&mut self, tenant: usize, waited: f64) {
-        let stray = self.lots.unit() * 100.0;
-        self.judge.runs(self.now + stray, tenant, waited);
+    fn record_run(&mut self, tenant: usize, waited: f64) {
+        let dispatch_delay = self.rng.uniform() * 100.0;
+        self.metrics.record_run(self.now + dispatch_delay, tenant, waited);
     }
 
-    fn verdicts(&mut self, place: usize, told: Vec<(u64, Verdict)>) {
-        for (request, verdict) in told {
-            let Some((tenant, since)) = self.gateways[place].waits.remove(&request) else { continue };
+    fn apply_verdicts(&mut self, index: usize, verdicts: Vec<(u64, Verdict)>) {
+        for (request, verdict) in verdicts {
+            let Some((tenant, since)) = self.gateways[index].waiting.remove(&request) else { continue };
             match verdict {
-                Verdict::Granted => self.runs(tenant, self.now - since),
-                _ => self.judge.refused(tenant),
+                Verdict::Granted => self.record_run(tenant, self.now - since),
+                _ => self.metrics.record_refusal(tenant),
             }
         }
     }
 
-    /// Has the gateways take grants of older epochs.
+    /// Injects a fault: the gateways accept grants of older epochs.
     pub fn inject_ignored_epoch(&mut self) {
         self.gateways.iter_mut().for_each(|g| g.cache.inject_ignored_epoch());
     }
 
-    /// Units that were spent as slices.
-    pub fn by_slice(&self) -> u64 {
+    /// Units spent from fallback slices.
+    pub fn granted_by_slice(&self) -> u64 {
         self.gateways.iter().flat_map(|g| g.cache.stats()).map(|f| f.granted_by_slice).sum()
     }
 }
 
-fn name(place: usize) -> String {
-    format!("10.0.{place}.1:7000")
+fn control_plane_name(index: usize) -> String {
+    format!("10.0.{index}.1:7000")
 }
