--- a/crates/quota/examples/leases.rs
+++ b/crates/quota/examples/leases.rs
@@ -1,5 +1,10 @@
 //! Reports the cost of quota leases in randomized simulations, and the requests that leases refuse but a single token
 //! bucket would grant.
+//!
+//! Columns: client requests; requests missed compared with a token bucket; refused requests; requests that waited for a
+//! block, with their mean and 99th percentile wait; lease requests and their bytes per client request; granted units
+//! that were not spent; requests paid from fallback slices; the worst compliance span relative to the compliance bound.
+//! An argument selects the cases whose name contains it.
 
 #[path = "../tests/world/mod.rs"]
 mod world;
@@ -35,6 +40,7 @@
     (0..82).map(|n| Load::new(n, rate(n), if n < 6 { 125.0 } else { burst }, 0.62)).collect()
 }
 
+/// Sets the request rate of all clients relative to the quotas.
 fn with_demand(mut loads: Vec<Load>, demand_ratio: f64) -> Vec<Load> {
     for load in &mut loads {
         load.demand_ratio = demand_ratio;
@@ -42,6 +48,7 @@
     loads
 }
 
+/// Adds a load peak to each tenant, starting between 6 and 9 s and ending at 9 s.
 fn with_peak(mut loads: Vec<Load>, factor: f64) -> Vec<Load> {
     for (n, load) in loads.iter_mut().enumerate() {
         load.peak = (6000.0 + 200.0 * n as f64 % 3000.0, 9000.0, factor);
@@ -62,6 +69,7 @@
     name: &'static str,
     gateways: usize,
     loads: Vec<Load>,
+    /// Fraction of the gateways that receive requests of a given tenant.
     gateway_fraction: f64,
     multi_holder: bool,
     kill_holder: bool,
@@ -100,7 +108,7 @@
         },
     ];
     println!(
-        "case                      |  asked | missed % | refused % | waits % | mean | p99 ms | draws/r | bytes/r | stranded % | slices % | worst"
+        "case                      |   reqs | missed % | refused % | waits % | mean | p99 ms | lease/r | bytes/r |   unused % | slices % | worst"
     );
     for case in
         cases.iter().filter(|case| filter.as_ref().is_none_or(|filter| case.name.contains(filter.as_str())))
@@ -116,7 +124,7 @@
                 Faults::default(),
             );
             world.gateway_fraction = case.gateway_fraction;
-            let mut run = |until: f64| world.run_until(until).unwrap_or_else(|fault| println!("{fault}"));
+            let mut run = |until: f64| world.run_until(until).unwrap_or_else(|error| println!("{error}"));
             run(14_000.0);
             if case.kill_holder {
                 let victim = if case.multi_holder { world.random_deputy() } else { world.leader };
@@ -124,7 +132,7 @@
                     world.kill(Node::Control(victim));
                 }
             }
-            world.run_until(20_000.0).unwrap_or_else(|fault| println!("{fault}"));
+            world.run_until(20_000.0).unwrap_or_else(|error| println!("{error}"));
             add(&mut total, &world.metrics.summary());
             granted_by_slice += world.granted_by_slice();
         }
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -1,5 +1,9 @@
 //! The holder side of quota leases: one counter per tenant and window, from which gateways are granted blocks of
 //! units.
+//!
+//! A counter is open while the holder grants units from it. After a change of holder, a counter is closed until every
+//! block of the former holder has expired, unless the former holder hands the counter over or the log has a floor for
+//! it.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -44,9 +48,10 @@
     granted: f64,
     /// Fraction of a refill that silent gateways may spend: the largest value seen during this window.
     silent_fraction: f64,
+    /// Before this time, units are granted only as in `grant_while_closed`.
     closed_until: Millis,
     floor: Floor,
-    /// Until then, a handover from the former holder opens the counter at once.
+    /// Before this time, a handover from the former holder opens the counter at once.
     handover_deadline: Millis,
     removed_at: Option<Millis>,
 }
@@ -68,11 +73,12 @@
 #[derive(Debug)]
 pub struct QuotaHolder {
     epoch: Epoch,
-    /// Start of the first window. All window ends are whole windows after this time.
+    /// Start of the first window. Every window ends a whole number of window lengths after this time.
     window_origin: Millis,
     /// When the current assignment arrived, and for how long after it the leases of a former holder may last.
     assigned_at: Millis,
     closed_for: Millis,
+    /// No holder existed before, so counters open at once with their maximum.
     first_holder: bool,
     configured: bool,
     fleet_size: u32,
@@ -206,8 +212,8 @@
             if let Some(counter) = self.counters.get_mut(&quota.tenant) {
                 counter.removed_at = None;
                 counter.next_params = params;
-                // A change from or to an unlimited quota takes effect at once: there is no current window to wait
-                // for.
+                // A change from or to an unlimited quota takes effect at once: an unlimited quota has no window whose
+                // end could be awaited.
                 if counter.params.is_none() || params.is_none() {
                     counter.params = params;
                     counter.window_end = now;
@@ -215,18 +221,18 @@
                 }
                 continue;
             }
-            let window = params.map_or(0.0, |t| t.window);
+            let window = params.map_or(0.0, |p| p.window);
             let opens_at = self.assigned_at + self.closed_for + window;
             let closed = !self.first_holder && (!self.configured || now < opens_at);
             let floor = self.floors.remove(&quota.tenant).unwrap_or(0);
             // A floor below one refill is not used: fallback slices give as much and reach all gateways at once.
-            let starts_at_floor = closed && params.is_some_and(|t| f64::from(floor) >= t.refill);
+            let starts_at_floor = closed && params.is_some_and(|p| f64::from(floor) >= p.refill);
             let closed = closed && !starts_at_floor;
             let closed_until = if closed { opens_at.max(now) } else { now };
             // With several holders, a tenant that is new here may have had another holder before: this holder may
             // receive the configuration late. Such a counter starts with one refill only.
             let full = self.first_holder || self.epoch.number <= 1;
-            let free = params.map_or(0.0, |t| if full { t.max_units } else { t.refill });
+            let free = params.map_or(0.0, |p| if full { p.max_units } else { p.refill });
             let free = if starts_at_floor { free.min(floor.into()) } else { free };
             let free = if closed { 0.0 } else { free };
             let expects_handover = closed && self.epoch.number > 1;
@@ -348,7 +354,7 @@
     /// units are granted.
     pub fn needs_lower_floor(&self) -> bool {
         let needs_lower = |c: &Counter| {
-            c.params.is_some_and(|t| c.removed_at.is_none() && c.floor.needs_lowering(t.refill))
+            c.params.is_some_and(|p| c.removed_at.is_none() && c.floor.needs_lowering(p.refill))
         };
         self.counters.values().any(needs_lower)
     }
@@ -466,7 +472,7 @@
         let Some(mut counter) = self.counters.remove(tenant) else { return };
         let mut steps = 0;
         while let Some(params) =
-            counter.params.filter(|t| now + EARLY_TOLERANCE.min(t.window * 0.05) >= counter.window_end)
+            counter.params.filter(|p| now + EARLY_TOLERANCE.min(p.window * 0.05) >= counter.window_end)
         {
             // While a counter is closed, gateways spend slices instead of grants, not in addition to them.
             if counter.window_end > counter.closed_until {
--- a/crates/quota/src/lease_cache/tenant_state.rs
+++ b/crates/quota/src/lease_cache/tenant_state.rs
@@ -30,7 +30,7 @@
 
     /// Demand expected until the block's window ends, or for a whole window if there is no current block.
     pub(super) fn remaining_demand(&self, now: Millis) -> f64 {
-        let window = self.params.map_or(1.0, |t| t.window);
+        let window = self.params.map_or(1.0, |p| p.window);
         if now < self.window_ends_at {
             self.demand * ((self.window_ends_at - now) / window).min(1.0)
         } else {
@@ -104,7 +104,7 @@
 
     pub(super) fn refuse(&mut self, now: Millis, random: f64) -> Verdict {
         self.refused += 1;
-        let window = self.params.map_or(1000.0, |t| t.window);
+        let window = self.params.map_or(1000.0, |p| p.window);
         let window_end = if now < self.window_ends_at { self.window_ends_at } else { self.slice_ends_at };
         let until_window_end = if now < window_end { window_end - now } else { window * 0.5 };
         Verdict::Refused { retry_after: until_window_end + window * RETRY_JITTER_RATIO * random }
--- a/crates/quota/tests/gateway_departures.rs
+++ b/crates/quota/tests/gateway_departures.rs
@@ -13,7 +13,7 @@
 /// Upper limit of the worst compliance span of any tenant, as a fraction of the compliance bound.
 const MAX_SPAN_RATIO: f64 = 0.97;
 
-/// Tenants whose clients send requests at a constant fraction of their quota.
+/// Tenants whose clients send requests at a constant multiple of their quota.
 fn loads(demand_ratio: f64) -> Vec<Load> {
     let rates = [150.0, 100.0, 60.0, 40.0];
     rates.iter().enumerate().map(|(n, rate)| Load::new(n, *rate, rate * 0.5, demand_ratio)).collect()
@@ -112,7 +112,7 @@
     while world.now < 35_000.0 {
         let fault = match scenario {
             Scenario::All => world.rng.below(7),
-            other => other as usize,
+            single => single as usize,
         };
         inject_fault(&mut world, fault)?;
         // Stopped gateways start again before the control planes tell gateways to divide by a smaller fleet.
--- a/crates/quota/tests/gateway_reconnect.rs
+++ b/crates/quota/tests/gateway_reconnect.rs
@@ -17,7 +17,7 @@
 /// Time between two isolations (ms), enough for a few lease requests.
 const RECONNECT_DURATION: f64 = 250.0;
 
-/// A simulation whose clients send requests at a constant fraction of the quotas.
+/// A simulation whose clients send requests at a constant multiple of the quotas.
 fn world(seed: u64, gateways: usize, demand_ratio: f64) -> World {
     let rates = [150.0, 100.0, 60.0, 40.0];
     let loads = rates.iter().enumerate().map(|(n, rate)| Load::new(n, *rate, rate * 0.5, demand_ratio));
--- a/crates/quota/tests/multiple_holders.rs
+++ b/crates/quota/tests/multiple_holders.rs
@@ -51,11 +51,11 @@
     let mut holders = world.holder_count();
     while world.now < 30_000.0 {
         let duration = 300.0 + world.rng.uniform() * 2_200.0;
-        let other = match scenario {
+        let fault = match scenario {
             Scenario::All => world.rng.below(8),
-            other => other as usize,
+            single => single as usize,
         };
-        inject_fault(&mut world, other, duration)?;
+        inject_fault(&mut world, fault, duration)?;
         let pause = 300.0 + world.rng.uniform() * 2_500.0;
         world.run_until(world.now + duration + pause)?;
         world.heal();
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -104,21 +104,28 @@
     quota_service: QuotaService,
     assigner: Option<HolderAssigner>,
     assignment: HolderAssignment,
+    /// Number and time of each recent offer to the leader.
     offers: VecDeque<(u64, f64)>,
     last_answered_offer: u64,
     offer_at: f64,
     next_broadcast: f64,
+    /// Start of the current measuring interval, lease requests since then, and the last measured rate per second.
     request_counter: (f64, u64, f64),
+    /// Number of crashes. Messages to an earlier generation are dropped.
     generation: u64,
     up: bool,
 }
 
 struct Gateway {
     cache: LeaseCache,
+    /// The control plane whose heartbeats the gateway receives.
     follows: usize,
     last_heartbeat: f64,
+    /// Lease requests in flight and when they were sent.
     in_flight: BTreeMap<u64, f64>,
+    /// Requests that wait for a decision, with their tenant and their time of arrival.
     waiting: HashMap<u64, (usize, f64)>,
+    /// Number of crashes. Messages to an earlier generation are dropped.
     generation: u64,
     up: bool,
 }
@@ -127,10 +134,11 @@
 #[derive(Clone, Debug)]
 pub struct Load {
     pub quota: Quota,
-    /// Average request rate of the clients, as a fraction of the quota's rate.
+    /// Average request rate of the clients, relative to the quota's rate.
     pub demand_ratio: f64,
     /// Start and end of a load peak within each period, and the factor by which the request rate rises.
     pub peak: (f64, f64, f64),
+    /// Time after which the load peak repeats.
     pub period: f64,
 }
 
@@ -141,6 +149,7 @@
     }
 }
 
+/// The simulated fleet and its clients. All times are in milliseconds.
 pub struct World {
     pub now: f64,
     pub rng: Rng,
@@ -212,9 +221,9 @@
         for index in 0..gateways {
             let gateway = world.new_gateway(index, 0, &quotas, gateways);
             world.gateways.push(gateway);
-            let (tick, sign) = (world.rng.uniform() * 10.0, world.rng.uniform() * CONTACT_INTERVAL);
+            let (tick, contact) = (world.rng.uniform() * 10.0, world.rng.uniform() * CONTACT_INTERVAL);
             world.schedule(tick, Event::Tick(Node::Gateway(index)));
-            world.schedule(sign, Event::ContactTimer(index));
+            world.schedule(contact, Event::ContactTimer(index));
         }
         for tenant in 0..world.loads.len() {
             world.schedule_request(tenant, 2000.0);
