--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -21,10 +21,10 @@
 const REMOVED_TENANT_RETENTION: Millis = 10_000.0;
 /// Maximum number of gateways tracked by name. Further gateways are served but count as silent.
 const MAX_GATEWAYS: usize = 4096;
-/// A block is at most an even share of the available units divided by this.
+/// A block is at most an even share of the available units divided by this, unless waiting requests need more.
 const EVEN_BLOCK_DIVISOR: f64 = 1.5;
-/// Minimum block size, as a fraction of the even share of a refill. Without a minimum, the blocks of a busy tenant
-/// keep shrinking.
+/// Lower bound of the block limit, as a fraction of the even share of a refill. Without this bound, the blocks of a
+/// busy tenant keep shrinking.
 const MIN_BLOCK_RATIO: f64 = 0.2;
 /// How long a counter waits for the handover from its former holder. Meanwhile lease requests are answered with
 /// [`CounterStatus::RetryLater`].
--- a/crates/quota/src/holder_state.rs
+++ b/crates/quota/src/holder_state.rs
@@ -13,7 +13,7 @@
 const MAX_IN_FLIGHT: usize = 8;
 
 #[derive(Debug)]
-pub(crate) struct InFlight {
+pub(crate) struct InFlightRequest {
     pub(crate) number: u64,
     pub(crate) sent_at: Millis,
 }
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(crate) struct HolderState {
     pub(crate) name: Rc<str>,
-    in_flight: Vec<InFlight>,
+    in_flight: Vec<InFlightRequest>,
     silent: bool,
     pub(crate) next_probe_at: Millis,
 }
@@ -32,7 +32,7 @@
     }
 
     pub(crate) fn is_silent(&mut self, now: Millis) -> bool {
-        self.silent |= self.in_flight.iter().any(|s| now >= s.sent_at + SILENCE_TIMEOUT);
+        self.silent |= self.in_flight.iter().any(|r| now >= r.sent_at + SILENCE_TIMEOUT);
         self.silent
     }
 
@@ -46,19 +46,19 @@
     }
 
     pub(crate) fn record_sent(&mut self, now: Millis, number: u64) {
-        self.in_flight.push(InFlight { number, sent_at: now });
+        self.in_flight.push(InFlightRequest { number, sent_at: now });
         self.next_probe_at = now + PROBE_INTERVAL;
     }
 
     /// Removes a request from those in flight.
-    pub(crate) fn take_in_flight(&mut self, number: u64) -> Option<InFlight> {
-        let at = self.in_flight.iter().position(|s| s.number == number)?;
+    pub(crate) fn take_in_flight(&mut self, number: u64) -> Option<InFlightRequest> {
+        let at = self.in_flight.iter().position(|r| r.number == number)?;
         Some(self.in_flight.swap_remove(at))
     }
 
     /// Numbers of the requests in flight.
     pub(crate) fn in_flight_numbers(&self) -> impl Iterator<Item = u64> {
-        self.in_flight.iter().map(|s| s.number)
+        self.in_flight.iter().map(|r| r.number)
     }
 
     /// Records an answer: the holder is no longer silent.
@@ -73,12 +73,12 @@
 
     /// A request that has reached its timeout, if any.
     pub(crate) fn overdue_request(&self, now: Millis) -> Option<u64> {
-        self.in_flight.iter().find(|s| now >= s.sent_at + REQUEST_TIMEOUT).map(|s| s.number)
+        self.in_flight.iter().find(|r| now >= r.sent_at + REQUEST_TIMEOUT).map(|r| r.number)
     }
 
     /// When the holder becomes silent or the next request times out.
     pub(crate) fn next_deadline(&self) -> Millis {
         let timeout = if self.silent { REQUEST_TIMEOUT } else { SILENCE_TIMEOUT };
-        self.in_flight.iter().fold(f64::INFINITY, |deadline, s| deadline.min(s.sent_at + timeout))
+        self.in_flight.iter().fold(f64::INFINITY, |deadline, r| deadline.min(r.sent_at + timeout))
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -42,7 +42,7 @@
 /// A lease cache considers a holder silent when a lease request has had no answer for this long. A holder charges the
 /// fallback slice of a silent gateway starting this long after the gateway's last message.
 pub const SILENCE_TIMEOUT: Millis = 300.0;
-/// A holder considers a gateway silent when its last message is this old.
+/// A holder considers a gateway silent this long after the gateway's last message.
 pub const GATEWAY_TIMEOUT: Millis = 1500.0;
 /// Longest lease of a deputy (a holder other than the leader), counted from when the deputy requested it. The leader
 /// never extends a deputy's lease beyond its own lease.
--- a/crates/quota/src/window_params.rs
+++ b/crates/quota/src/window_params.rs
@@ -26,8 +26,8 @@
 /// client requests.
 const MIN_WINDOW: Millis = 400.0;
 /// Number of times that the shortest window may be doubled. All lengths are the shortest window times a power of two,
-/// so the windows of several tenants end together and one message renews them all. With longer windows, two whole
-/// windows could fall into one compliance span.
+/// so the windows of several tenants end together and one message renews them all. With longer windows, the units of
+/// two whole windows could be spent within a short time.
 const MAX_WINDOW_DOUBLINGS: u32 = 2;
 /// Minimum headroom: units above the burst that a window may grant if the bound has room. Blocks hold some units that
 /// are never spent, and a window gets its refill at once where a token bucket would refill while it is drained.
