--- a/crates/quota/src/holder_state.rs
+++ b/crates/quota/src/holder_state.rs
@@ -61,7 +61,8 @@
         self.in_flight.iter().map(|r| r.number)
     }
 
-    /// Records an answer: the holder is no longer silent.
+    /// Records an answer: the holder is no longer silent. An older request that is still unanswered after
+    /// `SILENCE_TIMEOUT` marks the holder silent again at the next check.
     pub(crate) fn record_answer(&mut self) {
         self.silent = false;
     }
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -143,8 +143,8 @@
 }
 
 impl Load {
-    pub fn new(name: usize, rate: f64, burst: f64, demand_ratio: f64) -> Self {
-        let quota = Quota { tenant: format!("tenant-{name}"), rate_per_s: rate, burst };
+    pub fn new(index: usize, rate: f64, burst: f64, demand_ratio: f64) -> Self {
+        let quota = Quota { tenant: format!("tenant-{index}"), rate_per_s: rate, burst };
         Self { quota, demand_ratio, peak: (0.0, 0.0, 1.0), period: f64::INFINITY }
     }
 }
@@ -434,7 +434,7 @@
             let tenant = &load.quota.tenant;
             let holds = |c: &&ControlPlane| c.up && c.quota_service.may_grant_for(self.now, tenant);
             if self.control_planes.iter().filter(holds).count() > 1 {
-                return Err(format!("{tenant} is held twice at {:.0} ms", self.now));
+                return Err(format!("{tenant} has more than one holder at {:.0} ms", self.now));
             }
         }
         Ok(())
