--- a/crates/raft/src/bounded_model_check/search.rs
+++ b/crates/raft/src/bounded_model_check/search.rs
@@ -1,35 +1,36 @@
-//! Breadth first over all that may happen, each state once.
+//! Breadth-first search over all possible events, visiting each state once.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
 
 use super::world::{Event, World};
 
-/// How far a search got.
+/// The extent of a search.
 #[derive(Debug)]
 pub struct Reach {
-    /// Different ones.
+    /// The number of distinct states.
     pub states: usize,
-    /// What was tried in them.
+    /// The number of events tried in these states.
     pub events: usize,
-    /// All states so many events from the start were looked at.
+    /// The number of events from the start up to which all states were explored.
     pub depth: usize,
-    /// Whether there are no others.
+    /// Whether no unexplored states remain.
     pub exhausted: bool,
-    /// The most entries that were committed in any of them.
+    /// The largest number of committed entries in any state.
     pub committed: usize,
-    /// The shortest and the longest list of voters that any node went by.
+    /// The lengths of the shortest and the longest list of voters that any node used.
     pub list_lengths: (usize, usize),
 }
 
-/// By what a state was reached first: from which, and whether the disk is still busy with it.
+/// Maps each state to its predecessor, the event that led to the state, and whether the disk write of that event is
+/// still pending.
 type Seen = HashMap<u64, Option<(u64, Event, bool)>>;
 
-/// Looks at all states up to that many events from the start, or until there are too many of them.
+/// Explores all states up to `depth` events from the start, or until there are more than `max_states` states.
 ///
 /// # Errors
-/// What must never be, and the events that lead there.
-pub fn search(start: World, depth: usize, most: usize) -> Result<Reach, String> {
+/// A violated property and the events that lead to the violation.
+pub fn search(start: World, depth: usize, max_states: usize) -> Result<Reach, String> {
     let mut seen: Seen = HashMap::from([(start.digest(), None)]);
     let mut reach = Reach {
         states: 1,
@@ -40,24 +41,25 @@
         list_lengths: (usize::MAX, 0),
     };
     let mut level = vec![(start.digest(), start.clone())];
-    while reach.depth < depth && !level.is_empty() && seen.len() <= most {
+    while reach.depth < depth && !level.is_empty() && seen.len() <= max_states {
         let mut next = Vec::new();
         for (digest, world) in level {
             world.measure(&mut reach);
             for event in world.events() {
                 reach.events += 1;
-                let (done, busy) =
-                    world.after(&event).map_err(|fault| path(&start, &seen, digest, &event, &fault))?;
-                for (after, busy) in [(Some(done), false), (busy, true)] {
+                let (done, sync_pending) = world
+                    .after(&event)
+                    .map_err(|violation| path(&start, &seen, digest, &event, &violation))?;
+                for (after, sync_pending) in [(Some(done), false), (sync_pending, true)] {
                     let Some(after) = after else { continue };
                     let found = after.digest();
                     if let Entry::Vacant(place) = seen.entry(found) {
-                        place.insert(Some((digest, event.clone(), busy)));
+                        place.insert(Some((digest, event.clone(), sync_pending)));
                         next.push((found, after));
                     }
                 }
             }
-            if seen.len() > most {
+            if seen.len() > max_states {
                 reach.states = seen.len();
                 return Ok(reach);
             }
@@ -69,19 +71,19 @@
     Ok(reach)
 }
 
-/// A fault, and all that led there, a line each.
-fn path(start: &World, seen: &Seen, mut digest: u64, last: &Event, fault: &str) -> String {
+/// A violation followed by the events that led to it, one per line.
+fn path(start: &World, seen: &Seen, mut digest: u64, last: &Event, violation: &str) -> String {
     let mut path = vec![(last.clone(), false)];
-    while let Some(Some((before, event, busy))) = seen.get(&digest) {
-        path.push((event.clone(), *busy));
+    while let Some(Some((before, event, sync_pending))) = seen.get(&digest) {
+        path.push((event.clone(), *sync_pending));
         digest = *before;
     }
-    let mut lines = vec![fault.to_owned()];
+    let mut lines = vec![violation.to_owned()];
     let mut world = start.clone();
-    for (event, busy) in path.into_iter().rev() {
-        lines.push(world.describe(&event, busy));
+    for (event, sync_pending) in path.into_iter().rev() {
+        lines.push(world.describe(&event, sync_pending));
         let Ok((done, later)) = world.after(&event) else { break };
-        world = later.filter(|_| busy).unwrap_or(done);
+        world = later.filter(|_| sync_pending).unwrap_or(done);
     }
     lines.join("\n    ")
 }
--- a/crates/raft/src/bounded_model_check/time_abstraction.rs
+++ b/crates/raft/src/bounded_model_check/time_abstraction.rs
@@ -1,12 +1,12 @@
-//! States of the search, without what only depends on time.
+//! Removes time-dependent values from the states of the search.
 
 use super::world::NOW;
 use crate::node::Node;
 use crate::types::{Millis, Role};
 
 impl Node {
-    /// Sets all that only depends on time, or is only told, to one value, so that states that differ in nothing else
-    /// are one. The search says when a timer fires.
+    /// Resets every value that depends on time or is only reported, so that states that differ in nothing else are
+    /// equal. The search itself decides when a timer fires.
     pub(super) fn forget_time(&mut self) {
         self.election_deadline = Millis::MAX;
         self.votes_withheld_until = 0;
@@ -22,10 +22,11 @@
         leader.sent_heartbeats.clear();
         leader.pending_proposals.clear();
         for peer in &mut leader.peers {
-            // Voters are silent, so that no lease binds anybody; learners are heard, so that they can be added.
+            // Voters count as silent, so that no lease blocks an election. Learners count as responsive, so that
+            // they can be promoted.
             peer.answered_heartbeat_at = (!members.contains(&peer.id)).then_some(NOW);
             (peer.expires_at, peer.unanswered_chunk_attempts) = (Millis::MAX, 0);
-            // Whatever is not answered when a heartbeat is counts as lost.
+            // Any message that is unanswered when a heartbeat is answered counts as lost.
             peer.in_flight.iter_mut().for_each(|message| message.presumed_lost_at = 0);
             peer.transfer.iter_mut().for_each(|transfer| transfer.forget_time(self.limits));
         }
--- a/crates/raft/src/bounded_model_check/world.rs
+++ b/crates/raft/src/bounded_model_check/world.rs
@@ -1,7 +1,7 @@
-//! Some voters, their disks and all that was ever sent: one state of the search, and what may happen next.
+//! One state of the search: some nodes, their disks and all messages sent so far, and the events that may happen next.
 //!
-//! Each node's clock is the search's: a timer fires when it says so, and nothing else is bound by time. What was sent can
-//! be delivered at any time and any number of times, or never.
+//! The search controls the clock: a timer fires when the search decides, and nothing else depends on time. A message
+//! can be delivered at any time, any number of times, or never.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -16,63 +16,63 @@
     Entry, Input, Message, Millis, Output, Payload, PersistentState, Save, Snapshot, Timing, VoterId,
 };
 
-/// Elections are over, leases have ended, and a leader's own patience has not.
+/// The fixed current time: election timeouts and leases have expired, but a leader does not step down yet.
 pub(super) const NOW: Millis = 150;
-/// Far behind a leader's patience.
+/// A time at which a leader without contact to a majority has stepped down.
 const LATE: Millis = 1_000;
 const TIMING: Timing = Timing { heartbeat: 8, election: 100, lease: 50 };
 
-/// A fault that the search has to find. None of them is in the node: they change what goes in and comes out.
+/// A fault that the search must detect. The faults are not in the node; they alter its inputs and outputs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
-    Nothing,
-    /// Saves of a hard state count as on disk before they are.
+pub enum Fault {
+    None,
+    /// Saves of the hard state are reported as durable too early.
     VoteBeforeSync,
-    /// So do saves of entries.
+    /// Saves of entries are reported as durable too early.
     EntriesBeforeSync,
-    /// What a majority has on disk is taken for committed, of whatever term it is.
+    /// Entries of older terms count as committed once a majority has them on disk.
     OldTermCounts,
-    /// Messages from a wiped voter bear its former number.
-    WipedCounts,
-    /// What is proposed is a list of voters: it goes past the rule of one at a time.
-    SecondList,
-    /// Messages from a voter that is off the receiver's list count as those of one that is on it.
-    RemovedCounts,
+    /// Messages from a wiped voter carry its former incarnation.
+    WipedVoterCounts,
+    /// A proposal changes the list of voters while another change may be pending.
+    OverlappingListChanges,
+    /// Messages from a node that is not on the receiver's list count as messages of a member.
+    RemovedVoterCounts,
 }
 
-/// What may happen next.
+/// An event that may happen next. Numbers are indexes of messages or hosts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     Deliver(usize),
-    /// A node that leads not stands for election; those it sounds out say yes.
+    /// A node that is not the leader starts an election; all pre-votes are granted.
     RequestVote(usize),
     Heartbeat(usize),
-    /// A leader reaches no majority.
-    GiveWay(usize),
+    /// A leader without contact to a majority steps down.
+    StepDown(usize),
     Sync(usize),
     Propose(usize),
     Add(usize, VoterId),
     Remove(usize, VoterId),
     Compact(usize),
-    /// Power goes; so many of the saves under way are on disk.
+    /// A host restarts after a power loss with the given number of pending saves on disk.
     Restart(usize, usize),
-    /// The disk is lost.
+    /// A host loses its disk.
     Wipe(usize),
 }
 
-/// How often what is rare may happen, and up to which term anybody stands.
+/// How often rare events may happen, and the highest term in which a node may start an election.
 #[derive(Clone, Copy, Debug, Default, Hash)]
 pub struct Budget {
     pub term: u64,
-    /// Steps after which a disk is still busy.
-    pub lazy: u8,
+    /// The number of events after which the save of the event may remain pending.
+    pub slow_syncs: u8,
     pub restarts: u8,
     pub wipes: u8,
     pub proposals: u8,
     pub joins: u8,
     pub leaves: u8,
     pub compactions: u8,
-    pub give_ways: u8,
+    pub step_downs: u8,
 }
 
 struct Sent {
@@ -90,13 +90,13 @@
     digest: u64,
 }
 
-/// What happened and must not happen otherwise again.
+/// The facts that later events must not contradict.
 #[derive(Clone, Default, Hash)]
-struct Past {
-    /// What was committed, and in the term of which leader.
+struct History {
+    /// The committed entries, each with the term of the node that committed the entry first.
     committed: Vec<(Entry, u64)>,
     leaders: BTreeMap<u64, VoterId>,
-    /// Who was told by whom in which term that it has the vote.
+    /// The candidate that received the vote of each voter in each term.
     votes: BTreeMap<(u64, VoterId), VoterId>,
 }
 
@@ -104,11 +104,11 @@
 pub struct World {
     hosts: Vec<Host>,
     net: Rc<Vec<Rc<Sent>>>,
-    past: Rc<Past>,
-    past_digest: u64,
+    history: Rc<History>,
+    history_digest: u64,
     pub budget: Budget,
     limits: TransferLimits,
-    plant: Plant,
+    fault: Fault,
 }
 
 pub fn voter(host: usize, incarnation: u64) -> VoterId {
@@ -116,12 +116,12 @@
 }
 
 pub fn host_of(voter: &VoterId) -> usize {
-    voter.address[1..].parse().expect("a host's address")
+    voter.address[1..].parse().expect("an address of a simulated host")
 }
 
 impl World {
-    /// founding voters, and hosts that are no voters yet.
-    pub fn new(founders: usize, learners: usize, plant: Plant) -> World {
+    /// Creates founding voters, and hosts that are not voters yet.
+    pub fn new(founders: usize, learners: usize, fault: Fault) -> World {
         let list: Vec<VoterId> = (0..founders).map(|at| voter(at, 0)).collect();
         let hosts = (0..founders + learners).map(|at| {
             let founders = if at < founders { list.clone() } else { Vec::new() };
@@ -131,32 +131,32 @@
         World {
             hosts: hosts.collect(),
             net: Rc::default(),
-            past: Rc::default(),
-            past_digest: 0,
+            history: Rc::default(),
+            history_digest: 0,
             budget: Budget::default(),
             limits: TransferLimits::PRODUCTION,
-            plant,
+            fault,
         }
     }
 
     pub fn digest(&self) -> u64 {
-        // In which order they were sent makes no difference.
+        // The order in which messages were sent is irrelevant.
         let net = self.net.iter().fold(0, |sum: u64, sent| sum.wrapping_add(sent.digest));
         let hosts = self.hosts.iter().map(|host| host.digest).collect::<Vec<_>>();
-        digest(&(hosts, net, self.past_digest, self.budget))
+        digest(&(hosts, net, self.history_digest, self.budget))
     }
 
-    /// Adds to what a search has reached: entries that are committed, and lists of voters that nodes go by.
+    /// Updates the extent of the search with the committed entries and the lists of voters of this state.
     pub fn measure(&self, reach: &mut Reach) {
-        reach.committed = reach.committed.max(self.past.committed.len());
+        reach.committed = reach.committed.max(self.history.committed.len());
         let lists = self.hosts.iter().map(|host| host.node.members().len());
-        // A host that is no voter yet has no list.
+        // A host that has not joined yet has an empty list.
         for length in lists.filter(|length| *length > 0) {
             reach.list_lengths = (reach.list_lengths.0.min(length), reach.list_lengths.1.max(length));
         }
     }
 
-    /// All that may happen.
+    /// All events that may happen next.
     pub fn events(&self) -> Vec<Event> {
         let left = &self.budget;
         let mut events: Vec<Event> = (0..self.net.len()).map(Event::Deliver).collect();
@@ -165,7 +165,7 @@
             if node.is_leader() {
                 events.push(Event::Heartbeat(at));
                 let some = |count: u8, event: Event| (count > 0).then_some(event);
-                events.extend(some(left.give_ways, Event::GiveWay(at)));
+                events.extend(some(left.step_downs, Event::StepDown(at)));
                 events.extend(some(left.proposals, Event::Propose(at)));
                 let leaves = node.members().iter().map(|member| Event::Remove(at, member.clone()));
                 events.extend(leaves.filter(|_| left.leaves > 0));
@@ -191,72 +191,72 @@
         events
     }
 
-    /// What comes of an event, with what its disk was asked for done, and (if it may still be busy) not done yet. An
-    /// error says what must never be.
+    /// The state after an event once its save is durable and, if the budget allows, the state with the save still
+    /// pending. An error describes a violated property.
     pub fn after(&self, event: &Event) -> Result<(World, Option<World>), String> {
         let at = event.host(self);
         let mut world = self.clone();
-        world.happen(event)?;
-        let mut busy = None;
+        world.apply_event(event)?;
+        let mut sync_pending = None;
         if world.hosts[at].saves.len() > self.hosts[at].saves.len() {
-            if world.budget.lazy > 0 {
+            if world.budget.slow_syncs > 0 {
                 let mut later = world.clone();
-                later.budget.lazy -= 1;
-                busy = Some(later.counted(at));
+                later.budget.slow_syncs -= 1;
+                sync_pending = Some(later.with_updated_digest(at));
             }
             world.sync(at)?;
         }
-        Ok((world.counted(at), busy))
+        Ok((world.with_updated_digest(at), sync_pending))
     }
 
-    fn counted(mut self, at: usize) -> World {
-        self.hosts[at].counts();
-        self.past_digest = digest(&self.past);
+    fn with_updated_digest(mut self, at: usize) -> World {
+        self.hosts[at].update_digest();
+        self.history_digest = digest(&self.history);
         self
     }
 
-    fn happen(&mut self, event: &Event) -> Result<(), String> {
+    fn apply_event(&mut self, event: &Event) -> Result<(), String> {
         match event {
             Event::Deliver(number) => {
                 let sent = self.net[*number].clone();
                 let (from, message) = (sent.from.clone(), sent.message.clone());
-                self.give(host_of(&sent.to), NOW, Input::Received { from, message })
+                self.input(host_of(&sent.to), NOW, Input::Received { from, message })
             }
             Event::RequestVote(at) => {
-                self.change(*at).election_deadline = 0;
-                self.give(*at, NOW, Input::Tick)
+                self.node_mut(*at).election_deadline = 0;
+                self.input(*at, NOW, Input::Tick)
             }
             Event::Heartbeat(at) => {
-                self.change(*at).leader_state.iter_mut().for_each(|leader| leader.next_heartbeat_at = 0);
-                self.give(*at, NOW, Input::Tick)
+                self.node_mut(*at).leader_state.iter_mut().for_each(|leader| leader.next_heartbeat_at = 0);
+                self.input(*at, NOW, Input::Tick)
             }
-            Event::GiveWay(at) => {
-                self.budget.give_ways -= 1;
-                self.give(*at, LATE, Input::Tick)
+            Event::StepDown(at) => {
+                self.budget.step_downs -= 1;
+                self.input(*at, LATE, Input::Tick)
             }
             Event::Sync(at) => self.sync(*at),
-            Event::Propose(at) if self.plant == Plant::SecondList => {
+            Event::Propose(at) if self.fault == Fault::OverlappingListChanges => {
                 self.budget.proposals -= 1;
-                let node = self.change(*at);
+                let node = self.node_mut(*at);
                 node.append(Payload::Members(vec![voter(0, 0), voter(1, 0)]));
-                self.give(*at, NOW, Input::Tick)
+                self.input(*at, NOW, Input::Tick)
             }
             Event::Propose(at) => {
                 self.budget.proposals -= 1;
-                self.give(*at, NOW, Input::Propose { token: 0, change: vec![self.budget.proposals] })
+                self.input(*at, NOW, Input::Propose { token: 0, change: vec![self.budget.proposals] })
             }
             Event::Add(at, who) => {
                 self.budget.joins -= 1;
-                self.give(*at, NOW, Input::AddVoter(who.clone()))
+                self.input(*at, NOW, Input::AddVoter(who.clone()))
             }
             Event::Remove(at, who) => {
                 self.budget.leaves -= 1;
-                self.give(*at, NOW, Input::RemoveVoter(who.clone()))
+                self.input(*at, NOW, Input::RemoveVoter(who.clone()))
             }
             Event::Compact(at) => {
                 self.budget.compactions -= 1;
                 let index = self.hosts[*at].node.commit();
-                self.give(*at, NOW, Input::Compact { index, state: index.to_be_bytes().to_vec() })
+                self.input(*at, NOW, Input::Compact { index, state: index.to_be_bytes().to_vec() })
             }
             Event::Restart(at, kept) => {
                 self.budget.restarts -= 1;
@@ -276,80 +276,82 @@
         }
     }
 
-    fn change(&mut self, at: usize) -> &mut Node {
+    fn node_mut(&mut self, at: usize) -> &mut Node {
         Rc::make_mut(&mut self.hosts[at].node)
     }
 
-    /// The disk does all it was asked for, and what comes of that.
+    /// Completes all pending saves of a host and processes the results.
     fn sync(&mut self, at: usize) -> Result<(), String> {
         while let Some(save) = self.hosts[at].saves.pop_front() {
             apply(Rc::make_mut(&mut self.hosts[at].disk), &save);
-            self.give(at, NOW, Input::Saved { ticket: save.ticket })?;
+            self.input(at, NOW, Input::Saved { ticket: save.ticket })?;
         }
         if self.hosts[at].node.last_ticket > 0 {
-            self.change(at).last_ticket = 0;
+            self.node_mut(at).last_ticket = 0;
         }
         Ok(())
     }
 
-    fn give(&mut self, at: usize, now: Millis, input: Input) -> Result<(), String> {
-        let input = self.hurt_input(at, input)?;
-        let led = self.hosts[at].node.is_leader();
+    fn input(&mut self, at: usize, now: Millis, input: Input) -> Result<(), String> {
+        let input = self.corrupt_input(at, input)?;
+        let was_leader = self.hosts[at].node.is_leader();
         let mut out = Vec::new();
-        let node = self.change(at);
+        let node = self.node_mut(at);
         node.handle(now, input, &mut out);
         node.forget_time();
-        if !led && node.is_leader() {
-            self.elected(at)?;
+        if !was_leader && node.is_leader() {
+            self.check_elected(at)?;
         }
-        let mut early = Vec::new();
-        let mut soundings = Vec::new();
+        let mut early_tickets = Vec::new();
+        let mut pre_votes = Vec::new();
         for output in out {
             match output {
-                Output::Send { to, message: Message::PreVote { round, .. } } => soundings.push((to, round)),
+                Output::Send { to, message: Message::PreVote { round, .. } } => pre_votes.push((to, round)),
                 Output::Send { to, message } => self.send(at, to, message)?,
                 Output::Save(save) => {
                     let hard_state =
                         save.entries.is_empty() && save.snapshot.is_none() && save.truncate.is_none();
-                    let plant = if hard_state { Plant::VoteBeforeSync } else { Plant::EntriesBeforeSync };
-                    if self.plant == plant {
-                        early.push(save.ticket);
+                    let fault = if hard_state { Fault::VoteBeforeSync } else { Fault::EntriesBeforeSync };
+                    if self.fault == fault {
+                        early_tickets.push(save.ticket);
                     }
                     self.hosts[at].saves.push_back(save);
                 }
-                Output::Committed { entry } => self.commit(at, entry)?,
-                Output::Install { snapshot } => self.install(&snapshot)?,
+                Output::Committed { entry } => self.record_commit(at, entry)?,
+                Output::Install { snapshot } => self.check_installed(&snapshot)?,
                 _ => {}
             }
         }
-        self.logs_match(at)?;
-        for (from, round) in soundings {
+        self.check_logs_match(at)?;
+        for (from, round) in pre_votes {
             if self.hosts[at].node.campaign.as_ref().is_some_and(|campaign| !campaign.is_election) {
                 let term = self.hosts[at].node.term();
                 let message = Message::PreVoteAnswer { round, term, granted: true };
-                self.change(at).pre_vote_round = round;
-                self.give(at, NOW, Input::Received { from, message })?;
+                self.node_mut(at).pre_vote_round = round;
+                self.input(at, NOW, Input::Received { from, message })?;
             }
         }
-        early.into_iter().try_for_each(|ticket| self.give(at, NOW, Input::Saved { ticket }))
+        early_tickets.into_iter().try_for_each(|ticket| self.input(at, NOW, Input::Saved { ticket }))
     }
 
     fn send(&mut self, at: usize, to: VoterId, message: Message) -> Result<(), String> {
         let from = self.hosts[at].node.me().clone();
         match &message {
             Message::VoteAnswer { term, granted: true } => {
-                self.vote(*term, &from, &to)?;
+                self.record_vote(*term, &from, &to)?;
             }
             Message::AppendAccepted { term, index } if *term == self.hosts[at].node.term() => {
                 let disk = &self.hosts[at].disk;
-                let last = last(disk);
+                let last = last_index(disk);
                 if last < *index {
-                    return Err(format!("{from} says that it has {index} entries on disk, which has {last}"));
+                    return Err(format!(
+                        "{from} acknowledges entry {index}, but its disk ends at entry {last}"
+                    ));
                 }
             }
             _ => {}
         }
-        for message in self.hurt_message(message) {
+        for message in self.corrupt_message(message) {
             let digest = digest(&(&from, &to, &message));
             if !self.net.iter().any(|sent| sent.digest == digest) {
                 let sent = Sent { from: from.clone(), to: to.clone(), message, digest };
@@ -359,8 +361,8 @@
         Ok(())
     }
 
-    fn vote(&mut self, term: u64, from: &VoterId, to: &VoterId) -> Result<(), String> {
-        let first = Rc::make_mut(&mut self.past).votes.entry((term, from.clone())).or_insert(to.clone());
+    fn record_vote(&mut self, term: u64, from: &VoterId, to: &VoterId) -> Result<(), String> {
+        let first = Rc::make_mut(&mut self.history).votes.entry((term, from.clone())).or_insert(to.clone());
         if first == to {
             Ok(())
         } else {
@@ -368,61 +370,63 @@
         }
     }
 
-    /// One leader a term, chosen by a majority of its list, with all that was committed before.
-    fn elected(&mut self, at: usize) -> Result<(), String> {
+    /// Checks that a term has one leader, elected by a majority of its list, whose log has all entries committed
+    /// before.
+    fn check_elected(&mut self, at: usize) -> Result<(), String> {
         let node = self.hosts[at].node.clone();
         let (term, me) = (node.term(), node.me().clone());
-        let first = Rc::make_mut(&mut self.past).leaders.entry(term).or_insert(me.clone());
+        let first = Rc::make_mut(&mut self.history).leaders.entry(term).or_insert(me.clone());
         if *first != me {
-            return Err(format!("term {term} is led by {first} and by {me}"));
+            return Err(format!("term {term} is with_leader by {first} and by {me}"));
         }
-        self.vote(term, &me, &me)?;
+        self.record_vote(term, &me, &me)?;
         let votes = node
             .members()
             .iter()
-            .filter(|member| self.past.votes.get(&(term, (*member).clone())) == Some(&me));
+            .filter(|member| self.history.votes.get(&(term, (*member).clone())) == Some(&me));
         let (votes, members) = (votes.count(), node.members().len());
         if votes <= members / 2 {
-            return Err(format!("{me} leads in term {term} with {votes} votes of {members}"));
+            return Err(format!("{me} was elected in term {term} with {votes} votes of {members}"));
         }
-        self.past
+        self.history
             .committed
             .iter()
             .filter(|(_, when)| *when < term)
-            .try_for_each(|(entry, _)| holds(&node, entry))
+            .try_for_each(|(entry, _)| check_has_entry(&node, entry))
     }
 
-    fn commit(&mut self, at: usize, entry: Entry) -> Result<(), String> {
+    fn record_commit(&mut self, at: usize, entry: Entry) -> Result<(), String> {
         let node = &self.hosts[at].node;
         let index = entry.index as usize;
-        match self.past.committed.get(index - 1) {
+        match self.history.committed.get(index - 1) {
             Some((first, _)) if *first == entry => return Ok(()),
             Some((first, _)) => {
                 return Err(format!("entry {index} is committed as {first:?} and as {entry:?}"));
             }
-            None if index > self.past.committed.len() + 1 => {
-                return Err(format!("entry {index} is committed before those before it"));
+            None if index > self.history.committed.len() + 1 => {
+                return Err(format!("entry {index} is committed before its predecessors"));
             }
             None => {}
         }
         let term = node.term();
         for host in self.hosts.iter().filter(|host| host.node.is_leader() && host.node.term() > term) {
-            holds(&host.node, &entry)?;
+            check_has_entry(&host.node, &entry)?;
         }
-        Rc::make_mut(&mut self.past).committed.push((entry, term));
+        Rc::make_mut(&mut self.history).committed.push((entry, term));
         Ok(())
     }
 
-    fn install(&self, snapshot: &Snapshot) -> Result<(), String> {
-        let known = self.past.committed.get(snapshot.index as usize - 1).map(|(entry, _)| entry.term);
+    fn check_installed(&self, snapshot: &Snapshot) -> Result<(), String> {
+        let known = self.history.committed.get(snapshot.index as usize - 1).map(|(entry, _)| entry.term);
         if known != Some(snapshot.term) || snapshot.state != snapshot.index.to_be_bytes() {
-            return Err(format!("the snapshot up to entry {} holds what was not committed", snapshot.index));
+            return Err(format!("the snapshot up to entry {} contains uncommitted state", snapshot.index));
         }
         Ok(())
     }
 
-    /// Two logs with one entry in common are the same up to it, and at most one change of the list is pending.
-    fn logs_match(&self, at: usize) -> Result<(), String> {
+    /// Checks that two logs with a common entry match up to that entry, and that at most one membership change is
+    /// pending.
+    fn check_logs_match(&self, at: usize) -> Result<(), String> {
         let mine = &self.hosts[at].node.log;
         for host in self.hosts.iter().filter(|host| host.node.me() != self.hosts[at].node.me()) {
             let other = &host.node.log;
@@ -431,49 +435,47 @@
             let common = (base + 1..=end).rev().find(|index| mine.term_at(*index) == other.term_at(*index));
             for index in base + 1..=common.unwrap_or(0) {
                 if mine.get(index) != other.get(index) {
-                    return Err(format!(
-                        "entry {index} is not the same in two logs that have a later one in common"
-                    ));
+                    return Err(format!("entry {index} differs in two logs that share a later entry"));
                 }
             }
         }
         let node = &self.hosts[at].node;
-        let pending = (self.past.committed.len() as u64 + 1..=mine.last())
+        let pending = (self.history.committed.len() as u64 + 1..=mine.last())
             .filter(|index| matches!(mine.get(*index), Some(Entry { payload: Payload::Members(_), .. })));
         if pending.count() > 1 {
-            return Err(format!("two changes of the list are pending with {}", node.me()));
+            return Err(format!("two membership changes are pending on {}", node.me()));
         }
         Ok(())
     }
 
-    fn hurt_input(&mut self, at: usize, input: Input) -> Result<Input, String> {
+    fn corrupt_input(&mut self, at: usize, input: Input) -> Result<Input, String> {
         let Input::Received { mut from, message } = input else { return Ok(input) };
-        if self.plant == Plant::OldTermCounts
+        if self.fault == Fault::OldTermCounts
             && let Message::AppendAccepted { term, index } = &message
             && let Some(leader) =
                 self.hosts.iter().position(|host| host.node.is_leader() && host.node.term() == *term)
-            && last(&self.hosts[leader].disk) >= *index
+            && last_index(&self.hosts[leader].disk) >= *index
         {
             let entries: Vec<Entry> =
                 (1..=*index).filter_map(|index| self.hosts[leader].node.log.get(index).cloned()).collect();
-            entries.into_iter().try_for_each(|entry| self.commit(leader, entry))?;
+            entries.into_iter().try_for_each(|entry| self.record_commit(leader, entry))?;
         }
-        if self.plant == Plant::WipedCounts {
+        if self.fault == Fault::WipedVoterCounts {
             from.incarnation = 0;
         }
         let members = self.hosts[at].node.members();
-        if self.plant == Plant::RemovedCounts && !members.contains(&from) {
+        if self.fault == Fault::RemovedVoterCounts && !members.contains(&from) {
             let me = self.hosts[at].node.me();
             from = members.iter().find(|member| *member != me).cloned().unwrap_or(from);
         }
         Ok(Input::Received { from, message })
     }
 
-    /// A leader may send entries one by one; with a planted fault it does.
-    fn hurt_message(&self, message: Message) -> Vec<Message> {
+    /// Splits an `Append` into single entries for the fault that commits old terms, and removes heartbeat numbers.
+    fn corrupt_message(&self, message: Message) -> Vec<Message> {
         match message {
             Message::Append { term, mut prev_index, mut prev_term, entries, commit }
-                if self.plant == Plant::OldTermCounts && entries.len() > 1 =>
+                if self.fault == Fault::OldTermCounts && entries.len() > 1 =>
             {
                 let one = |entry: Entry| {
                     let (index, of) = (entry.index, entry.term);
@@ -492,13 +494,13 @@
         }
     }
 
-    /// Delivers what was sent last from one host to another.
-    pub fn hear(self, to: usize, from: usize) -> World {
+    /// Delivers the last message sent from one host to another.
+    pub fn deliver_last(self, to: usize, from: usize) -> World {
         let number = self.net.iter().rposition(|sent| host_of(&sent.to) == to && host_of(&sent.from) == from);
-        self.then(Event::Deliver(number.expect("a message")))
+        self.then(Event::Deliver(number.expect("a message between the two hosts")))
     }
 
-    /// Delivers all that is sent among these hosts, and what comes of it.
+    /// Delivers all messages among these hosts, including messages sent in response.
     pub fn settle(mut self, hosts: &[usize]) -> World {
         let mut number = 0;
         while number < self.net.len() {
@@ -513,21 +515,21 @@
     }
 
     pub fn then(self, event: Event) -> World {
-        self.after(&event).expect("a start").0
+        self.after(&event).expect("the setup must not violate a property").0
     }
 
-    /// Forgets what is still under way: lost.
-    pub fn lose(mut self) -> World {
+    /// Drops all undelivered messages.
+    pub fn drop_messages(mut self) -> World {
         self.net = Rc::default();
         self
     }
 
-    /// All that is longer than a few bytes goes in pieces from here on.
-    pub fn in_chunks(mut self) -> World {
+    /// Sends payloads longer than a few bytes in chunks from here on.
+    pub fn with_chunked_transfers(mut self) -> World {
         self.limits = TransferLimits { chunk_bytes: 24, min_window_bytes: 4, max_window_bytes: 100 };
         for host in &mut self.hosts {
             Rc::make_mut(&mut host.node).set_transfer_limits(self.limits);
-            host.counts();
+            host.update_digest();
         }
         self
     }
@@ -536,16 +538,16 @@
         World { budget, ..self }
     }
 
-    /// What an event is, told.
-    pub fn describe(&self, event: &Event, busy: bool) -> String {
-        let what = match event {
+    /// Describes an event.
+    pub fn describe(&self, event: &Event, sync_pending: bool) -> String {
+        let description = match event {
             Event::Deliver(number) => {
                 let Sent { from, to, message, .. } = &*self.net[*number];
-                format!("{to} hears from {from}: {message:?}")
+                format!("{to} receives from {from}: {message:?}")
             }
             event => format!("{event:?}"),
         };
-        if busy { format!("{what}, its disk is busy") } else { what }
+        if sync_pending { format!("{description}, its save is pending") } else { description }
     }
 }
 
@@ -553,7 +555,7 @@
     fn host(&self, world: &World) -> usize {
         match self {
             Event::Deliver(number) => host_of(&world.net[*number].to),
-            Event::RequestVote(at) | Event::Heartbeat(at) | Event::GiveWay(at) | Event::Propose(at) => *at,
+            Event::RequestVote(at) | Event::Heartbeat(at) | Event::StepDown(at) | Event::Propose(at) => *at,
             Event::Add(at, _) | Event::Remove(at, _) | Event::Compact(at) => *at,
             Event::Sync(at) | Event::Restart(at, _) | Event::Wipe(at) => *at,
         }
@@ -561,18 +563,18 @@
 }
 
 impl Host {
-    fn counts(&mut self) {
+    fn update_digest(&mut self) {
         self.digest = digest(&(&self.disk, &self.node, &self.saves));
     }
 
     fn start(disk: PersistentState, limits: TransferLimits) -> Host {
         let mut node = Node::start(disk.clone(), TIMING, 0, NOW);
         node.set_transfer_limits(limits);
-        // Whoever is silent is so for long enough; who is taken off a list, and when, is the search's choice.
+        // Any silent voter counts as silent for long enough; the search decides which voter is removed and when.
         node.set_retirement_policy(RetirementPolicy { silence_timeout: 0, min_voters: 1 });
         node.forget_time();
         let mut host = Host { disk: Rc::new(disk), node: Rc::new(node), saves: VecDeque::new(), digest: 0 };
-        host.counts();
+        host.update_digest();
         host
     }
 }
@@ -583,15 +585,15 @@
     hasher.finish()
 }
 
-fn last(disk: &PersistentState) -> u64 {
+fn last_index(disk: &PersistentState) -> u64 {
     disk.snapshot.as_ref().map_or(0, |snapshot| snapshot.index) + disk.entries.len() as u64
 }
 
-/// Whether a leader's log has what was committed.
-fn holds(node: &Node, entry: &Entry) -> Result<(), String> {
+/// Checks that a leader's log has a committed entry.
+fn check_has_entry(node: &Node, entry: &Entry) -> Result<(), String> {
     let compacted = entry.index <= node.log.base();
     if compacted || node.log.get(entry.index) == Some(entry) {
         return Ok(());
     }
-    Err(format!("{} leads in term {} without entry {entry:?}, which was committed", node.me(), node.term()))
+    Err(format!("{} leads in term {} without committed entry {entry:?}", node.me(), node.term()))
 }
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -17,7 +17,7 @@
 
 /// The highest value that more than half of the voters have reached.
 fn majority_value<T: Ord + Copy>(mut values: Vec<T>) -> Option<T> {
-    values.sort_unstable_by(|one, other| other.cmp(one));
+    values.sort_unstable_by(|left, right| right.cmp(left));
     values.get(values.len() / 2).copied()
 }
 
@@ -30,15 +30,16 @@
 
     /// When the lease of this leader expires or expired; `None` if this node has never held a lease in this term.
     pub fn lease_until(&self, now: Millis) -> Option<Millis> {
-        let own = self.log.term_at(self.commit) == Some(self.term) || self.faults.serve_before_own_commit;
-        let answered = self.quorum_heartbeat_at(now).filter(|_| own);
-        answered.map(|at| at.saturating_add(self.timing.lease))
+        let own_term_committed =
+            self.log.term_at(self.commit) == Some(self.term) || self.faults.serve_before_own_commit;
+        let quorum_contact = self.quorum_heartbeat_at(now).filter(|_| own_term_committed);
+        quorum_contact.map(|at| at.saturating_add(self.timing.lease))
     }
 
     /// The send time of the newest heartbeat that a majority has answered.
     fn quorum_heartbeat_at(&self, now: Millis) -> Option<Millis> {
         let leader = self.leader_state.as_ref()?;
-        let figure = |member: &VoterId| {
+        let heartbeat_at = |member: &VoterId| {
             if *member == self.me {
                 return Some(now);
             }
@@ -50,14 +51,14 @@
                 .max()
                 .flatten()
         };
-        majority_value(self.members().iter().map(figure).collect()).flatten()
+        majority_value(self.members().iter().map(heartbeat_at).collect()).flatten()
     }
 
     /// The send time of the newest heartbeat that a majority has answered, or the time of the election if that is
     /// later.
     pub(crate) fn last_quorum_contact(&self, now: Millis) -> Millis {
-        let since = self.leader_state.as_ref().map_or(0, |leader| leader.elected_at);
-        self.quorum_heartbeat_at(now).unwrap_or(0).max(since)
+        let elected_at = self.leader_state.as_ref().map_or(0, |leader| leader.elected_at);
+        self.quorum_heartbeat_at(now).unwrap_or(0).max(elected_at)
     }
 
     pub(crate) fn tick_leader(&mut self, now: Millis, out: &mut Vec<Output>) {
@@ -209,15 +210,16 @@
         let faults = self.faults;
         let matched = matched.min(self.log.last());
         let Some(leader) = &mut self.leader_state else { return };
-        let sent = leader.sent_heartbeats.iter().find(|(number, _)| *number == echo).map(|(_, sent)| *sent);
-        let found =
+        let sent_at =
+            leader.sent_heartbeats.iter().find(|(number, _)| *number == echo).map(|(_, sent_at)| *sent_at);
+        let is_sender =
             |peer: &&mut Peer| peer.id == from || (faults.any_incarnation && peer.id.address == from.address);
-        let Some(peer) = leader.peers.iter_mut().find(found) else { return };
-        peer.answered_heartbeat_at = peer.answered_heartbeat_at.max(sent);
+        let Some(peer) = leader.peers.iter_mut().find(is_sender) else { return };
+        peer.answered_heartbeat_at = peer.answered_heartbeat_at.max(sent_at);
         let id = peer.id.clone();
         // The peer has answered a heartbeat that was sent later than an unanswered message, so that message was lost.
         // Messages are not repeated to a silent peer, nor merely because a link is slow.
-        let heartbeat_sent_at = if faults.fixed_loss_timeout { now } else { sent.unwrap_or(0) };
+        let heartbeat_sent_at = if faults.fixed_loss_timeout { now } else { sent_at.unwrap_or(0) };
         if peer.in_flight.front().is_some_and(|first| first.presumed_lost_at <= heartbeat_sent_at) {
             peer.in_flight.clear();
             // A chunked entry that follows lost entries can no longer be appended.
@@ -249,10 +251,10 @@
         peer.next_index = peer.next_index.max(peer.match_index + 1);
         peer.in_flight.retain(|message| message.last_index > peer.match_index);
         peer.transfer.take_if(|transfer| transfer.id.index <= peer.match_index);
-        let wanted = peer.promotion_requested;
+        let promotion_requested = peer.promotion_requested;
         self.replicate_to(now, id, out);
         self.advance_commit(now, out);
-        if wanted {
+        if promotion_requested {
             self.promote_learner(now, id, out);
         }
     }
@@ -280,12 +282,12 @@
     pub(crate) fn accept_answer(
         &mut self, now: Millis, from: &VoterId, term: u64, out: &mut Vec<Output>,
     ) -> bool {
-        let known = self.is_member(from)
+        let is_known = self.is_member(from)
             || self
                 .leader_state
                 .as_ref()
                 .is_some_and(|leader| leader.peers.iter().any(|peer| peer.id == *from));
-        if !known {
+        if !is_known {
             return false;
         }
         self.observe_term(now, term, out);
@@ -294,18 +296,18 @@
 
     pub(crate) fn advance_commit(&mut self, now: Millis, out: &mut Vec<Output>) {
         let Some(leader) = &self.leader_state else { return };
-        let figure = |member: &VoterId| {
+        let match_index = |member: &VoterId| {
             if *member == self.me {
                 return self.durable_index;
             }
-            let same = leader.peers.iter().filter(|peer| peer.id == *member);
-            same.map(|peer| peer.match_index).max().unwrap_or(0)
+            let progress = leader.peers.iter().filter(|peer| peer.id == *member);
+            progress.map(|peer| peer.match_index).max().unwrap_or(0)
         };
-        let Some(index) = majority_value(self.members().iter().map(figure).collect()) else { return };
+        let Some(index) = majority_value(self.members().iter().map(match_index).collect()) else { return };
         // An entry of an older term can be on a majority and still be overwritten. It is committed only together
         // with an entry of the current term.
-        let own = self.log.term_at(index) == Some(self.term) || self.faults.commit_old_terms;
-        if index <= self.commit || !own {
+        let own_term_committed = self.log.term_at(index) == Some(self.term) || self.faults.commit_old_terms;
+        if index <= self.commit || !own_term_committed {
             return;
         }
         self.mark_committed(index, out);
@@ -351,8 +353,8 @@
         }
         // This response does not wait for the disk. The promise not to vote is kept in memory; after a restart the node
         // withholds votes for just as long. The response therefore reports only log entries that are already on disk.
-        let kept = self.durable_term == self.term;
-        let matched = if kept { self.verified_index.min(self.durable_index) } else { 0 };
+        let is_durable = self.durable_term == self.term;
+        let matched = if is_durable { self.verified_index.min(self.durable_index) } else { 0 };
         out.push(Output::Send {
             to: from,
             message: Message::HeartbeatAnswer { term: self.term, echo, matched },
@@ -376,8 +378,8 @@
         }
         // Committed entries are in every leader's log, so the log matches up to the snapshot without a check.
         let base = self.log.base();
-        let fits = prev_index < base || self.log.term_at(prev_index) == Some(prev_term);
-        if !fits {
+        let matches = prev_index < base || self.log.term_at(prev_index) == Some(prev_term);
+        if !matches {
             let hint = self.conflict_hint(prev_index);
             return Some(Message::AppendRejected { term: self.term, prev_index, hint });
         }
--- a/crates/raft/src/store.rs
+++ b/crates/raft/src/store.rs
@@ -1,4 +1,4 @@
-//! The disk of a node: one `redb` file. A save is one transaction, durable when it returns.
+//! The storage of a node: one `redb` file. Each save is one transaction, which is durable when the call returns.
 
 use std::fs::{File, OpenOptions};
 use std::ops::Bound;
@@ -14,17 +14,18 @@
 use crate::checksum::checksum;
 use crate::types::{Entry, PersistentState, Save, Snapshot, VoterId};
 
-/// Rises with each change of what is written here.
+/// The version of the file's contents; increases with each change of the format.
 const SCHEMA: u64 = 1;
-/// A small cache: what is needed often is in the node's memory.
+/// The size of the `redb` cache, in bytes. Small, since the node keeps frequently used data in memory.
 const CACHE_BYTES: usize = 1 << 20;
-/// Snapshots are cut into pieces, so that the file can reuse the room of an old one piece by piece.
+/// The size of the chunks in which a snapshot is stored, in bytes. Chunks let the file reuse the space of an old
+/// snapshot incrementally.
 const SNAPSHOT_CHUNK_BYTES: usize = 48 << 10;
-/// A file that is longer than this is made smaller when it is opened.
+/// A file longer than this, in bytes, is compacted when it is opened.
 const COMPACT_ABOVE_BYTES: u64 = 24 << 20;
 
-/// `redb`'s own: the bytes of its mark at the start, of the header that they are in, and (at most) of a file before
-/// its first transaction.
+/// The layout of a `redb` file: the length of the magic number at its start, the length of its header, and the maximum
+/// length of a file before the first transaction, in bytes.
 const MAGIC_BYTES: usize = 9;
 const HEADER_BYTES: usize = 512;
 const MAX_UNINITIALIZED_BYTES: u64 = 1 << 20;
@@ -32,57 +33,63 @@
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 const SNAPSHOT: TableDefinition<u64, &[u8]> = TableDefinition::new("snapshot");
-/// Key of the hard state (term and vote) in [`META`]. Its bytes stay as the first version of the file wrote them.
+/// The key of the hard state (term and vote) in [`META`]. Must not change, because existing files use this key.
 const HARD_STATE_KEY: &str = "ballot";
 
-/// The disk of a node.
+/// The storage of a node.
 #[derive(Debug)]
 pub struct Store {
     db: Database,
     path: PathBuf,
 }
 
-/// Why the disk did not do what was asked.
+/// Errors of the storage.
 #[derive(Debug, Diagnostic)]
 pub enum StoreError {
-    /// The file, or the disk under it, failed.
-    #[diagnostic(code(raft::store::failed), help("look at the disk: its room, its rights, its errors"))]
+    /// The file or the disk failed.
+    #[diagnostic(
+        code(raft::store::failed),
+        help("check the disk for free space, permissions and I/O errors")
+    )]
     Failed {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
         /// The file.
         path: PathBuf,
-        /// What the disk said.
+        /// The underlying error.
         cause: Box<redb::Error>,
     },
-    /// What is in the file is not what was written.
+    /// The contents of the file are corrupt.
     #[diagnostic(code(raft::store::damaged), help("set the file aside and join as a new voter"))]
     Damaged {
-        /// What is damaged.
+        /// What is wrong with the contents.
         reason: String,
         /// The file.
         path: PathBuf,
     },
-    /// The file was written by another version of this program.
-    #[diagnostic(code(raft::store::schema), help("start the version that wrote it, or set the file aside"))]
+    /// The file was written by an incompatible version of this program.
+    #[diagnostic(
+        code(raft::store::schema),
+        help("start the version that wrote the file, or set the file aside")
+    )]
     Schema {
-        /// The version of its contents.
+        /// The version of the file's contents.
         found: u64,
         /// The file.
         path: PathBuf,
     },
-    /// A file that already belongs to a node was to be created again.
+    /// The file already holds the state of a node and cannot be initialized again.
     #[diagnostic(code(raft::store::taken))]
     AlreadyInitialized {
         /// The file.
         path: PathBuf,
     },
-    /// The file could not be moved out of the way.
+    /// The file could not be renamed.
     #[diagnostic(code(raft::store::set_aside))]
     SetAsideFailed {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The underlying error.
         cause: std::io::Error,
     },
 }
@@ -90,14 +97,14 @@
 impl std::fmt::Display for StoreError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            StoreError::Failed { step, path, cause } => write!(f, "{step} of {}: {cause}", path.display()),
+            StoreError::Failed { step, path, cause } => write!(f, "{step} {}: {cause}", path.display()),
             StoreError::Damaged { reason, path } => write!(f, "{} is damaged: {reason}", path.display()),
             StoreError::Schema { found, path } => {
-                write!(f, "{} has contents of version {found}, not {SCHEMA}", path.display())
+                write!(f, "{} has format version {found}, expected {SCHEMA}", path.display())
             }
             StoreError::AlreadyInitialized { path } => write!(f, "{} already holds a node", path.display()),
             StoreError::SetAsideFailed { path, cause } => {
-                write!(f, "{} stays where it is: {cause}", path.display())
+                write!(f, "{} could not be renamed: {cause}", path.display())
             }
         }
     }
@@ -114,14 +121,14 @@
 }
 
 impl StoreError {
-    /// Whether the host can treat the disk as lost: set the file aside and join as a new voter.
+    /// Whether the host may treat the disk as lost, set the file aside and join as a new voter.
     pub fn is_lost(&self) -> bool {
         matches!(self, StoreError::Damaged { .. })
     }
 }
 
 impl Store {
-    /// Opens the file, or makes an empty one, and checks all that is in it. An empty one has nothing saved yet: see
+    /// Opens the file, or creates an empty one, and verifies its contents. An empty file has no saved state yet; see
     /// [`Store::create`].
     pub fn open(path: impl AsRef<Path>) -> Result<(Store, Option<PersistentState>), StoreError> {
         let path = path.as_ref();
@@ -131,44 +138,46 @@
         if is_new
             && let Some(parent_dir) = path.parent().filter(|parent_dir| !parent_dir.as_os_str().is_empty())
         {
-            // A file that is on disk while its name is not would be gone with all that it had promised.
+            // Syncs the directory as well: otherwise a power loss could remove the file with all votes and entries
+            // in it.
             File::open(parent_dir)
                 .and_then(|parent_dir| parent_dir.sync_all())
-                .map_err(store_error(path, "beginning"))?;
+                .map_err(store_error(path, "syncing the directory of"))?;
         }
         Store::open_backend(FileBackend::new(file).map_err(store_error(path, "opening"))?, path)
     }
 
-    /// As above, on what need not be a file; `path` is what errors call it.
+    /// Opens a store on any backend. Errors refer to the backend by `path`.
     pub fn open_backend(
         backend: impl StorageBackend, path: impl Into<PathBuf>,
     ) -> Result<(Store, Option<PersistentState>), StoreError> {
         let path = path.into();
         if is_uninitialized(&backend).map_err(store_error(&path, "opening"))? {
-            erase_if_uninitialized(&backend).map_err(store_error(&path, "beginning"))?;
+            erase_if_uninitialized(&backend).map_err(store_error(&path, "resetting"))?;
         }
         let needs_compaction = backend.len().map_err(store_error(&path, "opening"))? > COMPACT_ABOVE_BYTES;
         let mut builder = Database::builder();
-        // Otherwise `redb` trusts a file that was closed properly: a byte changed in it later would end this process
-        // in the midst of the library, at each start anew.
+        // Without the check `redb` trusts a file that was closed properly, and a byte corrupted later would make the
+        // library panic at every start.
         builder.set_cache_size(CACHE_BYTES).set_check_integrity_on_open(true);
         let db = builder.create_with_backend(backend).map_err(store_error(&path, "opening"))?;
         let mut store = Store { db, path };
         let saved = store.read()?;
         if needs_compaction {
-            // Room that is free inside the file goes back to the disk, which is small.
-            store.db.compact().map_err(store_error(&store.path, "making smaller"))?;
+            // Returns free space inside the file to the disk, which is small.
+            store.db.compact().map_err(store_error(&store.path, "compacting"))?;
         }
         Ok((store, saved))
     }
 
-    /// Writes who this node is. `founders` are the founding voters, none for a node that joins.
+    /// Initializes the store with the identity of the node. `founders` are the founding voters; empty for a node
+    /// that joins an existing cluster.
     pub fn create(&self, me: VoterId, founders: Vec<VoterId>) -> Result<PersistentState, StoreError> {
         if self.read()?.is_some() {
             return Err(StoreError::AlreadyInitialized { path: self.path.clone() });
         }
         let hard_state: (u64, Option<VoterId>) = (0, None);
-        self.write("creating", |tables| {
+        self.write("initializing", |tables| {
             tables.meta.insert("schema", SCHEMA.to_be_bytes().as_slice())?;
             tables.meta.insert("me", encode_with_checksum(&me).as_slice())?;
             tables.meta.insert("founders", encode_with_checksum(&founders).as_slice())?;
@@ -178,9 +187,10 @@
         Ok(PersistentState { me, term: 0, vote: None, snapshot: None, entries: Vec::new(), founders })
     }
 
-    /// Writes who this node is, and a snapshot that its log begins with: for a log whose voters were not known when
-    /// the file was made, and for the last voter of one that goes on alone under another incarnation. The term only
-    /// rises; the vote in it stays if it does not. A file that has a log already is left as it is.
+    /// Initializes the store with the identity of the node and a snapshot at the start of its log. Used for a log whose
+    /// voters were not known when the file was created, and for the last remaining voter, which continues alone under
+    /// another incarnation. The stored term never decreases; the stored vote is kept if the term stays the same. Fails
+    /// without a change if the file already contains a snapshot or entries.
     pub fn create_from_snapshot(
         &self, me: VoterId, term: u64, snapshot: Snapshot,
     ) -> Result<PersistentState, StoreError> {
@@ -191,8 +201,8 @@
         let (stored_term, vote) = found.map_or((0, None), |saved| (saved.term, saved.vote));
         let term = term.max(stored_term).max(snapshot.term);
         let vote = vote.filter(|_| term == stored_term);
-        // All of it in one step: half of it would be a voter that has forgotten its log.
-        self.write("beginning", |tables| {
+        // One transaction: a partial write would leave a voter without its log.
+        self.write("initializing", |tables| {
             tables.meta.insert("schema", SCHEMA.to_be_bytes().as_slice())?;
             tables.meta.insert("me", encode_with_checksum(&me).as_slice())?;
             tables.meta.insert("founders", encode_with_checksum(&Vec::<VoterId>::new()).as_slice())?;
@@ -209,9 +219,9 @@
         })
     }
 
-    /// Writes a save: it is on disk when this returns.
+    /// Writes a save, which is durable when the call returns.
     pub fn save(&self, save: &Save) -> Result<(), StoreError> {
-        self.write("saving", |tables| {
+        self.write("writing", |tables| {
             tables
                 .meta
                 .insert(HARD_STATE_KEY, encode_with_checksum(&(save.term, save.vote.clone())).as_slice())?;
@@ -232,7 +242,7 @@
         &self.path
     }
 
-    /// Moves the file out of the way, as `<name>.damaged`, over a former one: the disk has no room for many.
+    /// Renames the file to `<name>.damaged`, replacing an earlier one, since the disk has no space for many.
     pub fn set_aside(path: impl AsRef<Path>) -> Result<PathBuf, StoreError> {
         let path = path.as_ref();
         let mut name = path.as_os_str().to_owned();
@@ -269,7 +279,8 @@
             let value = meta.get(key).map_err(store_error(&self.path, "reading"))?;
             Ok(value.map(|value| value.value().to_vec()))
         };
-        let required = |key: &str| value_of(key)?.ok_or_else(|| self.damaged(format!("it has no {key}")));
+        let required =
+            |key: &str| value_of(key)?.ok_or_else(|| self.damaged(format!("key {key} is missing")));
         let schema = self.decode_u64("schema", &required("schema")?)?;
         if schema != SCHEMA {
             return Err(StoreError::Schema { found: schema, path: self.path.clone() });
@@ -289,12 +300,15 @@
                 encoded.extend_from_slice(chunk.value());
             }
             if encoded.len() as u64 != length {
-                return Err(self.damaged(format!("the snapshot has {} of {length} bytes", encoded.len())));
+                return Err(
+                    self.damaged(format!("the snapshot has {} bytes instead of {length}", encoded.len()))
+                );
             }
             snapshot = Some(self.decode_checked("snapshot", &encoded)?);
         }
 
-        let (base, mut before) = snapshot.as_ref().map_or((0, 0), |kept| (kept.index, kept.term));
+        let (base, mut last_term) =
+            snapshot.as_ref().map_or((0, 0), |snapshot| (snapshot.index, snapshot.term));
         let mut entries: Vec<Entry> = Vec::new();
         let table = transaction.open_table(ENTRIES).map_err(store_error(&self.path, "reading"))?;
         for row in table.iter().map_err(store_error(&self.path, "reading"))? {
@@ -302,15 +316,15 @@
             let expected = base + 1 + entries.len() as u64;
             if key.value() != expected {
                 return Err(
-                    self.damaged(format!("entry {} stands where entry {expected} should", key.value()))
+                    self.damaged(format!("found entry {} where entry {expected} was expected", key.value()))
                 );
             }
             let entry: Entry = self.decode_checked(&format!("entry {expected}"), value.value())?;
-            if entry.index != expected || entry.term < before || entry.term > term {
+            if entry.index != expected || entry.term < last_term || entry.term > term {
                 return Err(self
                     .damaged(format!("entry {expected} has index {} and term {}", entry.index, entry.term)));
             }
-            before = entry.term;
+            last_term = entry.term;
             entries.push(entry);
         }
         Ok(Some(PersistentState { me, term, vote, snapshot, entries, founders }))
@@ -320,19 +334,19 @@
         StoreError::Damaged { reason, path: self.path.clone() }
     }
 
-    fn decode_u64(&self, what: &str, bytes: &[u8]) -> Result<u64, StoreError> {
-        let bytes = bytes.try_into().map_err(|_| self.damaged(format!("{what} is no number")))?;
+    fn decode_u64(&self, name: &str, bytes: &[u8]) -> Result<u64, StoreError> {
+        let bytes = bytes.try_into().map_err(|_| self.damaged(format!("{name} is not an 8-byte integer")))?;
         Ok(u64::from_be_bytes(bytes))
     }
 
-    fn decode_checked<T: DecodeOwned>(&self, what: &str, bytes: &[u8]) -> Result<T, StoreError> {
-        let Some((sum, body)) = bytes.split_first_chunk::<8>() else {
-            return Err(self.damaged(format!("{what} is too short")));
+    fn decode_checked<T: DecodeOwned>(&self, name: &str, bytes: &[u8]) -> Result<T, StoreError> {
+        let Some((stored_checksum, body)) = bytes.split_first_chunk::<8>() else {
+            return Err(self.damaged(format!("{name} is too short")));
         };
-        if u64::from_be_bytes(*sum) != checksum(body) {
-            return Err(self.damaged(format!("{what} does not have its checksum")));
+        if u64::from_be_bytes(*stored_checksum) != checksum(body) {
+            return Err(self.damaged(format!("{name} does not match its checksum")));
         }
-        bitcode::decode(body).map_err(|cause| self.damaged(format!("{what} can't be read: {cause}")))
+        bitcode::decode(body).map_err(|cause| self.damaged(format!("{name} cannot be decoded: {cause}")))
     }
 }
 
@@ -343,20 +357,20 @@
 }
 
 impl Tables<'_> {
-    /// The snapshot takes the place of the former one, and of the entries up to its index.
+    /// Replaces the stored snapshot and removes the entries up to the new snapshot's index.
     fn replace_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), redb::StorageError> {
         let bytes = encode_with_checksum(snapshot);
         self.snapshot.retain(|_, _| false)?;
         for (number, chunk) in bytes.chunks(SNAPSHOT_CHUNK_BYTES).enumerate() {
             self.snapshot.insert(number as u64, chunk)?;
         }
-        // As many bytes must come back: a lost piece would otherwise only show in the sum.
+        // Stores the length so that a missing chunk is reported as such instead of as a checksum mismatch.
         self.meta.insert("snapshot", (bytes.len() as u64).to_be_bytes().as_slice())?;
         self.entries.retain_in(..=snapshot.index, |_, _| false)
     }
 }
 
-/// With a checksum in front: `redb` looks at its own sums only after it was not closed properly.
+/// Encodes a value with a leading checksum, because `redb` verifies its own checksums only after an unclean shutdown.
 fn encode_with_checksum<T: Encode>(value: &T) -> Vec<u8> {
     let body = bitcode::encode(value);
     let mut bytes = Vec::with_capacity(body.len() + 8);
@@ -365,8 +379,9 @@
     bytes
 }
 
-/// Whether power went while `redb` made the file: it writes its mark last, and nobody was told anything before.
-/// Taken for damaged, founders that lose their power at the first start would not be founders any more.
+/// Whether power was lost while `redb` initialized the file. `redb` writes its magic number last, and the node has sent
+/// no message before that. If such a file counted as damaged, founders that lose power during their first start would
+/// no longer be founders.
 fn is_uninitialized(backend: &impl StorageBackend) -> std::io::Result<bool> {
     let length = backend.len()?;
     if length == 0 || length > MAX_UNINITIALIZED_BYTES {
@@ -378,27 +393,27 @@
     Ok(magic.chain(rest).all(|byte| *byte == 0))
 }
 
-/// Empties a half made file, unless another process is making it right now.
+/// Truncates an uninitialized file, unless another process is initializing the file right now.
 fn erase_if_uninitialized(backend: &impl StorageBackend) -> std::io::Result<()> {
-    let all = (Bound::Unbounded, Bound::Unbounded);
-    let locked = backend.try_lock_range(all.0, all.1);
+    let whole_file = (Bound::Unbounded, Bound::Unbounded);
+    let locked = backend.try_lock_range(whole_file.0, whole_file.1);
     if !matches!(locked, Ok(false)) && is_uninitialized(backend)? {
         backend.set_len(0)?;
     }
     if matches!(locked, Ok(true)) {
-        backend.unlock_range(all.0, all.1).map_err(std::io::Error::other)?;
+        backend.unlock_range(whole_file.0, whole_file.1).map_err(std::io::Error::other)?;
     }
     Ok(())
 }
 
-/// A failure of the file, told as damage where that is what `redb` says.
+/// Converts an error of `redb` or of the file, and reports corruption as [`StoreError::Damaged`].
 fn store_error<E: Into<redb::Error>>(path: &Path, step: &'static str) -> impl FnOnce(E) -> StoreError {
     let path = path.to_path_buf();
     move |cause| match cause.into() {
         redb::Error::Corrupted(reason) => StoreError::Damaged { reason, path },
-        // This program never wrote a file of an older format.
+        // No version of this program has written a file in an older format.
         redb::Error::UpgradeRequired(found) => {
-            StoreError::Damaged { reason: format!("it has the file format {found}"), path }
+            StoreError::Damaged { reason: format!("unsupported redb file format {found}"), path }
         }
         redb::Error::Io(cause) if cause.kind() == std::io::ErrorKind::InvalidData => {
             StoreError::Damaged { reason: cause.to_string(), path }
--- a/crates/raft/src/writer.rs
+++ b/crates/raft/src/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes to a node's disk: whoever syncs waits for the disk, and the log's heartbeat must not.
+//! The thread that writes to a node's disk, so that heartbeats never wait for a disk sync.
 
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::thread::{Builder, JoinHandle};
@@ -7,24 +7,24 @@
 use crate::store::{Store, StoreError};
 use crate::types::{PersistentState, Save, VoterId};
 
-/// Enough for a transaction; the memory of a thread that mostly sleeps is better spent elsewhere.
+/// The stack size of the writer thread. Sufficient for a transaction; kept small because the thread mostly sleeps.
 const STACK_BYTES: usize = 256 * 1024;
-/// A disk that refuses a write is asked again after this.
+/// The interval between attempts after a failed write.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a writer tells its host.
+/// An event that a writer reports to its host.
 #[derive(Debug)]
 pub enum WriterEvent {
-    /// The save with this ticket, and all before it, are on disk.
+    /// The save with this ticket and all earlier saves are on disk.
     Saved(u64),
-    /// The disk refused a write, which is made again until the disk takes it. Told once a trouble.
+    /// A write failed. The writer retries the write until it succeeds, and reports only the first failure of a series.
     WriteFailed(StoreError),
-    /// The file is not what was written to it any more. Nothing more is written, and the host has to fall silent: it
-    /// can't say what it has promised.
+    /// The file no longer contains what this voter wrote. The writer stops, and the host must stop taking part in the
+    /// protocol, because its votes and acknowledgements are lost.
     StoreLost(StoreError),
 }
 
-/// The way to a disk that is written by a thread of its own.
+/// A handle to the writer thread of a store.
 #[derive(Debug)]
 pub struct Writer {
     saves: Option<Sender<Save>>,
@@ -32,11 +32,12 @@
 }
 
 impl Writer {
-    /// Starts the thread on the disk of this voter. `told` hears on that thread; it must not wait for whoever may end
-    /// this writer, which in turn waits for the thread.
+    /// Starts the writer thread for the store of this voter. The thread calls `emit` with each event. `emit` must
+    /// not wait for a thread that may stop or drop this writer, because stopping the writer waits for the writer
+    /// thread.
     ///
     /// # Errors
-    /// When there can be no thread.
+    /// If the thread cannot be started.
     pub fn start(
         store: Store, me: VoterId, mut emit: impl FnMut(WriterEvent) + Send + 'static,
     ) -> std::io::Result<Writer> {
@@ -48,7 +49,10 @@
                 if belongs_to_voter(found.as_ref(), &me, save) {
                     return Ok(store);
                 }
-                Err(StoreError::Damaged { reason: "another process wrote to it".into(), path: path.clone() })
+                Err(StoreError::Damaged {
+                    reason: "another process wrote to the file".into(),
+                    path: path.clone(),
+                })
             };
             let mut store = store;
             while let Ok(save) = queue.recv() {
@@ -66,12 +70,12 @@
     /// Queues a write.
     pub fn save(&self, save: Save) {
         if let Some(saves) = &self.saves {
-            // A thread that has ended told why.
+            // A thread that has ended has already reported the reason.
             let _ = saves.send(save);
         }
     }
 
-    /// Ends the thread once all that is queued is written, and gives the disk back; none if it refuses that.
+    /// Stops the thread after all queued saves are written, and returns the store; `None` if a write fails.
     pub fn stop(mut self) -> Option<Store> {
         self.close()
     }
@@ -83,16 +87,16 @@
 }
 
 impl Drop for Writer {
-    /// The file is closed when this returns: the next one to open it may be waiting already.
+    /// Waits until the file is closed, since another user may be about to open the file.
     fn drop(&mut self) {
         self.close();
     }
 }
 
-/// Writes until it is on disk, and says up to which ticket. Disks refuse writes for seconds and take them again;
-/// meanwhile nothing is acknowledged, so that the others see a voter that is away. After a refusal the library takes
-/// no more writes, so the file is opened anew; the same write again does no harm if it was there already. None when
-/// the file is lost, or when `pause` says that nobody waits any more.
+/// Retries a write until it is durable, and returns the store and the ticket of the last save written. Disks may refuse
+/// writes for some seconds; meanwhile nothing is acknowledged, so that peers treat the voter as unavailable. After a
+/// failure `redb` accepts no more writes, so the file is reopened. Repeating a write that had already succeeded is
+/// harmless. Returns `None` if the store is lost, or if `pause` reports that the writer is being stopped.
 fn retry_write<S>(
     store: S, mut save: Save, write: impl Fn(&S, &Save) -> Result<(), StoreError>,
     mut open: impl FnMut(&Save) -> Result<S, StoreError>, mut emit: impl FnMut(WriterEvent),
@@ -104,7 +108,7 @@
         if let Some(opened) = store.take() {
             match write(&opened, &save) {
                 Ok(()) => return Some((opened, save.ticket)),
-                // Once a trouble is enough: it lasts as long as the disk's.
+                // Reports only the first failure until a write succeeds.
                 Err(error) if std::mem::take(&mut first_failure) => emit(WriterEvent::WriteFailed(error)),
                 Err(_) => {}
             }
@@ -123,8 +127,8 @@
     }
 }
 
-/// Lets the disk be for a while. What comes in meanwhile joins the write, as a disk that refuses for long must not
-/// make an endless queue. False when nobody waits for the writer any more.
+/// Waits for the retry interval. Merges saves that arrive meanwhile into the pending save, so that the queue stays
+/// bounded during a long disk failure. Returns false if the writer is being stopped.
 fn pause(queue: &Receiver<Save>, save: &mut Save) -> bool {
     let deadline = Instant::now() + RETRY_INTERVAL;
     loop {
@@ -136,15 +140,15 @@
     }
 }
 
-/// Whether what a file holds is this voter's, from before a save or from the save itself. While it was closed it was
-/// nobody's: a file that was put in its place, or written by another process, may have promised other things.
+/// Whether a reopened file holds the state of this voter, from before `save` or including `save`. While the file was
+/// closed, it may have been replaced or written by another process, with votes that this voter does not know.
 fn belongs_to_voter(found: Option<&PersistentState>, me: &VoterId, save: &Save) -> bool {
-    let promised = |found: &PersistentState| match found.term.cmp(&save.term) {
+    let vote_is_known = |found: &PersistentState| match found.term.cmp(&save.term) {
         std::cmp::Ordering::Less => true,
         std::cmp::Ordering::Equal => found.vote.is_none() || found.vote == save.vote,
         std::cmp::Ordering::Greater => false,
     };
-    found.is_some_and(|found| found.me == *me && promised(found))
+    found.is_some_and(|found| found.me == *me && vote_is_known(found))
 }
 
 #[cfg(test)]
@@ -162,7 +166,7 @@
         Save { ticket, term: 5, vote, truncate: None, entries: Vec::new(), snapshot: None }
     }
 
-    fn refused() -> StoreError {
+    fn write_error() -> StoreError {
         StoreError::SetAsideFailed { path: PathBuf::from("log"), cause: std::io::Error::other("no room") }
     }
 
@@ -170,50 +174,53 @@
         StoreError::Damaged { reason: "entry 3".into(), path: PathBuf::from("log") }
     }
 
-    /// Up to which ticket was written, how often it paused and told. With each pause one more save comes in, until the
-    /// host goes.
-    fn played(refusals: u32, closed: u32, lost: bool, host_stays: u32) -> (Option<u64>, u32, u32) {
+    /// Runs `retry_write` against a simulated disk. Returns the last ticket written, the number of pauses and the
+    /// number of events. One more save arrives during each pause, until the host stops the writer.
+    fn run_retry_write(
+        failed_writes: u32, failed_opens: u32, lost: bool, pauses_until_stop: u32,
+    ) -> (Option<u64>, u32, u32) {
         let (writes, opens, pauses, events) = (Cell::new(0), Cell::new(0), Cell::new(0), Cell::new(0));
         let write = |_: &(), _: &Save| {
             writes.set(writes.get() + 1);
-            if writes.get() <= refusals { Err(refused()) } else { Ok(()) }
+            if writes.get() <= failed_writes { Err(write_error()) } else { Ok(()) }
         };
         let open = |_: &Save| match opens.replace(opens.get() + 1) {
-            n if n < closed => Err(refused()),
+            n if n < failed_opens => Err(write_error()),
             _ if lost => Err(damaged()),
             _ => Ok(()),
         };
-        let pause = |waiting: &mut Save| {
+        let pause = |pending: &mut Save| {
             pauses.set(pauses.get() + 1);
-            waiting.join(save(waiting.ticket + 1));
-            pauses.get() <= host_stays
+            pending.join(save(pending.ticket + 1));
+            pauses.get() <= pauses_until_stop
         };
         let written = retry_write((), save(1), write, open, |_| events.set(events.get() + 1), pause);
         (written.map(|(_, ticket)| ticket), pauses.get(), events.get())
     }
 
     #[yare::parameterized(
-        at_once = { 0, 0, false, 9, (Some(1), 0, 0) },
-        refused_twice = { 2, 0, false, 9, (Some(3), 2, 1) },
-        can_not_be_opened_for_a_while = { 1, 3, false, 9, (Some(5), 4, 1) },
-        damaged_meanwhile = { 1, 2, true, 9, (None, 3, 2) },
-        the_host_goes = { 9, 0, false, 2, (None, 3, 1) },
+        first_attempt = { 0, 0, false, 9, (Some(1), 0, 0) },
+        two_failed_writes = { 2, 0, false, 9, (Some(3), 2, 1) },
+        reopening_fails_for_a_while = { 1, 3, false, 9, (Some(5), 4, 1) },
+        damaged_while_closed = { 1, 2, true, 9, (None, 3, 2) },
+        writer_is_stopped = { 9, 0, false, 2, (None, 3, 1) },
     )]
-    fn a_write_that_is_refused_is_made_later(
-        refusals: u32, closed: u32, lost: bool, host_stays: u32, expected: (Option<u64>, u32, u32),
+    fn failed_write_is_retried_until_durable(
+        failed_writes: u32, failed_opens: u32, lost: bool, pauses_until_stop: u32,
+        expected: (Option<u64>, u32, u32),
     ) {
-        assert_eq!(played(refusals, closed, lost, host_stays), expected);
+        assert_eq!(run_retry_write(failed_writes, failed_opens, lost, pauses_until_stop), expected);
     }
 
     #[yare::parameterized(
-        as_it_was = { 4, Some(9), 1, true },
-        with_the_save_itself = { 5, Some(1), 1, true },
+        unchanged = { 4, Some(9), 1, true },
+        including_the_save = { 5, Some(1), 1, true },
         before_the_vote = { 5, None, 1, true },
-        another_vote_was_given = { 5, Some(9), 1, false },
-        a_later_term = { 6, None, 1, false },
-        another_voter = { 4, None, 2, false },
+        different_vote = { 5, Some(9), 1, false },
+        later_term = { 6, None, 1, false },
+        different_voter = { 4, None, 2, false },
     )]
-    fn a_file_that_another_process_wrote_to_is_lost(term: u64, vote: Option<u64>, me: u64, goes: bool) {
+    fn file_written_by_another_process_is_rejected(term: u64, vote: Option<u64>, me: u64, accepted: bool) {
         let found = PersistentState {
             me: voter(me),
             term,
@@ -222,7 +229,7 @@
             entries: Vec::new(),
             founders: Vec::new(),
         };
-        assert_eq!(belongs_to_voter(Some(&found), &voter(1), &save(1)), goes);
-        assert!(!belongs_to_voter(None, &voter(1), &save(1)), "an empty file in its place");
+        assert_eq!(belongs_to_voter(Some(&found), &voter(1), &save(1)), accepted);
+        assert!(!belongs_to_voter(None, &voter(1), &save(1)), "an empty file must be rejected");
     }
 }
--- a/crates/raft/tests/disk.rs
+++ b/crates/raft/tests/disk.rs
@@ -66,7 +66,10 @@
     store.save(&Save { entries: vec![entry(1, 1), entry(3, 1)], ..save(1, 1) }).unwrap();
     drop(store);
     let fault = Store::open(&path).unwrap_err();
-    assert!(fault.is_lost() && fault.to_string().contains("entry 3 stands where entry 2 should"), "{fault}");
+    assert!(
+        fault.is_lost() && fault.to_string().contains("found entry 3 where entry 2 was expected"),
+        "{fault}"
+    );
 }
 
 #[test]
