--- a/crates/control-plane/tests/orders/drawn.rs
+++ b/crates/control-plane/tests/orders/drawn.rs
@@ -251,7 +251,7 @@
 
     fn trouble(&mut self, wiped: &mut usize) {
         let world = &mut self.world;
-        if world.settled() {
+        if world.is_settled() {
             *wiped = 0;
         }
         let (kind, span) = (world.rng.below(100), world.rng.below(1_500));
@@ -265,8 +265,8 @@
                 world.wipe(at, span / 3);
             }
             32..47 => world.freeze(at, span),
-            47..75 => world.cut[at][other] = true,
-            _ => world.cut.iter_mut().flatten().for_each(|cut| *cut = false),
+            47..75 => world.partitioned[at][other] = true,
+            _ => world.partitioned.iter_mut().flatten().for_each(|cut| *cut = false),
         }
     }
 
@@ -285,7 +285,7 @@
                 self.trouble(&mut wiped);
             }
         }
-        self.world.cut.iter_mut().flatten().for_each(|cut| *cut = false);
+        self.world.partitioned.iter_mut().flatten().for_each(|cut| *cut = false);
         self.world.lossy = false;
         let end = self.world.now + CALM;
         while self.world.now < end {
--- a/crates/raft/src/bounded_model_check/world.rs
+++ b/crates/raft/src/bounded_model_check/world.rs
@@ -377,7 +377,7 @@
         let (term, me) = (node.term(), node.me().clone());
         let first = Rc::make_mut(&mut self.history).leaders.entry(term).or_insert(me.clone());
         if *first != me {
-            return Err(format!("term {term} is with_leader by {first} and by {me}"));
+            return Err(format!("term {term} has two leaders: {first} and {me}"));
         }
         self.record_vote(term, &me, &me)?;
         let votes = node
--- a/crates/raft/tests/catch_up.rs
+++ b/crates/raft/tests/catch_up.rs
@@ -1,5 +1,5 @@
-//! A voter that was away for up to thousands of changes catches up over a slow link that also carries other traffic, while
-//! changes go on: in a time that a formula gives.
+//! A voter that missed up to thousands of changes catches up within a computed time limit, over a slow link that also
+//! carries other traffic, while changes continue.
 
 mod fake_disk;
 mod slow_links;
@@ -8,27 +8,27 @@
 use slow_links::World;
 use yare::parameterized;
 
-/// 2 Mbit/s, of which other traffic takes half: bytes a millisecond.
+/// The bandwidth in bytes per millisecond: 2 Mbit/s, half of which is used by other traffic.
 const BANDWIDTH: usize = 125;
 const DELAY: Millis = 20;
-/// Of a hundred bytes that the link carries, so many are changes that go on.
-const CHANGES_SHARE: usize = 30;
-/// Who was away.
-const AWAY: usize = 2;
+/// The percentage of the bandwidth that concurrent changes use.
+const CHANGES_PERCENT: usize = 30;
+/// The host that was down and has to catch up.
+const LAGGING: usize = 2;
 
 #[derive(Clone, Copy)]
 struct Case {
-    /// Changes that it missed, and the bytes of each.
+    /// The number of missed changes, and the bytes of each change.
     missed: u64,
     change_bytes: usize,
-    /// Its connections break this often.
+    /// The interval at which the connections of the host break.
     breaks_every: Option<Millis>,
-    /// Its power goes once after this.
+    /// The time after which the host loses power once.
     killed_after: Option<Millis>,
-    /// Whether it is needed for a majority, since the third voter is away then.
-    needed: bool,
-    /// Whether it is a process of the version before, which knows no pieces.
-    knows_no_pieces: bool,
+    /// Whether the host is needed for a majority, because the third voter is down.
+    needed_for_majority: bool,
+    /// Whether the host runs the previous release, which does not support chunked transfers.
+    without_chunk_support: bool,
     limits: TransferLimits,
     faults: Faults,
 }
@@ -38,41 +38,41 @@
     change_bytes: 20_000,
     breaks_every: None,
     killed_after: None,
-    needed: false,
-    knows_no_pieces: false,
+    needed_for_majority: false,
+    without_chunk_support: false,
     limits: TransferLimits::PRODUCTION,
     faults: Faults::NONE,
 };
 
-/// In milliseconds: what is to be sent over what the changes leave of the link, half as much again, and two seconds for
-/// its start. To be sent are the state, and as many entries as a compaction allows.
-fn bound(world: &World, leader: usize, case: Case) -> Millis {
+/// The time limit in milliseconds: 1.5 times the time to send the data over the bandwidth that the changes leave, plus
+/// two seconds for the start. The data are the state and as many entries as fit between two compactions.
+fn time_limit(world: &World, leader: usize, case: Case) -> Millis {
     let entries = (16 * case.change_bytes).min(4_000_000 + case.change_bytes);
     let bytes = world.state(leader).size() + entries;
-    let bandwidth = BANDWIDTH * (100 - CHANGES_SHARE) / 100;
-    let mut bound = 2_000 + (bytes / bandwidth) as Millis * 3 / 2;
-    if case.knows_no_pieces {
-        // Three windows of pieces are lost first, each told by a heartbeat behind it.
-        bound += 2_000;
+    let bandwidth = BANDWIDTH * (100 - CHANGES_PERCENT) / 100;
+    let mut limit_ms = 2_000 + (bytes / bandwidth) as Millis * 3 / 2;
+    if case.without_chunk_support {
+        // Three transfer attempts are lost first, each detected by a later heartbeat.
+        limit_ms += 2_000;
     }
     if let Some(every) = case.breaks_every {
-        // Half a second of each span goes by until it is noticed.
-        bound += bound * 500 / (every - 500);
+        // Half a second of each interval passes until the loss is detected.
+        limit_ms += limit_ms * 500 / (every - 500);
     }
-    bound
+    limit_ms
 }
 
 struct CaughtUp {
     after: Millis,
-    bound: Millis,
+    limit_ms: Millis,
     changes_meanwhile: u64,
     sent_bytes: usize,
 }
 
-/// Commits what the third voter misses.
-fn miss(world: &mut World, case: Case) -> Result<(), String> {
-    world.kill(AWAY, 0);
-    world.slow_down(AWAY, BANDWIDTH, DELAY);
+/// Commits the changes that the third voter misses.
+fn commit_missed_changes(world: &mut World, case: Case) -> Result<(), String> {
+    world.kill(LAGGING, 0);
+    world.set_link_speed(LAGGING, BANDWIDTH, DELAY);
     world.run_until(world.now + 2_000)?;
     while world.acknowledged < case.missed {
         let before = world.acknowledged;
@@ -86,27 +86,27 @@
 
 fn catch_up(case: Case) -> Result<CaughtUp, String> {
     let mut world = World::new(3, case.faults, case.limits);
-    world.knows_no_pieces = case.knows_no_pieces.then_some(AWAY);
-    miss(&mut world, case)?;
-    let mut leader = world.leader().ok_or("nobody leads")?;
-    world.start(AWAY);
-    if case.needed {
+    world.without_chunk_support = case.without_chunk_support.then_some(LAGGING);
+    commit_missed_changes(&mut world, case)?;
+    let mut leader = world.leader().ok_or("no leader")?;
+    world.start(LAGGING);
+    if case.needed_for_majority {
         world.kill(1 - leader, 0);
-        // The leader gives way, and is elected again.
+        // The leader steps down and is elected again.
         world.run_until(world.now + 3_000)?;
-        leader = world.leader().ok_or("nobody leads with two of three")?;
+        leader = world.leader().ok_or("no leader with two of three voters")?;
     }
     let term = world.node(leader).map(raft::Node::term);
     let (began, sent, before) = (world.now, world.sent_bytes, world.state(leader).changes);
-    let bound = bound(&world, leader, case);
-    let pause = (case.change_bytes * 100 / CHANGES_SHARE / BANDWIDTH).max(20) as Millis;
+    let limit_ms = time_limit(&world, leader, case);
+    let pause = (case.change_bytes * 100 / CHANGES_PERCENT / BANDWIDTH).max(20) as Millis;
     let (mut next_change, mut next_break, mut next_kill) = (pause, case.breaks_every, case.killed_after);
-    while world.applied(AWAY) < world.applied(leader) {
+    while world.applied(LAGGING) < world.applied(leader) {
         world.run_until(world.now + 5)?;
         let after = world.now - began;
-        if after > bound {
-            let (has, of) = (world.applied(AWAY), world.applied(leader));
-            return Err(format!("it has {has} of {of} entries after {after} ms"));
+        if after > limit_ms {
+            let (has, of) = (world.applied(LAGGING), world.applied(leader));
+            return Err(format!("the host has {has} of {of} entries after {after} ms"));
         }
         if world.leader() != Some(leader) || world.node(leader).map(raft::Node::term) != term {
             return Err(format!("another term has begun after {after} ms"));
@@ -117,16 +117,21 @@
         }
         if next_break.is_some_and(|at| after >= at) {
             next_break = next_break.zip(case.breaks_every).map(|(at, every)| at + every);
-            world.break_connections(AWAY);
+            world.break_connections(LAGGING);
         }
         if next_kill.is_some_and(|at| after >= at) {
             next_kill = None;
-            world.kill(AWAY, 1);
-            world.start(AWAY);
+            world.kill(LAGGING, 1);
+            world.start(LAGGING);
         }
     }
     let changes_meanwhile = world.state(leader).changes - before;
-    Ok(CaughtUp { after: world.now - began, bound, changes_meanwhile, sent_bytes: world.sent_bytes - sent })
+    Ok(CaughtUp {
+        after: world.now - began,
+        limit_ms,
+        changes_meanwhile,
+        sent_bytes: world.sent_bytes - sent,
+    })
 }
 
 #[parameterized(
@@ -138,60 +143,62 @@
     five_thousand = { Case { missed: 5_000, change_bytes: 2_000, ..PLAIN } },
     five_thousand_of_20_kb = { Case { missed: 5_000, ..PLAIN } },
     connections_break = { Case { change_bytes: 100_000, breaks_every: Some(3_000), ..PLAIN } },
-    large_and_they_break = { Case { missed: 10, change_bytes: 2_000_000, breaks_every: Some(3_000), ..PLAIN } },
-    it_is_needed = { Case { change_bytes: 100_000, needed: true, ..PLAIN } },
-    of_the_version_before = { Case { change_bytes: 200_000, knows_no_pieces: true, ..PLAIN } },
-    small_of_the_version_before = {
-        Case { missed: 5_000, change_bytes: 2_000, knows_no_pieces: true, ..PLAIN }
+    large_changes_and_connections_break = { Case { missed: 10, change_bytes: 2_000_000, breaks_every: Some(3_000), ..PLAIN } },
+    needed_for_a_majority = { Case { change_bytes: 100_000, needed_for_majority: true, ..PLAIN } },
+    previous_release = { Case { change_bytes: 200_000, without_chunk_support: true, ..PLAIN } },
+    small_changes_and_previous_release = {
+        Case { missed: 5_000, change_bytes: 2_000, without_chunk_support: true, ..PLAIN }
     },
-    large_and_needed = { Case { missed: 10, change_bytes: 2_000_000, needed: true, ..PLAIN } },
+    large_changes_and_needed_for_a_majority = { Case { missed: 10, change_bytes: 2_000_000, needed_for_majority: true, ..PLAIN } },
 )]
-fn a_voter_that_was_away_catches_up_in_time(case: Case) {
-    let figures = catch_up(case).unwrap_or_else(|fault| panic!("{fault}"));
-    let CaughtUp { after, bound, changes_meanwhile, sent_bytes } = figures;
+fn lagging_voter_catches_up_in_time(case: Case) {
+    let result = catch_up(case).unwrap_or_else(|violation| panic!("{violation}"));
+    let CaughtUp { after, limit_ms, changes_meanwhile, sent_bytes } = result;
     let (missed, bytes) = (case.missed, case.change_bytes);
     println!(
-        "{missed} of {bytes} bytes: {after} ms of {bound}, {changes_meanwhile} changes meanwhile, {sent_bytes} sent"
+        "{missed} of {bytes} bytes: {after} ms of {limit_ms}, {changes_meanwhile} changes meanwhile, {sent_bytes} sent"
     );
 }
 
-const LATE: &str = "entries after";
+const TOO_LATE: &str = "entries after";
 
 #[parameterized(
     restart_transfers = {
         Faults { restart_transfers: true, ..Faults::NONE },
-        Case { change_bytes: 100_000, breaks_every: Some(3_000), ..PLAIN }, LATE
+        Case { change_bytes: 100_000, breaks_every: Some(3_000), ..PLAIN }, TOO_LATE
     },
     compaction_aborts_transfers = {
         Faults { compaction_aborts_transfers: true, ..Faults::NONE },
-        Case { missed: 5_000, change_bytes: 2_000, ..PLAIN }, LATE
+        Case { missed: 5_000, change_bytes: 2_000, ..PLAIN }, TOO_LATE
     },
     retain_no_entries = {
         Faults { retain_no_entries: true, ..Faults::NONE },
-        Case { missed: 5_000, change_bytes: 2_000, ..PLAIN }, LATE
+        Case { missed: 5_000, change_bytes: 2_000, ..PLAIN }, TOO_LATE
+    },
+    fixed_loss_timeout = {
+        Faults { fixed_loss_timeout: true, ..Faults::NONE }, Case { change_bytes: 100_000, ..PLAIN }, TOO_LATE
     },
-    fixed_loss_timeout = { Faults { fixed_loss_timeout: true, ..Faults::NONE }, Case { change_bytes: 100_000, ..PLAIN }, LATE },
 )]
-fn planted_faults_are_found(faults: Faults, case: Case, what: &str) {
-    assert!(catch_up(case).is_ok(), "it is found without the fault as well");
-    let fault = catch_up(Case { faults, ..case }).err().expect("it is not found");
-    println!("{fault}");
-    assert!(fault.contains(what), "{fault}");
+fn injected_faults_are_detected(faults: Faults, case: Case, expected: &str) {
+    assert!(catch_up(case).is_ok(), "the case fails even without the fault");
+    let violation = catch_up(Case { faults, ..case }).err().expect("the fault is not detected");
+    println!("{violation}");
+    assert!(violation.contains(expected), "{violation}");
 }
 
-/// What holds up the heartbeats behind it costs a leader its place.
+/// A snapshot in a single message delays heartbeats until the leader loses its leadership.
 #[test]
-fn a_snapshot_in_one_message_is_found() {
-    let case = Case { change_bytes: 100_000, needed: true, ..PLAIN };
-    assert!(catch_up(case).is_ok(), "it is found without the fault as well");
+fn snapshot_in_one_message_is_detected() {
+    let case = Case { change_bytes: 100_000, needed_for_majority: true, ..PLAIN };
+    assert!(catch_up(case).is_ok(), "the case fails even without the fault");
     let limits = TransferLimits { min_window_bytes: 8 << 20, ..TransferLimits::PRODUCTION };
-    let fault = catch_up(Case { limits, ..case }).err().expect("it is not found");
-    println!("{fault}");
-    assert!(fault.contains("another term") || fault.contains("nobody leads"), "{fault}");
+    let violation = catch_up(Case { limits, ..case }).err().expect("the fault is not detected");
+    println!("{violation}");
+    assert!(violation.contains("another term") || violation.contains("no leader"), "{violation}");
 }
 
-/// All lose their power; whoever leads then has a snapshot that is older than its log.
-fn all_start_again(faults: Faults) -> Result<World, String> {
+/// Repeatedly restarts all voters after a power loss, so that the next leader has a snapshot older than its log.
+fn restart_all_repeatedly(faults: Faults) -> Result<World, String> {
     let mut world = World::new(3, faults, TransferLimits::default());
     world.run_until(world.now + 2_000)?;
     for round in 0..8 {
@@ -207,32 +214,33 @@
 }
 
 #[test]
-fn no_leader_answers_before_its_state_has_caught_up() {
-    let world = all_start_again(Faults::NONE).unwrap_or_else(|fault| panic!("{fault}"));
+fn leader_serves_only_with_a_current_state() {
+    let world = restart_all_repeatedly(Faults::NONE).unwrap_or_else(|violation| panic!("{violation}"));
     assert!(
-        world.acknowledged > 90 && world.answerable > 1_000,
+        world.acknowledged > 90 && world.serving_steps > 1_000,
         "{} {}",
         world.acknowledged,
-        world.answerable
+        world.serving_steps
     );
-    let fault = all_start_again(Faults { serve_before_own_commit: true, ..Faults::NONE })
+    let violation = restart_all_repeatedly(Faults { serve_before_own_commit: true, ..Faults::NONE })
         .err()
-        .expect("it is not found");
-    println!("{fault}");
-    assert!(fault.contains("that were acknowledged"), "{fault}");
+        .expect("the fault is not detected");
+    println!("{violation}");
+    assert!(violation.contains("acknowledged changes"), "{violation}");
 }
 
-/// Power goes at any moment of a transfer and of what follows it: what is there is always one state that was committed.
+/// Power is lost at every moment of a transfer and of its completion. The state after the restart is always a committed
+/// state.
 #[test]
-fn power_may_go_at_each_step_of_taking_a_snapshot() {
+fn power_loss_at_any_moment_of_a_snapshot_transfer_is_safe() {
     let case = Case { missed: 40, ..PLAIN };
-    let whole = catch_up(case).unwrap_or_else(|fault| panic!("{fault}"));
-    let mut moments = 0;
-    for moment in (5..whole.after).step_by(10) {
+    let baseline = catch_up(case).unwrap_or_else(|violation| panic!("{violation}"));
+    let mut tested_moments = 0;
+    for moment in (5..baseline.after).step_by(10) {
         let case = Case { killed_after: Some(moment), ..case };
-        catch_up(case).unwrap_or_else(|fault| panic!("power goes after {moment} ms: {fault}"));
-        moments += 1;
+        catch_up(case).unwrap_or_else(|violation| panic!("power loss after {moment} ms: {violation}"));
+        tested_moments += 1;
     }
-    println!("{moments} moments in {} ms", whole.after);
-    assert!(moments > 20);
+    println!("{tested_moments} moments in {} ms", baseline.after);
+    assert!(tested_moments > 20);
 }
--- a/crates/raft/tests/transfer.rs
+++ b/crates/raft/tests/chunked_transfer.rs
@@ -1,4 +1,4 @@
-//! Single rules of a follower that is sent pieces.
+//! Rules of a follower that receives a chunked transfer.
 
 use raft::{Input, Message, Node, Output, PersistentState, Timing, TransferId, TransferKind, VoterId};
 
@@ -16,19 +16,24 @@
     Node::start(PersistentState { me: voter(0), term, vote, snapshot, entries, founders }, TIMING, 1, 0)
 }
 
-/// How many bytes it says are there after a piece, as it says so at once; none if it says nothing.
+/// The number of received bytes that the follower reports after a chunk; `None` if the follower does not respond.
 fn received(
     node: &mut Node, from: usize, term: u64, transfer: TransferId, offset: u64, length: usize,
 ) -> Option<u64> {
     let message = Message::Chunk { term, transfer, offset, bytes: vec![5; length] };
     let mut out = Vec::new();
     node.handle(10, Input::Received { from: voter(from), message }, &mut out);
-    assert!(!out.iter().any(|output| matches!(output, Output::Install { .. })), "no payload is whole here");
+    assert!(
+        !out.iter().any(|output| matches!(output, Output::Install { .. })),
+        "no payload is complete in these tests"
+    );
     out.into_iter().find_map(|output| match output {
         Output::Send {
-            message: Message::ChunkReceived { transfer: of, offset: at, received, .. }, ..
+            message:
+                Message::ChunkReceived { transfer: answered_transfer, offset: answered_offset, received, .. },
+            ..
         } => {
-            assert_eq!((of, at), (transfer, offset));
+            assert_eq!((answered_transfer, answered_offset), (transfer, offset));
             Some(received)
         }
         _ => None,
@@ -36,32 +41,41 @@
 }
 
 #[test]
-fn pieces_are_taken_in_order_and_once() {
+fn chunks_are_accepted_in_order_and_once() {
     let mut node = follower();
-    assert_eq!(received(&mut node, 1, 1, SNAPSHOT, 40, 40), Some(0), "the first one is missing");
+    assert_eq!(received(&mut node, 1, 1, SNAPSHOT, 40, 40), Some(0), "the first chunk is missing");
     assert_eq!(received(&mut node, 1, 1, SNAPSHOT, 0, 40), Some(40));
-    assert_eq!(received(&mut node, 1, 1, SNAPSHOT, 0, 40), Some(40), "again");
-    assert_eq!(received(&mut node, 1, 1, SNAPSHOT, 40, 61), Some(40), "longer than it was to be");
+    assert_eq!(received(&mut node, 1, 1, SNAPSHOT, 0, 40), Some(40), "a repeated chunk");
+    assert_eq!(
+        received(&mut node, 1, 1, SNAPSHOT, 40, 61),
+        Some(40),
+        "a chunk beyond the end of the payload"
+    );
     assert_eq!(received(&mut node, 1, 1, SNAPSHOT, 40, 40), Some(80));
 }
 
 #[test]
-fn another_leader_goes_on_with_the_same_payload_and_begins_with_another() {
+fn next_leader_resumes_the_same_payload_and_restarts_another() {
     let mut node = follower();
     assert_eq!(received(&mut node, 1, 1, SNAPSHOT, 0, 60), Some(60));
-    assert_eq!(received(&mut node, 2, 2, SNAPSHOT, 0, 60), Some(60), "the next leader's first piece");
-    // Its term is written down now; the one before is told of it once that is on disk, and changes nothing.
+    assert_eq!(received(&mut node, 2, 2, SNAPSHOT, 0, 60), Some(60), "the first chunk from the next leader");
+    // The follower saves the new term. The former leader gets a response only once the save is durable, and its chunk
+    // has no effect.
     assert_eq!(received(&mut node, 1, 1, SNAPSHOT, 60, 10), None);
     assert_eq!(received(&mut node, 2, 2, TransferId { checksum: 8, ..SNAPSHOT }, 60, 10), Some(0));
     assert_eq!(received(&mut node, 2, 2, SNAPSHOT, 60, 10), Some(0));
 }
 
 #[test]
-fn what_does_not_have_its_checksum_is_sent_again() {
+fn payload_with_wrong_checksum_is_received_again() {
     let mut node = follower();
     assert_eq!(received(&mut node, 1, 1, SNAPSHOT, 0, 60), Some(60));
     assert_eq!(received(&mut node, 1, 1, SNAPSHOT, 60, 40), Some(100));
     assert_eq!(received(&mut node, 1, 1, SNAPSHOT, 60, 40), Some(0));
-    let endless = TransferId { length: u64::MAX, ..SNAPSHOT };
-    assert_eq!(received(&mut node, 1, 1, endless, 0, 40), Some(0), "nothing is kept of what has no end");
+    let oversized = TransferId { length: u64::MAX, ..SNAPSHOT };
+    assert_eq!(
+        received(&mut node, 1, 1, oversized, 0, 40),
+        Some(0),
+        "a payload above the maximum size is not stored"
+    );
 }
--- a/crates/raft/tests/fake_disk/mod.rs
+++ b/crates/raft/tests/fake_disk/mod.rs
@@ -1,4 +1,4 @@
-//! What a disk has after a save, told without one.
+//! An in-memory model of the persistent state after a save.
 
 use raft::{PersistentState, Save, VoterId};
 
--- a/crates/raft/tests/simulation/mod.rs
+++ b/crates/raft/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A small world of nodes with drawn delays and losses. What must never be is checked after each step.
+//! A simulated cluster with random delays and message losses. Checks the safety properties after each step.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -10,8 +10,8 @@
 
 use crate::fake_disk::{apply, empty};
 
-/// How many entries a voter may lack when it is added to a list, beside those that are on their way to its disk.
-const MOST_LACKING: u64 = 64;
+/// The maximum number of entries that a voter may lack on disk when it is added to the list.
+const MAX_MISSING_ENTRIES: u64 = 64;
 
 pub const TIMING: Timing = Timing { heartbeat: 50, election: 300, lease: 220 };
 
@@ -38,10 +38,10 @@
     pub disk: PersistentState,
     pub node: Option<Node>,
     saves: VecDeque<Save>,
-    life: u64,
+    generation: u64,
     pub frozen_until: Millis,
     inbox: Vec<Input>,
-    /// Up to where the host has the state, and the state: a digest of all entries.
+    /// The last applied entry, and the state after it: a digest of all applied entries.
     pub applied: u64,
     state: u64,
 }
@@ -52,7 +52,7 @@
             disk,
             node: None,
             saves: VecDeque::new(),
-            life: 0,
+            generation: 0,
             frozen_until: 0,
             inbox: Vec::new(),
             applied: 0,
@@ -62,7 +62,7 @@
 }
 
 enum Event {
-    Input { host: usize, life: Option<u64>, input: Input },
+    Input { host: usize, generation: Option<u64>, input: Input },
     Restart { host: usize },
 }
 
@@ -70,11 +70,11 @@
     pub now: Millis,
     pub hosts: Vec<Host>,
     pub rng: Rng,
-    pub cut: Vec<Vec<bool>>,
+    pub partitioned: Vec<Vec<bool>>,
     pub lossy: bool,
-    /// How many saves, and messages, of a hundred take long.
-    pub slow: (u64, u64),
-    /// No save of these hosts' disks ends before.
+    /// The percentages of saves and of messages that are slow.
+    pub slow_percent: (u64, u64),
+    /// For hosts with a hung disk, the time before which no save completes.
     pub hung_until: BTreeMap<usize, Millis>,
     pub policy: RetirementPolicy,
     faults: Faults,
@@ -83,15 +83,15 @@
     queue: BinaryHeap<Reverse<(Millis, u64)>>,
     count: u64,
     leaders: BTreeMap<u64, VoterId>,
-    /// All that anybody was told as committed, and the state after it.
+    /// All entries that any node reported as committed, and the state after each.
     pub committed: BTreeMap<u64, (Entry, u64)>,
-    /// What leaders have accepted: host, index and term of each, until somebody takes them.
+    /// The proposals that leaders have accepted (host, index and term), until a test removes them.
     pub accepted: Vec<(usize, u64, u64)>,
-    pub leases: u64,
-    pub sent: u64,
+    pub lease_steps: u64,
+    pub sent_messages: u64,
 }
 
-fn after(state: u64, entry: &Entry) -> u64 {
+fn apply_entry(state: u64, entry: &Entry) -> u64 {
     let bytes = match &entry.payload {
         Payload::Change(bytes) => bytes.as_slice(),
         _ => &[],
@@ -115,9 +115,9 @@
             now: 1000,
             hosts: founders.iter().map(host).collect(),
             rng: Rng::new(seed + 1),
-            cut: vec![vec![false; size]; size],
+            partitioned: vec![vec![false; size]; size],
             lossy: true,
-            slow: (2, 3),
+            slow_percent: (2, 3),
             hung_until: BTreeMap::new(),
             policy: RetirementPolicy { silence_timeout: 6 * TIMING.election, min_voters: size },
             faults,
@@ -128,8 +128,8 @@
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
             accepted: Vec::new(),
-            leases: 0,
-            sent: 0,
+            lease_steps: 0,
+            sent_messages: 0,
         };
         (0..size).for_each(|host| world.restart(host));
         world
@@ -157,51 +157,51 @@
         };
     }
 
-    /// Power goes: of what was being saved, some first part may be on disk.
-    pub fn kill(&mut self, at: usize, back_after: Millis) {
-        let kept = self.rng.below(self.hosts[at].saves.len() as u64 + 1);
+    /// Stops a host by a power loss. A random number of its pending saves reach the disk.
+    pub fn kill(&mut self, at: usize, restart_after: Millis) {
+        let durable_saves = self.rng.below(self.hosts[at].saves.len() as u64 + 1);
         let host = &mut self.hosts[at];
         if host.node.take().is_none() {
             return;
         }
-        for save in host.saves.drain(..).take(kept as usize) {
+        for save in host.saves.drain(..).take(durable_saves as usize) {
             apply(&mut host.disk, &save);
         }
-        host.life += 1;
+        host.generation += 1;
         host.inbox.clear();
-        self.schedule(self.now + back_after, Event::Restart { host: at });
+        self.schedule(self.now + restart_after, Event::Restart { host: at });
     }
 
-    pub fn wipe(&mut self, at: usize, back_after: Millis) {
-        self.kill(at, back_after);
+    pub fn wipe(&mut self, at: usize, restart_after: Millis) {
+        self.kill(at, restart_after);
         let incarnation = 1 + self.rng.below(1 << 40);
         let host = &mut self.hosts[at];
         host.disk = empty(voter(at, incarnation), Vec::new());
     }
 
-    /// Never comes back.
-    #[allow(dead_code)] // Not all that share this world replace hosts.
-    pub fn lose(&mut self, at: usize) {
+    /// Removes a host for good.
+    #[allow(dead_code)] // Only some tests that share this module replace hosts.
+    pub fn remove_host(&mut self, at: usize) {
         let host = &mut self.hosts[at];
         host.node = None;
-        host.life += 1;
+        host.generation += 1;
         host.inbox.clear();
         host.saves.clear();
     }
 
-    /// Another host with an empty disk, at an address of its own, that starts after a while.
-    #[allow(dead_code)] // As above.
-    pub fn newcomer(&mut self, after: Millis) -> usize {
+    /// Adds a host with an empty disk and a new address, which starts after a delay.
+    #[allow(dead_code)] // Only some tests that share this module use it.
+    pub fn add_host(&mut self, after: Millis) -> usize {
         let at = self.hosts.len();
         let incarnation = 1 + self.rng.below(1 << 40);
         self.hosts.push(Host::with(empty(voter(at, incarnation), Vec::new())));
-        self.cut.iter_mut().for_each(|row| row.push(false));
-        self.cut.push(vec![false; at + 1]);
+        self.partitioned.iter_mut().for_each(|row| row.push(false));
+        self.partitioned.push(vec![false; at + 1]);
         self.schedule(self.now + after, Event::Restart { host: at });
         at
     }
 
-    #[allow(dead_code)] // As above.
+    #[allow(dead_code)] // Only some tests that share this module use it.
     pub fn freeze(&mut self, at: usize, span: Millis) {
         self.hosts[at].frozen_until = self.now + span;
     }
@@ -212,8 +212,9 @@
         leaders.filter(|(node, _)| node.is_leader()).max_by_key(|(node, _)| node.term()).map(|(_, at)| at)
     }
 
-    /// Whether all are up, on the list, and have what is committed: only then has a lost disk been made up for.
-    pub fn settled(&self) -> bool {
+    /// Whether all hosts are up, are voters and have all committed entries. Only then has the cluster fully
+    /// recovered from a lost disk.
+    pub fn is_settled(&self) -> bool {
         let Some(leader) = self.leader().and_then(|at| self.hosts[at].node.as_ref()) else { return false };
         leader.holds_lease(self.now)
             && self.hosts.iter().all(|host| {
@@ -222,7 +223,7 @@
             })
     }
 
-    /// Hosts that are up and not on the newest leader's list.
+    /// Hosts that are up and not on the newest leader's list of voters.
     pub fn learners(&self) -> Vec<VoterId> {
         let Some(leader) = self.leader() else { return Vec::new() };
         let Some(node) = &self.hosts[leader].node else { return Vec::new() };
@@ -232,29 +233,29 @@
 
     pub fn input(&mut self, at: usize, input: Input) -> Result<(), String> {
         if self.hosts[at].frozen_until > self.now {
-            // Messages wait in the sockets of a frozen process.
+            // Messages queue in the sockets of a frozen process.
             self.hosts[at].inbox.push(input);
             return Ok(());
         }
         let mut out = Vec::new();
         let now = self.now;
         let Some(node) = &mut self.hosts[at].node else { return Ok(()) };
-        let led =
+        let leadership =
             node.is_leader().then(|| (node.term(), node.members().to_vec(), node.membership_committed()));
         node.handle(now, input, &mut out);
         if node.is_leader() {
             let (term, me) = (node.term(), node.me().clone());
             let first = self.leaders.entry(term).or_insert_with(|| me.clone());
             if *first != me {
-                return Err(format!("term {term} is led by {first} and {me}"));
+                return Err(format!("term {term} has two leaders: {first} and {me}"));
             }
         }
-        if let Some((term, list, settled)) = led {
-            let settled = settled
+        if let Some((term, list, list_committed)) = leadership {
+            let list_committed = list_committed
                 || out.iter().any(|output| {
                     matches!(output, Output::Committed { entry } if entry.payload == Payload::Members(list.clone()))
                 });
-            self.list_changes_by_the_rules(at, term, &list, settled)?;
+            self.check_list_change(at, term, &list, list_committed)?;
         }
         for output in out {
             self.output(at, output)?;
@@ -264,17 +265,17 @@
             .iter()
             .filter(|host| host.node.as_ref().is_some_and(|node| node.holds_lease(now)))
             .count();
-        self.leases += holders as u64;
+        self.lease_steps += holders as u64;
         if holders > 1 {
-            return Err(format!("{holders} hold the lease at {now}"));
+            return Err(format!("{holders} nodes hold the lease at {now}"));
         }
         Ok(())
     }
 
-    /// A leader changes its list by one voter at a time. One that it adds has caught up; one that it takes off leaves
-    /// a list that is long enough, unless somebody with an empty disk has its address.
-    fn list_changes_by_the_rules(
-        &self, at: usize, term: u64, list: &[VoterId], settled: bool,
+    /// Checks that a leader changes its list by one voter at a time, that an added voter has caught up, and that a
+    /// removal does not leave too few voters, unless the address of the removed voter now has an empty disk.
+    fn check_list_change(
+        &self, at: usize, term: u64, list: &[VoterId], list_committed: bool,
     ) -> Result<(), String> {
         let Some(node) = self.hosts[at].node.as_ref().filter(|node| node.is_leader() && node.term() == term)
         else {
@@ -283,8 +284,8 @@
         let added: Vec<_> = node.members().iter().filter(|voter| !list.contains(voter)).collect();
         let removed: Vec<_> = list.iter().filter(|voter| !node.members().contains(voter)).collect();
         let changes = added.len() + removed.len();
-        if changes > 1 || changes == 1 && !settled {
-            return Err(format!("two changes of the list are pending with {}", node.me()));
+        if changes > 1 || changes == 1 && !list_committed {
+            return Err(format!("two membership changes are pending on {}", node.me()));
         }
         for voter in added {
             let host = self.hosts.iter().find(|host| host.disk.me == *voter);
@@ -292,16 +293,16 @@
                 let base = host.disk.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
                 base + host.disk.entries.len() as u64
             });
-            if on_disk + MOST_LACKING < node.commit() {
+            if on_disk + MAX_MISSING_ENTRIES < node.commit() {
                 return Err(format!("{voter} is added with {on_disk} entries of {}", node.commit()));
             }
         }
         for voter in removed {
-            let exchanged = self.hosts.iter().any(|host| {
+            let disk_replaced = self.hosts.iter().any(|host| {
                 host.disk.me.address == voter.address && host.disk.me.incarnation != voter.incarnation
             });
-            if !exchanged && node.members().len() < self.policy.min_voters {
-                return Err(format!("{voter} is taken off a list that is too short without it"));
+            if !disk_replaced && node.members().len() < self.policy.min_voters {
+                return Err(format!("{voter} is removed although the list is too short without it"));
             }
         }
         Ok(())
@@ -311,25 +312,28 @@
         match output {
             Output::Send { to, message } => self.send(at, &to, message),
             Output::Save(save) => {
-                let slow = if self.rng.chance(self.slow.0) { 300 } else { 15 };
-                // The disk does one after the other.
+                let max_delay = if self.rng.chance(self.slow_percent.0) { 300 } else { 15 };
+                // Saves of a disk complete in order.
                 let ticket = save.ticket;
                 self.hosts[at].saves.push_back(save);
                 let hung_until = self.hung_until.get(&at).copied().unwrap_or(0);
-                let at_time = (self.now + 1 + self.rng.below(slow)).max(hung_until);
-                let life = self.hosts[at].life;
+                let done_at = (self.now + 1 + self.rng.below(max_delay)).max(hung_until);
+                let generation = self.hosts[at].generation;
                 self.schedule(
-                    at_time,
-                    Event::Input { host: at, life: Some(life), input: Input::Saved { ticket } },
+                    done_at,
+                    Event::Input { host: at, generation: Some(generation), input: Input::Saved { ticket } },
                 );
             }
             Output::Committed { entry } => {
                 let host = &mut self.hosts[at];
                 if entry.index != host.applied + 1 {
-                    return Err(format!("n{at} is told {} after {}", entry.index, host.applied));
+                    return Err(format!(
+                        "n{at} committed entry {} after entry {}",
+                        entry.index, host.applied
+                    ));
                 }
                 host.applied = entry.index;
-                host.state = after(host.state, &entry);
+                host.state = apply_entry(host.state, &entry);
                 let state = host.state;
                 let index = entry.index;
                 let first = self.committed.entry(index).or_insert_with(|| (entry.clone(), state));
@@ -340,7 +344,7 @@
             Output::Install { snapshot: Snapshot { index, state, .. } } => {
                 let state = u64::from_be_bytes(state[..].try_into().unwrap());
                 if self.committed.get(&index).map(|(_, state)| *state) != Some(state) {
-                    return Err(format!("n{at} got a strange snapshot of {index}"));
+                    return Err(format!("n{at} installed a snapshot of entry {index} with the wrong state"));
                 }
                 (self.hosts[at].applied, self.hosts[at].state) = (index, state);
             }
@@ -351,7 +355,7 @@
     }
 
     fn send(&mut self, from: usize, to: &VoterId, message: Message) {
-        self.sent += 1;
+        self.sent_messages += 1;
         let to: usize = to.address[1..].parse().unwrap();
         let copies = match self.rng.below(100) {
             0..4 if self.lossy => 0,
@@ -359,12 +363,12 @@
             _ => 1,
         };
         for _ in 0..copies {
-            let slow = if self.lossy && self.rng.chance(self.slow.1) { 400 } else { 20 };
-            let at = self.now + 1 + self.rng.below(slow);
-            if !self.cut[from][to] {
+            let max_delay = if self.lossy && self.rng.chance(self.slow_percent.1) { 400 } else { 20 };
+            let at = self.now + 1 + self.rng.below(max_delay);
+            if !self.partitioned[from][to] {
                 let from = self.hosts[from].disk.me.clone();
                 let input = Input::Received { from, message: message.clone() };
-                self.schedule(at, Event::Input { host: to, life: None, input });
+                self.schedule(at, Event::Input { host: to, generation: None, input });
             }
         }
     }
@@ -381,10 +385,10 @@
                 return Ok(());
             }
             self.now = next;
-            for waking in 0..self.hosts.len() {
-                if self.hosts[waking].frozen_until <= self.now {
-                    for input in std::mem::take(&mut self.hosts[waking].inbox) {
-                        self.input(waking, input)?;
+            for resumed in 0..self.hosts.len() {
+                if self.hosts[resumed].frozen_until <= self.now {
+                    for input in std::mem::take(&mut self.hosts[resumed].inbox) {
+                        self.input(resumed, input)?;
                     }
                 }
             }
@@ -395,8 +399,8 @@
             let Some(Reverse((_, id))) = self.queue.pop() else { continue };
             match self.events.remove(&id) {
                 Some(Event::Restart { host }) => self.restart(host),
-                Some(Event::Input { host, life, input })
-                    if life.is_none_or(|life| life == self.hosts[host].life) =>
+                Some(Event::Input { host, generation, input })
+                    if generation.is_none_or(|generation| generation == self.hosts[host].generation) =>
                 {
                     if let Input::Saved { ticket } = input {
                         let host = &mut self.hosts[host];
@@ -412,7 +416,7 @@
         }
     }
 
-    /// What the hosts do by themselves: the leader's takes in learners, all of them compact.
+    /// Runs the periodic duties of the hosts: the leader's host adds learners, and all hosts compact their logs.
     pub fn run_maintenance(&mut self) -> Result<(), String> {
         if let Some(leader) = self.leader() {
             for learner in self.learners() {
--- a/crates/raft/tests/slow_links/mod.rs
+++ b/crates/raft/tests/slow_links/mod.rs
@@ -1,7 +1,8 @@
-//! Nodes over links with a bandwidth, in simulated time: what is sent takes its turn behind what was sent before.
+//! A simulation of nodes over links with limited bandwidth: messages on a link queue behind earlier messages.
 //!
-//! Hosts compact as the control plane does, and their state has the size that its state would have. After each step the
-//! world checks that no leader that may answer is behind its log, nor behind what was acknowledged.
+//! Hosts compact their logs as the control plane does, and their state has the size of the control plane's state.
+//! After each step the simulation checks that a leader that may serve requests has applied its log and all
+//! acknowledged changes.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -14,28 +15,28 @@
 
 use crate::fake_disk::{apply, empty};
 
-/// As in service.
+/// The production timing.
 pub const TIMING: Timing = Timing { heartbeat: 60, election: 320, lease: 230 };
-/// A change compacts the log after so many others, or so many bytes, as in the control plane.
-const COMPACT_AFTER: u64 = 16;
-const COMPACT_BYTES: usize = 4_000_000;
-/// What the control plane keeps of a version beside its body, in bytes, and of how many.
-const REMEMBERED_BYTES: usize = 40;
-const REMEMBERED: usize = 4096;
-/// What it keeps of bodies before the newest, in bytes and in number.
-const FORMER_BODIES_BYTES: usize = 1 << 20;
-const FORMER_BODIES: usize = 7;
-/// What a message takes beside its entries, state or piece, in bytes.
+/// The number of changes, or the bytes of changes, after which the log is compacted, as in the control plane.
+const COMPACT_AFTER_CHANGES: u64 = 16;
+const COMPACT_AFTER_BYTES: usize = 4_000_000;
+/// The bytes that the control plane keeps for each remembered version, and the number of remembered versions.
+const VERSION_BYTES: usize = 40;
+const MAX_VERSIONS: usize = 4096;
+/// The maximum bytes and the maximum number of earlier bodies that the control plane keeps.
+const MAX_EARLIER_BODIES_BYTES: usize = 1 << 20;
+const MAX_EARLIER_BODIES: usize = 7;
+/// The size of a message without its entries, state or chunk, in bytes.
 const HEADER_BYTES: usize = 64;
-/// A connection that broke is there again after this.
-const RECONNECT: Millis = 100;
-/// Messages that wait for one connection; more are lost.
-const MOST_WAITING: usize = 512;
+/// The time until a broken connection is re-established.
+const RECONNECT_DELAY: Millis = 100;
+/// The maximum number of messages queued on one connection; further messages are dropped.
+const MAX_QUEUED_MESSAGES: usize = 512;
 
-/// The longest configuration, its predecessors and what is remembered, and some room to begin at several places.
+/// The size of the noise buffer, in bytes: the largest state plus some space for different start offsets.
 const NOISE_BYTES: usize = 8 << 20;
 
-/// Bytes that `bitcode` can't pack, other ones for each number.
+/// Bytes that `bitcode` cannot compress, different for each number.
 fn noise(number: u64, length: usize) -> &'static [u8] {
     static NOISE: LazyLock<Vec<u8>> = LazyLock::new(|| {
         let words =
@@ -46,7 +47,7 @@
     &NOISE[from..from + length]
 }
 
-/// What a host has made of the log.
+/// The state of a host after applying its log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct State {
     pub changes: u64,
@@ -58,16 +59,16 @@
     fn apply(&mut self, change: &[u8]) {
         self.changes += 1;
         self.newest_bytes = change.len();
-        // The first bytes tell changes apart.
-        let mark =
+        // The first bytes distinguish changes.
+        let digest =
             change.iter().take(16).fold(self.digest, |sum, byte| sum.wrapping_mul(31) + u64::from(*byte));
-        self.digest = mark.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        self.digest = digest.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     }
 
-    /// The bytes that the control plane's state would have.
+    /// The size of the corresponding state of the control plane, in bytes.
     pub fn size(&self) -> usize {
-        let former = (self.newest_bytes * FORMER_BODIES).min(FORMER_BODIES_BYTES);
-        24 + self.newest_bytes + former + REMEMBERED_BYTES * REMEMBERED.min(self.changes as usize)
+        let earlier_bodies = (self.newest_bytes * MAX_EARLIER_BODIES).min(MAX_EARLIER_BODIES_BYTES);
+        24 + self.newest_bytes + earlier_bodies + VERSION_BYTES * MAX_VERSIONS.min(self.changes as usize)
     }
 
     fn encode(&self) -> Vec<u8> {
@@ -76,7 +77,7 @@
         bytes
     }
 
-    /// None unless all bytes are those of one state.
+    /// Decodes a state; `None` unless all bytes belong to the same state.
     fn decode(bytes: &[u8]) -> Option<State> {
         let word = |at: usize| Some(u64::from_be_bytes(bytes.get(at * 8..at * 8 + 8)?.try_into().ok()?));
         let state = State { changes: word(0)?, digest: word(1)?, newest_bytes: word(2)? as usize };
@@ -95,20 +96,20 @@
     since_compaction: (u64, usize),
 }
 
-/// One way between two hosts.
+/// One direction of a link between two hosts.
 #[derive(Clone)]
 struct Link {
-    /// Bytes a millisecond that other traffic leaves.
+    /// The available bandwidth in bytes per millisecond.
     bandwidth: usize,
     delay: Millis,
     free_at: Millis,
-    /// Counts connections: what was on its way when one broke is lost.
+    /// The number of the current connection. Messages of an earlier connection are lost.
     connection: u64,
-    waiting: usize,
+    queued: usize,
 }
 
 enum Event {
-    Arrives { from: usize, to: usize, connection: u64, sender: VoterId, message: Message },
+    Arrival { from: usize, to: usize, connection: u64, sender: VoterId, message: Message },
     Saved { host: usize, incarnation: u64, ticket: u64 },
 }
 
@@ -121,19 +122,19 @@
     count: u64,
     faults: Faults,
     limits: TransferLimits,
-    /// A host that is a process of the version before pieces.
-    pub knows_no_pieces: Option<usize>,
+    /// A host that runs the previous release, which does not support chunked transfers.
+    pub without_chunk_support: Option<usize>,
     proposals: u64,
     /// The state after each committed entry.
     committed: BTreeMap<u64, State>,
-    /// The newest change that somebody was told of.
+    /// The number of the newest acknowledged change.
     pub acknowledged: u64,
     accepted: BTreeMap<(u64, u64), u64>,
-    /// What was acknowledged when somebody first led in a term.
+    /// For each term, the newest acknowledged change when its leader was elected.
     acknowledged_before: BTreeMap<u64, u64>,
     pub sent_bytes: usize,
-    /// Steps in which a leader could answer.
-    pub answerable: u64,
+    /// The number of steps in which a leader was allowed to serve requests.
+    pub serving_steps: u64,
 }
 
 pub fn voter(host: usize) -> VoterId {
@@ -141,10 +142,10 @@
 }
 
 fn host_of(voter: &VoterId) -> usize {
-    voter.address[1..].parse().expect("a host's address")
+    voter.address[1..].parse().expect("an address of a simulated host")
 }
 
-fn bytes_of(message: &Message) -> usize {
+fn size_of_message(message: &Message) -> usize {
     let entry = |entry: &Entry| match &entry.payload {
         Payload::Change(bytes) => bytes.len() + 24,
         _ => 64,
@@ -159,7 +160,7 @@
 }
 
 impl World {
-    /// Hosts that have fast links among them.
+    /// Creates hosts with fast links between them.
     pub fn new(size: usize, faults: Faults, limits: TransferLimits) -> World {
         let founders: Vec<VoterId> = (0..size).map(voter).collect();
         let host = |me: &VoterId| Host {
@@ -172,7 +173,7 @@
             applied: 0,
             since_compaction: (0, 0),
         };
-        let link = Link { bandwidth: 100_000, delay: 1, free_at: 0, connection: 0, waiting: 0 };
+        let link = Link { bandwidth: 100_000, delay: 1, free_at: 0, connection: 0, queued: 0 };
         let mut world = World {
             now: 1000,
             hosts: founders.iter().map(host).collect(),
@@ -182,20 +183,20 @@
             count: 0,
             faults,
             limits,
-            knows_no_pieces: None,
+            without_chunk_support: None,
             proposals: 0,
             committed: BTreeMap::new(),
             acknowledged: 0,
             accepted: BTreeMap::new(),
             acknowledged_before: BTreeMap::new(),
             sent_bytes: 0,
-            answerable: 0,
+            serving_steps: 0,
         };
         (0..size).for_each(|host| world.start(host));
         world
     }
 
-    pub fn slow_down(&mut self, host: usize, bandwidth: usize, delay: Millis) {
+    pub fn set_link_speed(&mut self, host: usize, bandwidth: usize, delay: Millis) {
         for other in 0..self.hosts.len() {
             for (from, to) in [(host, other), (other, host)] {
                 (self.links[from][to].bandwidth, self.links[from][to].delay) = (bandwidth, delay);
@@ -203,13 +204,13 @@
         }
     }
 
-    /// The connections of a host break, with all that is on its way.
+    /// Breaks all connections of a host, which loses the messages in flight.
     pub fn break_connections(&mut self, host: usize) {
         for other in 0..self.hosts.len() {
             for (from, to) in [(host, other), (other, host)] {
                 let link = &mut self.links[from][to];
                 link.connection += 1;
-                (link.free_at, link.waiting) = (self.now + RECONNECT, 0);
+                (link.free_at, link.queued) = (self.now + RECONNECT_DELAY, 0);
             }
         }
     }
@@ -223,12 +224,12 @@
         host.node = Some(node);
         (host.disk_free_at, host.since_compaction) = (now, (0, 0));
         (host.applied, host.state) = match &host.disk.snapshot {
-            Some(snapshot) => (snapshot.index, State::decode(&snapshot.state).expect("a state")),
+            Some(snapshot) => (snapshot.index, State::decode(&snapshot.state).expect("a valid state")),
             None => (0, State::default()),
         };
     }
 
-    /// Power goes: of what is being saved the first `kept` are on disk.
+    /// Stops a host by a power loss. The first `kept` pending saves reach the disk.
     pub fn kill(&mut self, at: usize, kept: usize) {
         let host = &mut self.hosts[at];
         host.node = None;
@@ -255,7 +256,7 @@
         self.hosts[at].state
     }
 
-    /// The leader is given a change of this length.
+    /// Proposes a change of the given length to the leader, if there is one.
     pub fn propose(&mut self, bytes: usize) -> Result<(), String> {
         let Some(leader) = self.leader() else { return Ok(()) };
         self.proposals += 1;
@@ -288,20 +289,20 @@
             }
             let Some(Reverse((_, id))) = self.queue.pop() else { continue };
             if let Some(event) = self.events.remove(&id) {
-                self.happen(event)?;
+                self.apply_event(event)?;
             }
         }
     }
 
-    fn happen(&mut self, event: Event) -> Result<(), String> {
+    fn apply_event(&mut self, event: Event) -> Result<(), String> {
         match event {
-            Event::Arrives { from, to, connection, sender, message } => {
+            Event::Arrival { from, to, connection, sender, message } => {
                 let link = &mut self.links[from][to];
                 if link.connection != connection {
                     return Ok(());
                 }
-                link.waiting -= 1;
-                if self.knows_no_pieces == Some(to) && matches!(message, Message::Chunk { .. }) {
+                link.queued -= 1;
+                if self.without_chunk_support == Some(to) && matches!(message, Message::Chunk { .. }) {
                     return Ok(());
                 }
                 self.input(to, Input::Received { from: sender, message })
@@ -348,20 +349,20 @@
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        let bytes = bytes_of(&message);
+        let bytes = size_of_message(&message);
         let link = &mut self.links[from][to];
-        if link.waiting >= MOST_WAITING {
+        if link.queued >= MAX_QUEUED_MESSAGES {
             return;
         }
-        link.waiting += 1;
+        link.queued += 1;
         link.free_at = link.free_at.max(self.now) + (bytes / link.bandwidth) as Millis;
         let (at, connection) = (link.free_at + link.delay, link.connection);
         self.sent_bytes += bytes;
         let sender = voter(from);
-        self.schedule(at, Event::Arrives { from, to, connection, sender, message });
+        self.schedule(at, Event::Arrival { from, to, connection, sender, message });
     }
 
-    /// A sync takes 5 ms, and a megabyte 20 ms more.
+    /// Schedules a save: a sync takes 5 ms, plus 20 ms per megabyte.
     fn save(&mut self, at: usize, save: Save) {
         let entries = save.entries.iter().map(|entry| match &entry.payload {
             Payload::Change(bytes) => bytes.len(),
@@ -380,7 +381,7 @@
     fn commit(&mut self, at: usize, entry: &Entry) -> Result<(), String> {
         let host = &mut self.hosts[at];
         if entry.index != host.applied + 1 {
-            return Err(format!("n{at} is told entry {} after {}", entry.index, host.applied));
+            return Err(format!("n{at} committed entry {} after entry {}", entry.index, host.applied));
         }
         host.applied = entry.index;
         if let Payload::Change(change) = &entry.payload {
@@ -390,7 +391,7 @@
         }
         let state = host.state;
         if *self.committed.entry(entry.index).or_insert(state) != state {
-            return Err(format!("n{at} has another state than others after entry {}", entry.index));
+            return Err(format!("n{at} has a different state than other hosts after entry {}", entry.index));
         }
         if self.accepted.remove(&(entry.index, entry.term)).is_some() {
             self.acknowledged = self.acknowledged.max(state.changes);
@@ -399,9 +400,13 @@
     }
 
     fn install(&mut self, at: usize, snapshot: &Snapshot) -> Result<(), String> {
-        let state = State::decode(&snapshot.state).ok_or(format!("n{at} is given a state of mixed bytes"))?;
+        let state =
+            State::decode(&snapshot.state).ok_or(format!("n{at} installed a snapshot with mixed bytes"))?;
         if self.committed.get(&snapshot.index) != Some(&state) {
-            return Err(format!("n{at} is given another state than was committed at {}", snapshot.index));
+            return Err(format!(
+                "n{at} installed a state that differs from the committed state at entry {}",
+                snapshot.index
+            ));
         }
         let host = &mut self.hosts[at];
         (host.applied, host.state, host.since_compaction) = (snapshot.index, state, (0, 0));
@@ -410,7 +415,7 @@
 
     fn compact_if_due(&mut self, at: usize) -> Result<(), String> {
         let host = &mut self.hosts[at];
-        if host.since_compaction.0 < COMPACT_AFTER && host.since_compaction.1 < COMPACT_BYTES {
+        if host.since_compaction.0 < COMPACT_AFTER_CHANGES && host.since_compaction.1 < COMPACT_AFTER_BYTES {
             return Ok(());
         }
         host.since_compaction = (0, 0);
@@ -418,19 +423,22 @@
         self.input(at, Input::Compact { index, state })
     }
 
-    /// Whoever may answer has applied all that is committed in its log, and all that anybody was told of.
+    /// Checks that a leader with a lease has applied all entries that it committed, and all acknowledged changes.
     fn check_leader(&mut self, at: usize) -> Result<(), String> {
         let host = &self.hosts[at];
         let Some(node) = host.node.as_ref().filter(|node| node.holds_lease(self.now)) else { return Ok(()) };
-        self.answerable += 1;
-        let (has, told) = (host.state.changes, self.acknowledged);
-        if host.applied != node.commit() || has < told {
-            return Err(format!("n{at} may answer with {has} changes, of {told} that were acknowledged"));
+        self.serving_steps += 1;
+        let (has, acknowledged) = (host.state.changes, self.acknowledged);
+        if host.applied != node.commit() || has < acknowledged {
+            return Err(format!(
+                "n{at} may serve requests with {has} of {acknowledged} acknowledged changes"
+            ));
         }
         Ok(())
     }
 
-    /// Whoever follows a leader and says that it lags behind nobody has what was acknowledged before that leader's term.
+    /// Checks that a follower that does not report itself as lagging has all changes acknowledged before its
+    /// leader's term.
     fn check_follower(&mut self, at: usize) -> Result<(), String> {
         let host = &self.hosts[at];
         let Some(node) = &host.node else { return Ok(()) };
@@ -443,8 +451,8 @@
         }
         let has = host.state.changes;
         match self.acknowledged_before.get(&node.term()) {
-            Some(told) if has < *told => {
-                Err(format!("n{at} follows with {has} changes, of {told} that were acknowledged before"))
+            Some(acknowledged) if has < *acknowledged => {
+                Err(format!("n{at} follows with {has} of {acknowledged} acknowledged changes of older terms"))
             }
             _ => Ok(()),
         }
--- a/crates/raft/tests/disk.rs
+++ b/crates/raft/tests/store.rs
@@ -1,4 +1,4 @@
-//! The disk: what was saved is there again, what is damaged is told by name.
+//! The store: saved state is restored, and damage is detected and named.
 
 use std::io::{Seek, SeekFrom, Write};
 
@@ -25,7 +25,7 @@
     Snapshot { index, term: 1, members: vec![voter(1)], state: state(size) }
 }
 
-/// Bytes that do not pack well.
+/// Bytes that compress badly.
 fn state(size: usize) -> Vec<u8> {
     (0..size as u32).map(|at| (at.wrapping_mul(2_654_435_761) >> 13) as u8).collect()
 }
@@ -35,9 +35,9 @@
 }
 
 #[test]
-fn what_was_saved_is_there_again() {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("log");
+fn saved_state_is_restored() {
+    let dir = tempfile::tempdir().unwrap();
+    let path = dir.path().join("log");
     let (store, saved) = Store::open(&path).unwrap();
     assert_eq!(saved, None);
     store.create(voter(1), vec![voter(1), voter(2)]).unwrap();
@@ -58,24 +58,24 @@
 }
 
 #[test]
-fn a_gap_is_told_by_name() {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("log");
+fn gap_in_the_entries_is_reported() {
+    let dir = tempfile::tempdir().unwrap();
+    let path = dir.path().join("log");
     let (store, _) = Store::open(&path).unwrap();
     store.create(voter(1), Vec::new()).unwrap();
     store.save(&Save { entries: vec![entry(1, 1), entry(3, 1)], ..save(1, 1) }).unwrap();
     drop(store);
-    let fault = Store::open(&path).unwrap_err();
+    let error = Store::open(&path).unwrap_err();
     assert!(
-        fault.is_lost() && fault.to_string().contains("found entry 3 where entry 2 was expected"),
-        "{fault}"
+        error.is_lost() && error.to_string().contains("found entry 3 where entry 2 was expected"),
+        "{error}"
     );
 }
 
 #[test]
-fn a_damaged_file_is_set_aside() {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("log");
+fn damaged_file_is_detected_and_set_aside() {
+    let dir = tempfile::tempdir().unwrap();
+    let path = dir.path().join("log");
     let (store, _) = Store::open(&path).unwrap();
     store.create(voter(1), Vec::new()).unwrap();
     store.save(&Save { snapshot: Some(snapshot(4, 300_000)), ..save(1, 1) }).unwrap();
@@ -85,8 +85,8 @@
     let mut file = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
     file.seek(SeekFrom::Start(at as u64 + 500)).unwrap();
     file.write_all(b"?").unwrap();
-    let fault = Store::open(&path).unwrap_err();
-    assert!(fault.is_lost(), "{fault}");
+    let error = Store::open(&path).unwrap_err();
+    assert!(error.is_lost(), "{error}");
     Store::set_aside(&path).unwrap();
     assert_eq!(Store::open(&path).unwrap().1, None);
 
@@ -94,47 +94,48 @@
     assert!(Store::open(&path).unwrap_err().is_lost());
 }
 
-/// Changes of this many bytes each, a snapshot of that many after every 16 of them or 4 MB, as a control plane does it.
+/// The file stays below a size limit with changes of `change` bytes and snapshots of `size` bytes after every 16
+/// changes or 4 MB of changes, as the control plane writes them.
 #[parameterized(
     largest_configurations = { 16, 6 << 20, 6 << 20, 48 << 20 },
     large_states = { 96, 100, 3 << 20, 32 << 20 },
     a_thousand_configurations = { 1_000, 100_000, 1_200_000, 16 << 20 },
 )]
-fn the_file_stays_small(changes: u64, change: usize, size: usize, bound: u64) {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("log");
+fn file_size_is_bounded(changes: u64, change: usize, size: usize, bound: u64) {
+    let dir = tempfile::tempdir().unwrap();
+    let path = dir.path().join("log");
     let (store, _) = Store::open(&path).unwrap();
     store.create(voter(1), Vec::new()).unwrap();
-    let (mut longest, mut ticket, mut kept) = (0, 0, 0);
+    let (mut max_length, mut ticket, mut entries_since_snapshot) = (0, 0, 0);
     for index in 1..=changes {
         let entries = vec![Entry { index, term: 1, payload: Payload::Change(state(change)) }];
         store.save(&Save { entries, ..save(ticket + 1, 1) }).unwrap();
         ticket += 2;
-        kept += 1;
-        if kept == 16 || kept * change >= 4_000_000 {
-            kept = 0;
+        entries_since_snapshot += 1;
+        if entries_since_snapshot == 16 || entries_since_snapshot * change >= 4_000_000 {
+            entries_since_snapshot = 0;
             store.save(&Save { snapshot: Some(snapshot(index, size)), ..save(ticket, 1) }).unwrap();
         }
-        longest = longest.max(std::fs::metadata(&path).unwrap().len());
+        max_length = max_length.max(std::fs::metadata(&path).unwrap().len());
     }
-    println!("{longest} bytes");
-    assert!(longest < bound, "{longest}");
+    println!("{max_length} bytes");
+    assert!(max_length < bound, "{max_length}");
     drop(store);
-    assert_eq!(reopened(&path).entries.len(), kept);
+    assert_eq!(reopened(&path).entries.len(), entries_since_snapshot);
 }
 
 #[test]
-fn a_log_can_begin_with_a_snapshot_and_only_where_there_is_none() {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("log");
+fn store_is_initialized_from_a_snapshot_only_without_a_log() {
+    let dir = tempfile::tempdir().unwrap();
+    let path = dir.path().join("log");
     let (store, _) = Store::open(&path).unwrap();
-    // One that joined and has voted, but has no log yet.
+    // A voter that has joined and voted, but has no log yet.
     store.create(voter(1), Vec::new()).unwrap();
     store.save(&save(1, 5)).unwrap();
-    let begun = store.create_from_snapshot(voter(1), 2, snapshot(4, 200_000)).unwrap();
-    assert_eq!((begun.term, &begun.vote), (5, &Some(voter(2))), "what it promised stands");
+    let created = store.create_from_snapshot(voter(1), 2, snapshot(4, 200_000)).unwrap();
+    assert_eq!((created.term, &created.vote), (5, &Some(voter(2))), "the stored term and vote are kept");
     drop(store);
-    assert_eq!(reopened(&path), begun);
+    assert_eq!(reopened(&path), created);
 
     let (store, _) = Store::open(&path).unwrap();
     assert!(matches!(
@@ -142,9 +143,9 @@
         Err(StoreError::AlreadyInitialized { .. })
     ));
     drop(store);
-    assert_eq!(reopened(&path), begun);
+    assert_eq!(reopened(&path), created);
 
-    let path = folder.path().join("other");
+    let path = dir.path().join("other");
     let (store, _) = Store::open(&path).unwrap();
     store.create(voter(1), Vec::new()).unwrap();
     store.save(&Save { entries: vec![entry(1, 1)], ..save(1, 1) }).unwrap();
@@ -155,9 +156,9 @@
 }
 
 #[test]
-fn the_last_voter_goes_on_alone_with_what_it_had() {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("log");
+fn last_voter_continues_alone_from_its_snapshot() {
+    let dir = tempfile::tempdir().unwrap();
+    let path = dir.path().join("log");
     let (store, _) = Store::open(&path).unwrap();
     let me = VoterId { incarnation: 7, ..voter(1) };
     let before = Snapshot { members: vec![me.clone()], term: 3, ..snapshot(40, 100) };
@@ -186,52 +187,52 @@
             }
         }
     }
-    assert_eq!(committed, [(41, 5), (42, 5)], "above all that was seen");
+    assert_eq!(committed, [(41, 5), (42, 5)], "in a term above all earlier terms");
     assert_eq!(node.members(), std::slice::from_ref(&me));
     assert!(node.holds_lease(now));
 }
 
 #[test]
-fn two_saves_joined_leave_the_same_on_disk_as_one_after_the_other() {
+fn joined_saves_equal_separate_saves() {
     let entries =
-        |of: std::ops::RangeInclusive<u64>, term| of.map(|index| entry(index, term)).collect::<Vec<_>>();
-    let more = |n| Save { entries: entries(10..=13, 2), ..save(n, 2) };
-    let cut = |n| Save { truncate: Some(8), entries: entries(8..=9, 3), ..save(n, 3) };
-    let cut_again = |n| Save { truncate: Some(12), entries: entries(12..=14, 3), ..save(n, 3) };
-    let short = |n| Save { snapshot: Some(snapshot(7, 100)), ..save(n, 4) };
-    let all = |n| Save { truncate: Some(1), snapshot: Some(snapshot(20, 100)), ..save(n, 4) };
-    let kinds: [&dyn Fn(u64) -> Save; 5] = [&more, &cut, &cut_again, &short, &all];
-    let folder = tempfile::tempdir().unwrap();
-    let begun = |name: String| {
-        let path = folder.path().join(name);
+        |span: std::ops::RangeInclusive<u64>, term| span.map(|index| entry(index, term)).collect::<Vec<_>>();
+    let append = |n| Save { entries: entries(10..=13, 2), ..save(n, 2) };
+    let truncate = |n| Save { truncate: Some(8), entries: entries(8..=9, 3), ..save(n, 3) };
+    let truncate_later = |n| Save { truncate: Some(12), entries: entries(12..=14, 3), ..save(n, 3) };
+    let compact = |n| Save { snapshot: Some(snapshot(7, 100)), ..save(n, 4) };
+    let replace_all = |n| Save { truncate: Some(1), snapshot: Some(snapshot(20, 100)), ..save(n, 4) };
+    let variants: [&dyn Fn(u64) -> Save; 5] = [&append, &truncate, &truncate_later, &compact, &replace_all];
+    let dir = tempfile::tempdir().unwrap();
+    let new_store = |name: String| {
+        let path = dir.path().join(name);
         let (store, _) = Store::open(&path).unwrap();
         store.create(voter(1), Vec::new()).unwrap();
         store.save(&Save { entries: entries(1..=9, 1), ..save(1, 1) }).unwrap();
         (store, path)
     };
     let pairs = [(0, 1), (0, 2), (0, 3), (0, 4), (1, 3), (1, 4), (3, 0), (3, 1), (3, 4)];
-    for (one, other) in pairs {
-        let (single, at) = begun(format!("single-{one}-{other}"));
-        single.save(&kinds[one](2)).unwrap();
-        single.save(&kinds[other](3)).unwrap();
-        let (joined, there) = begun(format!("joined-{one}-{other}"));
-        let mut both = kinds[one](2);
-        both.join(kinds[other](3));
-        joined.save(&both).unwrap();
-        drop((single, joined));
-        assert_eq!(reopened(&there), reopened(&at), "{one} and {other}");
+    for (first, second) in pairs {
+        let (separate, separate_path) = new_store(format!("separate-{first}-{second}"));
+        separate.save(&variants[first](2)).unwrap();
+        separate.save(&variants[second](3)).unwrap();
+        let (joined, joined_path) = new_store(format!("joined-{first}-{second}"));
+        let mut merged = variants[first](2);
+        merged.join(variants[second](3));
+        joined.save(&merged).unwrap();
+        drop((separate, joined));
+        assert_eq!(reopened(&joined_path), reopened(&separate_path), "{first} and {second}");
     }
 }
 
 #[test]
-fn a_writer_tells_each_save_in_turn_and_gives_the_disk_back() {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("log");
+fn writer_reports_each_save_in_order_and_returns_the_store() {
+    let dir = tempfile::tempdir().unwrap();
+    let path = dir.path().join("log");
     let (store, _) = Store::open(&path).unwrap();
     store.create(voter(1), Vec::new()).unwrap();
-    let (told, tickets) = std::sync::mpsc::channel();
-    let writer = Writer::start(store, voter(1), move |done| match done {
-        WriterEvent::Saved(ticket) => told.send(ticket).unwrap(),
+    let (sender, tickets) = std::sync::mpsc::channel();
+    let writer = Writer::start(store, voter(1), move |event| match event {
+        WriterEvent::Saved(ticket) => sender.send(ticket).unwrap(),
         other => panic!("{other:?}"),
     });
     let writer = writer.unwrap();
@@ -242,17 +243,17 @@
     let writer = Writer::start(store, voter(1), |_| {}).unwrap();
     writer.save(save(7, 3));
     drop(writer);
-    // Closed, and all of it written.
+    // Dropping the writer has written all saves and closed the file.
     assert_eq!((reopened(&path).term, reopened(&path).entries.len()), (3, 5));
 }
 
-/// The names of the tables and keys are part of the file's format: a file of an earlier version must be read.
+/// The names of the tables and keys are part of the file format, because the store must open files of earlier versions.
 #[test]
-fn names_in_the_file_stay_as_the_first_version_wrote_them() {
+fn table_and_key_names_match_the_first_version() {
     use redb::{ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("log");
+    let dir = tempfile::tempdir().unwrap();
+    let path = dir.path().join("log");
     let (store, _) = Store::open(&path).unwrap();
     store.create(voter(1), vec![voter(1), voter(2)]).unwrap();
     drop(store);
--- a/crates/raft/tests/wire.rs
+++ b/crates/raft/tests/wire_compatibility.rs
@@ -1,12 +1,12 @@
-//! Messages beside a process of the version before, which knows none of pieces: what both say is read by both, and what it
-//! can't know it does not take for something else.
+//! Wire compatibility with the previous release, which does not know chunked transfers: both releases decode the common
+//! messages identically, and the previous release never decodes a new message as an old one.
 
 use bitcode::{Decode, Encode};
 use raft::{Entry, Message, Payload, Snapshot, TransferId, TransferKind, VoterId};
 
-/// The messages of the version before, as it declared them.
+/// The messages as the previous release declared them.
 #[derive(Debug, PartialEq, Encode, Decode)]
-enum Former {
+enum PreviousMessage {
     PreVote { round: u64, term: u64, last_index: u64, last_term: u64 },
     PreVoteAnswer { round: u64, term: u64, granted: bool },
     RequestVote { term: u64, last_index: u64, last_term: u64 },
@@ -31,14 +31,14 @@
     Snapshot { index: number, term: number / 2, members, state: vec![7; number as usize % 90] }
 }
 
-/// The same messages, as both versions declare them.
-fn both(n: u64) -> Vec<(Former, Message)> {
-    macro_rules! same {
+/// Pairs of equal messages, as both releases declare them.
+fn in_both_versions(n: u64) -> Vec<(PreviousMessage, Message)> {
+    macro_rules! pairs {
         ($($name:ident { $($field:ident: $value:expr),* }),*) => {
-            vec![$((Former::$name { $($field: $value),* }, Message::$name { $($field: $value),* })),*]
+            vec![$((PreviousMessage::$name { $($field: $value),* }, Message::$name { $($field: $value),* })),*]
         };
     }
-    same![
+    pairs![
         PreVote { round: n, term: n + 1, last_index: n / 2, last_term: 3 },
         PreVoteAnswer { round: n, term: n + 1, granted: n.is_multiple_of(2) },
         RequestVote { term: n, last_index: n / 2, last_term: 3 },
@@ -55,17 +55,17 @@
 const NUMBERS: [u64; 6] = [0, 1, 200, 70_000, 5 << 33, u64::MAX / 2];
 
 #[test]
-fn messages_of_the_version_before_are_read_by_both() {
-    for (former, now) in NUMBERS.into_iter().flat_map(both) {
-        let bytes = bitcode::encode(&now);
-        assert_eq!(bytes, bitcode::encode(&former));
-        assert_eq!(bitcode::decode::<Message>(&bytes).expect("a message"), now);
-        assert_eq!(bitcode::decode::<Former>(&bytes).expect("a message"), former);
+fn messages_of_the_previous_release_are_decoded_by_both() {
+    for (previous, current) in NUMBERS.into_iter().flat_map(in_both_versions) {
+        let bytes = bitcode::encode(&current);
+        assert_eq!(bytes, bitcode::encode(&previous));
+        assert_eq!(bitcode::decode::<Message>(&bytes).expect("a decodable message"), current);
+        assert_eq!(bitcode::decode::<PreviousMessage>(&bytes).expect("a decodable message"), previous);
     }
 }
 
 #[test]
-fn the_version_before_takes_no_piece_for_anything_else() {
+fn previous_release_rejects_chunk_messages() {
     for number in NUMBERS {
         for kind in [TransferKind::Snapshot, TransferKind::Entry] {
             let transfer = TransferId { kind, index: number, term: 3, length: number / 2, checksum: number };
@@ -74,8 +74,8 @@
             let answer = Message::ChunkReceived { term: number, transfer, offset: 0, received: number };
             for message in [piece, answer] {
                 let bytes = bitcode::encode(&message);
-                assert!(bitcode::decode::<Former>(&bytes).is_err(), "{message:?}");
-                assert_eq!(bitcode::decode::<Message>(&bytes).expect("a message"), message);
+                assert!(bitcode::decode::<PreviousMessage>(&bytes).is_err(), "{message:?}");
+                assert_eq!(bitcode::decode::<Message>(&bytes).expect("a decodable message"), message);
             }
         }
     }
