--- a/crates/raft/src/bounded_model_check/world.rs
+++ b/crates/raft/src/bounded_model_check/world.rs
@@ -100,6 +100,7 @@
     votes: BTreeMap<(u64, VoterId), VoterId>,
 }
 
+/// One state of the search.
 #[derive(Clone)]
 pub struct World {
     hosts: Vec<Host>,
--- a/crates/raft/src/leader_state.rs
+++ b/crates/raft/src/leader_state.rs
@@ -20,6 +20,7 @@
     pub(crate) peers: Vec<Peer>,
     /// Proposals that are not committed yet.
     pub(crate) pending_proposals: VecDeque<PendingProposal>,
+    /// The number of the newest heartbeat.
     pub(crate) last_echo: u64,
     /// The numbers and send times of the newest heartbeats.
     pub(crate) sent_heartbeats: VecDeque<(u64, Millis)>,
--- a/crates/raft/tests/simulation/mod.rs
+++ b/crates/raft/tests/simulation/mod.rs
@@ -66,6 +66,7 @@
     Restart { host: usize },
 }
 
+/// A simulated cluster: its hosts, the messages in flight and the properties checked so far.
 pub struct World {
     pub now: Millis,
     pub hosts: Vec<Host>,
--- a/crates/raft/tests/slow_links/mod.rs
+++ b/crates/raft/tests/slow_links/mod.rs
@@ -113,6 +113,7 @@
     Saved { host: usize, incarnation: u64, ticket: u64 },
 }
 
+/// A simulated cluster: its hosts, the messages in flight and the properties checked so far.
 pub struct World {
     pub now: Millis,
     hosts: Vec<Host>,
