--- a/crates/raft/src/bounded_model_check/world.rs
+++ b/crates/raft/src/bounded_model_check/world.rs
@@ -472,7 +472,8 @@
         Ok(Input::Received { from, message })
     }
 
-    /// Splits an `Append` into single entries for the fault that commits old terms, and removes heartbeat numbers.
+    /// Splits an `Append` into single entries for the fault `OldTermCounts`, which a leader is free to do, and
+    /// resets the heartbeat numbers.
     fn corrupt_message(&self, message: Message) -> Vec<Message> {
         match message {
             Message::Append { term, mut prev_index, mut prev_term, entries, commit }
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -304,8 +304,8 @@
             progress.map(|peer| peer.match_index).max().unwrap_or(0)
         };
         let Some(index) = majority_value(self.members().iter().map(match_index).collect()) else { return };
-        // An entry of an older term can be on a majority and still be overwritten. It is committed only together
-        // with an entry of the current term.
+        // An entry of an older term can be on a majority and still be overwritten. Such an entry is committed only
+        // together with an entry of the current term.
         let own_term_committed = self.log.term_at(index) == Some(self.term) || self.faults.commit_old_terms;
         if index <= self.commit || !own_term_committed {
             return;
