--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -267,7 +267,8 @@
         }
         let Some(peer) = self.leader_state.as_mut().and_then(|leader| leader.peer(&from)) else { return };
         // If several in-flight messages do not match, only the first rejection triggers a retry.
-        let in_chunks = peer.transfer.as_ref().is_some_and(|transfer| transfer.id.follows_on(prev_index));
+        let in_chunks =
+            peer.transfer.as_ref().is_some_and(|transfer| transfer.id.directly_follows(prev_index));
         if !in_chunks && !peer.in_flight.iter().any(|message| message.prev_index == prev_index) {
             return;
         }
--- a/crates/raft/src/tolerance.rs
+++ b/crates/raft/src/tolerance.rs
@@ -10,7 +10,7 @@
 pub struct RetirementPolicy {
     /// A voter that has answered no heartbeat for this long is considered gone.
     pub silence_timeout: Millis,
-    /// The leader never removes a silent voter if fewer voters than this would remain.
+    /// The leader never shortens the list below this length on its own.
     pub min_voters: usize,
 }
 
--- a/crates/raft/src/types.rs
+++ b/crates/raft/src/types.rs
@@ -129,7 +129,7 @@
 
 impl TransferId {
     /// Whether the transfer carries the single entry that directly follows `prev_index`.
-    pub(crate) fn follows_on(&self, prev_index: u64) -> bool {
+    pub(crate) fn directly_follows(&self, prev_index: u64) -> bool {
         self.kind == TransferKind::Entry && prev_index.checked_add(1) == Some(self.index)
     }
 }
--- a/crates/raft/src/writer.rs
+++ b/crates/raft/src/writer.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Stops the thread after all queued saves are written, and returns the store; `None` if a write fails.
+    /// Stops the thread after all queued saves are written, and returns the store; `None` if they cannot be written.
     pub fn stop(mut self) -> Option<Store> {
         self.close()
     }
