--- a/crates/raft/src/store.rs
+++ b/crates/raft/src/store.rs
@@ -307,8 +307,7 @@
             snapshot = Some(self.decode_checked("snapshot", &encoded)?);
         }
 
-        let (base, mut last_term) =
-            snapshot.as_ref().map_or((0, 0), |snapshot| (snapshot.index, snapshot.term));
+        let (base, mut last_term) = snapshot.as_ref().map_or((0, 0), |stored| (stored.index, stored.term));
         let mut entries: Vec<Entry> = Vec::new();
         let table = transaction.open_table(ENTRIES).map_err(store_error(&self.path, "reading"))?;
         for row in table.iter().map_err(store_error(&self.path, "reading"))? {
