--- a/crates/control-plane/src/command.rs
+++ b/crates/control-plane/src/command.rs
@@ -4,7 +4,7 @@
 use protocol::Message;
 use std::net::SocketAddr;
 use tokio::sync::oneshot;
-use transport::{Line, LineError};
+use transport::{ConnectionError, FrameSender};
 
 /// One command.
 #[derive(Debug)]
@@ -21,7 +21,7 @@
         /// Id of the connection.
         connection: u64,
         /// Sends messages on the connection.
-        line: Line,
+        line: FrameSender,
         /// The address that this process dialed; `None` for an incoming connection.
         dialed: Option<SocketAddr>,
     },
@@ -37,7 +37,7 @@
         /// Id of the connection.
         connection: u64,
         /// The reason.
-        error: LineError,
+        error: ConnectionError,
     },
     /// A write has reached the disk.
     Saved {
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -27,12 +27,12 @@
 use config::{Config, Detours};
 use drains::DrainProposals;
 use protocol::{
-    Backend, ConfigDelta, ConfigSnapshot, ControlPlaneAddress, Heartbeat, Held, Hello, Message, Order, Phase,
-    Plane,
+    Backend, ConfigDelta, ConfigId, ConfigSnapshot, ControlPlaneAddress, Heartbeat, Hello, Message,
+    OperatorCall, Phase, Plane,
 };
 use quota::{HolderAssigner, HolderAssignment, Quota, QuotaService};
 use raft::{Input, Node, Output, Payload, PersistentState, Role, Snapshot, Timing, VoterId};
-use registry::{Fleet, Judgement, Register};
+use registry::{BackendRegistry, Fleet, MergeOutcome};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -40,7 +40,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 use transport::config_snapshots::{self, ConfigEncoder};
-use transport::{Line, LineError, NeighborWatch};
+use transport::{ConnectionError, FrameSender, NeighborWatch};
 
 /// Interval of the periodic work: batched updates, call timeouts, connections and the quota service.
 const TICK_INTERVAL_MS: u64 = 50;
@@ -120,12 +120,12 @@
 }
 
 struct Peer {
-    line: Line,
+    line: FrameSender,
     hello: Option<Hello>,
     dialed: Option<SocketAddr>,
     is_subscriber: bool,
     /// Configuration that the peer has, or will have once it has read everything sent so far.
-    held: Held,
+    held: ConfigId,
     last_received_at: u64,
     opened_at: u64,
     /// Data planes that the peer reported as connected to it, in its latest list.
@@ -139,7 +139,7 @@
 struct PendingCall {
     reply: oneshot::Sender<Reply>,
     since: u64,
-    order: Order,
+    order: OperatorCall,
     /// Connection on which the call was forwarded to the leader, if it was.
     forwarded_on: Option<u64>,
 }
@@ -167,7 +167,7 @@
     directory: Directory,
     /// Incarnations of the known control planes that store the Raft log.
     quorum_incarnations: BTreeMap<SocketAddr, u64>,
-    register: Register,
+    register: BackendRegistry,
     /// Changes of backends that subscribers and other control planes have not received yet.
     subscriber_batch: BackendBatch,
     control_plane_batch: BackendBatch,
@@ -198,9 +198,9 @@
     pending_calls: HashMap<u64, PendingCall>,
     pending_proposals: BTreeMap<u64, PendingProposal>,
     /// Orders that reached this leader before its first lease.
-    orders_awaiting_lease: Vec<(Requester, Order)>,
+    orders_awaiting_lease: Vec<(Requester, OperatorCall)>,
     drain_proposals: DrainProposals,
-    /// Control planes that have announced since this process started that they understand [`Order::Drain`].
+    /// Control planes that have announced since this process started that they understand [`OperatorCall::Drain`].
     drains_supported_by: BTreeSet<SocketAddr>,
     /// Tokens of this leader's proposals, by log index. Cleared when this process stops leading.
     tokens_by_index: BTreeMap<u64, u64>,
@@ -246,7 +246,7 @@
             disk = Some(opened);
         }
         let SnapshotState { config_history, drains } = state;
-        let mut register = Register::new(settings.heartbeat_interval_ms);
+        let mut register = BackendRegistry::new(settings.heartbeat_interval_ms);
         register.restore_drains(&drains);
         let mut control_plane = Self {
             started_at: Instant::now(),
--- a/crates/control-plane/src/control_plane/connections.rs
+++ b/crates/control-plane/src/control_plane/connections.rs
@@ -4,7 +4,7 @@
 use protocol::{UNDERSTANDS_DEPARTURES, UNDERSTANDS_DRAINS};
 
 impl ControlPlane {
-    pub(super) fn on_opened(&mut self, connection: u64, line: Line, dialed: Option<SocketAddr>) {
+    pub(super) fn on_opened(&mut self, connection: u64, line: FrameSender, dialed: Option<SocketAddr>) {
         let now = self.now();
         if let Some(to) = dialed {
             self.dialing.remove(&to);
@@ -15,7 +15,7 @@
             hello: None,
             dialed,
             is_subscriber: false,
-            held: Held::default(),
+            held: ConfigId::default(),
             last_received_at: now,
             opened_at: now,
             data_planes: Vec::new(),
@@ -28,7 +28,7 @@
         }
     }
 
-    pub(super) fn on_closed(&mut self, connection: u64, error: &LineError) {
+    pub(super) fn on_closed(&mut self, connection: u64, error: &ConnectionError) {
         let Some(peer) = self.peers.remove(&connection) else {
             // The connection attempt failed.
             let until = self.now() + REDIAL_DELAY_MS + self.random_below(REDIAL_DELAY_MS);
@@ -46,13 +46,13 @@
     }
 
     /// The connection that this process dialed to a control plane.
-    pub(super) fn line_to(&self, address: &SocketAddr) -> Option<&Line> {
+    pub(super) fn line_to(&self, address: &SocketAddr) -> Option<&FrameSender> {
         let dialed = self.peers.values().find(|p| p.dialed.as_ref() == Some(address) && !p.line.is_lost());
         dialed.map(|p| &p.line)
     }
 
     /// Same as [`Self::line_to`], together with the id of the connection.
-    pub(super) fn dialed_connection(&self, address: &SocketAddr) -> Option<(u64, Line)> {
+    pub(super) fn dialed_connection(&self, address: &SocketAddr) -> Option<(u64, FrameSender)> {
         let matches = |peer: &Peer| peer.dialed.as_ref() == Some(address) && !peer.line.is_lost();
         let (connection, peer) = self.peers.iter().find(|(_, peer)| matches(peer))?;
         Some((*connection, peer.line.clone()))
@@ -147,7 +147,7 @@
     pub(super) fn send_full_state(&self, connection: u64, now: u64) {
         let Some(peer) = self.peers.get(&connection) else { return };
         peer.line.send(&Message::ControlPlanes(self.connected_addresses(now)));
-        peer.line.send(&Message::Backends { whole: false, backends: self.register.everything(now) });
+        peer.line.send(&Message::Backends { whole: false, backends: self.register.all_including_gone(now) });
         peer.line.send(&Message::DataPlanes(self.local_data_planes(now)));
     }
 
@@ -181,45 +181,45 @@
                 // Of a control plane that this process dialed, the address is known but no name.
                 let address = peer.dialed.map_or_else(String::new, |address| address.to_string());
                 let origin = peer.hello.as_ref().map_or(address, |hello| hello.name.clone());
-                let changed = self.register.hear(now, backends);
+                let changed = self.register.merge_reports(now, backends);
                 self.publish_backends(changed, Origin::Peer(&origin));
             }
-            Message::Heard(heard) => {
-                let recovered = self.register.alive(now, &heard);
+            Message::BackendHeartbeats(heard) => {
+                let recovered = self.register.merge_heartbeats(now, &heard);
                 self.publish_backends(recovered, Origin::Silence);
             }
             Message::DataPlanes(data_planes) => {
-                data_planes.iter().for_each(|(name, life)| self.fleet.heard(now, name, *life));
+                data_planes.iter().for_each(|(name, life)| self.fleet.record_contact(now, name, *life));
                 peer.data_planes = data_planes;
                 self.resize_fleet(now);
             }
             Message::Leave => self.on_leave(connection, now),
             Message::Departures(departures) => self.on_departures(departures, now),
-            Message::Here { epoch } => {
+            Message::QuotaKeepalive { epoch } => {
                 if let Some(hello) = peer.hello.clone() {
                     self.on_data_plane_contact(&hello, epoch, now);
                 }
             }
-            Message::Offer { number: offer, answered, draws } => {
+            Message::HolderLeaseRequest { number: offer, answered, draws } => {
                 self.on_offer(connection, offer, answered, draws, now)
             }
-            Message::Lease { number: offer, assignment, ends_in } => {
+            Message::HolderLease { number: offer, assignment, ends_in } => {
                 self.on_lease(offer, &assignment, ends_in, now)
             }
             Message::HolderAssignment(assignment) => self.on_assignment(&assignment, now),
             Message::Handover(handover) => self.on_handover(handover, now),
             Message::LeaseRequest(draw) => self.on_lease_request(connection, draw, now),
-            Message::Ask { token, order } => {
-                self.on_order(Requester::Remote { peer: connection, token }, order, now)
+            Message::ForwardedCall { token, call } => {
+                self.on_order(Requester::Remote { peer: connection, token }, call, now)
             }
-            Message::Told { token, status, body } => {
+            Message::ForwardedReply { token, status, body } => {
                 self.on_forwarded_reply(connection, token, Reply { status, body })
             }
             // Updates of another control plane, used by processes without a Raft log.
             Message::Heartbeat(heartbeat) => self.on_heartbeat(heartbeat, now),
             Message::ConfigSnapshot(config_snapshot) => self.on_config_snapshot(config_snapshot),
             Message::ConfigDelta(config_delta) => self.on_config_delta(connection, &config_delta),
-            Message::Whole => self.on_snapshot_request(connection),
+            Message::SnapshotRequest => self.on_snapshot_request(connection),
             Message::NotHolder { number: UNDERSTANDS_DEPARTURES } => {
                 self.on_departures_supported(connection, now)
             }
@@ -228,7 +228,7 @@
             | Message::NotHolder { .. }
             | Message::LeaveAccepted
             | Message::FreshnessAnswer(_)
-            | Message::Retired => {}
+            | Message::Reserved => {}
         }
     }
 
@@ -237,7 +237,7 @@
         peer.hello = Some(hello.clone());
         match hello.plane {
             Plane::DataPlane => {
-                self.fleet.heard(now, &hello.name, hello.life);
+                self.fleet.record_contact(now, &hello.name, hello.life);
                 // Count the data plane first; otherwise it would be taken for one of the silent data planes.
                 self.resize_fleet(now);
                 self.on_data_plane_contact(&hello, quota::Epoch::default(), now);
@@ -288,13 +288,13 @@
         }
     }
 
-    pub(super) fn on_follow(&mut self, connection: u64, have: Held, now: u64) {
+    pub(super) fn on_follow(&mut self, connection: u64, have: ConfigId, now: u64) {
         let heartbeat = self.heartbeat_for(connection, now);
         let Some(peer) = self.peers.get_mut(&connection) else { return };
         if let Some(hello) = &peer.hello
             && hello.plane == Plane::DataPlane
         {
-            self.fleet.heard(now, &hello.name, hello.life);
+            self.fleet.record_contact(now, &hello.name, hello.life);
         }
         // A subscriber may have sent this message before it received a newer configuration.
         if have.version >= peer.held.version {
@@ -306,7 +306,8 @@
         peer.line.send(&Message::Heartbeat(heartbeat));
         self.send_config_snapshot(connection);
         let warming_up = now < WARMUP_MS;
-        let mut backends = if warming_up { self.register.everything(now) } else { self.register.all(now) };
+        let mut backends =
+            if warming_up { self.register.all_including_gone(now) } else { self.register.active(now) };
         if warming_up {
             backends.extend(self.drained_unknown());
         }
--- a/crates/control-plane/src/control_plane/contact.rs
+++ b/crates/control-plane/src/control_plane/contact.rs
@@ -35,16 +35,16 @@
     fn leader_without_log(&self, now: u64) -> (Option<SocketAddr>, u64, bool) {
         if self.faults.trusts_heartbeats {
             let current = self.last_heartbeat.fresh && now < self.last_heartbeat_at + LEADER_REPORT_TTL_MS;
-            return (self.leader_address(), self.last_heartbeat.epoch, current);
+            return (self.leader_address(), self.last_heartbeat.term, current);
         }
         match self.leader_contact.newest(now) {
-            Some(newest) if newest.term >= self.last_heartbeat.epoch => {
+            Some(newest) if newest.term >= self.last_heartbeat.term => {
                 // A leader of the previous version does not report drain records and has none.
                 let has_versions = newest.version <= self.config_history.version();
                 let has_drains = newest.drains <= self.register.drains().last();
                 (Some(newest.leader), newest.term, has_versions && has_drains)
             }
-            _ => (self.leader_address(), self.last_heartbeat.epoch, false),
+            _ => (self.leader_address(), self.last_heartbeat.term, false),
         }
     }
 
--- a/crates/control-plane/src/control_plane/departures.rs
+++ b/crates/control-plane/src/control_plane/departures.rs
@@ -6,11 +6,11 @@
 use super::*;
 use protocol::{Departure, UNDERSTANDS_DEPARTURES};
 use quota::Epoch;
-use registry::COUNTED_WHILE_SILENT;
+use registry::SILENT_DATA_PLANE_TIMEOUT_MS;
 
 /// Data planes divide their quota slices by the number of data planes seen within this window. An isolated data plane
 /// keeps the last number it received, which must not be a small one from a moment when many data planes restart.
-const SLICE_DIVISOR_WINDOW_MS: u64 = COUNTED_WHILE_SILENT;
+const SLICE_DIVISOR_WINDOW_MS: u64 = SILENT_DATA_PLANE_TIMEOUT_MS;
 /// A smaller fleet is recorded in the log only after this long: a restarted data plane is back by then.
 const FLEET_SHRINK_DELAY_MS: u64 = 5000;
 /// A process that has run for this long knows of every data plane; those it has not heard of no longer count.
@@ -36,7 +36,7 @@
 
     /// Data planes have announced their departure, here or at another process. Known departures are ignored.
     pub(super) fn on_departures(&mut self, mut departures: Vec<Departure>, now: u64) {
-        departures.retain(|departure| self.fleet.departed(now, departure));
+        departures.retain(|departure| self.fleet.record_departure(now, departure));
         if departures.is_empty() {
             return;
         }
@@ -86,7 +86,7 @@
     pub(super) fn resize_fleet(&mut self, now: u64) {
         let counted = self.quota_fleet_size(now);
         self.quota_service.set_fleet_size(now as f64, counted);
-        let wide = self.fleet.wide_slices(counted);
+        let wide = self.fleet.oversized_slices(counted);
         self.quota_service.set_oversized_slices(wide);
     }
 
@@ -102,7 +102,7 @@
 
     /// The index of a data plane among those that [`Self::slice_divisor`] counts.
     pub(super) fn fleet_index(&self, now: u64, name: &str) -> u32 {
-        self.fleet.number_within(now, SLICE_DIVISOR_WINDOW_MS, name)
+        self.fleet.index_within(now, SLICE_DIVISOR_WINDOW_MS, name)
     }
 
     /// The fleet size that the log should record.
@@ -116,7 +116,7 @@
         match &self.node {
             _ if now >= FLEET_DISCOVERY_MS => 0,
             Some(_) => self.config_history.fleet_size(),
-            None => self.last_heartbeat.fleet,
+            None => self.last_heartbeat.fleet_size,
         }
     }
 }
--- a/crates/control-plane/src/control_plane/drains.rs
+++ b/crates/control-plane/src/control_plane/drains.rs
@@ -9,7 +9,7 @@
 use super::*;
 use crate::drain_entry::DrainEntry;
 use protocol::UNDERSTANDS_DRAINS;
-use registry::{DrainRun, Drained};
+use registry::{DrainOutcome, DrainRun};
 
 /// Maximum number of backend ids in one log entry.
 const MAX_IDS_PER_ENTRY: usize = 256;
@@ -83,7 +83,7 @@
             let refused = Reply::error(503, "this process may be cut off: ask another one");
             return self.reply_to_drain_call(&id, reply, refused, now);
         }
-        self.on_local_order(Order::Drain(id), reply, now);
+        self.on_local_order(OperatorCall::Drain(id), reply, now);
     }
 
     /// Replies to the drain call of a backend.
@@ -158,13 +158,13 @@
     /// Merges drain records of the leader into those of a process without a Raft log.
     pub(super) fn sync_drains(&mut self, run: &DrainRun, last: u64) {
         if self.node.is_none() {
-            let drained = self.register.follow_drains(run, last);
+            let drained = self.register.sync_drains(run, last);
             self.publish_drained(drained);
         }
     }
 
     /// Sends newly recorded backends to subscribers, including backends unknown here: subscribers may know them.
-    pub(super) fn publish_drained(&mut self, drained: Drained) {
+    pub(super) fn publish_drained(&mut self, drained: DrainOutcome) {
         self.publish_backends(drained.changed, Origin::Log);
         if !drained.unknown.is_empty() {
             let backends = drained.unknown.into_iter().map(Backend::leaving).collect();
@@ -174,7 +174,7 @@
 
     /// Recorded backends that are otherwise unknown here, for a subscriber that may know them.
     pub(super) fn drained_unknown(&self) -> Vec<Backend> {
-        self.register.drained_unknown().into_iter().map(Backend::leaving).collect()
+        self.register.unknown_draining().into_iter().map(Backend::leaving).collect()
     }
 
     /// The drain records for a snapshot; none while some voter may be unable to read them.
@@ -187,14 +187,14 @@
         supported_by_all.then(|| self.register.drains().run())
     }
 
-    /// The peer announces that it understands [`Order::Drain`].
+    /// The peer announces that it understands [`OperatorCall::Drain`].
     pub(super) fn on_drains_supported(&mut self, connection: u64) {
         if let Some(address) = self.peers.get(&connection).and_then(|peer| peer.dialed) {
             self.drains_supported_by.insert(address);
         }
     }
 
-    /// Announces to another control plane that it may send [`Order::Drain`] to this process.
+    /// Announces to another control plane that it may send [`OperatorCall::Drain`] to this process.
     pub(super) fn drains_support() -> Message {
         Message::NotHolder { number: UNDERSTANDS_DRAINS }
     }
--- a/crates/control-plane/src/control_plane/orders.rs
+++ b/crates/control-plane/src/control_plane/orders.rs
@@ -11,7 +11,7 @@
         match call {
             Call::Heartbeat(backend) => {
                 let draining = (backend.phase == Phase::Draining).then(|| backend.id.clone());
-                let judgement = self.register.beat(now, backend);
+                let judgement = self.register.record_heartbeat(now, backend);
                 self.publish_judgement(judgement);
                 match draining {
                     Some(id) => self.on_drain_call(id, reply, now),
@@ -19,7 +19,7 @@
                 }
             }
             Call::Departure(id) => {
-                let judgement = self.register.departed(now, &id);
+                let judgement = self.register.record_departure(now, &id);
                 self.publish_judgement(judgement);
                 self.on_drain_call(id, reply, now);
             }
@@ -43,18 +43,18 @@
         }
     }
 
-    pub(super) fn publish_judgement(&mut self, judgement: Judgement) {
-        if let Judgement::Changed(backends) = judgement {
+    pub(super) fn publish_judgement(&mut self, judgement: MergeOutcome) {
+        if let MergeOutcome::Changed(backends) = judgement {
             self.publish_called_backends(backends);
         }
     }
 
-    pub(super) fn on_local_order(&mut self, order: Order, reply: oneshot::Sender<Reply>, now: u64) {
+    pub(super) fn on_local_order(&mut self, order: OperatorCall, reply: oneshot::Sender<Reply>, now: u64) {
         if self.accepts_orders() {
             return self.on_order(Requester::Local(reply), order, now);
         }
         let max_pending =
-            if matches!(order, Order::Drain(_)) { MAX_PENDING_DRAINS } else { MAX_PENDING_CALLS };
+            if matches!(order, OperatorCall::Drain(_)) { MAX_PENDING_DRAINS } else { MAX_PENDING_CALLS };
         if self.pending_calls.len() >= max_pending {
             let _ = reply.send(Reply::error(503, "too many calls wait"));
             return;
@@ -85,7 +85,7 @@
                 && self.leader_supports(&to, token)
                 && let Some((connection, line)) = self.dialed_connection(&to)
                 && let Some(pending) = self.pending_calls.get_mut(&token)
-                && line.send(&Message::Ask { token, order: pending.order.clone() })
+                && line.send(&Message::ForwardedCall { token, call: pending.order.clone() })
             {
                 pending.forwarded_on = Some(connection);
             }
@@ -94,7 +94,7 @@
 
     /// Whether the leader understands the order of a pending call.
     fn leader_supports(&self, leader: &SocketAddr, token: u64) -> bool {
-        let is_drain = |pending: &PendingCall| matches!(pending.order, Order::Drain(_));
+        let is_drain = |pending: &PendingCall| matches!(pending.order, OperatorCall::Drain(_));
         self.drains_supported_by.contains(leader) || !self.pending_calls.get(&token).is_some_and(is_drain)
     }
 
@@ -111,7 +111,7 @@
     fn reply_to_pending(&mut self, pending: PendingCall, reply: Reply) {
         let now = self.now();
         match pending.order {
-            Order::Drain(id) => self.reply_to_drain_call(&id, pending.reply, reply, now),
+            OperatorCall::Drain(id) => self.reply_to_drain_call(&id, pending.reply, reply, now),
             _ => drop(pending.reply.send(reply)),
         }
     }
@@ -159,7 +159,7 @@
     pub(super) fn expire_calls(&mut self, now: u64) {
         self.forward_pending(now);
         let timeout = |pending: &PendingCall| match pending {
-            PendingCall { order: Order::Drain(_), .. } => DRAIN_FORWARD_TIMEOUT_MS,
+            PendingCall { order: OperatorCall::Drain(_), .. } => DRAIN_FORWARD_TIMEOUT_MS,
             PendingCall { forwarded_on: Some(_), .. } => FORWARD_TIMEOUT_MS,
             PendingCall { forwarded_on: None, .. } => LEADER_WAIT_TIMEOUT_MS,
         };
@@ -193,7 +193,7 @@
             Requester::Remote { peer, token } => {
                 if let Some(peer) = self.peers.get(&peer) {
                     let Reply { status, body } = reply;
-                    peer.line.send(&Message::Told { token, status, body });
+                    peer.line.send(&Message::ForwardedReply { token, status, body });
                 }
             }
         }
@@ -206,7 +206,7 @@
     }
 
     /// Handles an order at the leader.
-    pub(super) fn on_order(&mut self, requester: Requester, order: Order, now: u64) {
+    pub(super) fn on_order(&mut self, requester: Requester, order: OperatorCall, now: u64) {
         // The process that forwarded the order forwards it again once another process leads.
         if self.is_shutting_down && matches!(requester, Requester::Remote { .. }) {
             return;
@@ -222,19 +222,19 @@
             return self.reply_to(requester, Reply::error(503, "this process does not lead"));
         }
         match order {
-            Order::Read => {
+            OperatorCall::Read => {
                 let reply = match self.config_history.body() {
                     Some(body) => Reply { status: 200, body: body.to_vec() },
                     None => Reply::error(404, "no configuration was taken yet"),
                 };
                 self.reply_to(requester, reply);
             }
-            Order::Remove(address) => {
+            OperatorCall::Remove(address) => {
                 let reply = self.remove_voter(&address, now);
                 self.reply_to(requester, reply);
             }
-            Order::Drain(id) => self.on_drain(requester, id, now),
-            Order::Replace { base, body } => {
+            OperatorCall::Drain(id) => self.on_drain(requester, id, now),
+            OperatorCall::Replace { base, body } => {
                 let decision = decide(&self.config_history, base, body);
                 self.event_log.on_decision(now, &decision);
                 if let Some(reply) = decision.reply() {
--- a/crates/control-plane/src/control_plane/quota_service.rs
+++ b/crates/control-plane/src/control_plane/quota_service.rs
@@ -125,7 +125,7 @@
         self.offers.next_at = now + if is_deputy { LEASE_RENEWAL_INTERVAL_MS } else { OFFER_INTERVAL_MS };
         let number = self.offers.sent.back().map_or(1, |(number, _)| number + 1);
         let Some(line) = self.line_to(&leader) else { return };
-        line.send(&Message::Offer {
+        line.send(&Message::HolderLeaseRequest {
             number,
             answered: self.offers.last_answered,
             draws: self.offers.request_rate.2,
@@ -152,7 +152,11 @@
         let request_rate = if request_rate.is_finite() { request_rate.max(0.0) } else { 0.0 };
         let is_deputy = placer.record_offer(now as f64, &hello.address, answered, request_rate);
         let ends_in = if is_deputy { (until - now) as f64 } else { 0.0 };
-        peer.line.send(&Message::Lease { number: offer, assignment: placer.assignment().clone(), ends_in });
+        peer.line.send(&Message::HolderLease {
+            number: offer,
+            assignment: placer.assignment().clone(),
+            ends_in,
+        });
     }
 
     pub(super) fn on_lease(&mut self, offer: u64, assignment: &HolderAssignment, ends_in: f64, now: u64) {
@@ -218,9 +222,9 @@
     /// The number of the assignment in a term and its deputies; empty while the leader is the sole holder.
     pub(super) fn deputies(&self, term: u64) -> (u32, Vec<String>) {
         if self.node.is_none() {
-            let is_same_term = self.last_heartbeat.epoch == term;
+            let is_same_term = self.last_heartbeat.term == term;
             return if is_same_term {
-                (self.last_heartbeat.assignment, self.last_heartbeat.deputies.clone())
+                (self.last_heartbeat.assignment, self.last_heartbeat.other_holders.clone())
             } else {
                 (0, Vec::new())
             };
@@ -241,7 +245,7 @@
         if self.fleet.has_departed(&hello.name, hello.life) {
             return;
         }
-        self.fleet.heard(now, &hello.name, hello.life);
+        self.fleet.record_contact(now, &hello.name, hello.life);
         let message = match self.quota_service.handle_request(now as f64, &hello.name, &request) {
             Some(grant) => {
                 self.event_log.counters.lease_requests.0 += 1;
--- a/crates/control-plane/src/control_plane/status.rs
+++ b/crates/control-plane/src/control_plane/status.rs
@@ -40,7 +40,7 @@
             .collect();
         let backends: Vec<_> = self
             .register
-            .all(now)
+            .active(now)
             .into_iter()
             .map(|b| {
                 json!({ "id": b.id, "service": b.service, "address": b.address, "zone": b.zone,
@@ -56,7 +56,7 @@
             .collect();
         let data_planes: Vec<_> = self.fleet.names().collect();
         let watch = self.neighbor_watch.as_ref().map(|neighbor_watch| {
-            let standing = neighbor_watch.standing();
+            let standing = neighbor_watch.status();
             let watched = standing.watched.into_iter();
             let watched: Vec<_> = watched
                 .map(|(name, silent, doubted)| json!({ "name": name, "silent_ms": silent, "doubted": doubted }))
@@ -151,7 +151,7 @@
         let follows = self.peers.values().filter(|p| p.is_subscriber).count();
         page.gauge("followers", "Processes that follow the news here", follows as f64);
         page.gauge("data_planes", "Data planes that count", f64::from(self.fleet.size()));
-        let backends = self.register.all(now).into_iter().map(|b| {
+        let backends = self.register.active(now).into_iter().map(|b| {
             let phase = if b.overdue { "overdue" } else { phase(b.phase) };
             (vec![("service", b.service), ("phase", phase.to_owned())], 1.0)
         });
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -6,18 +6,18 @@
 
 impl ControlPlane {
     pub(super) fn heartbeat_for(&self, connection: u64, now: u64) -> Heartbeat {
-        let (leader, epoch, fresh) = self.leader(now);
-        let (assignment, deputies) = self.deputies(epoch);
+        let (leader, term, fresh) = self.leader(now);
+        let (assignment, other_holders) = self.deputies(term);
         let name = self.peers.get(&connection).and_then(|p| p.hello.as_ref()).map_or("", |h| h.name.as_str());
         Heartbeat {
             leader: leader.map(|l| l.to_string()),
-            epoch,
+            term,
             fresh,
             assignment,
-            deputies,
+            other_holders,
             version: self.config_history.version(),
-            fleet: self.slice_divisor(now).max(1),
-            number: self.fleet_index(now, name),
+            fleet_size: self.slice_divisor(now).max(1),
+            data_plane_index: self.fleet_index(now, name),
         }
     }
 
@@ -33,7 +33,7 @@
         // A control plane without a Raft log subscribes only to those with one. Two without a log that subscribed to
         // each other would send each other's outdated updates back and forth.
         if self.node.is_none() {
-            let have = self.config_encoder.held();
+            let have = self.config_encoder.config_id();
             for address in self.quorum_incarnations.keys() {
                 if let Some(line) = self.line_to(address) {
                     line.send(&Message::Follow { have });
@@ -43,14 +43,14 @@
     }
 
     pub(super) fn on_heartbeat(&mut self, heartbeat: Heartbeat, now: u64) {
-        let is_newer = heartbeat.fresh && heartbeat.epoch >= self.last_heartbeat.epoch;
+        let is_newer = heartbeat.fresh && heartbeat.term >= self.last_heartbeat.term;
         if self.node.is_none()
             && heartbeat.leader.is_some()
             && (is_newer || now > self.last_heartbeat_at + LEADER_REPORT_TTL_MS)
         {
-            let known = (self.last_heartbeat.epoch, self.last_heartbeat.assignment);
+            let known = (self.last_heartbeat.term, self.last_heartbeat.assignment);
             // Heartbeats of two control planes may report assignments out of order.
-            if (heartbeat.epoch, heartbeat.assignment) >= known || heartbeat.epoch != known.0 {
+            if (heartbeat.term, heartbeat.assignment) >= known || heartbeat.term != known.0 {
                 (self.last_heartbeat, self.last_heartbeat_at) = (heartbeat, now);
             }
         }
@@ -82,7 +82,7 @@
             Err(error) => {
                 spdlog::warn!("{}", error, kv: { step = "config_delta" });
                 if let Some(peer) = self.peers.get(&connection) {
-                    peer.line.send(&Message::Whole);
+                    peer.line.send(&Message::SnapshotRequest);
                 }
             }
         }
@@ -102,25 +102,25 @@
         }
         let frame =
             self.config_encoder.frame(peer.held, self.config_history.body_of(peer.held.version), body);
-        peer.held = self.config_encoder.held();
+        peer.held = self.config_encoder.config_id();
         peer.line.send_frame(frame);
     }
 
     pub(super) fn on_snapshot_request(&mut self, connection: u64) {
         if let (Some(body), Some(peer)) = (self.config_history.body(), self.peers.get_mut(&connection)) {
             if self.config_changed {
-                peer.held = Held::default();
+                peer.held = ConfigId::default();
                 return;
             }
-            peer.held = self.config_encoder.held();
+            peer.held = self.config_encoder.config_id();
             peer.line.send_frame(self.config_encoder.whole(body));
         }
     }
 
     pub(super) fn gossip_round(&mut self, now: u64) {
-        let heard = self.register.round();
+        let heard = self.register.take_heartbeats();
         if !heard.is_empty() {
-            self.send_to_control_planes(&Message::Heard(heard));
+            self.send_to_control_planes(&Message::BackendHeartbeats(heard));
         }
         let changed = self.register.sweep(now);
         self.publish_backends(changed, Origin::Silence);
@@ -134,11 +134,11 @@
         // An outdated process, like one that has just started, may know only few data planes. Its count must not
         // enlarge any slice.
         if current {
-            self.fleet.divides_by(now, self.slice_divisor(now));
+            self.fleet.set_slice_divisor(now, self.slice_divisor(now));
         }
         if !self.warmed_up && now >= WARMUP_MS {
             self.warmed_up = true;
-            self.send_to_subscribers(&Message::Backends { whole: true, backends: self.register.all(now) });
+            self.send_to_subscribers(&Message::Backends { whole: true, backends: self.register.active(now) });
         }
         self.event_log.on_data_planes(now, self.fleet.incarnations());
         self.resize_fleet(now);
@@ -149,7 +149,7 @@
         let mut data_planes = self.local_data_planes(now);
         let reported = self.peers.values().filter(|peer| now < peer.last_received_at + PEER_TIMEOUT_MS);
         for (name, life) in data_planes.iter().chain(reported.flat_map(|peer| &peer.data_planes)) {
-            self.fleet.heard(now, name, *life);
+            self.fleet.record_contact(now, name, *life);
         }
         data_planes.sort_unstable();
         if data_planes != self.last_sent_data_planes.0
@@ -170,14 +170,16 @@
             .values()
             .any(|peer| peer.hello.is_some() && now < peer.last_received_at + PEER_TIMEOUT_MS)
         {
-            neighbor_watch.in_contact();
+            neighbor_watch.record_contact();
         }
         if neighbor_watch.is_isolated() {
             return;
         }
         let (fleet, mut departures) = (&mut self.fleet, Vec::new());
-        neighbor_watch.each(|report| match report.state {
-            State::Here if report.card.data_plane => fleet.heard(now, &report.card.name, report.card.life),
+        neighbor_watch.for_each_member(|report| match report.state {
+            State::Here if report.card.data_plane => {
+                fleet.record_contact(now, &report.card.name, report.card.life)
+            }
             State::Left if report.card.data_plane => {
                 let (name, incarnation) = (report.card.name.clone(), report.card.life);
                 departures.push(Departure { name, incarnation, ago_ms: 0 });
--- a/crates/control-plane/src/listener.rs
+++ b/crates/control-plane/src/listener.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep};
-use transport::{Line, Reader, attach, dial};
+use transport::{FrameReader, FrameSender, attach, dial};
 
 /// Pause after a failed accept, since the process may be out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
@@ -63,7 +63,7 @@
 
 /// Reports an open connection to the event loop, then every message until the connection closes.
 pub async fn run_connection(
-    connection: u64, line: Line, mut reader: Reader, dialed: Option<SocketAddr>,
+    connection: u64, line: FrameSender, mut reader: FrameReader, dialed: Option<SocketAddr>,
     commands: mpsc::Sender<Command>,
 ) {
     if commands.send(Command::Opened { connection, line, dialed }).await.is_err() {
--- a/crates/control-plane/tests/bytes.rs
+++ b/crates/control-plane/tests/bytes.rs
@@ -5,7 +5,7 @@
 use control_plane::{Call, Change, ConfigHistory, ENDPOINTS, LogPosition};
 use fault_injection::mutate::Mutator;
 use hyper::header::{HeaderMap, HeaderValue};
-use protocol::{Backend, ConfigDelta, Heartbeat, Held, Hello, Message, Phase, Plane, frame, unframe};
+use protocol::{Backend, ConfigDelta, ConfigId, Heartbeat, Hello, Message, Phase, Plane, frame, unframe};
 
 /// Changed texts for each reader: some seconds, also on a slow machine.
 const EACH: usize = 3000;
@@ -118,7 +118,7 @@
     };
     let whole = [
         Message::Hello(hello),
-        Message::Follow { have: Held { version: 7, mark: 9 } },
+        Message::Follow { have: ConfigId { version: 7, digest_prefix: 9 } },
         Message::ConfigDelta(ConfigDelta {
             version: 8,
             base: 7,
@@ -126,9 +126,9 @@
             length: 9,
             bytes: vec![1, 2, 3],
         }),
-        Message::Retired,
+        Message::Reserved,
         Message::Heartbeat(Heartbeat::default()),
-        Message::Heard(vec![("i-1".into(), 3), ("i-2".into(), 9)]),
+        Message::BackendHeartbeats(vec![("i-1".into(), 3), ("i-2".into(), 9)]),
         Message::Backends { whole: true, backends: vec![backend("i-1", 4), backend("i-2", u64::MAX)] },
     ];
     feed(5, whole.iter().map(frame).collect(), |bytes| match unframe::<Message>(bytes) {
--- a/crates/control-plane/tests/fleet/mod.rs
+++ b/crates/control-plane/tests/fleet/mod.rs
@@ -86,16 +86,16 @@
     let leader = Some(ports[1].to_string());
     voter.say(&Message::Heartbeat(Heartbeat {
         leader,
-        epoch: 1,
+        term: 1,
         fresh: true,
-        fleet: 9,
+        fleet_size: 9,
         ..Heartbeat::default()
     }));
     // It has heard of one data plane itself: that one's slice would be the whole of each quota. The leader that it was told
     // of answers nothing, so that no word is of this moment; none of them may say less than it was told.
     let mut only = Played::data_plane(ports[0], "a", 1);
     let fleet = until(|| match only.next() {
-        Message::Heartbeat(heartbeat) if heartbeat.leader.is_some() => Some(heartbeat.fleet),
+        Message::Heartbeat(heartbeat) if heartbeat.leader.is_some() => Some(heartbeat.fleet_size),
         _ => None,
     });
     assert_eq!(fleet, 9);
--- a/crates/control-plane/tests/forwarded.rs
+++ b/crates/control-plane/tests/forwarded.rs
@@ -11,7 +11,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::task::{LocalSet, spawn_local};
-use transport::{Line, Reader, attach, dial};
+use transport::{FrameReader, FrameSender, attach, dial};
 
 /// Only a hang takes as long.
 const LONG: Duration = Duration::from_secs(20);
@@ -62,29 +62,29 @@
 }
 
 /// The leader's side of the connection that the process made to it, told that it leads.
-async fn led(leader: &TcpListener) -> (Line, Reader) {
+async fn led(leader: &TcpListener) -> (FrameSender, FrameReader) {
     let (stream, peer) = leader.accept().await.expect("a connection");
     let (line, reader) = attach(stream, peer);
     let address = leader.local_addr().expect("an address").to_string();
     line.send(&Message::Heartbeat(Heartbeat {
         leader: Some(address),
-        epoch: 1,
+        term: 1,
         fresh: true,
         ..Heartbeat::default()
     }));
     (line, reader)
 }
 
-async fn asked(from: &mut Reader) -> u64 {
+async fn asked(from: &mut FrameReader) -> u64 {
     loop {
-        if let Message::Ask { token, .. } = from.next().await.expect("a message") {
+        if let Message::ForwardedCall { token, .. } = from.next().await.expect("a message") {
             return token;
         }
     }
 }
 
 fn told(token: u64, body: &str) -> Message {
-    Message::Told { token, status: 200, body: body.into() }
+    Message::ForwardedReply { token, status: 200, body: body.into() }
 }
 
 async fn read(calls: SocketAddr) -> String {
--- a/crates/control-plane/tests/played/mod.rs
+++ b/crates/control-plane/tests/played/mod.rs
@@ -1,6 +1,6 @@
 //! Other processes as a process of control meets them, played by a test.
 
-use protocol::{Held, Hello, Message, Plane};
+use protocol::{ConfigId, Hello, Message, Plane};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
@@ -20,7 +20,7 @@
     pub fn data_plane(to: SocketAddr, name: &str, incarnation: u64) -> Self {
         let mut played = Self::new(super::until(|| TcpStream::connect(to).ok()));
         played.say(&Message::Hello(hello(name, incarnation, Plane::DataPlane)));
-        played.say(&Message::Follow { have: Held::default() });
+        played.say(&Message::Follow { have: ConfigId::default() });
         played
     }
 
--- a/crates/control-plane/tests/processes.rs
+++ b/crates/control-plane/tests/processes.rs
@@ -4,7 +4,7 @@
 mod played;
 
 use control_plane::{Change, ControlPlane, ControlPlaneSettings, Disk, Losses, Tolerance};
-use protocol::{ConfigSnapshot, Heartbeat, Held, Hello, Message, Plane};
+use protocol::{ConfigId, ConfigSnapshot, Heartbeat, Hello, Message, Plane};
 use raft::{Entry, Message as LogMessage, Payload, Snapshot, Timing, VoterId};
 use std::cell::Cell;
 use std::io::{Read, Write};
@@ -415,7 +415,7 @@
     stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
     let mut say = |message: Message| stream.write_all(&protocol::frame(&message)).expect("sent");
     say(Message::Hello(hello));
-    say(Message::Follow { have: Held::default() });
+    say(Message::Follow { have: ConfigId::default() });
     let (mut read, mut buffer) = (stream.try_clone().expect("the same"), Vec::new());
     let Message::ConfigDelta(first) = next_config_snapshot(&mut read, &mut buffer) else {
         panic!("nothing was known")
@@ -431,7 +431,7 @@
     assert_eq!(rebuild(Some(&first.body), &next).expect("the next").body, config(4).into_bytes());
     // It could not make it out, so it says.
     let mut say = |message: Message| stream.write_all(&protocol::frame(&message)).expect("sent");
-    say(Message::Whole);
+    say(Message::SnapshotRequest);
     let whole = ConfigSnapshot { version: 4, body: config(4).into_bytes() };
     assert_eq!(next_config_snapshot(&mut read, &mut buffer), Message::ConfigSnapshot(whole));
 }
@@ -572,7 +572,7 @@
         quorum: false,
         incarnation: None,
     };
-    let frames = [Message::Hello(hello), Message::Follow { have: Held::default() }]
+    let frames = [Message::Hello(hello), Message::Follow { have: ConfigId::default() }]
         .map(|message| protocol::frame(&message))
         .concat();
     follower.write_all(&frames).expect("sent");
@@ -625,12 +625,8 @@
                 quorum: true,
                 incarnation: Some(0),
             };
-            let heartbeat = Heartbeat {
-                leader: Some(address.to_string()),
-                epoch: 1,
-                fresh: true,
-                ..Heartbeat::default()
-            };
+            let heartbeat =
+                Heartbeat { leader: Some(address.to_string()), term: 1, fresh: true, ..Heartbeat::default() };
             let mut stream = TcpStream::connect(pair[at]).expect("a line");
             let frames = [Message::Hello(hello), Message::Heartbeat(heartbeat)]
                 .map(|message| protocol::frame(&message))
--- a/crates/control-plane/tests/support/simulation.rs
+++ b/crates/control-plane/tests/support/simulation.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
-use transport::{Line, LineError};
+use transport::{ConnectionError, FrameSender};
 
 /// The kernel gives a connection up when what was sent has not been acknowledged for so long.
 const UNACKNOWLEDGED: Duration = Duration::from_millis(1500);
@@ -124,7 +124,7 @@
 
 impl End {
     async fn close(&self, peer: SocketAddr) {
-        let closed = Command::Closed { connection: self.connection, error: LineError::Closed { peer } };
+        let closed = Command::Closed { connection: self.connection, error: ConnectionError::Closed { peer } };
         let _ = self.commands.send(closed).await;
     }
 }
@@ -177,7 +177,11 @@
             let there = End { process, connection: network.next_connection(), commands };
             for (from, to, dialed) in [(&here, &there, Some(to)), (&there, &here, None)] {
                 let (line, frames) = channel(FRAMES);
-                let opened = Command::Opened { connection: from.connection, line: Line::over(line), dialed };
+                let opened = Command::Opened {
+                    connection: from.connection,
+                    line: FrameSender::from_queue(line),
+                    dialed,
+                };
                 let _ = from.commands.send(opened).await;
                 spawn_local(carry(network.clone(), frames, from.clone(), to.clone()));
             }
@@ -309,8 +313,10 @@
             incarnation: None,
         };
         let commands = &self.commands[process];
-        let _ = commands.send(Command::Opened { connection, line: Line::over(line), dialed: None }).await;
-        let follow = Message::Follow { have: protocol::Held::default() };
+        let _ = commands
+            .send(Command::Opened { connection, line: FrameSender::from_queue(line), dialed: None })
+            .await;
+        let follow = Message::Follow { have: protocol::ConfigId::default() };
         for message in [Message::Hello(hello), follow] {
             let _ = commands.send(Command::Message { connection, message }).await;
         }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -13,10 +13,10 @@
 pub use freshness::{FreshnessAnswer, FreshnessQuestion};
 
 /// The longest frame that is read, in bytes: a whole configuration of some thousand routes fits.
-pub const LONGEST: usize = 8 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
 /// The longest first frame of a connection that came, in bytes: a [`Hello`] with names as long as any that are in use.
-pub const LONGEST_HELLO: usize = 4096;
+pub const MAX_HELLO_BYTES: usize = 4096;
 
 /// What a backend says it does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
@@ -83,14 +83,14 @@
 
 /// Why bytes are no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Garbled {
-    /// A frame announces more than is read, [`LONGEST`] at most.
+pub enum FrameError {
+    /// A frame announces more than is read, [`MAX_FRAME_BYTES`] at most.
     TooLong(usize),
     /// A frame holds something else.
     Undecodable,
 }
 
-impl std::fmt::Display for Garbled {
+impl std::fmt::Display for FrameError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::TooLong(length) => write!(f, "a frame of {length} bytes, which is more than is read here"),
@@ -99,14 +99,14 @@
     }
 }
 
-impl std::error::Error for Garbled {}
+impl std::error::Error for FrameError {}
 
 /// Takes the first whole frame off the front of what has been read, if there is one; gives what it took as well.
 ///
 /// # Errors
 /// When the bytes can't be a frame, or the frame no message.
-pub fn unframe<M: DecodeOwned>(bytes: &[u8]) -> Result<Option<(M, usize)>, Garbled> {
-    unframe_within(bytes, LONGEST)
+pub fn unframe<M: DecodeOwned>(bytes: &[u8]) -> Result<Option<(M, usize)>, FrameError> {
+    unframe_with_limit(bytes, MAX_FRAME_BYTES)
 }
 
 /// As [`unframe`], where frames of more than `longest` bytes are not read. A short frame can announce many empty elements
@@ -114,14 +114,16 @@
 ///
 /// # Errors
 /// As there.
-pub fn unframe_within<M: DecodeOwned>(bytes: &[u8], longest: usize) -> Result<Option<(M, usize)>, Garbled> {
+pub fn unframe_with_limit<M: DecodeOwned>(
+    bytes: &[u8], longest: usize,
+) -> Result<Option<(M, usize)>, FrameError> {
     let Some((head, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
     if length > longest {
-        return Err(Garbled::TooLong(length));
+        return Err(FrameError::TooLong(length));
     }
     let Some(body) = rest.get(..length) else { return Ok(None) };
-    let message = bitcode::decode(body).map_err(|_| Garbled::Undecodable)?;
+    let message = bitcode::decode(body).map_err(|_| FrameError::Undecodable)?;
     Ok(Some((message, length + 4)))
 }
 
@@ -169,7 +171,7 @@
 /// such a message, and ignores this one; no lease request has this number.
 pub const UNDERSTANDS_DEPARTURES: u64 = u64::MAX;
 
-/// As [`UNDERSTANDS_DEPARTURES`], of [`Order::Drain`] and of entries of the log that record backends that leave.
+/// As [`UNDERSTANDS_DEPARTURES`], of [`OperatorCall::Drain`] and of entries of the log that record backends that leave.
 pub const UNDERSTANDS_DRAINS: u64 = u64::MAX - 1;
 
 /// As [`UNDERSTANDS_DEPARTURES`], to a data plane: it may send a [`Message::FreshnessQuestion`].
@@ -195,11 +197,11 @@
 
 /// Which configuration a process has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub struct Held {
+pub struct ConfigId {
     /// Its version; 0 for none.
     pub version: u64,
     /// The first eight bytes of its body's SHA-256, as a number: another body may have borne the same version.
-    pub mark: u64,
+    pub digest_prefix: u64,
 }
 
 /// A configuration as what makes it out of another one.
@@ -223,24 +225,24 @@
     /// Where the leader of the log takes connections, as far as the sender knows.
     pub leader: Option<String>,
     /// The leader's term.
-    pub epoch: u64,
+    pub term: u64,
     /// The number of the leader's assignment of counts; 0 for its first, of which nobody needs to be told.
     pub assignment: u32,
     /// Who holds counts beside the leader.
-    pub deputies: Vec<String>,
+    pub other_holders: Vec<String>,
     /// Whether the sender has heard the leader just now: what it tells is the newest then.
     pub fresh: bool,
     /// The newest version that the sender has.
     pub version: u64,
     /// How many data planes there are.
-    pub fleet: u32,
+    pub fleet_size: u32,
     /// Which of them, from 0, the receiver is.
-    pub number: u32,
+    pub data_plane_index: u32,
 }
 
 /// A call of the operator on its way to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum Order {
+pub enum OperatorCall {
     /// Take a configuration that was made on top of a version.
     Replace {
         /// The version that it builds on.
@@ -275,7 +277,7 @@
     /// Asks for all news from now on.
     Follow {
         /// The newest configuration that the asker has.
-        have: Held,
+        have: ConfigId,
     },
     /// A configuration.
     ConfigSnapshot(ConfigSnapshot),
@@ -287,13 +289,13 @@
         backends: Vec<Backend>,
     },
     /// Backends that have been heard since the last such word: id and number of calls.
-    Heard(Vec<(String, u64)>),
+    BackendHeartbeats(Vec<(String, u64)>),
     /// DataPlanes that the sender hears: name and life.
     DataPlanes(Vec<(String, u64)>),
     /// How things stand.
     Heartbeat(Heartbeat),
     /// A data plane can reach a holder of counts, and has nothing to ask.
-    Here {
+    QuotaKeepalive {
         /// The newest assignment that it has heard of.
         epoch: quota::Epoch,
     },
@@ -307,7 +309,7 @@
         number: u64,
     },
     /// A control plane asks the leader for a lease of its counts, or offers to hold some.
-    Offer {
+    HolderLeaseRequest {
         /// Chosen by the asker, each higher than the last.
         number: u64,
         /// The highest number of its offers that was answered.
@@ -316,7 +318,7 @@
         draws: f64,
     },
     /// The leader's answer.
-    Lease {
+    HolderLease {
         /// The offer's number.
         number: u64,
         /// The assignment.
@@ -329,14 +331,14 @@
     /// A control plane gives counts up to another one.
     Handover(quota::Handover),
     /// A call of the operator for the leader.
-    Ask {
+    ForwardedCall {
         /// Chosen by the asker.
         token: u64,
         /// The call.
-        order: Order,
+        call: OperatorCall,
     },
     /// The leader's answer.
-    Told {
+    ForwardedReply {
         /// The asker's token.
         token: u64,
         /// The status for the operator.
@@ -347,9 +349,9 @@
     /// A configuration as a difference.
     ConfigDelta(ConfigDelta),
     /// Asks for the newest configuration whole: what came made none.
-    Whole,
+    SnapshotRequest,
     /// The place of a message that is spoken no more: `bitcode` goes by the order of variants.
-    Retired,
+    Reserved,
     /// A data plane says that it has ended: it admits no request and spends nothing from now on. A process that serves
     /// control says that it is about to end: a leader takes it off an even list of voters.
     Leave,
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -1,13 +1,13 @@
 //! Frames, whole and in pieces, and bytes that are none.
 
-use protocol::{Garbled, Heartbeat, Held, LONGEST, Message, frame, unframe};
+use protocol::{ConfigId, FrameError, Heartbeat, MAX_FRAME_BYTES, Message, frame, unframe};
 
 #[test]
 fn frames_come_back_whole_however_they_are_cut() {
     let flags = [
-        Message::Follow { have: Held { version: 7, mark: 9 } },
+        Message::Follow { have: ConfigId { version: 7, digest_prefix: 9 } },
         Message::Heartbeat(Heartbeat::default()),
-        Message::Heard(vec![("i-1".into(), 3)]),
+        Message::BackendHeartbeats(vec![("i-1".into(), 3)]),
     ];
     let bytes: Vec<u8> = flags.iter().flat_map(frame).collect();
     for size in 1..bytes.len() {
@@ -27,14 +27,14 @@
 #[test]
 fn what_is_no_frame_is_told_apart_from_half_a_frame() {
     assert_eq!(unframe::<Message>(&[0, 0]), Ok(None));
-    let long = u32::try_from(LONGEST + 1).expect("fits").to_be_bytes();
-    assert_eq!(unframe::<Message>(&long), Err(Garbled::TooLong(LONGEST + 1)));
-    assert_eq!(unframe::<Message>(&[0, 0, 0, 3, 255, 255, 255]), Err(Garbled::Undecodable));
+    let long = u32::try_from(MAX_FRAME_BYTES + 1).expect("fits").to_be_bytes();
+    assert_eq!(unframe::<Message>(&long), Err(FrameError::TooLong(MAX_FRAME_BYTES + 1)));
+    assert_eq!(unframe::<Message>(&[0, 0, 0, 3, 255, 255, 255]), Err(FrameError::Undecodable));
 }
 
 #[test]
 fn any_byte_changed_gives_a_message_or_an_error_but_no_panic() {
-    let whole = frame(&Message::Heard(vec![("i-1".into(), 3), ("i-2".into(), 9)]));
+    let whole = frame(&Message::BackendHeartbeats(vec![("i-1".into(), 3), ("i-2".into(), 9)]));
     for at in 4..whole.len() {
         for bit in 0..8 {
             let mut bytes = whole.clone();
--- a/crates/protocol/tests/recorded.rs
+++ b/crates/protocol/tests/recorded.rs
@@ -2,8 +2,8 @@
 //! bytes may not.
 
 use protocol::{
-    Backend, ConfigDelta, ConfigSnapshot, ControlPlaneAddress, Departure, Heartbeat, Held, Hello, Message,
-    Order, Phase, Plane, frame, unframe,
+    Backend, ConfigDelta, ConfigId, ConfigSnapshot, ControlPlaneAddress, Departure, Heartbeat, Hello,
+    Message, OperatorCall, Phase, Plane, frame, unframe,
 };
 use quota::{CounterStatus, Epoch, Grant, HolderAssignment, LeaseRequest, TenantDemand, TenantGrant};
 
@@ -31,13 +31,13 @@
     };
     let heartbeat = Heartbeat {
         leader: Some("10.0.0.1:7660".into()),
-        epoch: 3,
+        term: 3,
         assignment: 2,
-        deputies: vec!["10.0.0.2:7660".into()],
+        other_holders: vec!["10.0.0.2:7660".into()],
         fresh: true,
         version: 12,
-        fleet: 13,
-        number: 4,
+        fleet_size: 13,
+        data_plane_index: 4,
     };
     let want = TenantDemand { tenant: "t".into(), needed: 1, requested: 5, returned: 2 };
     let tenant = "t".into();
@@ -57,21 +57,21 @@
         Message::Welcome(hello(Plane::DataPlane, false, None)),
         Message::Log { incarnation: 9, message: vec![1, 2, 3] },
         Message::ControlPlanes(vec![control_plane]),
-        Message::Follow { have: Held { version: 12, mark: 77 } },
+        Message::Follow { have: ConfigId { version: 12, digest_prefix: 77 } },
         Message::ConfigSnapshot(ConfigSnapshot { version: 12, body: body() }),
         Message::Backends { whole: true, backends: vec![backend] },
-        Message::Heard(vec![("i-1".into(), 12)]),
+        Message::BackendHeartbeats(vec![("i-1".into(), 12)]),
         Message::DataPlanes(vec![("edge-1".into(), 7)]),
         Message::Heartbeat(heartbeat),
-        Message::Here { epoch: EPOCH },
+        Message::QuotaKeepalive { epoch: EPOCH },
         Message::LeaseRequest(LeaseRequest { number: 8, epoch: EPOCH, demands: vec![want] }),
         Message::Grant(Grant { number: 8, epoch: EPOCH, grants: vec![share] }),
         Message::NotHolder { number: 8 },
-        Message::Offer { number: 1, answered: 2, draws: 3.5 },
-        Message::Lease { number: 1, assignment, ends_in: 100.0 },
-        Message::Ask { token: 5, order: Order::Replace { base: 11, body: body() } },
-        Message::Ask { token: 6, order: Order::Read },
-        Message::Told { token: 5, status: 412, body: body() },
+        Message::HolderLeaseRequest { number: 1, answered: 2, draws: 3.5 },
+        Message::HolderLease { number: 1, assignment, ends_in: 100.0 },
+        Message::ForwardedCall { token: 5, call: OperatorCall::Replace { base: 11, body: body() } },
+        Message::ForwardedCall { token: 6, call: OperatorCall::Read },
+        Message::ForwardedReply { token: 5, status: 412, body: body() },
         Message::ConfigDelta(ConfigDelta {
             version: 12,
             base: 11,
@@ -79,7 +79,7 @@
             length: 2,
             bytes: vec![9],
         }),
-        Message::Whole,
+        Message::SnapshotRequest,
         Message::Leave,
         Message::LeaveAccepted,
         Message::Departures(vec![Departure { name: "edge-1".into(), incarnation: 7, ago_ms: 20 }]),
--- a/crates/quota/tests/world/membership.rs
+++ b/crates/quota/tests/world/membership.rs
@@ -3,7 +3,7 @@
 
 use super::{Event, Said, Who, World, name};
 use protocol::Departure;
-use registry::{COUNTED_WHILE_SILENT, Fleet, FleetFaults};
+use registry::{Fleet, FleetFaults, SILENT_DATA_PLANE_TIMEOUT_MS};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Processes that serve control tell each other this often whom they hear.
@@ -167,7 +167,7 @@
         match word {
             Word::Hello { incarnation } => {
                 let knows = &mut self.membership().knows[place];
-                knows.fleet.heard(now as u64, &gateway_name, incarnation);
+                knows.fleet.record_contact(now as u64, &gateway_name, incarnation);
                 knows.hears.insert(gateway_name.clone(), (incarnation, now));
                 let counts = !knows.fleet.has_departed(&gateway_name, incarnation);
                 self.resize(place);
@@ -191,7 +191,9 @@
             Word::Departed(departures) => self.take_departures(place, departures),
             Word::Present(present) => {
                 let knows = &mut self.membership().knows[place];
-                present.iter().for_each(|(name, number)| knows.fleet.heard(now as u64, name, *number));
+                present
+                    .iter()
+                    .for_each(|(name, number)| knows.fleet.record_contact(now as u64, name, *number));
                 knows.told.insert(other, (now, present));
                 self.resize(place);
             }
@@ -202,7 +204,7 @@
     fn take_departures(&mut self, place: usize, mut departures: Vec<Departure>) {
         let now = self.now as u64;
         let fleet = &mut self.membership().knows[place].fleet;
-        departures.retain(|departure| fleet.departed(now, departure));
+        departures.retain(|departure| fleet.record_departure(now, departure));
         let gone = |departure: &&Departure| !fleet.is_present(&departure.name);
         let gone: Vec<String> = departures.iter().filter(gone).map(|one| one.name.clone()).collect();
         gone.iter().for_each(|name| self.control_planes[place].quota_service.remove_gateway(name));
@@ -253,7 +255,7 @@
         let knows = &mut membership.knows[place];
         let told = knows.told.values().filter(|(at, _)| now < at + GATEWAY_TIMEOUT);
         let all = present.iter().chain(told.flat_map(|(_, told)| told));
-        all.for_each(|(name, incarnation)| knows.fleet.heard(now as u64, name, *incarnation));
+        all.for_each(|(name, incarnation)| knows.fleet.record_contact(now as u64, name, *incarnation));
         knows.fleet.sweep(now as u64);
         let settled = knows.fleet.size_within(now as u64, SETTLES);
         if leads && settled > 0 && settled.abs_diff(membership.logged) * 8 > membership.logged {
@@ -261,7 +263,7 @@
         }
         self.tell_control(place, &Word::Present(present));
         if let Some(divisor) = self.divisor(place).filter(|_| self.is_current(place)) {
-            self.membership().knows[place].fleet.divides_by(now as u64, divisor);
+            self.membership().knows[place].fleet.set_slice_divisor(now as u64, divisor);
         }
         self.resize(place);
     }
@@ -270,7 +272,7 @@
         let (now, counted) = (self.now, self.counted_at(place));
         self.control_planes[place].quota_service.set_fleet_size(now, counted);
         let Some(membership) = &self.membership else { return };
-        let wide = membership.knows[place].fleet.wide_slices(counted);
+        let wide = membership.knows[place].fleet.oversized_slices(counted);
         self.control_planes[place].quota_service.set_oversized_slices(wide);
     }
 
@@ -297,7 +299,7 @@
     /// By what gateways divide their slices, as this process tells them.
     pub(super) fn divisor(&self, place: usize) -> Option<u32> {
         let membership = self.membership.as_ref()?;
-        let size = membership.knows[place].fleet.size_within(self.now as u64, COUNTED_WHILE_SILENT);
+        let size = membership.knows[place].fleet.size_within(self.now as u64, SILENT_DATA_PLANE_TIMEOUT_MS);
         Some(size.max(self.logged_at(place)).max(1))
     }
 
@@ -343,7 +345,7 @@
 impl Knows {
     fn new(started: f64, faults: MembershipFaults) -> Self {
         let mut fleet = Fleet::default();
-        fleet.plant(faults.fleet);
+        fleet.inject_faults(faults.fleet);
         Self { fleet, started, ..Self::default() }
     }
 }
--- a/crates/reachlb/src/run_control_plane.rs
+++ b/crates/reachlb/src/run_control_plane.rs
@@ -115,7 +115,7 @@
             _ = hangup.recv() => match Settings::read(&path) {
                 Ok(settings) => {
                     if let Some(neighbor_watch) = &neighbor_watch {
-                        neighbor_watch.seeds(&start::watch_seeds(&settings));
+                        neighbor_watch.set_seeds(&start::watch_seeds(&settings));
                     }
                     let seeds = start::seeds(&settings);
                     let _ = commands.send(Command::Seeds(seeds)).await;
--- a/crates/reachlb/src/run_data_plane.rs
+++ b/crates/reachlb/src/run_data_plane.rs
@@ -45,7 +45,8 @@
     // The follower's news and the lease client's draws need each other.
     let follower: Rc<RefCell<Option<ControlFollower>>> = Rc::default();
     let wire = follower.clone();
-    let send = move |to: &str, draw| wire.borrow().as_ref().is_some_and(|follower| follower.draw(to, draw));
+    let send =
+        move |to: &str, draw| wire.borrow().as_ref().is_some_and(|follower| follower.request_lease(to, draw));
     let lease_client = LeaseClient::start(life, Box::new(send));
     let about = DataPlaneSettings {
         max_fds: settings.max_fds as usize,
@@ -74,28 +75,28 @@
             },
             Update::Backends { whole, backends } => data_plane.update_backends(&backends, whole),
             Update::Heartbeat(heartbeat) => {
-                let leader = (heartbeat.leader.clone(), heartbeat.epoch);
+                let leader = (heartbeat.leader.clone(), heartbeat.term);
                 if leader != known {
                     // Once for each leader, and once when there is none: elections bound how often.
                     let (peer, version, epoch) =
-                        (heartbeat.leader.as_deref().unwrap_or("none"), heartbeat.version, heartbeat.epoch);
+                        (heartbeat.leader.as_deref().unwrap_or("none"), heartbeat.version, heartbeat.term);
                     spdlog::info!("the counts are drawn from another leader", kv: { step = "leader", peer, version, epoch });
                     known = leader;
                 }
-                lease_client.set_gateway_count(heartbeat.fleet, heartbeat.fresh);
-                data_plane.set_fleet(heartbeat.fleet, heartbeat.number);
+                lease_client.set_gateway_count(heartbeat.fleet_size, heartbeat.fresh);
+                data_plane.set_fleet(heartbeat.fleet_size, heartbeat.data_plane_index);
             }
             Update::HolderAssignment(assignment) => lease_client.apply_assignment(&assignment),
-            Update::Follows(upstream) => data_plane.record_upstream(upstream),
+            Update::Following(upstream) => data_plane.record_upstream(upstream),
             Update::Grant(grant) => lease_client.apply_grant(grant),
             Update::Unanswered { number } => lease_client.abandon_lease_request(number),
         }
     };
     let neighbor_watch = start::watch(&settings, true, life)?;
     let seeds = start::seeds(&settings);
-    let ways = settings.tuning.ways.clone();
+    let detours = settings.tuning.ways.clone();
     *follower.borrow_mut() = Some(ControlFollower::start(
-        FollowerSettings { me, seeds, ways, stale_after: stale_after(&settings) },
+        FollowerSettings { me, seeds, detours, stale_after: stale_after(&settings) },
         news,
     ));
     let (watch, seeded) = (neighbor_watch.clone(), follower.clone());
@@ -106,10 +107,10 @@
             match Settings::read(&path) {
                 Ok(settings) => {
                     if let Some(follower) = seeded.borrow().as_ref() {
-                        follower.seeds(start::seeds(&settings));
+                        follower.set_seeds(start::seeds(&settings));
                     }
                     if let Some(watch) = &watch {
-                        watch.seeds(&start::watch_seeds(&settings));
+                        watch.set_seeds(&start::watch_seeds(&settings));
                     }
                 }
                 Err(fault) => spdlog::error!("settings not taken: {}", fault, kv: { step = "hangup" }),
@@ -140,8 +141,8 @@
 /// be obeyed within their bounds.
 fn stale_after(settings: &Settings) -> u64 {
     let bound = settings.bounds.drain.min(settings.bounds.apply).as_millis() as u64;
-    if !freshness::keeps(bound) {
-        let least = freshness::LEAST_BOUND;
+    if !freshness::is_achievable(bound) {
+        let least = freshness::MIN_BOUND_MS;
         spdlog::error!(
             "bound_table: drain_ms or apply_ms is {}, and less than {} is not kept while control planes are cut off",
             bound, least, kv: { step = "settings" });
--- a/crates/registry/src/drains.rs
+++ b/crates/registry/src/drains.rs
@@ -33,7 +33,7 @@
 
 impl DrainTable {
     /// A table that holds these records.
-    pub fn of(run: &DrainRun) -> Self {
+    pub fn from_run(run: &DrainRun) -> Self {
         let mut table = Self { last: run.after, ..Self::default() };
         run.ids.iter().for_each(|id| table.push(id));
         table
@@ -50,7 +50,7 @@
 
     /// Takes over records of the leader's table, whose newest has the number `last`; gives the ids of those that are new
     /// here. A table whose numbers go beyond the leader's is of a log that is no more: it begins anew.
-    pub fn follow(&mut self, run: &DrainRun, last: u64) -> Vec<String> {
+    pub fn apply_run(&mut self, run: &DrainRun, last: u64) -> Vec<String> {
         if self.last > last {
             *self = Self::default();
         }
--- a/crates/registry/src/fleet.rs
+++ b/crates/registry/src/fleet.rs
@@ -11,9 +11,9 @@
 
 /// A data plane that fell silent without a word may be cut off and spend its even slices: it counts for this long,
 /// which is as long as its lease cache spends slices after the last word of control.
-pub const COUNTED_WHILE_SILENT: Millis = 30_000;
+pub const SILENT_DATA_PLANE_TIMEOUT_MS: Millis = 30_000;
 /// A departure is remembered for this long: longer than any process goes on saying that it hears the data plane. What
-/// is said even later counts the data plane once more, for [`COUNTED_WHILE_SILENT`].
+/// is said even later counts the data plane once more, for [`SILENT_DATA_PLANE_TIMEOUT_MS`].
 const DEPARTURE_REMEMBERED: Millis = 120_000;
 /// Another process may say for this long that it hears a data plane that hears nothing any more: two silences of a
 /// connection, and the rounds in which that is told.
@@ -62,12 +62,12 @@
 
 impl Fleet {
     #[doc(hidden)]
-    pub fn plant(&mut self, faults: FleetFaults) {
+    pub fn inject_faults(&mut self, faults: FleetFaults) {
         self.faults = faults;
     }
 
     /// A data plane was heard, here or by another process. One that has departed stays so.
-    pub fn heard(&mut self, now: Millis, name: &str, incarnation: u64) {
+    pub fn record_contact(&mut self, now: Millis, name: &str, incarnation: u64) {
         let Some(known) = self.known_or_new(name) else { return };
         if known.has_departed(incarnation) {
             return;
@@ -83,7 +83,7 @@
     }
 
     /// Data planes are told from now on to divide their slices by so many.
-    pub fn divides_by(&mut self, now: Millis, divisor: u32) {
+    pub fn set_slice_divisor(&mut self, now: Millis, divisor: u32) {
         self.divisors.push_back((now, divisor));
         // The newest one of before the span was in force at its beginning.
         while self.divisors.get(1).is_some_and(|(since, _)| since + HEARSAY_SPAN <= now) {
@@ -93,7 +93,7 @@
 
     /// The data planes that may divide their slices by fewer than these: those that were last heard when the fleet was
     /// smaller. While one is heard, it is told of a larger fleet in time.
-    pub fn wide_slices(&self, present: u32) -> Vec<OversizedSlice> {
+    pub fn oversized_slices(&self, present: u32) -> Vec<OversizedSlice> {
         let wide = |(name, known): (&String, &Known)| {
             let divisor = known.divisor.filter(|divisor| *divisor < present && known.is_present())?;
             Some(OversizedSlice { gateway: name.clone(), divisor })
@@ -109,7 +109,7 @@
     }
 
     /// An incarnation said itself, so long ago, that it has ended: it spends nothing more. Whether that is news here.
-    pub fn departed(&mut self, now: Millis, departure: &Departure) -> bool {
+    pub fn record_departure(&mut self, now: Millis, departure: &Departure) -> bool {
         let faults = self.faults;
         let Some(known) = self.known_or_new(&departure.name) else { return false };
         if known.has_departed(departure.incarnation) {
@@ -158,7 +158,7 @@
     pub fn sweep(&mut self, now: Millis) -> bool {
         let before = self.size();
         for known in self.known.values_mut() {
-            known.heard.retain(|one| now < one.at + COUNTED_WHILE_SILENT);
+            known.heard.retain(|one| now < one.at + SILENT_DATA_PLANE_TIMEOUT_MS);
             known.departed.retain(|one| now < one.at + DEPARTURE_REMEMBERED);
         }
         self.known.retain(|_, known| known.is_present() || !known.departed.is_empty());
@@ -178,7 +178,7 @@
     }
 
     /// The place of one by name among those that [`Fleet::size_within`] counts.
-    pub fn number_within(&self, now: Millis, span: Millis, name: &str) -> u32 {
+    pub fn index_within(&self, now: Millis, span: Millis, name: &str) -> u32 {
         let before = self.known.iter().take_while(|(other, _)| other.as_str() < name);
         before.filter(|(_, known)| known.was_present_within(now, span)).count() as u32
     }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -14,8 +14,8 @@
 pub use drains::{DrainRun, DrainTable};
 #[doc(hidden)]
 pub use fleet::FleetFaults;
-pub use fleet::{COUNTED_WHILE_SILENT, Fleet};
-pub use register::{Drained, Judgement, Register};
+pub use fleet::{Fleet, SILENT_DATA_PLANE_TIMEOUT_MS};
+pub use register::{BackendRegistry, DrainOutcome, MergeOutcome};
 
 /// Milliseconds of the host's steady clock.
 pub type Millis = u64;
--- a/crates/registry/src/register.rs
+++ b/crates/registry/src/register.rs
@@ -30,18 +30,18 @@
 
 /// What became of a word about a backend.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Judgement {
+pub enum MergeOutcome {
     /// It changes what requests may be sent: all should know.
     Changed(Vec<Backend>),
     /// Nothing but that it lives.
-    Alive,
+    Refreshed,
     /// It is older than what is known, or the table is full.
     Ignored,
 }
 
 /// Backends that are recorded as leaving from now on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Drained {
+pub struct DrainOutcome {
     /// Those that are known, as they are now.
     pub changed: Vec<Backend>,
     /// The ids of those that are not: somebody else may know them.
@@ -49,13 +49,13 @@
 }
 
 /// All lives of backends that are known.
-pub struct Register {
+pub struct BackendRegistry {
     registrations: BTreeMap<String, Registration>,
     drains: DrainTable,
     overdue_after: Millis,
 }
 
-impl Register {
+impl BackendRegistry {
     /// An empty register of backends that beat this often.
     pub fn new(beat_interval: Millis) -> Self {
         Self {
@@ -66,11 +66,11 @@
     }
 
     /// A beat came here.
-    pub fn beat(&mut self, now: Millis, backend: Backend) -> Judgement {
+    pub fn record_heartbeat(&mut self, now: Millis, backend: Backend) -> MergeOutcome {
         let judgement = self.merge(now, backend, true);
         match judgement {
-            changed if changed.is_empty() => Judgement::Alive,
-            changed => Judgement::Changed(changed),
+            changed if changed.is_empty() => MergeOutcome::Refreshed,
+            changed => MergeOutcome::Changed(changed),
         }
     }
 
@@ -80,8 +80,8 @@
     }
 
     /// An entry of the log records these backends as leaving.
-    pub fn record_drains(&mut self, ids: &[String]) -> Drained {
-        let mut drained = Drained::default();
+    pub fn record_drains(&mut self, ids: &[String]) -> DrainOutcome {
+        let mut drained = DrainOutcome::default();
         for id in ids {
             if self.drains.record(id) {
                 self.drain(id, &mut drained);
@@ -91,18 +91,18 @@
     }
 
     /// The leader's records, for a process without a log: see [`DrainTable::follow`].
-    pub fn follow_drains(&mut self, run: &DrainRun, last: u64) -> Drained {
-        let mut drained = Drained::default();
-        for id in self.drains.follow(run, last) {
+    pub fn sync_drains(&mut self, run: &DrainRun, last: u64) -> DrainOutcome {
+        let mut drained = DrainOutcome::default();
+        for id in self.drains.apply_run(run, last) {
             self.drain(&id, &mut drained);
         }
         drained
     }
 
     /// A snapshot's records take the place of those here.
-    pub fn restore_drains(&mut self, run: &DrainRun) -> Drained {
-        let mut drained = Drained::default();
-        self.drains = DrainTable::of(run);
+    pub fn restore_drains(&mut self, run: &DrainRun) -> DrainOutcome {
+        let mut drained = DrainOutcome::default();
+        self.drains = DrainTable::from_run(run);
         for id in &run.ids {
             self.drain(id, &mut drained);
         }
@@ -110,12 +110,12 @@
     }
 
     /// The ids of backends that are recorded as leaving and not known otherwise.
-    pub fn drained_unknown(&self) -> Vec<String> {
+    pub fn unknown_draining(&self) -> Vec<String> {
         let ids = self.drains.run().ids.into_iter();
         ids.filter(|id| !self.registrations.contains_key(id)).collect()
     }
 
-    fn drain(&mut self, id: &str, drained: &mut Drained) {
+    fn drain(&mut self, id: &str, drained: &mut DrainOutcome) {
         match self.registrations.get_mut(id) {
             Some(known) if known.backend.phase == Phase::Serving => {
                 known.backend.phase = Phase::Draining;
@@ -127,27 +127,27 @@
     }
 
     /// A backend says that it ends. One that nobody knows has ended all the same: a late beat must not bring it up.
-    pub fn departed(&mut self, now: Millis, id: &str) -> Judgement {
-        let Some(registration) = self.registrations.get_mut(id) else { return Judgement::Ignored };
+    pub fn record_departure(&mut self, now: Millis, id: &str) -> MergeOutcome {
+        let Some(registration) = self.registrations.get_mut(id) else { return MergeOutcome::Ignored };
         registration.heard = now;
         // What came by hearsay may have reached few.
         let is_told = std::mem::replace(&mut registration.announced, true);
         if registration.backend.phase == Phase::Gone && is_told {
-            return Judgement::Alive;
+            return MergeOutcome::Refreshed;
         }
         registration.backend.phase = Phase::Gone;
-        Judgement::Changed(vec![registration.backend.clone()])
+        MergeOutcome::Changed(vec![registration.backend.clone()])
     }
 
     /// Words of another process; gives what they change. One without an address names a record of a backend that leaves,
     /// for followers: records come to this table by the log only.
-    pub fn hear(&mut self, now: Millis, backends: Vec<Backend>) -> Vec<Backend> {
+    pub fn merge_reports(&mut self, now: Millis, backends: Vec<Backend>) -> Vec<Backend> {
         let backends = backends.into_iter().filter(|backend| !backend.address.is_empty());
         backends.flat_map(|backend| self.merge(now, backend, false)).collect()
     }
 
     /// Another process has heard these since its last round; gives those that were overdue here.
-    pub fn alive(&mut self, now: Millis, heard: &[(String, u64)]) -> Vec<Backend> {
+    pub fn merge_heartbeats(&mut self, now: Millis, heard: &[(String, u64)]) -> Vec<Backend> {
         let mut back = Vec::new();
         for (id, calls) in heard {
             let Some(registration) = self.registrations.get_mut(id) else { continue };
@@ -163,7 +163,7 @@
     }
 
     /// Those that were heard here since the last round, for the other processes.
-    pub fn round(&mut self) -> Vec<(String, u64)> {
+    pub fn take_heartbeats(&mut self) -> Vec<(String, u64)> {
         let heard = |(id, m): (&String, &mut Registration)| {
             std::mem::take(&mut m.news).then(|| (id.clone(), m.backend.call_count))
         };
@@ -192,12 +192,12 @@
     }
 
     /// All lives that are not over, as they stand now.
-    pub fn all(&self, now: Millis) -> Vec<Backend> {
+    pub fn active(&self, now: Millis) -> Vec<Backend> {
         self.registrations.values().filter(|m| m.backend.phase != Phase::Gone).map(|m| m.shown(now)).collect()
     }
 
     /// All lives, those that are over too: another process has to learn of these as well.
-    pub fn everything(&self, now: Millis) -> Vec<Backend> {
+    pub fn all_including_gone(&self, now: Millis) -> Vec<Backend> {
         self.registrations.values().map(|m| m.shown(now)).collect()
     }
 
--- a/crates/registry/tests/drains.rs
+++ b/crates/registry/tests/drains.rs
@@ -16,7 +16,7 @@
     let mut new = 0;
     for _ in 0..=KEPT {
         let run = leader.run_after(follower.last(), most);
-        new += follower.follow(&run, leader.last()).len();
+        new += follower.apply_run(&run, leader.last()).len();
         if follower.last() == leader.last() {
             break;
         }
@@ -37,8 +37,8 @@
 fn answers_that_overlap_add_nothing_twice() {
     let (leader, mut follower) = (table(5), table(3));
     for _ in 0..3 {
-        follower.follow(&leader.run_after(3, 10), 5);
-        follower.follow(&leader.run_after(1, 10), 5);
+        follower.apply_run(&leader.run_after(3, 10), 5);
+        follower.apply_run(&leader.run_after(1, 10), 5);
     }
     assert_eq!(follower.run(), leader.run());
 }
@@ -62,9 +62,9 @@
 #[test]
 fn a_table_comes_back_from_its_records_whatever_they_are() {
     let leader = table(7);
-    assert_eq!(DrainTable::of(&leader.run()).run(), leader.run());
+    assert_eq!(DrainTable::from_run(&leader.run()).run(), leader.run());
     let odd = DrainRun { after: u64::MAX, ids: vec!["i-1".into(), "i-1".into()] };
-    let table = DrainTable::of(&odd);
+    let table = DrainTable::from_run(&odd);
     assert!(table.contains("i-1"));
     assert!(!table.run_after(3, 10).ids.is_empty());
 }
--- a/crates/registry/tests/register.rs
+++ b/crates/registry/tests/register.rs
@@ -1,7 +1,7 @@
 //! Words about backends, in any order and any number of times, and what becomes of them.
 
 use protocol::{Backend, Departure, Phase};
-use registry::{Drained, Fleet, Judgement, Register};
+use registry::{BackendRegistry, DrainOutcome, Fleet, MergeOutcome};
 use yare::parameterized;
 
 const BEAT: u64 = 1300;
@@ -21,8 +21,8 @@
     }
 }
 
-fn phase(register: &Register, id: &str) -> Option<Phase> {
-    register.everything(0).iter().find(|b| b.id == id).map(|b| b.phase)
+fn phase(register: &BackendRegistry, id: &str) -> Option<Phase> {
+    register.all_including_gone(0).iter().find(|b| b.id == id).map(|b| b.phase)
 }
 
 #[parameterized(
@@ -33,54 +33,63 @@
 )]
 fn order_and_repeats_do_not_matter(order: &[usize]) {
     let words = [(Phase::Serving, 3), (Phase::Draining, 7), (Phase::Serving, 5)];
-    let mut register = Register::new(BEAT);
+    let mut register = BackendRegistry::new(BEAT);
     for &at in order {
         let (phase, calls) = words[at];
-        register.beat(10, backend("i-1", "10.0.0.1:80", phase, calls));
+        register.record_heartbeat(10, backend("i-1", "10.0.0.1:80", phase, calls));
     }
-    let known = register.all(10);
+    let known = register.active(10);
     assert_eq!((known[0].phase, known[0].call_count), (Phase::Draining, 7));
 }
 
 #[test]
 fn what_is_over_does_not_come_back_by_a_late_beat() {
-    let mut register = Register::new(BEAT);
-    register.beat(0, backend("i-1", "10.0.0.1:80", Phase::Draining, 4));
-    assert!(matches!(register.departed(5, "i-1"), Judgement::Changed(_)));
-    assert_eq!(register.beat(6, backend("i-1", "10.0.0.1:80", Phase::Serving, 9)), Judgement::Alive);
-    assert!(register.all(6).is_empty());
-    assert_eq!(register.departed(7, "i-2"), Judgement::Ignored);
+    let mut register = BackendRegistry::new(BEAT);
+    register.record_heartbeat(0, backend("i-1", "10.0.0.1:80", Phase::Draining, 4));
+    assert!(matches!(register.record_departure(5, "i-1"), MergeOutcome::Changed(_)));
+    assert_eq!(
+        register.record_heartbeat(6, backend("i-1", "10.0.0.1:80", Phase::Serving, 9)),
+        MergeOutcome::Refreshed
+    );
+    assert!(register.active(6).is_empty());
+    assert_eq!(register.record_departure(7, "i-2"), MergeOutcome::Ignored);
 }
 
 #[test]
 fn a_plain_beat_is_no_news_but_is_told_of_once_a_round() {
-    let mut register = Register::new(BEAT);
+    let mut register = BackendRegistry::new(BEAT);
     assert!(matches!(
-        register.beat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1)),
-        Judgement::Changed(_)
+        register.record_heartbeat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1)),
+        MergeOutcome::Changed(_)
     ));
-    assert_eq!(register.round(), vec![("i-1".to_owned(), 1)]);
-    assert_eq!(register.beat(900, backend("i-1", "10.0.0.1:80", Phase::Serving, 2)), Judgement::Alive);
-    assert_eq!(register.round(), vec![("i-1".to_owned(), 2)]);
-    assert_eq!(register.round(), vec![]);
+    assert_eq!(register.take_heartbeats(), vec![("i-1".to_owned(), 1)]);
+    assert_eq!(
+        register.record_heartbeat(900, backend("i-1", "10.0.0.1:80", Phase::Serving, 2)),
+        MergeOutcome::Refreshed
+    );
+    assert_eq!(register.take_heartbeats(), vec![("i-1".to_owned(), 2)]);
+    assert_eq!(register.take_heartbeats(), vec![]);
 }
 
 #[test]
 fn missed_beats_make_overdue_and_one_heard_elsewhere_ends_that() {
-    let mut register = Register::new(BEAT);
-    register.beat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
+    let mut register = BackendRegistry::new(BEAT);
+    register.record_heartbeat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
     assert!(register.sweep(3 * BEAT).is_empty(), "a beat may be on its way");
     let overdue = register.sweep(3 * BEAT + 800);
     assert!(overdue.len() == 1 && overdue[0].overdue && overdue[0].phase == Phase::Serving);
-    assert!(register.alive(5000, &[("i-1".into(), 1)]).is_empty(), "the same call again is no sign of life");
-    let back = register.alive(5000, &[("i-1".into(), 2)]);
+    assert!(
+        register.merge_heartbeats(5000, &[("i-1".into(), 1)]).is_empty(),
+        "the same call again is no sign of life"
+    );
+    let back = register.merge_heartbeats(5000, &[("i-1".into(), 2)]);
     assert!(back.len() == 1 && !back[0].overdue);
 }
 
 #[test]
 fn silence_for_long_ends_a_life_and_the_table_forgets_it() {
-    let mut register = Register::new(BEAT);
-    register.beat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
+    let mut register = BackendRegistry::new(BEAT);
+    register.record_heartbeat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
     register.sweep(10_000);
     assert_eq!(register.sweep(60_000)[0].phase, Phase::Gone);
     assert_eq!(phase(&register, "i-1"), Some(Phase::Gone));
@@ -90,91 +99,91 @@
 
 #[test]
 fn an_address_used_again_ends_the_life_before_but_not_one_heard_just_now() {
-    let mut register = Register::new(BEAT);
-    register.beat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 5));
-    register.beat(100, backend("i-0", "10.0.0.1:80", Phase::Serving, 1));
+    let mut register = BackendRegistry::new(BEAT);
+    register.record_heartbeat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 5));
+    register.record_heartbeat(100, backend("i-0", "10.0.0.1:80", Phase::Serving, 1));
     assert_eq!(phase(&register, "i-1"), Some(Phase::Serving), "a late word of an older life ends nobody");
-    register.beat(4000, backend("i-2", "10.0.0.1:80", Phase::Serving, 1));
+    register.record_heartbeat(4000, backend("i-2", "10.0.0.1:80", Phase::Serving, 1));
     assert_eq!(phase(&register, "i-1"), Some(Phase::Gone));
     assert_eq!(phase(&register, "i-2"), Some(Phase::Serving));
 }
 
 #[test]
 fn warm_up_runs_on_from_when_it_was_said() {
-    let mut register = Register::new(BEAT);
-    register.beat(1000, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
-    assert_eq!(register.all(2500)[0].warmup_left_ms, 1500);
-    assert_eq!(register.all(9000)[0].warmup_left_ms, 0);
+    let mut register = BackendRegistry::new(BEAT);
+    register.record_heartbeat(1000, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
+    assert_eq!(register.active(2500)[0].warmup_left_ms, 1500);
+    assert_eq!(register.active(9000)[0].warmup_left_ms, 0);
 }
 
 #[test]
 fn two_registers_that_tell_each_other_agree() {
-    let (mut one, mut other) = (Register::new(BEAT), Register::new(BEAT));
-    one.beat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
-    other.beat(0, backend("i-1", "10.0.0.1:80", Phase::Draining, 2));
-    other.beat(0, backend("i-2", "10.0.0.2:80", Phase::Serving, 1));
-    other.departed(1, "i-2");
-    let (ours, theirs) = (one.everything(2), other.everything(2));
-    assert_eq!(one.hear(2, theirs).len(), 2);
-    assert!(other.hear(2, ours).is_empty(), "older words change nothing");
-    assert_eq!(one.everything(3), other.everything(3));
+    let (mut one, mut other) = (BackendRegistry::new(BEAT), BackendRegistry::new(BEAT));
+    one.record_heartbeat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
+    other.record_heartbeat(0, backend("i-1", "10.0.0.1:80", Phase::Draining, 2));
+    other.record_heartbeat(0, backend("i-2", "10.0.0.2:80", Phase::Serving, 1));
+    other.record_departure(1, "i-2");
+    let (ours, theirs) = (one.all_including_gone(2), other.all_including_gone(2));
+    assert_eq!(one.merge_reports(2, theirs).len(), 2);
+    assert!(other.merge_reports(2, ours).is_empty(), "older words change nothing");
+    assert_eq!(one.all_including_gone(3), other.all_including_gone(3));
 }
 
 #[test]
 fn a_data_plane_that_is_silent_counts_on_for_a_while() {
     let mut fleet = Fleet::default();
     for (at, name) in ["b", "a", "c"].into_iter().enumerate() {
-        fleet.heard(at as u64, name, 1);
+        fleet.record_contact(at as u64, name, 1);
     }
-    assert_eq!((fleet.size(), fleet.number_within(2, 0, "a"), fleet.number_within(2, 0, "c")), (3, 0, 2));
-    fleet.heard(20_000, "a", 2);
+    assert_eq!((fleet.size(), fleet.index_within(2, 0, "a"), fleet.index_within(2, 0, "c")), (3, 0, 2));
+    fleet.record_contact(20_000, "a", 2);
     assert!(!fleet.sweep(29_000) && fleet.sweep(31_000));
     assert_eq!(fleet.names().collect::<Vec<_>>(), ["a"]);
     // Who says that it has ended counts no more, unless that was an earlier life.
     let departure = |incarnation| Departure { name: "a".into(), incarnation, ago_ms: 0 };
-    fleet.departed(31_000, &departure(1));
+    fleet.record_departure(31_000, &departure(1));
     assert_eq!(fleet.size(), 1);
-    fleet.departed(31_000, &departure(2));
+    fleet.record_departure(31_000, &departure(2));
     assert_eq!(fleet.size(), 0);
 }
 
 #[test]
 fn what_came_by_hearsay_is_passed_on_once_the_backend_itself_says_so() {
     let said = |phase, calls| backend("i-1", "10.0.0.1:80", phase, calls);
-    let mut register = Register::new(BEAT);
-    assert_eq!(register.hear(0, vec![said(Phase::Serving, 1)]).len(), 1);
+    let mut register = BackendRegistry::new(BEAT);
+    assert_eq!(register.merge_reports(0, vec![said(Phase::Serving, 1)]).len(), 1);
     // A first word is passed on: who told this process may have reached few others.
-    assert!(matches!(register.beat(5, said(Phase::Serving, 2)), Judgement::Changed(_)));
-    assert_eq!(register.beat(6, said(Phase::Serving, 3)), Judgement::Alive);
-    register.hear(7, vec![said(Phase::Draining, 4)]);
-    let Judgement::Changed(told) = register.beat(8, said(Phase::Draining, 5)) else {
+    assert!(matches!(register.record_heartbeat(5, said(Phase::Serving, 2)), MergeOutcome::Changed(_)));
+    assert_eq!(register.record_heartbeat(6, said(Phase::Serving, 3)), MergeOutcome::Refreshed);
+    register.merge_reports(7, vec![said(Phase::Draining, 4)]);
+    let MergeOutcome::Changed(told) = register.record_heartbeat(8, said(Phase::Draining, 5)) else {
         panic!("not passed on")
     };
     assert_eq!(told[0].phase, Phase::Draining);
-    assert_eq!(register.beat(9, said(Phase::Draining, 6)), Judgement::Alive);
-    register.hear(10, vec![said(Phase::Gone, 7)]);
-    assert!(matches!(register.departed(11, "i-1"), Judgement::Changed(_)), "nor is its end");
-    assert_eq!(register.departed(12, "i-1"), Judgement::Alive);
+    assert_eq!(register.record_heartbeat(9, said(Phase::Draining, 6)), MergeOutcome::Refreshed);
+    register.merge_reports(10, vec![said(Phase::Gone, 7)]);
+    assert!(matches!(register.record_departure(11, "i-1"), MergeOutcome::Changed(_)), "nor is its end");
+    assert_eq!(register.record_departure(12, "i-1"), MergeOutcome::Refreshed);
 }
 
 #[test]
 fn a_backend_without_an_address_is_not_taken_in() {
-    let mut register = Register::new(BEAT);
-    assert_eq!(register.hear(0, vec![backend("i-1", "", Phase::Draining, 0)]), []);
-    assert!(register.everything(0).is_empty());
+    let mut register = BackendRegistry::new(BEAT);
+    assert_eq!(register.merge_reports(0, vec![backend("i-1", "", Phase::Draining, 0)]), []);
+    assert!(register.all_including_gone(0).is_empty());
 }
 
 #[test]
 fn who_is_recorded_as_leaving_never_serves_again_whoever_says_so() {
-    let mut register = Register::new(BEAT);
-    register.beat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
+    let mut register = BackendRegistry::new(BEAT);
+    register.record_heartbeat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
     let drained = register.record_drains(&["i-1".to_owned(), "i-2".to_owned()]);
     assert_eq!((drained.changed[0].phase, drained.unknown), (Phase::Draining, vec!["i-2".to_owned()]));
-    assert_eq!(register.drained_unknown(), ["i-2"]);
+    assert_eq!(register.unknown_draining(), ["i-2"]);
     for id in ["i-1", "i-2"] {
-        register.beat(1, backend(id, &format!("10.0.0.{id}:80"), Phase::Serving, 9));
+        register.record_heartbeat(1, backend(id, &format!("10.0.0.{id}:80"), Phase::Serving, 9));
         assert_eq!(phase(&register, id), Some(Phase::Draining), "{id}");
     }
-    assert_eq!(register.record_drains(&["i-1".to_owned()]), Drained::default());
-    assert!(register.drained_unknown().is_empty());
+    assert_eq!(register.record_drains(&["i-1".to_owned()]), DrainOutcome::default());
+    assert!(register.unknown_draining().is_empty());
 }
--- a/crates/testbed/src/capacity/costs.rs
+++ b/crates/testbed/src/capacity/costs.rs
@@ -6,10 +6,10 @@
 use super::timing::{Spread, measure};
 use config::Config;
 use control_plane::{Change, ConfigHistory, LogPosition};
-use protocol::{Held, Message, frame, unframe};
+use protocol::{ConfigId, Message, frame, unframe};
 use quota::{Epoch, HolderAssignment, LeaseCache, QuotaService};
-use registry::{Fleet, Register};
-use transport::config_snapshots::{ConfigEncoder, held, rebuild};
+use registry::{BackendRegistry, Fleet};
+use transport::config_snapshots::{ConfigEncoder, config_id, rebuild};
 
 /// Turns of steps that are short.
 const SHORT_TURNS: usize = 2_000;
@@ -67,12 +67,12 @@
 
 fn configuration_costs(size: &Size) -> Vec<StepCost> {
     let (before, after) = (configuration_bytes(size, 1), changed(size));
-    let has = held(1, &before);
+    let has = config_id(1, &before);
     let parse = measure(FEW_TURNS, || (), |(), _| drop(std::hint::black_box(Config::parse(&after))));
     let whole = measure(
         FEW_TURNS,
         || (),
-        |(), _| drop(ConfigEncoder::new(2, &after).frame(Held::default(), None, &after)),
+        |(), _| drop(ConfigEncoder::new(2, &after).frame(ConfigId::default(), None, &after)),
     );
     let difference = measure(
         FEW_TURNS,
@@ -206,32 +206,32 @@
 
 fn registry_costs(size: &Size) -> Vec<StepCost> {
     let full = || {
-        let mut register = Register::new(HEARTBEAT_MS);
+        let mut register = BackendRegistry::new(HEARTBEAT_MS);
         for backend in backends(size) {
-            register.beat(0, backend);
+            register.record_heartbeat(0, backend);
         }
         register
     };
     let beat = measure(SHORT_TURNS, full, |register, turn| {
         let mut word = backend(turn % size.backends);
         word.call_count += 1_000_000 + turn as u64;
-        register.beat(turn as u64, word);
+        register.record_heartbeat(turn as u64, word);
     });
     let heard = measure(SHORT_TURNS, full, |register, turn| {
         let id = backend_id(turn % size.backends);
-        let _ = register.alive(turn as u64, &[(id, 1_000_000 + turn as u64)]);
+        let _ = register.merge_heartbeats(turn as u64, &[(id, 1_000_000 + turn as u64)]);
     });
     let round = measure(LONG_TURNS, full, |register, turn| {
-        let _ = register.round();
+        let _ = register.take_heartbeats();
         let _ = register.sweep(turn as u64);
     });
     let fleet = || {
         let mut fleet = Fleet::default();
-        (0..size.gateways).for_each(|n| fleet.heard(0, &gateway_name(n), 7));
+        (0..size.gateways).for_each(|n| fleet.record_contact(0, &gateway_name(n), 7));
         fleet
     };
     let number = measure(SHORT_TURNS, fleet, |fleet, turn| {
-        std::hint::black_box(fleet.number_within(0, u64::MAX, &gateway_name(turn % size.gateways)));
+        std::hint::black_box(fleet.index_within(0, u64::MAX, &gateway_name(turn % size.gateways)));
     });
     vec![
         cost_of(step::BEAT, beat),
--- a/crates/testbed/src/capacity/memory.rs
+++ b/crates/testbed/src/capacity/memory.rs
@@ -7,7 +7,7 @@
 use control_plane::{Change, ConfigHistory, LogPosition};
 use protocol::Backend;
 use quota::{Epoch, HolderAssignment, LeaseCache, Quota, QuotaService};
-use registry::Register;
+use registry::BackendRegistry;
 use std::any::Any;
 
 /// The unit of the resident size in `/proc/PID/statm`, in bytes.
@@ -68,9 +68,9 @@
     history
 }
 
-fn registry(inputs: &Inputs) -> Register {
-    let mut register = Register::new(HEARTBEAT_MS);
-    inputs.backends.iter().for_each(|backend| drop(register.beat(0, backend.clone())));
+fn registry(inputs: &Inputs) -> BackendRegistry {
+    let mut register = BackendRegistry::new(HEARTBEAT_MS);
+    inputs.backends.iter().for_each(|backend| drop(register.record_heartbeat(0, backend.clone())));
     register
 }
 
--- a/crates/testbed/src/capacity/messages.rs
+++ b/crates/testbed/src/capacity/messages.rs
@@ -2,10 +2,10 @@
 
 use super::samples::{backend, backend_id, backends, configuration_bytes, gateway_name, tenant_name};
 use super::size::Size;
-use protocol::{ControlPlaneAddress, Heartbeat, Held, Hello, Message, Order, Plane, frame};
+use protocol::{ConfigId, ControlPlaneAddress, Heartbeat, Hello, Message, OperatorCall, Plane, frame};
 use quota::{CounterStatus, Epoch, Grant, LeaseRequest, TenantDemand, TenantGrant};
 use raft::{Entry, Message as LogMessage, Payload};
-use transport::config_snapshots::{ConfigEncoder, held};
+use transport::config_snapshots::{ConfigEncoder, config_id};
 
 /// The largest body that the control plane's HTTP interface takes, in bytes, and the log as well.
 pub const LARGEST_CONFIGURATION: usize = 6 << 20;
@@ -69,13 +69,13 @@
 pub fn status(size: &Size) -> Heartbeat {
     Heartbeat {
         leader: Some(address(1)),
-        epoch: 12,
+        term: 12,
         assignment: 0,
-        deputies: Vec::new(),
+        other_holders: Vec::new(),
         fresh: true,
         version: 3_000,
-        fleet: size.gateways as u32,
-        number: size.gateways as u32 / 2,
+        fleet_size: size.gateways as u32,
+        data_plane_index: size.gateways as u32 / 2,
     }
 }
 
@@ -147,8 +147,8 @@
 /// A configuration on its way: what a follower is sent with nothing to build on, and with the version before.
 pub fn configuration_frames(size: &Size) -> (usize, usize) {
     let (before, after) = (configuration_bytes(size, 1), changed(size));
-    let whole = ConfigEncoder::new(2, &after).frame(Held::default(), None, &after).len();
-    let has = held(1, &before);
+    let whole = ConfigEncoder::new(2, &after).frame(ConfigId::default(), None, &after).len();
+    let has = config_id(1, &before);
     let difference = ConfigEncoder::new(2, &after).frame(has, Some(&before), &after).len();
     (whole, difference)
 }
@@ -173,11 +173,11 @@
         raw(kind::WHOLE, whole),
         raw(kind::DIFFERENCE, difference),
         of(kind::LOG_ENTRY, appended),
-        of(kind::ORDER, Message::Ask { token: 7, order: Order::Replace { base: 1, body } }),
+        of(kind::ORDER, Message::ForwardedCall { token: 7, call: OperatorCall::Replace { base: 1, body } }),
         of(kind::HELLO, Message::Hello(hello(Plane::DataPlane))),
         of(kind::STATUS, Message::Heartbeat(status(size))),
-        of(kind::FOLLOW, Message::Follow { have: held(3_000, b"x") }),
-        of(kind::HERE, Message::Here { epoch: Epoch::first(12) }),
+        of(kind::FOLLOW, Message::Follow { have: config_id(3_000, b"x") }),
+        of(kind::HERE, Message::QuotaKeepalive { epoch: Epoch::first(12) }),
         of(kind::LEASE_REQUEST, Message::LeaseRequest(lease_request(4_000_000, 7..8))),
         of(kind::GRANT, Message::Grant(grant(7..8))),
         of(kind::LEASE_REQUEST_OF_TEN, Message::LeaseRequest(lease_request(4_000_000, 7..17))),
@@ -189,7 +189,7 @@
         ),
         of(kind::CONTROL_PLANES, Message::ControlPlanes(member_cards(size))),
         of(kind::DATA_PLANES, Message::DataPlanes(gateways_of_one(size))),
-        of(kind::HEARD, Message::Heard(heard_in_a_round(size))),
+        of(kind::HEARD, Message::BackendHeartbeats(heard_in_a_round(size))),
         raw(kind::HTTP_HEARTBEAT, beat),
         raw(kind::HTTP_ANSWER, answer),
         of(kind::BACKEND, Message::Backends { whole: false, backends: vec![backend(7)] }),
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -85,7 +85,7 @@
                 self.sent.borrow_mut().remove(&number);
                 report.unanswered += 1;
             }
-            Update::HolderAssignment(_) | Update::Follows(_) => {}
+            Update::HolderAssignment(_) | Update::Following(_) => {}
         }
     }
 
@@ -95,7 +95,8 @@
         let request = lease_request(number, std::iter::once(tenant));
         self.report.borrow_mut().count("lease request", frame(&Message::LeaseRequest(request.clone())).len());
         self.sent.borrow_mut().insert(number, Instant::now());
-        let sent = self.follower.borrow().as_ref().is_some_and(|follower| follower.draw(&leader, request));
+        let sent =
+            self.follower.borrow().as_ref().is_some_and(|follower| follower.request_lease(&leader, request));
         if !sent {
             self.on_news(Update::Unanswered { number });
         }
@@ -113,8 +114,8 @@
             quorum: false,
             incarnation: None,
         };
-        let (seeds, ways) = (settings.seeds.clone(), Detours::default());
-        let about = FollowerSettings { me, seeds, ways, stale_after: 900 };
+        let (seeds, detours) = (settings.seeds.clone(), Detours::default());
+        let about = FollowerSettings { me, seeds, detours, stale_after: 900 };
         let hears = self.clone();
         *self.follower.borrow_mut() = Some(ControlFollower::start(about, move |news| hears.on_news(news)));
         let mut requests = 0;
--- a/crates/transport/examples/weigh.rs
+++ b/crates/transport/examples/weigh.rs
@@ -2,9 +2,9 @@
 //!
 //! `cargo run --release -p transport --example weigh`
 
-use protocol::{Held, Message, unframe};
+use protocol::{ConfigId, Message, unframe};
 use std::time::{Duration, Instant};
-use transport::config_snapshots::{ConfigEncoder, held, rebuild};
+use transport::config_snapshots::{ConfigEncoder, config_id, rebuild};
 
 /// Words that don't repeat, the same in each run.
 struct Draw(u64);
@@ -100,7 +100,7 @@
 
 fn weigh(what: &str, base: &[u8], whole: &[u8]) {
     const ROUNDS: u32 = 200;
-    let has = if base.is_empty() { Held::default() } else { held(1, base) };
+    let has = if base.is_empty() { ConfigId::default() } else { config_id(1, base) };
     let frame = ConfigEncoder::new(2, whole).frame(has, Some(base), whole);
     let made = span(ROUNDS, || ConfigEncoder::new(2, whole).frame(has, Some(base), whole));
     let Ok(Some((Message::ConfigDelta(config_delta), _))) = unframe(&frame) else {
--- a/crates/transport/src/config_snapshots.rs
+++ b/crates/transport/src/config_snapshots.rs
@@ -4,7 +4,7 @@
 //! repeats itself gets shorter also where there is no base. `docs/updates.md` has the ways weighed and the figures.
 
 use miette::Diagnostic;
-use protocol::{ConfigDelta, ConfigSnapshot, Held, LONGEST, Message};
+use protocol::{ConfigDelta, ConfigId, ConfigSnapshot, MAX_FRAME_BYTES, Message};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -21,10 +21,10 @@
 
 /// Why what came makes no configuration. The whole one is to be asked for.
 #[derive(Debug, Error, Diagnostic)]
-pub enum Unfit {
+pub enum DeltaError {
     /// The base is not had, or not any more.
     #[error("r{version} was sent as a change of r{base}, which is not here")]
-    NoBase {
+    MissingBase {
         /// What was sent.
         version: u64,
         /// What it needs.
@@ -32,7 +32,7 @@
     },
     /// It is no difference, or none on this base.
     #[error("r{version} as a change of r{base}: {source}")]
-    Broken {
+    Corrupt {
         /// What was sent.
         version: u64,
         /// What it builds on.
@@ -42,14 +42,14 @@
     },
     /// It makes something else than what was sent.
     #[error("r{version} as a change of r{base} has another digest")]
-    Digest {
+    DigestMismatch {
         /// What was sent.
         version: u64,
         /// What it builds on.
         base: u64,
     },
     /// It is longer than any message.
-    #[error("r{version} is said to have {length} bytes, at most {LONGEST} are taken")]
+    #[error("r{version} is said to have {length} bytes, at most {MAX_FRAME_BYTES} are taken")]
     TooLong {
         /// What was sent.
         version: u64,
@@ -59,13 +59,13 @@
 }
 
 /// What a process has to say of a body that it has.
-pub fn held(version: u64, body: &[u8]) -> Held {
-    held_by(version, &Sha256::digest(body).into())
+pub fn config_id(version: u64, body: &[u8]) -> ConfigId {
+    config_id_from_digest(version, &Sha256::digest(body).into())
 }
 
-fn held_by(version: u64, digest: &[u8; 32]) -> Held {
+fn config_id_from_digest(version: u64, digest: &[u8; 32]) -> ConfigId {
     let (first, _) = digest.split_first_chunk().unwrap_or((&[0; 8], &[]));
-    Held { version, mark: u64::from_be_bytes(*first) }
+    ConfigId { version, digest_prefix: u64::from_be_bytes(*first) }
 }
 
 /// The newest configuration as it goes to followers: made once for all that have the same, when the first asks.
@@ -75,7 +75,7 @@
     digest: [u8; 32],
     whole: Option<Rc<[u8]>>,
     /// By what the receiver has: the versions that the sender keeps, so some few.
-    made: BTreeMap<Held, Rc<[u8]>>,
+    made: BTreeMap<ConfigId, Rc<[u8]>>,
 }
 
 impl ConfigEncoder {
@@ -85,8 +85,12 @@
     }
 
     /// What this process itself has.
-    pub fn held(&self) -> Held {
-        if self.version == 0 { Held::default() } else { held_by(self.version, &self.digest) }
+    pub fn config_id(&self) -> ConfigId {
+        if self.version == 0 {
+            ConfigId::default()
+        } else {
+            config_id_from_digest(self.version, &self.digest)
+        }
     }
 
     /// The frame for whoever asked for the whole.
@@ -98,13 +102,13 @@
     }
 
     /// The frame for a follower that has `has`; `base` is the body of that version, if it is kept here.
-    pub fn frame(&mut self, has: Held, base: Option<&[u8]>, body: &[u8]) -> Rc<[u8]> {
+    pub fn frame(&mut self, has: ConfigId, base: Option<&[u8]>, body: &[u8]) -> Rc<[u8]> {
         if let Some(made) = self.made.get(&has) {
             return made.clone();
         }
         // Of a body that is not the follower's nothing may be made: it gets what needs none.
-        let known = base.filter(|base| has.version > 0 && held(has.version, base) == has);
-        let (key, base) = known.map_or((Held::default(), &[][..]), |base| (has, base));
+        let known = base.filter(|base| has.version > 0 && config_id(has.version, base) == has);
+        let (key, base) = known.map_or((ConfigId::default(), &[][..]), |base| (has, base));
         if let Some(made) = self.made.get(&key) {
             return made.clone();
         }
@@ -148,18 +152,18 @@
 ///
 /// # Errors
 /// When it can't be made, or is another one: never anything but what the sender has.
-pub fn rebuild(base: Option<&[u8]>, config_delta: &ConfigDelta) -> Result<ConfigSnapshot, Unfit> {
+pub fn rebuild(base: Option<&[u8]>, config_delta: &ConfigDelta) -> Result<ConfigSnapshot, DeltaError> {
     let (version, length) = (config_delta.version, config_delta.length as usize);
-    if length > LONGEST {
-        return Err(Unfit::TooLong { version, length });
+    if length > MAX_FRAME_BYTES {
+        return Err(DeltaError::TooLong { version, length });
     }
     let empty = (config_delta.base == 0).then_some(&[][..]);
-    let of = empty.or(base).ok_or(Unfit::NoBase { version, base: config_delta.base })?;
-    let broken = |source| Unfit::Broken { version, base: config_delta.base, source };
+    let of = empty.or(base).ok_or(DeltaError::MissingBase { version, base: config_delta.base })?;
+    let broken = |source| DeltaError::Corrupt { version, base: config_delta.base, source };
     let mut library = zstd::bulk::Decompressor::with_dictionary(of).map_err(broken)?;
     let body = library.decompress(&config_delta.bytes, length).map_err(broken)?;
     if Sha256::digest(&body).as_slice() != config_delta.digest {
-        return Err(Unfit::Digest { version, base: config_delta.base });
+        return Err(DeltaError::DigestMismatch { version, base: config_delta.base });
     }
     Ok(ConfigSnapshot { version, body })
 }
--- a/crates/transport/src/line.rs
+++ b/crates/transport/src/connection.rs
@@ -4,7 +4,7 @@
 use bytes::{Buf, BytesMut};
 use config::Detours;
 use miette::Diagnostic;
-use protocol::{Garbled, Message};
+use protocol::{FrameError, Message};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 
 /// What went wrong with a connection, at which step and with whom.
 #[derive(Debug, Error, Diagnostic)]
-pub enum LineError {
+pub enum ConnectionError {
     /// It didn't come up.
     #[error("connect to {peer}: {source}")]
     Connect {
@@ -55,21 +55,21 @@
     },
     /// The peer said something that is no message.
     #[error("read from {peer}: {source}")]
-    Garbled {
+    FrameError {
         /// Whom from.
         peer: SocketAddr,
         /// What is wrong with it.
-        source: Garbled,
+        source: FrameError,
     },
 }
 
 /// Where frames for a peer go.
 #[derive(Clone, Debug)]
-pub struct Line(mpsc::Sender<Rc<[u8]>>);
+pub struct FrameSender(mpsc::Sender<Rc<[u8]>>);
 
-impl Line {
+impl FrameSender {
     /// A line whose frames are taken from the other end of this queue.
-    pub fn over(frames: mpsc::Sender<Rc<[u8]>>) -> Self {
+    pub fn from_queue(frames: mpsc::Sender<Rc<[u8]>>) -> Self {
         Self(frames)
     }
 
@@ -90,7 +90,7 @@
 }
 
 /// Where frames of a peer come from.
-pub struct Reader {
+pub struct FrameReader {
     stream: OwnedReadHalf,
     peer: SocketAddr,
     buffer: BytesMut,
@@ -104,20 +104,20 @@
     /// A whole message.
     Message(Message),
     /// Some bytes of one that is still on its way: the peer lives, though its link takes its time.
-    Part,
+    Partial,
 }
 
-impl Reader {
+impl FrameReader {
     /// Reads a short first frame only, until the peer has said who it is: whoever connects may be anybody.
     pub fn expect_hello(&mut self) {
-        self.longest = protocol::LONGEST_HELLO;
+        self.longest = protocol::MAX_HELLO_BYTES;
     }
 
     /// The next message.
     ///
     /// # Errors
     /// When there will be none: the connection is to be dropped.
-    pub async fn next(&mut self) -> Result<Message, LineError> {
+    pub async fn next(&mut self) -> Result<Message, ConnectionError> {
         loop {
             if let Received::Message(message) = self.receive().await? {
                 return Ok(message);
@@ -129,33 +129,33 @@
     ///
     /// # Errors
     /// When there will be neither: the connection is to be dropped.
-    pub async fn receive(&mut self) -> Result<Received, LineError> {
+    pub async fn receive(&mut self) -> Result<Received, ConnectionError> {
         let peer = self.peer;
         if let Some(message) = self.take_message()? {
             return Ok(Received::Message(message));
         }
         let read = self.stream.read_buf(&mut self.buffer).await;
-        if read.map_err(|source| LineError::Read { peer, source })? == 0 {
-            return Err(LineError::Closed { peer });
+        if read.map_err(|source| ConnectionError::Read { peer, source })? == 0 {
+            return Err(ConnectionError::Closed { peer });
         }
-        Ok(self.take_message()?.map_or(Received::Part, Received::Message))
+        Ok(self.take_message()?.map_or(Received::Partial, Received::Message))
     }
 
     /// The next message, if it is here whole.
-    fn take_message(&mut self) -> Result<Option<Message>, LineError> {
+    fn take_message(&mut self) -> Result<Option<Message>, ConnectionError> {
         let peer = self.peer;
-        let garbled = |source| LineError::Garbled { peer, source };
-        let next = protocol::unframe_within(&self.buffer, self.longest).map_err(garbled)?;
+        let garbled = |source| ConnectionError::FrameError { peer, source };
+        let next = protocol::unframe_with_limit(&self.buffer, self.longest).map_err(garbled)?;
         Ok(next.map(|(message, taken)| {
             self.buffer.advance(taken);
-            self.longest = protocol::LONGEST;
+            self.longest = protocol::MAX_FRAME_BYTES;
             message
         }))
     }
 }
 
 /// Takes a connection into use.
-pub fn attach(stream: TcpStream, peer: SocketAddr) -> (Line, Reader) {
+pub fn attach(stream: TcpStream, peer: SocketAddr) -> (FrameSender, FrameReader) {
     // A socket that refuses an option works all the same, only later to notice a dead peer.
     let _ = stream.set_nodelay(true);
     let _ = rustix::net::sockopt::set_tcp_user_timeout(&stream, STUCK.as_millis() as u32);
@@ -164,8 +164,13 @@
     let (sender, frames) = mpsc::channel(WAITING);
     spawn(write_all(write, frames));
     (
-        Line(sender),
-        Reader { stream: read, peer, buffer: BytesMut::with_capacity(4096), longest: protocol::LONGEST },
+        FrameSender(sender),
+        FrameReader {
+            stream: read,
+            peer,
+            buffer: BytesMut::with_capacity(4096),
+            longest: protocol::MAX_FRAME_BYTES,
+        },
     )
 }
 
@@ -173,12 +178,14 @@
 ///
 /// # Errors
 /// When no connection comes up in time.
-pub async fn dial(peer: SocketAddr, ways: &Detours) -> Result<(Line, Reader), LineError> {
-    let stream = match timeout(CONNECT, TcpStream::connect(ways.to(peer))).await {
+pub async fn dial(
+    peer: SocketAddr, detours: &Detours,
+) -> Result<(FrameSender, FrameReader), ConnectionError> {
+    let stream = match timeout(CONNECT, TcpStream::connect(detours.to(peer))).await {
         Ok(stream) => stream,
         Err(late) => Err(late.into()),
     };
-    Ok(attach(stream.map_err(|source| LineError::Connect { peer, source })?, peer))
+    Ok(attach(stream.map_err(|source| ConnectionError::Connect { peer, source })?, peer))
 }
 
 /// Writes what is queued, all that is there at once: one call to the kernel for many frames.
@@ -192,7 +199,7 @@
         {
             batch.extend_from_slice(&frame);
         }
-        if !write_while_taken(&mut stream, &batch).await {
+        if !write_while_progressing(&mut stream, &batch).await {
             return;
         }
         if batch.capacity() > BATCH_BYTES {
@@ -204,7 +211,7 @@
 /// Writes all of it, for as long as the peer goes on taking some; false if it does not. How long all of it takes is the
 /// link's: two megabytes take eight seconds at 2 Mbit/s.
 #[doc(hidden)]
-pub async fn write_while_taken(stream: &mut (impl AsyncWrite + Unpin), mut bytes: &[u8]) -> bool {
+pub async fn write_while_progressing(stream: &mut (impl AsyncWrite + Unpin), mut bytes: &[u8]) -> bool {
     while !bytes.is_empty() {
         match timeout(STUCK, stream.write(bytes)).await {
             Ok(Ok(written)) if written > 0 => bytes = &bytes[written..],
--- a/crates/transport/src/drain_records.rs
+++ b/crates/transport/src/drain_records.rs
@@ -33,7 +33,7 @@
         }
         self.fewer_since = None;
         let run = DrainRun { after: answer.missing_after, ids: answer.missing.clone() };
-        self.table.follow(&run, answer.drains)
+        self.table.apply_run(&run, answer.drains)
     }
 
     /// Whether all are here that the sender of an answer had.
--- a/crates/transport/src/follower.rs
+++ b/crates/transport/src/follower.rs
@@ -2,10 +2,10 @@
 //! answer is too old; and a connection to the holder of the counts.
 
 use crate::config_snapshots;
+use crate::connection::{ConnectionError, FrameSender, Received};
 use crate::drain_records::DrainRecords;
 use crate::freshness::Freshness;
 use crate::leaving::Leaving;
-use crate::line::{Line, LineError, Received};
 use crate::peer_choice::PeerChoice;
 use crate::search::Search;
 use crate::spawn;
@@ -13,8 +13,8 @@
 use crate::upstream::{Event, Inbox, Upstream};
 use config::Detours;
 use protocol::{
-    Backend, ConfigDelta, ConfigSnapshot, ControlPlaneAddress, FreshnessAnswer, FreshnessQuestion, Heartbeat,
-    Held, Hello, Message, UNDERSTANDS_FRESHNESS,
+    Backend, ConfigDelta, ConfigId, ConfigSnapshot, ControlPlaneAddress, FreshnessAnswer, FreshnessQuestion,
+    Heartbeat, Hello, Message, UNDERSTANDS_FRESHNESS,
 };
 use quota::HolderAssignment;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
     /// Who holds the counts.
     HolderAssignment(HolderAssignment),
     /// Whom this process follows.
-    Follows(SocketAddr),
+    Following(SocketAddr),
     /// An answer to a draw.
     Grant(quota::Grant),
     /// A draw that gets no answer.
@@ -67,7 +67,7 @@
     /// Where the first ones to ask take connections.
     pub seeds: Vec<SocketAddr>,
     /// By which ways others are reached.
-    pub ways: Detours,
+    pub detours: Detours,
     /// How old the leader's answer may be, in ms, before others than the one that is followed are asked for it.
     pub stale_after: u64,
 }
@@ -92,7 +92,7 @@
     }
 
     /// Sends a draw to its holder; false when it can't be sent.
-    pub fn draw(&self, to: &str, draw: quota::LeaseRequest) -> bool {
+    pub fn request_lease(&self, to: &str, draw: quota::LeaseRequest) -> bool {
         to.parse().is_ok_and(|to| self.orders.try_send(Order::LeaseRequest(to, draw)).is_ok())
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// The settings name other seeds from now on.
-    pub fn seeds(&self, seeds: Vec<SocketAddr>) {
+    pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         let _ = self.orders.try_send(Order::Seeds(seeds));
     }
 }
@@ -132,7 +132,7 @@
     drain_records: DrainRecords,
     holders: Vec<QuotaHolder>,
     /// What was taken last, and its body: what comes next may be a change of it.
-    have: Held,
+    have: ConfigId,
     body: Vec<u8>,
     /// A configuration from one who is perhaps behind, for a process that has none.
     doubtful: Option<ConfigSnapshot>,
@@ -166,7 +166,7 @@
             search: Search::default(),
             drain_records: DrainRecords::default(),
             holders: Vec::new(),
-            have: Held::default(),
+            have: ConfigId::default(),
             body: Vec::new(),
             doubtful: None,
             signed: began,
@@ -198,21 +198,21 @@
     fn upstream(&mut self, to: SocketAddr) -> Upstream {
         self.numbers += 1;
         let hello = Message::Hello(self.settings.me.clone());
-        Upstream::open(self.numbers, to, self.settings.ways.clone(), hello, self.inbox.clone())
+        Upstream::open(self.numbers, to, self.settings.detours.clone(), hello, self.inbox.clone())
     }
 
     fn leave(&mut self) {
         let now = self.now();
-        self.peer_choice.failed(now);
+        self.peer_choice.mark_failed(now);
         (self.control_plane, self.part_at) = (None, None);
     }
 
     fn on_tick(&mut self) {
         let now = self.now();
-        if self.peer_choice.is_over(now) || self.control_plane.as_ref().is_some_and(Upstream::is_lost) {
+        if self.peer_choice.should_leave(now) || self.control_plane.as_ref().is_some_and(Upstream::is_lost) {
             self.leave();
         }
-        if let Some(to) = self.peer_choice.choose(now) {
+        if let Some(to) = self.peer_choice.next_to_dial(now) {
             self.control_plane = Some(self.upstream(to));
         }
         self.take_doubtful();
@@ -223,7 +223,7 @@
             if let Some(upstream) = &self.control_plane {
                 upstream.send(&sign);
             }
-            let here = Message::Here { epoch: self.assignment.epoch };
+            let here = Message::QuotaKeepalive { epoch: self.assignment.epoch };
             for holder in &self.holders {
                 holder.upstream.send(&here);
             }
@@ -287,7 +287,7 @@
             self.ask_followed(now);
         } else {
             // The one that is followed is in touch again.
-            self.peer_choice.answered(now);
+            self.peer_choice.on_fresh_answer(now);
             self.search.end();
         }
     }
@@ -313,7 +313,7 @@
         self.peer_choice.follow(now, upstream.to);
         (self.asked_at, self.part_at) = (now, None);
         upstream.send(&Message::Follow { have: self.have });
-        (self.news)(Update::Follows(upstream.to));
+        (self.news)(Update::Following(upstream.to));
         self.control_plane = Some(upstream);
     }
 
@@ -330,7 +330,7 @@
     }
 
     /// What comes from those that are searched. They are not followed: nothing else of theirs counts.
-    fn on_search_event(&mut self, connection: u64, event: Result<Received, LineError>) {
+    fn on_search_event(&mut self, connection: u64, event: Result<Received, ConnectionError>) {
         let now = self.now();
         match event {
             Err(_) => self.search.lost(connection),
@@ -389,7 +389,7 @@
         }
     }
 
-    fn on_up(&mut self, number: u64, line: Line) {
+    fn on_up(&mut self, number: u64, line: FrameSender) {
         if let Some(leaving) = &mut self.leaving
             && line.send(&Message::Leave)
         {
@@ -398,19 +398,19 @@
         if let Some(upstream) = self.control_plane.as_mut().filter(|v| v.number == number) {
             line.send(&Message::Follow { have: self.have });
             upstream.line = Some(line);
-            (self.news)(Update::Follows(upstream.to));
+            (self.news)(Update::Following(upstream.to));
         } else if let Some(upstream) = self.search.connection(number) {
             upstream.line = Some(line);
         } else if let Some(holder) = self.holders.iter_mut().find(|holder| holder.upstream.number == number) {
             // Among several holders only one that says which assignment it knows counts as heard.
             if self.assignment.epoch.number > 1 {
-                line.send(&Message::Here { epoch: self.assignment.epoch });
+                line.send(&Message::QuotaKeepalive { epoch: self.assignment.epoch });
             }
             holder.upstream.line = Some(line);
         }
     }
 
-    fn on_event(&mut self, number: u64, event: Result<Received, LineError>) {
+    fn on_event(&mut self, number: u64, event: Result<Received, ConnectionError>) {
         if let (Err(_), Some(leaving)) = (&event, &mut self.leaving) {
             leaving.lost(number);
         }
@@ -430,10 +430,10 @@
             Ok(Received::Message(Message::LeaveAccepted)) => self.on_leave_accepted(number),
             Ok(received) if from_control_plane => {
                 let now = self.now();
-                self.peer_choice.heard(now);
+                self.peer_choice.record_message(now);
                 match received {
                     Received::Message(message) => self.on_news(number, message, now),
-                    Received::Part => self.part_at = Some(now),
+                    Received::Partial => self.part_at = Some(now),
                 }
             }
             Ok(Received::Message(Message::Grant(grant))) if is_answer(grant.number) => {
@@ -449,7 +449,7 @@
     fn on_news(&mut self, connection: u64, message: Message, now: u64) {
         match message {
             Message::Heartbeat(heartbeat) => {
-                self.peer_choice.heartbeat(now, &heartbeat);
+                self.peer_choice.on_heartbeat(now, &heartbeat);
                 self.take_doubtful();
                 if self.assignment != *self.peer_choice.assignment() {
                     self.assignment = self.peer_choice.assignment().clone();
@@ -475,7 +475,7 @@
             }
             Message::ControlPlanes(cards) => {
                 let read = |card: ControlPlaneAddress| Some((card.address.parse().ok()?, card.zone));
-                self.peer_choice.control_planes(cards.into_iter().filter_map(read));
+                self.peer_choice.set_control_planes(cards.into_iter().filter_map(read));
             }
             _ => {}
         }
@@ -497,7 +497,7 @@
             }
             Err(_) => {
                 if let Some(upstream) = &self.control_plane {
-                    upstream.send(&Message::Whole);
+                    upstream.send(&Message::SnapshotRequest);
                 }
             }
         }
@@ -507,20 +507,20 @@
         let Some(version) = self.doubtful.as_ref().map(|config_snapshot| config_snapshot.version) else {
             return;
         };
-        if self.have.version == 0 && !self.peer_choice.may_begin(self.now(), version) {
+        if self.have.version == 0 && !self.peer_choice.may_adopt_first_config(self.now(), version) {
             return;
         }
         if let Some(config_snapshot) =
             self.doubtful.take().filter(|config_snapshot| config_snapshot.version > self.have.version)
         {
-            self.have = config_snapshots::held(config_snapshot.version, &config_snapshot.body);
+            self.have = config_snapshots::config_id(config_snapshot.version, &config_snapshot.body);
             self.body.clone_from(&config_snapshot.body);
             (self.news)(Update::ConfigSnapshot(config_snapshot));
         }
     }
 
     fn on_seeds(&mut self, seeds: Vec<SocketAddr>) {
-        self.peer_choice.seeds(seeds);
+        self.peer_choice.set_seeds(seeds);
     }
 
     fn on_draw(&mut self, to: SocketAddr, draw: quota::LeaseRequest) {
--- a/crates/transport/src/freshness.rs
+++ b/crates/transport/src/freshness.rs
@@ -27,20 +27,20 @@
 const MOST_STEPS: Millis = 7;
 /// What the search takes until somebody is followed that is in touch, in ms: a tick, the steps to sixteen, a dial of 300 ms
 /// in vain, and the time that the others have to answer too, with another tick.
-pub const SEARCH: Millis = 950;
+pub const MAX_SEARCH_MS: Millis = 950;
 /// The least bound that is kept, in ms.
-pub const LEAST_BOUND: Millis = LEAST_STALE + SEARCH;
+pub const MIN_BOUND_MS: Millis = LEAST_STALE + MAX_SEARCH_MS;
 /// Questions whose answers still count: those to all that are searched for some steps.
 const QUESTIONS: usize = 512;
 
 /// How old the newest answer may be before others are asked, in ms, where a change has to be obeyed within `bound` ms.
 pub fn stale_after(bound: Millis) -> Millis {
-    bound.saturating_sub(SEARCH).clamp(LEAST_STALE, MOST_STALE)
+    bound.saturating_sub(MAX_SEARCH_MS).clamp(LEAST_STALE, MOST_STALE)
 }
 
 /// Whether a data plane in touch with control obeys each change within `bound` ms.
-pub fn keeps(bound: Millis) -> bool {
-    stale_after(bound) + SEARCH <= bound
+pub fn is_achievable(bound: Millis) -> bool {
+    stale_after(bound) + MAX_SEARCH_MS <= bound
 }
 
 /// The questions of one data plane, and the age of what it knows.
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -7,20 +7,22 @@
 #![warn(missing_docs)]
 
 pub mod config_snapshots;
+mod connection;
 mod drain_records;
 mod follower;
 pub mod freshness;
 mod leaving;
-mod line;
 mod neighbor_watch;
 mod peer_choice;
 mod search;
 mod unanswered;
 mod upstream;
 
+pub use connection::{
+    ConnectionError, FrameReader, FrameSender, Received, attach, dial, write_while_progressing,
+};
 pub use drain_records::DrainRecords;
 pub use follower::{ControlFollower, FollowerSettings, Update};
-pub use line::{Line, LineError, Reader, Received, attach, dial, write_while_taken};
 pub use neighbor_watch::{NeighborWatch, card};
 pub use peer_choice::PeerChoice;
 pub use unanswered::Unanswered;
--- a/crates/transport/src/neighbor_watch.rs
+++ b/crates/transport/src/neighbor_watch.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep_until};
 
 /// The longest datagram that is read, in bytes; those that are sent are about half as long at most.
-const LONGEST: usize = 4096;
+const MAX_DATAGRAM_BYTES: usize = 4096;
 /// So many datagrams are read before others on this thread have their turn.
 const AT_ONCE: usize = 64;
 
@@ -35,7 +35,7 @@
     }
 
     async fn run(me: Weak<Self>) {
-        let mut buffer = vec![0; LONGEST];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Some(neighbor_watch) = me.upgrade() else { return };
             let mut out = Vec::new();
@@ -76,12 +76,12 @@
     }
 
     /// Another machine was heard by other means.
-    pub fn in_contact(&self) {
+    pub fn record_contact(&self) {
         self.keeper.borrow_mut().in_contact(self.now());
     }
 
     /// The settings name other seeds.
-    pub fn seeds(&self, seeds: &[SocketAddr]) {
+    pub fn set_seeds(&self, seeds: &[SocketAddr]) {
         self.keeper.borrow_mut().seeds(marks(seeds));
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// What is held of all processes.
-    pub fn each(&self, see: impl FnMut(&Word)) {
+    pub fn for_each_member(&self, see: impl FnMut(&Word)) {
         self.keeper.borrow().words().for_each(see);
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// How it stands, for operators.
-    pub fn standing(&self) -> Standing {
+    pub fn status(&self) -> Standing {
         self.keeper.borrow().standing(self.now())
     }
 }
--- a/crates/transport/src/peer_choice.rs
+++ b/crates/transport/src/peer_choice.rs
@@ -10,35 +10,35 @@
 pub type Millis = u64;
 
 /// Who is followed says something at least this often; a silence of that long is the end of it.
-const SILENT: Millis = 1300;
+const SILENCE_TIMEOUT: Millis = 1300;
 /// Who has lost the leader is left after this long, if there is anybody else.
-const BEHIND: Millis = 900;
+const STALE_TIMEOUT: Millis = 900;
 /// Who was chosen just now and has said nothing is left sooner, by whoever had a word of this moment from another one
 /// before: a connection comes up and a first word comes within this, also between regions.
-const FIRST_WORD: Millis = 650;
+const FIRST_MESSAGE_TIMEOUT: Millis = 650;
 /// ... and so is one whose words so far were not of this moment: another one's may be.
-const FIRST_FRESH_WORD: Millis = 400;
+const FIRST_FRESH_HEARTBEAT_TIMEOUT: Millis = 400;
 /// Who failed is not asked again for this long, while others are there.
-const AVOIDED: Millis = 1500;
+const FAILED_PEER_PENALTY: Millis = 1500;
 /// While all have failed, each is asked again after this long: whoever is dead refuses at once, and asking in a circle
 /// would cost the processor time that its return needs.
-const AGAIN: Millis = 200;
+const RETRY_INTERVAL: Millis = 200;
 /// A process that knows nothing takes what is perhaps not the newest only after this long.
-const PATIENCE: Millis = 8000;
+const STALE_CONFIG_DELAY: Millis = 8000;
 /// Processes that serve control are some dozens; more are somebody's fault.
-const MOST: usize = 256;
+const MAX_CONTROL_PLANES: usize = 256;
 
 /// The one that is followed.
 #[derive(Clone, Debug)]
-struct Leading {
+struct Followed {
     to: SocketAddr,
-    heard: Millis,
+    last_message_at: Millis,
     fresh_at: Millis,
     /// When it answered last that it is in touch with the leader.
     answered_at: Millis,
     fresh: bool,
     /// Whether it has said anything, and whether that was ever of this moment.
-    has_spoken: bool,
+    has_sent_message: bool,
     was_fresh: bool,
     /// The version that it said it has, when it last said that it is of this moment.
     version: u64,
@@ -54,9 +54,9 @@
     control_planes: BTreeMap<SocketAddr, String>,
     /// When those failed that are not to be asked again yet.
     failed: BTreeMap<SocketAddr, Millis>,
-    following: Option<Leading>,
+    following: Option<Followed>,
     /// Whether anybody has had a word of this moment for this process. After a start of the whole system nobody has one.
-    had_fresh_word: bool,
+    has_seen_fresh_heartbeat: bool,
     leader: Option<SocketAddr>,
     /// Who holds the counts.
     assignment: HolderAssignment,
@@ -74,7 +74,7 @@
             control_planes: BTreeMap::new(),
             failed: BTreeMap::new(),
             following: None,
-            had_fresh_word: false,
+            has_seen_fresh_heartbeat: false,
             leader: None,
             assignment: HolderAssignment::default(),
             started: now,
@@ -82,13 +82,13 @@
     }
 
     /// The settings name other seeds.
-    pub fn seeds(&mut self, seeds: Vec<SocketAddr>) {
+    pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
     /// Who serves control, and in which zone.
-    pub fn control_planes(&mut self, control_planes: impl IntoIterator<Item = (SocketAddr, String)>) {
-        self.control_planes = control_planes.into_iter().take(MOST).collect();
+    pub fn set_control_planes(&mut self, control_planes: impl IntoIterator<Item = (SocketAddr, String)>) {
+        self.control_planes = control_planes.into_iter().take(MAX_CONTROL_PLANES).collect();
     }
 
     /// Who is followed now.
@@ -113,29 +113,29 @@
     }
 
     /// Who is to be dialed now, if nobody is followed.
-    pub fn choose(&mut self, now: Millis) -> Option<SocketAddr> {
+    pub fn next_to_dial(&mut self, now: Millis) -> Option<SocketAddr> {
         if self.following.is_some() {
             return None;
         }
         let to = self.best(now)?;
-        self.begin(now, to);
+        self.start_following(now, to);
         Some(to)
     }
 
     /// This one is followed from now on, and whoever was followed has failed.
     pub fn follow(&mut self, now: Millis, to: SocketAddr) {
-        self.failed(now);
-        self.begin(now, to);
+        self.mark_failed(now);
+        self.start_following(now, to);
     }
 
-    fn begin(&mut self, now: Millis, to: SocketAddr) {
-        self.following = Some(Leading {
+    fn start_following(&mut self, now: Millis, to: SocketAddr) {
+        self.following = Some(Followed {
             to,
-            heard: now,
+            last_message_at: now,
             fresh_at: now,
             answered_at: now,
             fresh: false,
-            has_spoken: false,
+            has_sent_message: false,
             was_fresh: false,
             version: 0,
         });
@@ -166,44 +166,44 @@
 
     fn best(&self, now: Millis) -> Option<SocketAddr> {
         let best = *self.ranked(now).first()?;
-        self.failed_at(&best, now).is_none_or(|at| now >= at + AGAIN).then_some(best)
+        self.failed_at(&best, now).is_none_or(|at| now >= at + RETRY_INTERVAL).then_some(best)
     }
 
     fn failed_at(&self, address: &SocketAddr, now: Millis) -> Option<Millis> {
-        self.failed.get(address).copied().filter(|at| now < at + AVOIDED)
+        self.failed.get(address).copied().filter(|at| now < at + FAILED_PEER_PENALTY)
     }
 
     /// Nothing was to be had from the one that is followed.
-    pub fn failed(&mut self, now: Millis) {
+    pub fn mark_failed(&mut self, now: Millis) {
         if let Some(following) = self.following.take() {
             self.failed.insert(following.to, now);
-            self.failed.retain(|_, at| now < *at + AVOIDED);
+            self.failed.retain(|_, at| now < *at + FAILED_PEER_PENALTY);
         }
     }
 
     /// The one that is followed said something.
-    pub fn heard(&mut self, now: Millis) {
+    pub fn record_message(&mut self, now: Millis) {
         if let Some(following) = &mut self.following {
-            following.heard = now;
-            following.has_spoken = true;
+            following.last_message_at = now;
+            following.has_sent_message = true;
         }
     }
 
     /// The one that is followed says how things stand.
-    pub fn heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
+    pub fn on_heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
         let leader = heartbeat.leader.as_ref().and_then(|l| l.parse().ok());
         // One that is cut off may go on naming a leader of old.
-        let epoch = Epoch { term: heartbeat.epoch, number: heartbeat.assignment.max(1) };
+        let epoch = Epoch { term: heartbeat.term, number: heartbeat.assignment.max(1) };
         if heartbeat.fresh && epoch >= self.assignment.epoch || self.leader.is_none() {
             self.leader = leader;
             if let Some(leader) = &heartbeat.leader
                 && epoch >= self.assignment.epoch
             {
-                let holders = std::iter::once(leader).chain(&heartbeat.deputies).cloned().collect();
+                let holders = std::iter::once(leader).chain(&heartbeat.other_holders).cloned().collect();
                 self.assignment = HolderAssignment { epoch, holders };
             }
         }
-        self.had_fresh_word |= heartbeat.fresh;
+        self.has_seen_fresh_heartbeat |= heartbeat.fresh;
         if let Some(following) = &mut self.following {
             if heartbeat.fresh {
                 following.fresh_at = now;
@@ -215,7 +215,7 @@
     }
 
     /// The one that is followed has answered that it is in touch with the leader; its next heartbeat will say so.
-    pub fn answered(&mut self, now: Millis) {
+    pub fn on_fresh_answer(&mut self, now: Millis) {
         if let Some(following) = &mut self.following {
             following.answered_at = now;
             following.was_fresh = true;
@@ -223,25 +223,32 @@
     }
 
     /// Whether the one that is followed is to be left.
-    pub fn is_over(&self, now: Millis) -> bool {
+    pub fn should_leave(&self, now: Millis) -> bool {
         let Some(following) = &self.following else { return false };
-        let spared = |address: &SocketAddr| self.failed_at(address, now).is_none();
+        let is_available = |address: &SocketAddr| self.failed_at(address, now).is_none();
         let others = self.control_planes.keys().chain(&self.seeds);
-        let others = others.filter(|a| **a != following.to && Some(**a) != self.own).any(spared);
-        let hurries = self.had_fresh_word && others;
-        let behind_after =
-            if following.was_fresh || !following.has_spoken || !hurries { BEHIND } else { FIRST_FRESH_WORD };
+        let others = others.filter(|a| **a != following.to && Some(**a) != self.own).any(is_available);
+        let has_alternative = self.has_seen_fresh_heartbeat && others;
+        let stale_after = if following.was_fresh || !following.has_sent_message || !has_alternative {
+            STALE_TIMEOUT
+        } else {
+            FIRST_FRESH_HEARTBEAT_TIMEOUT
+        };
         let fresh_at = following.fresh_at.max(following.answered_at);
-        let behind = !following.fresh && now > fresh_at + behind_after;
-        let silent_after = if following.has_spoken || !hurries { SILENT } else { FIRST_WORD };
-        now > following.heard + silent_after || behind && others
+        let is_stale = !following.fresh && now > fresh_at + stale_after;
+        let silence_timeout = if following.has_sent_message || !has_alternative {
+            SILENCE_TIMEOUT
+        } else {
+            FIRST_MESSAGE_TIMEOUT
+        };
+        now > following.last_message_at + silence_timeout || is_stale && others
     }
 
     /// Whether a configuration that comes now may be taken by a process that has none yet: one that is behind would
-    /// bring an old one into force again. What came from a former one is not vouched for by the present one, whose word
+    /// bring an old one into force again. What came from a former one is not is_confirmed for by the present one, whose word
     /// comes before its configuration.
-    pub fn may_begin(&self, now: Millis, version: u64) -> bool {
-        let vouched = |leading: &Leading| leading.fresh && version >= leading.version;
-        self.following.as_ref().is_some_and(vouched) || now > self.started + PATIENCE
+    pub fn may_adopt_first_config(&self, now: Millis, version: u64) -> bool {
+        let is_confirmed = |followed: &Followed| followed.fresh && version >= followed.version;
+        self.following.as_ref().is_some_and(is_confirmed) || now > self.started + STALE_CONFIG_DELAY
     }
 }
--- a/crates/transport/src/upstream.rs
+++ b/crates/transport/src/upstream.rs
@@ -1,6 +1,6 @@
 //! A connection of a follower to a process that serves control, from its dial to its end.
 
-use crate::line::{Line, LineError, Reader, Received, dial};
+use crate::connection::{ConnectionError, FrameReader, FrameSender, Received, dial};
 use crate::spawn;
 use config::Detours;
 use protocol::Message;
@@ -13,13 +13,13 @@
 const PART_NOTED: Duration = Duration::from_millis(300);
 
 /// What happened on a connection: its number, and what came or why it ended.
-pub(crate) type Event = (u64, Result<Received, LineError>);
+pub(crate) type Event = (u64, Result<Received, ConnectionError>);
 
 /// Where a connection says that it stands, and what comes on it.
 #[derive(Clone, Debug)]
 pub(crate) struct Inbox {
     /// Connections that have come up.
-    pub(crate) lines: mpsc::Sender<(u64, Line)>,
+    pub(crate) lines: mpsc::Sender<(u64, FrameSender)>,
     /// All that comes on them.
     pub(crate) events: mpsc::Sender<Event>,
 }
@@ -29,16 +29,16 @@
     pub(crate) number: u64,
     pub(crate) to: SocketAddr,
     /// Nothing while it comes up.
-    pub(crate) line: Option<Line>,
+    pub(crate) line: Option<FrameSender>,
     /// Whether the other end answers questions about its freshness.
     pub(crate) answers: bool,
 }
 
 impl Upstream {
     /// Dials a process and says this first.
-    pub(crate) fn open(number: u64, to: SocketAddr, ways: Detours, hello: Message, inbox: Inbox) -> Self {
+    pub(crate) fn open(number: u64, to: SocketAddr, detours: Detours, hello: Message, inbox: Inbox) -> Self {
         spawn(async move {
-            match dial(to, &ways).await {
+            match dial(to, &detours).await {
                 Ok((line, reader)) => carry(number, line, reader, &hello, &inbox).await,
                 Err(error) => drop(inbox.events.send((number, Err(error))).await),
             }
@@ -52,12 +52,12 @@
     }
 
     pub(crate) fn is_lost(&self) -> bool {
-        self.line.as_ref().is_some_and(Line::is_lost)
+        self.line.as_ref().is_some_and(FrameSender::is_lost)
     }
 }
 
 /// Tells of a connection that stands, then of all that comes on it until it is over.
-async fn carry(number: u64, line: Line, mut reader: Reader, hello: &Message, inbox: &Inbox) {
+async fn carry(number: u64, line: FrameSender, mut reader: FrameReader, hello: &Message, inbox: &Inbox) {
     line.send(hello);
     if inbox.lines.send((number, line)).await.is_err() {
         return;
@@ -65,7 +65,7 @@
     let mut noted = Instant::now();
     loop {
         let next = reader.receive().await;
-        if matches!(next, Ok(Received::Part)) {
+        if matches!(next, Ok(Received::Partial)) {
             if noted.elapsed() < PART_NOTED {
                 continue;
             }
--- a/crates/transport/tests/line.rs
+++ b/crates/transport/tests/connection.rs
@@ -4,13 +4,13 @@
 mod data_plane;
 
 use data_plane::hello;
-use protocol::{Garbled, Held, Message};
+use protocol::{ConfigId, FrameError, Message};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, duplex};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
-use transport::{LineError, attach, write_while_taken};
+use transport::{ConnectionError, attach, write_while_progressing};
 
 /// What the link takes at once, in bytes.
 const AT_ONCE: usize = 8 * 1024;
@@ -30,7 +30,7 @@
         std::future::pending::<()>().await;
     });
     let began = Instant::now();
-    let whole = write_while_taken(&mut near, &vec![7; 2 << 20]).await;
+    let whole = write_while_progressing(&mut near, &vec![7; 2 << 20]).await;
     reader.abort();
     (whole, began.elapsed())
 }
@@ -62,14 +62,14 @@
             let (_line, mut reader) = attach(stream, peer);
             reader.expect_hello();
             line.send(&Message::Hello(hello(&name)));
-            line.send(&Message::Heard(vec![("i".repeat(5000), 1)]));
-            line.send(&Message::Follow { have: Held::default() });
+            line.send(&Message::BackendHeartbeats(vec![("i".repeat(5000), 1)]));
+            line.send(&Message::Follow { have: ConfigId::default() });
             match reader.next().await {
                 Ok(Message::Hello(_)) => {
                     assert!(is_read, "a name of {} bytes", name.len());
-                    assert!(matches!(reader.next().await, Ok(Message::Heard(_))));
+                    assert!(matches!(reader.next().await, Ok(Message::BackendHeartbeats(_))));
                 }
-                Err(LineError::Garbled { source: Garbled::TooLong(_), .. }) => assert!(!is_read),
+                Err(ConnectionError::FrameError { source: FrameError::TooLong(_), .. }) => assert!(!is_read),
                 other => panic!("{other:?}"),
             }
         }
--- a/crates/transport/tests/follower.rs
+++ b/crates/transport/tests/follower.rs
@@ -16,7 +16,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use tokio::task::yield_now;
-use transport::{ControlFollower, FollowerSettings, Line, Reader, Update, attach};
+use transport::{ControlFollower, FollowerSettings, FrameReader, FrameSender, Update, attach};
 
 /// Longer than a request waits for its answer, in steps shorter than the silence that ends a connection.
 const LONG: u32 = 4;
@@ -55,25 +55,25 @@
             }
             _ => {}
         };
-        let ways = config::Detours::default();
-        let settings = FollowerSettings { me, seeds: vec![address], ways, stale_after: 900 };
+        let detours = config::Detours::default();
+        let settings = FollowerSettings { me, seeds: vec![address], detours, stale_after: 900 };
         let follower = ControlFollower::start(settings, news);
         Self { listener, address, follower, heard }
     }
 
-    async fn accept(&self) -> (Line, Reader) {
+    async fn accept(&self) -> (FrameSender, FrameReader) {
         let (stream, peer) = self.listener.accept().await.expect("a connection");
         attach(stream, peer)
     }
 
     fn heartbeat(&self) -> Message {
         let leader = Some(self.address.to_string());
-        Message::Heartbeat(Heartbeat { leader, epoch: 1, fresh: true, fleet: 1, ..Heartbeat::default() })
+        Message::Heartbeat(Heartbeat { leader, term: 1, fresh: true, fleet_size: 1, ..Heartbeat::default() })
     }
 
     fn draw(&self, number: u64) {
         let draw = LeaseRequest { number, epoch: Epoch::first(1), demands: Vec::new() };
-        assert!(self.follower.draw(&self.address.to_string(), draw));
+        assert!(self.follower.request_lease(&self.address.to_string(), draw));
     }
 
     /// Lets the others work; time goes on only where the test says so.
@@ -98,7 +98,7 @@
     Message::Grant(Grant { number, epoch: Epoch::first(1), grants: Vec::new() })
 }
 
-async fn drawn(from: &mut Reader) -> u64 {
+async fn drawn(from: &mut FrameReader) -> u64 {
     loop {
         if let Message::LeaseRequest(draw) = from.next().await.expect("a message") {
             return draw.number;
--- a/crates/transport/tests/freshness.rs
+++ b/crates/transport/tests/freshness.rs
@@ -2,7 +2,7 @@
 
 use protocol::FreshnessAnswer;
 use transport::DrainRecords;
-use transport::freshness::{Freshness, LEAST_BOUND, keeps, stale_after};
+use transport::freshness::{Freshness, MIN_BOUND_MS, is_achievable, stale_after};
 use yare::parameterized;
 
 const STALE: u64 = 900;
@@ -78,13 +78,13 @@
 )]
 fn the_age_follows_the_bound_and_keeps_it(bound: u64, age: u64) {
     assert_eq!(stale_after(bound), age);
-    assert!(keeps(bound));
+    assert!(is_achievable(bound));
 }
 
 #[test]
 fn a_bound_that_is_too_short_is_not_said_to_be_kept() {
-    assert!(!keeps(LEAST_BOUND - 1));
-    assert!(keeps(LEAST_BOUND));
+    assert!(!is_achievable(MIN_BOUND_MS - 1));
+    assert!(is_achievable(MIN_BOUND_MS));
 }
 
 fn answer(drains: u64, after: u64, missing: &[&str]) -> FreshnessAnswer {
--- a/crates/transport/tests/leaving.rs
+++ b/crates/transport/tests/leaving.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 use tokio::time::timeout;
-use transport::{ControlFollower, FollowerSettings, Line, Reader, attach};
+use transport::{ControlFollower, FollowerSettings, FrameReader, FrameSender, attach};
 
 /// Whatever is waited for comes much sooner.
 const PATIENCE: Duration = Duration::from_secs(30);
@@ -32,18 +32,18 @@
 fn follower(seed: SocketAddr) -> ControlFollower {
     let me = hello("a");
     ControlFollower::start(
-        FollowerSettings { me, seeds: vec![seed], ways: Detours::default(), stale_after: 900 },
+        FollowerSettings { me, seeds: vec![seed], detours: Detours::default(), stale_after: 900 },
         |_| {},
     )
 }
 
-async fn accept(listener: &TcpListener) -> (Line, Reader) {
+async fn accept(listener: &TcpListener) -> (FrameSender, FrameReader) {
     let (stream, peer) = timeout(PATIENCE, listener.accept()).await.expect("a connection").expect("sound");
     attach(stream, peer)
 }
 
 /// Reads until this message comes.
-async fn until(reader: &mut Reader, wanted: &Message) {
+async fn until(reader: &mut FrameReader, wanted: &Message) {
     let read = async { while reader.next().await.expect("a message") != *wanted {} };
     timeout(PATIENCE, read).await.expect("the message");
 }
@@ -55,7 +55,7 @@
         let follower = follower(to);
         let (line, mut reader) = accept(&followed).await;
         let leader = Some(leader.to_string());
-        line.send(&Message::Heartbeat(Heartbeat { leader, epoch: 1, fresh: true, ..Heartbeat::default() }));
+        line.send(&Message::Heartbeat(Heartbeat { leader, term: 1, fresh: true, ..Heartbeat::default() }));
         let (holder_line, mut holder_reader) = accept(&holder).await;
         let mut left = Box::pin(follower.leave());
         assert!(timeout(AWHILE, &mut left).await.is_err(), "nobody has accepted it");
--- a/crates/transport/tests/search.rs
+++ b/crates/transport/tests/search.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep};
-use transport::{ControlFollower, FollowerSettings, Line, Reader, Update, attach, freshness};
+use transport::{ControlFollower, FollowerSettings, FrameReader, FrameSender, Update, attach, freshness};
 
 const STEP: Duration = Duration::from_millis(10);
 /// The least bound of any deployment.
@@ -83,7 +83,7 @@
             Some((Cut::AdmitsIfAsked, _)) => true,
             cut => cut.is_none(),
         };
-        Message::Heartbeat(Heartbeat { leader: None, epoch: 1, fresh, fleet: 1, ..Heartbeat::default() })
+        Message::Heartbeat(Heartbeat { leader: None, term: 1, fresh, fleet_size: 1, ..Heartbeat::default() })
     }
 
     fn backend(&self) -> Backend {
@@ -92,7 +92,7 @@
     }
 
     /// Tells a follower how things stand, again and again.
-    async fn tell(self: Rc<Self>, line: Line) {
+    async fn tell(self: Rc<Self>, line: FrameSender) {
         while !line.is_lost() {
             sleep(HEARTBEAT).await;
             if !self.is_silent() {
@@ -102,7 +102,9 @@
     }
 
     /// Works through what comes on one connection.
-    async fn serve(self: Rc<Self>, line: Line, mut reader: Reader, cards: Vec<ControlPlaneAddress>) {
+    async fn serve(
+        self: Rc<Self>, line: FrameSender, mut reader: FrameReader, cards: Vec<ControlPlaneAddress>,
+    ) {
         while let Ok(message) = reader.next().await {
             if self.is_silent() {
                 continue;
@@ -173,9 +175,9 @@
             }
         };
         let me = hello("q");
-        let (seeds, ways) = (addresses.clone(), config::Detours::default());
+        let (seeds, detours) = (addresses.clone(), config::Detours::default());
         let stale_after = freshness::stale_after(BOUND);
-        let follower = ControlFollower::start(FollowerSettings { me, seeds, ways, stale_after }, news);
+        let follower = ControlFollower::start(FollowerSettings { me, seeds, detours, stale_after }, news);
         Self { controls, addresses, leaving_at, is_fresh, _follower: follower }
     }
 
