--- a/crates/control-plane/src/control_plane/connections.rs
+++ b/crates/control-plane/src/control_plane/connections.rs
@@ -147,7 +147,8 @@
     pub(super) fn send_full_state(&self, connection: u64, now: u64) {
         let Some(peer) = self.peers.get(&connection) else { return };
         peer.line.send(&Message::ControlPlanes(self.connected_addresses(now)));
-        peer.line.send(&Message::Backends { whole: false, backends: self.register.all_including_gone(now) });
+        peer.line
+            .send(&Message::Backends { is_complete: false, backends: self.register.all_including_gone(now) });
         peer.line.send(&Message::DataPlanes(self.local_data_planes(now)));
     }
 
@@ -156,7 +157,7 @@
             self.peers.values().filter(|p| p.is_subscriber && now < p.last_received_at + PEER_TIMEOUT_MS);
         let data_planes = subscribers.filter_map(|p| p.hello.as_ref());
         let data_planes = data_planes.filter(|h| h.plane == Plane::DataPlane && !self.has_departed(h));
-        data_planes.map(|h| (h.name.clone(), h.life)).collect()
+        data_planes.map(|h| (h.name.clone(), h.process_incarnation)).collect()
     }
 
     pub(super) fn on_message(&mut self, connection: u64, message: Message) {
@@ -200,11 +201,11 @@
                     self.on_data_plane_contact(&hello, epoch, now);
                 }
             }
-            Message::HolderLeaseRequest { number: offer, answered, draws } => {
-                self.on_offer(connection, offer, answered, draws, now)
+            Message::HolderLeaseRequest { number: offer, answered, request_rate } => {
+                self.on_offer(connection, offer, answered, request_rate, now)
             }
-            Message::HolderLease { number: offer, assignment, ends_in } => {
-                self.on_lease(offer, &assignment, ends_in, now)
+            Message::HolderLease { number: offer, assignment, lease_ms } => {
+                self.on_lease(offer, &assignment, lease_ms, now)
             }
             Message::HolderAssignment(assignment) => self.on_assignment(&assignment, now),
             Message::Handover(handover) => self.on_handover(handover, now),
@@ -237,7 +238,7 @@
         peer.hello = Some(hello.clone());
         match hello.plane {
             Plane::DataPlane => {
-                self.fleet.record_contact(now, &hello.name, hello.life);
+                self.fleet.record_contact(now, &hello.name, hello.process_incarnation);
                 // Count the data plane first; otherwise it would be taken for one of the silent data planes.
                 self.resize_fleet(now);
                 self.on_data_plane_contact(&hello, quota::Epoch::default(), now);
@@ -247,7 +248,7 @@
             }
             Plane::ControlPlane => {
                 let mut me = self.settings.me.clone();
-                me.incarnation = self.node.as_ref().map(|node| node.me().incarnation);
+                me.voter_incarnation = self.node.as_ref().map(|node| node.me().incarnation);
                 if let Some(peer) = self.peers.get(&connection) {
                     peer.line.send(&Message::Welcome(me));
                     peer.line.send(&Self::drains_support());
@@ -271,7 +272,7 @@
         let now = self.now();
         self.directory.mark_connected(now, &address);
         if let Some(incarnation) =
-            hello.incarnation.filter(|_| hello.quorum && self.directory.contains(&address))
+            hello.voter_incarnation.filter(|_| hello.quorum && self.directory.contains(&address))
         {
             self.quorum_incarnations.insert(address, incarnation);
         }
@@ -294,7 +295,7 @@
         if let Some(hello) = &peer.hello
             && hello.plane == Plane::DataPlane
         {
-            self.fleet.record_contact(now, &hello.name, hello.life);
+            self.fleet.record_contact(now, &hello.name, hello.process_incarnation);
         }
         // A subscriber may have sent this message before it received a newer configuration.
         if have.version >= peer.held.version {
@@ -313,7 +314,7 @@
         }
         let control_planes = self.control_plane_addresses();
         if let Some(peer) = self.peers.get(&connection) {
-            peer.line.send(&Message::Backends { whole: !warming_up, backends });
+            peer.line.send(&Message::Backends { is_complete: !warming_up, backends });
             peer.line.send(&Message::ControlPlanes(control_planes));
         }
     }
--- a/crates/control-plane/src/control_plane/contact.rs
+++ b/crates/control-plane/src/control_plane/contact.rs
@@ -94,7 +94,7 @@
 
     /// A data plane asks for the age of the state that it receives, and gets the drain records that it lacks.
     pub(super) fn on_freshness_question(&mut self, connection: u64, question: FreshnessQuestion, now: u64) {
-        let FreshnessQuestion { number, drains: known } = question;
+        let FreshnessQuestion { number, last_drain: known } = question;
         let age_ms = self.confirmation_age(now).map(|age| u32::try_from(age).unwrap_or(u32::MAX));
         let table = self.register.drains();
         // A data plane that knows more drain records than this process lacks none.
@@ -103,7 +103,7 @@
         let answer = FreshnessAnswer {
             number,
             age_ms,
-            drains: table.last(),
+            last_drain: table.last(),
             missing_after: run.after,
             missing: run.ids,
         };
--- a/crates/control-plane/src/control_plane/departures.rs
+++ b/crates/control-plane/src/control_plane/departures.rs
@@ -27,7 +27,8 @@
     }
 
     fn on_data_plane_departure(&mut self, connection: u64, hello: &Hello, now: u64) {
-        let departure = Departure { name: hello.name.clone(), incarnation: hello.life, ago_ms: 0 };
+        let departure =
+            Departure { name: hello.name.clone(), incarnation: hello.process_incarnation, ago_ms: 0 };
         self.on_departures(vec![departure], now);
         if let Some(peer) = self.peers.get(&connection) {
             peer.line.send(&Message::LeaveAccepted);
@@ -72,7 +73,7 @@
 
     /// Whether this incarnation of a data plane has announced its departure.
     pub(super) fn has_departed(&self, hello: &Hello) -> bool {
-        self.fleet.has_departed(&hello.name, hello.life)
+        self.fleet.has_departed(&hello.name, hello.process_incarnation)
     }
 
     /// Removes departed data planes from the quota service: they must not be mistaken for silent ones.
--- a/crates/control-plane/src/control_plane/drains.rs
+++ b/crates/control-plane/src/control_plane/drains.rs
@@ -168,7 +168,7 @@
         self.publish_backends(drained.changed, Origin::Log);
         if !drained.unknown.is_empty() {
             let backends = drained.unknown.into_iter().map(Backend::leaving).collect();
-            self.send_to_subscribers(&Message::Backends { whole: false, backends });
+            self.send_to_subscribers(&Message::Backends { is_complete: false, backends });
         }
     }
 
--- a/crates/control-plane/src/control_plane/membership.rs
+++ b/crates/control-plane/src/control_plane/membership.rs
@@ -37,7 +37,7 @@
         if let Some(peer) = self.peers.get_mut(&connection) {
             peer.is_shutting_down = true;
         }
-        if let Some(incarnation) = hello.incarnation.filter(|_| hello.quorum) {
+        if let Some(incarnation) = hello.voter_incarnation.filter(|_| hello.quorum) {
             self.step_raft(Input::VoterShuttingDown(VoterId { address: hello.address.clone(), incarnation }));
         }
     }
@@ -52,7 +52,7 @@
         let hellos = connected.filter_map(|peer| peer.hello.as_ref());
         let hellos = hellos.filter(|hello| hello.plane == Plane::ControlPlane && hello.quorum);
         hellos
-            .filter_map(|hello| Some((hello.address.parse::<SocketAddr>().ok()?, hello.incarnation?)))
+            .filter_map(|hello| Some((hello.address.parse::<SocketAddr>().ok()?, hello.voter_incarnation?)))
             .filter(|(address, _)| *address != self.settings.address)
             .map(|(address, incarnation)| VoterId { address: address.to_string(), incarnation })
             .collect()
--- a/crates/control-plane/src/control_plane/quota_service.rs
+++ b/crates/control-plane/src/control_plane/quota_service.rs
@@ -128,7 +128,7 @@
         line.send(&Message::HolderLeaseRequest {
             number,
             answered: self.offers.last_answered,
-            draws: self.offers.request_rate.2,
+            request_rate: self.offers.request_rate.2,
         });
         self.offers.sent.push_back((number, now));
         if self.offers.sent.len() > MAX_OUTSTANDING_OFFERS {
@@ -151,24 +151,24 @@
         };
         let request_rate = if request_rate.is_finite() { request_rate.max(0.0) } else { 0.0 };
         let is_deputy = placer.record_offer(now as f64, &hello.address, answered, request_rate);
-        let ends_in = if is_deputy { (until - now) as f64 } else { 0.0 };
+        let lease_ms = if is_deputy { (until - now) as f64 } else { 0.0 };
         peer.line.send(&Message::HolderLease {
             number: offer,
             assignment: placer.assignment().clone(),
-            ends_in,
+            lease_ms,
         });
     }
 
-    pub(super) fn on_lease(&mut self, offer: u64, assignment: &HolderAssignment, ends_in: f64, now: u64) {
+    pub(super) fn on_lease(&mut self, offer: u64, assignment: &HolderAssignment, lease_ms: f64, now: u64) {
         self.on_assignment(assignment, now);
         self.offers.last_answered = self.offers.last_answered.max(offer);
         let sent = self.offers.sent.iter().find(|(number, _)| *number == offer).map(|(_, sent)| *sent);
         if let Some(sent) = sent
             && self.placer.is_none()
             && self.quota_service.assignment().epoch == assignment.epoch
-            && ends_in > 0.0
+            && lease_ms > 0.0
         {
-            let until = sent as f64 + ends_in.min(MAX_DEPUTY_LEASE);
+            let until = sent as f64 + lease_ms.min(MAX_DEPUTY_LEASE);
             let until = until.max(self.quota_service.lease_until());
             self.quota_service.set_lease(until);
         }
@@ -242,10 +242,10 @@
         self.renew_quota_lease(now);
         let Some(peer) = self.peers.get(&connection) else { return };
         let Some(hello) = &peer.hello else { return };
-        if self.fleet.has_departed(&hello.name, hello.life) {
+        if self.fleet.has_departed(&hello.name, hello.process_incarnation) {
             return;
         }
-        self.fleet.record_contact(now, &hello.name, hello.life);
+        self.fleet.record_contact(now, &hello.name, hello.process_incarnation);
         let message = match self.quota_service.handle_request(now as f64, &hello.name, &request) {
             Some(grant) => {
                 self.event_log.counters.lease_requests.0 += 1;
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -113,7 +113,7 @@
                 return;
             }
             peer.held = self.config_encoder.config_id();
-            peer.line.send_frame(self.config_encoder.whole(body));
+            peer.line.send_frame(self.config_encoder.snapshot_frame(body));
         }
     }
 
@@ -138,7 +138,10 @@
         }
         if !self.warmed_up && now >= WARMUP_MS {
             self.warmed_up = true;
-            self.send_to_subscribers(&Message::Backends { whole: true, backends: self.register.active(now) });
+            self.send_to_subscribers(&Message::Backends {
+                is_complete: true,
+                backends: self.register.active(now),
+            });
         }
         self.event_log.on_data_planes(now, self.fleet.incarnations());
         self.resize_fleet(now);
@@ -200,13 +203,13 @@
 
     fn send_backends_to_subscribers(&self, backends: Vec<Backend>) {
         if !backends.is_empty() {
-            self.send_to_subscribers(&Message::Backends { whole: false, backends });
+            self.send_to_subscribers(&Message::Backends { is_complete: false, backends });
         }
     }
 
     fn send_backends_to_control_planes(&self, backends: Vec<Backend>) {
         if !backends.is_empty() {
-            self.send_to_control_planes(&Message::Backends { whole: false, backends });
+            self.send_to_control_planes(&Message::Backends { is_complete: false, backends });
         }
     }
 
--- a/crates/control-plane/tests/bytes.rs
+++ b/crates/control-plane/tests/bytes.rs
@@ -109,12 +109,12 @@
 fn frames() {
     let hello = Hello {
         name: "m1".into(),
-        life: 7,
+        process_incarnation: 7,
         plane: Plane::DataPlane,
         address: "10.0.0.1:80".into(),
         zone: "north".into(),
         quorum: false,
-        incarnation: None,
+        voter_incarnation: None,
     };
     let whole = [
         Message::Hello(hello),
@@ -129,7 +129,7 @@
         Message::Reserved,
         Message::Heartbeat(Heartbeat::default()),
         Message::BackendHeartbeats(vec![("i-1".into(), 3), ("i-2".into(), 9)]),
-        Message::Backends { whole: true, backends: vec![backend("i-1", 4), backend("i-2", u64::MAX)] },
+        Message::Backends { is_complete: true, backends: vec![backend("i-1", 4), backend("i-2", u64::MAX)] },
     ];
     feed(5, whole.iter().map(frame).collect(), |bytes| match unframe::<Message>(bytes) {
         Ok(Some((message, taken))) => {
--- a/crates/control-plane/tests/drains.rs
+++ b/crates/control-plane/tests/drains.rs
@@ -83,7 +83,7 @@
             let mut told = self.told.borrow_mut();
             let told = told.entry(process).or_default();
             told.asked.push(Instant::now());
-            FreshnessQuestion { number: told.asked.len() as u64 - 1, drains: told.drains }
+            FreshnessQuestion { number: told.asked.len() as u64 - 1, last_drain: told.drains }
         };
         self.simulation.say(process, connection, Message::FreshnessQuestion(question)).await;
     }
--- a/crates/control-plane/tests/forwarded.rs
+++ b/crates/control-plane/tests/forwarded.rs
@@ -19,12 +19,12 @@
 fn hello(name: &str, address: SocketAddr) -> Hello {
     Hello {
         name: name.into(),
-        life: 1,
+        process_incarnation: 1,
         plane: Plane::ControlPlane,
         address: address.to_string(),
         zone: "a".into(),
         quorum: false,
-        incarnation: None,
+        voter_incarnation: None,
     }
 }
 
--- a/crates/control-plane/tests/heartbeats.rs
+++ b/crates/control-plane/tests/heartbeats.rs
@@ -123,7 +123,7 @@
         let mut told = Told::default();
         let until = Instant::now() + span;
         while let Ok(Some(frame)) = timeout_at(until, frames.recv()).await {
-            if let Ok(Some((Message::Backends { whole: false, backends }, _))) =
+            if let Ok(Some((Message::Backends { is_complete: false, backends }, _))) =
                 protocol::unframe::<Message>(&frame)
             {
                 told.messages += 1;
--- a/crates/control-plane/tests/played/mod.rs
+++ b/crates/control-plane/tests/played/mod.rs
@@ -51,11 +51,11 @@
 pub fn hello(name: &str, incarnation: u64, plane: Plane) -> Hello {
     Hello {
         name: name.into(),
-        life: incarnation,
+        process_incarnation: incarnation,
         plane,
         address: "127.0.0.1:1".into(),
         zone: "a".into(),
         quorum: false,
-        incarnation: None,
+        voter_incarnation: None,
     }
 }
--- a/crates/control-plane/tests/processes.rs
+++ b/crates/control-plane/tests/processes.rs
@@ -57,12 +57,12 @@
                 let log = folder.map(|folder| until(|| Disk::open(&folder, newcomer, commands.clone()).ok()));
                 let me = Hello {
                     name: format!("m{at}"),
-                    life: 1,
+                    process_incarnation: 1,
                     plane: Plane::ControlPlane,
                     address: address.to_string(),
                     zone: "a".into(),
                     quorum: log.is_some(),
-                    incarnation: log.as_ref().map(|(_, saved)| saved.me.incarnation),
+                    voter_incarnation: log.as_ref().map(|(_, saved)| saved.me.incarnation),
                 };
                 let timing = Timing { heartbeat: 40, election: 300, lease: 200 };
                 let seed = at as u64 + 5;
@@ -404,12 +404,12 @@
     assert_eq!(until(|| control_planes[1].read().1.contains("r3").then_some(())), ());
     let hello = Hello {
         name: "q".into(),
-        life: 1,
+        process_incarnation: 1,
         plane: Plane::DataPlane,
         address: "127.0.0.1:1".into(),
         zone: "a".into(),
         quorum: false,
-        incarnation: None,
+        voter_incarnation: None,
     };
     let mut stream = TcpStream::connect(fleet.peers[1]).expect("a line");
     stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
@@ -565,12 +565,12 @@
     let mut follower = until(|| TcpStream::connect(fleet.peers[0]).ok());
     let hello = Hello {
         name: "q".into(),
-        life: 1,
+        process_incarnation: 1,
         plane: Plane::DataPlane,
         address: "127.0.0.1:1".into(),
         zone: "a".into(),
         quorum: false,
-        incarnation: None,
+        voter_incarnation: None,
     };
     let frames = [Message::Hello(hello), Message::Follow { have: ConfigId::default() }]
         .map(|message| protocol::frame(&message))
@@ -618,12 +618,12 @@
             let address = fleet.peers[at];
             let hello = Hello {
                 name: format!("v{at}"),
-                life: 1,
+                process_incarnation: 1,
                 plane: Plane::ControlPlane,
                 address: address.to_string(),
                 zone: "a".into(),
                 quorum: true,
-                incarnation: Some(0),
+                voter_incarnation: Some(0),
             };
             let heartbeat =
                 Heartbeat { leader: Some(address.to_string()), term: 1, fresh: true, ..Heartbeat::default() };
@@ -650,12 +650,12 @@
 fn line_of_voter(fleet: &TestFleet, at: usize, to: usize) -> TcpStream {
     let hello = Hello {
         name: format!("m{at}"),
-        life: 1,
+        process_incarnation: 1,
         plane: Plane::ControlPlane,
         address: fleet.peers[at].to_string(),
         zone: "a".into(),
         quorum: true,
-        incarnation: Some(0),
+        voter_incarnation: Some(0),
     };
     let mut stream = until(|| TcpStream::connect(fleet.peers[to]).ok());
     stream.write_all(&protocol::frame(&Message::Hello(hello))).expect("sent");
--- a/crates/control-plane/tests/support/simulation.rs
+++ b/crates/control-plane/tests/support/simulation.rs
@@ -305,12 +305,12 @@
         let name = format!("data-plane-{process}");
         let hello = Hello {
             name,
-            life: 1,
+            process_incarnation: 1,
             plane: Plane::DataPlane,
             address: "127.0.0.1:1".into(),
             zone: "a".into(),
             quorum: false,
-            incarnation: None,
+            voter_incarnation: None,
         };
         let commands = &self.commands[process];
         let _ = commands
@@ -345,12 +345,12 @@
     });
     let me = Hello {
         name: format!("control-{process}"),
-        life: 1,
+        process_incarnation: 1,
         plane: Plane::ControlPlane,
         address: own.to_string(),
         zone: "a".into(),
         quorum: votes,
-        incarnation: votes.then_some(0),
+        voter_incarnation: votes.then_some(0),
     };
     let settings = ControlPlaneSettings {
         me,
--- a/crates/protocol/src/freshness.rs
+++ b/crates/protocol/src/freshness.rs
@@ -8,7 +8,7 @@
     /// Chosen by the asker, each higher than the last.
     pub number: u64,
     /// The number of the newest record of a backend that leaves, as the asker has them.
-    pub drains: u64,
+    pub last_drain: u64,
 }
 
 /// The answer. What the sender has told on this connection before is complete up to `age_ms` before the answer.
@@ -19,7 +19,7 @@
     /// How old the leader's answer is on which the sender goes, in ms; nothing if the sender may be cut off.
     pub age_ms: Option<u32>,
     /// The number of the sender's newest record of a backend that leaves.
-    pub drains: u64,
+    pub last_drain: u64,
     /// The number of the record before the first of `missing`.
     pub missing_after: u64,
     /// The ids of backends whose records the asker lacks, in order; more of them follow the next question.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -142,7 +142,7 @@
     /// The name of its machine.
     pub name: String,
     /// Drawn at its start: tells one life of a process from the next.
-    pub life: u64,
+    pub process_incarnation: u64,
     /// What it does.
     pub plane: Plane,
     /// Where it takes the connections of other processes, `ip:port`.
@@ -152,7 +152,7 @@
     /// Whether it has a disk that counts.
     pub quorum: bool,
     /// The number drawn when its disk was empty, once it is known; of a process with a disk that counts.
-    pub incarnation: Option<u64>,
+    pub voter_incarnation: Option<u64>,
 }
 
 /// An incarnation of a data plane that has said itself that it ended.
@@ -160,7 +160,7 @@
 pub struct Departure {
     /// The name of its machine.
     pub name: String,
-    /// Drawn at its start, as [`Hello::life`].
+    /// Drawn at its start, as [`Hello::process_incarnation`].
     pub incarnation: u64,
     /// How long ago it said so, in ms.
     pub ago_ms: u64,
@@ -281,10 +281,10 @@
     },
     /// A configuration.
     ConfigSnapshot(ConfigSnapshot),
-    /// Backends: what changed, or with `whole` all there are.
+    /// Backends: what changed, or with `is_complete` all there are.
     Backends {
         /// Whether there are no others.
-        whole: bool,
+        is_complete: bool,
         /// The backends.
         backends: Vec<Backend>,
     },
@@ -315,7 +315,7 @@
         /// The highest number of its offers that was answered.
         answered: u64,
         /// Draws that it answers a second.
-        draws: f64,
+        request_rate: f64,
     },
     /// The leader's answer.
     HolderLease {
@@ -324,7 +324,7 @@
         /// The assignment.
         assignment: quota::HolderAssignment,
         /// The span of the lease, in ms from when the offer was sent; 0 for none.
-        ends_in: f64,
+        lease_ms: f64,
     },
     /// The leader has made an assignment.
     HolderAssignment(quota::HolderAssignment),
--- a/crates/protocol/tests/recorded.rs
+++ b/crates/protocol/tests/recorded.rs
@@ -10,9 +10,9 @@
 const RECORDED: &str = include_str!("recorded/frames.txt");
 const EPOCH: Epoch = Epoch { term: 3, number: 2 };
 
-fn hello(plane: Plane, quorum: bool, incarnation: Option<u64>) -> Hello {
+fn hello(plane: Plane, quorum: bool, voter_incarnation: Option<u64>) -> Hello {
     let (name, address, zone) = ("edge-1".into(), "10.0.0.1:7660".into(), "z".into());
-    Hello { name, life: 7, plane, address, zone, quorum, incarnation }
+    Hello { name, process_incarnation: 7, plane, address, zone, quorum, voter_incarnation }
 }
 
 /// What was said, in the order of the recorded frames.
@@ -59,7 +59,7 @@
         Message::ControlPlanes(vec![control_plane]),
         Message::Follow { have: ConfigId { version: 12, digest_prefix: 77 } },
         Message::ConfigSnapshot(ConfigSnapshot { version: 12, body: body() }),
-        Message::Backends { whole: true, backends: vec![backend] },
+        Message::Backends { is_complete: true, backends: vec![backend] },
         Message::BackendHeartbeats(vec![("i-1".into(), 12)]),
         Message::DataPlanes(vec![("edge-1".into(), 7)]),
         Message::Heartbeat(heartbeat),
@@ -67,8 +67,8 @@
         Message::LeaseRequest(LeaseRequest { number: 8, epoch: EPOCH, demands: vec![want] }),
         Message::Grant(Grant { number: 8, epoch: EPOCH, grants: vec![share] }),
         Message::NotHolder { number: 8 },
-        Message::HolderLeaseRequest { number: 1, answered: 2, draws: 3.5 },
-        Message::HolderLease { number: 1, assignment, ends_in: 100.0 },
+        Message::HolderLeaseRequest { number: 1, answered: 2, request_rate: 3.5 },
+        Message::HolderLease { number: 1, assignment, lease_ms: 100.0 },
         Message::ForwardedCall { token: 5, call: OperatorCall::Replace { base: 11, body: body() } },
         Message::ForwardedCall { token: 6, call: OperatorCall::Read },
         Message::ForwardedReply { token: 5, status: 412, body: body() },
--- a/crates/reachlb/src/run_control_plane.rs
+++ b/crates/reachlb/src/run_control_plane.rs
@@ -65,12 +65,12 @@
     };
     let me = Hello {
         name: settings.node_name.to_string(),
-        life,
+        process_incarnation: life,
         plane: Plane::ControlPlane,
         address: address.to_string(),
         zone: settings.zone.to_string(),
         quorum: log.is_some(),
-        incarnation: log.as_ref().map(|(_, saved)| saved.me.incarnation),
+        voter_incarnation: log.as_ref().map(|(_, saved)| saved.me.incarnation),
     };
     let control_plane = ControlPlaneSettings {
         me,
--- a/crates/reachlb/src/run_data_plane.rs
+++ b/crates/reachlb/src/run_data_plane.rs
@@ -30,7 +30,7 @@
     let readiness = start::listen("readiness", readiness_at)?;
     let me = Hello {
         name: settings.node_name.to_string(),
-        life,
+        process_incarnation: life,
         plane: Plane::DataPlane,
         // Whom operators ask what became of a request.
         address: if readiness_at.ip().is_unspecified() {
@@ -40,7 +40,7 @@
         },
         zone: settings.zone.to_string(),
         quorum: false,
-        incarnation: None,
+        voter_incarnation: None,
     };
     // The follower's news and the lease client's draws need each other.
     let follower: Rc<RefCell<Option<ControlFollower>>> = Rc::default();
@@ -73,7 +73,7 @@
                     spdlog::error!("not read: {}", fault, kv: { step = "config", version });
                 }
             },
-            Update::Backends { whole, backends } => data_plane.update_backends(&backends, whole),
+            Update::Backends { is_complete, backends } => data_plane.update_backends(&backends, is_complete),
             Update::Heartbeat(heartbeat) => {
                 let leader = (heartbeat.leader.clone(), heartbeat.term);
                 if leader != known {
--- a/crates/testbed/src/capacity/messages.rs
+++ b/crates/testbed/src/capacity/messages.rs
@@ -56,12 +56,12 @@
 fn hello(plane: Plane) -> Hello {
     Hello {
         name: gateway_name(7),
-        life: u64::MAX / 3,
+        process_incarnation: u64::MAX / 3,
         plane,
         address: address(7),
         zone: "zone-1".to_owned(),
         quorum: false,
-        incarnation: None,
+        voter_incarnation: None,
     }
 }
 
@@ -192,7 +192,7 @@
         of(kind::HEARD, Message::BackendHeartbeats(heard_in_a_round(size))),
         raw(kind::HTTP_HEARTBEAT, beat),
         raw(kind::HTTP_ANSWER, answer),
-        of(kind::BACKEND, Message::Backends { whole: false, backends: vec![backend(7)] }),
-        of(kind::ALL_BACKENDS, Message::Backends { whole: true, backends: backends(size) }),
+        of(kind::BACKEND, Message::Backends { is_complete: false, backends: vec![backend(7)] }),
+        of(kind::ALL_BACKENDS, Message::Backends { is_complete: true, backends: backends(size) }),
     ]
 }
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -67,9 +67,9 @@
             Update::ConfigSnapshot(config_snapshot) => {
                 report.arrived(config_snapshot.version, steady_seconds())
             }
-            Update::Backends { whole, backends } => {
-                let kind = if whole { "all backends" } else { "backends that changed" };
-                report.count(kind, frame(&Message::Backends { whole, backends }).len());
+            Update::Backends { is_complete, backends } => {
+                let kind = if is_complete { "all backends" } else { "backends that changed" };
+                report.count(kind, frame(&Message::Backends { is_complete, backends }).len());
             }
             Update::Heartbeat(heartbeat) => {
                 self.leader.borrow_mut().clone_from(&heartbeat.leader);
@@ -107,12 +107,12 @@
         sleep(STARTS_OVER.mul_f64(chance.unit())).await;
         let me = Hello {
             name: samples::gateway_name(number),
-            life: crate::chance::mix(number as u64 + 1),
+            process_incarnation: crate::chance::mix(number as u64 + 1),
             plane: Plane::DataPlane,
             address: format!("127.0.0.1:{}", 1 + number % 60_000),
             zone: settings.zones[number % settings.zones.len()].clone(),
             quorum: false,
-            incarnation: None,
+            voter_incarnation: None,
         };
         let (seeds, detours) = (settings.seeds.clone(), Detours::default());
         let about = FollowerSettings { me, seeds, detours, stale_after: 900 };
--- a/crates/transport/src/config_snapshots.rs
+++ b/crates/transport/src/config_snapshots.rs
@@ -94,7 +94,7 @@
     }
 
     /// The frame for whoever asked for the whole.
-    pub fn whole(&mut self, body: &[u8]) -> Rc<[u8]> {
+    pub fn snapshot_frame(&mut self, body: &[u8]) -> Rc<[u8]> {
         let config_snapshot = || ConfigSnapshot { version: self.version, body: body.to_vec() };
         self.whole
             .get_or_insert_with(|| protocol::frame(&Message::ConfigSnapshot(config_snapshot())).into())
@@ -116,7 +116,7 @@
             Ok(config_delta) if config_delta.bytes.len() < body.len() => {
                 protocol::frame(&Message::ConfigDelta(config_delta)).into()
             }
-            _ => self.whole(body),
+            _ => self.snapshot_frame(body),
         };
         self.made.insert(key, made.clone());
         made
--- a/crates/transport/src/drain_records.rs
+++ b/crates/transport/src/drain_records.rs
@@ -25,7 +25,7 @@
 
     /// Takes over what an answer brings, if its sender is in touch with the leader; gives the ids that are new here.
     pub fn take(&mut self, now: Millis, answer: &FreshnessAnswer) -> Vec<String> {
-        if answer.drains < self.table.last() {
+        if answer.last_drain < self.table.last() {
             let since = *self.fewer_since.get_or_insert(now);
             if now < since + LOG_REPLACED {
                 return Vec::new();
@@ -33,12 +33,12 @@
         }
         self.fewer_since = None;
         let run = DrainRun { after: answer.missing_after, ids: answer.missing.clone() };
-        self.table.apply_run(&run, answer.drains)
+        self.table.apply_run(&run, answer.last_drain)
     }
 
     /// Whether all are here that the sender of an answer had.
     pub fn is_complete(&self, answer: &FreshnessAnswer) -> bool {
-        self.table.last() >= answer.drains
+        self.table.last() >= answer.last_drain
     }
 
     /// Backends as they are by these records: who tells of them may have heard less.
--- a/crates/transport/src/follower.rs
+++ b/crates/transport/src/follower.rs
@@ -40,7 +40,7 @@
     /// Backends: changes, or with `whole` all there are.
     Backends {
         /// Whether there are no others.
-        whole: bool,
+        is_complete: bool,
         /// The backends.
         backends: Vec<Backend>,
     },
@@ -272,7 +272,7 @@
         let new = self.drain_records.take(now, answer);
         if !new.is_empty() {
             let backends = new.into_iter().map(Backend::leaving).collect();
-            (self.news)(Update::Backends { whole: false, backends });
+            (self.news)(Update::Backends { is_complete: false, backends });
         }
         if !self.drain_records.is_complete(answer) {
             return self.ask_again(connection, now);
@@ -465,9 +465,9 @@
                 self.take_doubtful();
             }
             Message::ConfigDelta(config_delta) => self.on_config_delta(&config_delta),
-            Message::Backends { whole, backends } => {
+            Message::Backends { is_complete, backends } => {
                 let backends = self.drain_records.applied(backends);
-                (self.news)(Update::Backends { whole, backends });
+                (self.news)(Update::Backends { is_complete, backends });
             }
             Message::FreshnessAnswer(answer) => self.on_freshness_answer(connection, &answer, now),
             Message::NotHolder { number: UNDERSTANDS_FRESHNESS } => {
@@ -538,5 +538,5 @@
 }
 
 fn freshness_question(number: u64, records: &DrainRecords) -> Message {
-    Message::FreshnessQuestion(FreshnessQuestion { number, drains: records.last() })
+    Message::FreshnessQuestion(FreshnessQuestion { number, last_drain: records.last() })
 }
--- a/crates/transport/tests/config_snapshots.rs
+++ b/crates/transport/tests/config_snapshots.rs
@@ -113,5 +113,5 @@
     let mut config_snapshots = ConfigEncoder::new(1, b"{}");
     let whole = frame(&Message::ConfigSnapshot(ConfigSnapshot { version: 1, body: b"{}".to_vec() }));
     assert_eq!(*config_snapshots.frame(ConfigId::default(), None, b"{}"), *whole);
-    assert_eq!(*config_snapshots.whole(b"{}"), *whole);
+    assert_eq!(*config_snapshots.snapshot_frame(b"{}"), *whole);
 }
--- a/crates/transport/tests/freshness.rs
+++ b/crates/transport/tests/freshness.rs
@@ -87,9 +87,9 @@
     assert!(is_achievable(MIN_BOUND_MS));
 }
 
-fn answer(drains: u64, after: u64, missing: &[&str]) -> FreshnessAnswer {
+fn answer(last_drain: u64, after: u64, missing: &[&str]) -> FreshnessAnswer {
     let missing = missing.iter().map(|id| (*id).to_owned()).collect();
-    FreshnessAnswer { number: 1, age_ms: Some(0), drains, missing_after: after, missing }
+    FreshnessAnswer { number: 1, age_ms: Some(0), last_drain, missing_after: after, missing }
 }
 
 #[test]
--- a/crates/transport/tests/search.rs
+++ b/crates/transport/tests/search.rs
@@ -74,7 +74,7 @@
             None => Some(0),
         };
         let missing = if knows && drains == 0 { vec!["b".to_owned()] } else { Vec::new() };
-        FreshnessAnswer { number, age_ms, drains: u64::from(knows), missing_after: 0, missing }
+        FreshnessAnswer { number, age_ms, last_drain: u64::from(knows), missing_after: 0, missing }
     }
 
     fn heartbeat(&self) -> Message {
@@ -116,12 +116,12 @@
                 Message::Follow { .. } => {
                     self.followed.set(true);
                     line.send(&self.heartbeat());
-                    line.send(&Message::Backends { whole: true, backends: vec![self.backend()] });
+                    line.send(&Message::Backends { is_complete: true, backends: vec![self.backend()] });
                     line.send(&Message::ControlPlanes(cards.clone()));
                     spawn_local(self.clone().tell(line.clone()));
                 }
                 Message::FreshnessQuestion(question) => {
-                    line.send(&Message::FreshnessAnswer(self.answer(question.number, question.drains)));
+                    line.send(&Message::FreshnessAnswer(self.answer(question.number, question.last_drain)));
                 }
                 _ => {}
             }
--- a/crates/transport/tests/support/data_plane.rs
+++ b/crates/transport/tests/support/data_plane.rs
@@ -5,11 +5,11 @@
 pub fn hello(name: &str) -> Hello {
     Hello {
         name: name.to_owned(),
-        life: 1,
+        process_incarnation: 1,
         plane: Plane::DataPlane,
         address: String::new(),
         zone: "z".into(),
         quorum: false,
-        incarnation: None,
+        voter_incarnation: None,
     }
 }
