--- a/crates/protocol/src/freshness.rs
+++ b/crates/protocol/src/freshness.rs
@@ -1,27 +1,28 @@
-//! How old what a process that serves control tells may be, and which backends leave.
+//! Queries for the maximum age of a control plane's state, and for records of draining backends.
 
 use bitcode::{Decode, Encode};
 
-/// A data plane asks; it counts the answer from when it sent this.
+/// Query of a data plane. The data plane dates the answer from when it sent the query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct FreshnessQuestion {
-    /// Chosen by the asker, each higher than the last.
+    /// Query number, chosen by the data plane in ascending order.
     pub number: u64,
-    /// The number of the newest record of a backend that leaves, as the asker has them.
+    /// Number of the newest drain record that the data plane has.
     pub last_drain: u64,
 }
 
-/// The answer. What the sender has told on this connection before is complete up to `age_ms` before the answer.
+/// Answer of a control plane. The state sent on this connection before the answer is complete up to `age_ms` before
+/// the answer.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct FreshnessAnswer {
-    /// The question's number.
+    /// Number of the answered query.
     pub number: u64,
-    /// How old the leader's answer is on which the sender goes, in ms; nothing if the sender may be cut off.
+    /// Age in ms of the leader's response that confirms the sender's state; `None` if the sender may be isolated.
     pub age_ms: Option<u32>,
-    /// The number of the sender's newest record of a backend that leaves.
+    /// Number of the newest drain record that the sender has.
     pub last_drain: u64,
-    /// The number of the record before the first of `missing`.
+    /// Number of the record before the first one in `missing`.
     pub missing_after: u64,
-    /// The ids of backends whose records the asker lacks, in order; more of them follow the next question.
+    /// Ids of the backends in the records that the data plane lacks, in order. Further records follow the next query.
     pub missing: Vec<String>,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,8 +1,9 @@
-//! What the system's own processes say to each other: messages and their frames.
+//! The wire protocol between control planes and data planes: messages and their framing.
 //!
-//! A frame is four bytes of length (big-endian, of what follows) and one message in `bitcode`. Whoever reads one that is
-//! too long or can't be decoded closes the connection: all processes of a fleet run one version or its neighbours.
-//! Times in messages are spans in milliseconds, never points of a clock: no two machines share one.
+//! A frame is a four-byte big-endian length followed by one `bitcode`-encoded message of that length. A receiver
+//! closes the connection on a frame that is too long or that it cannot decode: all processes of a deployment run the
+//! same version or adjacent versions. Messages carry durations in milliseconds, never timestamps, because machines do
+//! not share a clock.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -12,50 +13,53 @@
 use bitcode::{Decode, DecodeOwned, Encode};
 pub use freshness::{FreshnessAnswer, FreshnessQuestion};
 
-/// The longest frame that is read, in bytes: a whole configuration of some thousand routes fits.
+/// Maximum size of a frame body, in bytes. A complete configuration with several thousand routes fits.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
-/// The longest first frame of a connection that came, in bytes: a [`Hello`] with names as long as any that are in use.
+/// Maximum size of the first frame body on an accepted connection, in bytes. A [`Hello`] fits with the longest names
+/// in use.
 pub const MAX_HELLO_BYTES: usize = 4096;
 
-/// What a backend says it does.
+/// Lifecycle phase that a backend reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub enum Phase {
-    /// It takes requests.
+    /// The backend accepts requests.
     Serving,
-    /// It finishes its work and must be sent nothing new.
+    /// The backend finishes its running requests and must receive no new ones.
     Draining,
-    /// It has left, or nobody has heard of it for long: this life is over.
+    /// The backend instance has ended: it announced its departure, or sent no heartbeat for a minute.
     Gone,
 }
 
-/// One life of a backend.
+/// One instance of a backend, from its start to its end.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Backend {
-    /// Its `instance_id`.
+    /// The `instance_id` of the backend.
     pub id: String,
-    /// The service that it belongs to.
+    /// The service that the backend belongs to.
     pub service: String,
-    /// Where it listens, `ip:port`.
+    /// The address that the backend listens on, `ip:port`.
     pub address: String,
-    /// Its zone.
+    /// The availability zone of the backend.
     pub zone: String,
-    /// The version of its software.
+    /// The software version of the backend.
     pub generation: String,
-    /// How many requests it works on at once.
+    /// Maximum number of requests that the backend processes concurrently.
     pub capacity: u32,
-    /// What it does.
+    /// The lifecycle phase of the backend.
     pub phase: Phase,
-    /// For how long it remains slow, in ms from when this was said.
+    /// Remaining warm-up time in ms, counted from when the backend sent this state.
     pub warmup_left_ms: u32,
-    /// Rises with each of its calls: of two words the one with more calls is newer.
+    /// Number of calls that the backend has made to the control plane. Of two states of one instance, the one with
+    /// the higher count is newer.
     pub call_count: u64,
-    /// Whether its beats are overdue: it may be dead or cut off. Not a phase: a beat ends it.
+    /// Whether heartbeats of the backend are overdue: it may be dead or isolated. The next heartbeat clears the flag.
     pub overdue: bool,
 }
 
 impl Backend {
-    /// A backend of which nothing is known but that it leaves. Whoever does not know it either can't send to it.
+    /// A draining backend of which only the id is known. A receiver that does not know the backend's address ignores
+    /// it, since it cannot send requests to the backend anyway.
     pub fn leaving(id: String) -> Self {
         Self {
             id,
@@ -72,7 +76,7 @@
     }
 }
 
-/// Frames a message.
+/// Encodes a message as a frame.
 pub fn frame<M: Encode>(message: &M) -> Vec<u8> {
     let body = bitcode::encode(message);
     let mut bytes = Vec::with_capacity(body.len() + 4);
@@ -81,45 +85,47 @@
     bytes
 }
 
-/// Why bytes are no message.
+/// Why received bytes are not a valid frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// A frame announces more than is read, [`MAX_FRAME_BYTES`] at most.
+    /// The announced length, which exceeds the limit for this frame, [`MAX_FRAME_BYTES`] at most.
     TooLong(usize),
-    /// A frame holds something else.
+    /// The frame body is not a message of this version.
     Undecodable,
 }
 
 impl std::fmt::Display for FrameError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::TooLong(length) => write!(f, "a frame of {length} bytes, which is more than is read here"),
-            Self::Undecodable => write!(f, "a frame that holds no message of this version"),
+            Self::TooLong(length) => write!(f, "frame of {length} bytes exceeds the size limit"),
+            Self::Undecodable => write!(f, "frame does not contain a message of this protocol version"),
         }
     }
 }
 
 impl std::error::Error for FrameError {}
 
-/// Takes the first whole frame off the front of what has been read, if there is one; gives what it took as well.
+/// Decodes the first frame in `bytes`. Returns the message and the number of bytes of the frame, or `None` while the
+/// frame is incomplete.
 ///
 /// # Errors
-/// When the bytes can't be a frame, or the frame no message.
+/// When the frame is too long or its body is not a message.
 pub fn unframe<M: DecodeOwned>(bytes: &[u8]) -> Result<Option<(M, usize)>, FrameError> {
     unframe_with_limit(bytes, MAX_FRAME_BYTES)
 }
 
-/// As [`unframe`], where frames of more than `longest` bytes are not read. A short frame can announce many empty elements
-/// and take a hundred times its length once it is decoded, so that little is read of whoever is not known yet.
+/// Same as [`unframe`], with a limit of `max_bytes` for the frame body. A short frame can announce many empty
+/// elements and occupy a hundred times its size once decoded, so peers that have not identified themselves get a low
+/// limit.
 ///
 /// # Errors
-/// As there.
+/// Same as [`unframe`].
 pub fn unframe_with_limit<M: DecodeOwned>(
-    bytes: &[u8], longest: usize,
+    bytes: &[u8], max_bytes: usize,
 ) -> Result<Option<(M, usize)>, FrameError> {
     let Some((head, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
-    if length > longest {
+    if length > max_bytes {
         return Err(FrameError::TooLong(length));
     }
     let Some(body) = rest.get(..length) else { return Ok(None) };
@@ -127,241 +133,249 @@
     Ok(Some((message, length + 4)))
 }
 
-/// What kind of process speaks.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Plane {
-    /// It carries requests.
+    /// A data plane, which proxies requests to backends.
     DataPlane,
-    /// It serves control.
+    /// A control plane, which agrees on configurations and tracks backends.
     ControlPlane,
 }
 
-/// The first message on each connection: who has connected.
+/// Identity of a process, sent as the first message on each connection.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Hello {
-    /// The name of its machine.
+    /// The name of the machine.
     pub name: String,
-    /// Drawn at its start: tells one life of a process from the next.
+    /// Random number drawn when the process starts. Distinguishes a restarted process from its predecessor.
     pub process_incarnation: u64,
-    /// What it does.
+    /// The role of the process.
     pub plane: Plane,
-    /// Where it takes the connections of other processes, `ip:port`.
+    /// The address on which the process accepts connections of other processes, `ip:port`.
     pub address: String,
-    /// Its zone.
+    /// The availability zone of the process.
     pub zone: String,
-    /// Whether it has a disk that counts.
+    /// Whether the process keeps a Raft log on disk and may become a voter.
     pub quorum: bool,
-    /// The number drawn when its disk was empty, once it is known; of a process with a disk that counts.
+    /// Random number drawn when the Raft log on disk was created. `None` for a process without a Raft log, or while
+    /// the number is not known yet.
     pub voter_incarnation: Option<u64>,
 }
 
-/// An incarnation of a data plane that has said itself that it ended.
+/// The announcement of one incarnation of a data plane that it has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Departure {
-    /// The name of its machine.
+    /// The name of the data plane's machine.
     pub name: String,
-    /// Drawn at its start, as [`Hello::process_incarnation`].
+    /// Random number drawn when the data plane started, same as [`Hello::process_incarnation`].
     pub incarnation: u64,
-    /// How long ago it said so, in ms.
+    /// Time since the announcement, in ms.
     pub ago_ms: u64,
 }
 
-/// The number of a [`Message::NotHolder`] by which a process that serves control tells another one, as the answer to its
-/// [`Message::Hello`], that it reads [`Message::Departures`]. A process of an earlier version would close the connection on
-/// such a message, and ignores this one; no lease request has this number.
+/// Feature flag for [`Message::Departures`], sent as the number of a [`Message::NotHolder`]. A control plane answers
+/// the [`Message::Hello`] of another control plane with it to announce that it understands [`Message::Departures`]. A
+/// process of an earlier version would close the connection on [`Message::Departures`], but ignores the flag. No
+/// lease request has this number.
 pub const UNDERSTANDS_DEPARTURES: u64 = u64::MAX;
 
-/// As [`UNDERSTANDS_DEPARTURES`], of [`OperatorCall::Drain`] and of entries of the log that record backends that leave.
+/// Same as [`UNDERSTANDS_DEPARTURES`], for [`OperatorCall::Drain`] and for log entries that record draining backends.
 pub const UNDERSTANDS_DRAINS: u64 = u64::MAX - 1;
 
-/// As [`UNDERSTANDS_DEPARTURES`], to a data plane: it may send a [`Message::FreshnessQuestion`].
+/// Same as [`UNDERSTANDS_DEPARTURES`], sent to a data plane: the data plane may send a
+/// [`Message::FreshnessQuestion`].
 pub const UNDERSTANDS_FRESHNESS: u64 = u64::MAX - 2;
 
-/// A process that serves control, as others know it.
+/// The address of a control plane, as other processes know it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct ControlPlaneAddress {
-    /// Where it takes the connections of other processes, `ip:port`.
+    /// The address on which the control plane accepts connections of other processes, `ip:port`.
     pub address: String,
-    /// Its zone.
+    /// The availability zone of the control plane.
     pub zone: String,
 }
 
-/// A configuration as it was sent.
+/// A complete configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigSnapshot {
-    /// Its version.
+    /// The version of the configuration.
     pub version: u64,
-    /// The operator's body, byte for byte.
+    /// The body as the operator submitted it, byte for byte.
     pub body: Vec<u8>,
 }
 
-/// Which configuration a process has.
+/// Identifies the configuration that a process has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct ConfigId {
-    /// Its version; 0 for none.
+    /// The version of the configuration; 0 if the process has none.
     pub version: u64,
-    /// The first eight bytes of its body's SHA-256, as a number: another body may have borne the same version.
+    /// The first eight bytes of the body's SHA-256, big-endian. Two bodies may have had the same version number.
     pub digest_prefix: u64,
 }
 
-/// A configuration as what makes it out of another one.
+/// A configuration encoded as a difference from another version.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigDelta {
-    /// Its version.
+    /// The version of the configuration.
     pub version: u64,
-    /// The version that it is made from; 0 for an empty body.
+    /// The version of the base; 0 for an empty body.
     pub base: u64,
-    /// The SHA-256 of its body.
+    /// The SHA-256 of the body.
     pub digest: [u8; 32],
-    /// The bytes of its body.
+    /// The size of the body in bytes.
     pub length: u32,
-    /// A `zstd` frame with the base's body as its dictionary.
+    /// The body as a `zstd` frame, compressed with the body of the base as dictionary.
     pub bytes: Vec<u8>,
 }
 
-/// What a process that serves control says of the fleet at this moment.
+/// The current state of the fleet, sent periodically by a control plane to its followers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Heartbeat {
-    /// Where the leader of the log takes connections, as far as the sender knows.
+    /// The address on which the Raft leader accepts connections, if the sender knows the leader.
     pub leader: Option<String>,
-    /// The leader's term.
+    /// The Raft term of the leader.
     pub term: u64,
-    /// The number of the leader's assignment of counts; 0 for its first, of which nobody needs to be told.
+    /// Number of the leader's assignment of quota counters within the term; 0 for the first assignment, in which the
+    /// leader holds all counters.
     pub assignment: u32,
-    /// Who holds counts beside the leader.
+    /// Addresses of the quota holders other than the leader.
     pub other_holders: Vec<String>,
-    /// Whether the sender has heard the leader just now: what it tells is the newest then.
+    /// Whether the leader has recently confirmed the sender's state as current.
     pub fresh: bool,
-    /// The newest version that the sender has.
+    /// The newest configuration version of the sender.
     pub version: u64,
-    /// How many data planes there are.
+    /// The number of data planes, by which each data plane divides its fallback slices.
     pub fleet_size: u32,
-    /// Which of them, from 0, the receiver is.
+    /// The index of the receiver among the data planes, counted from 0.
     pub data_plane_index: u32,
 }
 
-/// A call of the operator on its way to the leader.
+/// A call that a control plane forwards to the leader: an operator's, or the drain call of a backend.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum OperatorCall {
-    /// Take a configuration that was made on top of a version.
+    /// Replace the configuration if its version is still `base`.
     Replace {
-        /// The version that it builds on.
+        /// The version that the new configuration is based on.
         base: u64,
-        /// The body.
+        /// The body of the new configuration.
         body: Vec<u8>,
     },
-    /// Give the newest one.
+    /// Read the newest configuration.
     Read,
-    /// Take a voter that is gone for good off the list, by its address.
+    /// Remove a permanently lost voter, by its address.
     Remove(String),
-    /// Record that a backend leaves, by its id. It goes only to those that have sent [`UNDERSTANDS_DRAINS`].
+    /// Record in the log that a backend drains, by its id. Sent only to processes that have sent
+    /// [`UNDERSTANDS_DRAINS`].
     Drain(String),
 }
 
-/// One message.
+/// A message between two processes.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Message {
-    /// Who speaks; the first on each connection.
+    /// Identity of the process that opened the connection; the first message on each connection.
     Hello(Hello),
-    /// The answer to it by a process that serves control, who it is itself.
+    /// A control plane's answer to [`Message::Hello`], with its own identity.
     Welcome(Hello),
-    /// Between voters: a message of the log, encoded, and the sender's incarnation.
+    /// Between control planes: an encoded Raft message.
     Log {
-        /// The sender's incarnation.
+        /// The voter incarnation of the sender.
         incarnation: u64,
-        /// The message.
+        /// The encoded message.
         message: Vec<u8>,
     },
-    /// The processes that serve control, as far as the sender knows.
+    /// The control planes known to the sender.
     ControlPlanes(Vec<ControlPlaneAddress>),
-    /// Asks for all news from now on.
+    /// Subscribes to updates. Repeated as a keepalive.
     Follow {
-        /// The newest configuration that the asker has.
+        /// The newest configuration that the subscriber has.
         have: ConfigId,
     },
-    /// A configuration.
+    /// A complete configuration.
     ConfigSnapshot(ConfigSnapshot),
-    /// Backends: what changed, or with `is_complete` all there are.
+    /// Backends that changed, or all backends if `is_complete` is set.
     Backends {
-        /// Whether there are no others.
+        /// Whether backends that are not listed do not exist.
         is_complete: bool,
-        /// The backends.
+        /// The listed backends.
         backends: Vec<Backend>,
     },
-    /// Backends that have been heard since the last such word: id and number of calls.
+    /// Backends whose heartbeats the sender has received since its last message of this kind: id and call count.
     BackendHeartbeats(Vec<(String, u64)>),
-    /// DataPlanes that the sender hears: name and life.
+    /// Data planes that are connected to the sender: name and process incarnation.
     DataPlanes(Vec<(String, u64)>),
-    /// How things stand.
+    /// The current state of the fleet.
     Heartbeat(Heartbeat),
-    /// A data plane can reach a holder of counts, and has nothing to ask.
+    /// A data plane's keepalive to a quota holder.
     QuotaKeepalive {
-        /// The newest assignment that it has heard of.
+        /// The epoch of the newest assignment that the data plane has received.
         epoch: quota::Epoch,
     },
-    /// A data plane wants units of tenants.
+    /// A data plane requests quota units of tenants.
     LeaseRequest(quota::LeaseRequest),
-    /// It gets them.
+    /// The holder's answer to a lease request.
     Grant(quota::Grant),
-    /// The holder of the counts is another process.
+    /// The receiver of a lease request does not hold the counters. Also carries feature flags such as
+    /// [`UNDERSTANDS_DEPARTURES`].
     NotHolder {
-        /// The number of the draw.
+        /// The number of the lease request, or a feature flag.
         number: u64,
     },
-    /// A control plane asks the leader for a lease of its counts, or offers to hold some.
+    /// A control plane requests the lease that permits it to grant from its quota counters, or offers to become a
+    /// holder.
     HolderLeaseRequest {
-        /// Chosen by the asker, each higher than the last.
+        /// Request number, chosen by the sender in ascending order.
         number: u64,
-        /// The highest number of its offers that was answered.
+        /// The highest number of the sender's requests that has been answered.
         answered: u64,
-        /// Draws that it answers a second.
+        /// Number of lease requests that the sender answers per second.
         request_rate: f64,
     },
-    /// The leader's answer.
+    /// The leader's answer to [`Message::HolderLeaseRequest`].
     HolderLease {
-        /// The offer's number.
+        /// Number of the answered request.
         number: u64,
-        /// The assignment.
+        /// The current assignment of quota counters.
         assignment: quota::HolderAssignment,
-        /// The span of the lease, in ms from when the offer was sent; 0 for none.
+        /// Duration of the lease in ms, counted from when the request was sent; 0 if no lease is granted.
         lease_ms: f64,
     },
-    /// The leader has made an assignment.
+    /// The leader has made a new assignment of quota counters.
     HolderAssignment(quota::HolderAssignment),
-    /// A control plane gives counts up to another one.
+    /// A control plane hands quota counters over to another one.
     Handover(quota::Handover),
-    /// A call of the operator for the leader.
+    /// A call forwarded to the leader.
     ForwardedCall {
-        /// Chosen by the asker.
+        /// Chosen by the sender; the reply repeats it.
         token: u64,
-        /// The call.
+        /// The forwarded call.
         call: OperatorCall,
     },
-    /// The leader's answer.
+    /// The leader's reply to a forwarded call.
     ForwardedReply {
-        /// The asker's token.
+        /// The token of the call.
         token: u64,
-        /// The status for the operator.
+        /// HTTP status for the caller.
         status: u16,
-        /// The body of the answer.
+        /// Body of the HTTP response.
         body: Vec<u8>,
     },
-    /// A configuration as a difference.
+    /// A configuration encoded as a difference.
     ConfigDelta(ConfigDelta),
-    /// Asks for the newest configuration whole: what came made none.
+    /// Requests the complete newest configuration, because a received difference could not be applied.
     SnapshotRequest,
-    /// The place of a message that is spoken no more: `bitcode` goes by the order of variants.
+    /// Placeholder of a removed message: `bitcode` encodes variants by position.
     Reserved,
-    /// A data plane says that it has ended: it admits no request and spends nothing from now on. A process that serves
-    /// control says that it is about to end: a leader takes it off an even list of voters.
+    /// A data plane announces that it has ended: it admits no more requests and spends no more quota. A control plane
+    /// announces that it is about to shut down: the leader removes it if the number of voters is even.
     Leave,
-    /// The answer to it: the sender counts it no more, and has passed that on.
+    /// Answer to [`Message::Leave`]: the sender no longer counts the data plane and has forwarded its departure.
     LeaveAccepted,
-    /// Between processes that serve control: data planes that have said that they ended. It goes only to those that
-    /// have sent [`UNDERSTANDS_DEPARTURES`].
+    /// Between control planes: data planes that have announced their end. Sent only to processes that have sent
+    /// [`UNDERSTANDS_DEPARTURES`].
     Departures(Vec<Departure>),
-    /// A data plane asks how old what it is told may be. It goes only to those that have sent [`UNDERSTANDS_FRESHNESS`].
+    /// A data plane queries the maximum age of the state that it receives. Sent only to processes that have sent
+    /// [`UNDERSTANDS_FRESHNESS`].
     FreshnessQuestion(FreshnessQuestion),
-    /// The answer to it.
+    /// Answer to [`Message::FreshnessQuestion`].
     FreshnessAnswer(FreshnessAnswer),
 }
--- a/crates/protocol/tests/recorded.rs
+++ b/crates/protocol/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! Frames as the version before the renaming of types and fields wrote them, one a line in hexadecimal: names may change,
-//! bytes may not.
+//! Wire compatibility: frames recorded from an earlier version, one hexadecimal frame per line, must encode and decode
+//! unchanged when types and fields are renamed.
 
 use protocol::{
     Backend, ConfigDelta, ConfigId, ConfigSnapshot, ControlPlaneAddress, Departure, Heartbeat, Hello,
@@ -15,7 +15,7 @@
     Hello { name, process_incarnation: 7, plane, address, zone, quorum, voter_incarnation }
 }
 
-/// What was said, in the order of the recorded frames.
+/// The messages in the order of the recorded frames.
 fn messages() -> Vec<Message> {
     let backend = Backend {
         id: "i-1".into(),
@@ -39,9 +39,9 @@
         fleet_size: 13,
         data_plane_index: 4,
     };
-    let want = TenantDemand { tenant: "t".into(), needed: 1, requested: 5, returned: 2 };
+    let demand = TenantDemand { tenant: "t".into(), needed: 1, requested: 5, returned: 2 };
     let tenant = "t".into();
-    let share = TenantGrant {
+    let grant = TenantGrant {
         tenant,
         window: 4,
         granted: 5,
@@ -64,8 +64,8 @@
         Message::DataPlanes(vec![("edge-1".into(), 7)]),
         Message::Heartbeat(heartbeat),
         Message::QuotaKeepalive { epoch: EPOCH },
-        Message::LeaseRequest(LeaseRequest { number: 8, epoch: EPOCH, demands: vec![want] }),
-        Message::Grant(Grant { number: 8, epoch: EPOCH, grants: vec![share] }),
+        Message::LeaseRequest(LeaseRequest { number: 8, epoch: EPOCH, demands: vec![demand] }),
+        Message::Grant(Grant { number: 8, epoch: EPOCH, grants: vec![grant] }),
         Message::NotHolder { number: 8 },
         Message::HolderLeaseRequest { number: 1, answered: 2, request_rate: 3.5 },
         Message::HolderLease { number: 1, assignment, lease_ms: 100.0 },
@@ -87,17 +87,17 @@
 }
 
 fn bytes(line: &str) -> Vec<u8> {
-    let byte = |at: usize| u8::from_str_radix(&line[at..at + 2], 16).expect("two digits");
+    let byte = |at: usize| u8::from_str_radix(&line[at..at + 2], 16).expect("two hexadecimal digits");
     (0..line.len()).step_by(2).map(byte).collect()
 }
 
 #[test]
-fn frames_of_the_version_before_are_read_and_written_as_they_were() {
+fn recorded_frames_encode_and_decode_unchanged() {
     let recorded: Vec<_> = RECORDED.lines().map(bytes).collect();
     assert_eq!(recorded.len(), messages().len());
     for (message, recorded) in messages().into_iter().zip(recorded) {
         assert_eq!(frame(&message), recorded, "{message:?}");
-        let read = unframe::<Message>(&recorded).expect("a frame").expect("a whole one");
+        let read = unframe::<Message>(&recorded).expect("a valid frame").expect("a complete frame");
         assert_eq!(read, (message, recorded.len()));
     }
 }
--- a/crates/transport/tests/peer_choice.rs
+++ b/crates/transport/tests/peer_choice.rs
@@ -16,8 +16,8 @@
     peer_choice
 }
 
-fn heartbeat(leader: u8, epoch: u64, fresh: bool) -> Heartbeat {
-    Heartbeat { leader: Some(at(leader).to_string()), term: epoch, fresh, ..Heartbeat::default() }
+fn heartbeat(leader: u8, term: u64, fresh: bool) -> Heartbeat {
+    Heartbeat { leader: Some(at(leader).to_string()), term, fresh, ..Heartbeat::default() }
 }
 
 #[test]
