--- a/crates/registry/src/fleet.rs
+++ b/crates/registry/src/fleet.rs
@@ -1,61 +1,61 @@
-//! The data planes that are known: which were heard, and which have said that they ended.
+//! The known data planes: those with recent contact, and those that have announced their departure.
 //!
-//! A data plane is known by the name of its machine and by its incarnation, a number drawn at each start. A departure
-//! is final for its incarnation: words about it that come later, by whatever way, change nothing. A new incarnation of
-//! the same name is another data plane, which no departure of an earlier one concerns.
+//! A data plane is identified by the name of its machine and by its incarnation, a random number drawn at each start.
+//! A departure is final for its incarnation: later reports of contact with the incarnation, from any process, have no
+//! effect. A new incarnation of the same name is a different data plane; departures of earlier ones do not affect it.
 
 use crate::Millis;
 use protocol::Departure;
 use quota::OversizedSlice;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A data plane that fell silent without a word may be cut off and spend its even slices: it counts for this long,
-/// which is as long as its lease cache spends slices after the last word of control.
+/// How long a silent data plane that has not announced its departure still counts. The data plane may be isolated and
+/// spend its fallback slices; its lease cache spends them for this long after the last message of a control plane.
 pub const SILENT_DATA_PLANE_TIMEOUT_MS: Millis = 30_000;
-/// A departure is remembered for this long: longer than any process goes on saying that it hears the data plane. What
-/// is said even later counts the data plane once more, for [`SILENT_DATA_PLANE_TIMEOUT_MS`].
-const DEPARTURE_REMEMBERED: Millis = 120_000;
-/// Another process may say for this long that it hears a data plane that hears nothing any more: two silences of a
-/// connection, and the rounds in which that is told.
-const HEARSAY_SPAN: Millis = 6_000;
-/// Names that are remembered at most; machines are some hundreds.
-const NAMES_MOST: usize = 4096;
-/// Incarnations of one name that are remembered at most, among those heard and among those departed.
-const INCARNATIONS_MOST: usize = 8;
-
-/// Faults that tests plant to see that they are found. All off in service.
+/// How long a departure is remembered: longer than any process still reports contact with the departed data plane. A
+/// report after this time counts the data plane again, for [`SILENT_DATA_PLANE_TIMEOUT_MS`].
+const DEPARTURE_RETENTION_MS: Millis = 120_000;
+/// How long another process may report contact with a data plane that no longer receives anything: twice the silence
+/// timeout of a connection, plus the intervals of the reports.
+const REPORT_DELAY_MS: Millis = 6_000;
+/// Maximum number of names; a deployment has several hundred machines.
+const MAX_NAMES: usize = 4096;
+/// Maximum number of active incarnations of one name, and of departed ones.
+const MAX_INCARNATIONS_PER_NAME: usize = 8;
+
+/// Faults that tests inject to verify that they are detected. All disabled in production.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FleetFaults {
-    /// A departure concerns the name, whichever incarnation said it.
+    /// A departure removes all incarnations of the name.
     pub departs_by_name: bool,
-    /// A departure is not remembered: an older word brings the data plane back.
+    /// Departures are not remembered: a delayed report restores the data plane.
     pub forgets_departures: bool,
 }
 
 #[derive(Debug)]
 struct Incarnation {
     number: u64,
-    /// When it was last heard, or when it departed.
+    /// Time of the last contact, or of the departure.
     at: Millis,
 }
 
-/// All incarnations of one name.
+/// All incarnations of one data plane name.
 #[derive(Debug, Default)]
-struct Known {
-    heard: Vec<Incarnation>,
+struct DataPlaneEntry {
+    active: Vec<Incarnation>,
     departed: Vec<Incarnation>,
-    /// Since when any incarnation has counted without a break.
+    /// Start of the current uninterrupted period with at least one active incarnation.
     present_since: Millis,
-    /// By how many it divides its slices at the least, as it was told while it was heard; nothing if that is not known.
+    /// The smallest slice divisor that the data plane may have received while it was in contact; `None` if unknown.
     divisor: Option<u32>,
 }
 
-/// The data planes that any process of control has heard.
+/// The data planes that any control plane has been in contact with.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    known: BTreeMap<String, Known>,
-    /// By how many data planes were told lately to divide their slices, and since when.
+    entries: BTreeMap<String, DataPlaneEntry>,
+    /// Recent slice divisors, each with the time from which control planes sent the divisor to data planes.
     divisors: VecDeque<(Millis, u32)>,
     faults: FleetFaults,
 }
@@ -66,164 +66,169 @@
         self.faults = faults;
     }
 
-    /// A data plane was heard, here or by another process. One that has departed stays so.
+    /// Records contact with a data plane, here or at another process. A departed incarnation stays departed.
     pub fn record_contact(&mut self, now: Millis, name: &str, incarnation: u64) {
-        let Some(known) = self.known_or_new(name) else { return };
-        if known.has_departed(incarnation) {
+        let Some(entry) = self.entry_or_insert(name) else { return };
+        if entry.has_departed(incarnation) {
             return;
         }
-        if !known.is_present() {
-            known.present_since = now;
+        if !entry.is_present() {
+            entry.present_since = now;
         }
-        let present_since = known.present_since;
-        let divisor = self.least_divisor(present_since);
-        let Some(known) = self.known_or_new(name) else { return };
-        known.divisor = divisor;
-        keep_latest(&mut known.heard, incarnation, now);
+        let present_since = entry.present_since;
+        let divisor = self.min_divisor_since(present_since);
+        let Some(entry) = self.entry_or_insert(name) else { return };
+        entry.divisor = divisor;
+        record_incarnation(&mut entry.active, incarnation, now);
     }
 
-    /// Data planes are told from now on to divide their slices by so many.
+    /// Sets the divisor by which data planes divide their slices from now on.
     pub fn set_slice_divisor(&mut self, now: Millis, divisor: u32) {
         self.divisors.push_back((now, divisor));
-        // The newest one of before the span was in force at its beginning.
-        while self.divisors.get(1).is_some_and(|(since, _)| since + HEARSAY_SPAN <= now) {
+        // Keeps the newest divisor from before the window, which was in effect when the window began.
+        while self.divisors.get(1).is_some_and(|(since, _)| since + REPORT_DELAY_MS <= now) {
             self.divisors.pop_front();
         }
     }
 
-    /// The data planes that may divide their slices by fewer than these: those that were last heard when the fleet was
-    /// smaller. While one is heard, it is told of a larger fleet in time.
+    /// The data planes that may divide their slices by less than `present`, because their last contact was when the
+    /// fleet was smaller. Data planes in contact receive the larger fleet size in time.
     pub fn oversized_slices(&self, present: u32) -> Vec<OversizedSlice> {
-        let wide = |(name, known): (&String, &Known)| {
-            let divisor = known.divisor.filter(|divisor| *divisor < present && known.is_present())?;
+        let oversized = |(name, entry): (&String, &DataPlaneEntry)| {
+            let divisor = entry.divisor.filter(|divisor| *divisor < present && entry.is_present())?;
             Some(OversizedSlice { gateway: name.clone(), divisor })
         };
-        self.known.iter().filter_map(wide).collect()
+        self.entries.iter().filter_map(oversized).collect()
     }
 
-    /// The least that was in force lately, but not before that time.
-    fn least_divisor(&self, not_before: Millis) -> Option<u32> {
+    /// The smallest divisor among the recent ones that was in effect after `not_before`.
+    fn min_divisor_since(&self, not_before: Millis) -> Option<u32> {
         let ends = self.divisors.iter().skip(1).map(|(since, _)| *since).chain([Millis::MAX]);
-        let in_force = self.divisors.iter().zip(ends).filter(|(_, end)| *end > not_before);
-        in_force.map(|((_, divisor), _)| *divisor).min()
+        let in_effect = self.divisors.iter().zip(ends).filter(|(_, end)| *end > not_before);
+        in_effect.map(|((_, divisor), _)| *divisor).min()
     }
 
-    /// An incarnation said itself, so long ago, that it has ended: it spends nothing more. Whether that is news here.
+    /// Records that an incarnation has announced its end, after which it spends no quota. Returns whether the
+    /// departure is new here.
     pub fn record_departure(&mut self, now: Millis, departure: &Departure) -> bool {
         let faults = self.faults;
-        let Some(known) = self.known_or_new(&departure.name) else { return false };
-        if known.has_departed(departure.incarnation) {
+        let Some(entry) = self.entry_or_insert(&departure.name) else { return false };
+        if entry.has_departed(departure.incarnation) {
             return false;
         }
-        let before = known.heard.len();
-        known.heard.retain(|heard| heard.number != departure.incarnation && !faults.departs_by_name);
+        let before = entry.active.len();
+        entry.active.retain(|active| active.number != departure.incarnation && !faults.departs_by_name);
         if faults.forgets_departures {
-            return known.heard.len() != before;
+            return entry.active.len() != before;
         }
-        keep_latest(&mut known.departed, departure.incarnation, now.saturating_sub(departure.ago_ms));
+        record_incarnation(&mut entry.departed, departure.incarnation, now.saturating_sub(departure.ago_ms));
         true
     }
 
-    /// Whether this incarnation has said that it ended.
+    /// Whether the incarnation has announced its end.
     pub fn has_departed(&self, name: &str, incarnation: u64) -> bool {
-        self.known.get(name).is_some_and(|known| known.has_departed(incarnation))
+        self.entries.get(name).is_some_and(|entry| entry.has_departed(incarnation))
     }
 
-    /// Whether any incarnation of this name counts.
+    /// Whether any incarnation of the name is active.
     pub fn is_present(&self, name: &str) -> bool {
-        self.known.get(name).is_some_and(Known::is_present)
+        self.entries.get(name).is_some_and(DataPlaneEntry::is_present)
     }
 
-    /// The departures that are remembered, for other processes.
+    /// The remembered departures, to be sent to other processes.
     pub fn departures(&self, now: Millis) -> Vec<Departure> {
-        let of_name = |(name, known): (&String, &Known)| -> Vec<Departure> {
-            let departed = |one: &Incarnation| Departure {
+        let of_name = |(name, entry): (&String, &DataPlaneEntry)| -> Vec<Departure> {
+            let departed = |incarnation: &Incarnation| Departure {
                 name: name.clone(),
-                incarnation: one.number,
-                ago_ms: now.saturating_sub(one.at),
+                incarnation: incarnation.number,
+                ago_ms: now.saturating_sub(incarnation.at),
             };
-            known.departed.iter().map(departed).collect()
+            entry.departed.iter().map(departed).collect()
         };
-        self.known.iter().flat_map(of_name).collect()
+        self.entries.iter().flat_map(of_name).collect()
     }
 
-    /// The names of which nobody counts since all that were there have departed.
+    /// The names without an active incarnation and with at least one departed one.
     pub fn departed_names(&self) -> impl Iterator<Item = &str> {
         let departed =
-            self.known.iter().filter(|(_, known)| !known.is_present() && !known.departed.is_empty());
+            self.entries.iter().filter(|(_, entry)| !entry.is_present() && !entry.departed.is_empty());
         departed.map(|(name, _)| name.as_str())
     }
 
-    /// Forgets those of which nothing was heard for long; whether any was.
+    /// Removes data planes without contact for too long, and expired departures. Returns whether the fleet size
+    /// changed.
     pub fn sweep(&mut self, now: Millis) -> bool {
         let before = self.size();
-        for known in self.known.values_mut() {
-            known.heard.retain(|one| now < one.at + SILENT_DATA_PLANE_TIMEOUT_MS);
-            known.departed.retain(|one| now < one.at + DEPARTURE_REMEMBERED);
+        for entry in self.entries.values_mut() {
+            entry.active.retain(|incarnation| now < incarnation.at + SILENT_DATA_PLANE_TIMEOUT_MS);
+            entry.departed.retain(|incarnation| now < incarnation.at + DEPARTURE_RETENTION_MS);
         }
-        self.known.retain(|_, known| known.is_present() || !known.departed.is_empty());
+        self.entries.retain(|_, entry| entry.is_present() || !entry.departed.is_empty());
         self.size() != before
     }
 
-    /// How many there are: those that may spend anything. Several incarnations of one name are one, since a machine
-    /// starts the next only when the one before has ended.
+    /// The number of data planes that may spend quota. Several incarnations of one name count once, since a machine
+    /// starts the next incarnation only after the previous one has ended.
     pub fn size(&self) -> u32 {
-        self.known.values().filter(|known| known.is_present()).count() as u32
+        self.entries.values().filter(|entry| entry.is_present()).count() as u32
     }
 
-    /// How many there are or were within a span, those that have departed among them: a fleet that is started anew one
-    /// by one does not shrink by this figure.
+    /// The number of data planes that are active or have departed within the last `span`. A rolling restart of the
+    /// fleet does not reduce this number.
     pub fn size_within(&self, now: Millis, span: Millis) -> u32 {
-        self.known.values().filter(|known| known.was_present_within(now, span)).count() as u32
+        self.entries.values().filter(|entry| entry.was_present_within(now, span)).count() as u32
     }
 
-    /// The place of one by name among those that [`Fleet::size_within`] counts.
+    /// The index of a data plane, by name order, among those that [`Fleet::size_within`] counts.
     pub fn index_within(&self, now: Millis, span: Millis, name: &str) -> u32 {
-        let before = self.known.iter().take_while(|(other, _)| other.as_str() < name);
-        before.filter(|(_, known)| known.was_present_within(now, span)).count() as u32
+        let before = self.entries.iter().take_while(|(other, _)| other.as_str() < name);
+        before.filter(|(_, entry)| entry.was_present_within(now, span)).count() as u32
     }
 
-    /// Names and incarnations of those that count, by name; of several incarnations the one heard last.
+    /// Names and incarnations of the active data planes, ordered by name. Of several incarnations of a name, the one
+    /// with the latest contact.
     pub fn incarnations(&self) -> impl Iterator<Item = (&str, u64)> {
-        let latest = |known: &Known| known.heard.iter().max_by_key(|one| one.at).map(|one| one.number);
-        self.known.iter().filter_map(move |(name, known)| Some((name.as_str(), latest(known)?)))
+        let latest = |entry: &DataPlaneEntry| {
+            entry.active.iter().max_by_key(|known| known.at).map(|known| known.number)
+        };
+        self.entries.iter().filter_map(move |(name, entry)| Some((name.as_str(), latest(entry)?)))
     }
 
-    /// Names of those that count.
+    /// Names of the active data planes.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.incarnations().map(|(name, _)| name)
     }
 
-    fn known_or_new(&mut self, name: &str) -> Option<&mut Known> {
-        if !self.known.contains_key(name) && self.known.len() >= NAMES_MOST {
+    fn entry_or_insert(&mut self, name: &str) -> Option<&mut DataPlaneEntry> {
+        if !self.entries.contains_key(name) && self.entries.len() >= MAX_NAMES {
             return None;
         }
-        Some(self.known.entry(name.to_owned()).or_default())
+        Some(self.entries.entry(name.to_owned()).or_default())
     }
 }
 
-impl Known {
+impl DataPlaneEntry {
     fn is_present(&self) -> bool {
-        !self.heard.is_empty()
+        !self.active.is_empty()
     }
 
     fn has_departed(&self, incarnation: u64) -> bool {
-        self.departed.iter().any(|one| one.number == incarnation)
+        self.departed.iter().any(|departed| departed.number == incarnation)
     }
 
     fn was_present_within(&self, now: Millis, span: Millis) -> bool {
-        self.is_present() || self.departed.iter().any(|one| now < one.at + span)
+        self.is_present() || self.departed.iter().any(|incarnation| now < incarnation.at + span)
     }
 }
 
-/// Notes the time of an incarnation; where there are too many, the one of the longest ago makes room.
-fn keep_latest(incarnations: &mut Vec<Incarnation>, number: u64, at: Millis) {
-    if let Some(known) = incarnations.iter_mut().find(|one| one.number == number) {
+/// Records the time of an incarnation. The incarnation with the oldest time is replaced if there are too many.
+fn record_incarnation(incarnations: &mut Vec<Incarnation>, number: u64, at: Millis) {
+    if let Some(known) = incarnations.iter_mut().find(|incarnation| incarnation.number == number) {
         known.at = known.at.max(at);
         return;
     }
-    if incarnations.len() >= INCARNATIONS_MOST
-        && let Some(oldest) = (0..incarnations.len()).min_by_key(|place| incarnations[*place].at)
+    if incarnations.len() >= MAX_INCARNATIONS_PER_NAME
+        && let Some(oldest) = (0..incarnations.len()).min_by_key(|index| incarnations[*index].at)
     {
         incarnations.swap_remove(oldest);
     }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,21 +1,21 @@
-//! Who is there: backends by their beats, data planes by those that hear them.
+//! Tables of the backends, tracked by their heartbeats, and of the data planes, tracked by their connections.
 //!
-//! Both tables are state machines without I/O or clock. What different processes know of one backend is merged by rules
-//! that don't depend on order or repeats: a life's phase only goes forward, and of two words of one life the one with
-//! more calls is newer.
+//! Both tables are state machines without I/O or a clock. States of a backend instance that different processes
+//! report are merged by rules that are independent of order and duplicates: the phase of an instance only advances,
+//! and of two states of one instance, the one with the higher call count is newer.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod backend_registry;
 mod drains;
 mod fleet;
-mod register;
 
+pub use backend_registry::{BackendRegistry, DrainOutcome, MergeOutcome};
 pub use drains::{DrainRun, DrainTable};
 #[doc(hidden)]
 pub use fleet::FleetFaults;
 pub use fleet::{Fleet, SILENT_DATA_PLANE_TIMEOUT_MS};
-pub use register::{BackendRegistry, DrainOutcome, MergeOutcome};
 
-/// Milliseconds of the host's steady clock.
+/// Milliseconds of the host's monotonic clock.
 pub type Millis = u64;
--- a/crates/registry/tests/register.rs
+++ b/crates/registry/tests/backend_registry.rs
@@ -1,10 +1,10 @@
-//! Words about backends, in any order and any number of times, and what becomes of them.
+//! Merging of reports about backends, in any order and with duplicates.
 
 use protocol::{Backend, Departure, Phase};
 use registry::{BackendRegistry, DrainOutcome, Fleet, MergeOutcome};
 use yare::parameterized;
 
-const BEAT: u64 = 1300;
+const HEARTBEAT_INTERVAL_MS: u64 = 1300;
 
 fn backend(id: &str, address: &str, phase: Phase, calls: u64) -> Backend {
     Backend {
@@ -32,10 +32,10 @@
     drain_last = { &[0, 2, 1] },
 )]
 fn order_and_repeats_do_not_matter(order: &[usize]) {
-    let words = [(Phase::Serving, 3), (Phase::Draining, 7), (Phase::Serving, 5)];
-    let mut register = BackendRegistry::new(BEAT);
+    let reports = [(Phase::Serving, 3), (Phase::Draining, 7), (Phase::Serving, 5)];
+    let mut register = BackendRegistry::new(HEARTBEAT_INTERVAL_MS);
     for &at in order {
-        let (phase, calls) = words[at];
+        let (phase, calls) = reports[at];
         register.record_heartbeat(10, backend("i-1", "10.0.0.1:80", phase, calls));
     }
     let known = register.active(10);
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn what_is_over_does_not_come_back_by_a_late_beat() {
-    let mut register = BackendRegistry::new(BEAT);
+fn a_late_heartbeat_does_not_restore_a_departed_backend() {
+    let mut register = BackendRegistry::new(HEARTBEAT_INTERVAL_MS);
     register.record_heartbeat(0, backend("i-1", "10.0.0.1:80", Phase::Draining, 4));
     assert!(matches!(register.record_departure(5, "i-1"), MergeOutcome::Changed(_)));
     assert_eq!(
@@ -56,8 +56,8 @@
 }
 
 #[test]
-fn a_plain_beat_is_no_news_but_is_told_of_once_a_round() {
-    let mut register = BackendRegistry::new(BEAT);
+fn an_unchanged_heartbeat_is_reported_once_per_round_only() {
+    let mut register = BackendRegistry::new(HEARTBEAT_INTERVAL_MS);
     assert!(matches!(
         register.record_heartbeat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1)),
         MergeOutcome::Changed(_)
@@ -72,23 +72,23 @@
 }
 
 #[test]
-fn missed_beats_make_overdue_and_one_heard_elsewhere_ends_that() {
-    let mut register = BackendRegistry::new(BEAT);
+fn missed_heartbeats_make_a_backend_overdue_until_another_process_receives_one() {
+    let mut register = BackendRegistry::new(HEARTBEAT_INTERVAL_MS);
     register.record_heartbeat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
-    assert!(register.sweep(3 * BEAT).is_empty(), "a beat may be on its way");
-    let overdue = register.sweep(3 * BEAT + 800);
+    assert!(register.sweep(3 * HEARTBEAT_INTERVAL_MS).is_empty(), "a heartbeat may still arrive");
+    let overdue = register.sweep(3 * HEARTBEAT_INTERVAL_MS + 800);
     assert!(overdue.len() == 1 && overdue[0].overdue && overdue[0].phase == Phase::Serving);
     assert!(
         register.merge_heartbeats(5000, &[("i-1".into(), 1)]).is_empty(),
-        "the same call again is no sign of life"
+        "a repeated call count does not show that the backend is alive"
     );
-    let back = register.merge_heartbeats(5000, &[("i-1".into(), 2)]);
-    assert!(back.len() == 1 && !back[0].overdue);
+    let recovered = register.merge_heartbeats(5000, &[("i-1".into(), 2)]);
+    assert!(recovered.len() == 1 && !recovered[0].overdue);
 }
 
 #[test]
-fn silence_for_long_ends_a_life_and_the_table_forgets_it() {
-    let mut register = BackendRegistry::new(BEAT);
+fn a_silent_backend_is_gone_after_a_minute_and_forgotten_after_another() {
+    let mut register = BackendRegistry::new(HEARTBEAT_INTERVAL_MS);
     register.record_heartbeat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
     register.sweep(10_000);
     assert_eq!(register.sweep(60_000)[0].phase, Phase::Gone);
@@ -98,39 +98,44 @@
 }
 
 #[test]
-fn an_address_used_again_ends_the_life_before_but_not_one_heard_just_now() {
-    let mut register = BackendRegistry::new(BEAT);
+fn a_reused_address_ends_the_previous_instance_unless_its_last_heartbeat_is_recent() {
+    let mut register = BackendRegistry::new(HEARTBEAT_INTERVAL_MS);
     register.record_heartbeat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 5));
     register.record_heartbeat(100, backend("i-0", "10.0.0.1:80", Phase::Serving, 1));
-    assert_eq!(phase(&register, "i-1"), Some(Phase::Serving), "a late word of an older life ends nobody");
+    assert_eq!(
+        phase(&register, "i-1"),
+        Some(Phase::Serving),
+        "a delayed report about an older instance ends no other instance"
+    );
     register.record_heartbeat(4000, backend("i-2", "10.0.0.1:80", Phase::Serving, 1));
     assert_eq!(phase(&register, "i-1"), Some(Phase::Gone));
     assert_eq!(phase(&register, "i-2"), Some(Phase::Serving));
 }
 
 #[test]
-fn warm_up_runs_on_from_when_it_was_said() {
-    let mut register = BackendRegistry::new(BEAT);
+fn remaining_warm_up_time_counts_from_its_report() {
+    let mut register = BackendRegistry::new(HEARTBEAT_INTERVAL_MS);
     register.record_heartbeat(1000, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
     assert_eq!(register.active(2500)[0].warmup_left_ms, 1500);
     assert_eq!(register.active(9000)[0].warmup_left_ms, 0);
 }
 
 #[test]
-fn two_registers_that_tell_each_other_agree() {
-    let (mut one, mut other) = (BackendRegistry::new(BEAT), BackendRegistry::new(BEAT));
+fn two_registries_that_exchange_reports_agree() {
+    let (mut one, mut other) =
+        (BackendRegistry::new(HEARTBEAT_INTERVAL_MS), BackendRegistry::new(HEARTBEAT_INTERVAL_MS));
     one.record_heartbeat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
     other.record_heartbeat(0, backend("i-1", "10.0.0.1:80", Phase::Draining, 2));
     other.record_heartbeat(0, backend("i-2", "10.0.0.2:80", Phase::Serving, 1));
     other.record_departure(1, "i-2");
     let (ours, theirs) = (one.all_including_gone(2), other.all_including_gone(2));
     assert_eq!(one.merge_reports(2, theirs).len(), 2);
-    assert!(other.merge_reports(2, ours).is_empty(), "older words change nothing");
+    assert!(other.merge_reports(2, ours).is_empty(), "older reports change nothing");
     assert_eq!(one.all_including_gone(3), other.all_including_gone(3));
 }
 
 #[test]
-fn a_data_plane_that_is_silent_counts_on_for_a_while() {
+fn a_silent_data_plane_counts_until_its_timeout() {
     let mut fleet = Fleet::default();
     for (at, name) in ["b", "a", "c"].into_iter().enumerate() {
         fleet.record_contact(at as u64, name, 1);
@@ -139,7 +144,7 @@
     fleet.record_contact(20_000, "a", 2);
     assert!(!fleet.sweep(29_000) && fleet.sweep(31_000));
     assert_eq!(fleet.names().collect::<Vec<_>>(), ["a"]);
-    // Who says that it has ended counts no more, unless that was an earlier life.
+    // A departed data plane does not count; the departure of an earlier incarnation has no effect.
     let departure = |incarnation| Departure { name: "a".into(), incarnation, ago_ms: 0 };
     fleet.record_departure(31_000, &departure(1));
     assert_eq!(fleet.size(), 1);
@@ -148,34 +153,37 @@
 }
 
 #[test]
-fn what_came_by_hearsay_is_passed_on_once_the_backend_itself_says_so() {
-    let said = |phase, calls| backend("i-1", "10.0.0.1:80", phase, calls);
-    let mut register = BackendRegistry::new(BEAT);
-    assert_eq!(register.merge_reports(0, vec![said(Phase::Serving, 1)]).len(), 1);
-    // A first word is passed on: who told this process may have reached few others.
-    assert!(matches!(register.record_heartbeat(5, said(Phase::Serving, 2)), MergeOutcome::Changed(_)));
-    assert_eq!(register.record_heartbeat(6, said(Phase::Serving, 3)), MergeOutcome::Refreshed);
-    register.merge_reports(7, vec![said(Phase::Draining, 4)]);
-    let MergeOutcome::Changed(told) = register.record_heartbeat(8, said(Phase::Draining, 5)) else {
-        panic!("not passed on")
+fn a_state_from_another_process_is_announced_once_the_backend_itself_reports_it() {
+    let reported = |phase, calls| backend("i-1", "10.0.0.1:80", phase, calls);
+    let mut register = BackendRegistry::new(HEARTBEAT_INTERVAL_MS);
+    assert_eq!(register.merge_reports(0, vec![reported(Phase::Serving, 1)]).len(), 1);
+    // The first heartbeat here is announced: the reporting process may have reached only a few others.
+    assert!(matches!(register.record_heartbeat(5, reported(Phase::Serving, 2)), MergeOutcome::Changed(_)));
+    assert_eq!(register.record_heartbeat(6, reported(Phase::Serving, 3)), MergeOutcome::Refreshed);
+    register.merge_reports(7, vec![reported(Phase::Draining, 4)]);
+    let MergeOutcome::Changed(changed) = register.record_heartbeat(8, reported(Phase::Draining, 5)) else {
+        panic!("the phase change was not announced")
     };
-    assert_eq!(told[0].phase, Phase::Draining);
-    assert_eq!(register.record_heartbeat(9, said(Phase::Draining, 6)), MergeOutcome::Refreshed);
-    register.merge_reports(10, vec![said(Phase::Gone, 7)]);
-    assert!(matches!(register.record_departure(11, "i-1"), MergeOutcome::Changed(_)), "nor is its end");
+    assert_eq!(changed[0].phase, Phase::Draining);
+    assert_eq!(register.record_heartbeat(9, reported(Phase::Draining, 6)), MergeOutcome::Refreshed);
+    register.merge_reports(10, vec![reported(Phase::Gone, 7)]);
+    assert!(
+        matches!(register.record_departure(11, "i-1"), MergeOutcome::Changed(_)),
+        "the end of the backend is announced too"
+    );
     assert_eq!(register.record_departure(12, "i-1"), MergeOutcome::Refreshed);
 }
 
 #[test]
-fn a_backend_without_an_address_is_not_taken_in() {
-    let mut register = BackendRegistry::new(BEAT);
+fn a_backend_without_an_address_is_not_added() {
+    let mut register = BackendRegistry::new(HEARTBEAT_INTERVAL_MS);
     assert_eq!(register.merge_reports(0, vec![backend("i-1", "", Phase::Draining, 0)]), []);
     assert!(register.all_including_gone(0).is_empty());
 }
 
 #[test]
-fn who_is_recorded_as_leaving_never_serves_again_whoever_says_so() {
-    let mut register = BackendRegistry::new(BEAT);
+fn a_backend_with_a_drain_record_never_serves_again_regardless_of_reports() {
+    let mut register = BackendRegistry::new(HEARTBEAT_INTERVAL_MS);
     register.record_heartbeat(0, backend("i-1", "10.0.0.1:80", Phase::Serving, 1));
     let drained = register.record_drains(&["i-1".to_owned(), "i-2".to_owned()]);
     assert_eq!((drained.changed[0].phase, drained.unknown), (Phase::Draining, vec!["i-2".to_owned()]));
--- a/crates/registry/tests/drains.rs
+++ b/crates/registry/tests/drains.rs
@@ -1,9 +1,9 @@
-//! Records of backends that leave, and how a table without a log keeps up with the leader's.
+//! Drain records, and the synchronization of a table without a log with the leader's table.
 
 use registry::{DrainRun, DrainTable};
 
-/// As many as a table keeps.
-const KEPT: u64 = 4096;
+/// The number of records that a table keeps.
+const MAX_RECORDS: u64 = 4096;
 
 fn table(records: u64) -> DrainTable {
     let mut table = DrainTable::default();
@@ -11,21 +11,22 @@
     table
 }
 
-/// Asks until there is nothing more, in answers of so many records.
-fn catch_up(follower: &mut DrainTable, leader: &DrainTable, most: usize) -> usize {
-    let mut new = 0;
-    for _ in 0..=KEPT {
-        let run = leader.run_after(follower.last(), most);
-        new += follower.apply_run(&run, leader.last()).len();
+/// Applies runs of up to `max_records` records until the follower has the leader's newest record. Returns the number
+/// of records added.
+fn catch_up(follower: &mut DrainTable, leader: &DrainTable, max_records: usize) -> usize {
+    let mut added = 0;
+    for _ in 0..=MAX_RECORDS {
+        let run = leader.run_after(follower.last(), max_records);
+        added += follower.apply_run(&run, leader.last()).len();
         if follower.last() == leader.last() {
             break;
         }
     }
-    new
+    added
 }
 
 #[test]
-fn a_follower_has_all_records_once_it_has_the_newest_number() {
+fn a_follower_with_the_newest_number_has_all_records() {
     let (leader, mut follower) = (table(1000), DrainTable::default());
     assert_eq!(catch_up(&mut follower, &leader, 300), 1000);
     assert_eq!(follower.run(), leader.run());
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn answers_that_overlap_add_nothing_twice() {
+fn overlapping_runs_add_no_duplicates() {
     let (leader, mut follower) = (table(5), table(3));
     for _ in 0..3 {
         follower.apply_run(&leader.run_after(3, 10), 5);
@@ -44,15 +45,15 @@
 }
 
 #[test]
-fn old_records_are_dropped_and_who_lacks_them_goes_on_with_the_oldest_kept() {
-    let (leader, mut follower) = (table(KEPT + 500), table(100));
+fn a_follower_that_lacks_dropped_records_continues_with_the_oldest_kept_one() {
+    let (leader, mut follower) = (table(MAX_RECORDS + 500), table(100));
     assert!(!leader.contains("i-500") && leader.contains("i-501"));
-    assert_eq!(catch_up(&mut follower, &leader, 1000) as u64, KEPT);
+    assert_eq!(catch_up(&mut follower, &leader, 1000) as u64, MAX_RECORDS);
     assert_eq!((follower.last(), follower.run()), (leader.last(), leader.run()));
 }
 
 #[test]
-fn a_table_of_a_log_that_is_no_more_begins_anew() {
+fn a_table_of_a_replaced_log_is_cleared() {
     let (leader, mut follower) = (table(2), table(40));
     catch_up(&mut follower, &leader, 10);
     assert_eq!(follower.run(), leader.run());
@@ -60,11 +61,11 @@
 }
 
 #[test]
-fn a_table_comes_back_from_its_records_whatever_they_are() {
+fn a_table_is_restored_from_a_run_even_with_invalid_records() {
     let leader = table(7);
     assert_eq!(DrainTable::from_run(&leader.run()).run(), leader.run());
-    let odd = DrainRun { after: u64::MAX, ids: vec!["i-1".into(), "i-1".into()] };
-    let table = DrainTable::from_run(&odd);
+    let invalid = DrainRun { after: u64::MAX, ids: vec!["i-1".into(), "i-1".into()] };
+    let table = DrainTable::from_run(&invalid);
     assert!(table.contains("i-1"));
     assert!(!table.run_after(3, 10).ids.is_empty());
 }
--- a/crates/registry/tests/fleet.rs
+++ b/crates/registry/tests/fleet.rs
@@ -1,9 +1,9 @@
-//! Who counts among the data planes, in whatever order words about them come.
+//! Which data planes the fleet counts, with reports and departures in any order.
 
 use protocol::Departure;
 use registry::{Fleet, FleetFaults, SILENT_DATA_PLANE_TIMEOUT_MS};
 
-/// Incarnations of one machine, in the order of their starts.
+/// Incarnations of one machine, in the order of their start. The numbers themselves are not ordered.
 const FIRST: u64 = 71;
 const SECOND: u64 = 12;
 
@@ -18,22 +18,22 @@
 }
 
 #[test]
-fn one_that_departed_does_not_count_and_one_that_fell_silent_does() {
+fn a_departed_data_plane_does_not_count_and_a_silent_one_does() {
     let mut fleet = fleet_of(&["a", "b", "c"]);
     assert!(fleet.record_departure(1000, &departed("a", FIRST)));
     assert_eq!(fleet.size(), 2);
     fleet.record_contact(5000, "b", FIRST);
     fleet.sweep(SILENT_DATA_PLANE_TIMEOUT_MS - 1);
-    assert_eq!(fleet.size(), 2, "c may be cut off and spend its slices");
+    assert_eq!(fleet.size(), 2, "c may be isolated and spend its fallback slices");
     fleet.sweep(SILENT_DATA_PLANE_TIMEOUT_MS);
     assert_eq!(fleet.names().collect::<Vec<_>>(), ["b"]);
 }
 
 #[test]
-fn an_older_word_does_not_bring_back_one_that_departed() {
+fn a_delayed_report_does_not_restore_a_departed_data_plane() {
     let mut fleet = fleet_of(&["a", "b"]);
     assert!(fleet.record_departure(1000, &departed("a", FIRST)));
-    assert!(!fleet.record_departure(1001, &departed("a", FIRST)), "the same again is no news");
+    assert!(!fleet.record_departure(1001, &departed("a", FIRST)), "a repeated departure is not new");
     for late in [1002, 9000, 60_000] {
         fleet.record_contact(late, "a", FIRST);
         fleet.record_contact(late, "b", FIRST);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_departure_that_comes_first_or_late_concerns_its_own_incarnation_only() {
+fn an_early_or_late_departure_affects_only_its_own_incarnation() {
     let mut early = Fleet::default();
     assert!(early.record_departure(0, &departed("a", FIRST)));
     early.record_contact(1, "a", FIRST);
@@ -60,15 +60,15 @@
 }
 
 #[test]
-fn several_incarnations_of_a_name_are_one() {
+fn several_incarnations_of_a_name_count_once() {
     let mut fleet = fleet_of(&["a", "b"]);
-    // It was killed and said nothing.
+    // Each incarnation was killed and announced no departure.
     (0..100).for_each(|incarnation| fleet.record_contact(incarnation, "a", incarnation));
     assert_eq!((fleet.size(), fleet.names().count()), (2, 2));
 }
 
 #[test]
-fn a_fleet_that_is_started_anew_is_as_large_as_it_was_for_those_who_ask_for_a_span() {
+fn a_rolling_restart_does_not_reduce_the_size_within_a_span() {
     let mut fleet = fleet_of(&["a", "b", "c"]);
     fleet.record_departure(1000, &departed("a", FIRST));
     fleet.record_departure(1500, &departed("b", FIRST));
@@ -79,19 +79,19 @@
 }
 
 #[test]
-fn what_a_process_knows_of_departures_makes_another_one_know_the_same() {
+fn departures_can_be_transferred_to_another_process() {
     let mut fleet = fleet_of(&["a", "b", "c"]);
     fleet.record_departure(1000, &departed("a", FIRST));
-    let told = fleet.departures(4000);
-    assert_eq!(told, [Departure { name: "a".into(), incarnation: FIRST, ago_ms: 3000 }]);
-    // Its clock began elsewhere.
+    let departures = fleet.departures(4000);
+    assert_eq!(departures, [Departure { name: "a".into(), incarnation: FIRST, ago_ms: 3000 }]);
+    // The clock of the other process has a different origin.
     let mut other = fleet_of(&["a", "b"]);
-    assert!(other.record_departure(100, &told[0]));
+    assert!(other.record_departure(100, &departures[0]));
     assert_eq!((other.size(), other.size_within(100, 5000)), (1, 2));
 }
 
 #[test]
-fn tables_stay_bounded() {
+fn the_number_of_names_and_departures_is_bounded() {
     let mut fleet = Fleet::default();
     for name in 0..9000 {
         fleet.record_contact(0, &name.to_string(), FIRST);
@@ -103,15 +103,15 @@
 }
 
 #[test]
-fn planted_faults_are_found() {
+fn injected_faults_are_detected() {
     let mut by_name = fleet_of(&["a"]);
     by_name.inject_faults(FleetFaults { departs_by_name: true, ..FleetFaults::default() });
     by_name.record_contact(800, "a", SECOND);
     by_name.record_departure(900, &departed("a", FIRST));
-    assert_eq!(by_name.size(), 0, "the late departure frees the new incarnation");
+    assert_eq!(by_name.size(), 0, "the late departure removes the new incarnation");
     let mut forgets = fleet_of(&["a"]);
     forgets.inject_faults(FleetFaults { forgets_departures: true, ..FleetFaults::default() });
     forgets.record_departure(900, &departed("a", FIRST));
     forgets.record_contact(901, "a", FIRST);
-    assert_eq!(forgets.size(), 1, "the older word brings it back");
+    assert_eq!(forgets.size(), 1, "the delayed report restores the data plane");
 }
