--- a/crates/control-plane/src/control_plane/connections.rs
+++ b/crates/control-plane/src/control_plane/connections.rs
@@ -177,7 +177,7 @@
                 }
             }
             Message::Follow { have } => self.on_follow(connection, have, now),
-            Message::FreshnessQuestion(question) => self.on_freshness_question(connection, question, now),
+            Message::FreshnessQuery(question) => self.on_freshness_question(connection, question, now),
             Message::Backends { backends, .. } => {
                 // Of a control plane that this process dialed, the address is known but no name.
                 let address = peer.dialed.map_or_else(String::new, |address| address.to_string());
--- a/crates/control-plane/src/control_plane/contact.rs
+++ b/crates/control-plane/src/control_plane/contact.rs
@@ -1,7 +1,7 @@
 //! Whether the state of this process is confirmed as current by the leader.
 
 use super::*;
-use protocol::{FreshnessAnswer, FreshnessQuestion, UNDERSTANDS_FRESHNESS};
+use protocol::{FreshnessAnswer, FreshnessQuery, UNDERSTANDS_FRESHNESS};
 
 /// Maximum number of drain records in one response.
 const MAX_RECORDS_PER_RESPONSE: usize = 512;
@@ -93,8 +93,8 @@
     }
 
     /// A data plane asks for the age of the state that it receives, and gets the drain records that it lacks.
-    pub(super) fn on_freshness_question(&mut self, connection: u64, question: FreshnessQuestion, now: u64) {
-        let FreshnessQuestion { number, last_drain: known } = question;
+    pub(super) fn on_freshness_question(&mut self, connection: u64, question: FreshnessQuery, now: u64) {
+        let FreshnessQuery { number, last_drain: known } = question;
         let age_ms = self.confirmation_age(now).map(|age| u32::try_from(age).unwrap_or(u32::MAX));
         let table = self.register.drains();
         // A data plane that knows more drain records than this process lacks none.
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Announces to a data plane that it may send [`Message::FreshnessQuestion`].
+    /// Announces to a data plane that it may send [`Message::FreshnessQuery`].
     pub(super) fn freshness_support() -> Message {
         Message::NotHolder { number: UNDERSTANDS_FRESHNESS }
     }
--- a/crates/control-plane/src/control_plane/drains.rs
+++ b/crates/control-plane/src/control_plane/drains.rs
@@ -167,14 +167,14 @@
     pub(super) fn publish_drained(&mut self, drained: DrainOutcome) {
         self.publish_backends(drained.changed, Origin::Log);
         if !drained.unknown.is_empty() {
-            let backends = drained.unknown.into_iter().map(Backend::leaving).collect();
+            let backends = drained.unknown.into_iter().map(Backend::draining).collect();
             self.send_to_subscribers(&Message::Backends { is_complete: false, backends });
         }
     }
 
     /// Recorded backends that are otherwise unknown here, for a subscriber that may know them.
     pub(super) fn drained_unknown(&self) -> Vec<Backend> {
-        self.register.unknown_draining().into_iter().map(Backend::leaving).collect()
+        self.register.unknown_draining().into_iter().map(Backend::draining).collect()
     }
 
     /// The drain records for a snapshot; none while some voter may be unable to read them.
--- a/crates/control-plane/tests/drains.rs
+++ b/crates/control-plane/tests/drains.rs
@@ -7,7 +7,7 @@
 mod simulation;
 
 use control_plane::{Call, Faults};
-use protocol::{Backend, FreshnessAnswer, FreshnessQuestion, Message, Phase};
+use protocol::{Backend, FreshnessAnswer, FreshnessQuery, Message, Phase};
 use simulation::{Link, Random, Simulation};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -83,9 +83,9 @@
             let mut told = self.told.borrow_mut();
             let told = told.entry(process).or_default();
             told.asked.push(Instant::now());
-            FreshnessQuestion { number: told.asked.len() as u64 - 1, last_drain: told.drains }
+            FreshnessQuery { number: told.asked.len() as u64 - 1, last_drain: told.drains }
         };
-        self.simulation.say(process, connection, Message::FreshnessQuestion(question)).await;
+        self.simulation.say(process, connection, Message::FreshnessQuery(question)).await;
     }
 
     fn on_frame(&self, process: usize, frame: &[u8]) {
--- a/crates/control-plane/tests/heartbeats.rs
+++ b/crates/control-plane/tests/heartbeats.rs
@@ -35,7 +35,7 @@
         capacity,
         phase: Phase::Serving,
         call_count,
-        ..Backend::leaving(id.into())
+        ..Backend::draining(id.into())
     })
 }
 
@@ -165,7 +165,7 @@
             assert!(told.messages <= MOST_MESSAGES, "process {process}: {} messages", told.messages);
         }
         let hears = told(&simulation, 0, Duration::from_millis(10)).await;
-        let leaving = Backend { call_count: 2, ..Backend::leaving("old".into()) };
+        let leaving = Backend { call_count: 2, ..Backend::draining("old".into()) };
         let leaving = Backend { address: "10.1.0.1:80".into(), service: "s".into(), ..leaving };
         let _ = simulation.call(0, Call::Heartbeat(leaving), Duration::from_millis(1)).await;
         assert!(hears.await.leaving.contains("old"));
--- a/crates/protocol/src/freshness.rs
+++ b/crates/protocol/src/freshness.rs
@@ -4,7 +4,7 @@
 
 /// Query of a data plane. The data plane dates the answer from when it sent the query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct FreshnessQuestion {
+pub struct FreshnessQuery {
     /// Query number, chosen by the data plane in ascending order.
     pub number: u64,
     /// Number of the newest drain record that the data plane has.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -11,7 +11,7 @@
 mod freshness;
 
 use bitcode::{Decode, DecodeOwned, Encode};
-pub use freshness::{FreshnessAnswer, FreshnessQuestion};
+pub use freshness::{FreshnessAnswer, FreshnessQuery};
 
 /// Maximum size of a frame body, in bytes. A complete configuration with several thousand routes fits.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
@@ -60,7 +60,7 @@
 impl Backend {
     /// A draining backend of which only the id is known. A receiver that does not know the backend's address ignores
     /// it, since it cannot send requests to the backend anyway.
-    pub fn leaving(id: String) -> Self {
+    pub fn draining(id: String) -> Self {
         Self {
             id,
             service: String::new(),
@@ -183,7 +183,7 @@
 pub const UNDERSTANDS_DRAINS: u64 = u64::MAX - 1;
 
 /// Same as [`UNDERSTANDS_DEPARTURES`], sent to a data plane: the data plane may send a
-/// [`Message::FreshnessQuestion`].
+/// [`Message::FreshnessQuery`].
 pub const UNDERSTANDS_FRESHNESS: u64 = u64::MAX - 2;
 
 /// The address of a control plane, as other processes know it.
@@ -375,7 +375,7 @@
     Departures(Vec<Departure>),
     /// A data plane queries the maximum age of the state that it receives. Sent only to processes that have sent
     /// [`UNDERSTANDS_FRESHNESS`].
-    FreshnessQuestion(FreshnessQuestion),
-    /// Answer to [`Message::FreshnessQuestion`].
+    FreshnessQuery(FreshnessQuery),
+    /// Answer to [`Message::FreshnessQuery`].
     FreshnessAnswer(FreshnessAnswer),
 }
--- a/crates/transport/examples/weigh.rs
+++ b/crates/transport/examples/weigh.rs
@@ -1,4 +1,4 @@
-//! What differences cost: bytes and processor time, for bodies drawn in the shape that operators send.
+//! Measures the size and CPU time of configuration differences for generated bodies in the shape that operators submit.
 //!
 //! `cargo run --release -p transport --example weigh`
 
@@ -6,13 +6,13 @@
 use std::time::{Duration, Instant};
 use transport::config_snapshots::{ConfigEncoder, config_id, rebuild};
 
-/// Words that don't repeat, the same in each run.
-struct Draw(u64);
+/// Deterministic generator of configuration bodies with random names.
+struct BodyGenerator(u64);
 
-impl Draw {
-    fn below(&mut self, most: u64) -> u64 {
+impl BodyGenerator {
+    fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % most
+        (self.0 >> 33) % bound
     }
 
     fn word(&mut self, letters: usize) -> String {
@@ -72,20 +72,20 @@
 }
 
 fn main() {
-    let mut draw = Draw(17);
-    let services: Vec<_> = (0..6).map(|_| draw.word(7)).collect();
-    let tenants: Vec<_> = (0..82).map(|_| draw.tenant()).collect();
-    let routes: Vec<_> = (0..40).map(|_| draw.route(&services)).collect();
+    let mut generator = BodyGenerator(17);
+    let services: Vec<_> = (0..6).map(|_| generator.word(7)).collect();
+    let tenants: Vec<_> = (0..82).map(|_| generator.tenant()).collect();
+    let routes: Vec<_> = (0..40).map(|_| generator.route(&services)).collect();
     let first = body(5, &routes, &services, &tenants);
     let mut one = routes.clone();
-    one[17] = draw.route(&services);
+    one[17] = generator.route(&services);
     let mut many = routes.clone();
-    many.extend((0..350).map(|_| draw.route(&services)));
+    many.extend((0..350).map(|_| generator.route(&services)));
     let grown = body(9, &many, &services, &tenants);
-    many[200] = draw.route(&services);
+    many[200] = generator.route(&services);
     many.remove(100);
     let mixed: Vec<_> = (0..many.len()).rev().map(|n| many[n].clone()).collect();
-    for (what, base, whole) in [
+    for (case, base, body) in [
         ("nothing known, 40 routes", &Vec::new(), &first),
         ("one route of 40 changed", &first, &body(7, &one, &services, &tenants)),
         ("350 routes more", &first, &grown),
@@ -94,28 +94,28 @@
         ("390 in another order", &grown, &body(14, &mixed, &services, &tenants)),
         ("nothing known, 390 routes", &Vec::new(), &grown),
     ] {
-        weigh(what, base, whole);
+        measure(case, base, body);
     }
 }
 
-fn weigh(what: &str, base: &[u8], whole: &[u8]) {
+fn measure(case: &str, base: &[u8], body: &[u8]) {
     const ROUNDS: u32 = 200;
-    let has = if base.is_empty() { ConfigId::default() } else { config_id(1, base) };
-    let frame = ConfigEncoder::new(2, whole).frame(has, Some(base), whole);
-    let made = span(ROUNDS, || ConfigEncoder::new(2, whole).frame(has, Some(base), whole));
+    let receiver = if base.is_empty() { ConfigId::default() } else { config_id(1, base) };
+    let frame = ConfigEncoder::new(2, body).frame(receiver, Some(base), body);
+    let encoded = average_time(ROUNDS, || ConfigEncoder::new(2, body).frame(receiver, Some(base), body));
     let Ok(Some((Message::ConfigDelta(config_delta), _))) = unframe(&frame) else {
-        return println!("{what}: whole");
+        return println!("{case}: whole");
     };
-    let rebuilt = span(ROUNDS, || {
-        rebuild(Some(base), &config_delta).map(|config_snapshot| assert_eq!(config_snapshot.body, whole))
+    let rebuilt = average_time(ROUNDS, || {
+        rebuild(Some(base), &config_delta).map(|config_snapshot| assert_eq!(config_snapshot.body, body))
     });
-    println!("{what}: {} bytes as {}; made in {made:?}, rebuilt in {rebuilt:?}", whole.len(), frame.len());
+    println!("{case}: {} bytes as {}; made in {encoded:?}, rebuilt in {rebuilt:?}", body.len(), frame.len());
 }
 
-fn span<T>(rounds: u32, mut what: impl FnMut() -> T) -> Duration {
-    let begun = Instant::now();
+fn average_time<T>(rounds: u32, mut run: impl FnMut() -> T) -> Duration {
+    let started_at = Instant::now();
     for _ in 0..rounds {
-        std::hint::black_box(what());
+        std::hint::black_box(run());
     }
-    begun.elapsed() / rounds
+    started_at.elapsed() / rounds
 }
--- a/crates/transport/src/config_snapshots.rs
+++ b/crates/transport/src/config_snapshots.rs
@@ -1,7 +1,8 @@
-//! Configurations on their way: as what makes one out of another that the receiver has, or whole.
+//! Encoding of configurations for followers: as a difference from a version that the receiver has, or complete.
 //!
-//! What is sent is a `zstd` frame with the base as its dictionary (`zstd --patch-from` does the same), so text that
-//! repeats itself gets shorter also where there is no base. `docs/updates.md` has the ways weighed and the figures.
+//! A difference is a `zstd` frame with the body of the base as dictionary, like the output of `zstd --patch-from`. So
+//! repetitive text is compressed even without a base. `docs/updates.md` compares the alternatives and has
+//! measurements.
 
 use miette::Diagnostic;
 use protocol::{ConfigDelta, ConfigId, ConfigSnapshot, MAX_FRAME_BYTES, Message};
@@ -11,54 +12,54 @@
 use thiserror::Error;
 use zstd::zstd_safe::CParameter;
 
-/// The library's default: more work gains little on texts of this kind.
-const LEVEL: i32 = 3;
+/// The library's default compression level. Higher levels gain little on configurations.
+const COMPRESSION_LEVEL: i32 = 3;
 
-/// Base and body of more bytes than this together are searched for repeats that are far back.
-const LONG: usize = 1 << 20;
-/// Windows reach back over 128 MiB at most: receivers read no longer ones unless they are told to.
-const MOST_WINDOW_LOG: u32 = 27;
+/// If base and body together are larger than this, long-distance matching is enabled.
+const LONG_DISTANCE_THRESHOLD_BYTES: usize = 1 << 20;
+/// Maximum window size, as a power of two: 128 MiB, the largest that a decompressor accepts by default.
+const MAX_WINDOW_LOG: u32 = 27;
 
-/// Why what came makes no configuration. The whole one is to be asked for.
+/// Why a received difference cannot be applied. The receiver must request the complete configuration.
 #[derive(Debug, Error, Diagnostic)]
 pub enum DeltaError {
-    /// The base is not had, or not any more.
-    #[error("r{version} was sent as a change of r{base}, which is not here")]
+    /// The receiver does not have the base, or no longer has it.
+    #[error("r{version} was sent as a change of r{base}, which is not available here")]
     MissingBase {
-        /// What was sent.
+        /// The version that was sent.
         version: u64,
-        /// What it needs.
+        /// The version of the missing base.
         base: u64,
     },
-    /// It is no difference, or none on this base.
+    /// The data is not a valid difference from this base.
     #[error("r{version} as a change of r{base}: {source}")]
     Corrupt {
-        /// What was sent.
+        /// The version that was sent.
         version: u64,
-        /// What it builds on.
+        /// The version of the base.
         base: u64,
-        /// What the library says.
+        /// The error of the compression library.
         source: std::io::Error,
     },
-    /// It makes something else than what was sent.
-    #[error("r{version} as a change of r{base} has another digest")]
+    /// The rebuilt body has another digest than the one that was sent.
+    #[error("r{version} as a change of r{base} has a different digest than announced")]
     DigestMismatch {
-        /// What was sent.
+        /// The version that was sent.
         version: u64,
-        /// What it builds on.
+        /// The version of the base.
         base: u64,
     },
-    /// It is longer than any message.
-    #[error("r{version} is said to have {length} bytes, at most {MAX_FRAME_BYTES} are taken")]
+    /// The announced body is larger than any message may be.
+    #[error("r{version} is announced with {length} bytes, the maximum is {MAX_FRAME_BYTES}")]
     TooLong {
-        /// What was sent.
+        /// The version that was sent.
         version: u64,
-        /// What was said.
+        /// The announced size of the body in bytes.
         length: usize,
     },
 }
 
-/// What a process has to say of a body that it has.
+/// Identifies a configuration by its version and body.
 pub fn config_id(version: u64, body: &[u8]) -> ConfigId {
     config_id_from_digest(version, &Sha256::digest(body).into())
 }
@@ -68,23 +69,24 @@
     ConfigId { version, digest_prefix: u64::from_be_bytes(*first) }
 }
 
-/// The newest configuration as it goes to followers: made once for all that have the same, when the first asks.
+/// Encodes the newest configuration for followers. Each frame is encoded once, when the first follower needs it, and
+/// shared by all followers that have the same base.
 #[derive(Debug, Default)]
 pub struct ConfigEncoder {
     version: u64,
     digest: [u8; 32],
-    whole: Option<Rc<[u8]>>,
-    /// By what the receiver has: the versions that the sender keeps, so some few.
-    made: BTreeMap<ConfigId, Rc<[u8]>>,
+    snapshot: Option<Rc<[u8]>>,
+    /// Frames by the configuration that the receiver has: at most one per version that the sender keeps.
+    deltas: BTreeMap<ConfigId, Rc<[u8]>>,
 }
 
 impl ConfigEncoder {
-    /// Nothing of this version was sent yet.
+    /// Creates an encoder for a configuration.
     pub fn new(version: u64, body: &[u8]) -> Self {
         Self { version, digest: Sha256::digest(body).into(), ..Self::default() }
     }
 
-    /// What this process itself has.
+    /// Identifies the configuration of this encoder.
     pub fn config_id(&self) -> ConfigId {
         if self.version == 0 {
             ConfigId::default()
@@ -93,75 +95,77 @@
         }
     }
 
-    /// The frame for whoever asked for the whole.
+    /// The frame for a follower that requested the complete configuration.
     pub fn snapshot_frame(&mut self, body: &[u8]) -> Rc<[u8]> {
         let config_snapshot = || ConfigSnapshot { version: self.version, body: body.to_vec() };
-        self.whole
+        self.snapshot
             .get_or_insert_with(|| protocol::frame(&Message::ConfigSnapshot(config_snapshot())).into())
             .clone()
     }
 
-    /// The frame for a follower that has `has`; `base` is the body of that version, if it is kept here.
-    pub fn frame(&mut self, has: ConfigId, base: Option<&[u8]>, body: &[u8]) -> Rc<[u8]> {
-        if let Some(made) = self.made.get(&has) {
-            return made.clone();
+    /// The frame for a follower that has the configuration `receiver`; `base` is the body of that version, if it is
+    /// kept here.
+    pub fn frame(&mut self, receiver: ConfigId, base: Option<&[u8]>, body: &[u8]) -> Rc<[u8]> {
+        if let Some(frame) = self.deltas.get(&receiver) {
+            return frame.clone();
         }
-        // Of a body that is not the follower's nothing may be made: it gets what needs none.
-        let known = base.filter(|base| has.version > 0 && config_id(has.version, base) == has);
-        let (key, base) = known.map_or((ConfigId::default(), &[][..]), |base| (has, base));
-        if let Some(made) = self.made.get(&key) {
-            return made.clone();
+        // If the kept body is not the follower's, the difference is encoded without a base.
+        let known = base.filter(|base| receiver.version > 0 && config_id(receiver.version, base) == receiver);
+        let (key, base) = known.map_or((ConfigId::default(), &[][..]), |base| (receiver, base));
+        if let Some(frame) = self.deltas.get(&key) {
+            return frame.clone();
         }
-        let made = match config_delta(key.version, base, self.version, self.digest, body) {
+        let frame = match config_delta(key.version, base, self.version, self.digest, body) {
             Ok(config_delta) if config_delta.bytes.len() < body.len() => {
                 protocol::frame(&Message::ConfigDelta(config_delta)).into()
             }
             _ => self.snapshot_frame(body),
         };
-        self.made.insert(key, made.clone());
-        made
+        self.deltas.insert(key, frame.clone());
+        frame
     }
 }
 
-fn failed(code: zstd::zstd_safe::ErrorCode) -> std::io::Error {
+fn zstd_error(code: zstd::zstd_safe::ErrorCode) -> std::io::Error {
     std::io::Error::other(zstd::zstd_safe::get_error_name(code))
 }
 
-/// The window that reaches back over so many bytes, as a power of two: what is out of it can't be drawn on.
+/// The window size for this many bytes, as a power of two. Matches outside the window cannot be used.
 fn window_log(bytes: usize) -> u32 {
-    bytes.next_power_of_two().trailing_zeros().min(MOST_WINDOW_LOG)
+    bytes.next_power_of_two().trailing_zeros().min(MAX_WINDOW_LOG)
 }
 
 fn config_delta(
-    base: u64, of: &[u8], version: u64, digest: [u8; 32], body: &[u8],
+    base: u64, base_body: &[u8], version: u64, digest: [u8; 32], body: &[u8],
 ) -> Result<ConfigDelta, std::io::Error> {
-    let mut library = zstd::bulk::Compressor::new(LEVEL)?;
-    let reach = of.len() + body.len();
-    if reach > LONG {
-        // The tables of this level forget repeats that are megabytes back.
-        library.set_parameter(CParameter::WindowLog(window_log(reach)))?;
-        library.set_parameter(CParameter::EnableLongDistanceMatching(true))?;
+    let mut compressor = zstd::bulk::Compressor::new(COMPRESSION_LEVEL)?;
+    let total = base_body.len() + body.len();
+    if total > LONG_DISTANCE_THRESHOLD_BYTES {
+        // The match tables of this level do not cover repeats that are megabytes apart.
+        compressor.set_parameter(CParameter::WindowLog(window_log(total)))?;
+        compressor.set_parameter(CParameter::EnableLongDistanceMatching(true))?;
     }
-    // A prefix is searched for repeats that are far back, a dictionary is not; receivers read both in the same way.
-    library.context_mut().ref_prefix(of).map_err(failed)?;
-    let bytes = library.compress(body)?;
+    // Long-distance matching covers a prefix, but not a dictionary. Decompression is the same for both.
+    compressor.context_mut().ref_prefix(base_body).map_err(zstd_error)?;
+    let bytes = compressor.compress(body)?;
     Ok(ConfigDelta { version, base, digest, length: body.len() as u32, bytes })
 }
 
-/// Makes the configuration that was sent. `base` is the body of the version that it builds on, if that is here.
+/// Rebuilds a configuration from a difference. `base` is the body of the version that the difference builds on, if it
+/// is available here.
 ///
 /// # Errors
-/// When it can't be made, or is another one: never anything but what the sender has.
+/// When the difference cannot be applied, or the result differs from the sender's body.
 pub fn rebuild(base: Option<&[u8]>, config_delta: &ConfigDelta) -> Result<ConfigSnapshot, DeltaError> {
     let (version, length) = (config_delta.version, config_delta.length as usize);
     if length > MAX_FRAME_BYTES {
         return Err(DeltaError::TooLong { version, length });
     }
     let empty = (config_delta.base == 0).then_some(&[][..]);
-    let of = empty.or(base).ok_or(DeltaError::MissingBase { version, base: config_delta.base })?;
-    let broken = |source| DeltaError::Corrupt { version, base: config_delta.base, source };
-    let mut library = zstd::bulk::Decompressor::with_dictionary(of).map_err(broken)?;
-    let body = library.decompress(&config_delta.bytes, length).map_err(broken)?;
+    let base_body = empty.or(base).ok_or(DeltaError::MissingBase { version, base: config_delta.base })?;
+    let corrupt = |source| DeltaError::Corrupt { version, base: config_delta.base, source };
+    let mut decompressor = zstd::bulk::Decompressor::with_dictionary(base_body).map_err(corrupt)?;
+    let body = decompressor.decompress(&config_delta.bytes, length).map_err(corrupt)?;
     if Sha256::digest(&body).as_slice() != config_delta.digest {
         return Err(DeltaError::DigestMismatch { version, base: config_delta.base });
     }
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection between two processes: frames out through a bounded queue, frames in one by one.
+//! A connection between two processes: outgoing frames pass a bounded queue, incoming frames are decoded one by one.
 
 use crate::spawn;
 use bytes::{Buf, BytesMut};
@@ -15,108 +15,109 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// So many frames wait for a peer at most; a heartbeat every 100 ms and a herd's changes fit.
-const WAITING: usize = 512;
-/// A peer that takes nothing for this long has lost its connection. The kernel is told as well: a machine behind a cut
-/// says nothing, and what waits for it would wait for minutes.
-const STUCK: Duration = Duration::from_millis(1500);
-/// So many bytes of frames go to the kernel in one call, and wait for it in memory beside the queue.
+/// Maximum number of frames queued for a peer. A heartbeat every 100 ms and the changes of a mass restart fit.
+const MAX_QUEUED_FRAMES: usize = 512;
+/// A connection counts as lost when the peer accepts no data for this long. The same value is set as the kernel's TCP
+/// user timeout; otherwise data for an unreachable machine would stay queued in the kernel for minutes.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Size of a write batch in bytes. One batch is held in memory in addition to the queue.
 const BATCH_BYTES: usize = 64 * 1024;
-/// What the kernel keeps for a peer that has not taken it yet, in bytes. Without a bound it is megabytes on a slow link:
-/// heartbeats would be seconds old when they come, and the socket would take nothing more for longer than [`STUCK`].
+/// Size of the kernel's send buffer in bytes. The unbounded default grows to megabytes on a slow link: heartbeats
+/// would be seconds old on arrival, and the socket would accept no data for longer than [`WRITE_TIMEOUT`].
 const SEND_BUFFER_BYTES: usize = 128 * 1024;
-/// A connection that doesn't come up by then doesn't.
-const CONNECT: Duration = Duration::from_millis(300);
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What went wrong with a connection, at which step and with whom.
+/// Why a connection failed, with the failed step and the peer.
 #[derive(Debug, Error, Diagnostic)]
 pub enum ConnectionError {
-    /// It didn't come up.
+    /// The connection could not be established.
     #[error("connect to {peer}: {source}")]
     Connect {
-        /// Whom to.
+        /// The dialed address.
         peer: SocketAddr,
-        /// Why.
+        /// The I/O error or timeout.
         source: std::io::Error,
     },
-    /// It broke.
+    /// The connection broke.
     #[error("read from {peer}: {source}")]
     Read {
-        /// Whom from.
+        /// The address of the peer.
         peer: SocketAddr,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The peer closed it.
+    /// The peer closed the connection.
     #[error("read from {peer}: closed")]
     Closed {
-        /// Whom from.
+        /// The address of the peer.
         peer: SocketAddr,
     },
-    /// The peer said something that is no message.
+    /// The peer sent an invalid frame.
     #[error("read from {peer}: {source}")]
-    FrameError {
-        /// Whom from.
+    InvalidFrame {
+        /// The address of the peer.
         peer: SocketAddr,
-        /// What is wrong with it.
+        /// Why the frame is invalid.
         source: FrameError,
     },
 }
 
-/// Where frames for a peer go.
+/// The sending half of a connection.
 #[derive(Clone, Debug)]
 pub struct FrameSender(mpsc::Sender<Rc<[u8]>>);
 
 impl FrameSender {
-    /// A line whose frames are taken from the other end of this queue.
+    /// Creates a sender whose frames are received from the other end of `frames`.
     pub fn from_queue(frames: mpsc::Sender<Rc<[u8]>>) -> Self {
         Self(frames)
     }
 
-    /// Queues a message; false when the connection is lost or its queue full, which loses it.
+    /// Queues a message. Returns false if the connection is lost, or if the queue is full, which makes it count as
+    /// lost.
     pub fn send(&self, message: &Message) -> bool {
         self.send_frame(protocol::frame(message).into())
     }
 
-    /// Queues a frame that goes to several.
+    /// Queues an encoded frame, which may be shared by several connections.
     pub fn send_frame(&self, frame: Rc<[u8]>) -> bool {
         self.0.try_send(frame).is_ok()
     }
 
-    /// Whether the connection is lost.
+    /// Whether the connection is lost, or counts as lost because its queue is full.
     pub fn is_lost(&self) -> bool {
         self.0.is_closed() || self.0.capacity() == 0
     }
 }
 
-/// Where frames of a peer come from.
+/// The receiving half of a connection.
 pub struct FrameReader {
     stream: OwnedReadHalf,
     peer: SocketAddr,
     buffer: BytesMut,
-    /// The longest frame that is read now, in bytes.
-    longest: usize,
+    /// Maximum body size of the next frame in bytes.
+    max_frame_bytes: usize,
 }
 
-/// What came on a connection.
+/// Data received on a connection.
 #[derive(Debug)]
 pub enum Received {
-    /// A whole message.
+    /// A complete message.
     Message(Message),
-    /// Some bytes of one that is still on its way: the peer lives, though its link takes its time.
+    /// Part of a message. The peer is alive, but its link is slow.
     Partial,
 }
 
 impl FrameReader {
-    /// Reads a short first frame only, until the peer has said who it is: whoever connects may be anybody.
+    /// Limits the next frame to the size of a [`protocol::Hello`], because the peer has not identified itself yet.
     pub fn expect_hello(&mut self) {
-        self.longest = protocol::MAX_HELLO_BYTES;
+        self.max_frame_bytes = protocol::MAX_HELLO_BYTES;
     }
 
-    /// The next message.
+    /// Receives the next message.
     ///
     /// # Errors
-    /// When there will be none: the connection is to be dropped.
+    /// When the connection has failed. The caller must drop the connection.
     pub async fn next(&mut self) -> Result<Message, ConnectionError> {
         loop {
             if let Received::Message(message) = self.receive().await? {
@@ -125,10 +126,10 @@
         }
     }
 
-    /// The next message, or more bytes of it.
+    /// Receives the next message, or more bytes of it.
     ///
     /// # Errors
-    /// When there will be neither: the connection is to be dropped.
+    /// When the connection has failed. The caller must drop the connection.
     pub async fn receive(&mut self) -> Result<Received, ConnectionError> {
         let peer = self.peer;
         if let Some(message) = self.take_message()? {
@@ -141,27 +142,27 @@
         Ok(self.take_message()?.map_or(Received::Partial, Received::Message))
     }
 
-    /// The next message, if it is here whole.
+    /// Takes the next message out of the buffer if the message is complete.
     fn take_message(&mut self) -> Result<Option<Message>, ConnectionError> {
         let peer = self.peer;
-        let garbled = |source| ConnectionError::FrameError { peer, source };
-        let next = protocol::unframe_with_limit(&self.buffer, self.longest).map_err(garbled)?;
-        Ok(next.map(|(message, taken)| {
-            self.buffer.advance(taken);
-            self.longest = protocol::MAX_FRAME_BYTES;
+        let invalid = |source| ConnectionError::InvalidFrame { peer, source };
+        let next = protocol::unframe_with_limit(&self.buffer, self.max_frame_bytes).map_err(invalid)?;
+        Ok(next.map(|(message, length)| {
+            self.buffer.advance(length);
+            self.max_frame_bytes = protocol::MAX_FRAME_BYTES;
             message
         }))
     }
 }
 
-/// Takes a connection into use.
+/// Sets the socket options of an established connection and starts its writer task.
 pub fn attach(stream: TcpStream, peer: SocketAddr) -> (FrameSender, FrameReader) {
-    // A socket that refuses an option works all the same, only later to notice a dead peer.
+    // Failures are ignored: without an option the socket still works, but detects a dead peer later.
     let _ = stream.set_nodelay(true);
-    let _ = rustix::net::sockopt::set_tcp_user_timeout(&stream, STUCK.as_millis() as u32);
+    let _ = rustix::net::sockopt::set_tcp_user_timeout(&stream, WRITE_TIMEOUT.as_millis() as u32);
     let _ = rustix::net::sockopt::set_socket_send_buffer_size(&stream, SEND_BUFFER_BYTES);
     let (read, write) = stream.into_split();
-    let (sender, frames) = mpsc::channel(WAITING);
+    let (sender, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
     spawn(write_all(write, frames));
     (
         FrameSender(sender),
@@ -169,26 +170,26 @@
             stream: read,
             peer,
             buffer: BytesMut::with_capacity(4096),
-            longest: protocol::MAX_FRAME_BYTES,
+            max_frame_bytes: protocol::MAX_FRAME_BYTES,
         },
     )
 }
 
-/// Connects to a process, by the way that leads to it.
+/// Connects to a process, via a detour if one is configured for its address.
 ///
 /// # Errors
-/// When no connection comes up in time.
+/// When the connection is refused or not established in time.
 pub async fn dial(
     peer: SocketAddr, detours: &Detours,
 ) -> Result<(FrameSender, FrameReader), ConnectionError> {
-    let stream = match timeout(CONNECT, TcpStream::connect(detours.to(peer))).await {
+    let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(detours.to(peer))).await {
         Ok(stream) => stream,
-        Err(late) => Err(late.into()),
+        Err(elapsed) => Err(elapsed.into()),
     };
     Ok(attach(stream.map_err(|source| ConnectionError::Connect { peer, source })?, peer))
 }
 
-/// Writes what is queued, all that is there at once: one call to the kernel for many frames.
+/// Writes queued frames in batches, so that one system call writes many frames.
 async fn write_all(mut stream: OwnedWriteHalf, mut frames: mpsc::Receiver<Rc<[u8]>>) {
     let mut batch = Vec::new();
     while let Some(frame) = frames.recv().await {
@@ -208,12 +209,12 @@
     }
 }
 
-/// Writes all of it, for as long as the peer goes on taking some; false if it does not. How long all of it takes is the
-/// link's: two megabytes take eight seconds at 2 Mbit/s.
+/// Writes all bytes. Returns false if an error occurs or the peer accepts no data for [`WRITE_TIMEOUT`]. The total
+/// duration is unlimited, since it depends on the link: two megabytes take eight seconds at 2 Mbit/s.
 #[doc(hidden)]
 pub async fn write_while_progressing(stream: &mut (impl AsyncWrite + Unpin), mut bytes: &[u8]) -> bool {
     while !bytes.is_empty() {
-        match timeout(STUCK, stream.write(bytes)).await {
+        match timeout(WRITE_TIMEOUT, stream.write(bytes)).await {
             Ok(Ok(written)) if written > 0 => bytes = &bytes[written..],
             _ => return false,
         }
--- a/crates/transport/src/follower.rs
+++ b/crates/transport/src/follower.rs
@@ -1,19 +1,21 @@
-//! Follows the news: one process that serves control at a time, another one when that falls silent or behind, or when its
-//! answer is too old; and a connection to the holder of the counts.
+//! Subscribes this process to updates of one control plane at a time, and keeps connections to the quota holders.
+//!
+//! The follower switches to another control plane when the followed one is silent or has lost the leader, or when its
+//! newest freshness answer is too old.
 
 use crate::config_snapshots;
 use crate::connection::{ConnectionError, FrameSender, Received};
+use crate::departure::PendingDeparture;
 use crate::drain_records::DrainRecords;
-use crate::freshness::Freshness;
-use crate::leaving::Leaving;
+use crate::freshness::FreshnessTracker;
 use crate::peer_choice::PeerChoice;
-use crate::search::Search;
+use crate::pending_requests::PendingRequests;
+use crate::search::CandidateSearch;
 use crate::spawn;
-use crate::unanswered::Unanswered;
 use crate::upstream::{Event, Inbox, Upstream};
 use config::Detours;
 use protocol::{
-    Backend, ConfigDelta, ConfigId, ConfigSnapshot, ControlPlaneAddress, FreshnessAnswer, FreshnessQuestion,
+    Backend, ConfigDelta, ConfigId, ConfigSnapshot, ControlPlaneAddress, FreshnessAnswer, FreshnessQuery,
     Heartbeat, Hello, Message, UNDERSTANDS_FRESHNESS,
 };
 use quota::HolderAssignment;
@@ -22,168 +24,169 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-/// How often things are looked after.
-const TICK: Duration = Duration::from_millis(100);
-/// A sign of life goes out this often.
-const SIGN: Duration = Duration::from_millis(800);
-/// A message of which bytes came within this is still on its way, in ms: whoever sends it is not left for another one, from
-/// which it would have to come anew.
-const ON_ITS_WAY: u64 = 700;
-/// A draw that has no answer by then, in ms, gets none.
-const DRAW_LOST: u64 = 400;
-
-/// What there is to hear.
+/// Interval of the periodic maintenance.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Keepalive interval.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(800);
+/// While part of a message has arrived within this time, the follower does not switch to another control plane, which
+/// would have to send the message again.
+const PARTIAL_MESSAGE_GRACE_MS: u64 = 700;
+/// A lease request without an answer for this long has failed.
+const LEASE_REQUEST_TIMEOUT_MS: u64 = 400;
+
+/// An update for the owner of a [`ControlFollower`].
 #[derive(Debug)]
 pub enum Update {
-    /// A configuration.
+    /// A new configuration.
     ConfigSnapshot(ConfigSnapshot),
-    /// Backends: changes, or with `whole` all there are.
+    /// Backends that changed, or all backends if `is_complete` is set.
     Backends {
-        /// Whether there are no others.
+        /// Whether backends that are not listed do not exist.
         is_complete: bool,
-        /// The backends.
+        /// The listed backends.
         backends: Vec<Backend>,
     },
-    /// How things stand.
+    /// The current state of the fleet.
     Heartbeat(Heartbeat),
-    /// Who holds the counts.
+    /// A new assignment of quota counters to holders.
     HolderAssignment(HolderAssignment),
-    /// Whom this process follows.
+    /// This process follows the control plane at this address from now on.
     Following(SocketAddr),
-    /// An answer to a draw.
+    /// The answer to a lease request.
     Grant(quota::Grant),
-    /// A draw that gets no answer.
+    /// A lease request that will not be answered.
     Unanswered {
-        /// Its number.
+        /// Number of the request.
         number: u64,
     },
 }
 
-/// What a follower is told at its start.
+/// Settings of a follower.
 #[derive(Clone, Debug)]
 pub struct FollowerSettings {
-    /// Who follows.
+    /// Identity of this process.
     pub me: Hello,
-    /// Where the first ones to ask take connections.
+    /// Addresses of control planes to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// By which ways others are reached.
+    /// Alternative addresses by which other processes are reached.
     pub detours: Detours,
-    /// How old the leader's answer may be, in ms, before others than the one that is followed are asked for it.
+    /// Age in ms of the newest freshness answer at which other control planes than the followed one are queried.
     pub stale_after: u64,
 }
 
-/// A follower of the news.
+/// Handle of a follower task, which runs until the handle is dropped.
 pub struct ControlFollower {
-    orders: mpsc::Sender<Order>,
+    commands: mpsc::Sender<Command>,
 }
 
-enum Order {
+enum Command {
     LeaseRequest(SocketAddr, quota::LeaseRequest),
     Seeds(Vec<SocketAddr>),
     Leave(oneshot::Sender<()>),
 }
 
 impl ControlFollower {
-    /// Follows from now on; `news` hears all of it, in order.
-    pub fn start(settings: FollowerSettings, news: impl FnMut(Update) + 'static) -> Self {
-        let (orders, queue) = mpsc::channel(64);
-        spawn(FollowerTask::run(settings, Box::new(news), queue));
-        Self { orders }
+    /// Starts the follower. `on_update` receives all updates in order.
+    pub fn start(settings: FollowerSettings, on_update: impl FnMut(Update) + 'static) -> Self {
+        let (commands, queue) = mpsc::channel(64);
+        spawn(FollowerTask::run(settings, Box::new(on_update), queue));
+        Self { commands }
     }
 
-    /// Sends a draw to its holder; false when it can't be sent.
-    pub fn request_lease(&self, to: &str, draw: quota::LeaseRequest) -> bool {
-        to.parse().is_ok_and(|to| self.orders.try_send(Order::LeaseRequest(to, draw)).is_ok())
+    /// Sends a lease request to the holder at the address `to`. Returns false if the request cannot be sent.
+    pub fn request_lease(&self, to: &str, request: quota::LeaseRequest) -> bool {
+        to.parse().is_ok_and(|to| self.commands.try_send(Command::LeaseRequest(to, request)).is_ok())
     }
 
-    /// Says that this process has ended, to the process that is followed and to the holders of the counts, on each
-    /// connection that is there or comes up. Resolves once all that were told have accepted it, and at least one has.
+    /// Announces that this process has ended to the followed control plane and the quota holders, on each existing or
+    /// later established connection. Resolves once every connection on which the announcement was sent has accepted
+    /// it or was lost, and at least one has accepted it.
     pub async fn leave(&self) {
         let (done, accepted) = oneshot::channel();
-        if self.orders.send(Order::Leave(done)).await.is_ok() {
+        if self.commands.send(Command::Leave(done)).await.is_ok() {
             let _ = accepted.await;
         }
     }
 
-    /// The settings name other seeds from now on.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
-        let _ = self.orders.try_send(Order::Seeds(seeds));
+        let _ = self.commands.try_send(Command::Seeds(seeds));
     }
 }
 
-/// A holder of counts, and the draws that it has not answered.
+/// A connection to a quota holder, and the lease requests that the holder has not answered.
 struct QuotaHolder {
     upstream: Upstream,
-    drawn: Unanswered,
+    pending_requests: PendingRequests,
 }
 
 struct FollowerTask {
     settings: FollowerSettings,
-    news: Box<dyn FnMut(Update)>,
+    on_update: Box<dyn FnMut(Update)>,
     peer_choice: PeerChoice,
-    began: Instant,
-    numbers: u64,
-    control_plane: Option<Upstream>,
-    /// When the process that is followed was asked last, and when bytes of a longer message came from it.
-    asked_at: u64,
-    part_at: Option<u64>,
-    freshness: Freshness,
-    search: Search,
+    started_at: Instant,
+    last_connection_number: u64,
+    followed: Option<Upstream>,
+    /// Time of the last freshness query to the followed control plane, and of the last part of a message from it.
+    last_query_at: u64,
+    last_partial_at: Option<u64>,
+    freshness: FreshnessTracker,
+    search: CandidateSearch,
     drain_records: DrainRecords,
     holders: Vec<QuotaHolder>,
-    /// What was taken last, and its body: what comes next may be a change of it.
-    have: ConfigId,
-    body: Vec<u8>,
-    /// A configuration from one who is perhaps behind, for a process that has none.
-    doubtful: Option<ConfigSnapshot>,
-    signed: Instant,
+    /// The current configuration and its body, which the next difference may build on.
+    config_id: ConfigId,
+    config_body: Vec<u8>,
+    /// A received configuration that is not adopted yet, because the sender may lag behind and this process has none.
+    pending_config: Option<ConfigSnapshot>,
+    last_keepalive_at: Instant,
     assignment: HolderAssignment,
-    /// This process has ended and says so.
-    leaving: Option<Leaving>,
+    /// The announcement that this process has ended.
+    departure: Option<PendingDeparture>,
     inbox: Inbox,
 }
 
 impl FollowerTask {
     async fn run(
-        settings: FollowerSettings, news: Box<dyn FnMut(Update)>, mut orders: mpsc::Receiver<Order>,
+        settings: FollowerSettings, on_update: Box<dyn FnMut(Update)>, mut commands: mpsc::Receiver<Command>,
     ) {
-        let (events, mut happened) = mpsc::channel::<Event>(256);
-        let (lines, mut up) = mpsc::channel(8);
-        let (me, began) = (&settings.me, Instant::now());
+        let (events, mut event_queue) = mpsc::channel::<Event>(256);
+        let (connected, mut connected_queue) = mpsc::channel(8);
+        let (me, started_at) = (&settings.me, Instant::now());
         let peer_choice =
             PeerChoice::new(0, &me.name, &me.zone, me.address.parse().ok(), settings.seeds.clone());
-        let freshness = Freshness::new(0, settings.stale_after);
+        let freshness = FreshnessTracker::new(0, settings.stale_after);
         let mut task = Self {
             settings,
-            news,
+            on_update,
             peer_choice,
-            began,
-            numbers: 0,
-            control_plane: None,
-            asked_at: 0,
-            part_at: None,
+            started_at,
+            last_connection_number: 0,
+            followed: None,
+            last_query_at: 0,
+            last_partial_at: None,
             freshness,
-            search: Search::default(),
+            search: CandidateSearch::default(),
             drain_records: DrainRecords::default(),
             holders: Vec::new(),
-            have: ConfigId::default(),
-            body: Vec::new(),
-            doubtful: None,
-            signed: began,
+            config_id: ConfigId::default(),
+            config_body: Vec::new(),
+            pending_config: None,
+            last_keepalive_at: started_at,
             assignment: HolderAssignment::default(),
-            leaving: None,
-            inbox: Inbox { lines, events },
+            departure: None,
+            inbox: Inbox { connected, events },
         };
-        let mut tick = interval(TICK);
+        let mut tick = interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                Some((number, line)) = up.recv() => task.on_up(number, line),
-                Some((number, event)) = happened.recv() => task.on_event(number, event),
-                order = orders.recv() => match order {
-                    Some(Order::LeaseRequest(to, draw)) => task.on_draw(to, draw),
-                    Some(Order::Seeds(seeds)) => task.on_seeds(seeds),
-                    Some(Order::Leave(done)) => task.on_leave(done),
+                Some((number, sender)) = connected_queue.recv() => task.on_connected(number, sender),
+                Some((number, event)) = event_queue.recv() => task.on_event(number, event),
+                command = commands.recv() => match command {
+                    Some(Command::LeaseRequest(to, request)) => task.on_lease_request(to, request),
+                    Some(Command::Seeds(seeds)) => task.on_seeds(seeds),
+                    Some(Command::Leave(done)) => task.on_leave(done),
                     None => return,
                 },
                 _ = tick.tick() => task.on_tick(),
@@ -192,148 +195,156 @@
     }
 
     fn now(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
     fn upstream(&mut self, to: SocketAddr) -> Upstream {
-        self.numbers += 1;
+        self.last_connection_number += 1;
         let hello = Message::Hello(self.settings.me.clone());
-        Upstream::open(self.numbers, to, self.settings.detours.clone(), hello, self.inbox.clone())
+        Upstream::open(
+            self.last_connection_number,
+            to,
+            self.settings.detours.clone(),
+            hello,
+            self.inbox.clone(),
+        )
     }
 
-    fn leave(&mut self) {
+    fn abandon_followed(&mut self) {
         let now = self.now();
         self.peer_choice.mark_failed(now);
-        (self.control_plane, self.part_at) = (None, None);
+        (self.followed, self.last_partial_at) = (None, None);
     }
 
     fn on_tick(&mut self) {
         let now = self.now();
-        if self.peer_choice.should_leave(now) || self.control_plane.as_ref().is_some_and(Upstream::is_lost) {
-            self.leave();
+        if self.peer_choice.should_leave(now) || self.followed.as_ref().is_some_and(Upstream::is_lost) {
+            self.abandon_followed();
         }
         if let Some(to) = self.peer_choice.next_to_dial(now) {
-            self.control_plane = Some(self.upstream(to));
+            self.followed = Some(self.upstream(to));
         }
-        self.take_doubtful();
-        if self.signed.elapsed() > SIGN {
-            self.signed = Instant::now();
-            let sign = Message::Follow { have: self.have };
-            // Only a sign of life on a connection that has its news already.
-            if let Some(upstream) = &self.control_plane {
-                upstream.send(&sign);
+        self.adopt_pending_config();
+        if self.last_keepalive_at.elapsed() > KEEPALIVE_INTERVAL {
+            self.last_keepalive_at = Instant::now();
+            let follow = Message::Follow { have: self.config_id };
+            // On an established subscription, `Follow` serves as a keepalive only.
+            if let Some(upstream) = &self.followed {
+                upstream.send(&follow);
             }
-            let here = Message::QuotaKeepalive { epoch: self.assignment.epoch };
+            let keepalive = Message::QuotaKeepalive { epoch: self.assignment.epoch };
             for holder in &self.holders {
-                holder.upstream.send(&here);
+                holder.upstream.send(&keepalive);
             }
         }
-        // A holder that says nothing may be cut off: another connection finds out sooner.
-        self.part(|holder| holder.drawn.is_overdue(now, DRAW_LOST));
-        self.tend_holders();
-        self.tend_freshness(now);
+        // A silent holder may be isolated. A new connection shows this sooner than waiting on the old one.
+        self.drop_holders(|holder| holder.pending_requests.is_overdue(now, LEASE_REQUEST_TIMEOUT_MS));
+        self.maintain_holders();
+        self.maintain_freshness(now);
     }
 
-    /// Asks the process that is followed how old what it tells may be, and others once that is too old.
-    fn tend_freshness(&mut self, now: u64) {
-        if self.search.has_found() || now >= self.asked_at + self.freshness.ask_every() {
-            self.ask_followed(now);
+    /// Sends due freshness queries: to the followed control plane, and to candidates once the newest answer is too
+    /// old.
+    fn maintain_freshness(&mut self, now: u64) {
+        if self.search.has_fresh_candidate() || now >= self.last_query_at + self.freshness.query_interval() {
+            self.query_followed(now);
         }
         let width = self.freshness.width(now);
-        if width == 0 && !self.search.has_found() {
-            return self.search.end();
+        if width == 0 && !self.search.has_fresh_candidate() {
+            return self.search.cancel();
         }
         let next = self.search.next_to_dial(now, self.peer_choice.others(now).into_iter(), width);
         for to in next {
             let upstream = self.upstream(to);
             self.search.add(upstream);
         }
-        self.ask_searched(now);
-        self.go_over(now);
+        self.query_candidates(now);
+        self.switch_if_found(now);
     }
 
-    fn ask_followed(&mut self, now: u64) {
-        let Some(upstream) = self.control_plane.as_ref().filter(|upstream| upstream.answers) else { return };
-        self.asked_at = now;
-        let number = self.freshness.question(now);
-        upstream.send(&freshness_question(number, &self.drain_records));
+    fn query_followed(&mut self, now: u64) {
+        let Some(upstream) = self.followed.as_ref().filter(|peer| peer.answers_queries) else { return };
+        self.last_query_at = now;
+        let number = self.freshness.start_query(now);
+        upstream.send(&freshness_query(number, &self.drain_records));
     }
 
-    fn ask_searched(&mut self, now: u64) {
-        for upstream in self.search.due_questions(now) {
-            let number = self.freshness.question(now);
-            upstream.send(&freshness_question(number, &self.drain_records));
+    fn query_candidates(&mut self, now: u64) {
+        for upstream in self.search.due_queries(now) {
+            let number = self.freshness.start_query(now);
+            upstream.send(&freshness_query(number, &self.drain_records));
         }
     }
 
-    /// An answer on this connection: it dates what is known here, once all records that it counts are here.
+    /// Handles a freshness answer. The answer dates the state here once all drain records that it counts have
+    /// arrived.
     fn on_freshness_answer(&mut self, connection: u64, answer: &FreshnessAnswer, now: u64) {
         let Some(age) = answer.age_ms else { return };
-        let new = self.drain_records.take(now, answer);
-        if !new.is_empty() {
-            let backends = new.into_iter().map(Backend::leaving).collect();
-            (self.news)(Update::Backends { is_complete: false, backends });
+        let added = self.drain_records.apply_answer(now, answer);
+        if !added.is_empty() {
+            let backends = added.into_iter().map(Backend::draining).collect();
+            (self.on_update)(Update::Backends { is_complete: false, backends });
         }
         if !self.drain_records.is_complete(answer) {
-            return self.ask_again(connection, now);
+            return self.query_again(connection, now);
         }
-        let as_of = self.freshness.answered(answer.number, age.into());
+        let as_of = self.freshness.record_answer(answer.number, age.into());
         if !as_of.is_some_and(|as_of| self.freshness.is_recent(now, as_of)) {
             return;
         }
         if self.search.connection(connection).is_some() {
-            self.search.found(now, connection);
-            // It may have heard of the leader by now, too.
-            self.ask_followed(now);
+            self.search.record_fresh_answer(now, connection);
+            // The followed control plane may have regained contact with the leader, too.
+            self.query_followed(now);
         } else {
-            // The one that is followed is in touch again.
+            // The leader confirms the state of the followed control plane again.
             self.peer_choice.on_fresh_answer(now);
-            self.search.end();
+            self.search.cancel();
         }
     }
 
-    /// The records were more than fit into one answer.
-    fn ask_again(&mut self, connection: u64, now: u64) {
-        let followed = self.control_plane.as_ref().filter(|upstream| upstream.number == connection);
+    /// Queries the same connection again, because one answer did not have room for all missing drain records.
+    fn query_again(&mut self, connection: u64, now: u64) {
+        let followed = self.followed.as_ref().filter(|upstream| upstream.number == connection);
         let Some(upstream) = followed.or(self.search.connection(connection).map(|upstream| &*upstream))
         else {
             return;
         };
-        let number = self.freshness.question(now);
-        upstream.send(&freshness_question(number, &self.drain_records));
+        let number = self.freshness.start_query(now);
+        upstream.send(&freshness_query(number, &self.drain_records));
     }
 
-    /// The first of those that are in touch with the leader is followed from now on, where the present one is not, unless a
-    /// message of that one is on its way.
-    fn go_over(&mut self, now: u64) {
-        if self.part_at.is_some_and(|at| now < at + ON_ITS_WAY) {
+    /// Switches to the best candidate whose state the leader confirms, unless a message of the followed control plane
+    /// is arriving.
+    fn switch_if_found(&mut self, now: u64) {
+        if self.last_partial_at.is_some_and(|at| now < at + PARTIAL_MESSAGE_GRACE_MS) {
             return;
         }
-        let Some(upstream) = self.search.choose(now) else { return };
-        self.peer_choice.follow(now, upstream.to);
-        (self.asked_at, self.part_at) = (now, None);
-        upstream.send(&Message::Follow { have: self.have });
-        (self.news)(Update::Following(upstream.to));
-        self.control_plane = Some(upstream);
+        let Some(upstream) = self.search.take_best(now) else { return };
+        self.peer_choice.follow(now, upstream.address);
+        (self.last_query_at, self.last_partial_at) = (now, None);
+        upstream.send(&Message::Follow { have: self.config_id });
+        (self.on_update)(Update::Following(upstream.address));
+        self.followed = Some(upstream);
     }
 
-    /// The other end of a connection answers questions about its freshness.
+    /// The peer of a connection announces that it answers freshness queries.
     fn on_understands_freshness(&mut self, connection: u64, now: u64) {
-        self.freshness.understood();
-        if let Some(upstream) = self.control_plane.as_mut().filter(|upstream| upstream.number == connection) {
-            upstream.answers = true;
-            self.ask_followed(now);
+        self.freshness.mark_supported();
+        if let Some(upstream) = self.followed.as_mut().filter(|upstream| upstream.number == connection) {
+            upstream.answers_queries = true;
+            self.query_followed(now);
         } else if let Some(upstream) = self.search.connection(connection) {
-            upstream.answers = true;
-            self.ask_searched(now);
+            upstream.answers_queries = true;
+            self.query_candidates(now);
         }
     }
 
-    /// What comes from those that are searched. They are not followed: nothing else of theirs counts.
-    fn on_search_event(&mut self, connection: u64, event: Result<Received, ConnectionError>) {
+    /// Handles an event on the connection to a candidate. Updates are ignored, since candidates are not followed.
+    fn on_candidate_event(&mut self, connection: u64, event: Result<Received, ConnectionError>) {
         let now = self.now();
         match event {
-            Err(_) => self.search.lost(connection),
+            Err(_) => self.search.remove(connection),
             Ok(Received::Message(Message::NotHolder { number: UNDERSTANDS_FRESHNESS })) => {
                 self.on_understands_freshness(connection, now);
             }
@@ -346,176 +357,184 @@
     }
 
     fn on_leave(&mut self, done: oneshot::Sender<()>) {
-        let mut leaving = Leaving::new(done);
-        let upstreams = self.control_plane.iter().chain(self.holders.iter().map(|holder| &holder.upstream));
+        let mut departure = PendingDeparture::new(done);
+        let upstreams = self.followed.iter().chain(self.holders.iter().map(|holder| &holder.upstream));
         for upstream in upstreams {
             if upstream.send(&Message::Leave) {
-                leaving.said(upstream.number);
+                departure.record_sent(upstream.number);
             }
         }
-        self.leaving = Some(leaving);
+        self.departure = Some(departure);
         self.on_tick();
     }
 
     fn on_leave_accepted(&mut self, number: u64) {
-        if let Some(leaving) = &mut self.leaving {
-            leaving.accepted(number);
+        if let Some(departure) = &mut self.departure {
+            departure.record_accepted(number);
         }
     }
 
-    /// Leaves holders; what was drawn from them gets no answer.
-    fn part(&mut self, leaves: impl Fn(&QuotaHolder) -> bool) {
-        let mut left = Vec::new();
+    /// Closes the connections to the holders that `should_drop` selects. Their pending lease requests have failed.
+    fn drop_holders(&mut self, should_drop: impl Fn(&QuotaHolder) -> bool) {
+        let mut unanswered = Vec::new();
         self.holders.retain(|holder| {
-            let leaves = leaves(holder);
-            if leaves {
-                left.extend(holder.drawn.numbers());
+            let should_drop = should_drop(holder);
+            if should_drop {
+                unanswered.extend(holder.pending_requests.numbers());
             }
-            !leaves
+            !should_drop
         });
-        for number in left {
-            (self.news)(Update::Unanswered { number });
+        for number in unanswered {
+            (self.on_update)(Update::Unanswered { number });
         }
     }
 
-    fn tend_holders(&mut self) {
-        let wanted: Vec<SocketAddr> = self.peer_choice.holders().collect();
-        self.part(|holder| holder.upstream.is_lost() || !wanted.contains(&holder.upstream.to));
-        for to in wanted {
-            if self.holders.iter().all(|holder| holder.upstream.to != to) {
+    fn maintain_holders(&mut self) {
+        let holders: Vec<SocketAddr> = self.peer_choice.holders().collect();
+        self.drop_holders(|holder| holder.upstream.is_lost() || !holders.contains(&holder.upstream.address));
+        for to in holders {
+            if self.holders.iter().all(|holder| holder.upstream.address != to) {
                 let upstream = self.upstream(to);
-                self.holders.push(QuotaHolder { upstream, drawn: Unanswered::default() });
+                self.holders.push(QuotaHolder { upstream, pending_requests: PendingRequests::default() });
             }
         }
     }
 
-    fn on_up(&mut self, number: u64, line: FrameSender) {
-        if let Some(leaving) = &mut self.leaving
-            && line.send(&Message::Leave)
+    fn on_connected(&mut self, number: u64, sender: FrameSender) {
+        if let Some(departure) = &mut self.departure
+            && sender.send(&Message::Leave)
         {
-            leaving.said(number);
+            departure.record_sent(number);
         }
-        if let Some(upstream) = self.control_plane.as_mut().filter(|v| v.number == number) {
-            line.send(&Message::Follow { have: self.have });
-            upstream.line = Some(line);
-            (self.news)(Update::Following(upstream.to));
+        if let Some(upstream) = self.followed.as_mut().filter(|upstream| upstream.number == number) {
+            sender.send(&Message::Follow { have: self.config_id });
+            upstream.sender = Some(sender);
+            (self.on_update)(Update::Following(upstream.address));
         } else if let Some(upstream) = self.search.connection(number) {
-            upstream.line = Some(line);
+            upstream.sender = Some(sender);
         } else if let Some(holder) = self.holders.iter_mut().find(|holder| holder.upstream.number == number) {
-            // Among several holders only one that says which assignment it knows counts as heard.
+            // With several holders, a data plane counts as in contact only once it reports the assignment that it
+            // knows.
             if self.assignment.epoch.number > 1 {
-                line.send(&Message::QuotaKeepalive { epoch: self.assignment.epoch });
+                sender.send(&Message::QuotaKeepalive { epoch: self.assignment.epoch });
             }
-            holder.upstream.line = Some(line);
+            holder.upstream.sender = Some(sender);
         }
     }
 
     fn on_event(&mut self, number: u64, event: Result<Received, ConnectionError>) {
-        if let (Err(_), Some(leaving)) = (&event, &mut self.leaving) {
-            leaving.lost(number);
+        if let (Err(_), Some(departure)) = (&event, &mut self.departure) {
+            departure.connection_lost(number);
         }
         if self.search.connection(number).is_some() {
-            return self.on_search_event(number, event);
+            return self.on_candidate_event(number, event);
         }
-        let from_control_plane = self.control_plane.as_ref().is_some_and(|v| v.number == number);
+        let is_followed = self.followed.as_ref().is_some_and(|upstream| upstream.number == number);
         let mut holder = self.holders.iter_mut().find(|holder| holder.upstream.number == number);
-        // Whatever answers no draw of this connection is nobody's.
-        let mut is_answer = |number| holder.as_mut().is_some_and(|holder| holder.drawn.answered(number));
+        // Answers that match no pending request of this connection are ignored.
+        let mut is_pending =
+            |number| holder.as_mut().is_some_and(|holder| holder.pending_requests.record_answer(number));
         match event {
-            Err(_) if from_control_plane => {
-                self.leave();
+            Err(_) if is_followed => {
+                self.abandon_followed();
                 self.on_tick();
             }
-            Err(_) => self.part(|holder| holder.upstream.number == number),
+            Err(_) => self.drop_holders(|holder| holder.upstream.number == number),
             Ok(Received::Message(Message::LeaveAccepted)) => self.on_leave_accepted(number),
-            Ok(received) if from_control_plane => {
+            Ok(received) if is_followed => {
                 let now = self.now();
                 self.peer_choice.record_message(now);
                 match received {
-                    Received::Message(message) => self.on_news(number, message, now),
-                    Received::Partial => self.part_at = Some(now),
+                    Received::Message(message) => self.on_message(number, message, now),
+                    Received::Partial => self.last_partial_at = Some(now),
                 }
             }
-            Ok(Received::Message(Message::Grant(grant))) if is_answer(grant.number) => {
-                (self.news)(Update::Grant(grant));
+            Ok(Received::Message(Message::Grant(grant))) if is_pending(grant.number) => {
+                (self.on_update)(Update::Grant(grant));
             }
-            Ok(Received::Message(Message::NotHolder { number })) if is_answer(number) => {
-                (self.news)(Update::Unanswered { number });
+            Ok(Received::Message(Message::NotHolder { number })) if is_pending(number) => {
+                (self.on_update)(Update::Unanswered { number });
             }
             Ok(_) => {}
         }
     }
 
-    fn on_news(&mut self, connection: u64, message: Message, now: u64) {
+    fn on_message(&mut self, connection: u64, message: Message, now: u64) {
         match message {
             Message::Heartbeat(heartbeat) => {
                 self.peer_choice.on_heartbeat(now, &heartbeat);
-                self.take_doubtful();
+                self.adopt_pending_config();
                 if self.assignment != *self.peer_choice.assignment() {
                     self.assignment = self.peer_choice.assignment().clone();
-                    (self.news)(Update::HolderAssignment(self.assignment.clone()));
+                    (self.on_update)(Update::HolderAssignment(self.assignment.clone()));
                 }
-                self.tend_holders();
-                // It may have lain in a socket, or come from one that does not know that it is cut off.
+                self.maintain_holders();
+                // The heartbeat may have been delayed in a socket, or the sender may not have noticed its isolation.
                 let fresh = heartbeat.fresh && !self.freshness.is_stale(now);
-                (self.news)(Update::Heartbeat(Heartbeat { fresh, ..heartbeat }));
+                (self.on_update)(Update::Heartbeat(Heartbeat { fresh, ..heartbeat }));
             }
             Message::ConfigSnapshot(config_snapshot) => {
-                self.doubtful = Some(config_snapshot);
-                self.take_doubtful();
+                self.pending_config = Some(config_snapshot);
+                self.adopt_pending_config();
             }
             Message::ConfigDelta(config_delta) => self.on_config_delta(&config_delta),
             Message::Backends { is_complete, backends } => {
-                let backends = self.drain_records.applied(backends);
-                (self.news)(Update::Backends { is_complete, backends });
+                let backends = self.drain_records.apply_to(backends);
+                (self.on_update)(Update::Backends { is_complete, backends });
             }
             Message::FreshnessAnswer(answer) => self.on_freshness_answer(connection, &answer, now),
             Message::NotHolder { number: UNDERSTANDS_FRESHNESS } => {
                 self.on_understands_freshness(connection, now);
             }
-            Message::ControlPlanes(cards) => {
-                let read = |card: ControlPlaneAddress| Some((card.address.parse().ok()?, card.zone));
-                self.peer_choice.set_control_planes(cards.into_iter().filter_map(read));
+            Message::ControlPlanes(control_planes) => {
+                let parse = |peer: ControlPlaneAddress| Some((peer.address.parse().ok()?, peer.zone));
+                self.peer_choice.set_control_planes(control_planes.into_iter().filter_map(parse));
             }
             _ => {}
         }
     }
 
-    /// A configuration as a difference. Whoever sent one that makes nothing here is asked for the whole.
+    /// Handles a configuration encoded as a difference. If the difference cannot be applied, requests the complete
+    /// configuration.
     fn on_config_delta(&mut self, config_delta: &ConfigDelta) {
-        if config_delta.version <= self.have.version {
+        if config_delta.version <= self.config_id.version {
             return;
         }
-        let doubtful =
-            self.doubtful.as_ref().filter(|config_snapshot| config_snapshot.version == config_delta.base);
-        let taken = (config_delta.base == self.have.version).then_some(&self.body);
-        let base = doubtful.map(|config_snapshot| &config_snapshot.body).or(taken).map(Vec::as_slice);
+        let pending = self
+            .pending_config
+            .as_ref()
+            .filter(|config_snapshot| config_snapshot.version == config_delta.base);
+        let taken = (config_delta.base == self.config_id.version).then_some(&self.config_body);
+        let base = pending.map(|config_snapshot| &config_snapshot.body).or(taken).map(Vec::as_slice);
         match config_snapshots::rebuild(base, config_delta) {
             Ok(config_snapshot) => {
-                self.doubtful = Some(config_snapshot);
-                self.take_doubtful();
+                self.pending_config = Some(config_snapshot);
+                self.adopt_pending_config();
             }
             Err(_) => {
-                if let Some(upstream) = &self.control_plane {
+                if let Some(upstream) = &self.followed {
                     upstream.send(&Message::SnapshotRequest);
                 }
             }
         }
     }
 
-    fn take_doubtful(&mut self) {
-        let Some(version) = self.doubtful.as_ref().map(|config_snapshot| config_snapshot.version) else {
+    fn adopt_pending_config(&mut self) {
+        let Some(version) = self.pending_config.as_ref().map(|config_snapshot| config_snapshot.version)
+        else {
             return;
         };
-        if self.have.version == 0 && !self.peer_choice.may_adopt_first_config(self.now(), version) {
+        if self.config_id.version == 0 && !self.peer_choice.may_adopt_first_config(self.now(), version) {
             return;
         }
-        if let Some(config_snapshot) =
-            self.doubtful.take().filter(|config_snapshot| config_snapshot.version > self.have.version)
+        if let Some(config_snapshot) = self
+            .pending_config
+            .take()
+            .filter(|config_snapshot| config_snapshot.version > self.config_id.version)
         {
-            self.have = config_snapshots::config_id(config_snapshot.version, &config_snapshot.body);
-            self.body.clone_from(&config_snapshot.body);
-            (self.news)(Update::ConfigSnapshot(config_snapshot));
+            self.config_id = config_snapshots::config_id(config_snapshot.version, &config_snapshot.body);
+            self.config_body.clone_from(&config_snapshot.body);
+            (self.on_update)(Update::ConfigSnapshot(config_snapshot));
         }
     }
 
@@ -523,20 +542,20 @@
         self.peer_choice.set_seeds(seeds);
     }
 
-    fn on_draw(&mut self, to: SocketAddr, draw: quota::LeaseRequest) {
-        let (number, now) = (draw.number, self.now());
-        let holder = self.holders.iter_mut().find(|holder| holder.upstream.to == to);
-        let sent = holder.filter(|holder| holder.upstream.send(&Message::LeaseRequest(draw)));
-        let unanswered = match sent {
-            Some(holder) => holder.drawn.sent(number, now),
+    fn on_lease_request(&mut self, to: SocketAddr, request: quota::LeaseRequest) {
+        let (number, now) = (request.number, self.now());
+        let holder = self.holders.iter_mut().find(|holder| holder.upstream.address == to);
+        let sent_to = holder.filter(|holder| holder.upstream.send(&Message::LeaseRequest(request)));
+        let unanswered = match sent_to {
+            Some(holder) => holder.pending_requests.record_sent(number, now),
             None => Some(number),
         };
         if let Some(number) = unanswered {
-            (self.news)(Update::Unanswered { number });
+            (self.on_update)(Update::Unanswered { number });
         }
     }
 }
 
-fn freshness_question(number: u64, records: &DrainRecords) -> Message {
-    Message::FreshnessQuestion(FreshnessQuestion { number, last_drain: records.last() })
+fn freshness_query(number: u64, records: &DrainRecords) -> Message {
+    Message::FreshnessQuery(FreshnessQuery { number, last_drain: records.last() })
 }
--- a/crates/transport/src/freshness.rs
+++ b/crates/transport/src/freshness.rs
@@ -1,129 +1,136 @@
-//! How old what a data plane goes by may be: bounded staleness (Terry et al., 2013), by the steady clock of the data
-//! plane alone. State machine without I/O or clock.
+//! Maximum age of the state of a data plane: bounded staleness (Terry et al., 2013), measured only by the monotonic
+//! clock of the data plane. A state machine without I/O or a clock.
 //!
-//! Whoever serves control says how old the leader's answer is on which it goes, and its own answer counts from when the question
-//! was sent. So neither a link that holds messages back nor a process that does not know that it is cut off makes anything
-//! younger than it is. Once the newest answer is too old, other processes are asked, twice as many with each step: each
-//! that is in touch with the leader answers at once, however many that are not were asked before.
+//! A control plane reports the age of the leader's response that confirms its state, and the data plane dates the
+//! answer from when it sent the query. So neither a delayed link nor a control plane that has not noticed its
+//! isolation can make state appear newer than it is. Once the newest answer is too old, the data plane queries other
+//! control planes and doubles their number with each step. So it soon reaches one whose state the leader confirms,
+//! even if many isolated ones were queried before.
 
 use std::collections::VecDeque;
 
-/// Milliseconds of the host's steady clock.
+/// Milliseconds of the host's monotonic clock.
 type Millis = u64;
 
-/// Answers as old as this are common: two processes ask each other in turn.
-const LEAST_STALE: Millis = 500;
-/// Nothing is gained by waiting for longer.
-const MOST_STALE: Millis = 900;
-/// An answer may be lost before others are asked.
-const QUESTIONS_BEFORE_STALE: Millis = 3;
-/// A process that has just started has this long for its first answer, beside the age at which one is too old.
-const START: Millis = 1100;
-/// So many are asked first, and twice as many after each step.
-const FIRST_WIDTH: usize = 2;
-/// The time between two steps, in ms.
-const STEP: Millis = 100;
-/// The width grows no more after so many steps: it is more than there are to ask.
-const MOST_STEPS: Millis = 7;
-/// What the search takes until somebody is followed that is in touch, in ms: a tick, the steps to sixteen, a dial of 300 ms
-/// in vain, and the time that the others have to answer too, with another tick.
+/// Minimum of the stale age, the age of the newest answer at which a search starts. Answers of nearly this age are
+/// common, since the query intervals of the control plane and the data plane add up.
+const MIN_STALE_AFTER_MS: Millis = 500;
+/// Maximum of the stale age. A higher value has no benefit.
+const MAX_STALE_AFTER_MS: Millis = 900;
+/// Number of queries within the stale age, so that a lost answer does not start a search.
+const QUERIES_PER_STALE_PERIOD: Millis = 3;
+/// Extra time that a data plane has after its start, in addition to the stale age, to get its first answer.
+const STARTUP_GRACE_MS: Millis = 1100;
+/// Number of control planes queried in the first step of a search; doubled in each further step.
+const INITIAL_WIDTH: usize = 2;
+/// Time between two steps of a search.
+const DOUBLING_INTERVAL_MS: Millis = 100;
+/// Maximum number of doublings; the resulting width exceeds the number of control planes.
+const MAX_DOUBLINGS: Millis = 7;
+/// Maximum duration of a search, until the data plane follows a control plane whose state the leader confirms: a
+/// tick, the steps up to a width of 16, one failed dial of 300 ms, and the settle time of the search with another
+/// tick.
 pub const MAX_SEARCH_MS: Millis = 950;
-/// The least bound that is kept, in ms.
-pub const MIN_BOUND_MS: Millis = LEAST_STALE + MAX_SEARCH_MS;
-/// Questions whose answers still count: those to all that are searched for some steps.
-const QUESTIONS: usize = 512;
+/// The smallest staleness bound that can be met.
+pub const MIN_BOUND_MS: Millis = MIN_STALE_AFTER_MS + MAX_SEARCH_MS;
+/// Number of queries whose answers are still accepted: those of several steps of a search.
+const MAX_OUTSTANDING_QUERIES: usize = 512;
 
-/// How old the newest answer may be before others are asked, in ms, where a change has to be obeyed within `bound` ms.
+/// The age of the newest answer in ms at which other control planes are queried, if changes must take effect within
+/// `bound` ms.
 pub fn stale_after(bound: Millis) -> Millis {
-    bound.saturating_sub(MAX_SEARCH_MS).clamp(LEAST_STALE, MOST_STALE)
+    bound.saturating_sub(MAX_SEARCH_MS).clamp(MIN_STALE_AFTER_MS, MAX_STALE_AFTER_MS)
 }
 
-/// Whether a data plane in touch with control obeys each change within `bound` ms.
+/// Whether changes take effect within `bound` ms at a data plane that can reach a control plane whose state the
+/// leader confirms.
 pub fn is_achievable(bound: Millis) -> bool {
     stale_after(bound) + MAX_SEARCH_MS <= bound
 }
 
-/// The questions of one data plane, and the age of what it knows.
+/// The freshness queries of a data plane, and the age of the data plane's state.
 #[derive(Debug)]
-pub struct Freshness {
+pub struct FreshnessTracker {
     stale_after: Millis,
-    asked: VecDeque<(u64, Millis)>,
-    last: u64,
-    /// All that the leader had ordered by then is known here. In the future while a process is young.
+    sent_queries: VecDeque<(u64, Millis)>,
+    last_number: u64,
+    /// The state of this process contains all changes that the leader had made by this time. In the future shortly
+    /// after the start.
     as_of: Millis,
-    /// Whether anybody answers such questions: processes of an earlier version don't.
-    is_understood: bool,
-    searched_since: Option<Millis>,
+    /// Whether any control plane answers freshness queries. Those of an earlier version do not.
+    is_supported: bool,
+    search_started_at: Option<Millis>,
 }
 
-impl Freshness {
-    /// Of a process that starts at this time and asks others once its answer is older than `stale_after` ms.
+impl FreshnessTracker {
+    /// Creates the tracker of a process that starts at `now` and queries other control planes once its newest answer
+    /// is older than `stale_after` ms.
     pub fn new(now: Millis, stale_after: Millis) -> Self {
-        let as_of = now + START;
+        let as_of = now + STARTUP_GRACE_MS;
         Self {
             stale_after,
-            asked: VecDeque::new(),
-            last: 0,
+            sent_queries: VecDeque::new(),
+            last_number: 0,
             as_of,
-            is_understood: false,
-            searched_since: None,
+            is_supported: false,
+            search_started_at: None,
         }
     }
 
-    /// How often the process that is followed is asked, in ms.
-    pub fn ask_every(&self) -> Millis {
-        self.stale_after / QUESTIONS_BEFORE_STALE
+    /// Query interval for the followed control plane, in ms.
+    pub fn query_interval(&self) -> Millis {
+        self.stale_after / QUERIES_PER_STALE_PERIOD
     }
 
-    /// Somebody reads such questions.
-    pub fn understood(&mut self) {
-        self.is_understood = true;
+    /// Records that a control plane answers freshness queries.
+    pub fn mark_supported(&mut self) {
+        self.is_supported = true;
     }
 
-    /// A question is sent; gives its number.
-    pub fn question(&mut self, now: Millis) -> u64 {
-        self.last += 1;
-        self.asked.push_back((self.last, now));
-        if self.asked.len() > QUESTIONS {
-            self.asked.pop_front();
+    /// Starts a query sent at `now` and returns its number.
+    pub fn start_query(&mut self, now: Millis) -> u64 {
+        self.last_number += 1;
+        self.sent_queries.push_back((self.last_number, now));
+        if self.sent_queries.len() > MAX_OUTSTANDING_QUERIES {
+            self.sent_queries.pop_front();
         }
-        self.last
+        self.last_number
     }
 
-    /// An answer came, by which all is known that was ordered `age` ms before it was given. Gives when that was, if it is
-    /// the answer to a question that was asked lately and not answered yet.
-    pub fn answered(&mut self, number: u64, age: Millis) -> Option<Millis> {
-        let at = self.asked.iter().position(|(asked, _)| *asked == number)?;
-        let (_, sent) = self.asked.remove(at)?;
-        let as_of = sent.saturating_sub(age);
+    /// Records an answer whose sender's state is complete up to `age` ms before the answer. Returns the time up to
+    /// which the state is complete, or `None` if the query is unknown or was already answered.
+    pub fn record_answer(&mut self, number: u64, age: Millis) -> Option<Millis> {
+        let index = self.sent_queries.iter().position(|(sent, _)| *sent == number)?;
+        let (_, sent_at) = self.sent_queries.remove(index)?;
+        let as_of = sent_at.saturating_sub(age);
         self.as_of = self.as_of.max(as_of);
         Some(as_of)
     }
 
-    /// How old what is known may be, in ms.
+    /// Maximum age of the state of this process, in ms.
     pub fn age(&self, now: Millis) -> Millis {
         now.saturating_sub(self.as_of)
     }
 
-    /// Whether an answer is so new that nobody else needs to be asked any more: half of the age at which that begins, so
-    /// that an answer of somebody who is just cut off does not end it.
+    /// Whether an answer is recent enough to end a search. The limit is half of the stale age, so that an answer of a
+    /// control plane that has just become isolated does not end the search.
     pub fn is_recent(&self, now: Millis, as_of: Millis) -> bool {
         now.saturating_sub(as_of) < self.stale_after / 2
     }
 
-    /// Whether what is known is too old to go by. Never where nobody answers.
+    /// Whether the state of this process is too old. Always false while no control plane answers freshness queries.
     pub fn is_stale(&self, now: Millis) -> bool {
-        self.is_understood && self.age(now) >= self.stale_after
+        self.is_supported && self.age(now) >= self.stale_after
     }
 
-    /// How many processes are to be asked now beside the one that is followed.
+    /// The number of control planes to query now in addition to the followed one.
     pub fn width(&mut self, now: Millis) -> usize {
         if self.is_stale(now) {
-            self.searched_since.get_or_insert(now);
+            self.search_started_at.get_or_insert(now);
         } else if self.is_recent(now, self.as_of) {
-            self.searched_since = None;
+            self.search_started_at = None;
         }
-        let steps = |since: Millis| (now.saturating_sub(since) / STEP).min(MOST_STEPS);
-        self.searched_since.map_or(0, |since| FIRST_WIDTH << steps(since))
+        let doublings = |since: Millis| (now.saturating_sub(since) / DOUBLING_INTERVAL_MS).min(MAX_DOUBLINGS);
+        self.search_started_at.map_or(0, |since| INITIAL_WIDTH << doublings(since))
     }
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,21 +1,22 @@
-//! How news travels between the system's processes: connections, and who follows whom.
+//! Transport between the processes of a deployment: connections, and the follower that subscribes a process to
+//! updates of a control plane.
 //!
-//! Everything runs on one thread of a `LocalSet`; what is queued for a peer is bounded, and a peer that doesn't read
-//! loses its connection: it comes back and is told everything anew.
+//! All tasks run on one thread in a `LocalSet`. The send queue of each peer is bounded. A peer that stops reading
+//! loses its connection, reconnects, and receives the complete state again.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod config_snapshots;
 mod connection;
+mod departure;
 mod drain_records;
 mod follower;
 pub mod freshness;
-mod leaving;
 mod neighbor_watch;
 mod peer_choice;
+mod pending_requests;
 mod search;
-mod unanswered;
 mod upstream;
 
 pub use connection::{
@@ -25,9 +26,9 @@
 pub use follower::{ControlFollower, FollowerSettings, Update};
 pub use neighbor_watch::{NeighborWatch, card};
 pub use peer_choice::PeerChoice;
-pub use unanswered::Unanswered;
+pub use pending_requests::PendingRequests;
 
-/// Runs a task for as long as the program runs.
+/// Spawns a task on the current `LocalSet`. The task runs until it ends or the process exits.
 pub fn spawn(task: impl Future<Output = ()> + 'static) {
     tokio::task::spawn_local(task);
 }
--- a/crates/transport/src/neighbor_watch.rs
+++ b/crates/transport/src/neighbor_watch.rs
@@ -1,4 +1,4 @@
-//! Watches the neighbours over datagrams: the socket and clock of a [`Keeper`].
+//! Failure detection over UDP: provides the socket and the clock for a [`Keeper`].
 
 use crate::spawn;
 use failure_detector::{Card, Keeper, Mark, Message, Millis, Sent, Standing, Word};
@@ -9,53 +9,54 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep_until};
 
-/// The longest datagram that is read, in bytes; those that are sent are about half as long at most.
+/// Maximum size of a received datagram in bytes. Sent datagrams are at most about half as large.
 const MAX_DATAGRAM_BYTES: usize = 4096;
-/// So many datagrams are read before others on this thread have their turn.
-const AT_ONCE: usize = 64;
+/// Maximum number of datagrams read before other tasks of this thread run.
+const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
 
-/// The watch of this process at work.
+/// The running failure detector of this process.
 pub struct NeighborWatch {
     keeper: RefCell<Keeper>,
     socket: UdpSocket,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl NeighborWatch {
-    /// Watches from now on at a socket that is bound to the card's address; `seed` is drawn for this life.
+    /// Starts the failure detector on a socket that is bound to the card's address. `seed` is a random number drawn
+    /// by this process.
     pub fn start(socket: UdpSocket, card: Card, seeds: Vec<SocketAddr>, seed: u64) -> Rc<Self> {
         let keeper = RefCell::new(Keeper::new(card, marks(&seeds), seed, 0));
-        let neighbor_watch = Rc::new(Self { keeper, socket, began: Instant::now() });
+        let neighbor_watch = Rc::new(Self { keeper, socket, started_at: Instant::now() });
         spawn(Self::run(Rc::downgrade(&neighbor_watch)));
         neighbor_watch
     }
 
     fn now(&self) -> Millis {
-        self.began.elapsed().as_millis() as Millis
+        self.started_at.elapsed().as_millis() as Millis
     }
 
-    async fn run(me: Weak<Self>) {
+    async fn run(watch: Weak<Self>) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            let Some(neighbor_watch) = me.upgrade() else { return };
+            let Some(neighbor_watch) = watch.upgrade() else { return };
             let mut out = Vec::new();
             neighbor_watch.keeper.borrow_mut().step(neighbor_watch.now(), &mut out);
             neighbor_watch.send(out);
             let due = neighbor_watch.keeper.borrow().next_due().max(neighbor_watch.now() + 1);
             tokio::select! {
-                // A socket in trouble says so at once, again and again: the next step looks again.
+                // On an error, `readable` would fail again immediately. The error is ignored until the next step.
                 Ok(()) = neighbor_watch.socket.readable() => neighbor_watch.read(&mut buffer),
-                () = sleep_until(neighbor_watch.began + Duration::from_millis(due)) => {}
+                () = sleep_until(neighbor_watch.started_at + Duration::from_millis(due)) => {}
             }
         }
     }
 
     fn read(&self, buffer: &mut [u8]) {
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_DATAGRAMS_PER_WAKEUP {
             let (length, from) = match self.socket.try_recv_from(buffer) {
                 Ok(read) => read,
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return,
-                // An earlier datagram found nobody: that is not an answer of this one.
+                // An ICMP error of a datagram sent earlier; it says nothing about the received datagrams.
                 Err(_) => continue,
             };
             let message = buffer.get(..length).and_then(Message::decode);
@@ -70,39 +71,39 @@
 
     fn send(&self, out: Vec<Sent>) {
         for Sent { to, message } in out {
-            // A datagram that can't be sent is lost, as others are.
+            // A datagram that cannot be sent counts as lost.
             let _ = self.socket.try_send_to(&message.encode(), SocketAddr::V4(to.into()));
         }
     }
 
-    /// Another machine was heard by other means.
+    /// Records contact with another machine by other means than datagrams.
     pub fn record_contact(&self) {
         self.keeper.borrow_mut().in_contact(self.now());
     }
 
-    /// The settings name other seeds.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&self, seeds: &[SocketAddr]) {
         self.keeper.borrow_mut().seeds(marks(seeds));
     }
 
-    /// The process is done: nobody has to find out.
+    /// Announces that this process shuts down, so that the others need not detect its failure.
     pub fn leave(&self) {
         let mut out = Vec::new();
         self.keeper.borrow_mut().leave(self.now(), &mut out);
         self.send(out);
     }
 
-    /// What is held of all processes.
-    pub fn for_each_member(&self, see: impl FnMut(&Word)) {
-        self.keeper.borrow().words().for_each(see);
+    /// Calls `visit` with the known state of each process.
+    pub fn for_each_member(&self, visit: impl FnMut(&Word)) {
+        self.keeper.borrow().words().for_each(visit);
     }
 
-    /// Whether this process hears nobody: what it holds is of old.
+    /// Whether this process receives no datagrams from others, so that its view is outdated.
     pub fn is_isolated(&self) -> bool {
         self.keeper.borrow().is_isolated()
     }
 
-    /// How it stands, for operators.
+    /// The state of the failure detector, for operators.
     pub fn status(&self) -> Standing {
         self.keeper.borrow().standing(self.now())
     }
@@ -119,7 +120,7 @@
     addresses.iter().copied().filter_map(mark).collect()
 }
 
-/// The card of a process that takes datagrams at an address.
+/// The card of a process that receives datagrams at this address.
 pub fn card(at: SocketAddrV4, name: &str, data_plane: bool, life: u64) -> Card {
     Card { at: at.into(), name: name.to_owned(), data_plane, life }
 }
--- a/crates/transport/src/peer_choice.rs
+++ b/crates/transport/src/peer_choice.rs
@@ -1,4 +1,4 @@
-//! Whom to follow: a state machine without I/O or clock.
+//! Selection of the control plane to follow: a state machine without I/O or a clock.
 
 use protocol::Heartbeat;
 use quota::{Epoch, HolderAssignment};
@@ -6,45 +6,48 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 
-/// Milliseconds of the host's steady clock.
+/// Milliseconds of the host's monotonic clock.
 pub type Millis = u64;
 
-/// Who is followed says something at least this often; a silence of that long is the end of it.
-const SILENCE_TIMEOUT: Millis = 1300;
-/// Who has lost the leader is left after this long, if there is anybody else.
-const STALE_TIMEOUT: Millis = 900;
-/// Who was chosen just now and has said nothing is left sooner, by whoever had a word of this moment from another one
-/// before: a connection comes up and a first word comes within this, also between regions.
-const FIRST_MESSAGE_TIMEOUT: Millis = 650;
-/// ... and so is one whose words so far were not of this moment: another one's may be.
-const FIRST_FRESH_HEARTBEAT_TIMEOUT: Millis = 400;
-/// Who failed is not asked again for this long, while others are there.
-const FAILED_PEER_PENALTY: Millis = 1500;
-/// While all have failed, each is asked again after this long: whoever is dead refuses at once, and asking in a circle
-/// would cost the processor time that its return needs.
-const RETRY_INTERVAL: Millis = 200;
-/// A process that knows nothing takes what is perhaps not the newest only after this long.
-const STALE_CONFIG_DELAY: Millis = 8000;
-/// Processes that serve control are some dozens; more are somebody's fault.
+/// The followed control plane is abandoned if it sends nothing for this long.
+const SILENCE_TIMEOUT_MS: Millis = 1300;
+/// The followed control plane is abandoned if its state has not been confirmed by the leader for this long and an
+/// alternative exists.
+const STALE_TIMEOUT_MS: Millis = 900;
+/// Silence timeout of a newly chosen control plane that has not sent a message yet, if this process has received a
+/// fresh heartbeat before and an alternative exists. Connecting and receiving the first message take less time, even
+/// between regions.
+const FIRST_MESSAGE_TIMEOUT_MS: Millis = 650;
+/// Stale timeout of a control plane that has sent messages but no fresh heartbeat, if this process has received a
+/// fresh heartbeat before and an alternative exists. The alternative may send fresh heartbeats.
+const FIRST_FRESH_HEARTBEAT_TIMEOUT_MS: Millis = 400;
+/// A failed control plane ranks behind the others for this long.
+const FAILED_PEER_PENALTY_MS: Millis = 1500;
+/// Minimum time before a failed control plane is dialed again while all have failed. Dead processes refuse
+/// connections immediately, and dialing in a tight loop would take CPU time that restarting processes need.
+const RETRY_INTERVAL_MS: Millis = 200;
+/// A process without a configuration adopts a possibly outdated one only after this long.
+const STALE_CONFIG_DELAY_MS: Millis = 8000;
+/// Maximum number of known control planes. A deployment has several dozen; a longer list is faulty.
 const MAX_CONTROL_PLANES: usize = 256;
 
-/// The one that is followed.
+/// The followed control plane.
 #[derive(Clone, Debug)]
 struct Followed {
-    to: SocketAddr,
+    address: SocketAddr,
     last_message_at: Millis,
     fresh_at: Millis,
-    /// When it answered last that it is in touch with the leader.
+    /// Time of the last answer in which the control plane reported that the leader confirms its state.
     answered_at: Millis,
     fresh: bool,
-    /// Whether it has said anything, and whether that was ever of this moment.
+    /// Whether the control plane has sent any message, and whether its state has ever been confirmed as current.
     has_sent_message: bool,
     was_fresh: bool,
-    /// The version that it said it has, when it last said that it is of this moment.
+    /// Configuration version in the last fresh heartbeat.
     version: u64,
 }
 
-/// What a follower knows of those that serve control, and whom it follows.
+/// The control planes that a follower knows, and the one that it follows.
 #[derive(Debug)]
 pub struct PeerChoice {
     name: String,
@@ -52,19 +55,21 @@
     own: Option<SocketAddr>,
     seeds: Vec<SocketAddr>,
     control_planes: BTreeMap<SocketAddr, String>,
-    /// When those failed that are not to be asked again yet.
+    /// Times of recent failures by address.
     failed: BTreeMap<SocketAddr, Millis>,
     following: Option<Followed>,
-    /// Whether anybody has had a word of this moment for this process. After a start of the whole system nobody has one.
+    /// Whether this process has received a fresh heartbeat from any control plane. After a start of the whole
+    /// deployment no control plane sends one at first.
     has_seen_fresh_heartbeat: bool,
     leader: Option<SocketAddr>,
-    /// Who holds the counts.
+    /// The holders of the quota counters.
     assignment: HolderAssignment,
-    started: Millis,
+    started_at: Millis,
 }
 
 impl PeerChoice {
-    /// A follower of this name and zone, itself at `own` if it serves control, that knows some seeds.
+    /// Creates the state of a follower with this name and zone that knows some seeds. `own` is the address of the
+    /// process itself if it is a control plane.
     pub fn new(now: Millis, name: &str, zone: &str, own: Option<SocketAddr>, seeds: Vec<SocketAddr>) -> Self {
         Self {
             name: name.to_owned(),
@@ -77,42 +82,42 @@
             has_seen_fresh_heartbeat: false,
             leader: None,
             assignment: HolderAssignment::default(),
-            started: now,
+            started_at: now,
         }
     }
 
-    /// The settings name other seeds.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
-    /// Who serves control, and in which zone.
+    /// Replaces the known control planes and their zones.
     pub fn set_control_planes(&mut self, control_planes: impl IntoIterator<Item = (SocketAddr, String)>) {
         self.control_planes = control_planes.into_iter().take(MAX_CONTROL_PLANES).collect();
     }
 
-    /// Who is followed now.
+    /// The address of the followed control plane.
     pub fn following(&self) -> Option<SocketAddr> {
-        self.following.as_ref().map(|f| f.to)
+        self.following.as_ref().map(|followed| followed.address)
     }
 
-    /// Who holds the counts, as far as known.
+    /// The newest known assignment of quota counters to holders.
     pub fn assignment(&self) -> &HolderAssignment {
         &self.assignment
     }
 
-    /// Where the leader is, as far as known; it holds counts, alone or with others.
+    /// The address of the leader, if known. The leader is always one of the quota holders.
     pub fn leader(&self) -> Option<SocketAddr> {
         self.leader
     }
 
-    /// Where the holders of the counts are.
+    /// The addresses of the quota holders.
     pub fn holders(&self) -> impl Iterator<Item = SocketAddr> {
         let all = self.assignment.holders.iter().filter_map(|holder| holder.parse().ok());
         all.filter(|_| self.leader.is_some())
     }
 
-    /// Who is to be dialed now, if nobody is followed.
+    /// The control plane to dial and follow now, if none is followed.
     pub fn next_to_dial(&mut self, now: Millis) -> Option<SocketAddr> {
         if self.following.is_some() {
             return None;
@@ -122,15 +127,15 @@
         Some(to)
     }
 
-    /// This one is followed from now on, and whoever was followed has failed.
+    /// Switches to another control plane and marks the previous one as failed.
     pub fn follow(&mut self, now: Millis, to: SocketAddr) {
         self.mark_failed(now);
         self.start_following(now, to);
     }
 
-    fn start_following(&mut self, now: Millis, to: SocketAddr) {
+    fn start_following(&mut self, now: Millis, address: SocketAddr) {
         self.following = Some(Followed {
-            to,
+            address,
             last_message_at: now,
             fresh_at: now,
             answered_at: now,
@@ -141,8 +146,9 @@
         });
     }
 
-    /// All that may be followed, the best one first: not one that just failed, of the own zone first, then by a hash of both
-    /// names, so that each follower has an order of its own and all together spread evenly.
+    /// All control planes in order of preference: first those without a recent failure, then those of the own zone,
+    /// then by a hash of the follower's name and the address. The hash gives each follower its own order and spreads
+    /// followers evenly.
     fn ranked(&self, now: Millis) -> Vec<SocketAddr> {
         let seeds = self.seeds.iter().map(|seed| (*seed, ""));
         let known = self.control_planes.iter().map(|(address, zone)| (*address, zone.as_str()));
@@ -158,7 +164,7 @@
         others.into_iter().map(|(address, _)| address).filter(|address| seen.insert(*address)).collect()
     }
 
-    /// All but the one that is followed, the best one first.
+    /// All control planes except the followed one, in order of preference.
     pub fn others(&self, now: Millis) -> Vec<SocketAddr> {
         let following = self.following();
         self.ranked(now).into_iter().filter(|address| Some(*address) != following).collect()
@@ -166,22 +172,22 @@
 
     fn best(&self, now: Millis) -> Option<SocketAddr> {
         let best = *self.ranked(now).first()?;
-        self.failed_at(&best, now).is_none_or(|at| now >= at + RETRY_INTERVAL).then_some(best)
+        self.failed_at(&best, now).is_none_or(|at| now >= at + RETRY_INTERVAL_MS).then_some(best)
     }
 
     fn failed_at(&self, address: &SocketAddr, now: Millis) -> Option<Millis> {
-        self.failed.get(address).copied().filter(|at| now < at + FAILED_PEER_PENALTY)
+        self.failed.get(address).copied().filter(|at| now < at + FAILED_PEER_PENALTY_MS)
     }
 
-    /// Nothing was to be had from the one that is followed.
+    /// Marks the followed control plane as failed and stops following it.
     pub fn mark_failed(&mut self, now: Millis) {
         if let Some(following) = self.following.take() {
-            self.failed.insert(following.to, now);
-            self.failed.retain(|_, at| now < *at + FAILED_PEER_PENALTY);
+            self.failed.insert(following.address, now);
+            self.failed.retain(|_, at| now < *at + FAILED_PEER_PENALTY_MS);
         }
     }
 
-    /// The one that is followed said something.
+    /// Records that a message of the followed control plane has arrived.
     pub fn record_message(&mut self, now: Millis) {
         if let Some(following) = &mut self.following {
             following.last_message_at = now;
@@ -189,10 +195,10 @@
         }
     }
 
-    /// The one that is followed says how things stand.
+    /// Handles a heartbeat of the followed control plane.
     pub fn on_heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
         let leader = heartbeat.leader.as_ref().and_then(|l| l.parse().ok());
-        // One that is cut off may go on naming a leader of old.
+        // An isolated control plane may still name a former leader.
         let epoch = Epoch { term: heartbeat.term, number: heartbeat.assignment.max(1) };
         if heartbeat.fresh && epoch >= self.assignment.epoch || self.leader.is_none() {
             self.leader = leader;
@@ -214,7 +220,7 @@
         }
     }
 
-    /// The one that is followed has answered that it is in touch with the leader; its next heartbeat will say so.
+    /// The followed control plane has answered that the leader confirms its state. Its next heartbeat will be fresh.
     pub fn on_fresh_answer(&mut self, now: Millis) {
         if let Some(following) = &mut self.following {
             following.answered_at = now;
@@ -222,33 +228,35 @@
         }
     }
 
-    /// Whether the one that is followed is to be left.
+    /// Whether the followed control plane should be abandoned.
     pub fn should_leave(&self, now: Millis) -> bool {
         let Some(following) = &self.following else { return false };
         let is_available = |address: &SocketAddr| self.failed_at(address, now).is_none();
         let others = self.control_planes.keys().chain(&self.seeds);
-        let others = others.filter(|a| **a != following.to && Some(**a) != self.own).any(is_available);
-        let has_alternative = self.has_seen_fresh_heartbeat && others;
-        let stale_after = if following.was_fresh || !following.has_sent_message || !has_alternative {
-            STALE_TIMEOUT
+        let has_alternative =
+            others.filter(|a| **a != following.address && Some(**a) != self.own).any(is_available);
+        let shortens_timeouts = self.has_seen_fresh_heartbeat && has_alternative;
+        let stale_after = if following.was_fresh || !following.has_sent_message || !shortens_timeouts {
+            STALE_TIMEOUT_MS
         } else {
-            FIRST_FRESH_HEARTBEAT_TIMEOUT
+            FIRST_FRESH_HEARTBEAT_TIMEOUT_MS
         };
         let fresh_at = following.fresh_at.max(following.answered_at);
         let is_stale = !following.fresh && now > fresh_at + stale_after;
-        let silence_timeout = if following.has_sent_message || !has_alternative {
-            SILENCE_TIMEOUT
+        let silence_timeout = if following.has_sent_message || !shortens_timeouts {
+            SILENCE_TIMEOUT_MS
         } else {
-            FIRST_MESSAGE_TIMEOUT
+            FIRST_MESSAGE_TIMEOUT_MS
         };
-        now > following.last_message_at + silence_timeout || is_stale && others
+        now > following.last_message_at + silence_timeout || is_stale && has_alternative
     }
 
-    /// Whether a configuration that comes now may be taken by a process that has none yet: one that is behind would
-    /// bring an old one into force again. What came from a former one is not is_confirmed for by the present one, whose word
-    /// comes before its configuration.
+    /// Whether a process that has no configuration yet may adopt a received one of this version. A control plane that
+    /// lags behind would put an outdated configuration into effect again. The version must be at least that of the
+    /// last fresh heartbeat, because the configuration may come from a previously followed control plane: a control
+    /// plane sends its heartbeat before its configuration.
     pub fn may_adopt_first_config(&self, now: Millis, version: u64) -> bool {
         let is_confirmed = |followed: &Followed| followed.fresh && version >= followed.version;
-        self.following.as_ref().is_some_and(is_confirmed) || now > self.started + STALE_CONFIG_DELAY
+        self.following.as_ref().is_some_and(is_confirmed) || now > self.started_at + STALE_CONFIG_DELAY_MS
     }
 }
--- a/crates/transport/src/search.rs
+++ b/crates/transport/src/search.rs
@@ -1,113 +1,123 @@
-//! Processes that are asked whether they are in touch with the leader, while the one that is followed may not be.
+//! Search for a control plane whose state the leader confirms, while the followed one may be isolated from the
+//! leader.
 
 use crate::upstream::Upstream;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Milliseconds of the host's steady clock.
+/// Milliseconds of the host's monotonic clock.
 type Millis = u64;
 
-/// Who was dialed is dialed anew after this: a process that is dead refuses at once.
-const AGAIN: Millis = 400;
-/// Who answered that it is cut off is asked anew after this.
-const ASK_AGAIN: Millis = 200;
+/// Minimum time between two dials of the same address: a dead process refuses connections immediately.
+const REDIAL_INTERVAL_MS: Millis = 400;
+/// Query interval on a connection, for candidates that have answered that they are isolated.
+const QUERY_INTERVAL_MS: Millis = 200;
 
-/// After the first answer that is new enough the others, and the one that is followed, have this long to give one too: with a
-/// new leader the leader itself answers first, and not all may go over to it.
-const SETTLES: Millis = 150;
-/// An answer that is older than this does not make a candidate one to go over to.
-const LATELY: Millis = 2 * ASK_AGAIN;
+/// After the first fresh answer, the other candidates and the followed control plane have this long to give a fresh
+/// answer too. After an election the new leader itself answers first, and not all data planes should switch to it.
+const SETTLE_TIME_MS: Millis = 150;
+/// A candidate is chosen only if its last fresh answer is newer than this.
+const MAX_ANSWER_AGE_MS: Millis = 2 * QUERY_INTERVAL_MS;
 
 struct Candidate {
     upstream: Upstream,
-    asked_at: Option<Millis>,
-    /// When an answer of it was new enough first, and last.
-    found_at: Option<Millis>,
-    fresh_at: Option<Millis>,
+    last_query_at: Option<Millis>,
+    /// Times of the first and the last fresh answer of the candidate.
+    first_fresh_at: Option<Millis>,
+    last_fresh_at: Option<Millis>,
 }
 
-/// The connections to them.
+/// The connections to the candidates.
 #[derive(Default)]
-pub(crate) struct Search {
-    /// The best one first.
+pub(crate) struct CandidateSearch {
+    /// Connections in the order in which they were dialed.
     candidates: Vec<Candidate>,
     dialed: BTreeMap<SocketAddr, Millis>,
-    /// When one of them gave an answer that is new enough first.
-    found_at: Option<Millis>,
+    /// Time of the first fresh answer of any candidate.
+    first_fresh_at: Option<Millis>,
 }
 
-impl Search {
-    /// It is over: all connections end.
-    pub(crate) fn end(&mut self) {
+impl CandidateSearch {
+    /// Ends the search and closes all connections.
+    pub(crate) fn cancel(&mut self) {
         self.candidates.clear();
         self.dialed.clear();
-        self.found_at = None;
+        self.first_fresh_at = None;
     }
 
-    /// Whether one of them is in touch with the leader.
-    pub(crate) fn has_found(&self) -> bool {
-        self.found_at.is_some()
+    /// Whether any candidate has given a fresh answer.
+    pub(crate) fn has_fresh_candidate(&self) -> bool {
+        self.first_fresh_at.is_some()
     }
 
-    /// An answer of this connection is new enough.
-    pub(crate) fn found(&mut self, now: Millis, number: u64) {
-        self.found_at.get_or_insert(now);
-        for candidate in self.candidates.iter_mut().filter(|one| one.upstream.number == number) {
-            candidate.found_at.get_or_insert(now);
-            candidate.fresh_at = Some(now);
+    /// Records a fresh answer on the connection with this number.
+    pub(crate) fn record_fresh_answer(&mut self, now: Millis, number: u64) {
+        self.first_fresh_at.get_or_insert(now);
+        for candidate in self.candidates.iter_mut().filter(|candidate| candidate.upstream.number == number) {
+            candidate.first_fresh_at.get_or_insert(now);
+            candidate.last_fresh_at = Some(now);
         }
     }
 
-    /// Who is to be dialed so that so many are asked, of these in their order.
+    /// The addresses to dial so that `width` candidates are queried, chosen from `others` in order.
     pub(crate) fn next_to_dial(
         &mut self, now: Millis, others: impl Iterator<Item = SocketAddr>, width: usize,
     ) -> Vec<SocketAddr> {
         self.candidates.retain(|candidate| !candidate.upstream.is_lost());
-        self.dialed.retain(|_, at| now < *at + AGAIN);
+        self.dialed.retain(|_, at| now < *at + REDIAL_INTERVAL_MS);
         let missing = width.saturating_sub(self.candidates.len());
-        let rests = |to: &SocketAddr| self.dialed.contains_key(to);
-        let is_open = |to: &SocketAddr| self.candidates.iter().any(|one| one.upstream.to == *to);
-        let next: Vec<_> = others.filter(|to| !rests(to) && !is_open(to)).take(missing).collect();
-        self.dialed.extend(next.iter().map(|to| (*to, now)));
+        let is_backing_off = |address: &SocketAddr| self.dialed.contains_key(address);
+        let is_open = |to: &SocketAddr| self.candidates.iter().any(|other| other.upstream.address == *to);
+        let next: Vec<_> =
+            others.filter(|address| !is_backing_off(address) && !is_open(address)).take(missing).collect();
+        self.dialed.extend(next.iter().map(|address| (*address, now)));
         next
     }
 
-    /// Another one is asked.
+    /// Adds a candidate.
     pub(crate) fn add(&mut self, upstream: Upstream) {
-        self.candidates.push(Candidate { upstream, asked_at: None, found_at: None, fresh_at: None });
+        self.candidates.push(Candidate {
+            upstream,
+            last_query_at: None,
+            first_fresh_at: None,
+            last_fresh_at: None,
+        });
     }
 
-    /// The connection of this number.
+    /// The connection with this number.
     pub(crate) fn connection(&mut self, number: u64) -> Option<&mut Upstream> {
-        let of_number = |candidate: &&mut Candidate| candidate.upstream.number == number;
-        self.candidates.iter_mut().find(of_number).map(|candidate| &mut candidate.upstream)
+        let has_number = |candidate: &&mut Candidate| candidate.upstream.number == number;
+        self.candidates.iter_mut().find(has_number).map(|candidate| &mut candidate.upstream)
     }
 
-    /// A connection is over.
-    pub(crate) fn lost(&mut self, number: u64) {
+    /// Removes a lost connection.
+    pub(crate) fn remove(&mut self, number: u64) {
         self.candidates.retain(|candidate| candidate.upstream.number != number);
     }
 
-    /// Takes the connection out on which an answer was new enough first, and is so lately, once all had the time for one, and
-    /// ends all others. Who answers first is least loaded: the first in a data plane's own order may be the reason why it searches.
-    pub(crate) fn choose(&mut self, now: Millis) -> Option<Upstream> {
-        self.found_at.filter(|found_at| now >= found_at + SETTLES)?;
-        let is_fresh = |candidate: &Candidate| candidate.fresh_at.is_some_and(|at| now < at + LATELY);
+    /// Once the settle time has passed, takes the candidate with the earliest fresh answer among those with a recent
+    /// one, and closes all other connections. The candidate that answers first is the least loaded one. The first one
+    /// in the data plane's own order of preference may be the cause of the search.
+    pub(crate) fn take_best(&mut self, now: Millis) -> Option<Upstream> {
+        self.first_fresh_at.filter(|first_fresh_at| now >= first_fresh_at + SETTLE_TIME_MS)?;
+        let is_fresh =
+            |candidate: &Candidate| candidate.last_fresh_at.is_some_and(|at| now < at + MAX_ANSWER_AGE_MS);
         let fresh = self.candidates.iter().enumerate().filter(|(_, candidate)| is_fresh(candidate));
-        let (at, _) = fresh.min_by_key(|(_, candidate)| candidate.found_at)?;
-        let chosen = self.candidates.swap_remove(at).upstream;
-        self.end();
+        let (index, _) = fresh.min_by_key(|(_, candidate)| candidate.first_fresh_at)?;
+        let chosen = self.candidates.swap_remove(index).upstream;
+        self.cancel();
         Some(chosen)
     }
 
-    /// The connections on which a question is due.
-    pub(crate) fn due_questions(&mut self, now: Millis) -> Vec<&Upstream> {
+    /// The connections on which a query is due.
+    pub(crate) fn due_queries(&mut self, now: Millis) -> Vec<&Upstream> {
         let is_due = |candidate: &&mut Candidate| {
-            candidate.upstream.answers && candidate.asked_at.is_none_or(|at| now >= at + ASK_AGAIN)
+            candidate.upstream.answers_queries
+                && candidate.last_query_at.is_none_or(|at| now >= at + QUERY_INTERVAL_MS)
         };
         let due = self.candidates.iter_mut().filter(is_due);
         due.map(|candidate| {
-            candidate.asked_at = Some(now);
+            candidate.last_query_at = Some(now);
             &candidate.upstream
         })
         .collect()
--- a/crates/transport/src/upstream.rs
+++ b/crates/transport/src/upstream.rs
@@ -1,4 +1,4 @@
-//! A connection of a follower to a process that serves control, from its dial to its end.
+//! A connection of a follower to a control plane, from dialing to its end.
 
 use crate::connection::{ConnectionError, FrameReader, FrameSender, Received, dial};
 use crate::spawn;
@@ -9,70 +9,74 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Bytes of a message that is still on its way are a sign of life, noted this often at most.
-const PART_NOTED: Duration = Duration::from_millis(300);
+/// Minimum interval between two reports that part of a message has arrived.
+const PARTIAL_REPORT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What happened on a connection: its number, and what came or why it ended.
+/// An event on a connection: the connection number, and what was received or why the connection was lost.
 pub(crate) type Event = (u64, Result<Received, ConnectionError>);
 
-/// Where a connection says that it stands, and what comes on it.
+/// Channels on which connections report to the follower.
 #[derive(Clone, Debug)]
 pub(crate) struct Inbox {
-    /// Connections that have come up.
-    pub(crate) lines: mpsc::Sender<(u64, FrameSender)>,
-    /// All that comes on them.
+    /// Established connections.
+    pub(crate) connected: mpsc::Sender<(u64, FrameSender)>,
+    /// Events on established connections, and failures to connect.
     pub(crate) events: mpsc::Sender<Event>,
 }
 
-/// A connection. It ends when this is dropped.
+/// A connection. Dropping this value closes the connection.
 pub(crate) struct Upstream {
     pub(crate) number: u64,
-    pub(crate) to: SocketAddr,
-    /// Nothing while it comes up.
-    pub(crate) line: Option<FrameSender>,
-    /// Whether the other end answers questions about its freshness.
-    pub(crate) answers: bool,
+    pub(crate) address: SocketAddr,
+    /// `None` until the connection is established.
+    pub(crate) sender: Option<FrameSender>,
+    /// Whether the peer answers freshness queries.
+    pub(crate) answers_queries: bool,
 }
 
 impl Upstream {
-    /// Dials a process and says this first.
-    pub(crate) fn open(number: u64, to: SocketAddr, detours: Detours, hello: Message, inbox: Inbox) -> Self {
+    /// Dials a process and sends `hello` as the first message.
+    pub(crate) fn open(
+        number: u64, address: SocketAddr, detours: Detours, hello: Message, inbox: Inbox,
+    ) -> Self {
         spawn(async move {
-            match dial(to, &detours).await {
-                Ok((line, reader)) => carry(number, line, reader, &hello, &inbox).await,
+            match dial(address, &detours).await {
+                Ok((sender, reader)) => forward_events(number, sender, reader, &hello, &inbox).await,
                 Err(error) => drop(inbox.events.send((number, Err(error))).await),
             }
         });
-        Self { number, to, line: None, answers: false }
+        Self { number, address, sender: None, answers_queries: false }
     }
 
-    /// Queues a message; false if the connection is not there.
+    /// Queues a message. Returns false if the connection is not established or is lost.
     pub(crate) fn send(&self, message: &Message) -> bool {
-        self.line.as_ref().is_some_and(|line| line.send(message))
+        self.sender.as_ref().is_some_and(|sender| sender.send(message))
     }
 
     pub(crate) fn is_lost(&self) -> bool {
-        self.line.as_ref().is_some_and(FrameSender::is_lost)
+        self.sender.as_ref().is_some_and(FrameSender::is_lost)
     }
 }
 
-/// Tells of a connection that stands, then of all that comes on it until it is over.
-async fn carry(number: u64, line: FrameSender, mut reader: FrameReader, hello: &Message, inbox: &Inbox) {
-    line.send(hello);
-    if inbox.lines.send((number, line)).await.is_err() {
+/// Reports an established connection, then all events on it until it is lost.
+async fn forward_events(
+    number: u64, sender: FrameSender, mut reader: FrameReader, hello: &Message, inbox: &Inbox,
+) {
+    sender.send(hello);
+    if inbox.connected.send((number, sender)).await.is_err() {
         return;
     }
-    let mut noted = Instant::now();
+    let mut reported_at = Instant::now();
     loop {
         let next = reader.receive().await;
         if matches!(next, Ok(Received::Partial)) {
-            if noted.elapsed() < PART_NOTED {
+            if reported_at.elapsed() < PARTIAL_REPORT_INTERVAL {
                 continue;
             }
-            noted = Instant::now();
+            reported_at = Instant::now();
         }
-        let over = next.is_err();
-        if inbox.events.send((number, next)).await.is_err() || over {
+        let is_lost = next.is_err();
+        if inbox.events.send((number, next)).await.is_err() || is_lost {
             return;
         }
     }
--- a/crates/transport/tests/config_snapshots.rs
+++ b/crates/transport/tests/config_snapshots.rs
@@ -1,4 +1,4 @@
-//! Configurations as differences: what is rebuilt is what was sent, or nothing.
+//! Configurations encoded as differences: rebuilding yields exactly the sent body or an error.
 
 use protocol::{ConfigDelta, ConfigId, ConfigSnapshot, Message, frame, unframe};
 use transport::config_snapshots::{ConfigEncoder, DeltaError, config_id, rebuild};
@@ -8,65 +8,63 @@
     entries.join(",").into_bytes()
 }
 
-fn sent(bytes: &[u8]) -> Message {
-    unframe(bytes).expect("a frame").expect("a whole one").0
+fn decode(bytes: &[u8]) -> Message {
+    unframe(bytes).expect("a valid frame").expect("a complete frame").0
 }
 
-fn as_delta(has: ConfigId, base: Option<&[u8]>, version: u64, whole: &[u8]) -> ConfigDelta {
-    match sent(&ConfigEncoder::new(version, whole).frame(has, base, whole)) {
+fn encode_delta(receiver: ConfigId, base: Option<&[u8]>, version: u64, body: &[u8]) -> ConfigDelta {
+    match decode(&ConfigEncoder::new(version, body).frame(receiver, base, body)) {
         Message::ConfigDelta(config_delta) => config_delta,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn a_change_is_a_few_bytes_and_rebuilds_every_byte() {
+fn a_change_is_encoded_in_few_bytes_and_rebuilds_exactly() {
     let base = table(0..400);
     for at in [0, 1, 200, 398, 399] {
-        let whole = table((0..400).map(|n| if n == at { 9000 } else { n }));
-        let config_delta = as_delta(config_id(3, &base), Some(&base), 8, &whole);
+        let body = table((0..400).map(|n| if n == at { 9000 } else { n }));
+        let config_delta = encode_delta(config_id(3, &base), Some(&base), 8, &body);
         assert!(
             config_delta.base == 3 && config_delta.bytes.len() < 100,
             "{} bytes",
             config_delta.bytes.len()
         );
-        assert_eq!(
-            rebuild(Some(&base), &config_delta).ok(),
-            Some(ConfigSnapshot { version: 8, body: whole })
-        );
+        assert_eq!(rebuild(Some(&base), &config_delta).ok(), Some(ConfigSnapshot { version: 8, body }));
     }
-    // Nothing is known: the text's own repeats are what is saved.
-    let first = as_delta(ConfigId::default(), None, 3, &base);
+    // Without a base, repetitions within the body are compressed.
+    let first = encode_delta(ConfigId::default(), None, 3, &base);
     assert!(first.base == 0 && first.bytes.len() * 2 < base.len());
     assert_eq!(rebuild(None, &first).map(|config_snapshot| config_snapshot.body).ok(), Some(base));
 }
 
-/// As many routes as are planned, and less: what changed is a few hundred bytes, however far back the rest lies.
+/// With the planned maximum number of routes, and with fewer, a change takes a few hundred bytes even though repeats
+/// are megabytes apart.
 #[test]
-fn a_change_of_megabytes_is_as_short() {
+fn a_change_of_a_body_of_megabytes_is_encoded_in_few_bytes() {
     for entries in [30_000, 200_000] {
         let base = table(0..entries);
-        let whole = table((0..entries).map(|n| if n == entries / 2 { 9 } else { n }));
-        let config_delta = as_delta(config_id(3, &base), Some(&base), 8, &whole);
-        let (length, bytes) = (whole.len(), config_delta.bytes.len());
-        println!("{length} bytes, {bytes} on the way");
-        assert!(bytes < 1000, "{length} bytes, {bytes} on the way");
+        let body = table((0..entries).map(|n| if n == entries / 2 { 9 } else { n }));
+        let config_delta = encode_delta(config_id(3, &base), Some(&base), 8, &body);
+        let (length, bytes) = (body.len(), config_delta.bytes.len());
+        println!("body of {length} bytes, encoded in {bytes}");
+        assert!(bytes < 1000, "body of {length} bytes, encoded in {bytes}");
         let rebuilt = rebuild(Some(&base), &config_delta).map(|config_snapshot| config_snapshot.body);
-        assert_eq!(rebuilt.ok(), Some(whole));
+        assert_eq!(rebuilt.ok(), Some(body));
     }
 }
 
 #[test]
-fn another_base_gives_an_error_and_never_another_body() {
-    let (base, whole) = (table(0..300), table(1..301));
-    let config_delta = as_delta(config_id(3, &base), Some(&base), 4, &whole);
+fn a_wrong_base_yields_an_error_and_never_a_wrong_body() {
+    let (base, body) = (table(0..300), table(1..301));
+    let config_delta = encode_delta(config_id(3, &base), Some(&base), 4, &body);
     assert!(matches!(rebuild(None, &config_delta), Err(DeltaError::MissingBase { version: 4, base: 3 })));
     for at in (0..base.len()).step_by(7) {
         let mut other = base.clone();
         other[at] ^= 1;
-        // Where the changed byte is not drawn on, the body comes out all the same.
+        // If the difference does not reference the changed byte, the body is rebuilt correctly.
         if let Ok(config_snapshot) = rebuild(Some(&other), &config_delta) {
-            assert_eq!(config_snapshot.body, whole);
+            assert_eq!(config_snapshot.body, body);
         }
     }
     let other = rebuild(Some(&table(7..300)), &config_delta);
@@ -81,37 +79,37 @@
 }
 
 #[test]
-fn any_bit_changed_on_the_way_gives_an_error_or_the_body() {
-    let (base, whole) = (table(0..40), table((0..40).map(|n| n / 2 * 3)));
-    let config_delta = as_delta(config_id(1, &base), Some(&base), 2, &whole);
+fn a_flipped_bit_yields_an_error_or_the_correct_body() {
+    let (base, body) = (table(0..40), table((0..40).map(|n| n / 2 * 3)));
+    let config_delta = encode_delta(config_id(1, &base), Some(&base), 2, &body);
     for bit in 0..config_delta.bytes.len() * 8 {
         let mut damaged = config_delta.clone();
         damaged.bytes[bit / 8] ^= 1 << (bit % 8);
         if let Ok(config_snapshot) = rebuild(Some(&base), &damaged) {
-            assert_eq!(config_snapshot.body, whole);
+            assert_eq!(config_snapshot.body, body);
         }
     }
 }
 
 #[test]
-fn it_is_made_once_for_all_that_have_the_same_and_never_on_a_namesake() {
-    let (base, whole) = (table(0..90), table(0..91));
-    let mut config_snapshots = ConfigEncoder::new(2, &whole);
-    let one = config_snapshots.frame(config_id(1, &base), Some(&base), &whole);
-    let other = config_snapshots.frame(config_id(1, &base), Some(&base), &whole);
+fn a_frame_is_encoded_once_per_base_and_never_from_a_different_body_of_the_same_version() {
+    let (base, body) = (table(0..90), table(0..91));
+    let mut encoder = ConfigEncoder::new(2, &body);
+    let one = encoder.frame(config_id(1, &base), Some(&base), &body);
+    let other = encoder.frame(config_id(1, &base), Some(&base), &body);
     assert!(std::rc::Rc::ptr_eq(&one, &other));
-    // The same version with another body, and one that is kept no more: both get what needs no base.
-    let namesake = config_snapshots.frame(config_id(1, b"{}"), Some(&base), &whole);
-    let unknown = config_snapshots.frame(config_id(9, &base), None, &whole);
-    assert!(std::rc::Rc::ptr_eq(&namesake, &unknown));
-    assert!(matches!(sent(&namesake), Message::ConfigDelta(ConfigDelta { base: 0, .. })));
-    assert_eq!(config_snapshots.config_id(), config_id(2, &whole));
+    // The same version with another body, and a version that is no longer kept: both get a difference without a base.
+    let same_version = encoder.frame(config_id(1, b"{}"), Some(&base), &body);
+    let unknown = encoder.frame(config_id(9, &base), None, &body);
+    assert!(std::rc::Rc::ptr_eq(&same_version, &unknown));
+    assert!(matches!(decode(&same_version), Message::ConfigDelta(ConfigDelta { base: 0, .. })));
+    assert_eq!(encoder.config_id(), config_id(2, &body));
 }
 
 #[test]
-fn what_gets_no_shorter_goes_whole() {
-    let mut config_snapshots = ConfigEncoder::new(1, b"{}");
-    let whole = frame(&Message::ConfigSnapshot(ConfigSnapshot { version: 1, body: b"{}".to_vec() }));
-    assert_eq!(*config_snapshots.frame(ConfigId::default(), None, b"{}"), *whole);
-    assert_eq!(*config_snapshots.snapshot_frame(b"{}"), *whole);
+fn a_body_that_does_not_compress_is_sent_complete() {
+    let mut encoder = ConfigEncoder::new(1, b"{}");
+    let expected = frame(&Message::ConfigSnapshot(ConfigSnapshot { version: 1, body: b"{}".to_vec() }));
+    assert_eq!(*encoder.frame(ConfigId::default(), None, b"{}"), *expected);
+    assert_eq!(*encoder.snapshot_frame(b"{}"), *expected);
 }
--- a/crates/transport/tests/freshness.rs
+++ b/crates/transport/tests/freshness.rs
@@ -1,46 +1,51 @@
-//! How old what a data plane goes by may be, and whom it asks.
+//! The age of a data plane's state, the width of the search for a fresh control plane, and drain records.
 
 use protocol::FreshnessAnswer;
 use transport::DrainRecords;
-use transport::freshness::{Freshness, MIN_BOUND_MS, is_achievable, stale_after};
+use transport::freshness::{FreshnessTracker, MIN_BOUND_MS, is_achievable, stale_after};
 use yare::parameterized;
 
-const STALE: u64 = 900;
+const STALE_AFTER_MS: u64 = 900;
 
-/// One that has had an answer of this moment at second 10.
-fn answered_at_10_s() -> Freshness {
-    let mut freshness = Freshness::new(0, STALE);
-    freshness.understood();
-    let number = freshness.question(10_000);
-    assert_eq!(freshness.answered(number, 0), Some(10_000));
+/// A tracker with an answer of age 0 to a query sent at 10 s.
+fn answered_at_10_s() -> FreshnessTracker {
+    let mut freshness = FreshnessTracker::new(0, STALE_AFTER_MS);
+    freshness.mark_supported();
+    let number = freshness.start_query(10_000);
+    assert_eq!(freshness.record_answer(number, 0), Some(10_000));
     freshness
 }
 
 #[parameterized(
-    at_once = { 10_050, 0, 50 },
-    the_leader_s_word_was_older = { 10_050, 300, 350 },
-    the_answer_lay_in_a_socket = { 14_000, 0, 4_000 },
+    immediate = { 10_050, 0, 50 },
+    old_leader_response = { 10_050, 300, 350 },
+    delayed_answer = { 14_000, 0, 4_000 },
     both = { 14_000, 300, 4_300 },
 )]
-fn an_answer_counts_from_its_question_and_from_the_leader_s_word(read_at: u64, age: u64, old: u64) {
-    let mut freshness = Freshness::new(0, STALE);
-    let number = freshness.question(10_000);
-    assert_eq!(freshness.answered(number, age), Some(10_000 - age));
-    assert_eq!(freshness.age(read_at), old);
+fn the_age_counts_from_the_query_and_the_age_of_the_leader_s_response(
+    read_at: u64, age: u64, expected_age: u64,
+) {
+    let mut freshness = FreshnessTracker::new(0, STALE_AFTER_MS);
+    let number = freshness.start_query(10_000);
+    assert_eq!(freshness.record_answer(number, age), Some(10_000 - age));
+    assert_eq!(freshness.age(read_at), expected_age);
 }
 
 #[test]
-fn an_answer_counts_once_and_only_to_what_was_asked() {
+fn an_answer_counts_once_and_only_for_a_sent_query() {
     let mut freshness = answered_at_10_s();
-    assert_eq!(freshness.answered(1, 0), None, "the same once more");
-    assert_eq!(freshness.answered(7, 0), None, "never asked");
-    let (older, newer) = (freshness.question(11_000), freshness.question(12_000));
-    assert_eq!((freshness.answered(newer, 0), freshness.answered(older, 0)), (Some(12_000), Some(11_000)));
-    assert_eq!(freshness.age(12_000), 0, "a late answer makes nothing older");
+    assert_eq!(freshness.record_answer(1, 0), None, "a duplicate answer");
+    assert_eq!(freshness.record_answer(7, 0), None, "no query has this number");
+    let (older, newer) = (freshness.start_query(11_000), freshness.start_query(12_000));
+    assert_eq!(
+        (freshness.record_answer(newer, 0), freshness.record_answer(older, 0)),
+        (Some(12_000), Some(11_000))
+    );
+    assert_eq!(freshness.age(12_000), 0, "a late answer does not increase the age");
 }
 
 #[test]
-fn twice_as_many_are_asked_with_each_step() {
+fn the_search_width_doubles_with_each_step() {
     let mut freshness = answered_at_10_s();
     for (now, width) in [(10_899, 0), (10_900, 2), (10_999, 2), (11_000, 4), (11_100, 8), (11_299, 16)] {
         assert_eq!(freshness.width(now), width, "at {now}");
@@ -48,25 +53,25 @@
 }
 
 #[test]
-fn an_answer_that_is_nearly_too_old_ends_no_search() {
+fn an_answer_that_is_nearly_stale_does_not_end_a_search() {
     let mut freshness = answered_at_10_s();
     assert_eq!(freshness.width(10_900), 2);
-    let number = freshness.question(10_950);
-    let as_of = freshness.answered(number, 800).expect("it was asked");
+    let number = freshness.start_query(10_950);
+    let as_of = freshness.record_answer(number, 800).expect("the query was sent");
     assert!(!freshness.is_recent(10_950, as_of));
     assert_eq!(freshness.width(11_000), 4);
-    let number = freshness.question(11_050);
-    let as_of = freshness.answered(number, 200).expect("it was asked");
+    let number = freshness.start_query(11_050);
+    let as_of = freshness.record_answer(number, 200).expect("the query was sent");
     assert!(freshness.is_recent(11_050, as_of));
     assert_eq!(freshness.width(11_100), 0);
-    assert_eq!(freshness.width(11_750), 2, "it begins anew");
+    assert_eq!(freshness.width(11_750), 2, "a new search starts");
 }
 
 #[test]
-fn nobody_is_searched_where_nobody_answers_or_at_the_start() {
-    let mut freshness = Freshness::new(0, STALE);
-    assert_eq!(freshness.width(60_000), 0, "processes of an earlier version");
-    freshness.understood();
+fn no_search_starts_without_support_or_right_after_the_start() {
+    let mut freshness = FreshnessTracker::new(0, STALE_AFTER_MS);
+    assert_eq!(freshness.width(60_000), 0, "control planes of an earlier version do not answer queries");
+    freshness.mark_supported();
     assert_eq!((freshness.width(1_999), freshness.width(2_000)), (0, 2));
 }
 
@@ -76,13 +81,13 @@
     shorter = { 1500, 550 },
     least = { 1450, 500 },
 )]
-fn the_age_follows_the_bound_and_keeps_it(bound: u64, age: u64) {
+fn the_stale_age_is_derived_from_the_bound_and_meets_it(bound: u64, age: u64) {
     assert_eq!(stale_after(bound), age);
     assert!(is_achievable(bound));
 }
 
 #[test]
-fn a_bound_that_is_too_short_is_not_said_to_be_kept() {
+fn a_bound_below_the_minimum_is_not_achievable() {
     assert!(!is_achievable(MIN_BOUND_MS - 1));
     assert!(is_achievable(MIN_BOUND_MS));
 }
@@ -93,26 +98,26 @@
 }
 
 #[test]
-fn records_come_in_parts_and_nobody_who_has_fewer_takes_any_back() {
+fn records_arrive_in_parts_and_a_sender_with_fewer_records_removes_none() {
     let mut records = DrainRecords::default();
     let first = answer(3, 0, &["a", "b"]);
-    assert_eq!(records.take(0, &first), ["a", "b"]);
+    assert_eq!(records.apply_answer(0, &first), ["a", "b"]);
     assert!(!records.is_complete(&first));
     let rest = answer(3, 2, &["c"]);
-    assert_eq!(records.take(10, &rest), ["c"]);
+    assert_eq!(records.apply_answer(10, &rest), ["c"]);
     assert!(records.is_complete(&rest));
-    assert!(records.take(20, &answer(1, 0, &[])).is_empty(), "one that has heard less");
+    assert!(records.apply_answer(20, &answer(1, 0, &[])).is_empty(), "a sender that lacks records");
     assert_eq!(records.last(), 3);
-    assert!(records.take(30, &answer(3, 2, &["c"])).is_empty(), "the same once more");
+    assert!(records.apply_answer(30, &answer(3, 2, &["c"])).is_empty(), "a duplicate answer");
 }
 
 #[test]
-fn records_of_a_log_that_begins_anew_are_taken_after_a_while() {
+fn records_of_a_replaced_log_are_accepted_after_a_timeout() {
     let mut records = DrainRecords::default();
-    records.take(0, &answer(2, 0, &["a", "b"]));
+    records.apply_answer(0, &answer(2, 0, &["a", "b"]));
     for now in [1_000, 3_000, 5_900] {
-        assert!(records.take(now, &answer(1, 0, &["x"])).is_empty());
+        assert!(records.apply_answer(now, &answer(1, 0, &["x"])).is_empty());
     }
-    assert_eq!(records.take(6_000, &answer(1, 0, &["x"])), ["x"]);
+    assert_eq!(records.apply_answer(6_000, &answer(1, 0, &["x"])), ["x"]);
     assert_eq!(records.last(), 1);
 }
--- a/crates/transport/tests/peer_choice.rs
+++ b/crates/transport/tests/peer_choice.rs
@@ -1,4 +1,4 @@
-//! Whom a follower follows, by what it heard and when.
+//! Selection of the followed control plane, depending on its messages and their times.
 
 use protocol::Heartbeat;
 use std::collections::BTreeMap;
@@ -21,25 +21,25 @@
 }
 
 #[test]
-fn its_own_zone_first_then_the_others_then_those_that_failed() {
+fn the_own_zone_ranks_first_and_failed_control_planes_last() {
     let mut peer_choice = peer_choice(&[(1, "b"), (2, "a"), (3, "c")]);
     assert_eq!(peer_choice.next_to_dial(0), Some(at(2)));
-    assert_eq!(peer_choice.next_to_dial(0), None, "one at a time");
+    assert_eq!(peer_choice.next_to_dial(0), None, "only one control plane is followed at a time");
     peer_choice.mark_failed(10);
-    let second = peer_choice.next_to_dial(10).expect("another one");
+    let second = peer_choice.next_to_dial(10).expect("another control plane");
     assert_ne!(second, at(2));
     peer_choice.mark_failed(20);
     peer_choice.next_to_dial(20);
     peer_choice.mark_failed(30);
     peer_choice.next_to_dial(30);
     peer_choice.mark_failed(40);
-    // All have failed: the one that failed first is asked first, but not in a circle without a pause.
+    // All have failed: the one that failed first is dialed first, but only after the retry interval.
     assert_eq!(peer_choice.next_to_dial(50), None);
     assert_eq!(peer_choice.next_to_dial(210), Some(at(2)));
 }
 
 #[test]
-fn silence_ends_it_and_a_word_in_time_does_not() {
+fn a_control_plane_is_abandoned_only_after_the_silence_timeout() {
     let mut peer_choice = peer_choice(&[(1, "a")]);
     peer_choice.next_to_dial(0);
     peer_choice.on_heartbeat(900, &heartbeat(1, 1, true));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn one_that_has_lost_the_leader_is_left_only_for_another() {
+fn a_control_plane_without_leader_contact_is_abandoned_only_with_an_alternative() {
     let mut alone = PeerChoice::new(0, "edge-1", "a", None, vec![at(1)]);
     let mut choice = peer_choice(&[(1, "a"), (2, "a")]);
     for peer_choice in [&mut alone, &mut choice] {
@@ -58,12 +58,12 @@
         peer_choice.record_message(1200);
         peer_choice.on_heartbeat(1200, &heartbeat(5, 2, false));
     }
-    assert!(!alone.should_leave(1300), "its news is better than none");
+    assert!(!alone.should_leave(1300), "outdated updates are better than none");
     assert!(choice.should_leave(1300));
 }
 
 #[test]
-fn a_leader_of_old_is_not_believed_again() {
+fn a_leader_of_an_older_term_is_ignored() {
     let mut peer_choice = peer_choice(&[(1, "a"), (2, "a")]);
     peer_choice.next_to_dial(0);
     peer_choice.on_heartbeat(0, &heartbeat(1, 3, true));
@@ -71,35 +71,38 @@
     peer_choice.on_heartbeat(20, &heartbeat(1, 3, true));
     assert_eq!(peer_choice.leader(), Some(at(2)));
     peer_choice.on_heartbeat(30, &heartbeat(1, 5, false));
-    assert_eq!(peer_choice.leader(), Some(at(2)), "who is cut off knows nothing of leaders");
+    assert_eq!(peer_choice.leader(), Some(at(2)), "an isolated control plane cannot name a new leader");
 }
 
 #[test]
-fn a_process_that_knows_nothing_waits_for_one_that_is_not_behind() {
+fn a_process_without_a_configuration_waits_for_an_up_to_date_control_plane() {
     let mut peer_choice = peer_choice(&[(1, "a")]);
     peer_choice.next_to_dial(0);
     peer_choice.on_heartbeat(10, &heartbeat(1, 1, false));
     assert!(!peer_choice.may_adopt_first_config(7000, 1));
-    assert!(peer_choice.may_adopt_first_config(8001, 1), "at last an old configuration is better than none");
+    assert!(
+        peer_choice.may_adopt_first_config(8001, 1),
+        "after the delay an outdated configuration is better than none"
+    );
     peer_choice.on_heartbeat(20, &heartbeat(1, 1, true));
     assert!(peer_choice.may_adopt_first_config(30, 1));
 }
 
 #[test]
-fn what_came_from_a_former_one_is_not_vouched_for_by_the_next() {
+fn a_configuration_from_a_previous_control_plane_is_not_confirmed_by_the_next() {
     let mut peer_choice = peer_choice(&[(1, "a")]);
     peer_choice.next_to_dial(0);
     peer_choice.on_heartbeat(10, &heartbeat(1, 1, false));
     peer_choice.mark_failed(20);
     peer_choice.next_to_dial(300);
-    // The next one says how new it is before its configuration comes.
+    // The next control plane sends its heartbeat with its version before its configuration.
     peer_choice.on_heartbeat(310, &Heartbeat { version: 9, ..heartbeat(1, 1, true) });
-    assert!(!peer_choice.may_adopt_first_config(320, 5), "r5 came from the one before");
+    assert!(!peer_choice.may_adopt_first_config(320, 5), "r5 was sent by the previous control plane");
     assert!(peer_choice.may_adopt_first_config(320, 9));
 }
 
 #[test]
-fn many_followers_spread_over_all() {
+fn many_followers_spread_over_all_control_planes() {
     let mut followed = BTreeMap::new();
     for number in 0..300 {
         let mut peer_choice = PeerChoice::new(0, &format!("edge-{number}"), "z", None, Vec::new());
@@ -109,41 +112,42 @@
     assert!(followed.len() == 6 && followed.values().all(|n| (25..=80).contains(n)), "{followed:?}");
 }
 
-/// Whoever follows a process that is cut off goes on until it has one that is not: within the shortest `drain_ms` of the
-/// deployments, counted from the last word of that process which was of this moment.
+/// A follower whose control plane becomes isolated tries others until one is not isolated. The limit is the shortest
+/// `drain_ms` of any deployment, counted from the last fresh heartbeat of the first control plane.
 #[test]
-fn the_second_that_is_cut_off_is_left_soon() {
-    const TICK: u64 = 200;
-    const CUT_AT: u64 = 5000;
-    for (name, speaks) in [("one that is behind", true), ("one that says nothing", false)] {
+fn a_second_isolated_control_plane_is_abandoned_soon() {
+    const TICK_MS: u64 = 200;
+    const ISOLATED_AT: u64 = 5000;
+    for (name, sends_messages) in [("stale control planes", true), ("silent control planes", false)] {
         let mut peer_choice = peer_choice(&[(1, "a"), (2, "b"), (3, "c")]);
-        let first = peer_choice.next_to_dial(0).expect("one");
+        let first = peer_choice.next_to_dial(0).expect("a control plane");
         let mut tried = vec![first];
         let mut found_at = None;
         for now in (0..20_000).step_by(50) {
-            let following = peer_choice.following().expect("somebody");
-            // The first is cut off, the second is too, the third is well.
-            let well = tried.len() == 3 || (following == first && now <= CUT_AT);
-            if well || speaks || following == first {
+            let following = peer_choice.following().expect("a followed control plane");
+            // The first and the second control plane are isolated, the third is not.
+            let is_fresh = tried.len() == 3 || (following == first && now <= ISOLATED_AT);
+            if is_fresh || sends_messages || following == first {
                 peer_choice.record_message(now);
-                peer_choice.on_heartbeat(now, &heartbeat(9, 1, well));
+                peer_choice.on_heartbeat(now, &heartbeat(9, 1, is_fresh));
             }
-            if well && now > CUT_AT {
+            if is_fresh && now > ISOLATED_AT {
                 found_at = Some(now);
                 break;
             }
-            if now % TICK == 0 && peer_choice.should_leave(now) {
+            if now % TICK_MS == 0 && peer_choice.should_leave(now) {
                 peer_choice.mark_failed(now);
                 tried.extend(peer_choice.next_to_dial(now));
             }
         }
-        assert!(found_at.is_some_and(|at| at < CUT_AT + 2000), "{name}: found at {found_at:?}");
+        assert!(found_at.is_some_and(|at| at < ISOLATED_AT + 2000), "{name}: found at {found_at:?}");
     }
 }
 
-/// After a start of the whole system nobody has a word of this moment, and going round costs those that start.
+/// After a start of the whole deployment no control plane sends a fresh heartbeat yet, and trying one after another
+/// would load the starting processes.
 #[test]
-fn before_the_first_word_of_this_moment_nobody_is_left_sooner() {
+fn timeouts_are_not_shortened_before_the_first_fresh_heartbeat() {
     let mut peer_choice = peer_choice(&[(1, "a"), (2, "a")]);
     peer_choice.next_to_dial(0);
     assert!(!peer_choice.should_leave(900));
--- a/crates/transport/tests/support/data_plane.rs
+++ b/crates/transport/tests/support/data_plane.rs
@@ -1,4 +1,4 @@
-//! A data plane, as it introduces itself.
+//! The identity that a data plane sends in its `Hello`.
 
 use protocol::{Hello, Plane};
 
