--- a/crates/control-plane/src/call.rs
+++ b/crates/control-plane/src/call.rs
@@ -1,6 +1,6 @@
 //! Calls of backends and operators, and the replies.
 
-use protocol::{Backend, OperatorCall};
+use protocol::{Backend, LeaderCall};
 
 /// A call on the control socket.
 #[derive(Debug)]
@@ -10,7 +10,7 @@
     /// A backend has ended; holds its id.
     Departure(String),
     /// An order of an operator.
-    Order(OperatorCall),
+    Order(LeaderCall),
     /// Query for the status of this process and what it knows.
     Status,
     /// Query for the latest accepted versions and their log positions.
@@ -29,10 +29,10 @@
         match self {
             Self::Heartbeat(_) => "beat",
             Self::Departure(_) => "departure",
-            Self::Order(OperatorCall::Replace { .. }) => "replace",
-            Self::Order(OperatorCall::Read) => "read",
-            Self::Order(OperatorCall::Remove(_)) => "remove",
-            Self::Order(OperatorCall::Drain(_)) => "drain",
+            Self::Order(LeaderCall::Replace { .. }) => "replace",
+            Self::Order(LeaderCall::Read) => "read",
+            Self::Order(LeaderCall::Remove(_)) => "remove",
+            Self::Order(LeaderCall::Drain(_)) => "drain",
             Self::Status => "status",
             Self::History | Self::VersionBody(_) => "history",
             Self::Events(_) => "events",
--- a/crates/control-plane/src/calls.rs
+++ b/crates/control-plane/src/calls.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use observability::Seldom;
-use protocol::{Backend, OperatorCall, Phase};
+use protocol::{Backend, LeaderCall, Phase};
 use serde::Deserialize;
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -98,7 +98,7 @@
         max_body_bytes: 0,
         response_timeout: RESPONSE_TIMEOUT,
         content_type: JSON,
-        parse: |_, _, _| Ok(Call::Order(OperatorCall::Read)),
+        parse: |_, _, _| Ok(Call::Order(LeaderCall::Read)),
     },
     Endpoint {
         method: Method::POST,
@@ -108,7 +108,7 @@
         response_timeout: CHANGE_RESPONSE_TIMEOUT,
         content_type: JSON,
         parse: |id, _, _| match id.parse::<std::net::SocketAddr>() {
-            Ok(address) => Ok(Call::Order(OperatorCall::Remove(address.to_string()))),
+            Ok(address) => Ok(Call::Order(LeaderCall::Remove(address.to_string()))),
             Err(_) => Err(Reply::error(400, &format!("{id:?} is no ip:port"))),
         },
     },
@@ -241,7 +241,7 @@
 
 fn parse_replace(_: &str, headers: &HeaderMap, body: &[u8]) -> Result<Call, Reply> {
     let base = base_version(headers)?;
-    Ok(Call::Order(OperatorCall::Replace { base: base.0, body: body.to_vec() }))
+    Ok(Call::Order(LeaderCall::Replace { base: base.0, body: body.to_vec() }))
 }
 
 /// The version that an order builds on. An order without the header builds on no version, as the first order does. A
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -27,8 +27,8 @@
 use config::{Config, Detours};
 use drains::DrainProposals;
 use protocol::{
-    Backend, ConfigDelta, ConfigId, ConfigSnapshot, ControlPlaneAddress, Heartbeat, Hello, Message,
-    OperatorCall, Phase, Plane,
+    Backend, ConfigDelta, ConfigId, ConfigSnapshot, ControlPlaneAddress, Heartbeat, Hello, LeaderCall,
+    Message, Phase, Plane,
 };
 use quota::{HolderAssigner, HolderAssignment, Quota, QuotaService};
 use raft::{Input, Node, Output, Payload, PersistentState, Role, Snapshot, Timing, VoterId};
@@ -139,7 +139,7 @@
 struct PendingCall {
     reply: oneshot::Sender<Reply>,
     since: u64,
-    order: OperatorCall,
+    order: LeaderCall,
     /// Connection on which the call was forwarded to the leader, if it was.
     forwarded_on: Option<u64>,
 }
@@ -198,9 +198,9 @@
     pending_calls: HashMap<u64, PendingCall>,
     pending_proposals: BTreeMap<u64, PendingProposal>,
     /// Orders that reached this leader before its first lease.
-    orders_awaiting_lease: Vec<(Requester, OperatorCall)>,
+    orders_awaiting_lease: Vec<(Requester, LeaderCall)>,
     drain_proposals: DrainProposals,
-    /// Control planes that have announced since this process started that they understand [`OperatorCall::Drain`].
+    /// Control planes that have announced since this process started that they understand [`LeaderCall::Drain`].
     drains_supported_by: BTreeSet<SocketAddr>,
     /// Tokens of this leader's proposals, by log index. Cleared when this process stops leading.
     tokens_by_index: BTreeMap<u64, u64>,
--- a/crates/control-plane/src/control_plane/drains.rs
+++ b/crates/control-plane/src/control_plane/drains.rs
@@ -83,7 +83,7 @@
             let refused = Reply::error(503, "this process may be cut off: ask another one");
             return self.reply_to_drain_call(&id, reply, refused, now);
         }
-        self.on_local_order(OperatorCall::Drain(id), reply, now);
+        self.on_local_order(LeaderCall::Drain(id), reply, now);
     }
 
     /// Replies to the drain call of a backend.
@@ -187,14 +187,14 @@
         supported_by_all.then(|| self.register.drains().run())
     }
 
-    /// The peer announces that it understands [`OperatorCall::Drain`].
+    /// The peer announces that it understands [`LeaderCall::Drain`].
     pub(super) fn on_drains_supported(&mut self, connection: u64) {
         if let Some(address) = self.peers.get(&connection).and_then(|peer| peer.dialed) {
             self.drains_supported_by.insert(address);
         }
     }
 
-    /// Announces to another control plane that it may send [`OperatorCall::Drain`] to this process.
+    /// Announces to another control plane that it may send [`LeaderCall::Drain`] to this process.
     pub(super) fn drains_support() -> Message {
         Message::NotHolder { number: UNDERSTANDS_DRAINS }
     }
--- a/crates/control-plane/src/control_plane/orders.rs
+++ b/crates/control-plane/src/control_plane/orders.rs
@@ -49,12 +49,12 @@
         }
     }
 
-    pub(super) fn on_local_order(&mut self, order: OperatorCall, reply: oneshot::Sender<Reply>, now: u64) {
+    pub(super) fn on_local_order(&mut self, order: LeaderCall, reply: oneshot::Sender<Reply>, now: u64) {
         if self.accepts_orders() {
             return self.on_order(Requester::Local(reply), order, now);
         }
         let max_pending =
-            if matches!(order, OperatorCall::Drain(_)) { MAX_PENDING_DRAINS } else { MAX_PENDING_CALLS };
+            if matches!(order, LeaderCall::Drain(_)) { MAX_PENDING_DRAINS } else { MAX_PENDING_CALLS };
         if self.pending_calls.len() >= max_pending {
             let _ = reply.send(Reply::error(503, "too many calls wait"));
             return;
@@ -94,7 +94,7 @@
 
     /// Whether the leader understands the order of a pending call.
     fn leader_supports(&self, leader: &SocketAddr, token: u64) -> bool {
-        let is_drain = |pending: &PendingCall| matches!(pending.order, OperatorCall::Drain(_));
+        let is_drain = |pending: &PendingCall| matches!(pending.order, LeaderCall::Drain(_));
         self.drains_supported_by.contains(leader) || !self.pending_calls.get(&token).is_some_and(is_drain)
     }
 
@@ -111,7 +111,7 @@
     fn reply_to_pending(&mut self, pending: PendingCall, reply: Reply) {
         let now = self.now();
         match pending.order {
-            OperatorCall::Drain(id) => self.reply_to_drain_call(&id, pending.reply, reply, now),
+            LeaderCall::Drain(id) => self.reply_to_drain_call(&id, pending.reply, reply, now),
             _ => drop(pending.reply.send(reply)),
         }
     }
@@ -159,7 +159,7 @@
     pub(super) fn expire_calls(&mut self, now: u64) {
         self.forward_pending(now);
         let timeout = |pending: &PendingCall| match pending {
-            PendingCall { order: OperatorCall::Drain(_), .. } => DRAIN_FORWARD_TIMEOUT_MS,
+            PendingCall { order: LeaderCall::Drain(_), .. } => DRAIN_FORWARD_TIMEOUT_MS,
             PendingCall { forwarded_on: Some(_), .. } => FORWARD_TIMEOUT_MS,
             PendingCall { forwarded_on: None, .. } => LEADER_WAIT_TIMEOUT_MS,
         };
@@ -206,7 +206,7 @@
     }
 
     /// Handles an order at the leader.
-    pub(super) fn on_order(&mut self, requester: Requester, order: OperatorCall, now: u64) {
+    pub(super) fn on_order(&mut self, requester: Requester, order: LeaderCall, now: u64) {
         // The process that forwarded the order forwards it again once another process leads.
         if self.is_shutting_down && matches!(requester, Requester::Remote { .. }) {
             return;
@@ -222,19 +222,19 @@
             return self.reply_to(requester, Reply::error(503, "this process does not lead"));
         }
         match order {
-            OperatorCall::Read => {
+            LeaderCall::Read => {
                 let reply = match self.config_history.body() {
                     Some(body) => Reply { status: 200, body: body.to_vec() },
                     None => Reply::error(404, "no configuration was taken yet"),
                 };
                 self.reply_to(requester, reply);
             }
-            OperatorCall::Remove(address) => {
+            LeaderCall::Remove(address) => {
                 let reply = self.remove_voter(&address, now);
                 self.reply_to(requester, reply);
             }
-            OperatorCall::Drain(id) => self.on_drain(requester, id, now),
-            OperatorCall::Replace { base, body } => {
+            LeaderCall::Drain(id) => self.on_drain(requester, id, now),
+            LeaderCall::Replace { base, body } => {
                 let decision = decide(&self.config_history, base, body);
                 self.event_log.on_decision(now, &decision);
                 if let Some(reply) = decision.reply() {
--- a/crates/control-plane/tests/calls.rs
+++ b/crates/control-plane/tests/calls.rs
@@ -2,7 +2,7 @@
 
 use control_plane::{Call, Change, Command, ENDPOINTS, Endpoint, Reply, serve};
 use hyper::header::{HeaderMap, HeaderValue};
-use protocol::OperatorCall;
+use protocol::LeaderCall;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -36,7 +36,7 @@
         headers.append("x-base-version", HeaderValue::from_bytes(&latin).expect("a value"));
     }
     let read = match (replace().parse)("", &headers, b"{}") {
-        Ok(Call::Order(OperatorCall::Replace { base, .. })) => Ok(base),
+        Ok(Call::Order(LeaderCall::Replace { base, .. })) => Ok(base),
         Ok(other) => panic!("{other:?}"),
         Err(reply) => Err(reply.status),
     };
--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/contact.rs
@@ -109,11 +109,11 @@
     /// One call of an operator; the answer if it was a clear one.
     async fn order(&self, process: usize, order: Order) -> Option<Answer> {
         let (call, within) = match &order {
-            Order::Read => (protocol::OperatorCall::Read, READ_WITHIN),
+            Order::Read => (protocol::LeaderCall::Read, READ_WITHIN),
             Order::Replace { base, version, content } => {
                 let body = config(*version, *content);
                 self.seen.borrow_mut().bodies.insert(body.clone(), (*version, *content));
-                (protocol::OperatorCall::Replace { base: *base, body }, CHANGE_WITHIN)
+                (protocol::LeaderCall::Replace { base: *base, body }, CHANGE_WITHIN)
             }
         };
         let number = self.seen.borrow_mut().history.invoke(order.clone());
--- a/crates/control-plane/tests/ending.rs
+++ b/crates/control-plane/tests/ending.rs
@@ -32,7 +32,7 @@
 }
 
 async fn change(simulation: &Simulation, process: usize, version: u64) -> Option<Reply> {
-    let order = protocol::OperatorCall::Replace { base: version - 1, body: config(version) };
+    let order = protocol::LeaderCall::Replace { base: version - 1, body: config(version) };
     simulation.call(process, Call::Order(order), ANSWER_WITHIN).await
 }
 
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -162,7 +162,7 @@
     pub voter_incarnation: Option<u64>,
 }
 
-/// The announcement of one incarnation of a data plane that it has ended.
+/// An announcement by one incarnation of a data plane that it has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Departure {
     /// The name of the data plane's machine.
@@ -179,7 +179,7 @@
 /// lease request has this number.
 pub const UNDERSTANDS_DEPARTURES: u64 = u64::MAX;
 
-/// Same as [`UNDERSTANDS_DEPARTURES`], for [`OperatorCall::Drain`] and for log entries that record draining backends.
+/// Same as [`UNDERSTANDS_DEPARTURES`], for [`LeaderCall::Drain`] and for log entries that record draining backends.
 pub const UNDERSTANDS_DRAINS: u64 = u64::MAX - 1;
 
 /// Same as [`UNDERSTANDS_DEPARTURES`], sent to a data plane: the data plane may send a
@@ -250,9 +250,9 @@
     pub data_plane_index: u32,
 }
 
-/// A call that a control plane forwards to the leader: an operator's, or the drain call of a backend.
+/// A call that only the leader can handle: a call of an operator, or the drain call of a backend.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum OperatorCall {
+pub enum LeaderCall {
     /// Replace the configuration if its version is still `base`.
     Replace {
         /// The version that the new configuration is based on.
@@ -348,7 +348,7 @@
         /// Chosen by the sender; the reply repeats it.
         token: u64,
         /// The forwarded call.
-        call: OperatorCall,
+        call: LeaderCall,
     },
     /// The leader's reply to a forwarded call.
     ForwardedReply {
--- a/crates/protocol/tests/recorded.rs
+++ b/crates/protocol/tests/recorded.rs
@@ -3,7 +3,7 @@
 
 use protocol::{
     Backend, ConfigDelta, ConfigId, ConfigSnapshot, ControlPlaneAddress, Departure, Heartbeat, Hello,
-    Message, OperatorCall, Phase, Plane, frame, unframe,
+    LeaderCall, Message, Phase, Plane, frame, unframe,
 };
 use quota::{CounterStatus, Epoch, Grant, HolderAssignment, LeaseRequest, TenantDemand, TenantGrant};
 
@@ -69,8 +69,8 @@
         Message::NotHolder { number: 8 },
         Message::HolderLeaseRequest { number: 1, answered: 2, request_rate: 3.5 },
         Message::HolderLease { number: 1, assignment, lease_ms: 100.0 },
-        Message::ForwardedCall { token: 5, call: OperatorCall::Replace { base: 11, body: body() } },
-        Message::ForwardedCall { token: 6, call: OperatorCall::Read },
+        Message::ForwardedCall { token: 5, call: LeaderCall::Replace { base: 11, body: body() } },
+        Message::ForwardedCall { token: 6, call: LeaderCall::Read },
         Message::ForwardedReply { token: 5, status: 412, body: body() },
         Message::ConfigDelta(ConfigDelta {
             version: 12,
--- a/crates/testbed/src/capacity/messages.rs
+++ b/crates/testbed/src/capacity/messages.rs
@@ -2,7 +2,7 @@
 
 use super::samples::{backend, backend_id, backends, configuration_bytes, gateway_name, tenant_name};
 use super::size::Size;
-use protocol::{ConfigId, ControlPlaneAddress, Heartbeat, Hello, Message, OperatorCall, Plane, frame};
+use protocol::{ConfigId, ControlPlaneAddress, Heartbeat, Hello, LeaderCall, Message, Plane, frame};
 use quota::{CounterStatus, Epoch, Grant, LeaseRequest, TenantDemand, TenantGrant};
 use raft::{Entry, Message as LogMessage, Payload};
 use transport::config_snapshots::{ConfigEncoder, config_id};
@@ -173,7 +173,7 @@
         raw(kind::WHOLE, whole),
         raw(kind::DIFFERENCE, difference),
         of(kind::LOG_ENTRY, appended),
-        of(kind::ORDER, Message::ForwardedCall { token: 7, call: OperatorCall::Replace { base: 1, body } }),
+        of(kind::ORDER, Message::ForwardedCall { token: 7, call: LeaderCall::Replace { base: 1, body } }),
         of(kind::HELLO, Message::Hello(hello(Plane::DataPlane))),
         of(kind::STATUS, Message::Heartbeat(status(size))),
         of(kind::FOLLOW, Message::Follow { have: config_id(3_000, b"x") }),
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -18,11 +18,11 @@
 /// Maximum number of frames queued for a peer. A heartbeat every 100 ms and the changes of a mass restart fit.
 const MAX_QUEUED_FRAMES: usize = 512;
 /// A connection counts as lost when the peer accepts no data for this long. The same value is set as the kernel's TCP
-/// user timeout; otherwise data for an unreachable machine would stay queued in the kernel for minutes.
+/// user timeout; otherwise the kernel would keep data for an unreachable machine for minutes.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Size of a write batch in bytes. One batch is held in memory in addition to the queue.
 const BATCH_BYTES: usize = 64 * 1024;
-/// Size of the kernel's send buffer in bytes. The unbounded default grows to megabytes on a slow link: heartbeats
+/// Size of the kernel's send buffer in bytes. By default the buffer grows to megabytes on a slow link: heartbeats
 /// would be seconds old on arrival, and the socket would accept no data for longer than [`WRITE_TIMEOUT`].
 const SEND_BUFFER_BYTES: usize = 128 * 1024;
 /// Timeout for establishing a connection.
--- a/crates/transport/src/departure.rs
+++ b/crates/transport/src/departure.rs
@@ -1,5 +1,5 @@
-//! The announcement of a data plane that it has ended: the connections on which the announcement was sent, and where
-//! it was accepted.
+//! The announcement of a data plane that it has ended: tracks the connections on which the announcement was sent and
+//! accepted.
 
 use std::collections::BTreeSet;
 use tokio::sync::oneshot;
--- a/crates/transport/src/neighbor_watch.rs
+++ b/crates/transport/src/neighbor_watch.rs
@@ -109,6 +109,7 @@
     }
 }
 
+/// The failure detector's representation of an IPv4 address. IPv6 addresses are not supported.
 fn mark(address: SocketAddr) -> Option<Mark> {
     match address {
         SocketAddr::V4(address) => Some(address.into()),
@@ -120,7 +121,8 @@
     addresses.iter().copied().filter_map(mark).collect()
 }
 
-/// The card of a process that receives datagrams at this address.
+/// The card by which the failure detector identifies a process: the address on which the process receives datagrams,
+/// its name, its role and its process incarnation (`life`).
 pub fn card(at: SocketAddrV4, name: &str, data_plane: bool, life: u64) -> Card {
     Card { at: at.into(), name: name.to_owned(), data_plane, life }
 }
--- a/crates/transport/tests/connection.rs
+++ b/crates/transport/tests/connection.rs
@@ -30,10 +30,10 @@
         }
         std::future::pending::<()>().await;
     });
-    let began = Instant::now();
+    let started_at = Instant::now();
     let completed = write_while_progressing(&mut near, &vec![7; 2 << 20]).await;
     reader.abort();
-    (completed, began.elapsed())
+    (completed, started_at.elapsed())
 }
 
 #[tokio::test(start_paused = true)]
@@ -49,8 +49,8 @@
     assert!(!completed && elapsed < Duration::from_secs(7), "{completed} after {elapsed:?}");
 }
 
-/// A long first frame of an unidentified peer is rejected without reading its body. Frames after the `Hello` may be
-/// long.
+/// An unidentified peer may be any process: a long first frame is rejected by its announced length, before its body
+/// is decoded. Frames after the `Hello` may be long.
 #[test]
 fn the_first_frame_of_an_accepted_connection_is_limited() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -61,7 +61,7 @@
             let near = TcpStream::connect(address).await.expect("a connection");
             let (stream, peer) = listener.accept().await.expect("an accepted connection");
             let (sender, _replies) = attach(near, address);
-            let (_line, mut reader) = attach(stream, peer);
+            let (_reply_sender, mut reader) = attach(stream, peer);
             reader.expect_hello();
             sender.send(&Message::Hello(hello(&name)));
             sender.send(&Message::BackendHeartbeats(vec![("i".repeat(5000), 1)]));
