--- a/crates/control-plane/src/control_plane/contact.rs
+++ b/crates/control-plane/src/control_plane/contact.rs
@@ -1,7 +1,7 @@
 //! Whether the state of this process is confirmed as current by the leader.
 
 use super::*;
-use protocol::{FreshnessAnswer, FreshnessQuestion, UNDERSTANDS_FRESHNESS};
+use protocol::{FreshnessAnswer, FreshnessQuery, UNDERSTANDS_FRESHNESS};
 
 /// Maximum number of drain records in one response.
 const MAX_RECORDS_PER_RESPONSE: usize = 512;
@@ -35,16 +35,16 @@
     fn leader_without_log(&self, now: u64) -> (Option<SocketAddr>, u64, bool) {
         if self.faults.trusts_heartbeats {
             let current = self.last_heartbeat.fresh && now < self.last_heartbeat_at + LEADER_REPORT_TTL_MS;
-            return (self.leader_address(), self.last_heartbeat.epoch, current);
+            return (self.leader_address(), self.last_heartbeat.term, current);
         }
         match self.leader_contact.newest(now) {
-            Some(newest) if newest.term >= self.last_heartbeat.epoch => {
+            Some(newest) if newest.term >= self.last_heartbeat.term => {
                 // A leader of the previous version does not report drain records and has none.
                 let has_versions = newest.version <= self.config_history.version();
                 let has_drains = newest.drains <= self.register.drains().last();
                 (Some(newest.leader), newest.term, has_versions && has_drains)
             }
-            _ => (self.leader_address(), self.last_heartbeat.epoch, false),
+            _ => (self.leader_address(), self.last_heartbeat.term, false),
         }
     }
 
@@ -93,8 +93,8 @@
     }
 
     /// A data plane asks for the age of the state that it receives, and gets the drain records that it lacks.
-    pub(super) fn on_freshness_question(&mut self, connection: u64, question: FreshnessQuestion, now: u64) {
-        let FreshnessQuestion { number, drains: known } = question;
+    pub(super) fn on_freshness_question(&mut self, connection: u64, question: FreshnessQuery, now: u64) {
+        let FreshnessQuery { number, last_drain: known } = question;
         let age_ms = self.confirmation_age(now).map(|age| u32::try_from(age).unwrap_or(u32::MAX));
         let table = self.register.drains();
         // A data plane that knows more drain records than this process lacks none.
@@ -103,7 +103,7 @@
         let answer = FreshnessAnswer {
             number,
             age_ms,
-            drains: table.last(),
+            last_drain: table.last(),
             missing_after: run.after,
             missing: run.ids,
         };
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Announces to a data plane that it may send [`Message::FreshnessQuestion`].
+    /// Announces to a data plane that it may send [`Message::FreshnessQuery`].
     pub(super) fn freshness_support() -> Message {
         Message::NotHolder { number: UNDERSTANDS_FRESHNESS }
     }
--- a/crates/control-plane/tests/data_planes/mod.rs
+++ b/crates/control-plane/tests/data_planes/mod.rs
@@ -87,9 +87,9 @@
     let leader = Some(ports[1].to_string());
     voter.send(&Message::Heartbeat(Heartbeat {
         leader,
-        epoch: 1,
+        term: 1,
         fresh: true,
-        fleet: 9,
+        fleet_size: 9,
         ..Heartbeat::default()
     }));
     // The process itself is connected with one data plane only, whose slice would be the whole of each quota. The
@@ -97,7 +97,7 @@
     // fleet.
     let mut only = FakePeer::data_plane(ports[0], "a", 1);
     let fleet = wait_for(|| match only.next() {
-        Message::Heartbeat(heartbeat) if heartbeat.leader.is_some() => Some(heartbeat.fleet),
+        Message::Heartbeat(heartbeat) if heartbeat.leader.is_some() => Some(heartbeat.fleet_size),
         _ => None,
     });
     assert_eq!(fleet, 9);
--- a/crates/control-plane/tests/drains.rs
+++ b/crates/control-plane/tests/drains.rs
@@ -7,7 +7,7 @@
 mod simulation;
 
 use control_plane::{Call, Faults};
-use protocol::{Backend, FreshnessAnswer, FreshnessQuestion, Message, Phase};
+use protocol::{Backend, FreshnessAnswer, FreshnessQuery, Message, Phase};
 use simulation::{Link, Random, Simulation};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -83,9 +83,9 @@
             let mut received = self.received.borrow_mut();
             let received = received.entry(process).or_default();
             received.queried_at.push(Instant::now());
-            FreshnessQuestion { number: received.queried_at.len() as u64 - 1, drains: received.drains }
+            FreshnessQuery { number: received.queried_at.len() as u64 - 1, last_drain: received.drains }
         };
-        self.simulation.send(process, connection, Message::FreshnessQuestion(query)).await;
+        self.simulation.send(process, connection, Message::FreshnessQuery(query)).await;
     }
 
     fn on_frame(&self, process: usize, frame: &[u8]) {
--- a/crates/control-plane/tests/fake_peer/mod.rs
+++ b/crates/control-plane/tests/fake_peer/mod.rs
@@ -1,6 +1,6 @@
 //! A peer process simulated by a test over a real connection.
 
-use protocol::{Held, Hello, Message, Plane};
+use protocol::{ConfigId, Hello, Message, Plane};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
@@ -20,7 +20,7 @@
     pub fn data_plane(to: SocketAddr, name: &str, incarnation: u64) -> Self {
         let mut peer = Self::new(super::wait_for(|| TcpStream::connect(to).ok()));
         peer.send(&Message::Hello(hello(name, incarnation, Plane::DataPlane)));
-        peer.send(&Message::Follow { have: Held::default() });
+        peer.send(&Message::Follow { have: ConfigId::default() });
         peer
     }
 
@@ -51,11 +51,11 @@
 pub fn hello(name: &str, incarnation: u64, plane: Plane) -> Hello {
     Hello {
         name: name.into(),
-        life: incarnation,
+        process_incarnation: incarnation,
         plane,
         address: "127.0.0.1:1".into(),
         zone: "a".into(),
         quorum: false,
-        incarnation: None,
+        voter_incarnation: None,
     }
 }
--- a/crates/control-plane/tests/forwarded_calls.rs
+++ b/crates/control-plane/tests/forwarded_calls.rs
@@ -11,7 +11,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::task::{LocalSet, spawn_local};
-use transport::{Line, Reader, attach, dial};
+use transport::{FrameReader, FrameSender, attach, dial};
 
 /// Time limit that only a hanging test reaches.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
@@ -19,12 +19,12 @@
 fn hello(name: &str, address: SocketAddr) -> Hello {
     Hello {
         name: name.into(),
-        life: 1,
+        process_incarnation: 1,
         plane: Plane::ControlPlane,
         address: address.to_string(),
         zone: "a".into(),
         quorum: false,
-        incarnation: None,
+        voter_incarnation: None,
     }
 }
 
@@ -62,29 +62,29 @@
 }
 
 /// Accepts the connection from the process as the leader, and announces the leadership.
-async fn accept_as_leader(leader: &TcpListener) -> (Line, Reader) {
+async fn accept_as_leader(leader: &TcpListener) -> (FrameSender, FrameReader) {
     let (stream, peer) = leader.accept().await.expect("a connection");
     let (line, reader) = attach(stream, peer);
     let address = leader.local_addr().expect("an address").to_string();
     line.send(&Message::Heartbeat(Heartbeat {
         leader: Some(address),
-        epoch: 1,
+        term: 1,
         fresh: true,
         ..Heartbeat::default()
     }));
     (line, reader)
 }
 
-async fn next_forwarded_token(from: &mut Reader) -> u64 {
+async fn next_forwarded_token(from: &mut FrameReader) -> u64 {
     loop {
-        if let Message::Ask { token, .. } = from.next().await.expect("a message") {
+        if let Message::ForwardedCall { token, .. } = from.next().await.expect("a message") {
             return token;
         }
     }
 }
 
 fn reply(token: u64, body: &str) -> Message {
-    Message::Told { token, status: 200, body: body.into() }
+    Message::ForwardedReply { token, status: 200, body: body.into() }
 }
 
 async fn read_config(calls: SocketAddr) -> String {
--- a/crates/control-plane/tests/heartbeats.rs
+++ b/crates/control-plane/tests/heartbeats.rs
@@ -36,7 +36,7 @@
         capacity,
         phase: Phase::Serving,
         call_count,
-        ..Backend::leaving(id.into())
+        ..Backend::draining(id.into())
     })
 }
 
@@ -137,7 +137,7 @@
         let mut updates = Updates::default();
         let until = Instant::now() + span;
         while let Ok(Some(frame)) = timeout_at(until, frames.recv()).await {
-            if let Ok(Some((Message::Backends { whole: false, backends }, _))) =
+            if let Ok(Some((Message::Backends { is_complete: false, backends }, _))) =
                 protocol::unframe::<Message>(&frame)
             {
                 updates.messages += 1;
@@ -179,7 +179,7 @@
             assert!(updates.messages <= MAX_MESSAGES, "process {process}: {} messages", updates.messages);
         }
         let collecting = collect_updates(&simulation, 0, Duration::from_millis(10)).await;
-        let draining = Backend { call_count: 2, ..Backend::leaving("old".into()) };
+        let draining = Backend { call_count: 2, ..Backend::draining("old".into()) };
         let draining = Backend { address: "10.1.0.1:80".into(), service: "s".into(), ..draining };
         let _ = simulation.call(0, Call::Heartbeat(draining), Duration::from_millis(1)).await;
         assert!(collecting.await.draining.contains("old"));
--- a/crates/control-plane/tests/isolation.rs
+++ b/crates/control-plane/tests/isolation.rs
@@ -112,11 +112,11 @@
     /// Makes one call as an operator; returns the answer if it is definite.
     async fn order(&self, process: usize, order: Order) -> Option<Answer> {
         let (call, within) = match &order {
-            Order::Read => (protocol::Order::Read, READ_TIMEOUT),
+            Order::Read => (protocol::LeaderCall::Read, READ_TIMEOUT),
             Order::Replace { base, version, content } => {
                 let body = config(*version, *content);
                 self.observed.borrow_mut().bodies.insert(body.clone(), (*version, *content));
-                (protocol::Order::Replace { base: *base, body }, CHANGE_TIMEOUT)
+                (protocol::LeaderCall::Replace { base: *base, body }, CHANGE_TIMEOUT)
             }
         };
         let number = self.observed.borrow_mut().history.invoke(order.clone());
--- a/crates/control-plane/tests/malformed_input.rs
+++ b/crates/control-plane/tests/malformed_input.rs
@@ -5,7 +5,7 @@
 use control_plane::{Call, Change, ConfigHistory, ENDPOINTS, LogPosition};
 use fault_injection::mutate::Mutator;
 use hyper::header::{HeaderMap, HeaderValue};
-use protocol::{Backend, ConfigDelta, Heartbeat, Held, Hello, Message, Phase, Plane, frame, unframe};
+use protocol::{Backend, ConfigDelta, ConfigId, Heartbeat, Hello, Message, Phase, Plane, frame, unframe};
 
 /// Number of mutated inputs for each parser: some seconds, even on a slow machine.
 const INPUTS_PER_PARSER: usize = 3000;
@@ -111,16 +111,16 @@
 fn frames_are_rejected_or_decode_the_same_again() {
     let hello = Hello {
         name: "m1".into(),
-        life: 7,
+        process_incarnation: 7,
         plane: Plane::DataPlane,
         address: "10.0.0.1:80".into(),
         zone: "north".into(),
         quorum: false,
-        incarnation: None,
+        voter_incarnation: None,
     };
     let whole = [
         Message::Hello(hello),
-        Message::Follow { have: Held { version: 7, mark: 9 } },
+        Message::Follow { have: ConfigId { version: 7, digest_prefix: 9 } },
         Message::ConfigDelta(ConfigDelta {
             version: 8,
             base: 7,
@@ -128,10 +128,10 @@
             length: 9,
             bytes: vec![1, 2, 3],
         }),
-        Message::Retired,
+        Message::Reserved,
         Message::Heartbeat(Heartbeat::default()),
-        Message::Heard(vec![("i-1".into(), 3), ("i-2".into(), 9)]),
-        Message::Backends { whole: true, backends: vec![backend("i-1", 4), backend("i-2", u64::MAX)] },
+        Message::BackendHeartbeats(vec![("i-1".into(), 3), ("i-2".into(), 9)]),
+        Message::Backends { is_complete: true, backends: vec![backend("i-1", 4), backend("i-2", u64::MAX)] },
     ];
     fuzz(5, whole.iter().map(frame).collect(), |bytes| match unframe::<Message>(bytes) {
         Ok(Some((message, accepted))) => {
--- a/crates/control-plane/tests/processes.rs
+++ b/crates/control-plane/tests/processes.rs
@@ -5,7 +5,7 @@
 mod fake_peer;
 
 use control_plane::{Change, ControlPlane, ControlPlaneSettings, Disk, Losses, Tolerance};
-use protocol::{ConfigSnapshot, Heartbeat, Held, Hello, Message, Plane};
+use protocol::{ConfigId, ConfigSnapshot, Heartbeat, Hello, Message, Plane};
 use raft::{Entry, Message as LogMessage, Payload, Snapshot, Timing, VoterId};
 use std::cell::Cell;
 use std::io::{Read, Write};
@@ -59,12 +59,12 @@
                     folder.map(|folder| wait_for(|| Disk::open(&folder, newcomer, commands.clone()).ok()));
                 let me = Hello {
                     name: format!("m{at}"),
-                    life: 1,
+                    process_incarnation: 1,
                     plane: Plane::ControlPlane,
                     address: address.to_string(),
                     zone: "a".into(),
                     quorum: log.is_some(),
-                    incarnation: log.as_ref().map(|(_, saved)| saved.me.incarnation),
+                    voter_incarnation: log.as_ref().map(|(_, saved)| saved.me.incarnation),
                 };
                 let timing = Timing { heartbeat: 40, election: 300, lease: 200 };
                 let seed = at as u64 + 5;
@@ -427,18 +427,18 @@
     assert_eq!(wait_for(|| control_planes[1].read().1.contains("r3").then_some(())), ());
     let hello = Hello {
         name: "q".into(),
-        life: 1,
+        process_incarnation: 1,
         plane: Plane::DataPlane,
         address: "127.0.0.1:1".into(),
         zone: "a".into(),
         quorum: false,
-        incarnation: None,
+        voter_incarnation: None,
     };
     let mut stream = TcpStream::connect(fleet.peers[1]).expect("a connection");
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
     let mut send = |message: Message| stream.write_all(&protocol::frame(&message)).expect("sent");
     send(Message::Hello(hello));
-    send(Message::Follow { have: Held::default() });
+    send(Message::Follow { have: ConfigId::default() });
     let (mut read, mut buffer) = (stream.try_clone().expect("a second handle"), Vec::new());
     let Message::ConfigDelta(first) = next_config_snapshot(&mut read, &mut buffer) else {
         panic!("a whole configuration instead of a delta to nothing")
@@ -454,7 +454,7 @@
     assert_eq!(rebuild(Some(&first.body), &next).expect("the next").body, config(4).into_bytes());
     // The data plane requests the whole configuration, as after a delta that does not apply.
     let mut send = |message: Message| stream.write_all(&protocol::frame(&message)).expect("sent");
-    send(Message::Whole);
+    send(Message::SnapshotRequest);
     let whole = ConfigSnapshot { version: 4, body: config(4).into_bytes() };
     assert_eq!(next_config_snapshot(&mut read, &mut buffer), Message::ConfigSnapshot(whole));
 }
@@ -588,14 +588,14 @@
     let mut subscriber = wait_for(|| TcpStream::connect(fleet.peers[0]).ok());
     let hello = Hello {
         name: "q".into(),
-        life: 1,
+        process_incarnation: 1,
         plane: Plane::DataPlane,
         address: "127.0.0.1:1".into(),
         zone: "a".into(),
         quorum: false,
-        incarnation: None,
+        voter_incarnation: None,
     };
-    let frames = [Message::Hello(hello), Message::Follow { have: Held::default() }]
+    let frames = [Message::Hello(hello), Message::Follow { have: ConfigId::default() }]
         .map(|message| protocol::frame(&message))
         .concat();
     subscriber.write_all(&frames).expect("sent");
@@ -642,19 +642,15 @@
             let address = fleet.peers[at];
             let hello = Hello {
                 name: format!("v{at}"),
-                life: 1,
+                process_incarnation: 1,
                 plane: Plane::ControlPlane,
                 address: address.to_string(),
                 zone: "a".into(),
                 quorum: true,
-                incarnation: Some(0),
-            };
-            let heartbeat = Heartbeat {
-                leader: Some(address.to_string()),
-                epoch: 1,
-                fresh: true,
-                ..Heartbeat::default()
+                voter_incarnation: Some(0),
             };
+            let heartbeat =
+                Heartbeat { leader: Some(address.to_string()), term: 1, fresh: true, ..Heartbeat::default() };
             let mut stream = TcpStream::connect(pair[at]).expect("a connection");
             let frames = [Message::Hello(hello), Message::Heartbeat(heartbeat)]
                 .map(|message| protocol::frame(&message))
@@ -678,12 +674,12 @@
 fn connect_as_voter(fleet: &TestFleet, at: usize, to: usize) -> TcpStream {
     let hello = Hello {
         name: format!("m{at}"),
-        life: 1,
+        process_incarnation: 1,
         plane: Plane::ControlPlane,
         address: fleet.peers[at].to_string(),
         zone: "a".into(),
         quorum: true,
-        incarnation: Some(0),
+        voter_incarnation: Some(0),
     };
     let mut stream = wait_for(|| TcpStream::connect(fleet.peers[to]).ok());
     stream.write_all(&protocol::frame(&Message::Hello(hello))).expect("sent");
--- a/crates/control-plane/tests/support/simulation.rs
+++ b/crates/control-plane/tests/support/simulation.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
-use transport::{Line, LineError};
+use transport::{ConnectionError, FrameSender};
 
 /// The sender's kernel closes a connection whose data has not been acknowledged for this long.
 const RETRANSMISSION_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -124,7 +124,7 @@
 
 impl End {
     async fn close(&self, peer: SocketAddr) {
-        let closed = Command::Closed { connection: self.connection, error: LineError::Closed { peer } };
+        let closed = Command::Closed { connection: self.connection, error: ConnectionError::Closed { peer } };
         let _ = self.commands.send(closed).await;
     }
 }
@@ -178,7 +178,11 @@
             let remote = End { process, connection: network.next_connection(), commands };
             for (from, to, dialed) in [(&local, &remote, Some(to)), (&remote, &local, None)] {
                 let (line, frames) = channel(FRAME_QUEUE_CAPACITY);
-                let opened = Command::Opened { connection: from.connection, line: Line::over(line), dialed };
+                let opened = Command::Opened {
+                    connection: from.connection,
+                    line: FrameSender::from_queue(line),
+                    dialed,
+                };
                 let _ = from.commands.send(opened).await;
                 spawn_local(forward_frames(network.clone(), frames, from.clone(), to.clone()));
             }
@@ -302,16 +306,18 @@
         let name = format!("data-plane-{process}");
         let hello = Hello {
             name,
-            life: 1,
+            process_incarnation: 1,
             plane: Plane::DataPlane,
             address: "127.0.0.1:1".into(),
             zone: "a".into(),
             quorum: false,
-            incarnation: None,
+            voter_incarnation: None,
         };
         let commands = &self.commands[process];
-        let _ = commands.send(Command::Opened { connection, line: Line::over(line), dialed: None }).await;
-        let follow = Message::Follow { have: protocol::Held::default() };
+        let _ = commands
+            .send(Command::Opened { connection, line: FrameSender::from_queue(line), dialed: None })
+            .await;
+        let follow = Message::Follow { have: protocol::ConfigId::default() };
         for message in [Message::Hello(hello), follow] {
             let _ = commands.send(Command::Message { connection, message }).await;
         }
@@ -340,12 +346,12 @@
     });
     let me = Hello {
         name: format!("control-{process}"),
-        life: 1,
+        process_incarnation: 1,
         plane: Plane::ControlPlane,
         address: own.to_string(),
         zone: "a".into(),
         quorum: is_voter,
-        incarnation: is_voter.then_some(0),
+        voter_incarnation: is_voter.then_some(0),
     };
     let settings = ControlPlaneSettings {
         me,
--- a/crates/quota/tests/world/membership.rs
+++ b/crates/quota/tests/world/membership.rs
@@ -5,7 +5,7 @@
 
 use super::{Event, Message, Node, World, control_plane_name};
 use protocol::Departure;
-use registry::{COUNTED_WHILE_SILENT, Fleet, FleetFaults};
+use registry::{Fleet, FleetFaults, SILENT_DATA_PLANE_TIMEOUT_MS};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Interval at which control planes send each other the gateways they are in contact with.
@@ -183,7 +183,7 @@
         match message {
             MembershipMessage::Hello { incarnation } => {
                 let view = &mut self.membership().views[index];
-                view.fleet.heard(now as u64, &gateway_name, incarnation);
+                view.fleet.record_contact(now as u64, &gateway_name, incarnation);
                 view.local_contacts.insert(gateway_name.clone(), (incarnation, now));
                 let counts = !view.fleet.has_departed(&gateway_name, incarnation);
                 self.update_fleet_size(index);
@@ -211,7 +211,9 @@
             MembershipMessage::Departed(departures) => self.apply_departures(index, departures),
             MembershipMessage::Present(present) => {
                 let view = &mut self.membership().views[index];
-                present.iter().for_each(|(name, number)| view.fleet.heard(now as u64, name, *number));
+                present
+                    .iter()
+                    .for_each(|(name, number)| view.fleet.record_contact(now as u64, name, *number));
                 view.reported.insert(other, (now, present));
                 self.update_fleet_size(index);
             }
@@ -222,7 +224,7 @@
     fn apply_departures(&mut self, index: usize, mut departures: Vec<Departure>) {
         let now = self.now as u64;
         let fleet = &mut self.membership().views[index].fleet;
-        departures.retain(|departure| fleet.departed(now, departure));
+        departures.retain(|departure| fleet.record_departure(now, departure));
         let departed_names = |departure: &&Departure| !fleet.is_present(&departure.name);
         let departed_names: Vec<String> =
             departures.iter().filter(departed_names).map(|one| one.name.clone()).collect();
@@ -278,7 +280,7 @@
         let view = &mut membership.views[index];
         let reported = view.reported.values().filter(|(at, _)| now < at + CONTACT_TIMEOUT);
         let known = present.iter().chain(reported.flat_map(|(_, reported)| reported));
-        known.for_each(|(name, incarnation)| view.fleet.heard(now as u64, name, *incarnation));
+        known.for_each(|(name, incarnation)| view.fleet.record_contact(now as u64, name, *incarnation));
         view.fleet.sweep(now as u64);
         let settled_size = view.fleet.size_within(now as u64, SHRINK_DELAY);
         if leads
@@ -289,7 +291,7 @@
         }
         self.broadcast_membership(index, &MembershipMessage::Present(present));
         if let Some(divisor) = self.divisor(index).filter(|_| self.is_fresh(index)) {
-            self.membership().views[index].fleet.divides_by(now as u64, divisor);
+            self.membership().views[index].fleet.set_slice_divisor(now as u64, divisor);
         }
         self.update_fleet_size(index);
     }
@@ -298,7 +300,7 @@
         let (now, counted) = (self.now, self.fleet_size_at(index));
         self.control_planes[index].quota_service.set_fleet_size(now, counted);
         let Some(membership) = &self.membership else { return };
-        let oversized_slices = membership.views[index].fleet.wide_slices(counted);
+        let oversized_slices = membership.views[index].fleet.oversized_slices(counted);
         self.control_planes[index].quota_service.set_oversized_slices(oversized_slices);
     }
 
@@ -329,7 +331,7 @@
     /// The fleet size that a control plane tells gateways to divide the quota by.
     pub(super) fn divisor(&self, index: usize) -> Option<u32> {
         let membership = self.membership.as_ref()?;
-        let size = membership.views[index].fleet.size_within(self.now as u64, COUNTED_WHILE_SILENT);
+        let size = membership.views[index].fleet.size_within(self.now as u64, SILENT_DATA_PLANE_TIMEOUT_MS);
         Some(size.max(self.logged_fleet_size_at(index)).max(1))
     }
 
@@ -375,7 +377,7 @@
 impl View {
     fn new(started_at: f64, faults: MembershipFaults) -> Self {
         let mut fleet = Fleet::default();
-        fleet.plant(faults.fleet);
+        fleet.inject_faults(faults.fleet);
         Self { fleet, started_at, ..Self::default() }
     }
 }
--- a/crates/reachlb/src/run_control_plane.rs
+++ b/crates/reachlb/src/run_control_plane.rs
@@ -65,12 +65,12 @@
     };
     let me = Hello {
         name: settings.node_name.to_string(),
-        life,
+        process_incarnation: life,
         plane: Plane::ControlPlane,
         address: address.to_string(),
         zone: settings.zone.to_string(),
         quorum: log.is_some(),
-        incarnation: log.as_ref().map(|(_, saved)| saved.me.incarnation),
+        voter_incarnation: log.as_ref().map(|(_, saved)| saved.me.incarnation),
     };
     let control_plane = ControlPlaneSettings {
         me,
@@ -115,7 +115,7 @@
             _ = hangup.recv() => match Settings::read(&path) {
                 Ok(settings) => {
                     if let Some(neighbor_watch) = &neighbor_watch {
-                        neighbor_watch.seeds(&start::watch_seeds(&settings));
+                        neighbor_watch.set_seeds(&start::watch_seeds(&settings));
                     }
                     let seeds = start::seeds(&settings);
                     let _ = commands.send(Command::Seeds(seeds)).await;
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -67,9 +67,9 @@
             Update::ConfigSnapshot(config_snapshot) => {
                 report.arrived(config_snapshot.version, steady_seconds())
             }
-            Update::Backends { whole, backends } => {
-                let kind = if whole { "all backends" } else { "backends that changed" };
-                report.count(kind, frame(&Message::Backends { whole, backends }).len());
+            Update::Backends { is_complete, backends } => {
+                let kind = if is_complete { "all backends" } else { "backends that changed" };
+                report.count(kind, frame(&Message::Backends { is_complete, backends }).len());
             }
             Update::Heartbeat(heartbeat) => {
                 self.leader.borrow_mut().clone_from(&heartbeat.leader);
@@ -85,7 +85,7 @@
                 self.sent.borrow_mut().remove(&number);
                 report.unanswered += 1;
             }
-            Update::HolderAssignment(_) | Update::Follows(_) => {}
+            Update::HolderAssignment(_) | Update::Following(_) => {}
         }
     }
 
@@ -95,7 +95,8 @@
         let request = lease_request(number, std::iter::once(tenant));
         self.report.borrow_mut().count("lease request", frame(&Message::LeaseRequest(request.clone())).len());
         self.sent.borrow_mut().insert(number, Instant::now());
-        let sent = self.follower.borrow().as_ref().is_some_and(|follower| follower.draw(&leader, request));
+        let sent =
+            self.follower.borrow().as_ref().is_some_and(|follower| follower.request_lease(&leader, request));
         if !sent {
             self.on_news(Update::Unanswered { number });
         }
@@ -106,15 +107,15 @@
         sleep(STARTS_OVER.mul_f64(chance.unit())).await;
         let me = Hello {
             name: samples::gateway_name(number),
-            life: crate::chance::mix(number as u64 + 1),
+            process_incarnation: crate::chance::mix(number as u64 + 1),
             plane: Plane::DataPlane,
             address: format!("127.0.0.1:{}", 1 + number % 60_000),
             zone: settings.zones[number % settings.zones.len()].clone(),
             quorum: false,
-            incarnation: None,
+            voter_incarnation: None,
         };
-        let (seeds, ways) = (settings.seeds.clone(), Detours::default());
-        let about = FollowerSettings { me, seeds, ways, stale_after: 900 };
+        let (seeds, detours) = (settings.seeds.clone(), Detours::default());
+        let about = FollowerSettings { me, seeds, detours, stale_after: 900 };
         let hears = self.clone();
         *self.follower.borrow_mut() = Some(ControlFollower::start(about, move |news| hears.on_news(news)));
         let mut requests = 0;
--- a/crates/transport/tests/support/data_plane.rs
+++ b/crates/transport/tests/support/data_plane.rs
@@ -1,15 +1,15 @@
-//! A data plane, as it introduces itself.
+//! The identity that a data plane sends in its `Hello`.
 
 use protocol::{Hello, Plane};
 
 pub fn hello(name: &str) -> Hello {
     Hello {
         name: name.to_owned(),
-        life: 1,
+        process_incarnation: 1,
         plane: Plane::DataPlane,
         address: String::new(),
         zone: "z".into(),
         quorum: false,
-        incarnation: None,
+        voter_incarnation: None,
     }
 }
