--- a/crates/control-plane/src/control_plane/status.rs
+++ b/crates/control-plane/src/control_plane/status.rs
@@ -61,7 +61,7 @@
             let watched: Vec<_> = watched
                 .map(|(name, silent, doubted)| json!({ "name": name, "silent_ms": silent, "doubted": doubted }))
                 .collect();
-            json!({ "isolated": standing.isolated, "here": standing.here, "watched": watched })
+            json!({ "isolated": standing.isolated, "here": standing.alive_count, "watched": watched })
         });
         let status = json!({ "name": self.settings.me.name, "zone": self.settings.me.zone, "up_ms": now, "frames": self.messages_received,
             "leader": leader.map(|l| l.to_string()), "epoch": epoch, "fresh": fresh,
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -1,7 +1,7 @@
 //! Updates sent to subscribers and to other control planes.
 
 use super::*;
-use failure_detector::State;
+use failure_detector::MemberState;
 use protocol::Departure;
 
 impl ControlPlane {
@@ -177,9 +177,11 @@
         }
         let (fleet, mut departures) = (&mut self.fleet, Vec::new());
         neighbor_watch.each(|report| match report.state {
-            State::Here if report.card.data_plane => fleet.heard(now, &report.card.name, report.card.life),
-            State::Left if report.card.data_plane => {
-                let (name, incarnation) = (report.card.name.clone(), report.card.life);
+            MemberState::Alive if report.identity.data_plane => {
+                fleet.heard(now, &report.identity.name, report.identity.start_id)
+            }
+            MemberState::Left if report.identity.data_plane => {
+                let (name, incarnation) = (report.identity.name.clone(), report.identity.start_id);
                 departures.push(Departure { name, incarnation, ago_ms: 0 });
             }
             _ => {}
--- a/crates/failure-detector/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -2,26 +2,26 @@
 //!
 //! Each process is watched by the [`WATCHERS`] others that rendezvous hashing names for it; everybody derives the same
 //! sets from the same view. A watcher pings, the watched one answers, and both say on those datagrams what they have
-//! learned. Who answers no more is doubted; a death takes the doubts of several and no vouch.
+//! learned. Who answers no more is doubted; a death takes the suspicions of several and no vouch.
 //!
-//! Invariants: of two words about one process the greater of (incarnation, life, state) stands, whatever their order;
+//! Invariants: of two records about one process the greater of (incarnation, start_id, state) stands, whatever their order;
 //! only a process itself raises its incarnation; who hears nobody, or woke late, blames nobody; what a datagram holds,
-//! what is kept and how often a word is passed on are bounded.
+//! what is kept and how often a record is passed on are bounded.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod keeper;
+mod detector;
 mod message;
-mod ranks;
+mod rendezvous;
 #[cfg(test)]
-mod trials;
-mod view;
+mod simulation;
 #[cfg(test)]
-mod world;
+mod simulation_tests;
+mod view;
 
-pub use keeper::{Keeper, Sent, Standing};
-pub use message::{Card, Mark, Message, State, Word};
+pub use detector::{DetectorStatus, FailureDetector, Outgoing};
+pub use message::{Identity, MemberAddr, MemberRecord, MemberState, Message};
 
 /// Milliseconds of the host's steady clock.
 pub type Millis = u64;
--- a/crates/transport/src/neighbor_watch.rs
+++ b/crates/transport/src/neighbor_watch.rs
@@ -1,7 +1,9 @@
-//! Watches the neighbours over datagrams: the socket and clock of a [`Keeper`].
+//! Watches the neighbours over datagrams: the socket and clock of a [`FailureDetector`].
 
 use crate::spawn;
-use failure_detector::{Card, Keeper, Mark, Message, Millis, Sent, Standing, Word};
+use failure_detector::{
+    DetectorStatus, FailureDetector, Identity, MemberAddr, MemberRecord, Message, Millis, Outgoing,
+};
 use std::cell::RefCell;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::{Rc, Weak};
@@ -16,15 +18,15 @@
 
 /// The watch of this process at work.
 pub struct NeighborWatch {
-    keeper: RefCell<Keeper>,
+    keeper: RefCell<FailureDetector>,
     socket: UdpSocket,
     began: Instant,
 }
 
 impl NeighborWatch {
     /// Watches from now on at a socket that is bound to the card's address; `seed` is drawn for this life.
-    pub fn start(socket: UdpSocket, card: Card, seeds: Vec<SocketAddr>, seed: u64) -> Rc<Self> {
-        let keeper = RefCell::new(Keeper::new(card, marks(&seeds), seed, 0));
+    pub fn start(socket: UdpSocket, card: Identity, seeds: Vec<SocketAddr>, seed: u64) -> Rc<Self> {
+        let keeper = RefCell::new(FailureDetector::new(card, marks(&seeds), seed, 0));
         let neighbor_watch = Rc::new(Self { keeper, socket, began: Instant::now() });
         spawn(Self::run(Rc::downgrade(&neighbor_watch)));
         neighbor_watch
@@ -39,9 +41,9 @@
         loop {
             let Some(neighbor_watch) = me.upgrade() else { return };
             let mut out = Vec::new();
-            neighbor_watch.keeper.borrow_mut().step(neighbor_watch.now(), &mut out);
+            neighbor_watch.keeper.borrow_mut().tick(neighbor_watch.now(), &mut out);
             neighbor_watch.send(out);
-            let due = neighbor_watch.keeper.borrow().next_due().max(neighbor_watch.now() + 1);
+            let due = neighbor_watch.keeper.borrow().next_tick().max(neighbor_watch.now() + 1);
             tokio::select! {
                 // A socket in trouble says so at once, again and again: the next step looks again.
                 Ok(()) = neighbor_watch.socket.readable() => neighbor_watch.read(&mut buffer),
@@ -59,17 +61,18 @@
                 Err(_) => continue,
             };
             let message = buffer.get(..length).and_then(Message::decode);
-            let Some(message) = message.filter(|message| mark(from) == Some(message.from.card.at)) else {
+            let Some(message) = message.filter(|message| mark(from) == Some(message.from.identity.addr))
+            else {
                 continue;
             };
             let mut out = Vec::new();
-            self.keeper.borrow_mut().hear(message, self.now(), &mut out);
+            self.keeper.borrow_mut().receive(message, self.now(), &mut out);
             self.send(out);
         }
     }
 
-    fn send(&self, out: Vec<Sent>) {
-        for Sent { to, message } in out {
+    fn send(&self, out: Vec<Outgoing>) {
+        for Outgoing { to, message } in out {
             // A datagram that can't be sent is lost, as others are.
             let _ = self.socket.try_send_to(&message.encode(), SocketAddr::V4(to.into()));
         }
@@ -77,12 +80,12 @@
 
     /// Another machine was heard by other means.
     pub fn in_contact(&self) {
-        self.keeper.borrow_mut().in_contact(self.now());
+        self.keeper.borrow_mut().record_other_contact(self.now());
     }
 
     /// The settings name other seeds.
     pub fn seeds(&self, seeds: &[SocketAddr]) {
-        self.keeper.borrow_mut().seeds(marks(seeds));
+        self.keeper.borrow_mut().set_seeds(marks(seeds));
     }
 
     /// The process is done: nobody has to find out.
@@ -93,8 +96,8 @@
     }
 
     /// What is held of all processes.
-    pub fn each(&self, see: impl FnMut(&Word)) {
-        self.keeper.borrow().words().for_each(see);
+    pub fn each(&self, see: impl FnMut(&MemberRecord)) {
+        self.keeper.borrow().records().for_each(see);
     }
 
     /// Whether this process hears nobody: what it holds is of old.
@@ -103,23 +106,23 @@
     }
 
     /// How it stands, for operators.
-    pub fn standing(&self) -> Standing {
-        self.keeper.borrow().standing(self.now())
+    pub fn standing(&self) -> DetectorStatus {
+        self.keeper.borrow().status(self.now())
     }
 }
 
-fn mark(address: SocketAddr) -> Option<Mark> {
+fn mark(address: SocketAddr) -> Option<MemberAddr> {
     match address {
         SocketAddr::V4(address) => Some(address.into()),
         SocketAddr::V6(_) => None,
     }
 }
 
-fn marks(addresses: &[SocketAddr]) -> Vec<Mark> {
+fn marks(addresses: &[SocketAddr]) -> Vec<MemberAddr> {
     addresses.iter().copied().filter_map(mark).collect()
 }
 
 /// The card of a process that takes datagrams at an address.
-pub fn card(at: SocketAddrV4, name: &str, data_plane: bool, life: u64) -> Card {
-    Card { at: at.into(), name: name.to_owned(), data_plane, life }
+pub fn card(at: SocketAddrV4, name: &str, data_plane: bool, life: u64) -> Identity {
+    Identity { addr: at.into(), name: name.to_owned(), data_plane, start_id: life }
 }
