--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -12,13 +12,13 @@
 use miette::Diagnostic;
 use thiserror::Error;
 
-use crate::json::{At, Faults, Node};
+use crate::json::{Cursor, Issues, Node};
 
 /// The longest time an operator may have a request held.
-const LONGEST_DEADLINE_MS: u64 = 600_000;
+const MAX_DEADLINE_MS: u64 = 600_000;
 
 /// A goal that lies this far over its route's deadline can only be a slip.
-const GOAL_OVER_DEADLINE_MS: u64 = 60_000;
+const MAX_GOAL_EXCESS_MS: u64 = 60_000;
 
 /// Number of a configuration, written `r12`; zero stands for "none yet".
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
@@ -34,35 +34,35 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error, Diagnostic)]
 #[error("a version is written `r` and a number, such as `r12`")]
 #[diagnostic(code(config::version))]
-pub struct VersionFault;
+pub struct ParseVersionError;
 
 impl FromStr for Version {
-    type Err = VersionFault;
+    type Err = ParseVersionError;
 
     /// The `r` may be left out, because the base of the first configuration is written as a bare `0`.
-    fn from_str(text: &str) -> Result<Self, VersionFault> {
+    fn from_str(text: &str) -> Result<Self, ParseVersionError> {
         let digits = text.strip_prefix('r').unwrap_or(text);
         // The parser of the standard library would take a sign.
         if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
-            return Err(VersionFault);
+            return Err(ParseVersionError);
         }
-        digits.parse().map(Self).map_err(|_| VersionFault)
+        digits.parse().map(Self).map_err(|_| ParseVersionError)
     }
 }
 
 /// What is wrong at one place of a configuration.
 #[derive(Debug, Clone, PartialEq, Error)]
-pub enum Wrong {
+pub enum ConfigIssueKind {
     /// A field that has to be there is not.
     #[error("is missing")]
     Missing,
     /// A value of another type.
-    #[error("wants {want} and has {got}")]
+    #[error("wants {expected} and has {found}")]
     Kind {
         /// What the field takes.
-        want: &'static str,
+        expected: &'static str,
         /// What stands there.
-        got: &'static str,
+        found: &'static str,
     },
     /// A number above what the field can hold.
     #[error("is too large")]
@@ -78,7 +78,7 @@
     Twice,
     /// Not a version.
     #[error("{0}")]
-    Version(#[from] VersionFault),
+    Version(#[from] ParseVersionError),
     /// Neither of the two variants.
     #[error("is neither `pure` nor `effectful`")]
     Variant,
@@ -116,37 +116,37 @@
 
 /// One fault of a configuration.
 #[derive(Debug, Clone, PartialEq, Error, Diagnostic)]
-#[error("{place}: {wrong}")]
+#[error("{path}: {kind}")]
 #[diagnostic(code(config::config::line))]
-pub struct ConfigLine {
+pub struct ConfigIssue {
     /// Way to the fault, such as `route_table.r-x.deadline_ms`.
-    pub place: String,
+    pub path: String,
     /// What is wrong there.
-    pub wrong: Wrong,
+    pub kind: ConfigIssueKind,
 }
 
 /// Why a configuration is not taken.
 #[derive(Debug, Error, Diagnostic)]
-pub enum ConfigFault {
+pub enum ConfigError {
     /// The body is not one JSON document: cut short, followed by more, or no JSON at all.
     #[error("(document): cannot be read whole: {0}")]
     #[diagnostic(code(config::config::unreadable))]
     Unreadable(#[source] serde_json::Error),
     /// The document says something that no configuration may say.
-    #[error("{}", Lines(lines, *more))]
+    #[error("{}", IssueList(lines, *more))]
     #[diagnostic(code(config::config::invalid))]
     Invalid {
         /// The first faults, in the order of the document's tables.
         #[related]
-        lines: Vec<ConfigLine>,
+        lines: Vec<ConfigIssue>,
         /// How many there are beyond those.
         more: usize,
     },
 }
 
-struct Lines<'a>(&'a [ConfigLine], usize);
+struct IssueList<'a>(&'a [ConfigIssue], usize);
 
-impl Display for Lines<'_> {
+impl Display for IssueList<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, line) in self.0.iter().enumerate() {
             write!(f, "{}{line}", if index == 0 { "" } else { "\n" })?;
@@ -176,7 +176,7 @@
     pub targets: Vec<(Arc<str>, u32)>,
     /// The largest number of backends to which one try of a client may be sent; at least 1.
     pub max_tries: u32,
-    /// Whether its requests need no key.
+    /// Whether its requests required no key.
     pub public: bool,
 }
 
@@ -243,7 +243,7 @@
     pub services: BTreeMap<Arc<str>, Service>,
     /// What clients may do.
     pub limits: Limits,
-    /// Its tenants, by label; none where the document has no `tenant_table`, and requests then need no keys.
+    /// Its tenants, by label; none where the document has no `tenant_table`, and requests then required no keys.
     pub tenants: Option<BTreeMap<Arc<str>, Tenant>>,
     digest: [u8; 32],
     hosts: HashMap<Box<str>, Host>,
@@ -251,7 +251,7 @@
 }
 
 /// The host without its port, in small letters.
-fn plain_host(host: &str) -> Cow<'_, str> {
+fn normalize_host(host: &str) -> Cow<'_, str> {
     let host = host.trim();
     let plain = match host.rsplit_once(':') {
         // An address of IPv6 has colons of its own, but none after its closing bracket.
@@ -267,21 +267,22 @@
 
 impl Config {
     /// Reads a configuration, or says everything that is wrong with it.
-    pub fn parse(bytes: &[u8]) -> Result<Self, ConfigFault> {
-        let document: Node = serde_json::from_slice(bytes).map_err(ConfigFault::Unreadable)?;
-        let mut faults = Faults::default();
-        let config = read(&document, &mut faults);
+    pub fn parse(bytes: &[u8]) -> Result<Self, ConfigError> {
+        let document: Node = serde_json::from_slice(bytes).map_err(ConfigError::Unreadable)?;
+        let mut issues = Issues::default();
+        let config = read(&document, &mut issues);
         match config {
-            Some(config) if faults.lines.is_empty() => Ok(config),
-            _ => Err(ConfigFault::Invalid { lines: faults.lines, more: faults.more }),
+            Some(config) if issues.lines.is_empty() => Ok(config),
+            _ => Err(ConfigError::Invalid { lines: issues.lines, more: issues.more }),
         }
     }
 
     /// Version and digest of a configuration, whether it is valid or not. None if there is none to be read.
     pub fn identify(bytes: &[u8]) -> Option<(Version, [u8; 32])> {
         let document: Node = serde_json::from_slice(bytes).ok()?;
-        let mut faults = Faults::default();
-        let version = At::root(&document).need("generation", &mut faults)?.text(&mut faults)?.parse().ok()?;
+        let mut issues = Issues::default();
+        let version =
+            Cursor::root(&document).required("generation", &mut issues)?.text(&mut issues)?.parse().ok()?;
         Some((version, document.digest()))
     }
 
@@ -296,7 +297,7 @@
 
     /// The route of a request: of those of the host, the one with the longest prefix that begins the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let host = self.hosts.get(&*plain_host(host))?;
+        let host = self.hosts.get(&*normalize_host(host))?;
         let path = path.split(['?', '#']).next().unwrap_or_default();
         let index = host.lengths.iter().find_map(|&length| host.by_prefix.get(path.get(..length)?))?;
         self.routes.get(*index)
@@ -308,45 +309,45 @@
     }
 
     /// Whether requests of routes that are not public have to carry a key.
-    pub fn asks_for_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         self.tenants.is_some()
     }
 }
 
-fn read(document: &Node, faults: &mut Faults) -> Option<Config> {
-    let root = At::root(document);
-    root.find_doubles(faults);
+fn read(document: &Node, issues: &mut Issues) -> Option<Config> {
+    let root = Cursor::root(document);
+    root.report_duplicates(issues);
     // Without this, a list or a text would be said to lack four fields.
-    root.is_table(faults)?;
+    root.expect_table(issues)?;
 
-    let version = root.need("generation", faults).and_then(|at| match at.text(faults)?.parse() {
+    let version = root.required("generation", issues).and_then(|at| match at.text(issues)?.parse() {
         Ok(version) => Some(version),
         Err(fault) => {
-            faults.add(&at, Wrong::Version(fault));
+            issues.add(&at, ConfigIssueKind::Version(fault));
             None
         }
     });
 
     let mut services = BTreeMap::new();
-    let service_table = root.need("service_table", faults);
-    for (label, at) in service_table.iter().filter_map(|at| at.table(faults)).flatten().collect::<Vec<_>>() {
-        // A service with a fault is there all the same: its routes need no second complaint.
+    let service_table = root.required("service_table", issues);
+    for (label, at) in service_table.iter().filter_map(|at| at.table(issues)).flatten().collect::<Vec<_>>() {
+        // A service with a fault is there all the same: its routes required no second complaint.
         let label: Arc<str> = label.into();
-        services.insert(label.clone(), read_service(label, &at, faults));
+        services.insert(label.clone(), read_service(label, &at, issues));
     }
 
     let mut routes = Vec::new();
     let mut hosts: HashMap<Box<str>, Host> = HashMap::new();
-    let route_table = root.need("route_table", faults);
-    for (label, at) in route_table.iter().filter_map(|at| at.table(faults)).flatten().collect::<Vec<_>>() {
-        let Some(route) = read_route(label, &at, &services, faults) else { continue };
-        let host = hosts.entry(plain_host(&route.authority).into()).or_default();
+    let route_table = root.required("route_table", issues);
+    for (label, at) in route_table.iter().filter_map(|at| at.table(issues)).flatten().collect::<Vec<_>>() {
+        let Some(route) = read_route(label, &at, &services, issues) else { continue };
+        let host = hosts.entry(normalize_host(&route.authority).into()).or_default();
         match host.by_prefix.get(&route.path_prefix) {
             // The same label twice has been found already.
             Some(&other) => {
                 let other: &Route = &routes[other];
                 if other.label != route.label {
-                    faults.add(&at, Wrong::SameRoute(other.label.clone()));
+                    issues.add(&at, ConfigIssueKind::SameRoute(other.label.clone()));
                 }
             }
             None => {
@@ -361,13 +362,13 @@
         host.lengths.dedup();
     }
 
-    let limits = root.need("limits", faults).and_then(|at| read_limits(&at, faults));
+    let limits = root.required("limits", issues).and_then(|at| read_limits(&at, issues));
 
     let mut keys = HashMap::new();
-    let tenant_table = root.maybe("tenant_table");
+    let tenant_table = root.optional("tenant_table");
     let tenants = tenant_table.as_ref().map(|table| {
-        let entries: Vec<_> = table.table(faults).into_iter().flatten().collect();
-        let tenants = entries.iter().filter_map(|(label, at)| read_tenant(label, at, &mut keys, faults));
+        let entries: Vec<_> = table.table(issues).into_iter().flatten().collect();
+        let tenants = entries.iter().filter_map(|(label, at)| read_tenant(label, at, &mut keys, issues));
         tenants.map(|tenant| (tenant.label.clone(), tenant)).collect()
     });
 
@@ -384,12 +385,12 @@
     })
 }
 
-fn read_service(label: Arc<str>, at: &At<'_>, faults: &mut Faults) -> Option<Service> {
-    at.is_table(faults)?;
-    let health_path = at.need("health_path", faults).and_then(|at| at.text(faults).map(Arc::from));
-    let max_conns = at.need("max_conns", faults).and_then(|at| at.whole(faults));
-    let protocol = at.need("protocol", faults).and_then(|at| at.text(faults).map(Arc::from));
-    let tls_mode = at.need("tls_mode", faults).and_then(|at| at.flag(faults));
+fn read_service(label: Arc<str>, at: &Cursor<'_>, issues: &mut Issues) -> Option<Service> {
+    at.expect_table(issues)?;
+    let health_path = at.required("health_path", issues).and_then(|at| at.text(issues).map(Arc::from));
+    let max_conns = at.required("max_conns", issues).and_then(|at| at.whole(issues));
+    let protocol = at.required("protocol", issues).and_then(|at| at.text(issues).map(Arc::from));
+    let tls_mode = at.required("tls_mode", issues).and_then(|at| at.flag(issues));
     Some(Service {
         label,
         health_path: health_path?,
@@ -400,53 +401,53 @@
 }
 
 fn read_route(
-    label: &str, at: &At<'_>, services: &BTreeMap<Arc<str>, Option<Service>>, faults: &mut Faults,
+    label: &str, at: &Cursor<'_>, services: &BTreeMap<Arc<str>, Option<Service>>, issues: &mut Issues,
 ) -> Option<Route> {
-    at.is_table(faults)?;
-    let authority = at.need("authority", faults).and_then(|at| {
-        let authority = at.text(faults)?;
-        if plain_host(authority).is_empty() {
-            faults.add(&at, Wrong::NoAuthority);
+    at.expect_table(issues)?;
+    let authority = at.required("authority", issues).and_then(|at| {
+        let authority = at.text(issues)?;
+        if normalize_host(authority).is_empty() {
+            issues.add(&at, ConfigIssueKind::NoAuthority);
         }
         Some(authority.into())
     });
-    let path_prefix = at.need("path_prefix", faults).and_then(|at| {
-        let prefix = at.text(faults)?;
+    let path_prefix = at.required("path_prefix", issues).and_then(|at| {
+        let prefix = at.text(issues)?;
         if !(prefix.starts_with('/') && prefix.ends_with('/')) {
-            faults.add(&at, Wrong::Prefix);
+            issues.add(&at, ConfigIssueKind::Prefix);
         }
         Some(prefix.into())
     });
-    let pure = at.need("variant", faults).and_then(|at| match at.text(faults)? {
+    let pure = at.required("variant", issues).and_then(|at| match at.text(issues)? {
         "pure" => Some(true),
         "effectful" => Some(false),
         _ => {
-            faults.add(&at, Wrong::Variant);
+            issues.add(&at, ConfigIssueKind::Variant);
             None
         }
     });
-    let deadline = at.need("deadline_ms", faults).and_then(|at| {
-        let deadline: u64 = at.whole(faults)?;
+    let deadline = at.required("deadline_ms", issues).and_then(|at| {
+        let deadline: u64 = at.whole(issues)?;
         match deadline {
-            0 => faults.add(&at, Wrong::NoDeadline),
-            _ if deadline > LONGEST_DEADLINE_MS => faults.add(&at, Wrong::LongDeadline),
+            0 => issues.add(&at, ConfigIssueKind::NoDeadline),
+            _ if deadline > MAX_DEADLINE_MS => issues.add(&at, ConfigIssueKind::LongDeadline),
             _ => {}
         }
         Some(deadline)
     });
-    let goal = at.need("goal_ms", faults).and_then(|at| {
-        let goal: u64 = at.whole(faults)?;
-        if deadline.is_some_and(|deadline| goal >= deadline.saturating_add(GOAL_OVER_DEADLINE_MS)) {
-            faults.add(&at, Wrong::FarGoal);
+    let goal = at.required("goal_ms", issues).and_then(|at| {
+        let goal: u64 = at.whole(issues)?;
+        if deadline.is_some_and(|deadline| goal >= deadline.saturating_add(MAX_GOAL_EXCESS_MS)) {
+            issues.add(&at, ConfigIssueKind::FarGoal);
         }
         Some(goal)
     });
-    let rank = at.maybe("rank").map_or(Some(0), |at| at.whole(faults));
+    let rank = at.optional("rank").map_or(Some(0), |at| at.whole(issues));
     // The page does not forbid 0, and a route that may be sent nowhere would be no route.
     let max_tries =
-        at.need("max_tries", faults).and_then(|at| at.whole(faults)).map(|tries: u32| tries.max(1));
-    let public = at.maybe("public").map_or(Some(false), |at| at.flag(faults));
-    let targets = read_targets(at, services, faults);
+        at.required("max_tries", issues).and_then(|at| at.whole(issues)).map(|tries: u32| tries.max(1));
+    let public = at.optional("public").map_or(Some(false), |at| at.flag(issues));
+    let targets = read_targets(at, services, issues);
     Some(Route {
         label: label.into(),
         authority: authority?,
@@ -462,28 +463,28 @@
 }
 
 fn read_targets(
-    at: &At<'_>, services: &BTreeMap<Arc<str>, Option<Service>>, faults: &mut Faults,
+    at: &Cursor<'_>, services: &BTreeMap<Arc<str>, Option<Service>>, issues: &mut Issues,
 ) -> Option<Vec<(Arc<str>, u32)>> {
-    let known = |at: &At<'_>, faults: &mut Faults| {
-        let name = at.text(faults)?;
+    let known = |at: &Cursor<'_>, issues: &mut Issues| {
+        let name = at.text(issues)?;
         let found = services.get_key_value(name).map(|(name, _)| name.clone());
         if found.is_none() {
-            faults.add(at, Wrong::UnknownService);
+            issues.add(at, ConfigIssueKind::UnknownService);
         }
         found
     };
-    let Some(weighted) = at.maybe("weighted") else {
-        return at.need("target", faults).and_then(|at| known(&at, faults)).map(|name| vec![(name, 1)]);
+    let Some(weighted) = at.optional("weighted") else {
+        return at.required("target", issues).and_then(|at| known(&at, issues)).map(|name| vec![(name, 1)]);
     };
-    if at.maybe("target").is_some() {
-        faults.add(at, Wrong::TwoTargets);
+    if at.optional("target").is_some() {
+        issues.add(at, ConfigIssueKind::TwoTargets);
     }
-    let entries: Vec<_> = weighted.list(faults)?.collect();
+    let entries: Vec<_> = weighted.list(issues)?.collect();
     let mut sum = Some(0_u64);
     let mut targets = Some(Vec::with_capacity(entries.len()));
     for entry in &entries {
-        let name = entry.need("target", faults).and_then(|at| known(&at, faults));
-        let share: Option<u32> = entry.need("share", faults).and_then(|at| at.whole(faults));
+        let name = entry.required("target", issues).and_then(|at| known(&at, issues));
+        let share: Option<u32> = entry.required("share", issues).and_then(|at| at.whole(issues));
         sum = sum.zip(share).map(|(sum, share)| sum + u64::from(share));
         targets = targets.zip(name.zip(share)).map(|(mut targets, target)| {
             targets.push(target);
@@ -491,14 +492,14 @@
         });
     }
     if sum == Some(0) {
-        faults.add(&weighted, Wrong::NoShares);
+        issues.add(&weighted, ConfigIssueKind::NoShares);
     }
     targets
 }
 
-fn read_limits(at: &At<'_>, faults: &mut Faults) -> Option<Limits> {
-    at.is_table(faults)?;
-    let mut figure = |name| at.need(name, faults).and_then(|at| at.whole::<u64>(faults));
+fn read_limits(at: &Cursor<'_>, issues: &mut Issues) -> Option<Limits> {
+    at.expect_table(issues)?;
+    let mut figure = |name| at.required(name, issues).and_then(|at| at.whole::<u64>(issues));
     let max_header_bytes = figure("max_header_bytes");
     let max_body_bytes = figure("max_body_bytes");
     let header_wait = figure("header_wait_ms").map(Duration::from_millis);
@@ -512,28 +513,28 @@
 }
 
 fn read_tenant(
-    label: &str, at: &At<'_>, keys: &mut HashMap<Arc<str>, Arc<str>>, faults: &mut Faults,
+    label: &str, at: &Cursor<'_>, keys: &mut HashMap<Arc<str>, Arc<str>>, issues: &mut Issues,
 ) -> Option<Tenant> {
-    at.is_table(faults)?;
+    at.expect_table(issues)?;
     let label: Arc<str> = label.into();
-    let api_keys = at.need("api_keys", faults).and_then(|at| {
-        let entries: Vec<_> = at.list(faults)?.collect();
+    let api_keys = at.required("api_keys", issues).and_then(|at| {
+        let entries: Vec<_> = at.list(issues)?.collect();
         let mut own = Vec::with_capacity(entries.len());
         for entry in &entries {
-            let Some(key) = entry.text(faults) else { continue };
+            let Some(key) = entry.text(issues) else { continue };
             let key: Arc<str> = key.into();
             // A key that one tenant lists twice still stands for one tenant.
             let owner = keys.entry(key.clone()).or_insert_with(|| label.clone());
             if *owner != label {
-                faults.add(entry, Wrong::SharedKey(owner.clone()));
+                issues.add(entry, ConfigIssueKind::SharedKey(owner.clone()));
             }
             own.push(key);
         }
         Some(own)
     });
-    let rank = at.maybe("rank").map(|at| at.whole(faults));
-    let rate_per_s = at.maybe("rate_per_s").map_or(Some(0.0), |at| at.figure(faults));
-    let burst_size = at.maybe("burst_size").map_or(Some(0.0), |at| at.figure(faults));
+    let rank = at.optional("rank").map(|at| at.whole(issues));
+    let rate_per_s = at.optional("rate_per_s").map_or(Some(0.0), |at| at.figure(issues));
+    let burst_size = at.optional("burst_size").map_or(Some(0.0), |at| at.figure(issues));
     Some(Tenant {
         label,
         api_keys: api_keys?,
--- a/crates/config/src/differ.rs
+++ b/crates/config/src/differ.rs
@@ -42,29 +42,29 @@
     let routes = |config: &Config| -> BTreeMap<Arc<str>, Route> {
         config.routes.iter().map(|route| (route.label.clone(), route.clone())).collect()
     };
-    tables("route", &routes(before), &routes(after), &mut lines, |_, _, _| None);
-    tables("service", &before.services, &after.services, &mut lines, |_, _, _| None);
-    changed("limits", &before.limits, &after.limits, &mut lines);
-    match (before.asks_for_keys(), after.asks_for_keys()) {
+    diff_tables("route", &routes(before), &routes(after), &mut lines, |_, _, _| None);
+    diff_tables("service", &before.services, &after.services, &mut lines, |_, _, _| None);
+    diff_fields("limits", &before.limits, &after.limits, &mut lines);
+    match (before.requires_keys(), after.requires_keys()) {
         (false, true) => lines.push("requests need keys now".to_owned()),
         (true, false) => lines.push("requests need no keys any more".to_owned()),
         _ => {}
     }
     let tenants = |config: &Config| config.tenants.clone().unwrap_or_default();
-    tables("tenant", &tenants(before), &tenants(after), &mut lines, |name, before, after| {
+    diff_tables("tenant", &tenants(before), &tenants(after), &mut lines, |name, before, after| {
         // Keys are secrets: only their number is told.
-        let lacks = |of: &Tenant, than: &Tenant| {
+        let missing = |of: &Tenant, than: &Tenant| {
             of.api_keys.iter().filter(|key| !than.api_keys.contains(key)).count()
         };
-        let (added, removed) = (lacks(after, before), lacks(before, after));
+        let (added, removed) = (missing(after, before), missing(before, after));
         (added + removed > 0).then(|| format!("{name} changed: api_keys {added} added, {removed} removed"))
     });
     lines
 }
 
-fn tables<T: Fields>(
+fn diff_tables<T: Fields>(
     what: &str, before: &BTreeMap<Arc<str>, T>, after: &BTreeMap<Arc<str>, T>, lines: &mut Vec<String>,
-    further: impl Fn(&str, &T, &T) -> Option<String>,
+    extra: impl Fn(&str, &T, &T) -> Option<String>,
 ) {
     for label in before.keys().filter(|label| !after.contains_key(*label)) {
         lines.push(format!("{what} {label} removed"));
@@ -75,12 +75,12 @@
             continue;
         };
         let name = format!("{what} {label}");
-        changed(&name, old, new, lines);
-        lines.extend(further(&name, old, new));
+        diff_fields(&name, old, new, lines);
+        lines.extend(extra(&name, old, new));
     }
 }
 
-fn changed(name: &str, old: &impl Fields, new: &impl Fields, lines: &mut Vec<String>) {
+fn diff_fields(name: &str, old: &impl Fields, new: &impl Fields, lines: &mut Vec<String>) {
     for ((field, old), (_, new)) in old.fields().into_iter().zip(new.fields()) {
         if old != new {
             lines.push(format!("{name} changed: {field} {old} -> {new}"));
--- a/crates/config/src/json.rs
+++ b/crates/config/src/json.rs
@@ -8,21 +8,21 @@
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use sha2::{Digest, Sha256};
 
-use crate::config::{ConfigLine, Wrong};
+use crate::config::{ConfigIssue, ConfigIssueKind};
 
 /// How many faults of one document are written out; the others are only counted, since they go into an answer.
-const LINES: usize = 20;
+const MAX_ISSUES: usize = 20;
 
 /// How much of a name is shown in a path: names come from outside.
-const SHOWN: usize = 64;
+const MAX_SHOWN_NAME_CHARS: usize = 64;
 
 /// A value of the document.
 #[derive(Debug)]
 pub(crate) enum Node {
     Null,
-    Message(bool),
-    Whole(u64),
-    Figure(f64),
+    Flag(bool),
+    Integer(u64),
+    Float(f64),
     Text(String),
     List(Vec<Node>),
     Table(Vec<(String, Node)>),
@@ -32,8 +32,8 @@
     fn kind(&self) -> &'static str {
         match self {
             Self::Null => "null",
-            Self::Message(_) => "true or false",
-            Self::Whole(_) | Self::Figure(_) => "a number",
+            Self::Flag(_) => "true or false",
+            Self::Integer(_) | Self::Float(_) => "a number",
             Self::Text(_) => "a text",
             Self::List(_) => "a list",
             Self::Table(_) => "a table",
@@ -43,24 +43,24 @@
     /// Digest of what the document says, whatever its spacing and the order of its tables' entries.
     pub(crate) fn digest(&self) -> [u8; 32] {
         let mut hasher = Sha256::new();
-        self.feed(&mut hasher);
+        self.hash_into(&mut hasher);
         hasher.finalize().into()
     }
 
     /// Every value starts with a tag and whatever has a length states it, so that no two trees feed the same bytes.
-    fn feed(&self, hasher: &mut Sha256) {
+    fn hash_into(&self, hasher: &mut Sha256) {
         let text = |hasher: &mut Sha256, text: &str| {
             hasher.update((text.len() as u64).to_be_bytes());
             hasher.update(text);
         };
         match self {
             Self::Null => hasher.update(b"n"),
-            Self::Message(flag) => hasher.update([b'b', u8::from(*flag)]),
-            Self::Whole(whole) => {
+            Self::Flag(flag) => hasher.update([b'b', u8::from(*flag)]),
+            Self::Integer(whole) => {
                 hasher.update(b"w");
                 hasher.update(whole.to_be_bytes());
             }
-            Self::Figure(figure) => {
+            Self::Float(figure) => {
                 hasher.update(b"f");
                 hasher.update(figure.to_bits().to_be_bytes());
             }
@@ -71,7 +71,7 @@
             Self::List(entries) => {
                 hasher.update(b"l");
                 hasher.update((entries.len() as u64).to_be_bytes());
-                entries.iter().for_each(|entry| entry.feed(hasher));
+                entries.iter().for_each(|entry| entry.hash_into(hasher));
             }
             Self::Table(entries) => {
                 hasher.update(b"m");
@@ -80,7 +80,7 @@
                 sorted.sort_by(|a, b| a.0.cmp(&b.0));
                 for (name, entry) in sorted {
                     text(hasher, name);
-                    entry.feed(hasher);
+                    entry.hash_into(hasher);
                 }
             }
         }
@@ -88,15 +88,15 @@
 }
 
 /// Largest whole number up to which every whole number has a float of its own.
-const EXACT: f64 = 9_007_199_254_740_992.0;
+const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
 
 impl From<f64> for Node {
     /// `2`, `2.0` and `2e0` are one number in JSON, so a float without a fraction is kept as the whole number it is.
     fn from(figure: f64) -> Self {
-        if (0.0..=EXACT).contains(&figure) && figure.fract() == 0.0 {
-            Self::Whole(figure as u64)
+        if (0.0..=MAX_EXACT_INTEGER).contains(&figure) && figure.fract() == 0.0 {
+            Self::Integer(figure as u64)
         } else {
-            Self::Figure(figure)
+            Self::Float(figure)
         }
     }
 }
@@ -117,15 +117,15 @@
             }
 
             fn visit_bool<E>(self, flag: bool) -> Result<Node, E> {
-                Ok(Node::Message(flag))
+                Ok(Node::Flag(flag))
             }
 
             fn visit_u64<E>(self, whole: u64) -> Result<Node, E> {
-                Ok(Node::Whole(whole))
+                Ok(Node::Integer(whole))
             }
 
             fn visit_i64<E>(self, whole: i64) -> Result<Node, E> {
-                Ok(u64::try_from(whole).map_or(Node::Figure(whole as f64), Node::Whole))
+                Ok(u64::try_from(whole).map_or(Node::Float(whole as f64), Node::Integer))
             }
 
             fn visit_f64<E>(self, figure: f64) -> Result<Node, E> {
@@ -163,15 +163,15 @@
 
 /// What was found wrong so far.
 #[derive(Debug, Default)]
-pub(crate) struct Faults {
-    pub(crate) lines: Vec<ConfigLine>,
+pub(crate) struct Issues {
+    pub(crate) lines: Vec<ConfigIssue>,
     pub(crate) more: usize,
 }
 
-impl Faults {
-    pub(crate) fn add(&mut self, place: &At<'_>, wrong: Wrong) {
-        if self.lines.len() < LINES {
-            self.lines.push(ConfigLine { place: place.to_string(), wrong });
+impl Issues {
+    pub(crate) fn add(&mut self, path: &Cursor<'_>, kind: ConfigIssueKind) {
+        if self.lines.len() < MAX_ISSUES {
+            self.lines.push(ConfigIssue { path: path.to_string(), kind });
         } else {
             self.more += 1;
         }
@@ -179,7 +179,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Step<'a> {
+enum PathSegment<'a> {
     Root,
     Name(&'a str),
     Index(usize),
@@ -187,139 +187,149 @@
 
 /// A value and the way to it. The way is only written out for a fault.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct At<'a> {
-    parent: Option<&'a At<'a>>,
-    step: Step<'a>,
+pub(crate) struct Cursor<'a> {
+    parent: Option<&'a Cursor<'a>>,
+    segment: PathSegment<'a>,
     node: &'a Node,
 }
 
-impl Display for At<'_> {
+impl Display for Cursor<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let above = self.parent.filter(|parent| parent.parent.is_some());
         if let Some(parent) = self.parent {
             write!(f, "{}", if above.is_some() { parent.to_string() } else { String::new() })?;
         }
-        match self.step {
-            Step::Root => f.write_str("(document)"),
-            Step::Index(index) => write!(f, "[{index}]"),
-            Step::Name(name) => {
+        match self.segment {
+            PathSegment::Root => f.write_str("(document)"),
+            PathSegment::Index(index) => write!(f, "[{index}]"),
+            PathSegment::Name(name) => {
                 let dot = if above.is_some() { "." } else { "" };
-                write!(f, "{dot}{}", name.chars().take(SHOWN).collect::<String>().escape_debug())
+                write!(
+                    f,
+                    "{dot}{}",
+                    name.chars().take(MAX_SHOWN_NAME_CHARS).collect::<String>().escape_debug()
+                )
             }
         }
     }
 }
 
-impl<'a> At<'a> {
+impl<'a> Cursor<'a> {
     pub(crate) fn root(node: &'a Node) -> Self {
-        Self { parent: None, step: Step::Root, node }
+        Self { parent: None, segment: PathSegment::Root, node }
     }
 
     /// The entry of that name. `null` counts as left out: both say that there is nothing.
-    pub(crate) fn maybe<'s>(&'s self, name: &'s str) -> Option<At<'s>> {
+    pub(crate) fn optional<'s>(&'s self, name: &'s str) -> Option<Cursor<'s>> {
         let Node::Table(entries) = self.node else { return None };
         let (_, node) = entries.iter().find(|(entry, _)| entry == name)?;
-        (!matches!(node, Node::Null)).then_some(At { parent: Some(self), step: Step::Name(name), node })
+        (!matches!(node, Node::Null)).then_some(Cursor {
+            parent: Some(self),
+            segment: PathSegment::Name(name),
+            node,
+        })
     }
 
     /// The entry of that name, which has to be there.
-    pub(crate) fn need<'s>(&'s self, name: &'s str, faults: &mut Faults) -> Option<At<'s>> {
-        let found = self.maybe(name);
+    pub(crate) fn required<'s>(&'s self, name: &'s str, issues: &mut Issues) -> Option<Cursor<'s>> {
+        let found = self.optional(name);
         if found.is_none() {
-            let missing = At { parent: Some(self), step: Step::Name(name), node: &Node::Null };
-            faults.add(&missing, Wrong::Missing);
+            let missing = Cursor { parent: Some(self), segment: PathSegment::Name(name), node: &Node::Null };
+            issues.add(&missing, ConfigIssueKind::Missing);
         }
         found
     }
 
     /// Notes every name that occurs twice in one table, anywhere below.
-    pub(crate) fn find_doubles(&self, faults: &mut Faults) {
+    pub(crate) fn report_duplicates(&self, issues: &mut Issues) {
         match self.node {
             Node::Table(entries) => {
                 let mut seen = std::collections::HashSet::with_capacity(entries.len());
                 for (name, node) in entries {
-                    let entry = At { parent: Some(self), step: Step::Name(name), node };
+                    let entry = Cursor { parent: Some(self), segment: PathSegment::Name(name), node };
                     if !seen.insert(name) {
-                        faults.add(&entry, Wrong::Twice);
+                        issues.add(&entry, ConfigIssueKind::Twice);
                     }
-                    entry.find_doubles(faults);
+                    entry.report_duplicates(issues);
                 }
             }
             Node::List(_) => {
-                for entry in self.list(faults).into_iter().flatten() {
-                    entry.find_doubles(faults);
+                for entry in self.list(issues).into_iter().flatten() {
+                    entry.report_duplicates(issues);
                 }
             }
             _ => {}
         }
     }
 
-    fn wants<T>(&self, want: &'static str, faults: &mut Faults) -> Option<T> {
-        faults.add(self, Wrong::Kind { want, got: self.node.kind() });
+    fn mismatch<T>(&self, expected: &'static str, issues: &mut Issues) -> Option<T> {
+        issues.add(self, ConfigIssueKind::Kind { expected, found: self.node.kind() });
         None
     }
 
     /// Says so where this is no table, so that its entries are not said to be missing as well.
-    pub(crate) fn is_table(&self, faults: &mut Faults) -> Option<()> {
-        self.table(faults).map(drop)
+    pub(crate) fn expect_table(&self, issues: &mut Issues) -> Option<()> {
+        self.table(issues).map(drop)
     }
 
     pub(crate) fn table<'s>(
-        &'s self, faults: &mut Faults,
-    ) -> Option<impl Iterator<Item = (&'s str, At<'s>)> + use<'s>> {
-        let Node::Table(entries) = self.node else { return self.wants("a table", faults) };
+        &'s self, issues: &mut Issues,
+    ) -> Option<impl Iterator<Item = (&'s str, Cursor<'s>)> + use<'s>> {
+        let Node::Table(entries) = self.node else { return self.mismatch("a table", issues) };
         Some(entries.iter().map(move |(name, node)| {
-            (name.as_str(), At { parent: Some(self), step: Step::Name(name), node })
+            (name.as_str(), Cursor { parent: Some(self), segment: PathSegment::Name(name), node })
         }))
     }
 
-    pub(crate) fn list<'s>(&'s self, faults: &mut Faults) -> Option<impl Iterator<Item = At<'s>> + use<'s>> {
-        let Node::List(entries) = self.node else { return self.wants("a list", faults) };
-        Some(entries.iter().enumerate().map(move |(index, node)| At {
+    pub(crate) fn list<'s>(
+        &'s self, issues: &mut Issues,
+    ) -> Option<impl Iterator<Item = Cursor<'s>> + use<'s>> {
+        let Node::List(entries) = self.node else { return self.mismatch("a list", issues) };
+        Some(entries.iter().enumerate().map(move |(index, node)| Cursor {
             parent: Some(self),
-            step: Step::Index(index),
+            segment: PathSegment::Index(index),
             node,
         }))
     }
 
-    pub(crate) fn text<'s>(&'s self, faults: &mut Faults) -> Option<&'s str> {
-        let Node::Text(text) = self.node else { return self.wants("a text", faults) };
+    pub(crate) fn text<'s>(&'s self, issues: &mut Issues) -> Option<&'s str> {
+        let Node::Text(text) = self.node else { return self.mismatch("a text", issues) };
         Some(text)
     }
 
-    pub(crate) fn flag(&self, faults: &mut Faults) -> Option<bool> {
-        let Node::Message(flag) = self.node else { return self.wants("true or false", faults) };
+    pub(crate) fn flag(&self, issues: &mut Issues) -> Option<bool> {
+        let Node::Flag(flag) = self.node else { return self.mismatch("true or false", issues) };
         Some(*flag)
     }
 
     /// A whole number that fits.
-    pub(crate) fn whole<T: TryFrom<u64>>(&self, faults: &mut Faults) -> Option<T> {
+    pub(crate) fn whole<T: TryFrom<u64>>(&self, issues: &mut Issues) -> Option<T> {
         match self.node {
-            Node::Whole(whole) => match T::try_from(*whole) {
+            Node::Integer(whole) => match T::try_from(*whole) {
                 Ok(whole) => Some(whole),
                 Err(_) => {
-                    faults.add(self, Wrong::TooLarge);
+                    issues.add(self, ConfigIssueKind::TooLarge);
                     None
                 }
             },
-            Node::Figure(figure) => {
-                faults.add(self, Wrong::NotWhole(*figure));
+            Node::Float(figure) => {
+                issues.add(self, ConfigIssueKind::NotWhole(*figure));
                 None
             }
-            _ => self.wants("a whole number", faults),
+            _ => self.mismatch("a whole number", issues),
         }
     }
 
     /// A figure that is not negative, fractions allowed.
-    pub(crate) fn figure(&self, faults: &mut Faults) -> Option<f64> {
+    pub(crate) fn figure(&self, issues: &mut Issues) -> Option<f64> {
         match self.node {
-            Node::Whole(whole) => Some(*whole as f64),
-            Node::Figure(figure) if figure.is_finite() && *figure >= 0.0 => Some(*figure),
-            Node::Figure(figure) => {
-                faults.add(self, Wrong::Negative(*figure));
+            Node::Integer(whole) => Some(*whole as f64),
+            Node::Float(figure) if figure.is_finite() && *figure >= 0.0 => Some(*figure),
+            Node::Float(figure) => {
+                issues.add(self, ConfigIssueKind::Negative(*figure));
                 None
             }
-            _ => self.wants("a number", faults),
+            _ => self.mismatch("a number", issues),
         }
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -9,10 +9,10 @@
 pub mod config;
 pub mod differ;
 mod json;
-mod kind;
+mod setting_type;
 pub mod settings;
 
-pub use config::{Config, ConfigFault, Limits, Route, Service, Tenant, Version};
+pub use config::{Config, ConfigError, Limits, Route, Service, Tenant, Version};
 pub use differ::diff;
-pub use kind::Detours;
-pub use settings::{Bounds, Declared, Settings, SettingsFault, Tuning};
+pub use setting_type::Detours;
+pub use settings::{Bounds, SettingInfo, Settings, SettingsError, Tuning};
--- a/crates/config/src/kind.rs
+++ b/crates/config/src/setting_type.rs
@@ -12,7 +12,7 @@
 use toml::Value;
 
 /// A type of setting: how a value of the file becomes a value of the program.
-pub trait Kind {
+pub trait SettingType {
     type Out;
     const NAME: &'static str;
 
@@ -25,7 +25,7 @@
 }
 
 pub struct Text;
-impl Kind for Text {
+impl SettingType for Text {
     type Out = Arc<str>;
     const NAME: &'static str = "a text";
 
@@ -38,8 +38,8 @@
     }
 }
 
-pub struct Message;
-impl Kind for Message {
+pub struct Flag;
+impl SettingType for Flag {
     type Out = bool;
     const NAME: &'static str = "true or false";
 
@@ -49,8 +49,8 @@
 }
 
 /// A finite number.
-pub struct Figure;
-impl Kind for Figure {
+pub struct Number;
+impl SettingType for Number {
     type Out = f64;
     const NAME: &'static str = "a number";
 
@@ -61,8 +61,8 @@
 }
 
 /// A whole number from 0 that fits into the type.
-pub struct Whole<T>(PhantomData<T>);
-impl<T: TryFrom<u64>> Kind for Whole<T> {
+pub struct Integer<T>(PhantomData<T>);
+impl<T: TryFrom<u64>> SettingType for Integer<T> {
     type Out = T;
     const NAME: &'static str = "a whole number from 0";
 
@@ -77,22 +77,22 @@
 }
 
 pub struct Millis;
-impl Kind for Millis {
+impl SettingType for Millis {
     type Out = Duration;
     const NAME: &'static str = "milliseconds";
 
     fn read(value: &Value) -> Option<Duration> {
-        Duration::try_from_secs_f64(Figure::read(value)? / 1000.0).ok()
+        Duration::try_from_secs_f64(Number::read(value)? / 1000.0).ok()
     }
 }
 
 pub struct Seconds;
-impl Kind for Seconds {
+impl SettingType for Seconds {
     type Out = Duration;
     const NAME: &'static str = "seconds";
 
     fn read(value: &Value) -> Option<Duration> {
-        Duration::try_from_secs_f64(Figure::read(value)?).ok()
+        Duration::try_from_secs_f64(Number::read(value)?).ok()
     }
 }
 
@@ -101,7 +101,7 @@
 
 macro_rules! parsed {
     ($($type:ty: $name:literal),+) => {$(
-        impl Kind for Parsed<$type> {
+        impl SettingType for Parsed<$type> {
             type Out = $type;
             const NAME: &'static str = $name;
 
@@ -115,20 +115,20 @@
 parsed!(SocketAddr: "an address with a port", IpAddr: "an IP address", PathBuf: "a path");
 
 /// The first and the last port of a range.
-pub struct Ports;
-impl Kind for Ports {
+pub struct PortRange;
+impl SettingType for PortRange {
     type Out = (u16, u16);
     const NAME: &'static str = "a pair of ports";
 
     fn read(value: &Value) -> Option<(u16, u16)> {
         let [first, last] = value.as_array()?.as_slice() else { return None };
-        Some((Whole::read(first)?, Whole::read(last)?))
+        Some((Integer::read(first)?, Integer::read(last)?))
     }
 }
 
 /// Something that may be left out; an empty text leaves it out as well.
-pub struct Maybe<K>(PhantomData<K>);
-impl<K: Kind> Kind for Maybe<K> {
+pub struct Optional<K>(PhantomData<K>);
+impl<K: SettingType> SettingType for Optional<K> {
     type Out = Option<K::Out>;
     const NAME: &'static str = K::NAME;
 
@@ -141,8 +141,8 @@
     }
 }
 
-pub struct Texts;
-impl Kind for Texts {
+pub struct TextList;
+impl SettingType for TextList {
     type Out = Vec<Arc<str>>;
     const NAME: &'static str = "a list of texts";
 
@@ -155,8 +155,8 @@
     }
 }
 
-pub struct Addresses;
-impl Kind for Addresses {
+pub struct AddressList;
+impl SettingType for AddressList {
     type Out = Vec<SocketAddr>;
     const NAME: &'static str = "a list of addresses with ports";
 
@@ -183,8 +183,8 @@
     }
 }
 
-pub struct Ways;
-impl Kind for Ways {
+pub struct DetourList;
+impl SettingType for DetourList {
     type Out = Detours;
     const NAME: &'static str = "a list of texts address=address";
 
@@ -201,8 +201,8 @@
     }
 }
 
-pub struct Names;
-impl Kind for Names {
+pub struct TextTable;
+impl SettingType for TextTable {
     type Out = BTreeMap<Arc<str>, Arc<str>>;
     const NAME: &'static str = "a table of texts";
 
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use config::{Config, ConfigFault, Version, diff};
+use config::{Config, ConfigError, Version, diff};
 use serde_json::{Value, json};
 use yare::parameterized;
 
@@ -40,7 +40,7 @@
     assert_eq!((config.services["wuno96b"].max_conns, config.limits.max_header_bytes), (140, 16384));
     let tenant = config.tenant("s989anu6wsjnbanfqasn").unwrap();
     assert!(&*tenant.label == "huka270" && tenant.rank == Some(1) && tenant.rate_per_s == 146.0);
-    assert!(config.asks_for_keys() && config.tenant("other").is_none());
+    assert!(config.requires_keys() && config.tenant("other").is_none());
 }
 
 #[parameterized(
@@ -119,7 +119,7 @@
 #[test]
 fn many_faults_are_bounded() {
     let routes: serde_json::Map<_, _> = (0..90).map(|n| (format!("r{n}"), json!([]))).collect();
-    let Err(ConfigFault::Invalid { lines, more }) = Config::parse(&with("/route_table", Some(routes.into())))
+    let Err(ConfigError::Invalid { lines, more }) = Config::parse(&with("/route_table", Some(routes.into())))
     else {
         panic!("taken");
     };
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use config::settings::declared;
-use config::{Settings, SettingsFault};
+use config::{Settings, SettingsError};
 use yare::parameterized;
 
 const FILE: &str = include_str!("data/settings.toml");
@@ -29,13 +29,13 @@
 #[test]
 fn a_way_leads_to_an_address_and_no_other() {
     let detour = FILE.replacen("[zones]", "[reachlb]\nways = ['10.0.0.1=10.9.0.1']\n[zones]", 1);
-    let ways = Settings::parse(&detour).unwrap().tuning.ways;
+    let ways = Settings::parse(&detour).unwrap().tuning.detours;
     let there = |text: &str| ways.to(text.parse().unwrap()).to_string();
     assert_eq!((there("10.0.0.1:7"), there("10.0.0.2:7")), ("10.9.0.1:7".into(), "10.0.0.2:7".into()));
 }
 
 /// The least that a file may say.
-const LEAST: &str = "
+const MINIMAL: &str = "
 node_name = 'n'
 serves = []
 ip = '::1'
@@ -47,7 +47,7 @@
 #[test]
 fn what_is_not_required_may_be_left_out() {
     let rest = "data_path = ''\nlater = { field = 1 }\nbound_table = 'drain_ms=1500.5, seed_lag_s=1,later=x'";
-    let settings = Settings::parse(&format!("{LEAST}{rest}")).unwrap();
+    let settings = Settings::parse(&format!("{MINIMAL}{rest}")).unwrap();
     assert_eq!((settings.data_path, settings.front), (None, None));
     assert_eq!(settings.bounds.drain, Duration::from_micros(1_500_500));
     assert_eq!(settings.bounds.seed_lag, Duration::from_secs(1));
@@ -88,14 +88,14 @@
 
 #[test]
 fn all_faults_come_at_once() {
-    let Err(SettingsFault::Invalid(faults)) = Settings::parse("bootstrap = 2\n[limits]\nmax_fds = 'x'")
+    let Err(SettingsError::Invalid(faults)) = Settings::parse("bootstrap = 2\n[limits]\nmax_fds = 'x'")
     else {
         panic!("taken");
     };
     let keys: Vec<_> = faults.iter().map(|fault| &*fault.key).collect();
     let missing = ["node_name", "serves", "ip", "zone", "port_range", "seed_list"];
     assert_eq!(keys, [&missing[..], &["bootstrap", "limits.max_fds"]].concat());
-    assert!(matches!(Settings::read("/nowhere/at/all"), Err(SettingsFault::File { .. })));
+    assert!(matches!(Settings::read("/nowhere/at/all"), Err(SettingsError::File { .. })));
 }
 
 #[test]
@@ -104,11 +104,11 @@
     for setting in values {
         let (table, key) = setting.key.split_once('.').unwrap_or(("", setting.key));
         let text = match table {
-            "" => format!("{LEAST}{key} = {}", setting.default),
-            "bound_table" => format!("{LEAST}bound_table = ['{key}={}']", setting.default),
-            _ => format!("{LEAST}[{table}]\n{key} = {}", setting.default),
+            "" => format!("{MINIMAL}{key} = {}", setting.default),
+            "bound_table" => format!("{MINIMAL}bound_table = ['{key}={}']", setting.default),
+            _ => format!("{MINIMAL}[{table}]\n{key} = {}", setting.default),
         };
-        assert_eq!(Settings::parse(&text).unwrap(), Settings::parse(LEAST).unwrap(), "{setting}");
+        assert_eq!(Settings::parse(&text).unwrap(), Settings::parse(MINIMAL).unwrap(), "{setting}");
     }
     assert_eq!(
         declared().find(|setting| setting.key == "reachlb.pulse_ms").unwrap().to_string(),
--- a/crates/control-plane/src/calls.rs
+++ b/crates/control-plane/src/calls.rs
@@ -11,7 +11,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use observability::Seldom;
+use observability::LogRateLimiter;
 use protocol::{Backend, Order, Phase};
 use serde::Deserialize;
 use std::cell::Cell;
@@ -157,7 +157,7 @@
         takes_id: false,
         max_body_bytes: 0,
         response_timeout: RESPONSE_TIMEOUT,
-        content_type: observability::TEXT,
+        content_type: observability::METRICS_CONTENT_TYPE,
         parse: |_, _, _| Ok(Call::Metrics),
     },
 ];
@@ -299,7 +299,7 @@
     let open_connections = Rc::new(Cell::new(0usize));
     let budget = BodyBudget::default();
     let (started_at, mut accept_failures, mut rejections) =
-        (Instant::now(), Seldom::new(1, 10_000), Seldom::new(1, 10_000));
+        (Instant::now(), LogRateLimiter::new(1, 10_000), LogRateLimiter::new(1, 10_000));
     loop {
         match listener.accept().await {
             Ok((stream, _)) if open_connections.get() < max_connections => {
@@ -313,14 +313,14 @@
             }
             // A connection beyond the limit is closed at once, so that the caller tries another gateway.
             Ok((_, peer)) => {
-                if let Some(left_out) = rejections.pass(started_at.elapsed().as_millis() as u64) {
+                if let Some(left_out) = rejections.try_acquire(started_at.elapsed().as_millis() as u64) {
                     let peer = peer.to_string();
                     spdlog::warn!("connection limit of {} reached, connection rejected", max_connections,
                         kv: { step = "call", peer = peer.as_str(), left_out });
                 }
             }
             Err(error) => {
-                if let Some(left_out) = accept_failures.pass(started_at.elapsed().as_millis() as u64) {
+                if let Some(left_out) = accept_failures.try_acquire(started_at.elapsed().as_millis() as u64) {
                     spdlog::warn!("cannot accept a connection: {}", error, kv: { step = "accept", left_out });
                 }
                 sleep(ACCEPT_RETRY_DELAY).await;
--- a/crates/control-plane/src/control_plane/membership.rs
+++ b/crates/control-plane/src/control_plane/membership.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::tolerance::Losses;
-use observability::Page;
+use observability::MetricsPage;
 use raft::{MembershipStatus, RetirementPolicy};
 use serde_json::{Value, json};
 
@@ -90,7 +90,7 @@
             "tolerated": to_json(&self.settings.tolerance.losses) })
     }
 
-    pub(super) fn quorum_metrics(&self, page: &mut Page, now: u64) {
+    pub(super) fn quorum_metrics(&self, page: &mut MetricsPage, now: u64) {
         let Some(standing) = self.node.as_ref().and_then(|node| node.membership_status(now)) else { return };
         let rows = |losses: Losses| {
             let kinds = [("machine", losses.machines), ("zone", losses.zones), ("region", losses.regions)];
--- a/crates/control-plane/src/control_plane/status.rs
+++ b/crates/control-plane/src/control_plane/status.rs
@@ -2,7 +2,7 @@
 
 use super::ControlPlane;
 use crate::call::Reply;
-use observability::Page;
+use observability::MetricsPage;
 use serde_json::json;
 
 impl ControlPlane {
@@ -118,7 +118,7 @@
 
     /// Metrics in the Prometheus text format.
     pub(super) fn metrics(&self, now: u64) -> Reply {
-        let mut page = Page::of("control-plane", now);
+        let mut page = MetricsPage::new("control-plane", now);
         let (leader, epoch, fresh) = self.leader(now);
         let flag = |set: bool| f64::from(u8::from(set));
         page.gauge("leader_known", "1 while this process knows a leader", flag(leader.is_some()));
--- a/crates/control-plane/src/event_log.rs
+++ b/crates/control-plane/src/event_log.rs
@@ -2,7 +2,7 @@
 
 use crate::admission::Decision;
 use crate::config_history::Verdict;
-use observability::{Ring, Seldom};
+use observability::{LogRateLimiter, RingBuffer};
 use protocol::{Backend, Phase};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -177,8 +177,8 @@
 /// Records events, limits log lines, and counts for metrics.
 #[derive(Debug)]
 pub struct EventLog {
-    backends: Ring<Event>,
-    others: Ring<Event>,
+    backends: RingBuffer<Event>,
+    others: RingBuffer<Event>,
     epoch: u64,
     version: u64,
     leader: Option<SocketAddr>,
@@ -188,25 +188,25 @@
     services: HashSet<Rc<str>>,
     /// Incarnation of each data plane; `None` once it no longer counts.
     data_planes: BTreeMap<Rc<str>, Option<u64>>,
-    line_limits: [Seldom; RATE_LIMITED_STEPS.len()],
-    candidacy_limit: Seldom,
+    line_limits: [LogRateLimiter; RATE_LIMITED_STEPS.len()],
+    candidacy_limit: LogRateLimiter,
     pub counters: Counters,
 }
 
 impl EventLog {
     pub fn new() -> Self {
         Self {
-            backends: Ring::new(BACKEND_EVENT_CAPACITY),
-            others: Ring::new(OTHER_EVENT_CAPACITY),
+            backends: RingBuffer::new(BACKEND_EVENT_CAPACITY),
+            others: RingBuffer::new(OTHER_EVENT_CAPACITY),
             epoch: 0,
             version: 0,
             leader: None,
             live_backends: HashMap::new(),
             services: HashSet::new(),
             data_planes: BTreeMap::new(),
-            line_limits: RATE_LIMITED_STEPS.map(|_| Seldom::new(LOG_RATE_LIMIT.0, LOG_RATE_LIMIT.1)),
+            line_limits: RATE_LIMITED_STEPS.map(|_| LogRateLimiter::new(LOG_RATE_LIMIT.0, LOG_RATE_LIMIT.1)),
             // Without a majority, candidacies repeat after each election timeout.
-            candidacy_limit: Seldom::new(1, LOG_RATE_LIMIT.1),
+            candidacy_limit: LogRateLimiter::new(1, LOG_RATE_LIMIT.1),
             counters: Counters::default(),
         }
     }
@@ -228,12 +228,12 @@
     /// Whether a log line of this step is allowed, and how many were suppressed before it.
     pub fn allow_line(&mut self, step: &str, at: u64) -> Option<u64> {
         let kind = RATE_LIMITED_STEPS.iter().position(|known| *known == step);
-        kind.map_or(Some(0), |kind| self.line_limits[kind].pass(at))
+        kind.map_or(Some(0), |kind| self.line_limits[kind].try_acquire(at))
     }
 
     /// This process stands for election; without a majority it does so repeatedly.
     pub fn on_candidacy(&mut self, at: u64, epoch: u64) {
-        if let Some(left_out) = self.candidacy_limit.pass(at) {
+        if let Some(left_out) = self.candidacy_limit.try_acquire(at) {
             let version = self.version;
             spdlog::info!("stands for election", kv: { step = "election", version, epoch, left_out });
         }
@@ -372,7 +372,12 @@
                     _ => false,
                 }
         };
-        let mut found: Vec<_> = self.backends.newest().chain(self.others.newest()).filter(is_match).collect();
+        let mut found: Vec<_> = self
+            .backends
+            .iter_newest_first()
+            .chain(self.others.iter_newest_first())
+            .filter(is_match)
+            .collect();
         found.sort_by_key(|event| std::cmp::Reverse(event.at));
         let to_json = |event: &Event| {
             json!({ "age_ms": now.saturating_sub(event.at), "step": event.kind.step(),
--- a/crates/control-plane/src/listener.rs
+++ b/crates/control-plane/src/listener.rs
@@ -2,7 +2,7 @@
 
 use crate::command::Command;
 use config::Detours;
-use observability::Seldom;
+use observability::LogRateLimiter;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -40,12 +40,12 @@
 pub async fn listen(
     listener: TcpListener, commands: mpsc::Sender<Command>, connection_ids: impl Fn() -> u64,
 ) {
-    let (started_at, mut accept_failures) = (Instant::now(), Seldom::new(1, 10_000));
+    let (started_at, mut accept_failures) = (Instant::now(), LogRateLimiter::new(1, 10_000));
     loop {
         let (stream, peer) = match listener.accept().await {
             Ok(both) => both,
             Err(error) => {
-                if let Some(left_out) = accept_failures.pass(started_at.elapsed().as_millis() as u64) {
+                if let Some(left_out) = accept_failures.try_acquire(started_at.elapsed().as_millis() as u64) {
                     spdlog::warn!("cannot accept a connection of another process: {}", error, kv: { step = "accept", left_out });
                 }
                 sleep(ACCEPT_RETRY_DELAY).await;
--- a/crates/data-plane/src/readiness.rs
+++ b/crates/data-plane/src/readiness.rs
@@ -10,7 +10,7 @@
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
-use observability::TEXT;
+use observability::METRICS_CONTENT_TYPE;
 use serde_json::json;
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -55,7 +55,7 @@
     }
     let (name, recorder) = (&data_plane.settings().name, data_plane.recorder());
     let value = match request.uri().path() {
-        "/metrics" => return Some((TEXT, data_plane.metrics())),
+        "/metrics" => return Some((METRICS_CONTENT_TYPE, data_plane.metrics())),
         "/events" => {
             let word = request.uri().query().and_then(|query| query.strip_prefix("about="));
             let requests = recorder.requests(None, if word.is_none() { MAX_REQUESTS_SHOWN } else { 0 });
--- a/crates/data-plane/src/recorder.rs
+++ b/crates/data-plane/src/recorder.rs
@@ -6,7 +6,7 @@
 use crate::{LogLine, LogSink};
 use doorcourse::{Name, Outcome};
 use hyper::header::HeaderValue;
-use observability::{Page, Ring, Seldom};
+use observability::{LogRateLimiter, MetricsPage, RingBuffer};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -139,13 +139,13 @@
     started: Instant,
     log: LogSink,
     /// Records of requests that were sent to a backend.
-    sent: RefCell<Ring<RequestRecord>>,
+    sent: RefCell<RingBuffer<RequestRecord>>,
     /// Records of requests that were never sent to a backend.
-    unsent: RefCell<Ring<RequestRecord>>,
-    events: RefCell<Ring<EventRecord>>,
+    unsent: RefCell<RingBuffer<RequestRecord>>,
+    events: RefCell<RingBuffer<EventRecord>>,
     version: Cell<u64>,
     /// A rate limiter for each limited step.
-    log_limiters: RefCell<[(&'static str, Seldom); RATE_LIMITED_STEPS.len()]>,
+    log_limiters: RefCell<[(&'static str, LogRateLimiter); RATE_LIMITED_STEPS.len()]>,
     /// The counters of requests that were assigned to no service.
     unrouted: RequestCounts,
     attempts: [Cell<u64>; ATTEMPT_OUTCOMES.len()],
@@ -172,12 +172,13 @@
         Rc::new(Self {
             started: Instant::now(),
             log,
-            sent: RefCell::new(Ring::new(MAX_SENT_RECORDS)),
-            unsent: RefCell::new(Ring::new(MAX_UNSENT_RECORDS)),
-            events: RefCell::new(Ring::new(MAX_EVENT_RECORDS)),
+            sent: RefCell::new(RingBuffer::new(MAX_SENT_RECORDS)),
+            unsent: RefCell::new(RingBuffer::new(MAX_UNSENT_RECORDS)),
+            events: RefCell::new(RingBuffer::new(MAX_EVENT_RECORDS)),
             version: Cell::default(),
             log_limiters: RefCell::new(
-                RATE_LIMITED_STEPS.map(|step| (step, Seldom::new(LOG_RATE_LIMIT.0, LOG_RATE_LIMIT.1))),
+                RATE_LIMITED_STEPS
+                    .map(|step| (step, LogRateLimiter::new(LOG_RATE_LIMIT.0, LOG_RATE_LIMIT.1))),
             ),
             unrouted: RequestCounts::default(),
             attempts: Default::default(),
@@ -197,7 +198,7 @@
         let mut log_limiters = self.log_limiters.borrow_mut();
         let limiter = log_limiters.iter_mut().find(|(known, _)| *known == step).map(|(_, limiter)| limiter);
         let suppressed =
-            limiter.map_or(Some(0), |limiter| limiter.pass(self.started.elapsed().as_millis() as u64));
+            limiter.map_or(Some(0), |limiter| limiter.try_acquire(self.started.elapsed().as_millis() as u64));
         drop(log_limiters);
         if let Some(left_out) = suppressed {
             (self.log)(LogLine { step, version, left_out, text });
@@ -251,7 +252,7 @@
     /// The records of the requests with the given id, or of all requests, newest first.
     pub fn requests(&self, id: Option<&str>, limit: usize) -> Vec<Value> {
         let (sent, unsent, now) = (self.sent.borrow(), self.unsent.borrow(), Instant::now());
-        let all = sent.newest().chain(unsent.newest());
+        let all = sent.iter_newest_first().chain(unsent.iter_newest_first());
         let mut found: Vec<_> = all.filter(|r| id.is_none_or(|id| &*r.id == id)).collect();
         found.sort_by_key(|record| std::cmp::Reverse(record.at));
         let to_json = |r: &RequestRecord| {
@@ -279,7 +280,7 @@
             json!({ "age_ms": (now - n.at).as_millis() as u64, "step": n.step, "subject": word,
                 "text": &*n.text, "version": format!("r{}", n.version) })
         };
-        events.newest().filter(matches).map(to_json).collect()
+        events.iter_newest_first().filter(matches).map(to_json).collect()
     }
 
     fn unrouted_rows(&self) -> Vec<(Vec<(&'static str, String)>, u64)> {
@@ -350,7 +351,7 @@
     /// The metrics page.
     pub fn metrics(&self) -> String {
         let recorder = self.recorder();
-        let mut page = Page::of("data-plane", recorder.started.elapsed().as_millis() as u64);
+        let mut page = MetricsPage::new("data-plane", recorder.started.elapsed().as_millis() as u64);
         page.gauge("ready", "1 while new clients should come here", f64::from(u8::from(self.is_ready())));
         page.gauge("config_version", "Version in force here", recorder.version.get() as f64);
         page.gauge(
--- a/crates/data-plane/src/routing.rs
+++ b/crates/data-plane/src/routing.rs
@@ -62,7 +62,7 @@
             return Err(Rejection::Malformed("two hosts"));
         }
         let route = config.route(host, uri.path()).ok_or(Rejection::NoRoute)?;
-        let tenant = if config.asks_for_keys() {
+        let tenant = if config.requires_keys() {
             let tenant = single_value(&headers, &AUTHORIZATION)?
                 .and_then(bearer_key)
                 .and_then(|key| config.tenant(key));
--- a/crates/observability/src/lib.rs
+++ b/crates/observability/src/lib.rs
@@ -6,10 +6,10 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod page;
-mod ring;
-mod seldom;
+mod log_rate_limiter;
+mod metrics_page;
+mod ring_buffer;
 
-pub use page::{Labels, Page, TEXT};
-pub use ring::Ring;
-pub use seldom::Seldom;
+pub use log_rate_limiter::LogRateLimiter;
+pub use metrics_page::{Labels, METRICS_CONTENT_TYPE, MetricsPage};
+pub use ring_buffer::RingBuffer;
--- a/crates/observability/src/page.rs
+++ b/crates/observability/src/metrics_page.rs
@@ -11,35 +11,35 @@
 use std::sync::atomic::AtomicU64;
 
 /// The media type of a page.
-pub const TEXT: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+pub const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// A metric has so many rows at most: names of services come from outside, and whoever reads pages keeps each row for
 /// long. What is beyond them is added up under `other`.
-const MOST_ROWS: usize = 200;
+const MAX_ROWS: usize = 200;
 /// The kernel's unit of processor time in /proc: 100 a second on every Linux.
-const TICKS: f64 = 100.0;
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 
-type Float = Gauge<f64, AtomicU64>;
-type Total = Counter<u64, AtomicU64>;
+type FloatGauge = Gauge<f64, AtomicU64>;
+type TotalCounter = Counter<u64, AtomicU64>;
 
 /// The labels of one row.
 pub type Labels = Vec<(&'static str, String)>;
 
 /// One page.
-pub struct Page(Registry);
+pub struct MetricsPage(Registry);
 
-impl Page {
+impl MetricsPage {
     /// A page of a plane, with what the process costs on it.
-    pub fn of(plane: &'static str, up_ms: u64) -> Self {
+    pub fn new(plane: &'static str, uptime_ms: u64) -> Self {
         let registry =
             Registry::with_prefix_and_labels("reachlb", [("plane".into(), plane.into())].into_iter());
         let mut page = Self(registry);
-        page.gauge("up_seconds", "Time since the process started", up_ms as f64 / 1000.0);
+        page.gauge("up_seconds", "Time since the process started", uptime_ms as f64 / 1000.0);
         let text = |name| fs::read_to_string(name).unwrap_or_default();
-        if let Some(spent) = processor_time(&text("/proc/self/stat")) {
-            page.gauge("processor_seconds", "Processor time spent since the start", spent);
+        if let Some(seconds) = parse_processor_time(&text("/proc/self/stat")) {
+            page.gauge("processor_seconds", "Processor time spent since the start", seconds);
         }
-        if let Some(bytes) = resident(&text("/proc/self/status")) {
+        if let Some(bytes) = parse_resident_bytes(&text("/proc/self/status")) {
             page.gauge("resident_bytes", "Memory held", bytes);
         }
         // The listing itself holds one while it is read.
@@ -51,15 +51,15 @@
 
     /// A figure that goes up and down.
     pub fn gauge(&mut self, name: &str, help: &str, value: f64) {
-        let gauge = Float::default();
+        let gauge = FloatGauge::default();
         gauge.set(value);
         self.0.register(name, help, gauge);
     }
 
     /// A figure for each of some labels; several for the same ones are added up.
     pub fn gauges(&mut self, name: &str, help: &str, rows: impl IntoIterator<Item = (Labels, f64)>) {
-        let family = Family::<Labels, Float>::default();
-        bounded(rows, |labels, value| {
+        let family = Family::<Labels, FloatGauge>::default();
+        limit_rows(rows, |labels, value| {
             family.get_or_create(labels).inc_by(value);
         });
         self.0.register(name, help, family);
@@ -67,15 +67,15 @@
 
     /// What was counted since the start; `_total` is added to its name.
     pub fn counter(&mut self, name: &str, help: &str, value: u64) {
-        let counter = Total::default();
+        let counter = TotalCounter::default();
         counter.inc_by(value);
         self.0.register(name, help, counter);
     }
 
     /// What was counted for each of some labels.
     pub fn counters(&mut self, name: &str, help: &str, rows: impl IntoIterator<Item = (Labels, u64)>) {
-        let family = Family::<Labels, Total>::default();
-        bounded(rows, |labels, value| {
+        let family = Family::<Labels, TotalCounter>::default();
+        limit_rows(rows, |labels, value| {
             family.get_or_create(labels).inc_by(value);
         });
         self.0.register(name, help, family);
@@ -86,7 +86,7 @@
     pub fn histogram(&mut self, name: &str, help: &str, bounds: &[f64], counts: &[u64], sum: f64) {
         let bounds = bounds.iter().copied().chain([f64::INFINITY]);
         let buckets: Vec<_> = bounds.zip(counts.iter().copied()).collect();
-        self.0.register(name, help, Spread { buckets, sum });
+        self.0.register(name, help, EncodedHistogram { buckets, sum });
     }
 
     /// The page as text.
@@ -98,11 +98,11 @@
     }
 }
 
-fn bounded<V>(rows: impl IntoIterator<Item = (Labels, V)>, mut add: impl FnMut(&Labels, V)) {
+fn limit_rows<V>(rows: impl IntoIterator<Item = (Labels, V)>, mut add: impl FnMut(&Labels, V)) {
     let mut known: Vec<Labels> = Vec::new();
     for (mut labels, value) in rows {
         if !known.contains(&labels) {
-            if known.len() < MOST_ROWS {
+            if known.len() < MAX_ROWS {
                 known.push(labels.clone());
             } else {
                 labels.iter_mut().for_each(|(_, value)| *value = "other".to_owned());
@@ -113,12 +113,12 @@
 }
 
 #[derive(Debug)]
-struct Spread {
+struct EncodedHistogram {
     buckets: Vec<(f64, u64)>,
     sum: f64,
 }
 
-impl EncodeMetric for Spread {
+impl EncodeMetric for EncodedHistogram {
     fn encode(&self, mut encoder: MetricEncoder<'_>) -> Result<(), std::fmt::Error> {
         let count = self.buckets.iter().map(|(_, count)| count).sum();
         encoder.encode_histogram::<NoLabelSet>(self.sum, count, &self.buckets, None)
@@ -129,18 +129,18 @@
     }
 }
 
-impl TypedMetric for Spread {
+impl TypedMetric for EncodedHistogram {
     const TYPE: MetricType = MetricType::Histogram;
 }
 
-fn processor_time(stat: &str) -> Option<f64> {
+fn parse_processor_time(stat: &str) -> Option<f64> {
     // The program's name stands in brackets and may hold anything; the times are the 12th and 13th word after it.
-    let mut words = stat.rsplit_once(')')?.1.split_ascii_whitespace().skip(11);
-    let mut next = || words.next()?.parse::<f64>().ok();
-    Some((next()? + next()?) / TICKS)
+    let mut fields = stat.rsplit_once(')')?.1.split_ascii_whitespace().skip(11);
+    let mut next = || fields.next()?.parse::<f64>().ok();
+    Some((next()? + next()?) / CLOCK_TICKS_PER_SECOND)
 }
 
-fn resident(status: &str) -> Option<f64> {
+fn parse_resident_bytes(status: &str) -> Option<f64> {
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
     Some(line.split_ascii_whitespace().next()?.parse::<f64>().ok()? * 1024.0)
 }
@@ -150,9 +150,9 @@
     use super::*;
 
     #[test]
-    fn a_page_is_bounded_and_adds_up() {
-        let mut page = Page::of("data-plane", 1500);
-        let rows = (0..MOST_ROWS + 40).map(|n| (vec![("service", format!("s{n}"))], 1));
+    fn rows_are_limited_and_excess_rows_are_summed() {
+        let mut page = MetricsPage::new("data-plane", 1500);
+        let rows = (0..MAX_ROWS + 40).map(|n| (vec![("service", format!("s{n}"))], 1));
         page.counters("requests", "Requests", rows.chain([(vec![("service", "s0".to_owned())], 1)]));
         page.histogram("answer_seconds", "Time", &[0.1, 1.0], &[2, 1, 1], 9.5);
         let text = page.text();
@@ -166,7 +166,7 @@
         ] {
             assert!(text.lines().any(|known| known == line), "{line} in {text}");
         }
-        assert_eq!(text.matches("reachlb_requests_total").count(), MOST_ROWS + 1);
+        assert_eq!(text.matches("reachlb_requests_total").count(), MAX_ROWS + 1);
     }
 
     #[yare::parameterized(
@@ -174,7 +174,7 @@
         short = { "7 (x) S 1 2", None },
         none = { "", None },
     )]
-    fn the_kernel_s_account_is_read_whatever_the_program_is_called(stat: &str, spent: Option<f64>) {
-        assert_eq!(processor_time(stat), spent);
+    fn processor_time_is_parsed_for_any_program_name(stat: &str, seconds: Option<f64>) {
+        assert_eq!(parse_processor_time(stat), seconds);
     }
 }
--- a/crates/reachlb/src/check.rs
+++ b/crates/reachlb/src/check.rs
@@ -1,7 +1,7 @@
 //! Checks a file as a process would read it.
 
 use crate::UNUSABLE;
-use config::{Config, ConfigFault, Settings, SettingsFault};
+use config::{Config, ConfigError, Settings, SettingsError};
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -26,9 +26,9 @@
     };
     match Config::parse(&body) {
         Ok(_) => Vec::new(),
-        Err(ConfigFault::Invalid { lines, more }) => {
+        Err(ConfigError::Invalid { lines, more }) => {
             let mut faults: Vec<_> =
-                lines.iter().map(|line| format!("{}: {}", line.place, line.wrong)).collect();
+                lines.iter().map(|line| format!("{}: {}", line.path, line.kind)).collect();
             if more > 0 {
                 faults.push(format!("and {more} more"));
             }
@@ -41,7 +41,7 @@
 fn settings(file: &Path) -> Vec<String> {
     match Settings::read(file) {
         Ok(_) => Vec::new(),
-        Err(SettingsFault::Invalid(faults)) => faults.iter().map(ToString::to_string).collect(),
+        Err(SettingsError::Invalid(faults)) => faults.iter().map(ToString::to_string).collect(),
         Err(fault) => vec![fault.to_string()],
     }
 }
--- a/crates/reachlb/src/lib.rs
+++ b/crates/reachlb/src/lib.rs
@@ -51,7 +51,7 @@
             return ExitCode::from(UNUSABLE);
         }
     };
-    settings.tuning.watching |= switches.watching;
+    settings.tuning.failure_detection |= switches.watching;
     if let Err(error) = logs::start(&settings.tuning.log_level) {
         eprintln!("logs: {error}");
         return ExitCode::from(UNUSABLE);
--- a/crates/reachlb/src/operate/config.rs
+++ b/crates/reachlb/src/operate/config.rs
@@ -129,7 +129,7 @@
 
 /// Reads a body as a process would.
 fn parse(step: &'static str, what: &str, body: &[u8]) -> Result<Config, Trouble> {
-    let unusable = |fault: config::ConfigFault| Trouble::Unusable {
+    let unusable = |fault: config::ConfigError| Trouble::Unusable {
         step,
         what: what.to_owned(),
         why: fault.to_string(),
--- a/crates/reachlb/src/run_control_plane.rs
+++ b/crates/reachlb/src/run_control_plane.rs
@@ -84,9 +84,9 @@
         },
         tolerance: tolerance(&settings),
         retire_after_ms: retire_after(&settings),
-        max_lease_requests_per_holder: settings.tuning.draws_a_holder,
+        max_lease_requests_per_holder: settings.tuning.max_lease_requests_per_holder,
         seed: life,
-        detours: settings.tuning.ways.clone(),
+        detours: settings.tuning.detours.clone(),
     };
     let numbers = Rc::new(Cell::new(0));
     let numbers: Rc<dyn Fn() -> u64> = Rc::new(move || {
--- a/crates/reachlb/src/run_data_plane.rs
+++ b/crates/reachlb/src/run_data_plane.rs
@@ -50,7 +50,7 @@
     let about = DataPlaneSettings {
         max_fds: settings.max_fds as usize,
         grace_period: settings.bounds.grace,
-        detours: settings.tuning.ways.clone(),
+        detours: settings.tuning.detours.clone(),
         log: Rc::new(|line| {
             let (step, version, left_out) = (line.step, line.version, line.left_out);
             spdlog::info!("{}", line.text, kv: { step, version, left_out });
@@ -93,7 +93,7 @@
     };
     let neighbor_watch = start::watch(&settings, true, life)?;
     let seeds = start::seeds(&settings);
-    let ways = settings.tuning.ways.clone();
+    let ways = settings.tuning.detours.clone();
     *follower.borrow_mut() = Some(ControlFollower::start(
         FollowerSettings { me, seeds, ways, stale_after: stale_after(&settings) },
         news,
--- a/crates/reachlb/src/start.rs
+++ b/crates/reachlb/src/start.rs
@@ -39,7 +39,7 @@
 pub fn watch(settings: &Settings, data_plane: bool, life: u64) -> Result<Option<Rc<NeighborWatch>>> {
     let (first, last) = settings.port_range;
     let port = if data_plane { first } else { first.saturating_add(1) };
-    let (true, IpAddr::V4(ip)) = (settings.tuning.watching && port <= last, settings.ip) else {
+    let (true, IpAddr::V4(ip)) = (settings.tuning.failure_detection && port <= last, settings.ip) else {
         return Ok(None);
     };
     let at = SocketAddrV4::new(ip, port);
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -220,8 +220,8 @@
         assert_eq!((data_plane.front, data_plane.port_range.0), (Some(site.front(3)), 18_403));
         assert_eq!(data_plane.seed_list.len(), VOTERS);
         let (own, far) = (site.peers(0), SocketAddr::new(site.backend(5), 7));
-        assert_eq!(data_plane.tuning.ways.to(own).ip(), site.way(3, own.ip()));
-        assert_eq!(data_plane.tuning.ways.to(far).to_string(), "127.0.5.25:7");
+        assert_eq!(data_plane.tuning.detours.to(own).ip(), site.way(3, own.ip()));
+        assert_eq!(data_plane.tuning.detours.to(far).to_string(), "127.0.5.25:7");
         let control_plane = site.control_plane_settings(0, Path::new("/tmp/a \"b\""), true);
         let control_plane = Settings::parse(&control_plane).expect("valid");
         assert!(control_plane.bootstrap && control_plane.in_quorum);
