--- a/crates/failure-detector/src/detector.rs
+++ b/crates/failure-detector/src/detector.rs
@@ -1,4 +1,4 @@
-//! The watch of one process: whom it pings, whom it suspicions, whom it holds dead.
+//! The failure detector of one process: pings watched members, collects suspicions and declares deaths.
 
 use crate::message::{
     Identity, MemberAddr, MemberIncarnation, MemberRecord, MemberState, Message, MessageKind,
@@ -8,87 +8,97 @@
 use crate::{Millis, WATCHERS};
 use std::collections::BTreeMap;
 
-/// How often things are looked after.
+/// Interval between two calls of [`FailureDetector::tick`] that do work.
 const TICK_INTERVAL_MS: Millis = 250;
-/// Each of those watched is pinged this often.
+/// Interval between two pings of a watched member that answers.
 const PING_INTERVAL_MS: Millis = 500;
-/// Who has not answered for so long, and so many pings, is doubted.
+/// A watched member is suspected after this silence, if it also left [`SUSPECT_AFTER_PINGS`] pings unanswered.
 const SUSPECT_AFTER_MS: Millis = 1500;
+/// Number of unanswered pings before a suspicion, not counting the last ping, which may still be answered.
 const SUSPECT_AFTER_PINGS: u32 = 3;
-/// A process that has been asked to look at one that it does not watch asks at each step, and judges sooner.
+/// Silence after which a temporary watcher suspects a member. Temporary watchers ping at every tick, and so suspect
+/// sooner.
 const TEMPORARY_SUSPECT_AFTER_MS: Millis = 700;
-/// ... and stops when nobody has doubted for this long.
+/// A temporary watch ends when no suspicion has arrived for this long.
 const TEMPORARY_WATCH_TTL_MS: Millis = 3000;
-/// A doubt that was not outgoing_suspicions again within this is over; a vouch weighs for longer, for it may have been lost on its way
-/// when it was outgoing_suspicions again.
+/// A suspicion expires unless it is repeated within this time.
 const SUSPICION_TTL_MS: Millis = 1200;
+/// An alive report counts for longer than a suspicion, because its next repetition may get lost on the way.
 const ALIVE_REPORT_TTL_MS: Millis = 2000;
-/// Who was heard within this is vouched for.
+/// A watcher reports a suspected member as alive if it received a datagram from that member within this time.
 const ALIVE_REPORT_WINDOW_MS: Millis = 1000;
-/// Who has heard nobody at all for this long suspicions itself, and nobody else.
+/// A process that has received no datagram from any member for this long considers itself isolated and suspects no
+/// one.
 const ISOLATION_TIMEOUT_MS: Millis = 1000;
-/// A step that comes so much late has slept through what the others outgoing_suspicions: it proves nothing about them.
+/// A tick that is later than this missed the datagrams of other members, so their silence proves nothing.
 const MAX_TICK_DELAY_MS: Millis = 700;
-/// Who has slept for very long listens to nothing for this long: what waited for it is read in that time.
+/// After a very long pause, datagrams are discarded for this long: those waiting in the socket are as old as the
+/// pause.
 const WAKE_DISCARD_MS: Millis = 500;
-/// Doubts so many at least are needed, while there can be so many.
+/// Minimum number of members that must suspect a member before it is declared dead. Smaller groups need all other
+/// members.
 const MIN_WITNESSES: usize = 2;
-/// A doubt is put to so many at most, once those that watch say nothing.
+/// Maximum number of members that a suspicion is sent to while the regular watchers do not report the suspect as
+/// alive.
 const MAX_SUSPICION_RECIPIENTS: usize = 4 * WATCHERS;
-/// So many are watched at once, those included that others doubt; rendezvous hashing names about [`WATCHERS`].
+/// Maximum number of members watched at once, including temporary watches; rendezvous hashing selects about
+/// [`WATCHERS`].
 const MAX_WATCHED: usize = 64;
-/// A datagram holds so many records, suspicions and alive_reports of each; about 1,000 bytes.
+/// Maximum number of records, of suspicions and of alive reports in one datagram, which keeps it at about 1,000
+/// bytes.
 const MAX_BATCH_ENTRIES: usize = 24;
-/// One question after the differences of two views is answered with so many datagrams.
+/// Maximum number of datagrams sent in reply to one sync request.
 const MAX_SYNC_DATAGRAMS: usize = 6;
-/// So many such questions are answered in one period.
+/// Maximum number of sync requests answered between two ticks.
 const MAX_SYNC_REPLIES_PER_TICK: u32 = 4;
-/// Views are compared no more often than this.
+/// Minimum interval between two sync requests.
 const MIN_SYNC_INTERVAL_MS: Millis = 750;
-/// Seeds that are not known to be here are asked one at a time, this often; so is one of the dead, and one at random.
+/// Interval between pings beyond the watch set: one seed not known to be alive, one dead member and one random member
+/// each time.
 const EXTRA_PING_INTERVAL_MS: Millis = 1000;
 
 /// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// Where to.
+    /// Destination.
     pub to: MemberAddr,
-    /// What.
+    /// Payload.
     pub message: Message,
 }
 
-/// How a process stands, for operators.
+/// State of the failure detector, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DetectorStatus {
-    /// Whether it hears nobody, and so judges nobody.
+    /// Whether this process receives no datagrams and therefore suspects no one.
     pub isolated: bool,
-    /// How many it holds to be here, itself included.
+    /// Number of members considered alive, including this process.
     pub alive_count: usize,
-    /// Names of those that it watches, the time since each was heard, and whether it is doubted.
+    /// For each watched member: its name, the time since its last datagram, and whether it is suspected.
     pub watched: Vec<(String, Millis, bool)>,
 }
 
-/// What is known of one that is watched.
+/// State of the watch of one member.
 #[derive(Debug)]
 struct WatchedMember {
     last_received: Millis,
     unanswered_pings: u32,
     next_ping: Millis,
-    /// Since when it is doubted.
+    /// When this process began to suspect the member.
     suspected_since: Option<Millis>,
-    /// Watched only since others doubt, and until they have not for long.
+    /// Whether the member is watched only because other members suspect it. Such a watch ends some time after the
+    /// last suspicion.
     temporary: bool,
     last_requested: Millis,
 }
 
-/// What others say of one.
+/// Suspicions and alive reports about one member, by reporting member.
 #[derive(Debug, Default)]
 struct Evidence {
     suspicions: BTreeMap<MemberAddr, (MemberIncarnation, Millis)>,
     alive_reports: BTreeMap<MemberAddr, (MemberIncarnation, Millis)>,
 }
 
-/// The watch of one process.
+/// The failure detector of one process, without I/O or clock.
 #[derive(Debug)]
 pub struct FailureDetector {
     own_record: MemberRecord,
@@ -96,7 +106,7 @@
     seeds: Vec<MemberAddr>,
     watched: BTreeMap<MemberAddr, WatchedMember>,
     evidence: BTreeMap<MemberAddr, Evidence>,
-    /// The change of the view for which the watched were named.
+    /// Value of [`View::changes`] for which the watch set was computed.
     watched_at_change: Option<u64>,
     started_at: Millis,
     last_tick: Millis,
@@ -104,10 +114,10 @@
     last_other_contact: Option<Millis>,
     isolated_since: Option<Millis>,
     last_extra_ping: Millis,
-    /// Datagrams are not listened to before.
+    /// Datagrams that arrive before this time are discarded.
     discard_until: Millis,
     last_agreement: Millis,
-    /// When a record last changed anything here.
+    /// When a received record last changed the view.
     last_change: Millis,
     last_sync: Millis,
     sync_replies: u32,
@@ -118,12 +128,12 @@
 }
 
 impl FailureDetector {
-    /// A process that knows nobody but some seeds; `seed` is drawn for this start_id.
+    /// A detector that knows only the seeds; `seed` is the random seed of this process start.
     pub fn new(identity: Identity, seeds: Vec<MemberAddr>, seed: u64, now: Millis) -> Self {
         let own_record = MemberRecord { identity, incarnation: 0, state: MemberState::Alive };
         let mut view = View::default();
         view.apply(own_record.clone(), now);
-        // Steps of processes that start together are spread.
+        // Spreads the ticks of processes that start at the same time.
         let started_at = now.saturating_sub(splitmix64(seed) % TICK_INTERVAL_MS);
         Self {
             own_record,
@@ -150,32 +160,32 @@
         }
     }
 
-    /// When [`FailureDetector::step`] is to be called at the latest.
+    /// Latest time at which [`FailureDetector::tick`] must be called.
     pub fn next_tick(&self) -> Millis {
         self.last_tick + TICK_INTERVAL_MS
     }
 
-    /// What is held of all processes, the own one and those that ended lately included.
+    /// Records of all known members, including this process and members that died or left recently.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.view.records()
     }
 
-    /// Rises whenever somebody comes or goes.
+    /// Counter that increases whenever a member becomes alive or stops being alive.
     pub fn membership_changes(&self) -> u64 {
         self.view.changes
     }
 
-    /// A digest of who is here: equal views have equal digests.
+    /// Digest of the alive members: equal views have equal digests.
     pub fn digest(&self) -> u64 {
         self.view.digest()
     }
 
-    /// Whether this process hears nobody, and so judges nobody.
+    /// Whether this process receives no datagrams and therefore suspects no one.
     pub fn is_isolated(&self) -> bool {
         self.isolated_since.is_some()
     }
 
-    /// How it stands, for operators.
+    /// State of the detector, for operators.
     pub fn status(&self, now: Millis) -> DetectorStatus {
         let watched = self.watched.iter().filter(|(_, member)| !member.temporary);
         let watched = watched.filter_map(|(addr, member)| {
@@ -189,17 +199,18 @@
         }
     }
 
-    /// The settings name other seeds.
+    /// Replaces the seeds, after a change of the settings.
     pub fn set_seeds(&mut self, seeds: Vec<MemberAddr>) {
         self.seeds = seeds;
     }
 
-    /// The host has heard another machine by other means: a process that is the last of two may judge then.
+    /// Records that the host received data from another machine over another connection. The last of two members may
+    /// then declare the other one dead, although it receives no datagrams.
     pub fn record_other_contact(&mut self, now: Millis) {
         self.last_other_contact = Some(now);
     }
 
-    /// The process ends: says so to those that watch it and those it watches.
+    /// Announces the shutdown of this process to its watchers and to the members it watches.
     pub fn leave(&mut self, now: Millis, out: &mut Vec<Outgoing>) {
         self.own_record.state = MemberState::Left;
         let mut to = self.watchers_of(self.own_record.identity.addr, WATCHERS);
@@ -213,13 +224,14 @@
         out.append(&mut self.outbox);
     }
 
-    /// Time has passed.
+    /// Does the periodic work: pings, suspicions and declarations of death. Does nothing if called before
+    /// [`FailureDetector::next_tick`].
     pub fn tick(&mut self, now: Millis, out: &mut Vec<Outgoing>) {
         self.detect_late_tick(now);
         if now < self.last_tick + TICK_INTERVAL_MS {
             return;
         }
-        // Steps keep their phase, as far as the host does.
+        // Keeps the phase of the ticks as far as the host calls on time.
         self.last_tick = now - (now - self.started_at) % TICK_INTERVAL_MS;
         self.sync_replies = 0;
         self.view.expire_tombstones(now);
@@ -233,7 +245,7 @@
         out.append(&mut self.outbox);
     }
 
-    /// A step that comes late, and a datagram that waited through it, find a process that has slept.
+    /// Detects that this process was paused, from a late tick or from a datagram that arrives after a missed tick.
     fn detect_late_tick(&mut self, now: Millis) {
         #[cfg(test)]
         if self.faults.suspects_after_late_tick {
@@ -245,13 +257,13 @@
             self.reset_silences(now);
             if elapsed > TOMBSTONE_TTL_MS / 2 {
                 self.reset_view(now);
-                // What waited in the socket is as old.
+                // Datagrams waiting in the socket are as old as the pause.
                 self.discard_until = now + WAKE_DISCARD_MS;
             }
         }
     }
 
-    /// All silences begin anew.
+    /// Restarts the measurement of all silences.
     fn reset_silences(&mut self, now: Millis) {
         self.last_received = now;
         self.evidence.clear();
@@ -262,7 +274,7 @@
         }
     }
 
-    /// What is held is as old as what others have forgotten: it would bring back the dead.
+    /// Drops a view that is older than the tombstones of other members: its records would revive dead members.
     fn reset_view(&mut self, now: Millis) {
         self.view.reset_to(self.own_record.clone(), now);
         self.watched.clear();
@@ -270,12 +282,12 @@
     }
 
     fn update_isolation(&mut self, now: Millis) {
-        let silent = now > self.last_received + ISOLATION_TIMEOUT_MS && self.view.alive_count() > 1;
-        let in_contact = self.view.alive_count() == 2
+        let is_silent = now > self.last_received + ISOLATION_TIMEOUT_MS && self.view.alive_count() > 1;
+        let has_other_contact = self.view.alive_count() == 2
             && self.last_other_contact.is_some_and(|at| now < at + ISOLATION_TIMEOUT_MS);
         match self.isolated_since {
-            None if silent && !in_contact => self.isolated_since = Some(now),
-            Some(isolated_since) if !silent => {
+            None if is_silent && !has_other_contact => self.isolated_since = Some(now),
+            Some(isolated_since) if !is_silent => {
                 self.isolated_since = None;
                 self.reset_silences(now);
                 if now > isolated_since + TOMBSTONE_TTL_MS / 2 {
@@ -291,8 +303,8 @@
             return;
         }
         self.watched_at_change = Some(self.view.changes);
-        let me = self.own_record.identity.addr;
-        let watch_set = watched(&self.view.hashed_alive(), (me, me.hash()), WATCHERS);
+        let own_addr = self.own_record.identity.addr;
+        let watch_set = watched(&self.view.hashed_alive(), (own_addr, own_addr.hash()), WATCHERS);
         let view = &self.view;
         self.watched.retain(|addr, member| {
             member.temporary |= watch_set.binary_search(addr).is_err();
@@ -332,8 +344,9 @@
         }
     }
 
-    /// Pings beyond the watch: seeds while they are not known, the dead, whom a cut may have hidden, and anybody. They
-    /// join what was apart, and let a process whose neighbours are all dead hear somebody.
+    /// Pings members outside the watch set: unknown seeds, dead members that a partition may have hidden, and random
+    /// alive members. These pings rejoin partitions, and keep a process in contact whose watched members are all
+    /// dead.
     fn ping_others(&mut self, now: Millis) {
         let interval = if self.isolated_since.is_some() || self.view.alive_count() == 1 {
             PING_INTERVAL_MS
@@ -344,9 +357,13 @@
             return;
         }
         self.last_extra_ping = now;
-        let me = self.own_record.identity.addr;
-        let unknown: Vec<_> =
-            self.seeds.iter().copied().filter(|seed| *seed != me && !self.view.is_alive(*seed)).collect();
+        let own_addr = self.own_record.identity.addr;
+        let unknown: Vec<_> = self
+            .seeds
+            .iter()
+            .copied()
+            .filter(|seed| *seed != own_addr && !self.view.is_alive(*seed))
+            .collect();
         let dead: Vec<_> = self
             .view
             .records()
@@ -356,7 +373,7 @@
         let alive = self
             .view
             .records()
-            .filter(|record| record.state == MemberState::Alive && record.identity.addr != me);
+            .filter(|record| record.state == MemberState::Alive && record.identity.addr != own_addr);
         let alive: Vec<_> = alive.map(|record| record.identity.addr).collect();
         let mut to = vec![self.pick_random(&unknown), self.pick_random(&dead), self.pick_random(&alive)];
         if self.isolated_since.is_some() {
@@ -371,24 +388,25 @@
         }
     }
 
-    fn pick_random(&mut self, among: &[MemberAddr]) -> Option<MemberAddr> {
+    fn pick_random(&mut self, candidates: &[MemberAddr]) -> Option<MemberAddr> {
         self.rng_state = splitmix64(self.rng_state);
-        among.get((self.rng_state % among.len().max(1) as u64) as usize).copied()
+        candidates.get((self.rng_state % candidates.len().max(1) as u64) as usize).copied()
     }
 
     fn is_suspected(&self, member: &WatchedMember, now: Millis) -> bool {
-        let silent = if member.temporary { TEMPORARY_SUSPECT_AFTER_MS } else { SUSPECT_AFTER_MS };
+        let timeout = if member.temporary { TEMPORARY_SUSPECT_AFTER_MS } else { SUSPECT_AFTER_MS };
         #[cfg(test)]
         if self.faults.suspects_after_late_tick {
-            return now >= member.last_received + silent;
+            return now >= member.last_received + timeout;
         }
-        // The newest ping has had no time yet.
-        member.unanswered_pings > SUSPECT_AFTER_PINGS && now >= member.last_received + silent
+        // The last ping may still be answered, so it does not count.
+        member.unanswered_pings > SUSPECT_AFTER_PINGS && now >= member.last_received + timeout
     }
 
-    /// Says its suspicions to the others that watch, alive_reports for those it hears, and pronounces the deaths it has proof of.
+    /// Sends suspicions to the other watchers of each suspected member, and declares members dead once their death is
+    /// proven.
     fn evaluate_suspicions(&mut self, now: Millis) {
-        let me = self.own_record.identity.addr;
+        let own_addr = self.own_record.identity.addr;
         let suspected: Vec<MemberAddr> =
             self.watched.iter().filter(|(_, c)| self.is_suspected(c, now)).map(|(addr, _)| *addr).collect();
         for evidence in self.evidence.values_mut() {
@@ -403,10 +421,10 @@
                 continue;
             };
             let evidence = self.evidence.entry(addr).or_default();
-            evidence.suspicions.insert(me, (incarnation, now));
+            evidence.suspicions.insert(own_addr, (incarnation, now));
             let is_proven = self.is_proven_dead(addr);
             let Some(member) = self.watched.get_mut(&addr) else { continue };
-            // Those that watch it have been asked, and could have vouched; and two more pings have gone out.
+            // By now the other watchers had time to report the member as alive, and two more pings went out.
             let suspected_since = *member.suspected_since.get_or_insert(now);
             if is_proven && !member.temporary && now >= suspected_since + PING_INTERVAL_MS {
                 self.declare_dead(addr, now);
@@ -415,18 +433,19 @@
             let temporary = member.temporary;
             let evidence = self.evidence.entry(addr).or_default();
             if !temporary {
-                // Those that watch it may be dead themselves: where they are silent others are asked.
+                // The other watchers may be dead themselves. While no alive report arrives, the suspicion goes to
+                // more members.
                 let extra_rounds = if evidence.alive_reports.is_empty() {
                     ((now - suspected_since) / TICK_INTERVAL_MS) as usize
                 } else {
                     0
                 };
                 let recipients = (WATCHERS + extra_rounds * WATCHERS).min(MAX_SUSPICION_RECIPIENTS);
-                for to in self.watchers_of(addr, recipients).into_iter().filter(|to| *to != me) {
+                for to in self.watchers_of(addr, recipients).into_iter().filter(|to| *to != own_addr) {
                     outgoing_suspicions.entry(to).or_default().push(incarnation);
                 }
             } else {
-                for to in evidence.suspicions.keys().copied().filter(|to| *to != me) {
+                for to in evidence.suspicions.keys().copied().filter(|to| *to != own_addr) {
                     outgoing_suspicions.entry(to).or_default().push(incarnation);
                 }
             }
@@ -440,7 +459,8 @@
         }
     }
 
-    /// Whether the suspicions that this process has heard, its own among them, are proof: a vouch outweighs them all.
+    /// Whether the known suspicions, including this process's own, prove a death. A single alive report outweighs all
+    /// of them.
     fn is_proven_dead(&self, addr: MemberAddr) -> bool {
         let (Some(record), Some(evidence)) = (self.view.get(addr), self.evidence.get(&addr)) else {
             return false;
@@ -449,14 +469,14 @@
         let count = |records: &BTreeMap<MemberAddr, (MemberIncarnation, Millis)>| {
             records.iter().filter(|(by, (of, _))| *of == incarnation && self.view.is_alive(**by)).count()
         };
-        // All but the one that is judged.
+        // Every alive member except the suspect.
         let max_witnesses = self.view.alive_count().saturating_sub(1);
         let suspicions = count(&evidence.suspicions);
         #[cfg(test)]
         if self.faults.single_witness {
             return suspicions > 0;
         }
-        // Whoever answers anybody is alive.
+        // A member that answers any other member is alive.
         suspicions >= MIN_WITNESSES.min(max_witnesses) && count(&evidence.alive_reports) == 0
     }
 
@@ -489,7 +509,7 @@
         self.outbox.push(Outgoing { to, message });
     }
 
-    /// A datagram came from the process that it names.
+    /// Handles a datagram. The caller has checked that it comes from the address in `message.from`.
     pub fn receive(&mut self, message: Message, now: Millis, out: &mut Vec<Outgoing>) {
         self.detect_late_tick(now);
         if self.own_record.state == MemberState::Left
@@ -506,13 +526,14 @@
             }
             (member.last_received, member.unanswered_pings, member.suspected_since) = (now, 0, None);
         }
-        let me = self.own_record.identity.addr;
+        let own_addr = self.own_record.identity.addr;
         if let Some(evidence) = self.evidence.get_mut(&from) {
-            evidence.suspicions.remove(&me);
+            evidence.suspicions.remove(&own_addr);
         }
         let mut corrections = Vec::new();
         let sender = message.from.clone();
-        // The sender has to be corrections when others hold it dead: it is the only one that can say otherwise.
+        // A sender that others consider dead must learn of it: only the sender can refute the record, by raising its
+        // incarnation.
         if self.view.get(from).is_some_and(|known| known.rank() > sender.rank()) {
             corrections.extend(self.view.get(from).cloned());
         }
@@ -536,7 +557,8 @@
         if message.digest == self.view.digest() {
             self.last_agreement = now;
         }
-        // What has changed just now travels by itself. Two that lack the same agree, and others don't with them.
+        // Recent changes spread by gossip without a sync. The time of the last change is considered too, because two
+        // members that lack the same records agree with each other but not with the rest.
         let sync_due = now > self.last_agreement.min(self.last_change) + EXTRA_PING_INTERVAL_MS
             || self.view.alive_count() <= 2;
         let requests_sync =
@@ -547,15 +569,15 @@
             || !alive_reports.is_empty()
         {
             let kind = if message.kind == MessageKind::Ping { MessageKind::Ack } else { MessageKind::Gossip };
-            let mut answer = self.new_message(kind);
-            answer.records.splice(0..0, corrections);
-            answer.records.truncate(MAX_BATCH_ENTRIES);
-            answer.alive_reports = alive_reports;
+            let mut reply = self.new_message(kind);
+            reply.records.splice(0..0, corrections);
+            reply.records.truncate(MAX_BATCH_ENTRIES);
+            reply.alive_reports = alive_reports;
             if requests_sync {
                 self.last_sync = now;
-                answer.bucket_digests = self.view.bucket_digests();
+                reply.bucket_digests = self.view.bucket_digests();
             }
-            self.outbox.push(Outgoing { to: from, message: answer });
+            self.outbox.push(Outgoing { to: from, message: reply });
         }
         if message.bucket_digests.len() == DIGEST_BUCKETS && self.sync_replies < MAX_SYNC_REPLIES_PER_TICK {
             self.sync_replies += 1;
@@ -567,14 +589,14 @@
                 .collect();
             self.rng_state = splitmix64(self.rng_state);
             let batches = records.len().div_ceil(MAX_BATCH_ENTRIES);
-            // Where not all fit, another time others go first.
+            // If the records exceed the datagram limit, a random starting point gives every batch a chance.
             let first = (self.rng_state % batches.max(1) as u64) as usize;
             for batch in
                 records.chunks(MAX_BATCH_ENTRIES).cycle().skip(first).take(batches.min(MAX_SYNC_DATAGRAMS))
             {
-                let mut note = self.new_message(MessageKind::Gossip);
-                note.records = batch.to_vec();
-                self.outbox.push(Outgoing { to: from, message: note });
+                let mut gossip = self.new_message(MessageKind::Gossip);
+                gossip.records = batch.to_vec();
+                self.outbox.push(Outgoing { to: from, message: gossip });
             }
         }
         out.append(&mut self.outbox);
@@ -587,12 +609,12 @@
         let Some(record) = self.view.get(incarnation.addr) else { return };
         let (known, alive) = (record.member_incarnation(), record.state == MemberState::Alive);
         if known != incarnation || !alive {
-            // The doubter has not heard the newest.
+            // The suspecting member has an outdated record.
             corrections.push(record.clone());
             return;
         }
         if incarnation.addr == self.own_record.identity.addr {
-            // The doubter has just heard otherwise, by this process's answer.
+            // The suspicion is about this process, which is evidently alive.
             alive_reports.push(known);
             return;
         }
@@ -626,7 +648,7 @@
         &mut self.view
     }
 
-    /// Knows these from the start, with nothing left to pass on.
+    /// Applies records and drains the gossip queue, so that nothing is left to send.
     #[cfg(test)]
     pub(crate) fn preload(&mut self, records: &[MemberRecord], now: Millis) {
         records.iter().for_each(|record| self.apply_record(record.clone(), now));
@@ -653,8 +675,8 @@
     }
 }
 
-/// From when the silence of one counts that has not been asked yet: nobody alive_reports for it, and the pings that it has to
-/// leave without an answer take longest.
+/// Time from which the silence of a member counts that was not pinged yet. It lies far enough back that no alive
+/// report is sent for the member; the required number of unanswered pings still takes longer.
 fn initial_last_received(now: Millis) -> Millis {
     now.saturating_sub(ALIVE_REPORT_WINDOW_MS)
 }
--- a/crates/failure-detector/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -1,12 +1,16 @@
-//! Who is there, by watches of a few: a state machine without I/O or clock.
+//! Gossip-based failure detector: a state machine without I/O or clock.
 //!
-//! Each process is watched by the [`WATCHERS`] others that rendezvous hashing names for it; everybody derives the same
-//! sets from the same view. A watcher pings, the watched one answers, and both say on those datagrams what they have
-//! learned. Who answers no more is doubted; a death takes the suspicions of several and no vouch.
+//! Each process is watched by the [`WATCHERS`] others that rendezvous hashing selects for it; all processes derive
+//! the same watch sets from the same view. A watcher pings, the watched process answers, and both piggyback recent
+//! membership records on these datagrams. A process that stops answering is suspected. It is declared dead if several
+//! members suspect it and none reports it as alive.
 //!
-//! Invariants: of two records about one process the greater of (incarnation, start_id, state) stands, whatever their order;
-//! only a process itself raises its incarnation; who hears nobody, or woke late, blames nobody; what a datagram holds,
-//! what is kept and how often a record is passed on are bounded.
+//! Invariants:
+//! - Of two records about one process, the one with the greater (incarnation, start ID, state) wins, in whatever
+//! order the records arrive.
+//! - Only a process itself raises its incarnation.
+//! - A process that receives no datagrams, or that was paused, suspects no one.
+//! - Datagram sizes, stored records and the number of sends of each record are bounded.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -23,8 +27,8 @@
 pub use detector::{DetectorStatus, FailureDetector, Outgoing};
 pub use message::{Identity, MemberAddr, MemberRecord, MemberState, Message};
 
-/// Milliseconds of the host's steady clock.
+/// Milliseconds of the host's monotonic clock.
 pub type Millis = u64;
 
-/// So many others watch each process.
+/// Number of watchers of each process.
 pub const WATCHERS: usize = 4;
--- a/crates/failure-detector/src/message.rs
+++ b/crates/failure-detector/src/message.rs
@@ -1,15 +1,15 @@
-//! What processes that watch each other say.
+//! Messages between the failure detectors of a fleet.
 
 use crate::rendezvous::splitmix64;
 use bitcode::{Decode, Encode};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Where a process takes datagrams; it names the process among all.
+/// Address at which a process receives datagrams, packed into an integer. Identifies the process among the members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct MemberAddr(u64);
 
 impl MemberAddr {
-    /// A number that looks like chance.
+    /// Pseudo-random hash for rendezvous hashing and for view digests.
     pub(crate) fn hash(self) -> u64 {
         splitmix64(self.0)
     }
@@ -27,49 +27,49 @@
     }
 }
 
-/// What is held of a process; of records that are equal but for this the later state stands.
+/// State of a member. Of two records that are otherwise equal, the one with the later state wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers pings.
     Alive,
-    /// Several witnesses hear it no more.
+    /// Several watchers receive no answer from the member.
     Dead,
-    /// It said that it ends.
+    /// The member announced its shutdown.
     Left,
 }
 
-/// Who a process is.
+/// Identity of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Identity {
-    /// Where it takes datagrams.
+    /// Address at which the process receives datagrams.
     pub addr: MemberAddr,
-    /// The name of its machine.
+    /// Name of the machine.
     pub name: String,
-    /// Whether it carries requests.
+    /// Whether the process is a data plane.
     pub data_plane: bool,
-    /// Drawn at its start: tells one start_id of a process from the next.
+    /// Random number drawn at the process start. Tells a restarted process from its predecessor at the same address.
     pub start_id: u64,
 }
 
-/// What is held of one process.
+/// Record of one member, spread by gossip.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct MemberRecord {
-    /// Who it is.
+    /// The member.
     pub identity: Identity,
-    /// Raised by the process itself, and by nobody else, above any record that it finds wrong; a new start_id of it goes
-    /// above what is left of the old one in the same way.
+    /// Only the member itself raises its incarnation, to override a record that is wrong. A restarted process
+    /// overrides records of its predecessor in the same way.
     pub incarnation: u32,
-    /// What is held of it.
+    /// State of the member.
     pub state: MemberState,
 }
 
 impl MemberRecord {
-    /// Of two records about one process the one with the greater rank stands.
+    /// Precedence: of two records about one member, the one with the greater rank wins.
     pub fn rank(&self) -> (u32, u64, MemberState) {
         (self.incarnation, self.identity.start_id, self.state)
     }
 
-    /// The start_id and incarnation that a doubt or a vouch is about.
+    /// The incarnation that a suspicion or alive report about this record refers to.
     pub(crate) fn member_incarnation(&self) -> MemberIncarnation {
         MemberIncarnation {
             addr: self.identity.addr,
@@ -79,54 +79,55 @@
     }
 }
 
-/// One incarnation of a process.
+/// One incarnation of a member, the subject of a suspicion or alive report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct MemberIncarnation {
-    /// Where it takes datagrams.
+    /// Address of the member.
     pub addr: MemberAddr,
-    /// Its incarnation.
+    /// Incarnation number of the member.
     pub incarnation: u32,
-    /// Its start_id.
+    /// Start ID of the member.
     pub start_id: u64,
 }
 
-/// What a datagram is for.
+/// Purpose of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum MessageKind {
-    /// Wants an answer.
+    /// Requests an [`MessageKind::Ack`].
     Ping,
-    /// The answer.
+    /// Answers a ping.
     Ack,
-    /// Wants none.
+    /// Carries records, suspicions or alive reports and expects no answer.
     Gossip,
 }
 
-/// One datagram.
+/// Content of one datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Message {
-    /// What it is for.
+    /// Purpose of the datagram.
     pub kind: MessageKind,
-    /// The sender, as it knows itself.
+    /// The sender's own record.
     pub from: MemberRecord,
-    /// The digest of all that the sender holds to be here.
+    /// Digest of the members that the sender considers alive.
     pub digest: u64,
-    /// What it passes on.
+    /// Records to gossip.
     pub records: Vec<MemberRecord>,
-    /// Whom it pings without an answer: the receiver is to say what it knows.
+    /// Members that the sender suspects. The receiver replies with what it knows about them.
     pub suspicions: Vec<MemberIncarnation>,
-    /// Whom it has just heard, though the receiver suspicions.
+    /// Members that the receiver suspects and that the sender received a datagram from recently.
     pub alive_reports: Vec<MemberIncarnation>,
-    /// The digests of the bucket_digests of its view, when the receiver is to tell where its own differ; else empty.
+    /// Sync request: digests of the buckets of the sender's view. The receiver replies with its records in buckets
+    /// that differ. Empty unless the sender requests a sync.
     pub bucket_digests: Vec<u32>,
 }
 
 impl Message {
-    /// As a datagram.
+    /// Encodes the message as a datagram.
     pub fn encode(&self) -> Vec<u8> {
         bitcode::encode(self)
     }
 
-    /// Reads a datagram; nothing when it is none of this version.
+    /// Decodes a datagram; `None` if the datagram does not have this format.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         bitcode::decode(bytes).ok()
     }
--- a/crates/failure-detector/src/rendezvous.rs
+++ b/crates/failure-detector/src/rendezvous.rs
@@ -1,8 +1,8 @@
-//! Rendezvous hashing: who watches whom.
+//! Rendezvous hashing, which selects the watchers of each member.
 
 use crate::message::MemberAddr;
 
-/// A number that looks like chance and is another one for each number (the finalizer of splitmix64).
+/// Pseudo-random bijection of the 64-bit integers: the output function of splitmix64.
 pub(crate) fn splitmix64(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -10,15 +10,15 @@
     mixed ^ (mixed >> 31)
 }
 
-/// A process as ranks are drawn for it: its addr and the addr's hash.
+/// The address of a member with its hash.
 pub(crate) type HashedAddr = (MemberAddr, u64);
 
-/// The weight of a process as watcher of another one, both by the hashes of their addrs. Not symmetric.
+/// Weight of `watcher` among the candidates to watch `watched`, from the hashes of their addresses. Not symmetric.
 pub(crate) fn weight(watcher: u64, watched: u64) -> u64 {
     splitmix64(watcher ^ watched.rotate_left(23))
 }
 
-/// The `count` that come first as watchers of `watched`, heaviest first.
+/// The `count` watchers of `watched`, heaviest first.
 pub(crate) fn watchers(all: &[HashedAddr], watched: HashedAddr, count: usize) -> Vec<MemberAddr> {
     let others = all.iter().filter(|(addr, _)| *addr != watched.0);
     let mut ranked: Vec<_> = others.map(|(addr, hash)| (weight(*hash, watched.1), *addr)).collect();
@@ -30,11 +30,11 @@
     ranked.into_iter().map(|(_, addr)| addr).collect()
 }
 
-/// Of light weights so many are expected above that none is looked at: with 40 expected, fewer than five heavier ones
-/// turn up once in 10^13 pairs. Such a pair has one watcher fewer, and that is all.
+/// [`watched`] skips pairs whose weight is so light that this many heavier watchers are expected. With 40 expected,
+/// fewer than five heavier watchers exist for one pair in 10^13. Such a member merely has one watcher fewer.
 const EXPECTED_HEAVIER: u64 = 40;
 
-/// Whom `me` watches: all for which it is among the first `count`.
+/// The members that `me` watches: those that have `me` among their first `count` watchers.
 pub(crate) fn watched(all: &[HashedAddr], me: HashedAddr, count: usize) -> Vec<MemberAddr> {
     let min_weight = u64::MAX - (u64::MAX / all.len().max(1) as u64).saturating_mul(EXPECTED_HEAVIER);
     let watches = |other: &HashedAddr| {
--- a/crates/failure-detector/src/simulation.rs
+++ b/crates/failure-detector/src/simulation.rs
@@ -1,4 +1,4 @@
-//! A world of processes that watch each other: drawn by a seed, without sleep.
+//! Deterministic simulation of a fleet of failure detectors, driven by a seed and without real time.
 
 use crate::message::{Identity, MemberAddr, MemberRecord, MemberState, Message};
 use crate::rendezvous::splitmix64;
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddrV4;
 
-/// Faults that the worlds have to find.
+/// Faults injected into the detector, to check that the simulations find them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InjectedFaults {
     pub single_witness: bool,
@@ -18,18 +18,18 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SimEvent {
     Tick,
-    /// The datagram of that number.
+    /// Delivery of the datagram with this number.
     Deliver(usize),
 }
 
-/// One machine.
+/// A simulated node.
 pub struct Node {
     pub detector: FailureDetector,
     pub up: bool,
-    /// It runs no code before.
+    /// The node runs no code before this time.
     pub frozen_until: Millis,
     pub zone: usize,
-    /// Whom of the others it has no path to, either way.
+    /// Nodes that this node cannot exchange datagrams with, in either direction.
     pub unreachable: Vec<usize>,
     pub sent: u64,
     pub bytes: u64,
@@ -40,14 +40,14 @@
     pub now: Millis,
     pub nodes: Vec<Node>,
     pub loss: f64,
-    /// Zones of which those below the number are cut from those at or above it.
+    /// Zone partition: zones below this number cannot reach zones at or above it.
     pub zone_cut: Option<usize>,
     pub faults: InjectedFaults,
-    /// Deaths held of nodes that were up: by whom, of whom, when.
+    /// Nodes declared dead while running: the declaring node, the node declared dead, and the time.
     pub false_deaths: Vec<(usize, usize, Millis)>,
-    /// Doubts of nodes that were up and awake: by whom, of whom.
+    /// Suspicions sent about nodes that were running and not frozen: the suspecting node and the suspect.
     pub false_suspicions: Vec<(usize, usize)>,
-    /// Machines whose death is rightly held at some time.
+    /// Nodes that other nodes may rightly declare dead at some time.
     pub may_be_declared_dead: Vec<bool>,
     rng_state: u64,
     queue: BinaryHeap<Reverse<(Millis, u64, usize, SimEvent)>>,
@@ -55,7 +55,7 @@
     in_flight: BTreeMap<usize, Message>,
     datagrams: usize,
     seen_changes: Vec<u64>,
-    /// Every so many datagrams one is weighed.
+    /// One datagram in this many is encoded to measure its size.
     size_sample_interval: u64,
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl Simulation {
-    /// So many nodes in so many zones; `known`: they have been together for long.
+    /// A fleet of `size` nodes in `zones` zones. With `known`, all nodes know each other from the start.
     pub fn new(size: usize, zones: usize, known: bool, seed: u64, faults: InjectedFaults) -> Self {
         let mut simulation = Self {
             now: 1000,
@@ -110,7 +110,7 @@
             let records: Vec<MemberRecord> = simulation
                 .nodes
                 .iter()
-                .map(|node| node.detector.records().next().cloned().expect("itself"))
+                .map(|node| node.detector.records().next().cloned().expect("the view has its own record"))
                 .collect();
             for node in &mut simulation.nodes {
                 node.detector.preload(&records, 1000);
@@ -140,11 +140,11 @@
         (self.next_random() % max as u64) as usize
     }
 
-    fn chance(&mut self, odds: f64) -> bool {
-        (self.next_random() >> 11) as f64 / (1_u64 << 53) as f64 <= odds
+    fn chance(&mut self, probability: f64) -> bool {
+        (self.next_random() >> 11) as f64 / (1_u64 << 53) as f64 <= probability
     }
 
-    /// So many different ones.
+    /// Draws `count` distinct nodes.
     pub fn sample(&mut self, count: usize) -> Vec<usize> {
         let mut all: Vec<usize> = (0..self.nodes.len()).collect();
         (0..count)
@@ -157,7 +157,7 @@
         self.queue.push(Reverse((at, self.last_event_number, number, event)));
     }
 
-    /// Plays so long.
+    /// Runs the simulation for `span`.
     pub fn run(&mut self, span: Millis) {
         let end = self.now + span;
         while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= end) {
@@ -178,7 +178,8 @@
             return;
         }
         if now < node.frozen_until {
-            // Datagrams wait in the socket; timers come late. Which is worked through first is anybody's guess.
+            // While a node is frozen, its datagrams wait in the socket and its timers are late. The order in which
+            // the node handles them afterwards is unspecified.
             let at = node.frozen_until;
             return self.schedule(at, number, event);
         }
@@ -216,9 +217,12 @@
                 node.bytes += sampled_bytes;
             }
             let awake = |m: &&Node| m.up && m.frozen_until <= self.now;
-            let of = message.suspicions.iter().map(|about| number_of(about.addr));
-            self.false_suspicions
-                .extend(of.filter(|of| self.nodes.get(*of).filter(awake).is_some()).map(|of| (from, of)));
+            let suspects = message.suspicions.iter().map(|about| number_of(about.addr));
+            self.false_suspicions.extend(
+                suspects
+                    .filter(|suspect| self.nodes.get(*suspect).filter(awake).is_some())
+                    .map(|suspect| (from, suspect)),
+            );
             if lost {
                 continue;
             }
@@ -235,19 +239,19 @@
     pub fn can_reach(&self, a: usize, b: usize) -> bool {
         let (Some(one), Some(other)) = (self.nodes.get(a), self.nodes.get(b)) else { return false };
         let side = |node: &Node, cut| node.zone < cut;
-        let apart = self.zone_cut.is_some_and(|cut| side(one, cut) != side(other, cut));
-        one.up && other.up && !apart && !one.unreachable.contains(&b) && !other.unreachable.contains(&a)
+        let partitioned = self.zone_cut.is_some_and(|cut| side(one, cut) != side(other, cut));
+        one.up && other.up && !partitioned && !one.unreachable.contains(&b) && !other.unreachable.contains(&a)
     }
 
-    /// Looks for wrong deaths where a view has changed.
+    /// Records nodes that are declared dead while running, after a view has changed.
     fn record_false_deaths(&mut self, by: usize) {
         let Some(node) = self.nodes.get(by) else { return };
         let changes = node.detector.membership_changes();
         if self.seen_changes.get(by) == Some(&changes) {
             return;
         }
-        if let Some(known) = self.seen_changes.get_mut(by) {
-            *known = changes;
+        if let Some(seen) = self.seen_changes.get_mut(by) {
+            *seen = changes;
         }
         let dead = node.detector.records().filter(|record| record.state == MemberState::Dead);
         let dead: Vec<_> = dead.map(|record| number_of(record.identity.addr)).collect();
@@ -269,7 +273,7 @@
         }
     }
 
-    /// Ends one as a deployment does: it says so.
+    /// Stops a node gracefully: the node announces its shutdown.
     pub fn stop(&mut self, number: usize) {
         let (now, mut out) = (self.now, Vec::new());
         if let Some(node) = self.nodes.get_mut(number) {
@@ -279,7 +283,7 @@
         self.kill(number);
     }
 
-    /// A new start_id at the old address, that knows its seeds.
+    /// Starts a new process at the old address that knows only its seeds.
     pub fn start(&mut self, number: usize) {
         let detector = self.new_detector(number);
         let now = self.now;
@@ -288,8 +292,8 @@
             node.up = true;
             node.frozen_until = 0;
         }
-        if let Some(known) = self.seen_changes.get_mut(number) {
-            *known = 0;
+        if let Some(seen) = self.seen_changes.get_mut(number) {
+            *seen = 0;
         }
         self.schedule(now, number, SimEvent::Tick);
     }
@@ -308,7 +312,7 @@
         self.nodes.iter().enumerate().filter(|(_, node)| node.up)
     }
 
-    /// Whether each that is up holds exactly those to be here that are.
+    /// Whether every running node considers exactly the running nodes alive.
     pub fn views_agree(&self) -> bool {
         let mut up: Vec<MemberAddr> = self.running().map(|(number, _)| addr(number)).collect();
         up.sort_unstable();
@@ -323,7 +327,7 @@
         })
     }
 
-    /// Plays until all views are equal and right; the time that took, if it was at most so long.
+    /// Runs until all views are equal and right. Returns the time taken, or `None` if it exceeds `max`.
     pub fn settle(&mut self, max: Millis) -> Option<Millis> {
         let began = self.now;
         while self.now <= began + max {
--- a/crates/failure-detector/src/view.rs
+++ b/crates/failure-detector/src/view.rs
@@ -1,15 +1,15 @@
-//! What one process holds of all others, and which records it still has to pass on.
+//! One process's view of the membership, and its queue of records to gossip.
 
 use crate::Millis;
 use crate::message::{MemberAddr, MemberRecord, MemberState};
 use crate::rendezvous::{HashedAddr, splitmix64};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The view is compared in so many bucket_digests.
+/// Number of buckets that a view is split into, so that a sync transfers only records of buckets that differ.
 pub(crate) const DIGEST_BUCKETS: usize = 64;
-/// Processes are some hundreds; more than this are somebody's fault.
+/// Maximum number of members. Fleets have some hundred processes; more than this indicates a fault.
 const MAX_MEMBERS: usize = 4096;
-/// Whoever is dead or has left is remembered for this long, so that no old record brings it back.
+/// How long a record of a dead or departed member is kept, so that an outdated record does not revive the member.
 pub(crate) const TOMBSTONE_TTL_MS: Millis = 60_000;
 
 #[derive(Debug)]
@@ -17,19 +17,19 @@
     pub record: MemberRecord,
     hash: u64,
     applied_at: Millis,
-    /// How often the record is still to be passed on.
+    /// Number of datagrams that the record is still to be sent in.
     remaining_sends: u32,
     queued: bool,
 }
 
-/// All that is held.
+/// The records of all known members.
 #[derive(Debug, Default)]
 pub(crate) struct View {
     entries: BTreeMap<MemberAddr, Entry>,
     gossip_queue: VecDeque<MemberAddr>,
     buckets: Vec<u64>,
     alive_count: usize,
-    /// Rises whenever somebody comes or goes.
+    /// Counter that increases whenever a member becomes alive or stops being alive.
     pub changes: u64,
     #[cfg(test)]
     pub accepts_stale: bool,
@@ -44,7 +44,7 @@
         self.get(addr).is_some_and(|record| record.state == MemberState::Alive)
     }
 
-    /// How many are here, the own process included.
+    /// Number of alive members, including this process.
     pub fn alive_count(&self) -> usize {
         self.alive_count
     }
@@ -53,25 +53,26 @@
         self.entries.values().map(|entry| &entry.record)
     }
 
-    /// Those that are here, for ranks.
+    /// The alive members, for rendezvous hashing.
     pub fn hashed_alive(&self) -> Vec<HashedAddr> {
         let alive = self.entries.values().filter(|entry| entry.record.state == MemberState::Alive);
         alive.map(|entry| (entry.record.identity.addr, entry.hash)).collect()
     }
 
-    /// Whether a record would change anything.
+    /// Whether a record would change the view.
     pub fn supersedes(&self, record: &MemberRecord) -> bool {
         match self.entries.get(&record.identity.addr) {
             #[cfg(test)]
             Some(entry) if self.accepts_stale => entry.record != *record,
             Some(entry) => record.rank() > entry.record.rank(),
-            // Kept, such ends would be told round for ever: each would remember them anew. Where an older record of start_id
-            // comes after, digests differ, and the end is told again.
+            // Tombstones of unknown members are dropped. If views accepted them, tombstones would circulate forever,
+            // because each process would keep them for the full time again. If an outdated `Alive` record arrives
+            // afterwards, the digests differ and a sync brings the tombstone again.
             None => record.state == MemberState::Alive && self.entries.len() < MAX_MEMBERS,
         }
     }
 
-    /// Takes a record in; whether it changed anything.
+    /// Applies a record. Returns whether the view changed.
     pub fn apply(&mut self, record: MemberRecord, now: Millis) -> bool {
         if !self.supersedes(&record) {
             return false;
@@ -109,26 +110,26 @@
         }
     }
 
-    /// Of all that are here, their lives and incarnations: equal views have equal digests.
+    /// Digest of the alive members with their start IDs and incarnations: equal views have equal digests.
     pub fn digest(&self) -> u64 {
         self.buckets.iter().fold(0, |sum, bucket| sum.wrapping_add(*bucket))
     }
 
-    /// The same for each bucket.
+    /// Digest of each bucket.
     pub fn bucket_digests(&self) -> Vec<u32> {
         (0..DIGEST_BUCKETS)
             .map(|bucket| self.buckets.get(bucket).map_or(0, |digest| *digest as u32))
             .collect()
     }
 
-    /// The records of all bucket_digests that differ, those about the dead included.
+    /// The records in buckets whose digests differ, including tombstones.
     pub fn records_in_differing_buckets(&self, bucket_digests: &[u32]) -> Vec<&MemberRecord> {
         let own = self.bucket_digests();
         let differs = |hash: u64| bucket_digests.get(bucket_of(hash)) != own.get(bucket_of(hash));
         self.entries.values().filter(|entry| differs(entry.hash)).map(|entry| &entry.record).collect()
     }
 
-    /// The next records to pass on; each is passed on about the logarithm of the number of processes often.
+    /// The next records to gossip. The number of sends of each record grows with the logarithm of the fleet size.
     pub fn next_gossip(&mut self, max: usize) -> Vec<MemberRecord> {
         let mut records = Vec::new();
         for _ in 0..self.gossip_queue.len().min(max) {
@@ -144,14 +145,14 @@
         records
     }
 
-    /// Forgets those that ended long ago.
+    /// Removes expired records of dead and departed members.
     pub fn expire_tombstones(&mut self, now: Millis) {
         self.entries.retain(|_, entry| {
             entry.record.state == MemberState::Alive || now < entry.applied_at + TOMBSTONE_TTL_MS
         });
     }
 
-    /// Forgets everybody but one.
+    /// Removes all records except the process's own one.
     pub fn reset_to(&mut self, own: MemberRecord, now: Millis) {
         let changes = self.changes + 1;
         #[cfg(test)]
@@ -170,7 +171,7 @@
     (hash >> 58) as usize
 }
 
-/// How often a record is passed on among so many.
+/// Number of datagrams that each record is sent in, for a number of alive members.
 fn gossip_rounds(alive: usize) -> u32 {
     3 + (alive.max(2) as u64).ilog2()
 }
