--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -1,6 +1,7 @@
-//! The operator's configuration: read whole or not at all.
+//! The operator's configuration, accepted or rejected as a whole.
 //!
-//! Whether a configuration may follow the one in place is for the caller to say: only the log knows which that is.
+//! This module does not decide whether a configuration may replace the current one, because only the Raft log knows
+//! the current one.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashMap};
@@ -14,13 +15,13 @@
 
 use crate::json::{Cursor, Issues, Node};
 
-/// The longest time an operator may have a request held.
+/// Maximum deadline of a route.
 const MAX_DEADLINE_MS: u64 = 600_000;
 
-/// A goal that lies this far over its route's deadline can only be a slip.
+/// A goal that exceeds the deadline of its route by this much can only be a mistake.
 const MAX_GOAL_EXCESS_MS: u64 = 60_000;
 
-/// Number of a configuration, written `r12`; zero stands for "none yet".
+/// Version of a configuration, written `r12`. Zero means that there is no configuration yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Version(pub u64);
 
@@ -30,7 +31,7 @@
     }
 }
 
-/// A text that names no version.
+/// The text is not a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error, Diagnostic)]
 #[error("a version is written `r` and a number, such as `r12`")]
 #[diagnostic(code(config::version))]
@@ -39,10 +40,10 @@
 impl FromStr for Version {
     type Err = ParseVersionError;
 
-    /// The `r` may be left out, because the base of the first configuration is written as a bare `0`.
+    /// The `r` is optional, because the base version of the first configuration is written as a bare `0`.
     fn from_str(text: &str) -> Result<Self, ParseVersionError> {
         let digits = text.strip_prefix('r').unwrap_or(text);
-        // The parser of the standard library would take a sign.
+        // The parser of the standard library would accept a sign.
         if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
             return Err(ParseVersionError);
         }
@@ -50,97 +51,97 @@
     }
 }
 
-/// What is wrong at one place of a configuration.
+/// Kind of an issue in a configuration. Its text is part of an HTTP response.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum ConfigIssueKind {
-    /// A field that has to be there is not.
+    /// A required field is missing.
     #[error("is missing")]
     Missing,
-    /// A value of another type.
+    /// The value has the wrong type.
     #[error("wants {expected} and has {found}")]
-    Kind {
-        /// What the field takes.
+    WrongType {
+        /// Expected type.
         expected: &'static str,
-        /// What stands there.
+        /// Type found.
         found: &'static str,
     },
-    /// A number above what the field can hold.
+    /// The number exceeds the range of the field.
     #[error("is too large")]
     TooLarge,
-    /// A fraction or a negative number.
+    /// The number is a fraction or negative.
     #[error("wants a whole number from 0 and has {0}")]
-    NotWhole(f64),
-    /// A negative figure.
+    NotInteger(f64),
+    /// The number is negative.
     #[error("wants a number from 0 and has {0}")]
     Negative(f64),
-    /// A name that stands twice in one table.
+    /// The name occurs twice in one table.
     #[error("stands twice in its table")]
-    Twice,
-    /// Not a version.
+    Duplicate,
+    /// The text is not a version.
     #[error("{0}")]
     Version(#[from] ParseVersionError),
-    /// Neither of the two variants.
+    /// The variant of a route is unknown.
     #[error("is neither `pure` nor `effectful`")]
-    Variant,
-    /// A route's service is not in the table of services.
+    InvalidVariant,
+    /// The service of a route does not exist.
     #[error("names a service that is not in `service_table`")]
     UnknownService,
-    /// Nothing would ever be sent.
+    /// All shares of a route are 0, so no request could be sent.
     #[error("has shares that add up to 0")]
-    NoShares,
-    /// `target` and `weighted` in one route.
+    ZeroTotalShare,
+    /// The route has both `target` and `weighted`.
     #[error("has both `target` and `weighted`")]
-    TwoTargets,
-    /// A deadline of zero.
+    TargetAndWeighted,
+    /// The deadline is 0.
     #[error("is 0")]
-    NoDeadline,
-    /// A deadline that is too long.
+    ZeroDeadline,
+    /// The deadline exceeds the maximum.
     #[error("is over ten minutes")]
-    LongDeadline,
-    /// A goal far beyond the deadline.
+    DeadlineTooLong,
+    /// The goal exceeds the deadline by a minute or more.
     #[error("lies a minute or more over the `deadline_ms` of its route")]
-    FarGoal,
-    /// No host.
+    GoalTooLong,
+    /// The host is empty.
     #[error("is empty")]
-    NoAuthority,
-    /// A prefix that is not a whole part of a path.
+    EmptyAuthority,
+    /// The path prefix does not start and end with a slash, so it would match parts of path segments.
     #[error("does not start and end with a slash")]
-    Prefix,
-    /// Two routes that no request could tell apart.
+    InvalidPathPrefix,
+    /// Another route has the same host and prefix, so no request could tell them apart.
     #[error("has the host and the prefix of route `{0}`")]
-    SameRoute(Arc<str>),
-    /// A key that would stand for two tenants. The key itself is a secret and is not shown.
+    DuplicateRoute(Arc<str>),
+    /// The key belongs to two tenants. The key itself is a secret and not shown.
     #[error("is a key of tenant `{0}` as well")]
     SharedKey(Arc<str>),
 }
 
-/// One fault of a configuration.
+/// One issue of a configuration.
 #[derive(Debug, Clone, PartialEq, Error, Diagnostic)]
 #[error("{path}: {kind}")]
 #[diagnostic(code(config::config::line))]
 pub struct ConfigIssue {
-    /// Way to the fault, such as `route_table.r-x.deadline_ms`.
+    /// Path to the issue, such as `route_table.r-x.deadline_ms`.
     pub path: String,
-    /// What is wrong there.
+    /// Kind of the issue.
     pub kind: ConfigIssueKind,
 }
 
-/// Why a configuration is not taken.
+/// Why a configuration is rejected.
 #[derive(Debug, Error, Diagnostic)]
 pub enum ConfigError {
-    /// The body is not one JSON document: cut short, followed by more, or no JSON at all.
+    /// The body is not exactly one JSON document: it is truncated, followed by more data, or not JSON.
     #[error("(document): cannot be read whole: {0}")]
     #[diagnostic(code(config::config::unreadable))]
     Unreadable(#[source] serde_json::Error),
-    /// The document says something that no configuration may say.
-    #[error("{}", IssueList(lines, *more))]
+    /// The document is JSON but not a valid configuration.
+    #[error("{}", IssueList(lines, *omitted))]
     #[diagnostic(code(config::config::invalid))]
     Invalid {
-        /// The first faults, in the order of the document's tables.
+        /// The first issues, in the order of the document's tables.
         #[related]
         lines: Vec<ConfigIssue>,
-        /// How many there are beyond those.
-        more: usize,
+        /// Number of further issues that are not listed.
+        omitted: usize,
     },
 }
 
@@ -155,106 +156,106 @@
     }
 }
 
-/// Where requests of one host and prefix go, and how long they may take.
+/// Destination and limits of the requests with one host and path prefix.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name in the table.
+    /// Name in the route table.
     pub label: Arc<str>,
-    /// Its host, as the operator wrote it.
+    /// Host, as written by the operator.
     pub authority: Arc<str>,
-    /// What the path of its requests begins with; starts and ends with a slash.
+    /// Prefix of the request path; starts and ends with a slash.
     pub path_prefix: Arc<str>,
-    /// Whether its requests may run more than once.
+    /// Whether requests are idempotent and may be executed more than once.
     pub pure: bool,
-    /// The longest time the operator wants a request held.
+    /// Maximum time for which a request may be held.
     pub deadline: Duration,
-    /// The time within which an answer earns its full worth.
+    /// Response time up to which an answer has its full worth.
     pub goal: Duration,
-    /// 0 is the highest, and holds where the operator gives none.
+    /// Priority; 0 is the highest and the default.
     pub rank: u32,
-    /// Services and their shares, which add up to more than 0.
+    /// Services and their shares of the requests. The sum of the shares is greater than 0.
     pub targets: Vec<(Arc<str>, u32)>,
-    /// The largest number of backends to which one try of a client may be sent; at least 1.
+    /// Maximum number of backends that one client request may be sent to; at least 1.
     pub max_tries: u32,
-    /// Whether its requests required no key.
+    /// Whether requests need no API key.
     pub public: bool,
 }
 
-/// A service: what its backends have in common.
+/// A service: common properties of a group of backends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
-    /// Its name in the table.
+    /// Name in the service table.
     pub label: Arc<str>,
-    /// Path that answers whether a backend is well.
+    /// Path of the backends' health check.
     pub health_path: Arc<str>,
-    /// The largest number of connections to one backend.
+    /// Maximum number of connections to one backend.
     pub max_conns: u32,
-    /// What its backends speak, such as `h1`.
+    /// Protocol of the backends, such as `h1`.
     pub protocol: Arc<str>,
-    /// Whether its backends want TLS.
+    /// Whether the backends use TLS.
     pub tls_mode: bool,
 }
 
-/// What a client may send, and how long it may take over it.
+/// Limits on the size and the duration of client requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest head of a request.
+    /// Maximum size of a request head.
     pub max_header_bytes: u64,
-    /// Largest body of a request.
+    /// Maximum size of a request body.
     pub max_body_bytes: u64,
-    /// How long a head may take to arrive.
+    /// Maximum time for a request head to arrive.
     pub header_wait: Duration,
-    /// How long a connection may stay idle.
+    /// Idle timeout of a connection.
     pub idle_timeout: Duration,
 }
 
-/// A customer with keys and, mostly, a quota.
+/// A customer with API keys and usually a quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Its name in the table, which backends are told.
+    /// Name in the tenant table. Requests to backends carry this name.
     pub label: Arc<str>,
-    /// Its keys.
+    /// API keys.
     pub api_keys: Vec<Arc<str>>,
-    /// Takes precedence over the rank of a route.
+    /// Priority that overrides the priority of the route.
     pub rank: Option<u32>,
-    /// Requests a second over all gateways; 0 is without limit.
+    /// Quota in requests per second over all gateways; 0 means unlimited.
     pub rate_per_s: f64,
-    /// What may come on top at once; 0 is without limit where the rate is 0 as well.
+    /// Burst size in requests. If both the rate and the burst size are 0, the tenant is unlimited.
     pub burst_size: f64,
 }
 
 /// The routes of one host.
 #[derive(Debug, Clone, PartialEq, Default)]
 struct Host {
-    /// The lengths that its prefixes have, longest first, each once. There are few of them however many routes a host
-    /// has, and a path with a thousand slashes costs no more look-ups than one with two.
-    lengths: Vec<usize>,
-    by_prefix: HashMap<Arc<str>, usize>,
+    /// The distinct lengths of the prefixes, longest first. A host has few distinct lengths, even with many routes.
+    /// The number of lookups therefore does not grow with the number of slashes in a path.
+    prefix_lengths: Vec<usize>,
+    index_by_prefix: HashMap<Arc<str>, usize>,
 }
 
-/// A configuration that has been checked.
+/// A validated configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// Its number.
+    /// Version of the configuration.
     pub version: Version,
-    /// Its routes, by label.
+    /// Routes, in the order of the document.
     pub routes: Vec<Route>,
-    /// Its services, by label.
+    /// Services by label.
     pub services: BTreeMap<Arc<str>, Service>,
-    /// What clients may do.
+    /// Limits for client requests.
     pub limits: Limits,
-    /// Its tenants, by label; none where the document has no `tenant_table`, and requests then required no keys.
+    /// Tenants by label; `None` if the document has no `tenant_table`. Requests then need no keys.
     pub tenants: Option<BTreeMap<Arc<str>, Tenant>>,
     digest: [u8; 32],
     hosts: HashMap<Box<str>, Host>,
     keys: HashMap<Arc<str>, Arc<str>>,
 }
 
-/// The host without its port, in small letters.
+/// The host in lowercase and without its port.
 fn normalize_host(host: &str) -> Cow<'_, str> {
     let host = host.trim();
     let plain = match host.rsplit_once(':') {
-        // An address of IPv6 has colons of its own, but none after its closing bracket.
+        // An IPv6 address contains colons, but none after the closing bracket.
         Some((name, port)) if !port.ends_with(']') => name,
         _ => host,
     };
@@ -266,18 +267,18 @@
 }
 
 impl Config {
-    /// Reads a configuration, or says everything that is wrong with it.
+    /// Parses and validates a configuration, or returns all issues found.
     pub fn parse(bytes: &[u8]) -> Result<Self, ConfigError> {
         let document: Node = serde_json::from_slice(bytes).map_err(ConfigError::Unreadable)?;
         let mut issues = Issues::default();
         let config = read(&document, &mut issues);
         match config {
             Some(config) if issues.lines.is_empty() => Ok(config),
-            _ => Err(ConfigError::Invalid { lines: issues.lines, more: issues.more }),
+            _ => Err(ConfigError::Invalid { lines: issues.lines, omitted: issues.omitted }),
         }
     }
 
-    /// Version and digest of a configuration, whether it is valid or not. None if there is none to be read.
+    /// Version and digest of a configuration that may be invalid. `None` if the version cannot be read.
     pub fn identify(bytes: &[u8]) -> Option<(Version, [u8; 32])> {
         let document: Node = serde_json::from_slice(bytes).ok()?;
         let mut issues = Issues::default();
@@ -286,29 +287,31 @@
         Some((version, document.digest()))
     }
 
-    /// Digest of what the operator wrote, to know the repetition of a configuration.
+    /// Digest of the operator's document, to detect repeated submissions of a configuration.
     ///
-    /// Two bodies are "that exact configuration" if they are the same JSON: the order of the entries of a table, the
-    /// spacing and the spelling of numbers and escapes do not matter, because a proxy or a client's library may change
-    /// them between two sendings. Every field counts, also those that are not known here: the operator gets them back.
+    /// Two documents count as the same configuration if they are the same JSON: the order of table entries,
+    /// whitespace and the notation of numbers and escapes do not matter, because a proxy or a client library may
+    /// change them between two submissions. Unknown fields count as well, because the operator gets the whole
+    /// document back.
     pub fn digest(&self) -> [u8; 32] {
         self.digest
     }
 
-    /// The route of a request: of those of the host, the one with the longest prefix that begins the path.
+    /// The route of a request: among the routes of the host, the one with the longest matching path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = self.hosts.get(&*normalize_host(host))?;
         let path = path.split(['?', '#']).next().unwrap_or_default();
-        let index = host.lengths.iter().find_map(|&length| host.by_prefix.get(path.get(..length)?))?;
+        let index =
+            host.prefix_lengths.iter().find_map(|&length| host.index_by_prefix.get(path.get(..length)?))?;
         self.routes.get(*index)
     }
 
-    /// The tenant of a key.
+    /// The tenant that owns a key.
     pub fn tenant(&self, key: &str) -> Option<&Tenant> {
         self.tenants.as_ref()?.get(self.keys.get(key)?)
     }
 
-    /// Whether requests of routes that are not public have to carry a key.
+    /// Whether requests need a key unless their route is public.
     pub fn requires_keys(&self) -> bool {
         self.tenants.is_some()
     }
@@ -317,58 +320,63 @@
 fn read(document: &Node, issues: &mut Issues) -> Option<Config> {
     let root = Cursor::root(document);
     root.report_duplicates(issues);
-    // Without this, a list or a text would be said to lack four fields.
+    // Without this check, a list or a string would be reported with four missing fields.
     root.expect_table(issues)?;
 
-    let version = root.required("generation", issues).and_then(|at| match at.text(issues)?.parse() {
+    let version = root.required("generation", issues).and_then(|cursor| match cursor.text(issues)?.parse() {
         Ok(version) => Some(version),
-        Err(fault) => {
-            issues.add(&at, ConfigIssueKind::Version(fault));
+        Err(error) => {
+            issues.add(&cursor, ConfigIssueKind::Version(error));
             None
         }
     });
 
     let mut services = BTreeMap::new();
     let service_table = root.required("service_table", issues);
-    for (label, at) in service_table.iter().filter_map(|at| at.table(issues)).flatten().collect::<Vec<_>>() {
-        // A service with a fault is there all the same: its routes required no second complaint.
+    for (label, cursor) in
+        service_table.iter().filter_map(|cursor| cursor.table(issues)).flatten().collect::<Vec<_>>()
+    {
+        // An invalid service is still inserted, so that its routes are not reported as well.
         let label: Arc<str> = label.into();
-        services.insert(label.clone(), read_service(label, &at, issues));
+        services.insert(label.clone(), read_service(label, &cursor, issues));
     }
 
     let mut routes = Vec::new();
     let mut hosts: HashMap<Box<str>, Host> = HashMap::new();
     let route_table = root.required("route_table", issues);
-    for (label, at) in route_table.iter().filter_map(|at| at.table(issues)).flatten().collect::<Vec<_>>() {
-        let Some(route) = read_route(label, &at, &services, issues) else { continue };
+    for (label, cursor) in
+        route_table.iter().filter_map(|cursor| cursor.table(issues)).flatten().collect::<Vec<_>>()
+    {
+        let Some(route) = read_route(label, &cursor, &services, issues) else { continue };
         let host = hosts.entry(normalize_host(&route.authority).into()).or_default();
-        match host.by_prefix.get(&route.path_prefix) {
-            // The same label twice has been found already.
+        match host.index_by_prefix.get(&route.path_prefix) {
+            // A duplicate label has already been reported.
             Some(&other) => {
                 let other: &Route = &routes[other];
                 if other.label != route.label {
-                    issues.add(&at, ConfigIssueKind::SameRoute(other.label.clone()));
+                    issues.add(&cursor, ConfigIssueKind::DuplicateRoute(other.label.clone()));
                 }
             }
             None => {
-                host.by_prefix.insert(route.path_prefix.clone(), routes.len());
-                host.lengths.push(route.path_prefix.len());
+                host.index_by_prefix.insert(route.path_prefix.clone(), routes.len());
+                host.prefix_lengths.push(route.path_prefix.len());
                 routes.push(route);
             }
         }
     }
     for host in hosts.values_mut() {
-        host.lengths.sort_unstable_by(|a, b| b.cmp(a));
-        host.lengths.dedup();
+        host.prefix_lengths.sort_unstable_by(|a, b| b.cmp(a));
+        host.prefix_lengths.dedup();
     }
 
-    let limits = root.required("limits", issues).and_then(|at| read_limits(&at, issues));
+    let limits = root.required("limits", issues).and_then(|cursor| read_limits(&cursor, issues));
 
     let mut keys = HashMap::new();
     let tenant_table = root.optional("tenant_table");
     let tenants = tenant_table.as_ref().map(|table| {
         let entries: Vec<_> = table.table(issues).into_iter().flatten().collect();
-        let tenants = entries.iter().filter_map(|(label, at)| read_tenant(label, at, &mut keys, issues));
+        let tenants =
+            entries.iter().filter_map(|(label, cursor)| read_tenant(label, cursor, &mut keys, issues));
         tenants.map(|tenant| (tenant.label.clone(), tenant)).collect()
     });
 
@@ -385,12 +393,13 @@
     })
 }
 
-fn read_service(label: Arc<str>, at: &Cursor<'_>, issues: &mut Issues) -> Option<Service> {
-    at.expect_table(issues)?;
-    let health_path = at.required("health_path", issues).and_then(|at| at.text(issues).map(Arc::from));
-    let max_conns = at.required("max_conns", issues).and_then(|at| at.whole(issues));
-    let protocol = at.required("protocol", issues).and_then(|at| at.text(issues).map(Arc::from));
-    let tls_mode = at.required("tls_mode", issues).and_then(|at| at.flag(issues));
+fn read_service(label: Arc<str>, cursor: &Cursor<'_>, issues: &mut Issues) -> Option<Service> {
+    cursor.expect_table(issues)?;
+    let health_path =
+        cursor.required("health_path", issues).and_then(|cursor| cursor.text(issues).map(Arc::from));
+    let max_conns = cursor.required("max_conns", issues).and_then(|cursor| cursor.integer(issues));
+    let protocol = cursor.required("protocol", issues).and_then(|cursor| cursor.text(issues).map(Arc::from));
+    let tls_mode = cursor.required("tls_mode", issues).and_then(|cursor| cursor.flag(issues));
     Some(Service {
         label,
         health_path: health_path?,
@@ -401,53 +410,55 @@
 }
 
 fn read_route(
-    label: &str, at: &Cursor<'_>, services: &BTreeMap<Arc<str>, Option<Service>>, issues: &mut Issues,
+    label: &str, cursor: &Cursor<'_>, services: &BTreeMap<Arc<str>, Option<Service>>, issues: &mut Issues,
 ) -> Option<Route> {
-    at.expect_table(issues)?;
-    let authority = at.required("authority", issues).and_then(|at| {
-        let authority = at.text(issues)?;
+    cursor.expect_table(issues)?;
+    let authority = cursor.required("authority", issues).and_then(|cursor| {
+        let authority = cursor.text(issues)?;
         if normalize_host(authority).is_empty() {
-            issues.add(&at, ConfigIssueKind::NoAuthority);
+            issues.add(&cursor, ConfigIssueKind::EmptyAuthority);
         }
         Some(authority.into())
     });
-    let path_prefix = at.required("path_prefix", issues).and_then(|at| {
-        let prefix = at.text(issues)?;
+    let path_prefix = cursor.required("path_prefix", issues).and_then(|cursor| {
+        let prefix = cursor.text(issues)?;
         if !(prefix.starts_with('/') && prefix.ends_with('/')) {
-            issues.add(&at, ConfigIssueKind::Prefix);
+            issues.add(&cursor, ConfigIssueKind::InvalidPathPrefix);
         }
         Some(prefix.into())
     });
-    let pure = at.required("variant", issues).and_then(|at| match at.text(issues)? {
+    let pure = cursor.required("variant", issues).and_then(|cursor| match cursor.text(issues)? {
         "pure" => Some(true),
         "effectful" => Some(false),
         _ => {
-            issues.add(&at, ConfigIssueKind::Variant);
+            issues.add(&cursor, ConfigIssueKind::InvalidVariant);
             None
         }
     });
-    let deadline = at.required("deadline_ms", issues).and_then(|at| {
-        let deadline: u64 = at.whole(issues)?;
+    let deadline = cursor.required("deadline_ms", issues).and_then(|cursor| {
+        let deadline: u64 = cursor.integer(issues)?;
         match deadline {
-            0 => issues.add(&at, ConfigIssueKind::NoDeadline),
-            _ if deadline > MAX_DEADLINE_MS => issues.add(&at, ConfigIssueKind::LongDeadline),
+            0 => issues.add(&cursor, ConfigIssueKind::ZeroDeadline),
+            _ if deadline > MAX_DEADLINE_MS => issues.add(&cursor, ConfigIssueKind::DeadlineTooLong),
             _ => {}
         }
         Some(deadline)
     });
-    let goal = at.required("goal_ms", issues).and_then(|at| {
-        let goal: u64 = at.whole(issues)?;
+    let goal = cursor.required("goal_ms", issues).and_then(|cursor| {
+        let goal: u64 = cursor.integer(issues)?;
         if deadline.is_some_and(|deadline| goal >= deadline.saturating_add(MAX_GOAL_EXCESS_MS)) {
-            issues.add(&at, ConfigIssueKind::FarGoal);
+            issues.add(&cursor, ConfigIssueKind::GoalTooLong);
         }
         Some(goal)
     });
-    let rank = at.optional("rank").map_or(Some(0), |at| at.whole(issues));
-    // The page does not forbid 0, and a route that may be sent nowhere would be no route.
-    let max_tries =
-        at.required("max_tries", issues).and_then(|at| at.whole(issues)).map(|tries: u32| tries.max(1));
-    let public = at.optional("public").map_or(Some(false), |at| at.flag(issues));
-    let targets = read_targets(at, services, issues);
+    let rank = cursor.optional("rank").map_or(Some(0), |cursor| cursor.integer(issues));
+    // The specification allows 0, but a route whose requests may not be sent anywhere would be useless.
+    let max_tries = cursor
+        .required("max_tries", issues)
+        .and_then(|cursor| cursor.integer(issues))
+        .map(|tries: u32| tries.max(1));
+    let public = cursor.optional("public").map_or(Some(false), |cursor| cursor.flag(issues));
+    let targets = read_targets(cursor, services, issues);
     Some(Route {
         label: label.into(),
         authority: authority?,
@@ -463,28 +474,31 @@
 }
 
 fn read_targets(
-    at: &Cursor<'_>, services: &BTreeMap<Arc<str>, Option<Service>>, issues: &mut Issues,
+    cursor: &Cursor<'_>, services: &BTreeMap<Arc<str>, Option<Service>>, issues: &mut Issues,
 ) -> Option<Vec<(Arc<str>, u32)>> {
-    let known = |at: &Cursor<'_>, issues: &mut Issues| {
-        let name = at.text(issues)?;
+    let known_service = |cursor: &Cursor<'_>, issues: &mut Issues| {
+        let name = cursor.text(issues)?;
         let found = services.get_key_value(name).map(|(name, _)| name.clone());
         if found.is_none() {
-            issues.add(at, ConfigIssueKind::UnknownService);
+            issues.add(cursor, ConfigIssueKind::UnknownService);
         }
         found
     };
-    let Some(weighted) = at.optional("weighted") else {
-        return at.required("target", issues).and_then(|at| known(&at, issues)).map(|name| vec![(name, 1)]);
+    let Some(weighted) = cursor.optional("weighted") else {
+        return cursor
+            .required("target", issues)
+            .and_then(|cursor| known_service(&cursor, issues))
+            .map(|name| vec![(name, 1)]);
     };
-    if at.optional("target").is_some() {
-        issues.add(at, ConfigIssueKind::TwoTargets);
+    if cursor.optional("target").is_some() {
+        issues.add(cursor, ConfigIssueKind::TargetAndWeighted);
     }
     let entries: Vec<_> = weighted.list(issues)?.collect();
     let mut sum = Some(0_u64);
     let mut targets = Some(Vec::with_capacity(entries.len()));
     for entry in &entries {
-        let name = entry.required("target", issues).and_then(|at| known(&at, issues));
-        let share: Option<u32> = entry.required("share", issues).and_then(|at| at.whole(issues));
+        let name = entry.required("target", issues).and_then(|cursor| known_service(&cursor, issues));
+        let share: Option<u32> = entry.required("share", issues).and_then(|cursor| cursor.integer(issues));
         sum = sum.zip(share).map(|(sum, share)| sum + u64::from(share));
         targets = targets.zip(name.zip(share)).map(|(mut targets, target)| {
             targets.push(target);
@@ -492,18 +506,19 @@
         });
     }
     if sum == Some(0) {
-        issues.add(&weighted, ConfigIssueKind::NoShares);
+        issues.add(&weighted, ConfigIssueKind::ZeroTotalShare);
     }
     targets
 }
 
-fn read_limits(at: &Cursor<'_>, issues: &mut Issues) -> Option<Limits> {
-    at.expect_table(issues)?;
-    let mut figure = |name| at.required(name, issues).and_then(|at| at.whole::<u64>(issues));
-    let max_header_bytes = figure("max_header_bytes");
-    let max_body_bytes = figure("max_body_bytes");
-    let header_wait = figure("header_wait_ms").map(Duration::from_millis);
-    let idle_timeout = figure("idle_timeout_ms").map(Duration::from_millis);
+fn read_limits(cursor: &Cursor<'_>, issues: &mut Issues) -> Option<Limits> {
+    cursor.expect_table(issues)?;
+    let mut read_limit =
+        |name| cursor.required(name, issues).and_then(|cursor| cursor.integer::<u64>(issues));
+    let max_header_bytes = read_limit("max_header_bytes");
+    let max_body_bytes = read_limit("max_body_bytes");
+    let header_wait = read_limit("header_wait_ms").map(Duration::from_millis);
+    let idle_timeout = read_limit("idle_timeout_ms").map(Duration::from_millis);
     Some(Limits {
         max_header_bytes: max_header_bytes?,
         max_body_bytes: max_body_bytes?,
@@ -513,17 +528,17 @@
 }
 
 fn read_tenant(
-    label: &str, at: &Cursor<'_>, keys: &mut HashMap<Arc<str>, Arc<str>>, issues: &mut Issues,
+    label: &str, cursor: &Cursor<'_>, keys: &mut HashMap<Arc<str>, Arc<str>>, issues: &mut Issues,
 ) -> Option<Tenant> {
-    at.expect_table(issues)?;
+    cursor.expect_table(issues)?;
     let label: Arc<str> = label.into();
-    let api_keys = at.required("api_keys", issues).and_then(|at| {
-        let entries: Vec<_> = at.list(issues)?.collect();
+    let api_keys = cursor.required("api_keys", issues).and_then(|cursor| {
+        let entries: Vec<_> = cursor.list(issues)?.collect();
         let mut own = Vec::with_capacity(entries.len());
         for entry in &entries {
             let Some(key) = entry.text(issues) else { continue };
             let key: Arc<str> = key.into();
-            // A key that one tenant lists twice still stands for one tenant.
+            // A tenant may list the same key twice.
             let owner = keys.entry(key.clone()).or_insert_with(|| label.clone());
             if *owner != label {
                 issues.add(entry, ConfigIssueKind::SharedKey(owner.clone()));
@@ -532,9 +547,9 @@
         }
         Some(own)
     });
-    let rank = at.optional("rank").map(|at| at.whole(issues));
-    let rate_per_s = at.optional("rate_per_s").map_or(Some(0.0), |at| at.figure(issues));
-    let burst_size = at.optional("burst_size").map_or(Some(0.0), |at| at.figure(issues));
+    let rank = cursor.optional("rank").map(|cursor| cursor.integer(issues));
+    let rate_per_s = cursor.optional("rate_per_s").map_or(Some(0.0), |cursor| cursor.number(issues));
+    let burst_size = cursor.optional("burst_size").map_or(Some(0.0), |cursor| cursor.number(issues));
     Some(Tenant {
         label,
         api_keys: api_keys?,
--- a/crates/config/src/differ.rs
+++ b/crates/config/src/differ.rs
@@ -1,4 +1,4 @@
-//! What changed from one configuration to another, in lines for an operator's eyes.
+//! Differences between two configurations, as lines for an operator.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -6,13 +6,13 @@
 
 use crate::config::{Config, Limits, Route, Service, Tenant};
 
-/// Something whose fields are compared one by one.
+/// A type whose fields are compared one by one.
 trait Fields {
-    /// Name and shown value of each field.
+    /// Name and displayed value of each field.
     fn fields(&self) -> Vec<(&'static str, String)>;
 }
 
-/// Takes the fields apart, so that a field added to a type cannot be forgotten here.
+/// Destructures the type, so that the compiler rejects a field of the type that is missing here.
 macro_rules! fields {
     ($type:ident { $($field:ident),+ $(; $($hidden:ident),+)? }) => {
         impl Fields for $type {
@@ -33,7 +33,7 @@
     format!("{value:?}")
 }
 
-/// The changes from `before` to `after`, a line each; none if both say the same.
+/// The changes from `before` to `after`, one per line; empty if both are equal.
 pub fn diff(before: &Config, after: &Config) -> Vec<String> {
     let mut lines = Vec::new();
     if before.version != after.version {
@@ -52,7 +52,7 @@
     }
     let tenants = |config: &Config| config.tenants.clone().unwrap_or_default();
     diff_tables("tenant", &tenants(before), &tenants(after), &mut lines, |name, before, after| {
-        // Keys are secrets: only their number is told.
+        // Keys are secrets, so only the number of changed keys is shown.
         let missing = |of: &Tenant, than: &Tenant| {
             of.api_keys.iter().filter(|key| !than.api_keys.contains(key)).count()
         };
--- a/crates/config/src/json.rs
+++ b/crates/config/src/json.rs
@@ -1,7 +1,7 @@
-//! A JSON document as it was written, and a cursor that knows where in it it stands.
+//! A JSON document with all its entries, and a cursor that knows its path in the document.
 //!
-//! `serde_json::Value` keeps the last of two entries of one name. For a table of routes that would drop a route without
-//! a word, so the tree here keeps every entry, and the reader says which names occur twice.
+//! `serde_json::Value` keeps only the last of two entries with the same name. In a table of routes, this would
+//! silently drop a route. The tree here keeps every entry, so that the parser can report duplicate names.
 
 use std::fmt::{self, Display};
 
@@ -10,10 +10,11 @@
 
 use crate::config::{ConfigIssue, ConfigIssueKind};
 
-/// How many faults of one document are written out; the others are only counted, since they go into an answer.
+/// Maximum number of issues listed for one document, because the list goes into an HTTP response. Further issues are
+/// only counted.
 const MAX_ISSUES: usize = 20;
 
-/// How much of a name is shown in a path: names come from outside.
+/// Maximum number of characters of a name shown in a path, because names come from outside.
 const MAX_SHOWN_NAME_CHARS: usize = 64;
 
 /// A value of the document.
@@ -40,14 +41,15 @@
         }
     }
 
-    /// Digest of what the document says, whatever its spacing and the order of its tables' entries.
+    /// Digest of the document's content, independent of whitespace and of the order of table entries.
     pub(crate) fn digest(&self) -> [u8; 32] {
         let mut hasher = Sha256::new();
         self.hash_into(&mut hasher);
         hasher.finalize().into()
     }
 
-    /// Every value starts with a tag and whatever has a length states it, so that no two trees feed the same bytes.
+    /// Hashes the value. Each value starts with a type tag, and everything of variable length states its length, so
+    /// that different trees never hash the same bytes.
     fn hash_into(&self, hasher: &mut Sha256) {
         let text = |hasher: &mut Sha256, text: &str| {
             hasher.update((text.len() as u64).to_be_bytes());
@@ -56,13 +58,13 @@
         match self {
             Self::Null => hasher.update(b"n"),
             Self::Flag(flag) => hasher.update([b'b', u8::from(*flag)]),
-            Self::Integer(whole) => {
+            Self::Integer(integer) => {
                 hasher.update(b"w");
-                hasher.update(whole.to_be_bytes());
+                hasher.update(integer.to_be_bytes());
             }
-            Self::Float(figure) => {
+            Self::Float(number) => {
                 hasher.update(b"f");
-                hasher.update(figure.to_bits().to_be_bytes());
+                hasher.update(number.to_bits().to_be_bytes());
             }
             Self::Text(content) => {
                 hasher.update(b"t");
@@ -87,25 +89,25 @@
     }
 }
 
-/// Largest whole number up to which every whole number has a float of its own.
+/// Largest integer up to which `f64` represents every integer exactly.
 const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
 
 impl From<f64> for Node {
-    /// `2`, `2.0` and `2e0` are one number in JSON, so a float without a fraction is kept as the whole number it is.
-    fn from(figure: f64) -> Self {
-        if (0.0..=MAX_EXACT_INTEGER).contains(&figure) && figure.fract() == 0.0 {
-            Self::Integer(figure as u64)
+    /// `2`, `2.0` and `2e0` are the same number in JSON, so a float without a fraction is stored as an integer.
+    fn from(number: f64) -> Self {
+        if (0.0..=MAX_EXACT_INTEGER).contains(&number) && number.fract() == 0.0 {
+            Self::Integer(number as u64)
         } else {
-            Self::Float(figure)
+            Self::Float(number)
         }
     }
 }
 
 impl<'de> Deserialize<'de> for Node {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Any;
+        struct NodeVisitor;
 
-        impl<'de> Visitor<'de> for Any {
+        impl<'de> Visitor<'de> for NodeVisitor {
             type Value = Node;
 
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -120,16 +122,16 @@
                 Ok(Node::Flag(flag))
             }
 
-            fn visit_u64<E>(self, whole: u64) -> Result<Node, E> {
-                Ok(Node::Integer(whole))
+            fn visit_u64<E>(self, integer: u64) -> Result<Node, E> {
+                Ok(Node::Integer(integer))
             }
 
-            fn visit_i64<E>(self, whole: i64) -> Result<Node, E> {
-                Ok(u64::try_from(whole).map_or(Node::Float(whole as f64), Node::Integer))
+            fn visit_i64<E>(self, integer: i64) -> Result<Node, E> {
+                Ok(u64::try_from(integer).map_or(Node::Float(integer as f64), Node::Integer))
             }
 
-            fn visit_f64<E>(self, figure: f64) -> Result<Node, E> {
-                Ok(Node::from(figure))
+            fn visit_f64<E>(self, number: f64) -> Result<Node, E> {
+                Ok(Node::from(number))
             }
 
             fn visit_str<E>(self, text: &str) -> Result<Node, E> {
@@ -157,15 +159,15 @@
             }
         }
 
-        deserializer.deserialize_any(Any)
+        deserializer.deserialize_any(NodeVisitor)
     }
 }
 
-/// What was found wrong so far.
+/// The issues found so far.
 #[derive(Debug, Default)]
 pub(crate) struct Issues {
     pub(crate) lines: Vec<ConfigIssue>,
-    pub(crate) more: usize,
+    pub(crate) omitted: usize,
 }
 
 impl Issues {
@@ -173,7 +175,7 @@
         if self.lines.len() < MAX_ISSUES {
             self.lines.push(ConfigIssue { path: path.to_string(), kind });
         } else {
-            self.more += 1;
+            self.omitted += 1;
         }
     }
 }
@@ -185,7 +187,7 @@
     Index(usize),
 }
 
-/// A value and the way to it. The way is only written out for a fault.
+/// A value and its path in the document. The path is only formatted for an issue.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Cursor<'a> {
     parent: Option<&'a Cursor<'a>>,
@@ -195,15 +197,15 @@
 
 impl Display for Cursor<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let above = self.parent.filter(|parent| parent.parent.is_some());
+        let parent_below_root = self.parent.filter(|parent| parent.parent.is_some());
         if let Some(parent) = self.parent {
-            write!(f, "{}", if above.is_some() { parent.to_string() } else { String::new() })?;
+            write!(f, "{}", if parent_below_root.is_some() { parent.to_string() } else { String::new() })?;
         }
         match self.segment {
             PathSegment::Root => f.write_str("(document)"),
             PathSegment::Index(index) => write!(f, "[{index}]"),
             PathSegment::Name(name) => {
-                let dot = if above.is_some() { "." } else { "" };
+                let dot = if parent_below_root.is_some() { "." } else { "" };
                 write!(
                     f,
                     "{dot}{}",
@@ -219,7 +221,7 @@
         Self { parent: None, segment: PathSegment::Root, node }
     }
 
-    /// The entry of that name. `null` counts as left out: both say that there is nothing.
+    /// The entry with this name, if it exists. `null` counts as missing, because both mean that no value is given.
     pub(crate) fn optional<'s>(&'s self, name: &'s str) -> Option<Cursor<'s>> {
         let Node::Table(entries) = self.node else { return None };
         let (_, node) = entries.iter().find(|(entry, _)| entry == name)?;
@@ -230,7 +232,7 @@
         })
     }
 
-    /// The entry of that name, which has to be there.
+    /// The entry with this name. Reports an issue if the entry is missing.
     pub(crate) fn required<'s>(&'s self, name: &'s str, issues: &mut Issues) -> Option<Cursor<'s>> {
         let found = self.optional(name);
         if found.is_none() {
@@ -240,7 +242,7 @@
         found
     }
 
-    /// Notes every name that occurs twice in one table, anywhere below.
+    /// Reports every name that occurs twice in one table, at any depth.
     pub(crate) fn report_duplicates(&self, issues: &mut Issues) {
         match self.node {
             Node::Table(entries) => {
@@ -248,7 +250,7 @@
                 for (name, node) in entries {
                     let entry = Cursor { parent: Some(self), segment: PathSegment::Name(name), node };
                     if !seen.insert(name) {
-                        issues.add(&entry, ConfigIssueKind::Twice);
+                        issues.add(&entry, ConfigIssueKind::Duplicate);
                     }
                     entry.report_duplicates(issues);
                 }
@@ -263,11 +265,12 @@
     }
 
     fn mismatch<T>(&self, expected: &'static str, issues: &mut Issues) -> Option<T> {
-        issues.add(self, ConfigIssueKind::Kind { expected, found: self.node.kind() });
+        issues.add(self, ConfigIssueKind::WrongType { expected, found: self.node.kind() });
         None
     }
 
-    /// Says so where this is no table, so that its entries are not said to be missing as well.
+    /// Reports an issue if the value is not a table. Callers then return early, so that the table's entries are not
+    /// reported as missing as well.
     pub(crate) fn expect_table(&self, issues: &mut Issues) -> Option<()> {
         self.table(issues).map(drop)
     }
@@ -302,31 +305,31 @@
         Some(*flag)
     }
 
-    /// A whole number that fits.
-    pub(crate) fn whole<T: TryFrom<u64>>(&self, issues: &mut Issues) -> Option<T> {
+    /// An integer that fits the type.
+    pub(crate) fn integer<T: TryFrom<u64>>(&self, issues: &mut Issues) -> Option<T> {
         match self.node {
-            Node::Integer(whole) => match T::try_from(*whole) {
-                Ok(whole) => Some(whole),
+            Node::Integer(integer) => match T::try_from(*integer) {
+                Ok(integer) => Some(integer),
                 Err(_) => {
                     issues.add(self, ConfigIssueKind::TooLarge);
                     None
                 }
             },
-            Node::Float(figure) => {
-                issues.add(self, ConfigIssueKind::NotWhole(*figure));
+            Node::Float(number) => {
+                issues.add(self, ConfigIssueKind::NotInteger(*number));
                 None
             }
             _ => self.mismatch("a whole number", issues),
         }
     }
 
-    /// A figure that is not negative, fractions allowed.
-    pub(crate) fn figure(&self, issues: &mut Issues) -> Option<f64> {
+    /// A non-negative number, fractions allowed.
+    pub(crate) fn number(&self, issues: &mut Issues) -> Option<f64> {
         match self.node {
-            Node::Integer(whole) => Some(*whole as f64),
-            Node::Float(figure) if figure.is_finite() && *figure >= 0.0 => Some(*figure),
-            Node::Float(figure) => {
-                issues.add(self, ConfigIssueKind::Negative(*figure));
+            Node::Integer(integer) => Some(*integer as f64),
+            Node::Float(number) if number.is_finite() && *number >= 0.0 => Some(*number),
+            Node::Float(number) => {
+                issues.add(self, ConfigIssueKind::Negative(*number));
                 None
             }
             _ => self.mismatch("a number", issues),
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,8 @@
-//! Settings and configurations: declared, read and checked.
+//! Settings and configurations: declaration, parsing and validation.
 //!
-//! [`settings`] is what one process is told by its file, [`config`] what the operator tells the whole system. Both
-//! readers go on after a fault, so that whoever wrote the document sees everything that is wrong with it at once.
+//! [`settings`] holds the settings of one process, read from its settings file. [`config`] holds the configuration
+//! that the operator gives to the whole system. Both parsers continue after an issue, so that one run reports all
+//! issues of a document.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,8 +1,8 @@
-//! The settings of one process, from the TOML file that it is told of.
+//! The settings of one process, read from a TOML file.
 //!
-//! Each setting is declared once, by `declare!`: what it is for, its key, type, default and check. The struct, the
-//! reader and the list that a help command prints all come from there, so that they cannot disagree. Fields that are
-//! not declared are ignored, because the file may be written for a later version.
+//! Each setting is declared once, by `declare!`, with its documentation, key, type, default and check. The struct,
+//! the parser and the list that the help command prints are all generated from this declaration, so they always
+//! agree. Unknown fields are ignored, because the file may be written for a later version.
 
 use std::fmt::{self, Display};
 use std::io;
@@ -18,19 +18,19 @@
     SettingType, Text, TextList, TextTable,
 };
 
-/// Name of the list of `name=value` texts.
+/// Key of the list of `name=value` strings.
 const BOUND_TABLE_KEY: &str = "bound_table";
 
-/// A setting as it was declared, for the help of a program.
+/// Description of a declared setting, for the help command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SettingInfo {
-    /// Its way through the file, such as `limits.memory_mb`.
+    /// Path in the file, such as `limits.memory_mb`.
     pub key: &'static str,
-    /// What it takes.
+    /// Type of the value.
     pub kind: &'static str,
-    /// What holds where the file says nothing; `required` and `empty` stand for themselves.
+    /// Default value. `required` means that there is none, and `empty` means an empty value.
     pub default: &'static str,
-    /// What it is for.
+    /// Documentation.
     pub doc: &'static str,
 }
 
@@ -40,60 +40,60 @@
     }
 }
 
-/// One fault of a settings file.
+/// One issue of a settings file.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 #[error("{key}: {kind}")]
 #[diagnostic(code(config::settings::key))]
 pub struct SettingIssue {
-    /// Way to the fault.
+    /// Path to the setting.
     pub key: String,
-    /// What is wrong there.
+    /// Kind of the issue.
     pub kind: SettingIssueKind,
 }
 
-/// What is wrong with one setting.
+/// Kind of an issue with a setting.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SettingIssueKind {
-    /// It has to be there and is not.
+    /// A required setting is missing.
     #[error("is missing")]
     Missing,
-    /// It is of another type, or a text that does not say what it should.
-    #[error("wants {expected} and has {found}")]
-    Kind {
-        /// What the setting takes.
+    /// The value has the wrong type or cannot be parsed.
+    #[error("expected {expected}, found {found}")]
+    WrongType {
+        /// Expected type.
         expected: &'static str,
-        /// What stands there.
+        /// Value found.
         found: String,
     },
-    /// It fails the check that was declared with it.
+    /// The value fails the check declared with the setting.
     #[error("{0}")]
-    Check(&'static str),
+    CheckFailed(&'static str),
 }
 
-/// Why there are no settings.
+/// Why settings could not be loaded.
 #[derive(Debug, Error, Diagnostic)]
 pub enum SettingsError {
-    /// The file could not be read.
-    #[error("{}: cannot be read: {error}", path.display())]
+    /// The file cannot be read.
+    #[error("cannot read {}: {error}", path.display())]
     #[diagnostic(code(config::settings::file))]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         #[source]
         error: io::Error,
     },
-    /// The text is not TOML.
-    #[error("(document): is not TOML: {0}")]
+    /// The text is not valid TOML.
+    #[error("(document): invalid TOML: {0}")]
     #[diagnostic(code(config::settings::toml))]
     Toml(#[from] toml::de::Error),
-    /// Settings are missing or wrong.
+    /// Settings are missing or invalid.
     #[error("{}", .0.iter().map(SettingIssue::to_string).collect::<Vec<_>>().join("\n"))]
     #[diagnostic(code(config::settings::invalid))]
     Invalid(#[related] Vec<SettingIssue>),
 }
 
-/// Collects the faults, so that one start of a program shows them all.
+/// Issues found so far. All issues are collected, so that one start of a program reports all of them.
 type Issues = Vec<SettingIssue>;
 
 fn record_issue<T>(issues: &mut Issues, key: &str, kind: SettingIssueKind) -> Option<T> {
@@ -104,16 +104,16 @@
 fn look_up<'t>(root: &'t Table, key: &str) -> Option<&'t Value> {
     let mut segments = key.split('.');
     let first = root.get(segments.next()?)?;
-    segments.try_fold(first, |value, step| value.as_table()?.get(step))
+    segments.try_fold(first, |value, segment| value.as_table()?.get(segment))
 }
 
-/// What a value has to fulfil, and the words to say when it does not.
+/// A predicate for valid values, and the error message for others.
 type Check<T> = (fn(&T) -> bool, &'static str);
 
 fn read_setting<K: SettingType>(
-    root: &Table, key: &'static str, default: Option<K::Out>, check: Option<Check<K::Out>>,
+    root: &Table, key: &'static str, default: Option<K::Output>, check: Option<Check<K::Output>>,
     issues: &mut Issues,
-) -> Option<K::Out> {
+) -> Option<K::Output> {
     let Some(value) = look_up(root, key) else {
         return default.or_else(|| record_issue(issues, key, SettingIssueKind::Missing));
     };
@@ -121,38 +121,38 @@
         return record_issue(
             issues,
             key,
-            SettingIssueKind::Kind { expected: K::NAME, found: value.to_string() },
+            SettingIssueKind::WrongType { expected: K::NAME, found: value.to_string() },
         );
     };
     match check {
         Some((is_valid, message)) if !is_valid(&parsed) => {
-            record_issue(issues, key, SettingIssueKind::Check(message))
+            record_issue(issues, key, SettingIssueKind::CheckFailed(message))
         }
         _ => Some(parsed),
     }
 }
 
-/// Declares settings: `name: Type = default, "key", check => "words where it fails";` with the doc above it.
+/// Declares settings: `field: Type = default, "key", check => "error message";`, with documentation above each.
 ///
-/// The default is a literal as it would stand in the file, `empty`, or `required` for none. A `parts` block at the end
-/// takes further groups that were declared the same way.
+/// The default is a literal as written in the file, `empty`, or `required` if there is none. A `parts` block at the
+/// end embeds further structs that were declared the same way.
 macro_rules! declare {
     (
-        $(#[$about:meta])*
-        pub struct $name:ident, $list:ident {
+        $(#[$struct_doc:meta])*
+        pub struct $name:ident, $infos:ident {
             $($(#[doc = $doc:literal])+ $field:ident: $kind:ty = $default:tt, $key:literal $(, $check:expr => $message:literal)?;)+
-            $(parts { $($(#[$part_about:meta])+ $part:ident: $group:ident;)+ })?
+            $(parts { $($(#[$part_doc:meta])+ $part:ident: $group:ident;)+ })?
         }
     ) => {
-        $(#[$about])*
+        $(#[$struct_doc])*
         #[derive(Debug, Clone, PartialEq)]
         pub struct $name {
-            $($(#[doc = $doc])+ pub $field: <$kind as SettingType>::Out,)+
-            $($($(#[$part_about])+ pub $part: $group,)+)?
+            $($(#[doc = $doc])+ pub $field: <$kind as SettingType>::Output,)+
+            $($($(#[$part_doc])+ pub $part: $group,)+)?
         }
 
         #[doc = concat!("What is declared of [`", stringify!($name), "`].")]
-        pub const $list: &[SettingInfo] = &[$(SettingInfo {
+        pub const $infos: &[SettingInfo] = &[$(SettingInfo {
             key: $key,
             kind: <$kind as SettingType>::NAME,
             default: stringify!($default),
@@ -161,7 +161,7 @@
 
         impl $name {
             fn read_from(root: &Table, issues: &mut Issues) -> Option<Self> {
-                // Every field is read before the first that failed ends this, so that no fault hides another.
+                // All fields are read before the first `?` returns, so that one issue does not hide others.
                 $(let $field = read_setting::<$kind>(
                     root,
                     $key,
@@ -182,170 +182,171 @@
 }
 
 declare! {
-    /// What one process is told.
+    /// Settings of one process.
     pub struct Settings, SETTINGS {
         /// Name of the machine.
-        node_name: Text = required, "node_name", |name| !name.is_empty() => "is empty";
-        /// Name of what the process does in the fleet.
+        node_name: Text = required, "node_name", |name| !name.is_empty() => "must not be empty";
+        /// Role of the process in the fleet.
         role: Text = empty, "role";
-        /// SettingType of machine.
+        /// Class of the machine.
         machine_class: Text = empty, "machine_class";
-        /// What the process serves: `edge` for clients, `control` for callers.
+        /// What the process serves: `edge` for client requests, `control` for control calls.
         serves: TextList = required, "serves";
-        /// Address under which the other machines reach this one.
+        /// Address at which other machines reach this one.
         ip: Parsed<IpAddr> = required, "ip";
         /// Zone of the machine.
-        zone: Text = required, "zone", |zone| !zone.is_empty() => "is empty";
+        zone: Text = required, "zone", |zone| !zone.is_empty() => "must not be empty";
         /// Region of the machine.
         region: Text = empty, "region";
-        /// First and last of the ports that are free for what gateways say to each other.
+        /// First and last port available for traffic between gateways.
         port_range: PortRange = required, "port_range",
-            |(first, last)| 0 < *first && first <= last => "wants a first port above 0 and a last one not below it";
+            |(first, last)| 0 < *first && first <= last => "the first port must be greater than 0 and not greater than the last one";
         /// Control addresses of up to three machines that are up at the first start.
         seed_list: AddressList = required, "seed_list";
         /// Whether this is the first start of the whole system, with empty disks.
         bootstrap: Flag = false, "bootstrap";
-        /// Whether the machine counts for the losses that are tolerated, and so votes.
+        /// Whether the machine counts toward the tolerated losses and is therefore a voter.
         in_quorum: Flag = false, "in_quorum";
-        /// Directory that outlives the process; without it nothing is kept.
+        /// Directory that outlives the process; without one, the process stores nothing.
         data_path: Optional<Parsed<PathBuf>> = empty, "data_path";
-        /// How backends become known.
+        /// How backends are discovered.
         discovery: Text = empty, "discovery";
-        /// How clients come to a gateway.
+        /// How clients reach a gateway.
         entry: Text = empty, "entry";
-        /// How often a backend beats.
-        beat_interval: Millis = 1000, "beat_interval_ms", |beat| !beat.is_zero() => "wants more than 0";
-        /// Parts of the rules that are in force.
+        /// Interval between the heartbeats of a backend.
+        beat_interval: Millis = 1000, "beat_interval_ms", |beat| !beat.is_zero() => "must be greater than 0";
+        /// Groups of invariants that are in force.
         invariants: TextList = empty, "invariants";
         /// Region of each zone.
         zones: TextTable = empty, "zones";
-        /// Where clients are served.
+        /// Address for client requests.
         front: Optional<Parsed<SocketAddr>> = empty, "bind.front";
-        /// Where it is told whether the process is ready.
+        /// Address of the readiness endpoint.
         readiness: Optional<Parsed<SocketAddr>> = empty, "bind.readiness";
-        /// Where beats and the operator's calls arrive.
+        /// Address for heartbeats of backends and for control calls of operators.
         control: Optional<Parsed<SocketAddr>> = empty, "bind.control";
-        /// Share of a processor that the process gets.
-        cpu_share: Number = 1.0, "limits.cpu_share", |share| *share > 0.0 => "wants more than 0";
-        /// Processors that the process may run on.
-        cpu_count: Integer<u32> = 1, "limits.cpu_count", |count| *count > 0 => "wants at least 1";
-        /// Memory that the process may take.
-        memory_mb: Integer<u64> = 256, "limits.memory_mb", |memory| *memory > 0 => "wants at least 1";
-        /// Files and connections that the process may have open.
-        max_fds: Integer<u64> = 1024, "limits.max_fds", |fds| *fds > 0 => "wants at least 1";
-        /// Megabits a second of the machine's link.
-        link_mbps: Number = 1000.0, "limits.link_mbps", |link| *link > 0.0 => "wants more than 0";
-        /// Room on the disk.
+        /// Share of a processor available to the process.
+        cpu_share: Number = 1.0, "limits.cpu_share", |share| *share > 0.0 => "must be greater than 0";
+        /// Number of processors available to the process.
+        cpu_count: Integer<u32> = 1, "limits.cpu_count", |count| *count > 0 => "must be at least 1";
+        /// Memory available to the process, in MB.
+        memory_mb: Integer<u64> = 256, "limits.memory_mb", |memory| *memory > 0 => "must be at least 1";
+        /// Maximum number of open file descriptors, including connections.
+        max_fds: Integer<u64> = 1024, "limits.max_fds", |fds| *fds > 0 => "must be at least 1";
+        /// Bandwidth of the machine's network link, in Mbit/s.
+        link_mbps: Number = 1000.0, "limits.link_mbps", |link| *link > 0.0 => "must be greater than 0";
+        /// Disk space available, in MB.
         disk_mb: Integer<u64> = 64, "limits.disk_mb";
-        /// Voting machines that may be lost at the same time.
+        /// Number of voting machines that may be lost at the same time.
         machine_losses: Integer<u32> = 0, "tolerance.machine_losses";
-        /// Zones that may be lost at the same time.
+        /// Number of zones that may be lost at the same time.
         zone_losses: Integer<u32> = 0, "tolerance.zones";
-        /// Regions that may be lost at the same time.
+        /// Number of regions that may be lost at the same time.
         region_losses: Integer<u32> = 0, "tolerance.region_losses";
         parts {
-            /// Figures of the rules.
+            /// Bounds that the system must keep.
             bounds: Bounds;
-            /// What is tuned about the project itself.
+            /// Tuning parameters of reachlb.
             tuning: Tuning;
         }
     }
 }
 
 declare! {
-    /// Figures of the rules, from the `name=value` texts of `bound_table`.
+    /// Bounds that the system must keep, from the `name=value` strings of `bound_table`.
     pub struct Bounds, BOUNDS {
-        /// How far the list of gateways that callers use lags.
+        /// How far the list of gateways used by callers may lag behind.
         seed_lag: Seconds = 3, "bound_table.seed_lag_s";
-        /// How soon the address of a backend that is gone may be another one's.
+        /// Time after which the address of a departed backend may be reused by another one.
         reuse_after: Seconds = 2, "bound_table.reuse_after_s";
-        /// How long machines have to be in contact before they count as such.
+        /// How long machines must be in contact before they count as connected.
         contact: Millis = 3000, "bound_table.contact_ms";
-        /// How long a caller of control waits for its acknowledgement.
+        /// How long a caller of the control socket waits for an acknowledgement.
         ack: Millis = 5000, "bound_table.ack_ms";
         /// How long a machine that has returned still counts as lost.
         catch_up: Seconds = 4, "bound_table.catch_up_s";
-        /// Time from the word of a drain until no more requests may go to that backend.
+        /// Time from the announcement of a drain until no more requests may be sent to that backend.
         drain: Millis = 2000, "bound_table.drain_ms";
         /// Time from SIGTERM to SIGKILL.
         grace: Seconds = 6, "bound_table.grace_s";
-        /// Slack around a loss.
+        /// Time tolerance around a loss.
         loss_slack: Millis = 200, "bound_table.loss_slack_ms";
-        /// Time in which a configuration that was acknowledged has to be in force.
+        /// Time within which an acknowledged configuration must be in force.
         apply: Millis = 2000, "bound_table.apply_ms";
-        /// Slack in which an older configuration may still be seen after a newer one.
+        /// How long an older configuration may still be observed after a newer one.
         revert_slack: Millis = 250, "bound_table.revert_slack_ms";
-        /// By how much troubles may stretch the other times at most.
+        /// Maximum time by which faults may extend the other bounds.
         stretch_max: Millis = 8000, "bound_table.stretch_max_ms";
-        /// Whether a key that was taken away may never come back into force.
+        /// Whether a revoked key must never become valid again.
         revoke_final: Flag = false, "bound_table.revoke_final";
-        /// Time in which a key that was taken away has to be refused.
+        /// Time within which a revoked key must be rejected.
         revoke: Millis = 5000, "bound_table.revoke_ms";
-        /// Further tries that are allowed for each request.
-        retry_ratio: Number = 0.2, "bound_table.retry_ratio", |ratio| *ratio >= 0.0 => "is negative";
-        /// Span over which further tries are counted.
-        retry_window: Seconds = 10, "bound_table.retry_window_s", |span| !span.is_zero() => "wants more than 0";
-        /// Further tries that are allowed on top.
-        retry_slack: Number = 0, "bound_table.retry_slack", |slack| *slack >= 0.0 => "is negative";
-        /// Span over which quotas are counted.
-        quota_window: Seconds = 5, "bound_table.quota_window_s", |span| !span.is_zero() => "wants more than 0";
-        /// Share of a quota by which it may be exceeded.
-        quota_excess: Number = 0.1, "bound_table.quota_excess", |excess| *excess >= 0.0 => "is negative";
-        /// Requests that may pass beyond a quota on top.
-        quota_slack: Number = 0, "bound_table.quota_slack", |slack| *slack >= 0.0 => "is negative";
-        /// Time after a trouble in which the system has to be well again.
+        /// Number of retries allowed per request.
+        retry_ratio: Number = 0.2, "bound_table.retry_ratio", |ratio| *ratio >= 0.0 => "must not be negative";
+        /// Window over which retries are counted.
+        retry_window: Seconds = 10, "bound_table.retry_window_s", |span| !span.is_zero() => "must be greater than 0";
+        /// Number of retries allowed in addition to the ratio.
+        retry_slack: Number = 0, "bound_table.retry_slack", |slack| *slack >= 0.0 => "must not be negative";
+        /// Window over which quotas are counted.
+        quota_window: Seconds = 5, "bound_table.quota_window_s", |span| !span.is_zero() => "must be greater than 0";
+        /// Fraction by which a quota may be exceeded.
+        quota_excess: Number = 0.1, "bound_table.quota_excess", |excess| *excess >= 0.0 => "must not be negative";
+        /// Number of requests that may exceed a quota in addition to the fraction.
+        quota_slack: Number = 0, "bound_table.quota_slack", |slack| *slack >= 0.0 => "must not be negative";
+        /// Time after a fault within which the system must have recovered.
         recovery: Seconds = 15, "bound_table.recovery_s";
     }
 }
 
 declare! {
-    /// What is tuned about the project itself, in the table `reachlb`.
+    /// Tuning parameters of reachlb, in the table `reachlb`.
     pub struct Tuning, TUNING {
-        /// How often a leader and whoever has news to tell give a sign of life.
-        heartbeat: Millis = 60, "reachlb.pulse_ms", |heartbeat| !heartbeat.is_zero() => "wants more than 0";
-        /// Draws a second that one holder of counts bears: more, and the leader shares the counts out; 0 for never.
-        max_lease_requests_per_holder: Number = 0.0, "reachlb.draws_a_holder", |draws| *draws >= 0.0 => "wants 0 or more";
-        /// Silence of the leader after which another one stands for election.
-        election: Millis = 320, "reachlb.election_ms", |election| !election.is_zero() => "wants more than 0";
-        /// How long the leader may act on the answer of a majority.
-        lease: Millis = 230, "reachlb.lease_ms", |lease| !lease.is_zero() => "wants more than 0";
-        /// Whether processes watch each other, in sets of a few; the command line can say so as well.
+        /// Interval between heartbeats of the leader and of processes with updates to send.
+        heartbeat: Millis = 60, "reachlb.pulse_ms", |heartbeat| !heartbeat.is_zero() => "must be greater than 0";
+        /// Lease requests per second that one quota holder serves; above this rate, the leader spreads the counters.
+        /// 0 means never.
+        max_lease_requests_per_holder: Number = 0.0, "reachlb.draws_a_holder", |draws| *draws >= 0.0 => "must not be negative";
+        /// Silence of the leader after which another voter starts an election.
+        election: Millis = 320, "reachlb.election_ms", |election| !election.is_zero() => "must be greater than 0";
+        /// How long the leader may act on the response of a majority.
+        lease: Millis = 230, "reachlb.lease_ms", |lease| !lease.is_zero() => "must be greater than 0";
+        /// Whether processes monitor each other in small watch sets; a command line option also enables this.
         failure_detection: Flag = false, "reachlb.watching";
-        /// Which lines are logged: off, error, warn, info, debug or trace.
+        /// Log level: off, error, warn, info, debug or trace.
         log_level: Text = "info", "reachlb.log_level",
             |level| matches!(&**level, "off" | "error" | "warn" | "info" | "debug" | "trace")
-                => "wants off, error, warn, info, debug or trace";
-        /// AddressList of machines and backends that are reached under another one, as `own=other`.
+                => "must be off, error, warn, info, debug or trace";
+        /// Addresses of machines and backends that are reached at another address, as `own=other`.
         detours: DetourList = empty, "reachlb.ways";
     }
 }
 
 impl Tuning {
-    /// What no setting can check alone.
+    /// Checks constraints between several settings.
     fn cross_check(&self, issues: &mut Issues) {
         if self.lease >= self.election {
-            // Otherwise two leaders could hold the counts at the same time.
-            let message = "has to be below reachlb.election_ms";
-            record_issue::<()>(issues, "reachlb.lease_ms", SettingIssueKind::Check(message));
+            // With a longer lease, two leaders could hold the quota counters at the same time.
+            let message = "must be less than reachlb.election_ms";
+            record_issue::<()>(issues, "reachlb.lease_ms", SettingIssueKind::CheckFailed(message));
         }
         if self.heartbeat >= self.lease {
-            // Otherwise the lease would end between two heartbeats of a leader that is well.
+            // With a longer interval, the lease of a healthy leader would expire between two heartbeats.
             record_issue::<()>(
                 issues,
                 "reachlb.pulse_ms",
-                SettingIssueKind::Check("has to be below reachlb.lease_ms"),
+                SettingIssueKind::CheckFailed("must be less than reachlb.lease_ms"),
             );
         }
     }
 }
 
-/// Everything that is declared, in the order in which a help command prints it.
+/// All declared settings, in the order in which the help command prints them.
 pub fn declared() -> impl Iterator<Item = &'static SettingInfo> {
     [SETTINGS, BOUNDS, TUNING].into_iter().flatten()
 }
 
 impl Settings {
-    /// Reads the settings file.
+    /// Reads and parses the settings file.
     pub fn read(path: impl AsRef<Path>) -> Result<Self, SettingsError> {
         let path = path.as_ref();
         let text = std::fs::read_to_string(path)
@@ -353,7 +354,7 @@
         Self::parse(&text)
     }
 
-    /// Reads the settings, or says everything that is wrong with them.
+    /// Parses the settings, or returns all issues found.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let mut root: Table = text.parse()?;
         let mut issues = Issues::new();
@@ -374,17 +375,19 @@
     }
 }
 
-/// Turns the `name=value` texts into a table, so that bounds are declared and read like any other setting.
+/// Converts the `name=value` strings into a table, so that bounds are declared and read like other settings.
 ///
-/// Where settings are a file of lines, the texts stand on one line with commas between them: that is taken as well.
+/// A line-based settings file puts the strings on one line, separated by commas. This form is accepted as well.
 fn expand_bound_table(root: &mut Table, issues: &mut Issues) {
     let entries: Vec<Value> = match root.remove(BOUND_TABLE_KEY) {
         None => return,
         Some(Value::Array(entries)) => entries,
         Some(Value::String(line)) => line.split(',').map(|entry| Value::from(entry.trim())).collect(),
         Some(other) => {
-            let kind =
-                SettingIssueKind::Kind { expected: "a list of name=value texts", found: other.to_string() };
+            let kind = SettingIssueKind::WrongType {
+                expected: "a list of name=value strings",
+                found: other.to_string(),
+            };
             return issues.push(SettingIssue { key: BOUND_TABLE_KEY.to_owned(), kind });
         }
     };
@@ -396,20 +399,23 @@
             }
             None => issues.push(SettingIssue {
                 key: format!("{BOUND_TABLE_KEY}[{index}]"),
-                kind: SettingIssueKind::Kind { expected: "a text name=value", found: entry.to_string() },
+                kind: SettingIssueKind::WrongType {
+                    expected: "a name=value string",
+                    found: entry.to_string(),
+                },
             }),
         }
     }
     root.insert(BOUND_TABLE_KEY.to_owned(), Value::Table(bounds));
 }
 
-/// The value of a bound: a whole number, a fraction, true or false, and a text where it is none of them.
+/// Parses the value of a bound: an integer, a float, a boolean, or else a string.
 fn parse_scalar(text: &str) -> Value {
-    if let Ok(whole) = text.parse::<i64>() {
-        return Value::Integer(whole);
+    if let Ok(integer) = text.parse::<i64>() {
+        return Value::Integer(integer);
     }
-    if let Ok(figure) = text.parse::<f64>() {
-        return Value::Float(figure);
+    if let Ok(number) = text.parse::<f64>() {
+        return Value::Float(number);
     }
     text.parse::<bool>().map_or_else(|_| Value::from(text), Value::Boolean)
 }
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -1,4 +1,5 @@
-//! The operator's configuration: what is refused and where, which route is chosen, and what a change looks like.
+//! Parsing of the operator's configuration: rejected documents and the path of each issue, route selection, digests
+//! and differences.
 
 use std::time::Duration;
 
@@ -6,15 +7,15 @@
 use serde_json::{Value, json};
 use yare::parameterized;
 
-const BODY: &str = include_str!("data/config.json");
+const EXAMPLE: &str = include_str!("data/config.json");
 
-fn body() -> Value {
-    serde_json::from_str(BODY).unwrap()
+fn example() -> Value {
+    serde_json::from_str(EXAMPLE).unwrap()
 }
 
-/// The example with one value set, or taken out where there is none.
-fn with(pointer: &str, value: Option<Value>) -> Vec<u8> {
-    let mut body = body();
+/// The example with one value replaced, or removed if `value` is `None`.
+fn with_value(pointer: &str, value: Option<Value>) -> Vec<u8> {
+    let mut body = example();
     let (table, name) = pointer.rsplit_once('/').unwrap();
     let table = body.pointer_mut(table).unwrap().as_object_mut().unwrap();
     match value {
@@ -29,8 +30,8 @@
 }
 
 #[test]
-fn the_whole_body_is_read() {
-    let config = Config::parse(BODY.as_bytes()).unwrap();
+fn all_fields_are_parsed() {
+    let config = Config::parse(EXAMPLE.as_bytes()).unwrap();
     assert_eq!((config.version, config.version.to_string()), (Version(7), "r7".to_owned()));
     let route = config.route("ficu95.example", "/lohu930/2f").unwrap();
     assert!(&*route.label == "r-y35ieis" && route.pure && !route.public);
@@ -78,10 +79,10 @@
         "tenant_table.other.api_keys[1]: is a key of tenant `huka270` as well" },
     no_keys = { "/tenant_table/other", Some(json!({})), "tenant_table.other.api_keys: is missing" },
 )]
-fn invalid(pointer: &str, value: Option<Value>, says: &str) {
-    let fault = Config::parse(&with(pointer, value)).unwrap_err();
-    assert!(fault.to_string().starts_with(says), "{fault}");
-    assert_eq!(fault.to_string().lines().count(), 1, "{fault}");
+fn invalid_document_is_rejected_with_path(pointer: &str, value: Option<Value>, expected_message: &str) {
+    let error = Config::parse(&with_value(pointer, value)).unwrap_err();
+    assert!(error.to_string().starts_with(expected_message), "{error}");
+    assert_eq!(error.to_string().lines().count(), 1, "{error}");
 }
 
 #[parameterized(
@@ -96,34 +97,35 @@
     float = { "/limits/max_body_bytes", Some(json!(1e6)) },
     unknown = { "/limits/later", Some(json!([{}])) },
 )]
-fn valid(pointer: &str, value: Option<Value>) {
-    Config::parse(&with(pointer, value)).unwrap();
+fn valid_document_is_accepted(pointer: &str, value: Option<Value>) {
+    Config::parse(&with_value(pointer, value)).unwrap();
 }
 
 #[parameterized(
-    cut = { &BODY[..BODY.len() - 4], "(document): cannot be read whole" },
-    trailing = { &format!("{BODY} x"), "(document): cannot be read whole" },
+    cut = { &EXAMPLE[..EXAMPLE.len() - 4], "(document): cannot be read whole" },
+    trailing = { &format!("{EXAMPLE} x"), "(document): cannot be read whole" },
     nothing = { "", "(document): cannot be read whole" },
     too_deep = { &"[".repeat(100_000), "(document): cannot be read whole" },
-    infinite = { &BODY.replace("\"rate_per_s\": 146", "\"rate_per_s\": 1e999"), "(document): cannot be read whole" },
-    no_services = { &BODY.replace("service_table", "later"), "service_table: is missing" },
+    infinite = { &EXAMPLE.replace("\"rate_per_s\": 146", "\"rate_per_s\": 1e999"), "(document): cannot be read whole" },
+    no_services = { &EXAMPLE.replace("service_table", "later"), "service_table: is missing" },
     no_table = { "[]", "(document): wants a table and has a list" },
-    twice = { &BODY.replace("wuno96b\": {", "huvo11a\": {"), "service_table.huvo11a: stands twice in its table" },
-    field_twice = { &BODY.replacen("\"rank\"", "\"rank\": 0, \"rank\"", 1), "route_table.r-y35ieis.rank: stands twice" },
+    twice = { &EXAMPLE.replace("wuno96b\": {", "huvo11a\": {"), "service_table.huvo11a: stands twice in its table" },
+    field_twice = { &EXAMPLE.replacen("\"rank\"", "\"rank\": 0, \"rank\"", 1), "route_table.r-y35ieis.rank: stands twice" },
 )]
-fn unreadable(body: &str, says: &str) {
-    let fault = Config::parse(body.as_bytes()).unwrap_err();
-    assert!(fault.to_string().starts_with(says), "{fault}");
+fn malformed_document_is_rejected(body: &str, expected_message: &str) {
+    let error = Config::parse(body.as_bytes()).unwrap_err();
+    assert!(error.to_string().starts_with(expected_message), "{error}");
 }
 
 #[test]
-fn many_faults_are_bounded() {
+fn number_of_listed_issues_is_limited() {
     let routes: serde_json::Map<_, _> = (0..90).map(|n| (format!("r{n}"), json!([]))).collect();
-    let Err(ConfigError::Invalid { lines, more }) = Config::parse(&with("/route_table", Some(routes.into())))
+    let Err(ConfigError::Invalid { lines, omitted }) =
+        Config::parse(&with_value("/route_table", Some(routes.into())))
     else {
-        panic!("taken");
+        panic!("the document was accepted");
     };
-    assert_eq!((lines.len(), more), (20, 70));
+    assert_eq!((lines.len(), omitted), (20, 70));
 }
 
 #[parameterized(
@@ -140,25 +142,25 @@
     no_host = { "", "/", None },
     no_path = { "a.example", "", None },
 )]
-fn routes(host: &str, path: &str, prefix: Option<&str>) {
+fn longest_matching_prefix_selects_the_route(host: &str, path: &str, prefix: Option<&str>) {
     let route = |host: &str, prefix: &str| {
         json!({"authority": host, "path_prefix": prefix, "variant": "pure", "deadline_ms": 1, "goal_ms": 1,
             "target": "huvo11a", "max_tries": 1})
     };
     let table = json!({"1": route("A.example", "/"), "2": route("a.example", "/x/"), "3": route("a.example", "/x/y/"),
         "4": route("[::1]", "/v/")});
-    let config = Config::parse(&with("/route_table", Some(table))).unwrap();
+    let config = Config::parse(&with_value("/route_table", Some(table))).unwrap();
     assert_eq!(config.route(host, path).map(|route| &*route.path_prefix), prefix);
 }
 
 #[test]
-fn a_repetition_is_known_by_what_it_says() {
+fn digest_identifies_equal_documents() {
     let digest = |body: &[u8]| Config::parse(body).unwrap().digest();
-    let first = digest(BODY.as_bytes());
-    assert_eq!(first, digest(body().to_string().as_bytes()));
-    assert_eq!(first, digest(BODY.replace("146", "146.0").replace("huka270", "h\\u0075ka270").as_bytes()));
-    assert_ne!(first, digest(&with("/later", Some(json!(1)))));
-    assert_ne!(first, digest(&with("/tenant_table/huka270/burst_size", Some(json!(147)))));
+    let first = digest(EXAMPLE.as_bytes());
+    assert_eq!(first, digest(example().to_string().as_bytes()));
+    assert_eq!(first, digest(EXAMPLE.replace("146", "146.0").replace("huka270", "h\\u0075ka270").as_bytes()));
+    assert_ne!(first, digest(&with_value("/later", Some(json!(1)))));
+    assert_ne!(first, digest(&with_value("/tenant_table/huka270/burst_size", Some(json!(147)))));
 }
 
 #[parameterized(
@@ -168,14 +170,14 @@
     nothing = { "r", None },
     too_large = { "r99999999999999999999", None },
 )]
-fn versions(text: &str, version: Option<u64>) {
+fn version_is_parsed(text: &str, version: Option<u64>) {
     assert_eq!(text.parse::<Version>().ok(), version.map(Version));
 }
 
 #[test]
-fn a_change_is_told_in_lines() {
-    let before = parse(&body());
-    let mut changed = body();
+fn differences_are_listed_in_lines() {
+    let before = parse(&example());
+    let mut changed = example();
     changed["generation"] = json!("r9");
     changed["route_table"]["r-new"] = changed["route_table"]["r-puxsr7i"].take();
     changed["route_table"].as_object_mut().unwrap().remove("r-puxsr7i");
@@ -195,30 +197,31 @@
 }
 
 #[test]
-fn a_number_is_the_same_however_many_digits_spell_it() {
+fn digest_does_not_depend_on_number_notation() {
     let digest = |burst: &str| {
-        let text = body().to_string().replace("\"burst_size\":146", &format!("\"burst_size\":{burst}"));
+        let text = example().to_string().replace("\"burst_size\":146", &format!("\"burst_size\":{burst}"));
         Config::parse(text.as_bytes()).unwrap().digest()
     };
-    for seventh in 1..500 {
-        let burst = f64::from(seventh) / 7.0;
+    for numerator in 1..500 {
+        let burst = f64::from(numerator) / 7.0;
         let first = digest(&burst.to_string());
-        // As libraries write it that always take 17 digits, or an exponent.
-        for spelled in
+        // Libraries differ: some always write 17 digits, others an exponent.
+        for notation in
             [format!("{burst:e}"), format!("{burst:.16e}"), format!("{burst:.20}"), format!("{burst:.1}000")]
         {
-            let same = spelled.parse::<f64>().unwrap().to_bits() == burst.to_bits();
-            assert_eq!(first == digest(&spelled), same, "{burst} and {spelled}");
+            let same = notation.parse::<f64>().unwrap().to_bits() == burst.to_bits();
+            assert_eq!(first == digest(&notation), same, "{burst} and {notation}");
         }
     }
 }
 
-/// The digests lie in the snapshots of programs in service: another way to make them would refuse what was taken.
+/// Snapshots of deployed versions contain these digests. If the computation changed, resubmissions of accepted
+/// configurations would be rejected.
 #[test]
-fn the_digest_of_a_configuration_is_the_one_that_earlier_programs_made() {
+fn digest_matches_deployed_versions() {
     let digest: String =
-        Config::parse(BODY.as_bytes()).unwrap().digest().iter().map(|b| format!("{b:02x}")).collect();
+        Config::parse(EXAMPLE.as_bytes()).unwrap().digest().iter().map(|b| format!("{b:02x}")).collect();
     assert_eq!(digest, "f371ec1e017c77d3b563a4d1bd18bff10f808c2bc6767e0b07e6ec9d4fbd5372");
-    let (version, identified) = Config::identify(BODY.as_bytes()).unwrap();
-    assert_eq!((version, identified), (Version(7), Config::parse(BODY.as_bytes()).unwrap().digest()));
+    let (version, identified) = Config::identify(EXAMPLE.as_bytes()).unwrap();
+    assert_eq!((version, identified), (Version(7), Config::parse(EXAMPLE.as_bytes()).unwrap().digest()));
 }
--- a/crates/observability/src/lib.rs
+++ b/crates/observability/src/lib.rs
@@ -1,7 +1,7 @@
-//! What operators see of a running process: records of the last decisions, metrics, and logs that don't flood.
+//! Observability of a running process: records of recent decisions, metrics, and rate-limited logs.
 //!
-//! Nothing here is told the time by a clock, and nothing here grows without a bound. Records hold what happened, not
-//! text: text is made for the few records that somebody reads.
+//! The crate reads no clock, and all its memory is bounded. Records hold values rather than text; they are formatted
+//! only when queried.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/observability/src/log_rate_limiter.rs
+++ b/crates/observability/src/log_rate_limiter.rs
@@ -1,6 +1,6 @@
-//! Lines of a log that may repeat without end.
+//! Rate limit for log lines that may repeat without end.
 
-/// Lets so many lines of a kind through in a span of time, and counts the others.
+/// Allows a maximum number of lines per time window and counts the suppressed ones.
 #[derive(Debug)]
 pub struct LogRateLimiter {
     window_ms: u64,
@@ -11,12 +11,13 @@
 }
 
 impl LogRateLimiter {
-    /// So many lines in so many ms.
+    /// Allows `max_lines` lines in each window of `window_ms` milliseconds.
     pub const fn new(max_lines: u32, window_ms: u64) -> Self {
         Self { window_ms, max_lines, window_start: 0, lines_in_window: 0, left_out: 0 }
     }
 
-    /// Whether a line may be written now, on the host's steady clock: how many were left out since the one before.
+    /// Whether a line may be written at `now`, in milliseconds of the host's monotonic clock. `Some` holds the number
+    /// of lines suppressed since the last allowed one.
     pub fn try_acquire(&mut self, now: u64) -> Option<u64> {
         if now >= self.window_start.saturating_add(self.window_ms) {
             (self.window_start, self.lines_in_window) = (now, 0);
--- a/crates/observability/src/metrics_page.rs
+++ b/crates/observability/src/metrics_page.rs
@@ -1,5 +1,5 @@
-//! Metrics as text. The figures are plain numbers of their owners; a page is made of them when somebody asks, so that
-//! nothing but those numbers is touched while requests are carried.
+//! Metrics in the OpenMetrics text format. Other modules keep their metrics as plain numbers, and a page is built
+//! only when queried. Request handling therefore only updates plain numbers.
 
 use prometheus_client::encoding::{EncodeMetric, MetricEncoder, NoLabelSet, text};
 use prometheus_client::metrics::counter::Counter;
@@ -10,26 +10,26 @@
 use std::fs;
 use std::sync::atomic::AtomicU64;
 
-/// The media type of a page.
+/// Media type of a metrics page.
 pub const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// A metric has so many rows at most: names of services come from outside, and whoever reads pages keeps each row for
-/// long. What is beyond them is added up under `other`.
+/// Maximum number of rows of a metric. Service names come from outside, and monitoring systems store each row for
+/// long. Rows beyond the limit are summed under the label value `other`.
 const MAX_ROWS: usize = 200;
-/// The kernel's unit of processor time in /proc: 100 a second on every Linux.
+/// Unit of processor time in `/proc`: 100 ticks per second on every Linux.
 const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 
 type FloatGauge = Gauge<f64, AtomicU64>;
 type TotalCounter = Counter<u64, AtomicU64>;
 
-/// The labels of one row.
+/// Labels of one row.
 pub type Labels = Vec<(&'static str, String)>;
 
-/// One page.
+/// A page of metrics.
 pub struct MetricsPage(Registry);
 
 impl MetricsPage {
-    /// A page of a plane, with what the process costs on it.
+    /// Creates a page for a plane, with the resource usage of the process.
     pub fn new(plane: &'static str, uptime_ms: u64) -> Self {
         let registry =
             Registry::with_prefix_and_labels("reachlb", [("plane".into(), plane.into())].into_iter());
@@ -42,21 +42,21 @@
         if let Some(bytes) = parse_resident_bytes(&text("/proc/self/status")) {
             page.gauge("resident_bytes", "Memory held", bytes);
         }
-        // The listing itself holds one while it is read.
+        // Reading the directory itself holds one descriptor.
         if let Ok(open) = fs::read_dir("/proc/self/fd") {
             page.gauge("descriptors", "Open descriptors", open.count().saturating_sub(1) as f64);
         }
         page
     }
 
-    /// A figure that goes up and down.
+    /// Adds a gauge.
     pub fn gauge(&mut self, name: &str, help: &str, value: f64) {
         let gauge = FloatGauge::default();
         gauge.set(value);
         self.0.register(name, help, gauge);
     }
 
-    /// A figure for each of some labels; several for the same ones are added up.
+    /// Adds a gauge with labels. Values with equal labels are summed.
     pub fn gauges(&mut self, name: &str, help: &str, rows: impl IntoIterator<Item = (Labels, f64)>) {
         let family = Family::<Labels, FloatGauge>::default();
         limit_rows(rows, |labels, value| {
@@ -65,14 +65,14 @@
         self.0.register(name, help, family);
     }
 
-    /// What was counted since the start; `_total` is added to its name.
+    /// Adds a counter since the process start. The exposition appends `_total` to the name.
     pub fn counter(&mut self, name: &str, help: &str, value: u64) {
         let counter = TotalCounter::default();
         counter.inc_by(value);
         self.0.register(name, help, counter);
     }
 
-    /// What was counted for each of some labels.
+    /// Adds a counter with labels. Values with equal labels are summed.
     pub fn counters(&mut self, name: &str, help: &str, rows: impl IntoIterator<Item = (Labels, u64)>) {
         let family = Family::<Labels, TotalCounter>::default();
         limit_rows(rows, |labels, value| {
@@ -81,18 +81,18 @@
         self.0.register(name, help, family);
     }
 
-    /// How often a figure was at most each of some bounds, not added up, with the sum of the figures. What lies above the
-    /// last bound comes last.
+    /// Adds a histogram: `counts` holds the number of values in each bucket, not cumulative, with one more count for
+    /// values above the last bound. `sum` is the sum of all values.
     pub fn histogram(&mut self, name: &str, help: &str, bounds: &[f64], counts: &[u64], sum: f64) {
         let bounds = bounds.iter().copied().chain([f64::INFINITY]);
         let buckets: Vec<_> = bounds.zip(counts.iter().copied()).collect();
         self.0.register(name, help, EncodedHistogram { buckets, sum });
     }
 
-    /// The page as text.
+    /// Encodes the page as text.
     pub fn text(&self) -> String {
         let mut page = String::new();
-        // A string takes everything.
+        // Writing to a `String` cannot fail.
         let _ = text::encode(&mut page, &self.0);
         page
     }
@@ -134,7 +134,8 @@
 }
 
 fn parse_processor_time(stat: &str) -> Option<f64> {
-    // The program's name stands in brackets and may hold anything; the times are the 12th and 13th word after it.
+    // The program name stands in parentheses and may contain any character. User and system time are the 12th and
+    // 13th fields after the name.
     let mut fields = stat.rsplit_once(')')?.1.split_ascii_whitespace().skip(11);
     let mut next = || fields.next()?.parse::<f64>().ok();
     Some((next()? + next()?) / CLOCK_TICKS_PER_SECOND)
--- a/crates/observability/src/ring_buffer.rs
+++ b/crates/observability/src/ring_buffer.rs
@@ -1,8 +1,8 @@
-//! The last things of a kind.
+//! A bounded buffer of the latest items.
 
 use std::collections::VecDeque;
 
-/// Keeps so many; the oldest goes when another one comes. An empty one takes no memory.
+/// Keeps the latest `capacity` items and drops the oldest ones. An empty buffer allocates no memory.
 #[derive(Debug)]
 pub struct RingBuffer<T> {
     items: VecDeque<T>,
@@ -11,12 +11,12 @@
 }
 
 impl<T> RingBuffer<T> {
-    /// An empty ring.
+    /// An empty buffer.
     pub const fn new(capacity: usize) -> Self {
         Self { items: VecDeque::new(), capacity, dropped: 0 }
     }
 
-    /// Takes one more.
+    /// Appends an item, and drops the oldest one if the buffer is full.
     pub fn push(&mut self, item: T) {
         if self.items.len() >= self.capacity {
             self.items.pop_front();
@@ -25,12 +25,12 @@
         self.items.push_back(item);
     }
 
-    /// All that are items, the newest first.
+    /// The items, newest first.
     pub fn iter_newest_first(&self) -> impl Iterator<Item = &T> {
         self.items.iter().rev()
     }
 
-    /// How many went to make room for others.
+    /// Number of items dropped so far.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
--- a/crates/reachlb/src/check.rs
+++ b/crates/reachlb/src/check.rs
@@ -26,7 +26,7 @@
     };
     match Config::parse(&body) {
         Ok(_) => Vec::new(),
-        Err(ConfigError::Invalid { lines, more }) => {
+        Err(ConfigError::Invalid { lines, omitted: more }) => {
             let mut faults: Vec<_> =
                 lines.iter().map(|line| format!("{}: {}", line.path, line.kind)).collect();
             if more > 0 {
