--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,8 +1,8 @@
 //! The settings of one process, read from a TOML file.
 //!
 //! Each setting is declared once, by `declare!`, with its documentation, key, type, default and check. The struct,
-//! the parser and the list that the help command prints are all generated from this declaration, so they always
-//! agree. Unknown fields are ignored, because the file may be written for a later version.
+//! the parser and the list for help output are all generated from this declaration, so they always agree. Unknown
+//! fields are ignored, because the file may be written for a later version.
 
 use std::fmt::{self, Display};
 use std::io;
@@ -21,7 +21,7 @@
 /// Key of the list of `name=value` strings.
 const BOUND_TABLE_KEY: &str = "bound_table";
 
-/// Description of a declared setting, for the help command.
+/// Description of a declared setting, for help output.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SettingInfo {
     /// Path in the file, such as `limits.memory_mb`.
@@ -340,7 +340,7 @@
     }
 }
 
-/// All declared settings, in the order in which the help command prints them.
+/// All declared settings, in the order for help output.
 pub fn declared() -> impl Iterator<Item = &'static SettingInfo> {
     [SETTINGS, BOUNDS, TUNING].into_iter().flatten()
 }
--- a/crates/failure-detector/src/detector.rs
+++ b/crates/failure-detector/src/detector.rs
@@ -30,13 +30,14 @@
 /// A process that has received no datagram from any member for this long considers itself isolated and suspects no
 /// one.
 const ISOLATION_TIMEOUT_MS: Millis = 1000;
-/// A tick that is later than this missed the datagrams of other members, so their silence proves nothing.
+/// A tick that is late by more than this shows that the process was paused and missed datagrams, so the silence of
+/// members proves nothing.
 const MAX_TICK_DELAY_MS: Millis = 700;
 /// After a very long pause, datagrams are discarded for this long: those waiting in the socket are as old as the
 /// pause.
 const WAKE_DISCARD_MS: Millis = 500;
-/// Minimum number of members that must suspect a member before it is declared dead. Smaller groups need all other
-/// members.
+/// Minimum number of members that must suspect a member before it is declared dead. With fewer other members, all of
+/// them must suspect it.
 const MIN_WITNESSES: usize = 2;
 /// Maximum number of members that a suspicion is sent to while the regular watchers do not report the suspect as
 /// alive.
@@ -47,7 +48,7 @@
 /// Maximum number of records, of suspicions and of alive reports in one datagram, which keeps it at about 1,000
 /// bytes.
 const MAX_BATCH_ENTRIES: usize = 24;
-/// Maximum number of datagrams sent in reply to one sync request.
+/// Maximum number of datagrams sent in reply to one sync request, which carries the bucket digests of a view.
 const MAX_SYNC_DATAGRAMS: usize = 6;
 /// Maximum number of sync requests answered between two ticks.
 const MAX_SYNC_REPLIES_PER_TICK: u32 = 4;
@@ -345,7 +346,7 @@
     }
 
     /// Pings members outside the watch set: unknown seeds, dead members that a partition may have hidden, and random
-    /// alive members. These pings rejoin partitions, and keep a process in contact whose watched members are all
+    /// alive members. These pings reconnect partitions, and keep a process in contact whose watched members are all
     /// dead.
     fn ping_others(&mut self, now: Millis) {
         let interval = if self.isolated_since.is_some() || self.view.alive_count() == 1 {
@@ -676,7 +677,8 @@
 }
 
 /// Time from which the silence of a member counts that was not pinged yet. It lies far enough back that no alive
-/// report is sent for the member; the required number of unanswered pings still takes longer.
+/// report is sent for the member. The number of unanswered pings then decides when the member is suspected, since
+/// those pings take longer.
 fn initial_last_received(now: Millis) -> Millis {
     now.saturating_sub(ALIVE_REPORT_WINDOW_MS)
 }
--- a/crates/failure-detector/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! Invariants:
 //! - Of two records about one process, the one with the greater (incarnation, start ID, state) wins, in whatever
-//! order the records arrive.
+//!   order the records arrive.
 //! - Only a process itself raises its incarnation.
 //! - A process that receives no datagrams, or that was paused, suspects no one.
 //! - Datagram sizes, stored records and the number of sends of each record are bounded.
--- a/crates/failure-detector/src/simulation.rs
+++ b/crates/failure-detector/src/simulation.rs
@@ -327,7 +327,7 @@
         })
     }
 
-    /// Runs until all views are equal and right. Returns the time taken, or `None` if it exceeds `max`.
+    /// Runs until all views are equal and correct. Returns the time taken, or `None` if it exceeds `max`.
     pub fn settle(&mut self, max: Millis) -> Option<Millis> {
         let began = self.now;
         while self.now <= began + max {
--- a/crates/failure-detector/src/simulation_tests.rs
+++ b/crates/failure-detector/src/simulation_tests.rs
@@ -54,7 +54,7 @@
     check_death(85, 6 * seed_multiplier(), 8000);
 }
 
-/// Runs a failure scenario on fleets of one size, then waits until all views are equal and right again.
+/// Runs a failure scenario on fleets of one size, then waits until all views are equal and correct again.
 fn check_recovery(what: &str, size: usize, seeds: u64, max: Millis, scenario: impl Fn(&mut Simulation)) {
     let mut spans = Vec::new();
     for seed in 0..seeds {
