--- a/crates/config/src/json.rs
+++ b/crates/config/src/json.rs
@@ -1,28 +1,29 @@
-//! A JSON document as it was written, and a cursor that knows where in it it stands.
+//! A JSON document with all its entries, and a cursor that knows its path in the document.
 //!
-//! `serde_json::Value` keeps the last of two entries of one name. For a table of routes that would drop a route without
-//! a word, so the tree here keeps every entry, and the reader says which names occur twice.
+//! `serde_json::Value` keeps only the last of two entries with the same name. In a table of routes, this would
+//! silently drop a route. The tree here keeps every entry, so that the parser can report duplicate names.
 
 use std::fmt::{self, Display};
 
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use sha2::{Digest, Sha256};
 
-use crate::config::{ConfigLine, Wrong};
+use crate::config::{ConfigIssue, ConfigIssueKind};
 
-/// How many faults of one document are written out; the others are only counted, since they go into an answer.
-const LINES: usize = 20;
+/// Maximum number of issues listed for one document, because the list goes into an HTTP response. Further issues are
+/// only counted.
+const MAX_ISSUES: usize = 20;
 
-/// How much of a name is shown in a path: names come from outside.
-const SHOWN: usize = 64;
+/// Maximum number of characters of a name shown in a path, because names come from outside.
+const MAX_SHOWN_NAME_CHARS: usize = 64;
 
 /// A value of the document.
 #[derive(Debug)]
 pub(crate) enum Node {
     Null,
-    Message(bool),
-    Whole(u64),
-    Figure(f64),
+    Flag(bool),
+    Integer(u64),
+    Float(f64),
     Text(String),
     List(Vec<Node>),
     Table(Vec<(String, Node)>),
@@ -32,37 +33,38 @@
     fn kind(&self) -> &'static str {
         match self {
             Self::Null => "null",
-            Self::Message(_) => "true or false",
-            Self::Whole(_) | Self::Figure(_) => "a number",
+            Self::Flag(_) => "true or false",
+            Self::Integer(_) | Self::Float(_) => "a number",
             Self::Text(_) => "a text",
             Self::List(_) => "a list",
             Self::Table(_) => "a table",
         }
     }
 
-    /// Digest of what the document says, whatever its spacing and the order of its tables' entries.
+    /// Digest of the document's content, independent of whitespace and of the order of table entries.
     pub(crate) fn digest(&self) -> [u8; 32] {
         let mut hasher = Sha256::new();
-        self.feed(&mut hasher);
+        self.hash_into(&mut hasher);
         hasher.finalize().into()
     }
 
-    /// Every value starts with a tag and whatever has a length states it, so that no two trees feed the same bytes.
-    fn feed(&self, hasher: &mut Sha256) {
+    /// Hashes the value. Each value starts with a type tag, and everything of variable length states its length, so
+    /// that different trees never hash the same bytes.
+    fn hash_into(&self, hasher: &mut Sha256) {
         let text = |hasher: &mut Sha256, text: &str| {
             hasher.update((text.len() as u64).to_be_bytes());
             hasher.update(text);
         };
         match self {
             Self::Null => hasher.update(b"n"),
-            Self::Message(flag) => hasher.update([b'b', u8::from(*flag)]),
-            Self::Whole(whole) => {
+            Self::Flag(flag) => hasher.update([b'b', u8::from(*flag)]),
+            Self::Integer(integer) => {
                 hasher.update(b"w");
-                hasher.update(whole.to_be_bytes());
+                hasher.update(integer.to_be_bytes());
             }
-            Self::Figure(figure) => {
+            Self::Float(number) => {
                 hasher.update(b"f");
-                hasher.update(figure.to_bits().to_be_bytes());
+                hasher.update(number.to_bits().to_be_bytes());
             }
             Self::Text(content) => {
                 hasher.update(b"t");
@@ -71,7 +73,7 @@
             Self::List(entries) => {
                 hasher.update(b"l");
                 hasher.update((entries.len() as u64).to_be_bytes());
-                entries.iter().for_each(|entry| entry.feed(hasher));
+                entries.iter().for_each(|entry| entry.hash_into(hasher));
             }
             Self::Table(entries) => {
                 hasher.update(b"m");
@@ -80,32 +82,32 @@
                 sorted.sort_by(|a, b| a.0.cmp(&b.0));
                 for (name, entry) in sorted {
                     text(hasher, name);
-                    entry.feed(hasher);
+                    entry.hash_into(hasher);
                 }
             }
         }
     }
 }
 
-/// Largest whole number up to which every whole number has a float of its own.
-const EXACT: f64 = 9_007_199_254_740_992.0;
+/// Largest integer up to which `f64` represents every integer exactly.
+const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
 
 impl From<f64> for Node {
-    /// `2`, `2.0` and `2e0` are one number in JSON, so a float without a fraction is kept as the whole number it is.
-    fn from(figure: f64) -> Self {
-        if (0.0..=EXACT).contains(&figure) && figure.fract() == 0.0 {
-            Self::Whole(figure as u64)
+    /// `2`, `2.0` and `2e0` are the same number in JSON, so a float without a fraction is stored as an integer.
+    fn from(number: f64) -> Self {
+        if (0.0..=MAX_EXACT_INTEGER).contains(&number) && number.fract() == 0.0 {
+            Self::Integer(number as u64)
         } else {
-            Self::Figure(figure)
+            Self::Float(number)
         }
     }
 }
 
 impl<'de> Deserialize<'de> for Node {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Any;
+        struct NodeVisitor;
 
-        impl<'de> Visitor<'de> for Any {
+        impl<'de> Visitor<'de> for NodeVisitor {
             type Value = Node;
 
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -117,19 +119,19 @@
             }
 
             fn visit_bool<E>(self, flag: bool) -> Result<Node, E> {
-                Ok(Node::Message(flag))
+                Ok(Node::Flag(flag))
             }
 
-            fn visit_u64<E>(self, whole: u64) -> Result<Node, E> {
-                Ok(Node::Whole(whole))
+            fn visit_u64<E>(self, integer: u64) -> Result<Node, E> {
+                Ok(Node::Integer(integer))
             }
 
-            fn visit_i64<E>(self, whole: i64) -> Result<Node, E> {
-                Ok(u64::try_from(whole).map_or(Node::Figure(whole as f64), Node::Whole))
+            fn visit_i64<E>(self, integer: i64) -> Result<Node, E> {
+                Ok(u64::try_from(integer).map_or(Node::Float(integer as f64), Node::Integer))
             }
 
-            fn visit_f64<E>(self, figure: f64) -> Result<Node, E> {
-                Ok(Node::from(figure))
+            fn visit_f64<E>(self, number: f64) -> Result<Node, E> {
+                Ok(Node::from(number))
             }
 
             fn visit_str<E>(self, text: &str) -> Result<Node, E> {
@@ -157,169 +159,180 @@
             }
         }
 
-        deserializer.deserialize_any(Any)
+        deserializer.deserialize_any(NodeVisitor)
     }
 }
 
-/// What was found wrong so far.
+/// The issues found so far.
 #[derive(Debug, Default)]
-pub(crate) struct Faults {
-    pub(crate) lines: Vec<ConfigLine>,
-    pub(crate) more: usize,
+pub(crate) struct Issues {
+    pub(crate) lines: Vec<ConfigIssue>,
+    pub(crate) omitted: usize,
 }
 
-impl Faults {
-    pub(crate) fn add(&mut self, place: &At<'_>, wrong: Wrong) {
-        if self.lines.len() < LINES {
-            self.lines.push(ConfigLine { place: place.to_string(), wrong });
+impl Issues {
+    pub(crate) fn add(&mut self, path: &Cursor<'_>, kind: ConfigIssueKind) {
+        if self.lines.len() < MAX_ISSUES {
+            self.lines.push(ConfigIssue { path: path.to_string(), kind });
         } else {
-            self.more += 1;
+            self.omitted += 1;
         }
     }
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Step<'a> {
+enum PathSegment<'a> {
     Root,
     Name(&'a str),
     Index(usize),
 }
 
-/// A value and the way to it. The way is only written out for a fault.
+/// A value and its path in the document. The path is only formatted for an issue.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct At<'a> {
-    parent: Option<&'a At<'a>>,
-    step: Step<'a>,
+pub(crate) struct Cursor<'a> {
+    parent: Option<&'a Cursor<'a>>,
+    segment: PathSegment<'a>,
     node: &'a Node,
 }
 
-impl Display for At<'_> {
+impl Display for Cursor<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let above = self.parent.filter(|parent| parent.parent.is_some());
+        let parent_below_root = self.parent.filter(|parent| parent.parent.is_some());
         if let Some(parent) = self.parent {
-            write!(f, "{}", if above.is_some() { parent.to_string() } else { String::new() })?;
+            write!(f, "{}", if parent_below_root.is_some() { parent.to_string() } else { String::new() })?;
         }
-        match self.step {
-            Step::Root => f.write_str("(document)"),
-            Step::Index(index) => write!(f, "[{index}]"),
-            Step::Name(name) => {
-                let dot = if above.is_some() { "." } else { "" };
-                write!(f, "{dot}{}", name.chars().take(SHOWN).collect::<String>().escape_debug())
+        match self.segment {
+            PathSegment::Root => f.write_str("(document)"),
+            PathSegment::Index(index) => write!(f, "[{index}]"),
+            PathSegment::Name(name) => {
+                let dot = if parent_below_root.is_some() { "." } else { "" };
+                write!(
+                    f,
+                    "{dot}{}",
+                    name.chars().take(MAX_SHOWN_NAME_CHARS).collect::<String>().escape_debug()
+                )
             }
         }
     }
 }
 
-impl<'a> At<'a> {
+impl<'a> Cursor<'a> {
     pub(crate) fn root(node: &'a Node) -> Self {
-        Self { parent: None, step: Step::Root, node }
+        Self { parent: None, segment: PathSegment::Root, node }
     }
 
-    /// The entry of that name. `null` counts as left out: both say that there is nothing.
-    pub(crate) fn maybe<'s>(&'s self, name: &'s str) -> Option<At<'s>> {
+    /// The entry with this name, if it exists. `null` counts as missing, because both mean that no value is given.
+    pub(crate) fn optional<'s>(&'s self, name: &'s str) -> Option<Cursor<'s>> {
         let Node::Table(entries) = self.node else { return None };
         let (_, node) = entries.iter().find(|(entry, _)| entry == name)?;
-        (!matches!(node, Node::Null)).then_some(At { parent: Some(self), step: Step::Name(name), node })
+        (!matches!(node, Node::Null)).then_some(Cursor {
+            parent: Some(self),
+            segment: PathSegment::Name(name),
+            node,
+        })
     }
 
-    /// The entry of that name, which has to be there.
-    pub(crate) fn need<'s>(&'s self, name: &'s str, faults: &mut Faults) -> Option<At<'s>> {
-        let found = self.maybe(name);
+    /// The entry with this name. Reports an issue if the entry is missing.
+    pub(crate) fn required<'s>(&'s self, name: &'s str, issues: &mut Issues) -> Option<Cursor<'s>> {
+        let found = self.optional(name);
         if found.is_none() {
-            let missing = At { parent: Some(self), step: Step::Name(name), node: &Node::Null };
-            faults.add(&missing, Wrong::Missing);
+            let missing = Cursor { parent: Some(self), segment: PathSegment::Name(name), node: &Node::Null };
+            issues.add(&missing, ConfigIssueKind::Missing);
         }
         found
     }
 
-    /// Notes every name that occurs twice in one table, anywhere below.
-    pub(crate) fn find_doubles(&self, faults: &mut Faults) {
+    /// Reports every name that occurs twice in one table, at any depth.
+    pub(crate) fn report_duplicates(&self, issues: &mut Issues) {
         match self.node {
             Node::Table(entries) => {
                 let mut seen = std::collections::HashSet::with_capacity(entries.len());
                 for (name, node) in entries {
-                    let entry = At { parent: Some(self), step: Step::Name(name), node };
+                    let entry = Cursor { parent: Some(self), segment: PathSegment::Name(name), node };
                     if !seen.insert(name) {
-                        faults.add(&entry, Wrong::Twice);
+                        issues.add(&entry, ConfigIssueKind::Duplicate);
                     }
-                    entry.find_doubles(faults);
+                    entry.report_duplicates(issues);
                 }
             }
             Node::List(_) => {
-                for entry in self.list(faults).into_iter().flatten() {
-                    entry.find_doubles(faults);
+                for entry in self.list(issues).into_iter().flatten() {
+                    entry.report_duplicates(issues);
                 }
             }
             _ => {}
         }
     }
 
-    fn wants<T>(&self, want: &'static str, faults: &mut Faults) -> Option<T> {
-        faults.add(self, Wrong::Kind { want, got: self.node.kind() });
+    fn mismatch<T>(&self, expected: &'static str, issues: &mut Issues) -> Option<T> {
+        issues.add(self, ConfigIssueKind::WrongType { expected, found: self.node.kind() });
         None
     }
 
-    /// Says so where this is no table, so that its entries are not said to be missing as well.
-    pub(crate) fn is_table(&self, faults: &mut Faults) -> Option<()> {
-        self.table(faults).map(drop)
+    /// Reports an issue if the value is not a table. Callers then return early, so that the table's entries are not
+    /// reported as missing as well.
+    pub(crate) fn expect_table(&self, issues: &mut Issues) -> Option<()> {
+        self.table(issues).map(drop)
     }
 
     pub(crate) fn table<'s>(
-        &'s self, faults: &mut Faults,
-    ) -> Option<impl Iterator<Item = (&'s str, At<'s>)> + use<'s>> {
-        let Node::Table(entries) = self.node else { return self.wants("a table", faults) };
+        &'s self, issues: &mut Issues,
+    ) -> Option<impl Iterator<Item = (&'s str, Cursor<'s>)> + use<'s>> {
+        let Node::Table(entries) = self.node else { return self.mismatch("a table", issues) };
         Some(entries.iter().map(move |(name, node)| {
-            (name.as_str(), At { parent: Some(self), step: Step::Name(name), node })
+            (name.as_str(), Cursor { parent: Some(self), segment: PathSegment::Name(name), node })
         }))
     }
 
-    pub(crate) fn list<'s>(&'s self, faults: &mut Faults) -> Option<impl Iterator<Item = At<'s>> + use<'s>> {
-        let Node::List(entries) = self.node else { return self.wants("a list", faults) };
-        Some(entries.iter().enumerate().map(move |(index, node)| At {
+    pub(crate) fn list<'s>(
+        &'s self, issues: &mut Issues,
+    ) -> Option<impl Iterator<Item = Cursor<'s>> + use<'s>> {
+        let Node::List(entries) = self.node else { return self.mismatch("a list", issues) };
+        Some(entries.iter().enumerate().map(move |(index, node)| Cursor {
             parent: Some(self),
-            step: Step::Index(index),
+            segment: PathSegment::Index(index),
             node,
         }))
     }
 
-    pub(crate) fn text<'s>(&'s self, faults: &mut Faults) -> Option<&'s str> {
-        let Node::Text(text) = self.node else { return self.wants("a text", faults) };
+    pub(crate) fn text<'s>(&'s self, issues: &mut Issues) -> Option<&'s str> {
+        let Node::Text(text) = self.node else { return self.mismatch("a text", issues) };
         Some(text)
     }
 
-    pub(crate) fn flag(&self, faults: &mut Faults) -> Option<bool> {
-        let Node::Message(flag) = self.node else { return self.wants("true or false", faults) };
+    pub(crate) fn flag(&self, issues: &mut Issues) -> Option<bool> {
+        let Node::Flag(flag) = self.node else { return self.mismatch("true or false", issues) };
         Some(*flag)
     }
 
-    /// A whole number that fits.
-    pub(crate) fn whole<T: TryFrom<u64>>(&self, faults: &mut Faults) -> Option<T> {
+    /// An integer that fits the type.
+    pub(crate) fn integer<T: TryFrom<u64>>(&self, issues: &mut Issues) -> Option<T> {
         match self.node {
-            Node::Whole(whole) => match T::try_from(*whole) {
-                Ok(whole) => Some(whole),
+            Node::Integer(integer) => match T::try_from(*integer) {
+                Ok(integer) => Some(integer),
                 Err(_) => {
-                    faults.add(self, Wrong::TooLarge);
+                    issues.add(self, ConfigIssueKind::TooLarge);
                     None
                 }
             },
-            Node::Figure(figure) => {
-                faults.add(self, Wrong::NotWhole(*figure));
+            Node::Float(number) => {
+                issues.add(self, ConfigIssueKind::NotInteger(*number));
                 None
             }
-            _ => self.wants("a whole number", faults),
+            _ => self.mismatch("a whole number", issues),
         }
     }
 
-    /// A figure that is not negative, fractions allowed.
-    pub(crate) fn figure(&self, faults: &mut Faults) -> Option<f64> {
+    /// A non-negative number, fractions allowed.
+    pub(crate) fn number(&self, issues: &mut Issues) -> Option<f64> {
         match self.node {
-            Node::Whole(whole) => Some(*whole as f64),
-            Node::Figure(figure) if figure.is_finite() && *figure >= 0.0 => Some(*figure),
-            Node::Figure(figure) => {
-                faults.add(self, Wrong::Negative(*figure));
+            Node::Integer(integer) => Some(*integer as f64),
+            Node::Float(number) if number.is_finite() && *number >= 0.0 => Some(*number),
+            Node::Float(number) => {
+                issues.add(self, ConfigIssueKind::Negative(*number));
                 None
             }
-            _ => self.wants("a number", faults),
+            _ => self.mismatch("a number", issues),
         }
     }
 }
--- a/crates/control-plane/src/control_plane/status.rs
+++ b/crates/control-plane/src/control_plane/status.rs
@@ -2,7 +2,7 @@
 
 use super::ControlPlane;
 use crate::call::Reply;
-use observability::Page;
+use observability::MetricsPage;
 use serde_json::json;
 
 impl ControlPlane {
@@ -61,7 +61,7 @@
             let watched: Vec<_> = watched
                 .map(|(name, silent, doubted)| json!({ "name": name, "silent_ms": silent, "doubted": doubted }))
                 .collect();
-            json!({ "isolated": standing.isolated, "here": standing.here, "watched": watched })
+            json!({ "isolated": standing.isolated, "here": standing.alive_count, "watched": watched })
         });
         let status = json!({ "name": self.settings.me.name, "zone": self.settings.me.zone, "up_ms": now, "frames": self.messages_received,
             "leader": leader.map(|l| l.to_string()), "epoch": epoch, "fresh": fresh,
@@ -118,7 +118,7 @@
 
     /// Metrics in the Prometheus text format.
     pub(super) fn metrics(&self, now: u64) -> Reply {
-        let mut page = Page::of("control-plane", now);
+        let mut page = MetricsPage::new("control-plane", now);
         let (leader, epoch, fresh) = self.leader(now);
         let flag = |set: bool| f64::from(u8::from(set));
         page.gauge("leader_known", "1 while this process knows a leader", flag(leader.is_some()));
--- a/crates/failure-detector/src/message.rs
+++ b/crates/failure-detector/src/message.rs
@@ -1,128 +1,133 @@
-//! What processes that watch each other say.
+//! Messages between the failure detectors of a fleet.
 
-use crate::ranks::mix;
+use crate::rendezvous::splitmix64;
 use bitcode::{Decode, Encode};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Where a process takes datagrams; it names the process among all.
+/// Address at which a process receives datagrams, packed into an integer. Identifies the process among the members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
-pub struct Mark(u64);
+pub struct MemberAddr(u64);
 
-impl Mark {
-    /// A number that looks like chance.
+impl MemberAddr {
+    /// Pseudo-random hash for rendezvous hashing and for view digests.
     pub(crate) fn hash(self) -> u64 {
-        mix(self.0)
+        splitmix64(self.0)
     }
 }
 
-impl From<SocketAddrV4> for Mark {
+impl From<SocketAddrV4> for MemberAddr {
     fn from(at: SocketAddrV4) -> Self {
         Self(u64::from(at.ip().to_bits()) << 16 | u64::from(at.port()))
     }
 }
 
-impl From<Mark> for SocketAddrV4 {
-    fn from(mark: Mark) -> Self {
-        Self::new(Ipv4Addr::from_bits((mark.0 >> 16) as u32), mark.0 as u16)
+impl From<MemberAddr> for SocketAddrV4 {
+    fn from(addr: MemberAddr) -> Self {
+        Self::new(Ipv4Addr::from_bits((addr.0 >> 16) as u32), addr.0 as u16)
     }
 }
 
-/// What is held of a process; of words that are equal but for this the later state stands.
+/// State of a member. Of two records that are otherwise equal, the one with the later state wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub enum State {
-    /// It answers.
-    Here,
-    /// Several witnesses hear it no more.
+pub enum MemberState {
+    /// The member answers pings.
+    Alive,
+    /// Several watchers receive no answer from the member.
     Dead,
-    /// It said that it ends.
+    /// The member announced its shutdown.
     Left,
 }
 
-/// Who a process is.
+/// Identity of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Card {
-    /// Where it takes datagrams.
-    pub at: Mark,
-    /// The name of its machine.
+pub struct Identity {
+    /// Address at which the process receives datagrams.
+    pub addr: MemberAddr,
+    /// Name of the machine.
     pub name: String,
-    /// Whether it carries requests.
+    /// Whether the process is a data plane.
     pub data_plane: bool,
-    /// Drawn at its start: tells one life of a process from the next.
-    pub life: u64,
+    /// Random number drawn at the process start. Tells a restarted process from its predecessor at the same address.
+    pub start_id: u64,
 }
 
-/// What is held of one process.
+/// Record of one member, spread by gossip.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Word {
-    /// Who it is.
-    pub card: Card,
-    /// Raised by the process itself, and by nobody else, above any word that it finds wrong; a new life of it goes
-    /// above what is left of the old one in the same way.
+pub struct MemberRecord {
+    /// The member.
+    pub identity: Identity,
+    /// Only the member itself raises its incarnation, to override a record that is wrong. A restarted process
+    /// overrides records of its predecessor in the same way.
     pub incarnation: u32,
-    /// What is held of it.
-    pub state: State,
+    /// State of the member.
+    pub state: MemberState,
 }
 
-impl Word {
-    /// Of two words about one process the one with the greater rank stands.
-    pub fn rank(&self) -> (u32, u64, State) {
-        (self.incarnation, self.card.life, self.state)
+impl MemberRecord {
+    /// Precedence: of two records about one member, the one with the greater rank wins.
+    pub fn rank(&self) -> (u32, u64, MemberState) {
+        (self.incarnation, self.identity.start_id, self.state)
     }
 
-    /// The life and incarnation that a doubt or a vouch is about.
-    pub(crate) fn about(&self) -> About {
-        About { at: self.card.at, incarnation: self.incarnation, life: self.card.life }
+    /// The incarnation that a suspicion or alive report about this record refers to.
+    pub(crate) fn member_incarnation(&self) -> MemberIncarnation {
+        MemberIncarnation {
+            addr: self.identity.addr,
+            incarnation: self.incarnation,
+            start_id: self.identity.start_id,
+        }
     }
 }
 
-/// One incarnation of a process.
+/// One incarnation of a member, the subject of a suspicion or alive report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct About {
-    /// Where it takes datagrams.
-    pub at: Mark,
-    /// Its incarnation.
+pub struct MemberIncarnation {
+    /// Address of the member.
+    pub addr: MemberAddr,
+    /// Incarnation number of the member.
     pub incarnation: u32,
-    /// Its life.
-    pub life: u64,
+    /// Start ID of the member.
+    pub start_id: u64,
 }
 
-/// What a datagram is for.
+/// Purpose of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum Kind {
-    /// Wants an answer.
+pub enum MessageKind {
+    /// Requests an [`MessageKind::Ack`].
     Ping,
-    /// The answer.
-    Answer,
-    /// Wants none.
-    Note,
+    /// Answers a ping.
+    Ack,
+    /// Carries records, suspicions or alive reports and expects no answer.
+    Gossip,
 }
 
-/// One datagram.
+/// Content of one datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Message {
-    /// What it is for.
-    pub kind: Kind,
-    /// The sender, as it knows itself.
-    pub from: Word,
-    /// The digest of all that the sender holds to be here.
+    /// Purpose of the datagram.
+    pub kind: MessageKind,
+    /// The sender's own record.
+    pub from: MemberRecord,
+    /// Digest of the members that the sender considers alive.
     pub digest: u64,
-    /// What it passes on.
-    pub words: Vec<Word>,
-    /// Whom it pings without an answer: the receiver is to say what it knows.
-    pub doubts: Vec<About>,
-    /// Whom it has just heard, though the receiver doubts.
-    pub vouches: Vec<About>,
-    /// The digests of the parts of its view, when the receiver is to tell where its own differ; else empty.
-    pub parts: Vec<u32>,
+    /// Records to gossip.
+    pub records: Vec<MemberRecord>,
+    /// Members that the sender suspects. The receiver replies with what it knows about them.
+    pub suspicions: Vec<MemberIncarnation>,
+    /// Members that the receiver suspects and that the sender received a datagram from recently.
+    pub alive_reports: Vec<MemberIncarnation>,
+    /// Sync request: digests of the buckets of the sender's view. The receiver replies with its records in buckets
+    /// that differ. Empty unless the sender requests a sync.
+    pub bucket_digests: Vec<u32>,
 }
 
 impl Message {
-    /// As a datagram.
+    /// Encodes the message as a datagram.
     pub fn encode(&self) -> Vec<u8> {
         bitcode::encode(self)
     }
 
-    /// Reads a datagram; nothing when it is none of this version.
+    /// Decodes a datagram; `None` if the datagram does not have this format.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         bitcode::decode(bytes).ok()
     }
