--- a/gateway/src/group/mod.rs
+++ b/gateway/src/group/mod.rs
@@ -6,10 +6,10 @@
 
 use fennelscale_group::clock::Clock;
 use fennelscale_group::lease::Guard;
-use fennelscale_group::machine::Reply;
-use fennelscale_group::member::Order;
+use fennelscale_group::member::MemberRequest;
 use fennelscale_group::run::{Handle, start};
-use fennelscale_group::voter::{Answer, Ask, Node};
+use fennelscale_group::state_machine::Reply;
+use fennelscale_group::voter::{GroupRequest, GroupResponse, VoterEndpoint};
 use serde_json::{Value, json};
 use settings::Settings;
 use std::cell::{Cell, RefCell};
@@ -80,10 +80,10 @@
         self.handle.borrow().clone()
     }
 
-    async fn order(&self, order: Order) -> Answer {
+    async fn order(&self, order: MemberRequest) -> GroupResponse {
         match self.handle() {
-            Some(handle) => handle.order(order).await,
-            None => Answer::Nobody,
+            Some(handle) => handle.request(order).await,
+            None => GroupResponse::Unavailable,
         }
     }
 
@@ -96,7 +96,8 @@
     async fn follow(self: Rc<Self>) {
         let mut known: BTreeMap<String, u64> = BTreeMap::new();
         while let Some(handle) = self.handle() {
-            let acting = handle.held().into_iter().filter_map(|guard| Some((guard.may_act()?, guard.duty)));
+            let acting =
+                handle.guards().into_iter().filter_map(|guard| Some((guard.valid_fence()?, guard.duty)));
             let now: BTreeMap<String, u64> = acting.map(|(fence, duty)| (duty, fence)).collect();
             for (duty, fence) in now.iter().filter(|(duty, fence)| known.get(*duty) != Some(fence)) {
                 eprintln!("group: this gateway has the duty {duty}, fence {fence}");
@@ -118,10 +119,10 @@
             Err(error) => return eprintln!("group.acts: {}: {error}", path.display()),
         };
         while let Some(handle) = self.handle() {
-            for guard in handle.held() {
+            for guard in handle.guards() {
                 // The time before the question: a stop between the two must not make a yes look later than it was.
                 let now = Clock::Boot.now();
-                let Some(fence) = guard.may_act() else { continue };
+                let Some(fence) = guard.valid_fence() else { continue };
                 let line = format!("{} {} {fence}\n", now.as_micros(), guard.duty);
                 let _ = file.write_all(line.as_bytes());
             }
@@ -133,10 +134,10 @@
     /// What `INFO` shows.
     pub fn figures(&self) -> Value {
         let Some(handle) = self.handle() else { return Value::Null };
-        let (standing, ms) = (handle.standing(), |span: Duration| span.as_millis() as u64);
+        let (standing, ms) = (handle.status(), |span: Duration| span.as_millis() as u64);
         let view = &standing.view;
-        let held = handle.held().into_iter().map(|guard| {
-            (guard.duty.clone(), json!({"fence": guard.fence(), "left_ms": guard.left().map_or(0, ms)}))
+        let held = handle.guards().into_iter().map(|guard| {
+            (guard.duty.clone(), json!({"fence": guard.fence(), "left_ms": guard.remaining().map_or(0, ms)}))
         });
         let duties = view.duties.iter().map(|(duty, (fence, holder))| {
             (duty.clone(), json!({"fence": fence, "holder": holder.as_ref().map(|(_, name)| name)}))
@@ -151,7 +152,7 @@
             "contact_age_ms": handle.contact_age().map(ms),
             "held": held.collect::<serde_json::Map<_, _>>(),
             "duties": duties.collect::<serde_json::Map<_, _>>(),
-            "away": view.away,
+            "away": view.absent,
             "words": self.told.get().0,
             "reports": self.told.get().1,
         })
@@ -159,7 +160,7 @@
 
     /// The most gateways that may be away by leave now.
     fn most_away(&self) -> u32 {
-        let sessions = self.handle().map_or(0, |handle| handle.standing().view.sessions);
+        let sessions = self.handle().map_or(0, |handle| handle.status().view.sessions);
         ((sessions as f64 * self.settings.away_at_once) as u32).max(1)
     }
 
@@ -167,41 +168,46 @@
     pub async fn call(&self, words: &[&str]) -> String {
         let answer = match words {
             [] | ["STATUS"] => return format!("{}\nEND", self.figures()),
-            ["GIVE", duty] => self.order(Order::Give((*duty).into(), None)).await,
-            ["GIVE", duty, to] => self.order(Order::Give((*duty).into(), Some((*to).into()))).await,
-            ["TURN"] => self.order(Order::Leave(self.most_away())).await,
+            ["GIVE", duty] => self.order(MemberRequest::ReleaseDuty((*duty).into(), None)).await,
+            ["GIVE", duty, to] => {
+                self.order(MemberRequest::ReleaseDuty((*duty).into(), Some((*to).into()))).await
+            }
+            ["TURN"] => self.order(MemberRequest::RequestAbsence(self.most_away())).await,
             ["ADD", name, address] => {
-                let node = Node { name: (*name).into(), address: (*address).into() };
-                self.order(Order::Voter(Ask::Add(node))).await
+                let node = VoterEndpoint { name: (*name).into(), address: (*address).into() };
+                self.order(MemberRequest::ChangeVoters(GroupRequest::AddVoter(node))).await
+            }
+            ["REMOVE", name] => {
+                self.order(MemberRequest::ChangeVoters(GroupRequest::RemoveVoter((*name).into()))).await
             }
-            ["REMOVE", name] => self.order(Order::Voter(Ask::Remove((*name).into()))).await,
             _ => {
                 return "NO such call: GROUP STATUS, GIVE DUTY [NAME], TURN, ADD NAME ADDRESS or REMOVE NAME"
                     .into();
             }
         };
         match answer {
-            Answer::Reply(Reply::Done) | Answer::Done => "YES it is done".into(),
-            Answer::Reply(Reply::Later(away)) => format!("NO {away} are away already"),
-            Answer::Reply(Reply::NoSession) => "NO the group knows no such gateway".into(),
-            Answer::Reply(Reply::NotHeld { .. }) => "NO this gateway no longer has that duty".into(),
-            Answer::No(why) => format!("NO {why}"),
-            Answer::Nobody => "NO answer from the group: it may have been done or not".into(),
-            Answer::Gone | Answer::Renewed | Answer::Notes(_) | Answer::Reply(_) => {
-                "NO the group does not know this gateway".into()
-            }
+            GroupResponse::Reply(Reply::Done) | GroupResponse::Done => "YES it is done".into(),
+            GroupResponse::Reply(Reply::AbsenceLimitReached(away)) => format!("NO {away} are away already"),
+            GroupResponse::Reply(Reply::NoSession) => "NO the group knows no such gateway".into(),
+            GroupResponse::Reply(Reply::NotHeld { .. }) => "NO this gateway no longer has that duty".into(),
+            GroupResponse::Refused(why) => format!("NO {why}"),
+            GroupResponse::Unavailable => "NO answer from the group: it may have been done or not".into(),
+            GroupResponse::SessionEnded
+            | GroupResponse::Renewed
+            | GroupResponse::Notes(_)
+            | GroupResponse::Reply(_) => "NO the group does not know this gateway".into(),
         }
     }
 
     /// The process is about to end: others take its duties at once, and it counts as away.
     pub async fn drains(&self) {
-        self.order(Order::Leave(u32::MAX)).await;
-        self.order(Order::Able(false)).await;
+        self.order(MemberRequest::RequestAbsence(u32::MAX)).await;
+        self.order(MemberRequest::SetEligible(false)).await;
     }
 
     /// The process ends. Waits a little for the group to hear of it.
     pub async fn close(&self) {
-        let _ = timeout(CLOSING, self.order(Order::Close)).await;
+        let _ = timeout(CLOSING, self.order(MemberRequest::Close)).await;
         self.handle.take();
     }
 }
--- a/gateway/src/group/scout.rs
+++ b/gateway/src/group/scout.rs
@@ -8,9 +8,9 @@
 
 use super::Group;
 use doorcourse::Name;
-use fennelscale_group::lease::Fences;
-use fennelscale_group::member::Order;
-use fennelscale_group::voter::{Answer, View};
+use fennelscale_group::lease::SeenFences;
+use fennelscale_group::member::MemberRequest;
+use fennelscale_group::voter::{GroupResponse, View};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -73,7 +73,7 @@
     reported: RefCell<BTreeMap<Name, (Instant, bool)>>,
     allowed: Cell<u32>,
     heard: RefCell<BTreeMap<String, (u64, u64)>>,
-    fences: RefCell<Fences>,
+    fences: RefCell<SeenFences>,
 }
 
 impl Scout {
@@ -107,7 +107,7 @@
         self.group.told.update(|(words, reports)| (words, reports + 1));
         let Ok(note) = postcard::to_stdvec(&Word { backend: backend.to_string(), down }) else { return };
         let (group, duty) = (self.group.clone(), duty(zone));
-        tokio::task::spawn_local(async move { group.order(Order::Report(duty, note)).await });
+        tokio::task::spawn_local(async move { group.order(MemberRequest::SendNote(duty, note)).await });
     }
 
     /// Tells the decisions what scouts say.
@@ -118,7 +118,7 @@
                 None => sleep(LOOKS).await,
             }
         };
-        let mut news = handle.news();
+        let mut news = handle.subscribe();
         drop(handle);
         let mut first = true;
         while news.changed().await.is_ok() {
@@ -133,7 +133,7 @@
     fn take(&self, view: &View, first: bool) {
         for (key, (duty, fence, value)) in view.records.iter().filter(|(key, _)| key.starts_with(DUTY)) {
             // A record that outlived its scout says nothing more; one under an older fence never counts.
-            if !self.fences.borrow_mut().takes(duty, *fence) {
+            if !self.fences.borrow_mut().accept(duty, *fence) {
                 continue;
             }
             let Ok(words) = postcard::from_bytes::<Words>(value) else { continue };
@@ -161,11 +161,15 @@
             if looks % (1000 / LOOKS.as_millis()) == 0 {
                 self.allowed.set(MOST_REPORTS);
             }
-            let Some(fence) = self.group.guard(&duty).and_then(|guard| guard.may_act()) else { continue };
+            let Some(fence) = self.group.guard(&duty).and_then(|guard| guard.valid_fence()) else { continue };
             if std::mem::replace(&mut under, fence) != fence {
                 words = Words::default();
             }
-            let Answer::Notes(notes) = self.group.order(Order::Collect(duty.clone())).await else { continue };
+            let GroupResponse::Notes(notes) =
+                self.group.order(MemberRequest::CollectNotes(duty.clone())).await
+            else {
+                continue;
+            };
             let before = words.last;
             for note in &notes {
                 // The last word on a backend is the one that counts.
@@ -177,7 +181,7 @@
                 && let Ok(value) = postcard::to_stdvec(&words)
             {
                 // Lost, it is made up for by the next one: reports go on for as long as there is a reason.
-                self.group.order(Order::Write(duty.clone(), duty.clone(), value)).await;
+                self.group.order(MemberRequest::WriteRecord(duty.clone(), duty.clone(), value)).await;
             }
         }
     }
--- a/gateway/src/group/settings.rs
+++ b/gateway/src/group/settings.rs
@@ -1,9 +1,9 @@
 //! What the configuration says of the group: `group`, an object. Without it there is none.
 
 use super::scout::duty;
-use fennelscale_group::machine::Session;
-use fennelscale_group::member::Want;
-use fennelscale_group::voter::Node;
+use fennelscale_group::member::CandidateDuty;
+use fennelscale_group::state_machine::Session;
+use fennelscale_group::voter::VoterEndpoint;
 use fennelscale_group::{run, store};
 use serde::Deserialize;
 use serde_json::Value;
@@ -113,12 +113,14 @@
         _ => return bad("listen, group.dir: a voter needs both, and another gateway neither"),
     };
     let scout = (file.scout && !zone.is_empty()).then(|| duty(zone));
-    let wants = file.duties.into_iter().chain(scout).map(|duty| Want { duty, rank: 0 }).collect();
-    let voters = file.voters.into_iter().map(|v| Node { name: v.name, address: v.address }).collect();
+    let candidate_duties =
+        file.duties.into_iter().chain(scout).map(|duty| CandidateDuty { duty, rank: 0 }).collect();
+    let voters =
+        file.voters.into_iter().map(|v| VoterEndpoint { name: v.name, address: v.address }).collect();
     let session =
         Session { name: me.to_owned(), zone: zone.to_owned(), version: env!("CARGO_PKG_VERSION").to_owned() };
-    let life = Duration::from_millis(life);
-    let run = run::Settings { group: file.name, session, wants, voters, life, voter };
+    let session_ttl = Duration::from_millis(life);
+    let run = run::Settings { group: file.name, session, candidate_duties, voters, session_ttl, voter };
     Ok(Settings { run, away_at_once, scout: file.scout, acts: file.acts })
 }
 
--- a/group/examples/cost.rs
+++ b/group/examples/cost.rs
@@ -2,10 +2,10 @@
 //! through the loss of a voter. Prints processor time by thread as the kernel counts it, and resident memory.
 
 use fennelscale_group::clock::Clock;
-use fennelscale_group::machine::Session;
-use fennelscale_group::member::{Held, Me, Member, Standing, Want};
+use fennelscale_group::member::{CandidateDuty, HeldDuties, Member, MemberSettings, MemberStatus};
 use fennelscale_group::run::{Handle, Settings, start};
-use fennelscale_group::voter::Node;
+use fennelscale_group::state_machine::Session;
+use fennelscale_group::voter::VoterEndpoint;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -53,7 +53,7 @@
     println!("  {}", status.lines().find(|line| line.starts_with("VmRSS")).unwrap_or_default());
 }
 
-async fn in_group(standings: &[watch::Receiver<Standing>]) {
+async fn in_group(standings: &[watch::Receiver<MemberStatus>]) {
     while standings.iter().any(|standing| standing.borrow().session.is_none()) {
         sleep(Duration::from_millis(20)).await;
     }
@@ -64,26 +64,37 @@
     let mut voters = Vec::new();
     for number in 0..3 {
         let probe = std::net::TcpListener::bind("127.252.0.1:0")?;
-        voters.push(Node { name: format!("v{number}"), address: probe.local_addr()?.to_string() });
+        voters.push(VoterEndpoint { name: format!("v{number}"), address: probe.local_addr()?.to_string() });
     }
     let mut handles: Vec<Handle> = Vec::new();
     for node in &voters {
         let at: SocketAddr = node.address.parse()?;
         let voter = Some((at, folder.join(&node.name)));
         let (session, voters) = (of(node.name.clone()), voters.clone());
-        let settings =
-            Settings { group: "cost".into(), session, wants: Vec::new(), voters, life: LIFE, voter };
+        let settings = Settings {
+            group: "cost".into(),
+            session,
+            candidate_duties: Vec::new(),
+            voters,
+            session_ttl: LIFE,
+            voter,
+        };
         handles.push(start(settings, Clock::Boot, |text| println!("{text}"))?);
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let (mut standings, mut orders) = (Vec::new(), Vec::new());
         for number in 0..MEMBERS {
-            let wants = vec![Want { duty: format!("d{}", number % 3), rank: 0 }];
+            let candidate_duties = vec![CandidateDuty { duty: format!("d{}", number % 3), rank: 0 }];
             let mut known = voters.clone();
             known.rotate_left(number % 3);
-            let me = Me { session: of(format!("m{number}")), wants, voters: known, life: LIFE };
-            let (member, standing) = Member::new(me, "cost", Clock::Boot, Held::default());
+            let me = MemberSettings {
+                session: of(format!("m{number}")),
+                candidate_duties,
+                voters: known,
+                session_ttl: LIFE,
+            };
+            let (member, standing) = Member::new(me, "cost", Clock::Boot, HeldDuties::default());
             let (order, ordered) = mpsc::channel(1);
             tokio::task::spawn_local(member.run(ordered));
             orders.push(order);
@@ -92,7 +103,7 @@
         in_group(&standings).await;
         sleep(LIFE).await;
         measured("300 sessions, idle", IDLE).await;
-        let leader = handles[0].standing().view.leader.unwrap_or_default();
+        let leader = handles[0].status().view.leader.unwrap_or_default();
         let at = voters.iter().position(|node| node.name == leader).unwrap_or(0);
         drop(handles.remove(at));
         measured("the leader gone", IDLE).await;
--- a/group/examples/elect.rs
+++ b/group/examples/elect.rs
@@ -2,10 +2,10 @@
 //! common return with their disks. Prints each time from the start, or the loss, to the next entry that is committed.
 
 use fennelscale_group::clock::Clock;
-use fennelscale_group::machine::{Reply, Session};
-use fennelscale_group::member::Order;
+use fennelscale_group::member::MemberRequest;
 use fennelscale_group::run::{Handle, Settings, start};
-use fennelscale_group::voter::{Answer, Node};
+use fennelscale_group::state_machine::{Reply, Session};
+use fennelscale_group::voter::{GroupResponse, VoterEndpoint};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -17,7 +17,10 @@
 /// Waits until an entry is committed, and tells what it took. A turn with nobody away is refused, by an entry.
 async fn decided(handle: &Handle) -> Duration {
     let begun = Instant::now();
-    while !matches!(handle.order(Order::Leave(0)).await, Answer::Reply(Reply::Later(_))) {
+    while !matches!(
+        handle.request(MemberRequest::RequestAbsence(0)).await,
+        GroupResponse::Reply(Reply::AbsenceLimitReached(_))
+    ) {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     begun.elapsed()
@@ -31,18 +34,19 @@
         let mut voters = Vec::new();
         for number in 0..3 {
             let probe = std::net::TcpListener::bind("127.250.0.1:0")?;
-            voters.push(Node { name: format!("v{number}"), address: probe.local_addr()?.to_string() });
+            voters
+                .push(VoterEndpoint { name: format!("v{number}"), address: probe.local_addr()?.to_string() });
         }
-        let begin = |node: &Node| -> Result<Handle, Failed> {
+        let begin = |node: &VoterEndpoint| -> Result<Handle, Failed> {
             let at: SocketAddr = node.address.parse()?;
             let session = Session { name: node.name.clone(), zone: "z".into(), version: "1".into() };
             let voter = Some((at, folder.join(&node.name)));
             let settings = Settings {
                 group: "elect".into(),
                 session,
-                wants: Vec::new(),
+                candidate_duties: Vec::new(),
                 voters: voters.clone(),
-                life: LIFE,
+                session_ttl: LIFE,
                 voter,
             };
             loop {
@@ -56,7 +60,7 @@
         let mut handles = voters.iter().map(begin).collect::<Result<Vec<_>, _>>()?;
         let formed = decided(&handles[0]).await;
         tokio::time::sleep(LIFE / 2).await;
-        let leader = handles[0].standing().view.leader.unwrap_or_default();
+        let leader = handles[0].status().view.leader.unwrap_or_default();
         let at = voters.iter().position(|node| node.name == leader).unwrap_or(0);
         drop(handles.remove(at));
         let lost = decided(&handles[0]).await;
--- a/group/src/clock.rs
+++ b/group/src/clock.rs
@@ -14,7 +14,7 @@
     /// The machine's.
     Boot,
     /// One that a test moves, in microseconds.
-    Set(Arc<AtomicU64>),
+    Manual(Arc<AtomicU64>),
 }
 
 impl Clock {
@@ -26,7 +26,7 @@
                 let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
                 Duration::new(seconds, u32::try_from(time.tv_nsec).unwrap_or_default())
             }
-            Self::Set(micros) => Duration::from_micros(micros.load(Ordering::SeqCst)),
+            Self::Manual(micros) => Duration::from_micros(micros.load(Ordering::SeqCst)),
         }
     }
 }
--- a/group/src/lease.rs
+++ b/group/src/lease.rs
@@ -14,56 +14,60 @@
 use std::time::Duration;
 
 /// Clocks of two machines may run apart by one part in so many.
-const DRIFT: u32 = 100;
+const DRIFT_DIVISOR: u32 = 100;
 /// And what a thread may need between reading its clock and acting on it, at the least.
-const LEAST_DRIFT: Duration = Duration::from_millis(20);
+const MIN_DRIFT_ALLOWANCE: Duration = Duration::from_millis(20);
 
 /// The allowance for a life.
-pub fn drift(life: Duration) -> Duration {
-    (life / DRIFT).max(LEAST_DRIFT)
+pub fn drift_allowance(session_ttl: Duration) -> Duration {
+    (session_ttl / DRIFT_DIVISOR).max(MIN_DRIFT_ALLOWANCE)
 }
 
 /// The leader's side: when each session may be ended.
 #[derive(Debug)]
-pub struct Deadlines {
-    life: Duration,
+pub struct SessionDeadlines {
+    session_ttl: Duration,
     term: Option<u64>,
-    by: BTreeMap<u64, Moment>,
+    deadlines: BTreeMap<u64, Moment>,
 }
 
-impl Deadlines {
+impl SessionDeadlines {
     /// None yet, for sessions of this life.
-    pub fn new(life: Duration) -> Self {
-        Self { life, term: None, by: BTreeMap::new() }
+    pub fn new(session_ttl: Duration) -> Self {
+        Self { session_ttl, term: None, deadlines: BTreeMap::new() }
     }
 
     /// Takes note that this process leads in a term (or does not) and of the sessions there are. Each one that is new
     /// here, and each one at all in a new term, has its whole life before it.
-    pub fn note(&mut self, now: Moment, term: Option<u64>, sessions: impl Iterator<Item = u64>) {
+    pub fn update(&mut self, now: Moment, term: Option<u64>, sessions: impl Iterator<Item = u64>) {
         if self.term != term {
             self.term = term;
-            self.by.clear();
+            self.deadlines.clear();
         }
         if term.is_none() {
             return;
         }
-        let whole = now + self.life + drift(self.life);
-        let before = std::mem::take(&mut self.by);
-        self.by = sessions.map(|id| (id, before.get(&id).copied().unwrap_or(whole))).collect();
+        let full_deadline = now + self.session_ttl + drift_allowance(self.session_ttl);
+        let previous = std::mem::take(&mut self.deadlines);
+        self.deadlines =
+            sessions.map(|id| (id, previous.get(&id).copied().unwrap_or(full_deadline))).collect();
     }
 
     /// A renewal came in, and that this process led was confirmed after that. False where it came too late: the
     /// session may be ending, and must not be trusted any longer.
-    pub fn renewed(&mut self, now: Moment, session: u64) -> bool {
-        let Some(by) = self.by.get_mut(&session).filter(|by| **by > now) else { return false };
-        *by = now + self.life + drift(self.life);
+    pub fn renew(&mut self, now: Moment, session: u64) -> bool {
+        let Some(deadline) = self.deadlines.get_mut(&session).filter(|deadline| **deadline > now) else {
+            return false;
+        };
+        *deadline = now + self.session_ttl + drift_allowance(self.session_ttl);
         true
     }
 
     /// Sessions whose time is over, and the term in which that is so.
-    pub fn over(&self, now: Moment) -> Option<(u64, Vec<u64>)> {
-        let over = self.by.iter().filter(|(_, by)| **by <= now).map(|(id, _)| *id).collect();
-        self.term.map(|term| (term, over))
+    pub fn expired(&self, now: Moment) -> Option<(u64, Vec<u64>)> {
+        let expired =
+            self.deadlines.iter().filter(|(_, deadline)| **deadline <= now).map(|(id, _)| *id).collect();
+        self.term.map(|term| (term, expired))
     }
 }
 
@@ -71,28 +75,28 @@
 #[derive(Debug, Default)]
 pub struct Lease {
     /// In microseconds of the clock; 0: not at all.
-    until: AtomicU64,
-    over: AtomicBool,
+    expires_at_micros: AtomicU64,
+    ended: AtomicBool,
 }
 
 impl Lease {
     /// It was granted to one that had asked at a moment.
-    pub fn granted(&self, asked: Moment, life: Duration) {
-        self.until.fetch_max((asked + life).as_micros() as u64, Ordering::SeqCst);
+    pub fn grant(&self, requested_at: Moment, session_ttl: Duration) {
+        self.expires_at_micros.fetch_max((requested_at + session_ttl).as_micros() as u64, Ordering::SeqCst);
     }
 
     /// It is over, whatever the clock says.
     pub fn end(&self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.ended.store(true, Ordering::SeqCst);
     }
 
     /// What is left of it.
-    pub fn left(&self, now: Moment) -> Option<Duration> {
-        if self.over.load(Ordering::SeqCst) {
+    pub fn remaining(&self, now: Moment) -> Option<Duration> {
+        if self.ended.load(Ordering::SeqCst) {
             return None;
         }
-        let until = Duration::from_micros(self.until.load(Ordering::SeqCst));
-        until.checked_sub(now).filter(|left| !left.is_zero())
+        let expires_at = Duration::from_micros(self.expires_at_micros.load(Ordering::SeqCst));
+        expires_at.checked_sub(now).filter(|remaining| !remaining.is_zero())
     }
 }
 
@@ -104,26 +108,26 @@
     pub duty: String,
     fence: u64,
     lease: Arc<Lease>,
-    given: Arc<AtomicBool>,
+    released: Arc<AtomicBool>,
     clock: Clock,
 }
 
 impl Guard {
     /// The right of a duty that the group granted to a session.
     pub fn new(duty: String, fence: u64, lease: Arc<Lease>, clock: Clock) -> Self {
-        Self { duty, fence, lease, given: Arc::default(), clock }
+        Self { duty, fence, lease, released: Arc::default(), clock }
     }
 
     /// The fence to act under, if the act may be done now. The act carries it: between this answer and the act the
     /// process may stop, and then only the fence tells.
-    pub fn may_act(&self) -> Option<u64> {
-        self.left().map(|_| self.fence)
+    pub fn valid_fence(&self) -> Option<u64> {
+        self.remaining().map(|_| self.fence)
     }
 
     /// What is left of the right.
-    pub fn left(&self) -> Option<Duration> {
-        let left = self.lease.left(self.clock.now());
-        left.filter(|_| !self.given.load(Ordering::SeqCst))
+    pub fn remaining(&self) -> Option<Duration> {
+        let remaining = self.lease.remaining(self.clock.now());
+        remaining.filter(|_| !self.released.load(Ordering::SeqCst))
     }
 
     /// The fence, whether or not it may still be acted under.
@@ -132,24 +136,24 @@
     }
 
     /// The duty is given away: no act from now on.
-    pub fn give(&self) {
-        self.given.store(true, Ordering::SeqCst);
+    pub fn release(&self) {
+        self.released.store(true, Ordering::SeqCst);
     }
 }
 
 /// What one who is acted upon has seen: an act under a lower fence than one before is refused.
 #[derive(Clone, Debug, Default)]
-pub struct Fences(BTreeMap<String, u64>);
+pub struct SeenFences(BTreeMap<String, u64>);
 
 /// The most duties that are remembered.
-pub const MOST_DUTIES: usize = 64;
+pub const MAX_DUTIES: usize = 64;
 
-impl Fences {
+impl SeenFences {
     /// Whether an act under this fence is to be taken; if so, none under a lower one is from now on.
-    pub fn takes(&mut self, duty: &str, fence: u64) -> bool {
-        let full = self.0.len() >= MOST_DUTIES;
+    pub fn accept(&mut self, duty: &str, fence: u64) -> bool {
+        let full = self.0.len() >= MAX_DUTIES;
         match self.0.get_mut(duty) {
-            Some(seen) if fence >= *seen => *seen = fence,
+            Some(highest) if fence >= *highest => *highest = fence,
             Some(_) => return false,
             None if full => return false,
             None => drop(self.0.insert(duty.to_owned(), fence)),
@@ -158,7 +162,7 @@
     }
 
     /// The highest fence seen of each duty.
-    pub fn seen(&self) -> Vec<(String, u64)> {
+    pub fn highest_fences(&self) -> Vec<(String, u64)> {
         self.0.iter().map(|(duty, fence)| (duty.clone(), *fence)).collect()
     }
 }
--- a/group/src/lib.rs
+++ b/group/src/lib.rs
@@ -9,9 +9,9 @@
 
 pub mod clock;
 pub mod lease;
-pub mod machine;
 pub mod member;
 pub mod run;
+pub mod state_machine;
 pub mod store;
 pub mod voter;
 pub mod wire;
--- a/group/src/member.rs
+++ b/group/src/member.rs
@@ -6,10 +6,10 @@
 //! for the group on anybody else's behalf: whoever asks gets an answer within a third of a session's life.
 
 use crate::clock::{Clock, Moment};
-use crate::lease::{Fences, Guard, Lease};
-use crate::machine::{Command, Reply, Session, SessionId};
-use crate::voter::{Answer, Ask, Node, View, Watching, ask};
-use crate::wire::{CallError, Kind, Way};
+use crate::lease::{Guard, Lease, SeenFences};
+use crate::state_machine::{Command, Reply, Session, SessionId};
+use crate::voter::{GroupRequest, GroupResponse, View, VoterEndpoint, WatchRequest, send_request};
+use crate::wire::{CallError, CallKind, VoterClient};
 use rand::RngExt as _;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,14 +21,14 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 /// A change of the voters may take so long: a new one gets the whole log first.
-pub const CHANGE: Duration = Duration::from_secs(10);
+pub const MEMBERSHIP_CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How often the pause between two tries to open a session doubles at most.
 const MOST_DOUBLINGS: u32 = 2;
 
 /// One duty that a process would do, and how gladly: of those that can, the lower rank comes first.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Want {
+pub struct CandidateDuty {
     /// The duty.
     pub duty: String,
     /// 0: at once.
@@ -37,22 +37,22 @@
 
 /// Who a member is and what it wants.
 #[derive(Clone, Debug)]
-pub struct Me {
+pub struct MemberSettings {
     /// The session as it is opened.
     pub session: Session,
     /// The duties it would do.
-    pub wants: Vec<Want>,
+    pub candidate_duties: Vec<CandidateDuty>,
     /// The voters to ask, its own first if it is one.
-    pub voters: Vec<Node>,
+    pub voters: Vec<VoterEndpoint>,
     /// The life of a session.
-    pub life: Duration,
+    pub session_ttl: Duration,
 }
 
 /// The duties held now; read by any thread of the process.
 #[derive(Clone, Debug, Default)]
-pub struct Held(Arc<Mutex<BTreeMap<String, Guard>>>);
+pub struct HeldDuties(Arc<Mutex<BTreeMap<String, Guard>>>);
 
-impl Held {
+impl HeldDuties {
     /// The guard of a duty that is held.
     pub fn guard(&self, duty: &str) -> Option<Guard> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).get(duty).cloned()
@@ -70,53 +70,53 @@
 
 /// What this process asks of the group.
 #[derive(Debug)]
-pub enum Order {
+pub enum MemberRequest {
     /// Gives a duty to a process by name, or to whoever takes it.
-    Give(String, Option<String>),
+    ReleaseDuty(String, Option<String>),
     /// Writes a record under a duty that is held: duty, key, value.
-    Write(String, String, Vec<u8>),
+    WriteRecord(String, String, Vec<u8>),
     /// Tells whoever has a duty; it may be lost.
-    Report(String, Vec<u8>),
+    SendNote(String, Vec<u8>),
     /// Fetches what was told to the holder of a duty that is held here.
-    Collect(String),
+    CollectNotes(String),
     /// Wants to be away, with at most so many others.
-    Leave(u32),
+    RequestAbsence(u32),
     /// Takes duties, or (draining, starved) gives up those it has and takes none.
-    Able(bool),
+    SetEligible(bool),
     /// A voter is taken in, or let go.
-    Voter(Ask),
+    ChangeVoters(GroupRequest),
     /// The process ends: duties are given up and the session is closed.
     Close,
 }
 
 /// An order, and who waits for its answer.
-pub type Ordered = (Order, oneshot::Sender<Answer>);
+pub type PendingRequest = (MemberRequest, oneshot::Sender<GroupResponse>);
 
 /// How the member stands, for figures.
 #[derive(Clone, Debug, Default)]
-pub struct Standing {
+pub struct MemberStatus {
     /// The newest view of the group.
     pub view: View,
     /// The session, if the group knows one.
     pub session: Option<SessionId>,
     /// When the group last said that the session goes on, by the machine's clock.
-    pub contact: Option<Moment>,
+    pub last_renewal: Option<Moment>,
 }
 
 /// A member.
 pub struct Member {
-    me: Me,
+    me: MemberSettings,
     clock: Clock,
-    held: Held,
-    ways: Vec<Way>,
+    held: HeldDuties,
+    ways: Vec<VoterClient>,
     /// The voter that answered last.
     at: Cell<usize>,
-    standing: watch::Sender<Standing>,
+    standing: watch::Sender<MemberStatus>,
     able: Cell<bool>,
     closed: Cell<bool>,
     lease: RefCell<Arc<Lease>>,
     /// Fences seen of each duty, and the highest one of this process's own that is over.
-    fences: RefCell<Fences>,
+    fences: RefCell<SeenFences>,
     over: RefCell<BTreeMap<String, u64>>,
     claiming: RefCell<BTreeSet<String>>,
     /// Sessions in a row that could not be opened.
@@ -128,9 +128,13 @@
 
 impl Member {
     /// A member that has not begun.
-    pub fn new(me: Me, group: &str, clock: Clock, held: Held) -> (Rc<Self>, watch::Receiver<Standing>) {
-        let (standing, seen) = watch::channel(Standing::default());
-        let way = |node: &Node| Some(Way::new(node.address.parse::<SocketAddr>().ok()?, group.into()));
+    pub fn new(
+        me: MemberSettings, group: &str, clock: Clock, held: HeldDuties,
+    ) -> (Rc<Self>, watch::Receiver<MemberStatus>) {
+        let (standing, seen) = watch::channel(MemberStatus::default());
+        let way = |node: &VoterEndpoint| {
+            Some(VoterClient::new(node.address.parse::<SocketAddr>().ok()?, group.into()))
+        };
         let ways = me.voters.iter().filter_map(way).collect();
         let member = Self {
             me,
@@ -153,7 +157,7 @@
     }
 
     /// Lives in the group until it is told to close.
-    pub async fn run(self: Rc<Self>, mut orders: mpsc::Receiver<Ordered>) {
+    pub async fn run(self: Rc<Self>, mut orders: mpsc::Receiver<PendingRequest>) {
         tokio::task::spawn_local(self.clone().watch());
         let sessions = self.clone();
         tokio::task::spawn_local(async move {
@@ -162,7 +166,7 @@
             }
         });
         while let Some((order, asker)) = orders.recv().await {
-            let closes = matches!(order, Order::Close);
+            let closes = matches!(order, MemberRequest::Close);
             let member = self.clone();
             let carried = async move {
                 let _ = asker.send(member.carry_out(order).await);
@@ -180,16 +184,16 @@
 
     /// A part of a session's life, drawn so that many members do not come at one moment.
     fn drawn(&self, least: f64, most: f64) -> Duration {
-        self.me.life.mul_f64(rand::rng().random_range(least..most))
+        self.me.session_ttl.mul_f64(rand::rng().random_range(least..most))
     }
 
     /// Asks the voter that answered last; one that does not answer is passed over for the next.
-    async fn ask(&self, question: Ask, within: Duration) -> Option<Answer> {
+    async fn ask(&self, question: GroupRequest, within: Duration) -> Option<GroupResponse> {
         let at = self.at.get() % self.ways.len().max(1);
         let way = self.ways.get(at)?;
-        let answer = ask(way, question, within).await;
+        let answer = send_request(way, question, within).await;
         match answer {
-            Ok(Answer::Nobody) | Err(_) => {
+            Ok(GroupResponse::Unavailable) | Err(_) => {
                 self.at.set(at + 1);
                 None
             }
@@ -200,20 +204,20 @@
     /// One session, from its opening until the group says that it is gone.
     async fn session(self: Rc<Self>) {
         let id = rand::random::<u64>() >> 11;
-        let (asked, seen) = (self.clock.now(), self.fences.borrow().seen());
-        let open = Command::Open { session: id, of: self.me.session.clone(), seen };
-        let opened = self.ask(Ask::Do(open), self.me.life / 4).await;
-        if opened != Some(Answer::Reply(Reply::Done)) {
+        let (asked, seen_fences) = (self.clock.now(), self.fences.borrow().highest_fences());
+        let open = Command::OpenSession { session: id, info: self.me.session.clone(), seen_fences };
+        let opened = self.ask(GroupRequest::Propose(open), self.me.session_ttl / 4).await;
+        if opened != Some(GroupResponse::Reply(Reply::Done)) {
             // After the voters were away, all members are here at once: each waits longer with each time.
             let times = self.vain.replace(self.vain.get() + 1).min(MOST_DOUBLINGS);
             return sleep(self.drawn(0.02, 0.2) * (1 << times)).await;
         }
         self.vain.set(0);
         let lease = Arc::new(Lease::default());
-        lease.granted(asked, self.me.life);
+        lease.grant(asked, self.me.session_ttl);
         *self.lease.borrow_mut() = lease.clone();
         self.standing.send_modify(|standing| {
-            (standing.session, standing.contact) = (Some(id), Some(self.clock.now()));
+            (standing.session, standing.last_renewal) = (Some(id), Some(self.clock.now()));
             standing.view.revision = 0;
         });
         self.begun.notify_one();
@@ -224,13 +228,13 @@
                 () = self.gone.notified() => {}
             }
             let asked = self.clock.now();
-            match self.ask(Ask::Renew(id), self.me.life / 6).await {
-                Some(Answer::Renewed) => {
-                    lease.granted(asked, self.me.life);
-                    self.standing.send_modify(|standing| standing.contact = Some(self.clock.now()));
+            match self.ask(GroupRequest::RenewSession(id), self.me.session_ttl / 6).await {
+                Some(GroupResponse::Renewed) => {
+                    lease.grant(asked, self.me.session_ttl);
+                    self.standing.send_modify(|standing| standing.last_renewal = Some(self.clock.now()));
                     next = Instant::now() + self.drawn(0.25, 0.33);
                 }
-                Some(Answer::Gone) => break,
+                Some(GroupResponse::SessionEnded) => break,
                 _ => next = Instant::now() + self.drawn(0.02, 0.08),
             }
         }
@@ -241,7 +245,7 @@
     }
 
     fn is_over(&self, guard: &Guard) {
-        guard.give();
+        guard.release();
         let mut over = self.over.borrow_mut();
         let highest = over.entry(guard.duty.clone()).or_default();
         *highest = (*highest).max(guard.fence());
@@ -252,12 +256,12 @@
         let mut at = 0;
         while !self.closed.get() {
             let Some(way) = self.ways.get(at % self.ways.len().max(1)) else { return };
-            let wait = self.me.life * 2;
+            let wait = self.me.session_ttl * 2;
             let after = self.standing.borrow().view.revision;
-            let watching = Watching { after, wait_ms: wait.as_millis() as u64 };
-            let within = wait + self.me.life / 2;
+            let watching = WatchRequest { known_revision: after, wait_ms: wait.as_millis() as u64 };
+            let within = wait + self.me.session_ttl / 2;
             let news: Result<View, CallError> = tokio::select! {
-                news = way.call(Kind::Watch, 0, &watching, within) => news,
+                news = way.call(CallKind::Watch, 0, &watching, within) => news,
                 () = self.begun.notified() => continue,
             };
             match news {
@@ -288,12 +292,12 @@
         };
         let Some(session) = session else { return };
         for (duty, (fence, holder)) in &duties {
-            self.fences.borrow_mut().takes(duty, *fence);
+            self.fences.borrow_mut().accept(duty, *fence);
             if holder.as_ref().is_some_and(|(holder, _)| *holder == session) {
                 self.hold(duty, *fence);
             }
         }
-        for want in &self.me.wants {
+        for want in &self.me.candidate_duties {
             let free = duties.get(&want.duty).is_none_or(|(_, holder)| holder.is_none());
             if free && self.able.get() && self.claiming.borrow_mut().insert(want.duty.clone()) {
                 tokio::task::spawn_local(self.clone().claim(want.clone()));
@@ -312,12 +316,12 @@
             _ => held.insert(duty.to_owned(), guard()),
         });
         // The same holder under a higher fence: the lower one is for nobody any more.
-        before.iter().for_each(Guard::give);
+        before.iter().for_each(Guard::release);
     }
 
     /// Asks for a duty that is free, after a pause by its rank and by chance, unless it was taken meanwhile.
-    async fn claim(self: Rc<Self>, want: Want) {
-        let step = self.me.life / 12;
+    async fn claim(self: Rc<Self>, want: CandidateDuty) {
+        let step = self.me.session_ttl / 12;
         sleep(step * want.rank + step.mul_f64(rand::random::<f64>())).await;
         let free = |member: &Self| {
             let standing = member.standing.borrow();
@@ -325,18 +329,18 @@
             standing.session.filter(|_| duty.is_none_or(|(_, holder)| holder.is_none()))
         };
         while let Some(session) = free(&self).filter(|_| self.able.get() && !self.closed.get()) {
-            let claim = Command::Claim { session, duty: want.duty.clone() };
-            match self.ask(Ask::Do(claim), self.me.life / 4).await {
-                Some(Answer::Reply(Reply::Held(fence))) => {
+            let claim = Command::ClaimDuty { session, duty: want.duty.clone() };
+            match self.ask(GroupRequest::Propose(claim), self.me.session_ttl / 4).await {
+                Some(GroupResponse::Reply(Reply::Held(fence))) => {
                     // The session may have ended since: then the grant was another one's.
                     if self.session_id() == Some(session) {
-                        self.fences.borrow_mut().takes(&want.duty, fence);
+                        self.fences.borrow_mut().accept(&want.duty, fence);
                         self.hold(&want.duty, fence);
                     }
                     break;
                 }
-                Some(Answer::Reply(Reply::NotHeld { .. } | Reply::Full)) => break,
-                Some(Answer::Reply(Reply::NoSession)) => {
+                Some(GroupResponse::Reply(Reply::NotHeld { .. } | Reply::LimitExceeded)) => break,
+                Some(GroupResponse::Reply(Reply::NoSession)) => {
                     self.gone.notify_one();
                     break;
                 }
@@ -347,83 +351,96 @@
     }
 
     /// Tells the group until it answers or the session is over, and with it all that the session has.
-    async fn insist(self: Rc<Self>, session: SessionId, command: Command) -> Answer {
+    async fn insist(self: Rc<Self>, session: SessionId, command: Command) -> GroupResponse {
         while self.session_id() == Some(session) {
-            match self.ask(Ask::Do(command.clone()), self.me.life / 4).await {
+            match self.ask(GroupRequest::Propose(command.clone()), self.me.session_ttl / 4).await {
                 Some(answer) => return answer,
                 None => sleep(self.drawn(0.02, 0.1)).await,
             }
         }
-        Answer::Gone
+        GroupResponse::SessionEnded
     }
 
-    async fn carry_out(self: &Rc<Self>, order: Order) -> Answer {
-        let within = self.me.life / 3;
-        let nobody = |answer: Option<Answer>| answer.unwrap_or(Answer::Nobody);
+    async fn carry_out(self: &Rc<Self>, order: MemberRequest) -> GroupResponse {
+        let within = self.me.session_ttl / 3;
+        let nobody = |answer: Option<GroupResponse>| answer.unwrap_or(GroupResponse::Unavailable);
         match order {
-            Order::Give(duty, to) => {
+            MemberRequest::ReleaseDuty(duty, to) => {
                 let Some(guard) = self.held.change(|held| held.remove(&duty)) else {
-                    return Answer::No(format!("{duty} is not held here"));
+                    return GroupResponse::Refused(format!("{duty} is not held here"));
                 };
                 // From here on nothing is done under it, whether or not the group hears of it.
                 self.is_over(&guard);
-                let Some(session) = self.session_id() else { return Answer::Gone };
-                let give = Command::Give { session, duty, fence: guard.fence(), to };
+                let Some(session) = self.session_id() else { return GroupResponse::SessionEnded };
+                let give = Command::ReleaseDuty { session, duty, fence: guard.fence(), to };
                 // Nobody else gets it before the group has heard, so it is told until it has.
                 let telling = tokio::task::spawn_local(self.clone().insist(session, give));
-                timeout(within, telling).await.ok().and_then(Result::ok).unwrap_or(Answer::Nobody)
+                timeout(within, telling).await.ok().and_then(Result::ok).unwrap_or(GroupResponse::Unavailable)
             }
-            Order::Write(duty, key, value) => {
+            MemberRequest::WriteRecord(duty, key, value) => {
                 let guard = self.held.guard(&duty);
-                let Some((fence, session)) = guard.and_then(|g| g.may_act()).zip(self.session_id()) else {
-                    return Answer::No(format!("{duty} is not held here"));
+                let Some((fence, session)) = guard.and_then(|g| g.valid_fence()).zip(self.session_id())
+                else {
+                    return GroupResponse::Refused(format!("{duty} is not held here"));
                 };
-                nobody(self.ask(Ask::Do(Command::Write { session, duty, fence, key, value }), within).await)
+                nobody(
+                    self.ask(
+                        GroupRequest::Propose(Command::WriteRecord { session, duty, fence, key, value }),
+                        within,
+                    )
+                    .await,
+                )
             }
-            Order::Report(duty, note) => match self.session_id() {
-                Some(session) => nobody(self.ask(Ask::Report { session, duty, note }, within).await),
-                None => Answer::Nobody,
+            MemberRequest::SendNote(duty, note) => match self.session_id() {
+                Some(session) => {
+                    nobody(self.ask(GroupRequest::SendNote { session, duty, note }, within).await)
+                }
+                None => GroupResponse::Unavailable,
             },
-            Order::Collect(duty) => {
+            MemberRequest::CollectNotes(duty) => {
                 let guard = self.held.guard(&duty);
-                let Some((fence, session)) = guard.and_then(|g| g.may_act()).zip(self.session_id()) else {
-                    return Answer::No(format!("{duty} is not held here"));
+                let Some((fence, session)) = guard.and_then(|g| g.valid_fence()).zip(self.session_id())
+                else {
+                    return GroupResponse::Refused(format!("{duty} is not held here"));
                 };
-                nobody(self.ask(Ask::Collect { session, duty, fence }, within).await)
+                nobody(self.ask(GroupRequest::CollectNotes { session, duty, fence }, within).await)
             }
-            Order::Leave(most) => match self.session_id() {
-                Some(session) => nobody(self.ask(Ask::Do(Command::Leave { session, most }), within).await),
-                None => Answer::Nobody,
+            MemberRequest::RequestAbsence(max_absent) => match self.session_id() {
+                Some(session) => nobody(
+                    self.ask(GroupRequest::Propose(Command::RequestAbsence { session, max_absent }), within)
+                        .await,
+                ),
+                None => GroupResponse::Unavailable,
             },
-            Order::Able(able) => {
+            MemberRequest::SetEligible(able) => {
                 self.able.set(able);
                 if !able {
                     for guard in self.held.all() {
-                        Box::pin(self.carry_out(Order::Give(guard.duty, None))).await;
+                        Box::pin(self.carry_out(MemberRequest::ReleaseDuty(guard.duty, None))).await;
                     }
                 }
                 self.take_notice();
-                Answer::Done
+                GroupResponse::Done
             }
-            Order::Voter(ask) => {
+            MemberRequest::ChangeVoters(ask) => {
                 let mut answer = None;
                 // Harmless to ask again, and the voter asked may be the one that is not in yet.
                 for _ in 0..=self.ways.len() {
-                    answer = self.ask(ask.clone(), CHANGE).await;
+                    answer = self.ask(ask.clone(), MEMBERSHIP_CHANGE_TIMEOUT).await;
                     if answer.is_some() {
                         break;
                     }
                 }
                 nobody(answer)
             }
-            Order::Close => {
+            MemberRequest::Close => {
                 self.closed.set(true);
                 let held = self.held.change(std::mem::take);
                 held.into_values().for_each(|guard| self.is_over(&guard));
-                let Some(session) = self.session_id() else { return Answer::Done };
+                let Some(session) = self.session_id() else { return GroupResponse::Done };
                 self.lease.borrow().end();
                 self.gone.notify_one();
-                nobody(self.ask(Ask::Do(Command::Close { session }), within).await)
+                nobody(self.ask(GroupRequest::Propose(Command::CloseSession { session }), within).await)
             }
         }
     }
--- a/group/src/run.rs
+++ b/group/src/run.rs
@@ -3,10 +3,12 @@
 
 use crate::clock::Clock;
 use crate::lease::Guard;
-use crate::machine::Session;
-use crate::member::{Held, Me, Member, Order, Ordered, Standing, Want};
+use crate::member::{
+    CandidateDuty, HeldDuties, Member, MemberRequest, MemberSettings, MemberStatus, PendingRequest,
+};
+use crate::state_machine::Session;
 use crate::store::Store;
-use crate::voter::{Answer, Node, Times, Voter};
+use crate::voter::{GroupResponse, Timeouts, Voter, VoterEndpoint};
 use crate::wire::serve;
 use std::fmt;
 use std::io;
@@ -31,11 +33,11 @@
     /// Who this process is.
     pub session: Session,
     /// Duties that it would do.
-    pub wants: Vec<Want>,
+    pub candidate_duties: Vec<CandidateDuty>,
     /// The voters that the group is formed of, and those to ask.
-    pub voters: Vec<Node>,
+    pub voters: Vec<VoterEndpoint>,
     /// The life of a session.
-    pub life: Duration,
+    pub session_ttl: Duration,
     /// Where a voter listens, and the folder of its disk; none for a member alone.
     pub voter: Option<(SocketAddr, PathBuf)>,
 }
@@ -54,9 +56,9 @@
 
 /// The way from the rest of the process to its part of the group.
 pub struct Handle {
-    orders: mpsc::Sender<Ordered>,
-    standing: watch::Receiver<Standing>,
-    held: Held,
+    orders: mpsc::Sender<PendingRequest>,
+    standing: watch::Receiver<MemberStatus>,
+    held: HeldDuties,
     clock: Clock,
     thread: Option<JoinHandle<()>>,
 }
@@ -68,39 +70,39 @@
     }
 
     /// The guards of all duties that this process holds.
-    pub fn held(&self) -> Vec<Guard> {
+    pub fn guards(&self) -> Vec<Guard> {
         self.held.all()
     }
 
     /// How it stands.
-    pub fn standing(&self) -> Standing {
+    pub fn status(&self) -> MemberStatus {
         self.standing.borrow().clone()
     }
 
     /// News of how it stands.
-    pub fn news(&self) -> watch::Receiver<Standing> {
+    pub fn subscribe(&self) -> watch::Receiver<MemberStatus> {
         self.standing.clone()
     }
 
     /// How long ago the group last said that this session goes on.
     pub fn contact_age(&self) -> Option<Duration> {
-        let contact = self.standing.borrow().contact;
-        contact.map(|at| self.clock.now().saturating_sub(at))
+        let last_renewal = self.standing.borrow().last_renewal;
+        last_renewal.map(|at| self.clock.now().saturating_sub(at))
     }
 
     /// Gives an order, and waits for its answer; there is one within a third of a session's life or so.
-    pub async fn order(&self, order: Order) -> Answer {
+    pub async fn request(&self, order: MemberRequest) -> GroupResponse {
         let (asker, answer) = oneshot::channel();
         // A group that does not keep up is as good as one that cannot be reached.
         if self.orders.try_send((order, asker)).is_err() {
-            return Answer::Nobody;
+            return GroupResponse::Unavailable;
         }
-        answer.await.unwrap_or(Answer::Nobody)
+        answer.await.unwrap_or(GroupResponse::Unavailable)
     }
 
     /// Leaves the group: duties are given up and the session ends, if the group can be told.
     pub async fn close(mut self) {
-        self.order(Order::Close).await;
+        self.request(MemberRequest::Close).await;
         drop(self.orders);
         if let Some(thread) = self.thread.take() {
             let _ = tokio::task::spawn_blocking(move || thread.join()).await;
@@ -124,7 +126,7 @@
 ) -> Result<Handle, StartError> {
     let (orders, ordered) = mpsc::channel(WAITING);
     let (ready, started) = std::sync::mpsc::channel();
-    let held = Held::default();
+    let held = HeldDuties::default();
     let (parts, of) = (held.clone(), clock.clone());
     let run = move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -137,11 +139,11 @@
             if let Err(error) = set_up(&settings, &of, &tell) {
                 return drop(ready.send(Err(error)));
             }
-            let Settings { group, session, wants, voters, life, .. } = settings;
+            let Settings { group, session, candidate_duties, voters, session_ttl, .. } = settings;
             // Its own voter first: that one is nearest.
             let mut voters = voters;
             voters.sort_by_key(|node| node.name != session.name);
-            let me = Me { session, wants, voters, life };
+            let me = MemberSettings { session, candidate_duties, voters, session_ttl };
             let (member, standing) = Member::new(me, &group, of, parts);
             let _ = ready.send(Ok(standing));
             member.run(ordered).await;
@@ -175,11 +177,11 @@
         ));
     }
     let node = settings.voters.iter().find(|node| node.name == *name).cloned();
-    let node = node.unwrap_or(Node { name: name.clone(), address: at.to_string() });
-    let times = Times::of_life(settings.life);
+    let node = node.unwrap_or(VoterEndpoint { name: name.clone(), address: at.to_string() });
+    let times = Timeouts::from_session_ttl(settings.session_ttl);
     let voter = Voter::start(store, node, group, times, clock.clone(), &settings.voters, tell.clone());
     let voter = voter.map_err(|e| failed("voter", &e))?;
-    tell(format!("group {group}: voter {name} has number {} and listens at {at}", voter.number()));
+    tell(format!("group {group}: voter {name} has number {} and listens at {at}", voter.incarnation()));
     tokio::task::spawn_local(serve(listener, voter.clone()));
     let voters = settings.voters.clone();
     tokio::task::spawn_local(async move { voter.join(&voters).await });
--- a/group/src/machine.rs
+++ b/group/src/state_machine.rs
@@ -12,12 +12,12 @@
 pub type SessionId = u64;
 
 /// Bounds of the state: sessions, duties, records and their bytes, letters of a name.
-pub const MOST_SESSIONS: usize = 1000;
-const MOST_DUTIES: usize = crate::lease::MOST_DUTIES;
-const MOST_RECORDS: usize = 256;
-const MOST_VALUE: usize = 8 * 1024;
-const MOST_NAME: usize = 64;
-const MOST_PLACES: usize = 64;
+pub const MAX_SESSIONS: usize = 1000;
+const MAX_DUTIES: usize = crate::lease::MAX_DUTIES;
+const MAX_RECORDS: usize = 256;
+const MAX_VALUE_BYTES: usize = 8 * 1024;
+const MAX_NAME_BYTES: usize = 64;
+const MAX_VOTER_ADDRESSES: usize = 64;
 
 /// One process's presence in the group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -62,44 +62,44 @@
     /// What was written.
     pub records: BTreeMap<String, Record>,
     /// Who is away by leave: names, with the session that asked.
-    pub turns: BTreeMap<String, SessionId>,
+    pub absences: BTreeMap<String, SessionId>,
     /// Where voters listen, by name.
-    pub places: BTreeMap<String, String>,
+    pub voter_addresses: BTreeMap<String, String>,
 }
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// A process comes. `seen` are the fences that it has seen, of whatever group.
-    Open {
+    OpenSession {
         /// The number it drew.
         session: SessionId,
         /// Who it is.
-        of: Session,
+        info: Session,
         /// Fences by duty.
-        seen: Vec<(String, u64)>,
+        seen_fences: Vec<(String, u64)>,
     },
     /// A process goes, by its own word.
-    Close {
+    CloseSession {
         /// Which session.
         session: SessionId,
     },
     /// The leader ends a session. Void in another term: whoever led in between may have renewed it.
-    Expire {
+    ExpireSession {
         /// Which session.
         session: SessionId,
         /// The leader's term.
         term: u64,
     },
     /// A session wants a duty.
-    Claim {
+    ClaimDuty {
         /// Who.
         session: SessionId,
         /// Which duty.
         duty: String,
     },
     /// A holder gives a duty up, or to another session at once.
-    Give {
+    ReleaseDuty {
         /// Who.
         session: SessionId,
         /// Which duty.
@@ -110,7 +110,7 @@
         to: Option<String>,
     },
     /// A holder writes a record.
-    Write {
+    WriteRecord {
         /// Who.
         session: SessionId,
         /// For which duty.
@@ -123,21 +123,21 @@
         value: Vec<u8>,
     },
     /// A process wants to be away for a while, with at most so many others.
-    Leave {
+    RequestAbsence {
         /// Who.
         session: SessionId,
         /// The most that are away at once.
-        most: u32,
+        max_absent: u32,
     },
     /// The time of a turn is over although its asker did not come back. Void in another term.
-    Lapse {
+    ExpireAbsence {
         /// Whose.
         name: String,
         /// The leader's term.
         term: u64,
     },
     /// A voter listens there.
-    Place {
+    SetVoterAddress {
         /// Its name.
         name: String,
         /// Its address.
@@ -162,65 +162,72 @@
     /// There is no such session, or none of that name: it has ended, or never was.
     NoSession,
     /// So many are away already.
-    Later(u32),
+    AbsenceLimitReached(u32),
     /// A bound of the state is reached, or a name is too long.
-    Full,
+    LimitExceeded,
 }
 
 impl State {
     /// Applies one entry of the log, committed in a term.
     pub fn apply(&mut self, term: u64, command: &Command) -> Reply {
         match command {
-            Command::Open { session, of, seen } => self.open(*session, of, seen),
-            Command::Close { session } => self.end(*session),
-            Command::Expire { session, term: in_term } if *in_term == term => self.end(*session),
-            Command::Lapse { name, term: in_term } if *in_term == term => {
-                self.revision += u64::from(self.turns.remove(name).is_some());
+            Command::OpenSession { session, info, seen_fences } => {
+                self.open_session(*session, info, seen_fences)
+            }
+            Command::CloseSession { session } => self.end_session(*session),
+            Command::ExpireSession { session, term: expected_term } if *expected_term == term => {
+                self.end_session(*session)
+            }
+            Command::ExpireAbsence { name, term: expected_term } if *expected_term == term => {
+                self.revision += u64::from(self.absences.remove(name).is_some());
                 Reply::Done
             }
-            Command::Expire { .. } | Command::Lapse { .. } => Reply::Done,
-            Command::Claim { session, duty } => self.claim(*session, duty),
-            Command::Give { session, duty, fence, to } => self.give(*session, duty, *fence, to.as_deref()),
-            Command::Write { session, duty, fence, key, value } => {
-                self.write(*session, duty, *fence, key, value)
+            Command::ExpireSession { .. } | Command::ExpireAbsence { .. } => Reply::Done,
+            Command::ClaimDuty { session, duty } => self.claim_duty(*session, duty),
+            Command::ReleaseDuty { session, duty, fence, to } => {
+                self.release_duty(*session, duty, *fence, to.as_deref())
+            }
+            Command::WriteRecord { session, duty, fence, key, value } => {
+                self.write_record(*session, duty, *fence, key, value)
             }
-            Command::Leave { session, most } => self.leave(*session, *most),
-            Command::Place { name, address } => self.place(name, address),
+            Command::RequestAbsence { session, max_absent } => self.request_absence(*session, *max_absent),
+            Command::SetVoterAddress { name, address } => self.set_voter_address(name, address),
         }
     }
 
     /// Other processes are the voters now, by these names.
-    pub fn voters(&mut self, names: &[&str]) {
-        self.places.retain(|name, _| names.contains(&name.as_str()));
+    pub fn set_voters(&mut self, names: &[&str]) {
+        self.voter_addresses.retain(|name, _| names.contains(&name.as_str()));
         self.revision += 1;
     }
 
-    fn place(&mut self, name: &str, address: &str) -> Reply {
-        let full = self.places.len() >= MOST_PLACES && !self.places.contains_key(name);
-        if full || name.len() > MOST_NAME || address.len() > MOST_NAME {
-            return Reply::Full;
+    fn set_voter_address(&mut self, name: &str, address: &str) -> Reply {
+        let full =
+            self.voter_addresses.len() >= MAX_VOTER_ADDRESSES && !self.voter_addresses.contains_key(name);
+        if full || name.len() > MAX_NAME_BYTES || address.len() > MAX_NAME_BYTES {
+            return Reply::LimitExceeded;
         }
-        self.places.insert(name.to_owned(), address.to_owned());
+        self.voter_addresses.insert(name.to_owned(), address.to_owned());
         Reply::Done
     }
 
-    fn open(&mut self, session: SessionId, of: &Session, seen: &[(String, u64)]) -> Reply {
-        let long = [&of.name, &of.zone, &of.version].iter().any(|text| text.len() > MOST_NAME);
+    fn open_session(&mut self, session: SessionId, info: &Session, seen_fences: &[(String, u64)]) -> Reply {
+        let too_long = [&info.name, &info.zone, &info.version].iter().any(|text| text.len() > MAX_NAME_BYTES);
         let new = !self.sessions.contains_key(&session);
-        if long || (new && self.sessions.len() >= MOST_SESSIONS) {
-            return Reply::Full;
+        if too_long || (new && self.sessions.len() >= MAX_SESSIONS) {
+            return Reply::LimitExceeded;
         }
-        self.sessions.insert(session, of.clone());
+        self.sessions.insert(session, info.clone());
         // Who is back has no turn any more.
-        if self.turns.get(&of.name).is_some_and(|asked_by| *asked_by != session) {
-            self.turns.remove(&of.name);
+        if self.absences.get(&info.name).is_some_and(|requester| *requester != session) {
+            self.absences.remove(&info.name);
             self.revision += 1;
         }
         // A group that lost its state goes on above what its members remember. Whoever holds a duty lower goes on
         // holding it, higher: it may still be acting, so nobody else can have it.
-        for (duty, fence) in seen {
-            let full = self.duties.len() >= MOST_DUTIES && !self.duties.contains_key(duty);
-            if full || duty.len() > MOST_NAME {
+        for (duty, fence) in seen_fences {
+            let full = self.duties.len() >= MAX_DUTIES && !self.duties.contains_key(duty);
+            if full || duty.len() > MAX_NAME_BYTES {
                 continue;
             }
             let known = self.duties.entry(duty.clone()).or_default();
@@ -232,7 +239,7 @@
         Reply::Done
     }
 
-    fn end(&mut self, session: SessionId) -> Reply {
+    fn end_session(&mut self, session: SessionId) -> Reply {
         if self.sessions.remove(&session).is_none() {
             return Reply::NoSession;
         }
@@ -243,12 +250,13 @@
         Reply::Done
     }
 
-    fn claim(&mut self, session: SessionId, name: &str) -> Reply {
+    fn claim_duty(&mut self, session: SessionId, name: &str) -> Reply {
         if !self.sessions.contains_key(&session) {
             return Reply::NoSession;
         }
-        if name.len() > MOST_NAME || (self.duties.len() >= MOST_DUTIES && !self.duties.contains_key(name)) {
-            return Reply::Full;
+        if name.len() > MAX_NAME_BYTES || (self.duties.len() >= MAX_DUTIES && !self.duties.contains_key(name))
+        {
+            return Reply::LimitExceeded;
         }
         let duty = self.duties.entry(name.to_owned()).or_default();
         match duty.holder {
@@ -264,8 +272,8 @@
         }
     }
 
-    fn give(&mut self, session: SessionId, name: &str, fence: u64, to: Option<&str>) -> Reply {
-        let to = to.map(|to| self.sessions.iter().find(|(id, of)| of.name == to && **id != session));
+    fn release_duty(&mut self, session: SessionId, name: &str, fence: u64, to: Option<&str>) -> Reply {
+        let to = to.map(|to| self.sessions.iter().find(|(id, info)| info.name == to && **id != session));
         if to == Some(None) {
             return Reply::NoSession;
         }
@@ -280,14 +288,14 @@
         Reply::Done
     }
 
-    fn write(&mut self, session: SessionId, name: &str, fence: u64, key: &str, value: &[u8]) -> Reply {
+    fn write_record(&mut self, session: SessionId, name: &str, fence: u64, key: &str, value: &[u8]) -> Reply {
         let duty = self.duties.get(name).cloned().unwrap_or_default();
         if duty.holder != Some(session) || duty.fence != fence {
             return Reply::NotHeld { holder: duty.holder, fence: duty.fence };
         }
-        let full = self.records.len() >= MOST_RECORDS && !self.records.contains_key(key);
-        if full || value.len() > MOST_VALUE || key.len() > MOST_NAME {
-            return Reply::Full;
+        let full = self.records.len() >= MAX_RECORDS && !self.records.contains_key(key);
+        if full || value.len() > MAX_VALUE_BYTES || key.len() > MAX_NAME_BYTES {
+            return Reply::LimitExceeded;
         }
         let record = Record { duty: name.to_owned(), fence, value: value.to_vec() };
         self.records.insert(key.to_owned(), record);
@@ -295,16 +303,16 @@
         Reply::Done
     }
 
-    fn leave(&mut self, session: SessionId, most: u32) -> Reply {
-        let Some(of) = self.sessions.get(&session) else { return Reply::NoSession };
-        let away = self.turns.len() as u32;
-        if self.turns.contains_key(&of.name) {
+    fn request_absence(&mut self, session: SessionId, max_absent: u32) -> Reply {
+        let Some(info) = self.sessions.get(&session) else { return Reply::NoSession };
+        let absent = self.absences.len() as u32;
+        if self.absences.contains_key(&info.name) {
             return Reply::Done;
         }
-        if away >= most {
-            return Reply::Later(away);
+        if absent >= max_absent {
+            return Reply::AbsenceLimitReached(absent);
         }
-        self.turns.insert(of.name.clone(), session);
+        self.absences.insert(info.name.clone(), session);
         self.revision += 1;
         Reply::Done
     }
--- a/group/src/store.rs
+++ b/group/src/store.rs
@@ -5,14 +5,14 @@
 //! in one line, and the voter begins anew under a number never used before. So it cannot vote twice in a term that it
 //! has forgotten: the old number's vote is counted for nobody.
 
-use crate::machine::{Command, Reply, State};
+use crate::state_machine::{Command, Reply, State};
 use raft::{Entry, Payload, PersistentState, Snapshot, VoterId};
 use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
 
 /// The number that a voter's votes are counted under.
-pub type NodeId = u64;
+pub type Incarnation = u64;
 
 const FILE: &str = "group.redb";
 /// How many files that were set aside are kept.
@@ -20,44 +20,44 @@
 
 /// A voter as the log names it. Its address there is no way to it but what stays the same: the group's name and its own.
 /// So a voter that comes back with an empty disk takes its own place, and a file tells whose it is.
-pub fn voter(group: &str, name: &str, number: NodeId) -> VoterId {
+pub fn voter_id(group: &str, name: &str, number: Incarnation) -> VoterId {
     VoterId { address: format!("{group} {name}"), incarnation: number }
 }
 
 /// The group's and the process's name.
-fn names(voter: &VoterId) -> (&str, &str) {
+fn group_and_name(voter: &VoterId) -> (&str, &str) {
     voter.address.split_once(' ').unwrap_or(("", &voter.address))
 }
 
 /// The process's name of a voter.
-pub fn name(voter: &VoterId) -> &str {
-    names(voter).1
+pub fn voter_name(voter: &VoterId) -> &str {
+    group_and_name(voter).1
 }
 
 /// What is wrong with a file.
 #[derive(Debug)]
 pub enum StoreError {
     /// The folder, or what is beside the file.
-    Folder(io::Error),
+    Io(io::Error),
     /// The log's own word.
-    Log(raft::store::StoreError),
+    Raft(raft::store::StoreError),
     /// The state that the log keeps cannot be read.
-    State,
+    UnreadableState,
     /// Another process has it.
     Busy,
     /// It is of another group or process.
-    Foreign(VoterId),
+    WrongOwner(VoterId),
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Folder(error) => write!(f, "{error}"),
-            Self::Log(error) => write!(f, "{error}"),
-            Self::State => f.write_str("its state cannot be read"),
+            Self::Io(error) => write!(f, "{error}"),
+            Self::Raft(error) => write!(f, "{error}"),
+            Self::UnreadableState => f.write_str("its state cannot be read"),
             Self::Busy => f.write_str("another process has it open"),
-            Self::Foreign(of) => {
-                let (group, name) = names(of);
+            Self::WrongOwner(of) => {
+                let (group, name) = group_and_name(of);
                 write!(f, "it is of {name} in group {group}")
             }
         }
@@ -67,8 +67,8 @@
 impl std::error::Error for StoreError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
-            Self::Folder(error) => Some(error),
-            Self::Log(error) => Some(error),
+            Self::Io(error) => Some(error),
+            Self::Raft(error) => Some(error),
             _ => None,
         }
     }
@@ -76,7 +76,7 @@
 
 impl From<io::Error> for StoreError {
     fn from(error: io::Error) -> Self {
-        Self::Folder(error)
+        Self::Io(error)
     }
 }
 
@@ -88,7 +88,7 @@
             {
                 Self::Busy
             }
-            error => Self::Log(error),
+            error => Self::Raft(error),
         }
     }
 }
@@ -111,34 +111,34 @@
     ///
     /// # Errors
     /// When the snapshot's state cannot be read.
-    pub fn of(saved: &PersistentState) -> Result<Self, StoreError> {
+    pub fn from_saved(saved: &PersistentState) -> Result<Self, StoreError> {
         saved.snapshot.as_ref().map_or_else(
             || Ok(Self { voters: saved.founders.clone(), ..Self::default() }),
-            |snapshot| Self::restored(snapshot).ok_or(StoreError::State),
+            |snapshot| Self::from_snapshot(snapshot).ok_or(StoreError::UnreadableState),
         )
     }
 
     /// A snapshot's; none if its state cannot be read.
-    pub fn restored(snapshot: &Snapshot) -> Option<Self> {
+    pub fn from_snapshot(snapshot: &Snapshot) -> Option<Self> {
         let state = postcard::from_bytes(&snapshot.state).ok()?;
         let voters = snapshot.members.clone();
         Some(Self { state, voters, index: snapshot.index, term: snapshot.term })
     }
 
     /// As a snapshot; none if the state cannot be written.
-    pub fn snapshot(&self) -> Option<Snapshot> {
+    pub fn to_snapshot(&self) -> Option<Snapshot> {
         let state = postcard::to_stdvec(&self.state).ok()?;
         Some(Snapshot { index: self.index, term: self.term, members: self.voters.clone(), state })
     }
 
     /// Takes the next entry.
-    pub fn take(&mut self, entry: &Entry) -> Reply {
+    pub fn apply(&mut self, entry: &Entry) -> Reply {
         (self.index, self.term) = (entry.index, entry.term);
         match &entry.payload {
             Payload::Noop => Reply::Done,
             Payload::Members(voters) => {
                 self.voters = voters.clone();
-                self.state.voters(&voters.iter().map(name).collect::<Vec<_>>());
+                self.state.set_voters(&voters.iter().map(voter_name).collect::<Vec<_>>());
                 Reply::Done
             }
             // One that cannot be read is void, and so at every voter.
@@ -186,7 +186,7 @@
             }
         }
         let (disk, _) = raft::store::Store::open(&path)?;
-        let saved = disk.create(voter(group, name, drawn()), Vec::new())?;
+        let saved = disk.create(voter_id(group, name, drawn()), Vec::new())?;
         sync_name(folder)?;
         Ok(Self { disk, saved, applied: Applied::default() })
     }
@@ -195,16 +195,16 @@
     fn read(path: &Path, name: &str, group: &str) -> Result<Option<Self>, StoreError> {
         let (disk, saved) = raft::store::Store::open(path)?;
         let Some(saved) = saved else { return Ok(None) };
-        if names(&saved.me) != (group, name) {
-            return Err(StoreError::Foreign(saved.me));
+        if group_and_name(&saved.me) != (group, name) {
+            return Err(StoreError::WrongOwner(saved.me));
         }
-        let applied = Applied::of(&saved)?;
+        let applied = Applied::from_saved(&saved)?;
         Ok(Some(Self { disk, saved, applied }))
     }
 }
 
 /// A number for a voter without a past. Numbers of 53 bits stay whole in whatever shows them.
-fn drawn() -> NodeId {
+fn drawn() -> Incarnation {
     (rand::random::<u64>() >> 11).max(1)
 }
 
@@ -219,17 +219,17 @@
     /// The disk cannot be used, or is in use.
     Store(StoreError),
     /// It holds nothing of a group.
-    Empty,
+    NoGroupState,
     /// The names given are not those of all other voters, which are these.
-    Names(Vec<String>),
+    VoterNamesMismatch(Vec<String>),
 }
 
 impl fmt::Display for RescueError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Store(error) => write!(f, "{error}"),
-            Self::Empty => f.write_str("this disk holds nothing of a group"),
-            Self::Names(names) => {
+            Self::NoGroupState => f.write_str("this disk holds nothing of a group"),
+            Self::VoterNamesMismatch(names) => {
                 write!(f, "the other voters are {}: name all of them, if all are lost", names.join(", "))
             }
         }
@@ -257,31 +257,33 @@
 ///
 /// # Errors
 /// When the disk cannot be used or the names are not those of the other voters; nothing has been changed then.
-pub fn rescue(folder: &Path, name_here: &str, group: &str, lost: &[String]) -> Result<NodeId, RescueError> {
+pub fn rescue(
+    folder: &Path, name_here: &str, group: &str, lost: &[String],
+) -> Result<Incarnation, RescueError> {
     let path = folder.join(FILE);
     if !path.exists() {
-        return Err(RescueError::Empty);
+        return Err(RescueError::NoGroupState);
     }
     let Store { disk, saved, mut applied } =
-        Store::read(&path, name_here, group)?.ok_or(RescueError::Empty)?;
+        Store::read(&path, name_here, group)?.ok_or(RescueError::NoGroupState)?;
     for entry in &saved.entries {
-        applied.take(entry);
+        applied.apply(entry);
     }
     if !applied.voters.contains(&saved.me) {
-        return Err(RescueError::Empty);
+        return Err(RescueError::NoGroupState);
     }
     let others = applied.voters.iter().filter(|voter| **voter != saved.me);
-    let mut others: Vec<String> = others.map(|voter| name(voter).to_owned()).collect();
+    let mut others: Vec<String> = others.map(|voter| voter_name(voter).to_owned()).collect();
     let mut named = lost.to_vec();
     others.sort();
     named.sort();
     if others != named {
-        return Err(RescueError::Names(others));
+        return Err(RescueError::VoterNamesMismatch(others));
     }
-    let me = voter(group, name_here, drawn());
+    let me = voter_id(group, name_here, drawn());
     applied.voters = vec![me.clone()];
-    applied.state.voters(&[name_here]);
-    let snapshot = applied.snapshot().ok_or(StoreError::State)?;
+    applied.state.set_voters(&[name_here]);
+    let snapshot = applied.to_snapshot().ok_or(StoreError::UnreadableState)?;
     // The old file goes once the new one is whole: a full disk changes nothing.
     let new = path.with_extension("rescued");
     if new.exists() {
--- a/group/src/voter.rs
+++ b/group/src/voter.rs
@@ -4,16 +4,20 @@
 mod decide;
 mod driver;
 mod mail;
-mod words;
+mod messages;
 
 use crate::clock::{Clock, Moment};
-use crate::lease::Deadlines;
-use crate::machine::SessionId;
-use crate::store::{Applied, NodeId, Store, name, voter};
-use crate::wire::{Answered, Answers, CallError, Kind, Way, read, written};
+use crate::lease::SessionDeadlines;
+use crate::state_machine::SessionId;
+use crate::store::{Applied, Incarnation, Store, voter_id, voter_name};
+use crate::wire::{CallError, CallHandler, CallKind, ResponseFuture, VoterClient, decode, encode};
 use bytes::Bytes;
 use driver::{Core, Office};
 use hyper::StatusCode;
+use messages::Passed;
+pub use messages::{
+    GroupRequest, GroupResponse, Timeouts, View, VoterEndpoint, VoterError, VoterInfo, WatchRequest,
+};
 use raft::{Input, Millis, VoterId, Writer};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -21,18 +25,16 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 use tokio::time::{sleep, timeout};
-use words::Passed;
-pub use words::{Answer, Ask, Node, Times, View, VoterError, Watching, Who};
 
 /// The longest wait of a watch.
 const LONGEST_WATCH: Duration = Duration::from_secs(20);
 
 /// A voter.
 pub struct Voter {
-    id: NodeId,
-    me: Node,
+    id: Incarnation,
+    me: VoterEndpoint,
     group: Rc<str>,
-    times: Times,
+    times: Timeouts,
     clock: Clock,
     tell: Box<dyn Fn(String)>,
     core: RefCell<Core>,
@@ -46,11 +48,11 @@
     own: BTreeMap<String, String>,
     /// Where those were that were heard of last: for who is not in the settings, before the group has told.
     heard: RefCell<BTreeMap<String, String>>,
-    ways: RefCell<HashMap<String, Rc<Way>>>,
+    ways: RefCell<HashMap<String, Rc<VoterClient>>>,
     /// Messages that wait, for each voter that a task is carrying them to.
     mail: RefCell<HashMap<VoterId, VecDeque<Vec<u8>>>>,
-    deadlines: RefCell<Deadlines>,
-    turns: RefCell<BTreeMap<String, Moment>>,
+    deadlines: RefCell<SessionDeadlines>,
+    absences: RefCell<BTreeMap<String, Moment>>,
     /// Notes by duty, while this voter leads.
     notes: RefCell<BTreeMap<String, VecDeque<Vec<u8>>>>,
 }
@@ -62,7 +64,7 @@
     /// # Errors
     /// When it cannot go on from what the store holds.
     pub fn start(
-        store: Store, me: Node, group: &str, times: Times, clock: Clock, known: &[Node],
+        store: Store, me: VoterEndpoint, group: &str, times: Timeouts, clock: Clock, known: &[VoterEndpoint],
         tell: impl Fn(String) + 'static,
     ) -> Result<Rc<Self>, VoterError> {
         let Store { disk, saved, applied } = store;
@@ -96,8 +98,8 @@
             heard: RefCell::default(),
             ways: RefCell::default(),
             mail: RefCell::default(),
-            deadlines: RefCell::new(Deadlines::new(times.life)),
-            turns: RefCell::default(),
+            deadlines: RefCell::new(SessionDeadlines::new(times.session_ttl)),
+            absences: RefCell::default(),
             notes: RefCell::default(),
         });
         voter.write_to(disk)?;
@@ -107,7 +109,7 @@
     }
 
     /// Its number.
-    pub fn number(&self) -> NodeId {
+    pub fn incarnation(&self) -> Incarnation {
         self.id
     }
 
@@ -120,8 +122,8 @@
     pub fn view(&self) -> View {
         let core = self.core.borrow();
         let silent = core.writer.is_none();
-        let leader = core.node.leader().filter(|_| !silent).map(|leader| name(leader).to_owned());
-        let mut voters: Vec<String> = core.applied.voters.iter().map(|v| name(v).to_owned()).collect();
+        let leader = core.node.leader().filter(|_| !silent).map(|leader| voter_name(leader).to_owned());
+        let mut voters: Vec<String> = core.applied.voters.iter().map(|v| voter_name(v).to_owned()).collect();
         voters.sort();
         let state = &core.applied.state;
         let holder = |id: SessionId| Some((id, state.sessions.get(&id)?.name.clone()));
@@ -137,7 +139,7 @@
             records: records
                 .map(|(key, r)| (key.clone(), (r.duty.clone(), r.fence, r.value.clone())))
                 .collect(),
-            away: state.turns.keys().cloned().collect(),
+            absent: state.absences.keys().cloned().collect(),
         }
     }
 
@@ -148,15 +150,15 @@
 
     /// Forms the group if it is this voter's part and nobody belongs to one yet; else waits to be taken in. `tell`
     /// hears once what it waits for.
-    pub async fn join(self: Rc<Self>, voters: &[Node]) {
+    pub async fn join(self: Rc<Self>, voters: &[VoterEndpoint]) {
         let (mut told, mut formed_at) = (false, None);
         while self.is_new() && !self.is_silent() {
             let mut all = vec![(self.id, self.me.clone())];
             let mut formed = None;
             for node in voters.iter().filter(|node| node.name != self.me.name) {
                 let Some(way) = self.way(&node.name) else { continue };
-                match way.call::<_, Who>(Kind::Who, 0, &(), self.times.election.0).await {
-                    Ok(who) if who.new => all.push((who.id, node.clone())),
+                match way.call::<_, VoterInfo>(CallKind::Info, 0, &(), self.times.election.0).await {
+                    Ok(who) if who.is_new => all.push((who.incarnation, node.clone())),
                     Ok(who) => formed = Some(who.name),
                     Err(_) => {}
                 }
@@ -166,7 +168,7 @@
                 // The group lives; this voter's part of it was lost, or it never was a voter. Or the group has just been
                 // formed with it: then it hears of that from the first leader, well within a life.
                 let since = *formed_at.get_or_insert_with(|| self.clock.now());
-                let long = self.clock.now().saturating_sub(since) >= self.times.life;
+                let long = self.clock.now().saturating_sub(since) >= self.times.session_ttl;
                 if long && !std::mem::replace(&mut told, true) {
                     (self.tell)(format!(
                         "group {}: {} has no vote: {by} is in the group already. GROUP ADD {} {} takes it in",
@@ -184,14 +186,14 @@
     }
 
     /// Begins the group's log: its first entry is who the voters are. They hear of it from their first leader.
-    fn form(self: &Rc<Self>, all: &[(NodeId, Node)]) -> Result<(), VoterError> {
+    fn form(self: &Rc<Self>, all: &[(Incarnation, VoterEndpoint)]) -> Result<(), VoterError> {
         let disk = {
             let mut core = self.core.borrow_mut();
-            let voters = all.iter().map(|(id, node)| voter(&self.group, &node.name, *id)).collect();
+            let voters = all.iter().map(|(id, node)| voter_id(&self.group, &node.name, *id)).collect();
             let mut applied = Applied { voters, index: 1, term: 1, ..Applied::default() };
             let places = all.iter().map(|(_, node)| (node.name.clone(), node.address.clone()));
-            applied.state.places = places.collect();
-            let snapshot = applied.snapshot().ok_or(VoterError::State)?;
+            applied.state.voter_addresses = places.collect();
+            let snapshot = applied.to_snapshot().ok_or(VoterError::State)?;
             let disk = core.writer.take().and_then(Writer::stop).ok_or(VoterError::State)?;
             let term = core.node.term().max(1);
             let begun = disk.create_from_snapshot(core.node.me().clone(), term, snapshot);
@@ -210,10 +212,10 @@
         Ok(())
     }
 
-    async fn watched(&self, watching: Watching) -> View {
+    async fn watched(&self, watching: WatchRequest) -> View {
         let mut changed = self.changed.subscribe();
         let news = async {
-            while self.core.borrow().applied.state.revision <= watching.after {
+            while self.core.borrow().applied.state.revision <= watching.known_revision {
                 if changed.changed().await.is_err() {
                     return;
                 }
@@ -224,7 +226,7 @@
     }
 }
 
-impl Answers for Voter {
+impl CallHandler for Voter {
     fn group(&self) -> &str {
         &self.group
     }
@@ -233,23 +235,27 @@
         self.id
     }
 
-    fn answer(self: Rc<Self>, kind: Kind, body: Bytes) -> Answered {
+    fn handle(self: Rc<Self>, kind: CallKind, body: Bytes) -> ResponseFuture {
         Box::pin(async move {
             match kind {
-                Kind::Log => {
-                    self.take_in(read(&body)?)?;
-                    written(&())
+                CallKind::Raft => {
+                    self.take_in(decode(&body)?)?;
+                    encode(&())
                 }
-                Kind::Ask => {
-                    let Passed(ask, passed) = read(&body)?;
-                    written(&self.ask(ask, passed).await)
+                CallKind::Request => {
+                    let Passed(ask, passed) = decode(&body)?;
+                    encode(&self.handle_request(ask, passed).await)
                 }
-                Kind::Watch => written(&self.watched(read(&body)?).await),
-                Kind::Who => {
+                CallKind::Watch => encode(&self.watched(decode(&body)?).await),
+                CallKind::Info => {
                     if self.is_silent() {
                         return Err(StatusCode::SERVICE_UNAVAILABLE);
                     }
-                    written(&Who { id: self.id, name: self.me.name.clone(), new: self.is_new() })
+                    encode(&VoterInfo {
+                        incarnation: self.id,
+                        name: self.me.name.clone(),
+                        is_new: self.is_new(),
+                    })
                 }
             }
         })
@@ -265,6 +271,8 @@
 ///
 /// # Errors
 /// When the voter gives no usable answer in time.
-pub async fn ask(way: &Way, ask: Ask, within: Duration) -> Result<Answer, CallError> {
-    way.call(Kind::Ask, 0, &Passed(ask, false), within).await
+pub async fn send_request(
+    client: &VoterClient, request: GroupRequest, time_limit: Duration,
+) -> Result<GroupResponse, CallError> {
+    client.call(CallKind::Request, 0, &Passed(request, false), time_limit).await
 }
--- a/group/src/voter/driver.rs
+++ b/group/src/voter/driver.rs
@@ -1,8 +1,8 @@
 //! The log on a voter: what happened goes in, and what it says is done.
 
-use super::words::VoterError;
+use super::messages::VoterError;
 use super::{Voter, millis};
-use crate::machine::{Command, Reply};
+use crate::state_machine::{Command, Reply};
 use crate::store::{Applied, StoreError};
 use raft::{Entry, Input, Output, Snapshot, Writer, WriterEvent};
 use std::collections::HashMap;
@@ -35,7 +35,7 @@
 
 impl Core {
     fn committed(&mut self, entry: &Entry) {
-        let reply = self.applied.take(entry);
+        let reply = self.applied.apply(entry);
         if let Some((term, token)) = self.accepted.remove(&entry.index)
             && let Some(asker) = self.asked.remove(&token)
             && term == entry.term
@@ -50,7 +50,7 @@
             return None;
         }
         self.snapshot_at = self.applied.index;
-        let Snapshot { index, state, .. } = self.applied.snapshot()?;
+        let Snapshot { index, state, .. } = self.applied.to_snapshot()?;
         Some(Input::Compact { index, state })
     }
 }
@@ -128,9 +128,9 @@
                     }
                     Output::Install { snapshot } => {
                         // A state that cannot be read is of another version of this program, which goes on leading.
-                        let Some(applied) = Applied::restored(&snapshot) else {
+                        let Some(applied) = Applied::from_snapshot(&snapshot) else {
                             drop(core);
-                            return self.fall_silent(&StoreError::State);
+                            return self.fall_silent(&StoreError::UnreadableState);
                         };
                         core.snapshot_at = applied.index;
                         core.applied = applied;
@@ -194,7 +194,7 @@
         let change = postcard::to_stdvec(command).ok()?;
         let (asker, answer) = oneshot::channel();
         if change.len() > LONGEST_ENTRY {
-            let _ = asker.send(Reply::Full);
+            let _ = asker.send(Reply::LimitExceeded);
             return Some(answer);
         }
         let token = {
--- a/group/src/voter/mail.rs
+++ b/group/src/voter/mail.rs
@@ -1,8 +1,8 @@
 //! The ways to other voters, and the log's messages on them.
 
 use super::Voter;
-use crate::store::{NodeId, name, voter};
-use crate::wire::{Kind, Way};
+use crate::store::{Incarnation, voter_id, voter_name};
+use crate::wire::{CallKind, VoterClient};
 use hyper::StatusCode;
 use raft::{Input, Message, VoterId};
 use serde::{Deserialize, Serialize};
@@ -22,7 +22,7 @@
 #[derive(Serialize, Deserialize)]
 pub(super) struct Mail {
     /// The sender, as the log names it.
-    from: (String, NodeId),
+    from: (String, Incarnation),
     /// Where it listens: one that was just taken in knows it from nowhere else.
     at: String,
     /// The messages in the log's own form.
@@ -30,18 +30,18 @@
 }
 
 impl Voter {
-    pub(super) fn way(&self, name: &str) -> Option<Rc<Way>> {
+    pub(super) fn way(&self, name: &str) -> Option<Rc<VoterClient>> {
         let address = self.own.get(name).cloned();
-        let address = address.or_else(|| self.core.borrow().applied.state.places.get(name).cloned());
+        let address = address.or_else(|| self.core.borrow().applied.state.voter_addresses.get(name).cloned());
         self.way_to(&address.or_else(|| self.heard.borrow().get(name).cloned())?)
     }
 
-    pub(super) fn way_to(&self, address: &str) -> Option<Rc<Way>> {
+    pub(super) fn way_to(&self, address: &str) -> Option<Rc<VoterClient>> {
         let mut ways = self.ways.borrow_mut();
         if let Some(way) = ways.get(address) {
             return Some(way.clone());
         }
-        let way = Rc::new(Way::new(address.parse::<SocketAddr>().ok()?, self.group.clone()));
+        let way = Rc::new(VoterClient::new(address.parse::<SocketAddr>().ok()?, self.group.clone()));
         ways.insert(address.to_owned(), way.clone());
         Some(way)
     }
@@ -57,7 +57,7 @@
     /// Where others find this voter.
     fn place(&self) -> String {
         let own = self.own.get(&self.me.name).cloned();
-        let agreed = || self.core.borrow().applied.state.places.get(&self.me.name).cloned();
+        let agreed = || self.core.borrow().applied.state.voter_addresses.get(&self.me.name).cloned();
         own.or_else(agreed).unwrap_or_else(|| self.me.address.clone())
     }
 
@@ -98,18 +98,18 @@
                 messages
             };
             let long = messages.iter().map(Vec::len).sum::<usize>() > LONG_MAIL;
-            let from = (voter(&self.group, &self.me.name, self.id).address, self.id);
+            let from = (voter_id(&self.group, &self.me.name, self.id).address, self.id);
             let mail = Mail { from, at: self.place(), messages };
-            let carried = match self.way(name(&to)) {
+            let carried = match self.way(voter_name(&to)) {
                 Some(way) => {
                     // Whatever gets no answer by then is lost; the next call goes by another connection.
-                    let within = if long { self.times.life } else { election / 2 };
-                    way.call::<_, ()>(Kind::Log, to.incarnation, &mail, within).await.is_ok()
+                    let within = if long { self.times.session_ttl } else { election / 2 };
+                    way.call::<_, ()>(CallKind::Raft, to.incarnation, &mail, within).await.is_ok()
                 }
                 None => false,
             };
             if !carried {
-                sleep(self.times.beat).await;
+                sleep(self.times.heartbeat_interval).await;
             }
         }
     }
@@ -119,7 +119,7 @@
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         }
         let from = VoterId { address: mail.from.0, incarnation: mail.from.1 };
-        self.hear_of(name(&from), mail.at);
+        self.hear_of(voter_name(&from), mail.at);
         for bytes in mail.messages {
             let message = bitcode::decode(&bytes).map_err(|_| StatusCode::BAD_REQUEST)?;
             self.feed(Input::Received { from: from.clone(), message });
--- a/group/src/voter/words.rs
+++ b/group/src/voter/messages.rs
@@ -1,8 +1,8 @@
 //! What a voter, its group and its members say to one another.
 
-use crate::lease::drift;
-use crate::machine::{Command, Reply, SessionId};
-use crate::store::{NodeId, StoreError};
+use crate::lease::drift_allowance;
+use crate::state_machine::{Command, Reply, SessionId};
+use crate::store::{Incarnation, StoreError};
 use raft::{Millis, Timing};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 
 /// A voter as the others know it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Node {
+pub struct VoterEndpoint {
     /// The process's name.
     pub name: String,
     /// Where it listens.
@@ -21,13 +21,13 @@
 
 /// A question to the group.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Ask {
+pub enum GroupRequest {
     /// An entry for the log.
-    Do(Command),
+    Propose(Command),
     /// A session goes on.
-    Renew(SessionId),
+    RenewSession(SessionId),
     /// A note for whoever has a duty. It is kept by the leader alone, for a while, and may be lost.
-    Report {
+    SendNote {
         /// Who says it.
         session: SessionId,
         /// For which duty's holder.
@@ -36,7 +36,7 @@
         note: Vec<u8>,
     },
     /// The notes for a duty, to its holder.
-    Collect {
+    CollectNotes {
         /// Who has the duty.
         session: SessionId,
         /// The duty.
@@ -45,32 +45,32 @@
         fence: u64,
     },
     /// A voter is taken in: its name and address. One of that name that is a voter already goes.
-    Add(Node),
+    AddVoter(VoterEndpoint),
     /// A voter is let go.
-    Remove(String),
+    RemoveVoter(String),
 }
 
 /// A question as it travels: whether it was passed on by a voter already.
 #[derive(Serialize, Deserialize)]
-pub(super) struct Passed(pub(super) Ask, pub(super) bool);
+pub(super) struct Passed(pub(super) GroupRequest, pub(super) bool);
 
 /// What the group says to a question.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum GroupResponse {
     /// What came of an entry.
     Reply(Reply),
     /// The session goes on.
     Renewed,
     /// The session has ended.
-    Gone,
+    SessionEnded,
     /// It was done.
     Done,
     /// Notes, the oldest first.
     Notes(Vec<Vec<u8>>),
     /// There is no leader, or no majority, within reach: it may have been done or not.
-    Nobody,
+    Unavailable,
     /// It cannot be done.
-    No(String),
+    Refused(String),
 }
 
 /// What members are told of the group.
@@ -91,52 +91,56 @@
     /// Records by name: the duty, the fence, the value.
     pub records: BTreeMap<String, (String, u64, Vec<u8>)>,
     /// The names of those away by leave.
-    pub away: Vec<String>,
+    pub absent: Vec<String>,
 }
 
 /// Waiting for a view newer than this, for so many ms.
 #[derive(Serialize, Deserialize)]
-pub struct Watching {
+pub struct WatchRequest {
     /// The revision that is known.
-    pub after: u64,
+    pub known_revision: u64,
     /// How long to wait.
     pub wait_ms: u64,
 }
 
 /// Who a voter is, as it answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Who {
+pub struct VoterInfo {
     /// Its number.
-    pub id: NodeId,
+    pub incarnation: Incarnation,
     /// Its name.
     pub name: String,
     /// Whether it belongs to no group yet.
-    pub new: bool,
+    pub is_new: bool,
 }
 
 /// The times of a group. All of its processes hold the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Times {
+pub struct Timeouts {
     /// The life of a session.
-    pub life: Duration,
+    pub session_ttl: Duration,
     /// Between two words of the leader to the other voters.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// A voter that has not heard of a leader for a time drawn between these stands for election.
     pub election: (Duration, Duration),
 }
 
-impl Times {
+impl Timeouts {
     /// The usual ones for a life: an election is over well before a session is.
-    pub fn of_life(life: Duration) -> Self {
-        Self { life, beat: life / 30, election: (life / 6, life / 3) }
+    pub fn from_session_ttl(session_ttl: Duration) -> Self {
+        Self {
+            session_ttl,
+            heartbeat_interval: session_ttl / 30,
+            election: (session_ttl / 6, session_ttl / 3),
+        }
     }
 
     /// The log's: a vote binds for `election` at the least, and a lease ends well before, also by a clock that runs
     /// apart.
     pub(super) fn timing(&self) -> Timing {
         let ms = |time: Duration| (time.as_millis() as Millis).max(1);
-        let lease = self.election.0.saturating_sub(drift(self.election.0) * 2);
-        Timing { heartbeat: ms(self.beat), election: ms(self.election.0), lease: ms(lease) }
+        let lease = self.election.0.saturating_sub(drift_allowance(self.election.0) * 2);
+        Timing { heartbeat: ms(self.heartbeat_interval), election: ms(self.election.0), lease: ms(lease) }
     }
 }
 
--- a/group/src/wire.rs
+++ b/group/src/wire.rs
@@ -24,40 +24,44 @@
 use tokio::time::timeout;
 
 /// The form of the calls.
-const FORM: &str = "2";
+const PROTOCOL_VERSION: &str = "2";
 const HEADERS: [&str; 3] = ["group-form", "group-name", "group-target"];
 /// The longest body.
-const LONGEST: usize = 4 << 20;
+const MAX_BODY_BYTES: usize = 4 << 20;
 /// Connections held at once: every member's two, and the other voters'.
-const CONNECTIONS: usize = 1024;
+const MAX_CONNECTIONS: usize = 1024;
 /// A connection without a request for this long is closed.
-const IDLE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Free connections kept to one address.
-const KEPT: usize = 4;
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
 /// What a call is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum CallKind {
     /// Messages of the log, of one voter to another. They are answered by others, not by this call.
-    Log,
+    Raft,
     /// A member's question, or another voter's on its behalf.
-    Ask,
+    Request,
     /// Waiting for news.
     Watch,
     /// Who a voter is.
-    Who,
+    Info,
 }
 
-const PATHS: [(Kind, &str); 4] =
-    [(Kind::Log, "/log"), (Kind::Ask, "/ask"), (Kind::Watch, "/watch"), (Kind::Who, "/who")];
+const PATHS: [(CallKind, &str); 4] = [
+    (CallKind::Raft, "/log"),
+    (CallKind::Request, "/ask"),
+    (CallKind::Watch, "/watch"),
+    (CallKind::Info, "/who"),
+];
 
 /// A call without a usable answer.
 #[derive(Debug)]
 pub enum CallError {
     /// No connection, or it broke: the call may have arrived or not.
-    Broken(String),
+    Connection(String),
     /// No answer in time: it may have arrived or not.
-    Late,
+    TimedOut,
     /// It was refused.
     Refused(StatusCode),
     /// The answer cannot be read.
@@ -67,8 +71,8 @@
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Broken(what) => f.write_str(what),
-            Self::Late => f.write_str("no answer in time"),
+            Self::Connection(what) => f.write_str(what),
+            Self::TimedOut => f.write_str("no answer in time"),
             Self::Refused(status) => write!(f, "refused: {status}"),
             Self::Malformed => f.write_str("an answer that cannot be read"),
         }
@@ -78,13 +82,13 @@
 impl std::error::Error for CallError {}
 
 /// The way to one address.
-pub struct Way {
+pub struct VoterClient {
     address: SocketAddr,
     group: Rc<str>,
     free: RefCell<Vec<SendRequest<Full<Bytes>>>>,
 }
 
-impl Way {
+impl VoterClient {
     /// A way without a connection yet.
     pub fn new(address: SocketAddr, group: Rc<str>) -> Self {
         Self { address, group, free: RefCell::default() }
@@ -95,17 +99,17 @@
     /// # Errors
     /// When there is no usable answer in time.
     pub async fn call<Q: Serialize, A: DeserializeOwned>(
-        &self, kind: Kind, target: u64, question: &Q, within: Duration,
+        &self, kind: CallKind, target: u64, question: &Q, within: Duration,
     ) -> Result<A, CallError> {
         let body = postcard::to_stdvec(question).map_err(|_| CallError::Malformed)?;
         timeout(within, self.exchange(kind, target, body))
             .await
-            .unwrap_or(Err(CallError::Late))
+            .unwrap_or(Err(CallError::TimedOut))
             .and_then(|bytes| postcard::from_bytes(&bytes).map_err(|_| CallError::Malformed))
     }
 
-    async fn exchange(&self, kind: Kind, target: u64, body: Vec<u8>) -> Result<Bytes, CallError> {
-        let broken = |error: &dyn fmt::Display| CallError::Broken(error.to_string());
+    async fn exchange(&self, kind: CallKind, target: u64, body: Vec<u8>) -> Result<Bytes, CallError> {
+        let broken = |error: &dyn fmt::Display| CallError::Connection(error.to_string());
         let free = {
             let mut free = self.free.borrow_mut();
             free.retain(SendRequest::is_ready);
@@ -130,16 +134,17 @@
         let [form, name, to] = HEADERS;
         let request = Request::post(path)
             .header("Host", self.address.to_string())
-            .header(form, FORM)
+            .header(form, PROTOCOL_VERSION)
             .header(name, &*self.group)
             .header(to, target)
             .body(Full::new(Bytes::from(body)))
             .map_err(|e| broken(&e))?;
         let answer = connection.send_request(request).await.map_err(|e| broken(&e))?;
         let status = answer.status();
-        let body = Limited::new(answer.into_body(), LONGEST).collect().await.map_err(|e| broken(&e))?;
+        let body =
+            Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await.map_err(|e| broken(&e))?;
         let mut free = self.free.borrow_mut();
-        if free.len() < KEPT {
+        if free.len() < MAX_IDLE_CONNECTIONS {
             free.push(connection);
         }
         if status == StatusCode::OK { Ok(body.to_bytes()) } else { Err(CallError::Refused(status)) }
@@ -147,23 +152,23 @@
 }
 
 /// What a call is answered: bytes, or a status.
-pub type Answered = Pin<Box<dyn Future<Output = Result<Vec<u8>, StatusCode>>>>;
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Result<Vec<u8>, StatusCode>>>>;
 
 /// Who answers calls.
-pub trait Answers: 'static {
+pub trait CallHandler: 'static {
     /// The group's name.
     fn group(&self) -> &str;
     /// The number of this voter.
     fn id(&self) -> u64;
     /// The answer to one call.
-    fn answer(self: Rc<Self>, kind: Kind, body: Bytes) -> Answered;
+    fn handle(self: Rc<Self>, kind: CallKind, body: Bytes) -> ResponseFuture;
 }
 
 /// Reads a question.
 ///
 /// # Errors
 /// A status that says so, when it cannot be read.
-pub fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, StatusCode> {
+pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, StatusCode> {
     postcard::from_bytes(body).map_err(|_| StatusCode::BAD_REQUEST)
 }
 
@@ -171,13 +176,13 @@
 ///
 /// # Errors
 /// A status that says so, when it cannot be written.
-pub fn written<T: Serialize>(value: &T) -> Result<Vec<u8>, StatusCode> {
+pub fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, StatusCode> {
     postcard::to_stdvec(value).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)
 }
 
 /// Answers calls at a listener, for ever.
-pub async fn serve(listener: TcpListener, by: Rc<impl Answers>) {
-    let free = Arc::new(Semaphore::new(CONNECTIONS));
+pub async fn serve(listener: TcpListener, by: Rc<impl CallHandler>) {
+    let free = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok(place) = free.clone().acquire_owned().await else { return };
         let Ok((stream, _)) = listener.accept().await else {
@@ -189,7 +194,7 @@
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request| one(by.clone(), request));
             let mut http = hyper::server::conn::http1::Builder::new();
-            http.timer(TokioTimer::new()).header_read_timeout(IDLE);
+            http.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT);
             // A connection that breaks is its caller's affair.
             let _ = http.serve_connection(TokioIo::new(stream), service).await;
             drop(place);
@@ -197,12 +202,14 @@
     }
 }
 
-async fn one(by: Rc<impl Answers>, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+async fn one(
+    by: Rc<impl CallHandler>, request: Request<Incoming>,
+) -> Result<Response<Full<Bytes>>, Infallible> {
     let answered = match admitted(&*by, &request) {
         Err(status) => Err(status),
-        Ok(kind) => match Limited::new(request.into_body(), LONGEST).collect().await {
+        Ok(kind) => match Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await {
             Err(_) => Err(StatusCode::PAYLOAD_TOO_LARGE),
-            Ok(body) => by.answer(kind, body.to_bytes()).await,
+            Ok(body) => by.handle(kind, body.to_bytes()).await,
         },
     };
     let mut response = Response::new(Full::default());
@@ -221,19 +228,19 @@
 }
 
 /// What a call is for, if it is one of this group's and meant for this voter.
-fn admitted(by: &impl Answers, request: &Request<Incoming>) -> Result<Kind, StatusCode> {
+fn admitted(by: &impl CallHandler, request: &Request<Incoming>) -> Result<CallKind, StatusCode> {
     let header = |at: usize| request.headers().get(HEADERS[at]).and_then(|value| value.to_str().ok());
     let kind = PATHS.iter().find(|(_, path)| *path == request.uri().path());
     let (kind, _) = kind.ok_or(StatusCode::NOT_FOUND)?;
     if request.method() != hyper::Method::POST {
         return Err(StatusCode::METHOD_NOT_ALLOWED);
     }
-    if header(0) != Some(FORM) || header(1) != Some(by.group()) {
+    if header(0) != Some(PROTOCOL_VERSION) || header(1) != Some(by.group()) {
         return Err(StatusCode::FORBIDDEN);
     }
     let target: u64 = header(2).and_then(|id| id.parse().ok()).ok_or(StatusCode::BAD_REQUEST)?;
     // A voter that lost its disk is not the one that was elected or that has the log.
-    if (*kind == Kind::Log || target != 0) && target != by.id() {
+    if (*kind == CallKind::Raft || target != 0) && target != by.id() {
         return Err(StatusCode::CONFLICT);
     }
     Ok(*kind)
--- a/group/tests/many.rs
+++ b/group/tests/many.rs
@@ -2,10 +2,10 @@
 //! cost a voter is bounded.
 
 use fennelscale_group::clock::Clock;
-use fennelscale_group::machine::Session;
-use fennelscale_group::member::{Held, Me, Member, Want};
+use fennelscale_group::member::{CandidateDuty, HeldDuties, Member, MemberSettings};
 use fennelscale_group::run::{Handle, Settings, start};
-use fennelscale_group::voter::Node;
+use fennelscale_group::state_machine::Session;
+use fennelscale_group::voter::VoterEndpoint;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
@@ -18,14 +18,14 @@
     Session { name, zone: "z".into(), version: "1".into() }
 }
 
-fn voter(node: &Node, voters: &[Node], folder: &std::path::Path) -> Handle {
+fn voter(node: &VoterEndpoint, voters: &[VoterEndpoint], folder: &std::path::Path) -> Handle {
     let at: SocketAddr = node.address.parse().expect("an address");
     let settings = Settings {
         group: "many".into(),
         session: of(node.name.clone()),
-        wants: Vec::new(),
+        candidate_duties: Vec::new(),
         voters: voters.to_vec(),
-        life: LIFE,
+        session_ttl: LIFE,
         voter: Some((at, folder.join(&node.name))),
     };
     let begun = Instant::now();
@@ -53,9 +53,9 @@
     let node = |n: usize| {
         let probe = std::net::TcpListener::bind(format!("127.251.0.{}:0", n + 1));
         let address = probe.and_then(|probe| probe.local_addr()).expect("a port").to_string();
-        Node { name: format!("v{n}"), address }
+        VoterEndpoint { name: format!("v{n}"), address }
     };
-    let voters: Vec<Node> = (0..3).map(node).collect();
+    let voters: Vec<VoterEndpoint> = (0..3).map(node).collect();
     let all_start = || -> Vec<Handle> { voters.iter().map(|node| voter(node, &voters, &folder)).collect() };
     let local = tokio::task::LocalSet::new();
     local
@@ -64,11 +64,16 @@
             let mut standings = Vec::new();
             let mut orders = Vec::new();
             for number in 0..MEMBERS {
-                let wants = vec![Want { duty: format!("d{}", number % 3), rank: 0 }];
+                let candidate_duties = vec![CandidateDuty { duty: format!("d{}", number % 3), rank: 0 }];
                 let mut known = voters.clone();
                 known.rotate_left(number % 3);
-                let me = Me { session: of(format!("m{number}")), wants, voters: known, life: LIFE };
-                let (member, standing) = Member::new(me, "many", Clock::Boot, Held::default());
+                let me = MemberSettings {
+                    session: of(format!("m{number}")),
+                    candidate_duties,
+                    voters: known,
+                    session_ttl: LIFE,
+                };
+                let (member, standing) = Member::new(me, "many", Clock::Boot, HeldDuties::default());
                 let (order, ordered) = mpsc::channel(1);
                 tokio::task::spawn_local(member.run(ordered));
                 orders.push(order);
@@ -77,7 +82,7 @@
             let in_group = || standings.iter().filter(|standing| standing.borrow().session.is_some()).count();
             until("all sessions", || in_group() == MEMBERS).await;
             let held = |handles: &[Handle]| {
-                let view = handles[0].standing().view;
+                let view = handles[0].status().view;
                 view.duties.len() == 3 && view.duties.values().all(|(_, holder)| holder.is_some())
             };
             until("all duties", || held(&handles)).await;
@@ -88,7 +93,7 @@
             let fresh = |age: Duration| {
                 let now = Clock::Boot.now();
                 let heard = |at: Option<Duration>| at.is_some_and(|at| now.saturating_sub(at) < age);
-                standings.iter().filter(|standing| heard(standing.borrow().contact)).count()
+                standings.iter().filter(|standing| heard(standing.borrow().last_renewal)).count()
             };
             let back = until("all sessions again", || fresh(LIFE / 2) == MEMBERS).await;
             assert!(back < LIFE * 5, "{back:?}");
--- a/group/tests/machine.rs
+++ b/group/tests/state_machine.rs
@@ -1,7 +1,7 @@
 //! The state that a group agrees on, under commands drawn at random: one holder at a time, fences that only grow,
 //! records under the present fence only, turns within their bound. And the same state from the same log.
 
-use fennelscale_group::machine::{Command, MOST_SESSIONS, Reply, Session, State};
+use fennelscale_group::state_machine::{Command, MAX_SESSIONS, Reply, Session, State};
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
 }
 
 fn open(session: u64) -> Command {
-    Command::Open { session, of: of(session % 10), seen: Vec::new() }
+    Command::OpenSession { session, info: of(session % 10), seen_fences: Vec::new() }
 }
 
 fn drawn(random: &mut SmallRng, state: &State) -> Command {
@@ -21,16 +21,19 @@
     let fence = present.saturating_sub(random.random_range(0..3)) + u64::from(random.random_bool(0.05));
     match random.random_range(0..9) {
         0 => {
-            let seen = if random.random_bool(0.2) { vec![(duty, fence + 3)] } else { Vec::new() };
-            Command::Open { session, of: of(session % 10), seen }
+            let seen_fences = if random.random_bool(0.2) { vec![(duty, fence + 3)] } else { Vec::new() };
+            Command::OpenSession { session, info: of(session % 10), seen_fences }
         }
-        1 => Command::Close { session },
-        2 => Command::Expire { session, term: random.random_range(1..3) },
-        3 | 4 => Command::Claim { session, duty },
-        5 => Command::Give { session, duty, fence, to: random.random_bool(0.5).then(|| of(3).name) },
-        6 => Command::Write { session, duty, fence, key: "k".into(), value: vec![session as u8] },
-        7 => Command::Leave { session, most: 2 },
-        _ => Command::Lapse { name: of(random.random_range(0..10)).name, term: random.random_range(1..3) },
+        1 => Command::CloseSession { session },
+        2 => Command::ExpireSession { session, term: random.random_range(1..3) },
+        3 | 4 => Command::ClaimDuty { session, duty },
+        5 => Command::ReleaseDuty { session, duty, fence, to: random.random_bool(0.5).then(|| of(3).name) },
+        6 => Command::WriteRecord { session, duty, fence, key: "k".into(), value: vec![session as u8] },
+        7 => Command::RequestAbsence { session, max_absent: 2 },
+        _ => Command::ExpireAbsence {
+            name: of(random.random_range(0..10)).name,
+            term: random.random_range(1..3),
+        },
     }
 }
 
@@ -54,26 +57,26 @@
                         let last = granted.insert(name.clone(), duty.fence);
                         assert!(last.is_none_or(|last| duty.fence > last), "granted twice: {command:?}");
                         // It changes hands by the holder's own word, or when its session has ended.
-                        let by_word =
-                            matches!(&command, Command::Give { session, .. } if old.holder == Some(*session));
+                        let by_word = matches!(&command, Command::ReleaseDuty { session, .. } if old.holder == Some(*session));
                         assert!(old.holder.is_none() || by_word, "taken away: {command:?}");
                     }
                 }
             }
-            if let (Command::Write { session, duty, fence, .. }, Reply::Done) = (&command, &reply) {
+            if let (Command::WriteRecord { session, duty, fence, .. }, Reply::Done) = (&command, &reply) {
                 let held = &before.duties[duty];
                 assert_eq!((held.holder, held.fence), (Some(*session), *fence), "written without a right");
             }
-            if let (Command::Expire { session, term: 2 }, true) = (&command, before.sessions.len() > 3) {
+            if let (Command::ExpireSession { session, term: 2 }, true) = (&command, before.sessions.len() > 3)
+            {
                 assert_eq!(
                     before.sessions.get(session),
                     state.sessions.get(session),
                     "another term's end counted"
                 );
             }
-            assert!(state.turns.len() <= 2, "{command:?}");
-            let names: BTreeSet<&String> = state.turns.keys().collect();
-            assert_eq!(names.len(), state.turns.len());
+            assert!(state.absences.len() <= 2, "{command:?}");
+            let names: BTreeSet<&String> = state.absences.keys().collect();
+            assert_eq!(names.len(), state.absences.len());
             assert!(state.revision >= before.revision);
         }
         let mut again = State::default();
@@ -89,11 +92,11 @@
     let mut state = State::default();
     state.apply(1, &open(1));
     state.apply(1, &open(2));
-    let claim = |session| Command::Claim { session, duty: "d".into() };
+    let claim = |session| Command::ClaimDuty { session, duty: "d".into() };
     assert_eq!(state.apply(1, &claim(1)), Reply::Held(1));
     assert_eq!(state.apply(1, &claim(1)), Reply::Held(1));
     assert_eq!(state.apply(1, &claim(2)), Reply::NotHeld { holder: Some(1), fence: 1 });
-    state.apply(1, &Command::Expire { session: 1, term: 1 });
+    state.apply(1, &Command::ExpireSession { session: 1, term: 1 });
     assert_eq!(state.apply(1, &claim(1)), Reply::NoSession);
     assert_eq!(state.apply(1, &claim(2)), Reply::Held(2));
 }
@@ -102,9 +105,9 @@
 fn a_group_that_lost_all_goes_on_above_what_a_member_remembers_without_two_holders() {
     let mut state = State::default();
     state.apply(1, &open(1));
-    assert_eq!(state.apply(1, &Command::Claim { session: 1, duty: "d".into() }), Reply::Held(1));
-    let seen = vec![("d".to_owned(), 40)];
-    state.apply(1, &Command::Open { session: 2, of: of(2), seen });
+    assert_eq!(state.apply(1, &Command::ClaimDuty { session: 1, duty: "d".into() }), Reply::Held(1));
+    let seen_fences = vec![("d".to_owned(), 40)];
+    state.apply(1, &Command::OpenSession { session: 2, info: of(2), seen_fences });
     // Who holds it may be acting: it holds on, higher than everything that was ever seen.
     assert_eq!((state.duties["d"].holder, state.duties["d"].fence), (Some(1), 41));
 }
@@ -112,29 +115,32 @@
 #[test]
 fn the_state_is_bounded() {
     let mut state = State::default();
-    for session in 0..=MOST_SESSIONS as u64 {
+    for session in 0..=MAX_SESSIONS as u64 {
         state.apply(1, &open(session));
     }
-    assert_eq!((state.sessions.len(), state.apply(1, &open(5000))), (MOST_SESSIONS, Reply::Full));
+    assert_eq!((state.sessions.len(), state.apply(1, &open(5000))), (MAX_SESSIONS, Reply::LimitExceeded));
     for number in 0..1000 {
-        state.apply(1, &Command::Claim { session: 1, duty: number.to_string() });
+        state.apply(1, &Command::ClaimDuty { session: 1, duty: number.to_string() });
     }
     assert!(state.duties.len() <= 64);
     let write = |key: String, bytes| {
         let value = vec![0; bytes];
-        Command::Write { session: 1, duty: "0".into(), fence: 1, key, value }
+        Command::WriteRecord { session: 1, duty: "0".into(), fence: 1, key, value }
     };
-    assert_eq!(state.apply(1, &write("k".into(), 9000)), Reply::Full);
+    assert_eq!(state.apply(1, &write("k".into(), 9000)), Reply::LimitExceeded);
     for number in 0..1000 {
         state.apply(1, &write(number.to_string(), 10));
     }
     assert!(state.records.len() <= 256);
-    let place = |name: String| Command::Place { name, address: "10.0.0.1:1".into() };
+    let place = |name: String| Command::SetVoterAddress { name, address: "10.0.0.1:1".into() };
     let placed = (0..1000).filter(|n| state.apply(1, &place(format!("v{n}"))) == Reply::Done).count();
-    assert_eq!((placed, state.places.len()), (64, 64));
+    assert_eq!((placed, state.voter_addresses.len()), (64, 64));
     assert_eq!(state.apply(1, &place("v1".into())), Reply::Done, "known already");
-    state.voters(&["v1", "w"]);
-    assert_eq!(state.places.keys().collect::<Vec<_>>(), ["v1"]);
+    state.set_voters(&["v1", "w"]);
+    assert_eq!(state.voter_addresses.keys().collect::<Vec<_>>(), ["v1"]);
     let long = Session { name: "x".repeat(100), zone: "z".into(), version: "1".into() };
-    assert_eq!(state.apply(1, &Command::Open { session: 1, of: long, seen: Vec::new() }), Reply::Full);
+    assert_eq!(
+        state.apply(1, &Command::OpenSession { session: 1, info: long, seen_fences: Vec::new() }),
+        Reply::LimitExceeded
+    );
 }
