--- a/group/examples/elect.rs
+++ b/group/examples/election_time.rs
@@ -9,44 +9,45 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-const LIFE: Duration = Duration::from_secs(6);
+const SESSION_TTL: Duration = Duration::from_secs(6);
 const ROUNDS: usize = 6;
 
-type Failed = Box<dyn std::error::Error>;
+type Error = Box<dyn std::error::Error>;
 
 /// Waits until an entry is committed, and tells what it took. A turn with nobody away is refused, by an entry.
-async fn decided(handle: &Handle) -> Duration {
-    let begun = Instant::now();
+async fn time_to_commit(handle: &Handle) -> Duration {
+    let started = Instant::now();
     while !matches!(
         handle.request(MemberRequest::RequestAbsence(0)).await,
         GroupResponse::Reply(Reply::AbsenceLimitReached(_))
     ) {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    begun.elapsed()
+    started.elapsed()
 }
 
 #[tokio::main(flavor = "current_thread")]
-async fn main() -> Result<(), Failed> {
+async fn main() -> Result<(), Error> {
     let mut times = [Vec::new(), Vec::new(), Vec::new()];
     for round in 0..ROUNDS {
-        let folder = std::env::temp_dir().join(format!("fennelscale-elect-{}-{round}", std::process::id()));
+        let directory =
+            std::env::temp_dir().join(format!("fennelscale-elect-{}-{round}", std::process::id()));
         let mut voters = Vec::new();
         for number in 0..3 {
             let probe = std::net::TcpListener::bind("127.250.0.1:0")?;
             voters
                 .push(VoterEndpoint { name: format!("v{number}"), address: probe.local_addr()?.to_string() });
         }
-        let begin = |node: &VoterEndpoint| -> Result<Handle, Failed> {
-            let at: SocketAddr = node.address.parse()?;
-            let session = Session { name: node.name.clone(), zone: "z".into(), version: "1".into() };
-            let voter = Some((at, folder.join(&node.name)));
+        let start_voter = |endpoint: &VoterEndpoint| -> Result<Handle, Error> {
+            let address: SocketAddr = endpoint.address.parse()?;
+            let session = Session { name: endpoint.name.clone(), zone: "z".into(), version: "1".into() };
+            let voter = Some((address, directory.join(&endpoint.name)));
             let settings = Settings {
                 group: "elect".into(),
                 session,
                 candidate_duties: Vec::new(),
                 voters: voters.clone(),
-                session_ttl: LIFE,
+                session_ttl: SESSION_TTL,
                 voter,
             };
             loop {
@@ -57,24 +58,24 @@
                 }
             }
         };
-        let mut handles = voters.iter().map(begin).collect::<Result<Vec<_>, _>>()?;
-        let formed = decided(&handles[0]).await;
-        tokio::time::sleep(LIFE / 2).await;
+        let mut handles = voters.iter().map(start_voter).collect::<Result<Vec<_>, _>>()?;
+        let formation_time = time_to_commit(&handles[0]).await;
+        tokio::time::sleep(SESSION_TTL / 2).await;
         let leader = handles[0].status().view.leader.unwrap_or_default();
-        let at = voters.iter().position(|node| node.name == leader).unwrap_or(0);
-        drop(handles.remove(at));
-        let lost = decided(&handles[0]).await;
+        let leader_index = voters.iter().position(|endpoint| endpoint.name == leader).unwrap_or(0);
+        drop(handles.remove(leader_index));
+        let failover_time = time_to_commit(&handles[0]).await;
         drop(handles);
-        let handles = voters.iter().map(begin).collect::<Result<Vec<_>, _>>()?;
-        let back = decided(&handles[0]).await;
-        for (times, time) in times.iter_mut().zip([formed, lost, back]) {
+        let handles = voters.iter().map(start_voter).collect::<Result<Vec<_>, _>>()?;
+        let restart_time = time_to_commit(&handles[0]).await;
+        for (times, time) in times.iter_mut().zip([formation_time, failover_time, restart_time]) {
             times.push(time.as_millis());
         }
         drop(handles);
-        let _ = std::fs::remove_dir_all(&folder);
+        let _ = std::fs::remove_dir_all(&directory);
     }
-    for (what, times) in ["formed", "leader lost", "all back"].iter().zip(times) {
-        println!("{what}: {times:?} ms");
+    for (label, times) in ["formed", "leader lost", "all back"].iter().zip(times) {
+        println!("{label}: {times:?} ms");
     }
     Ok(())
 }
--- a/group/src/member.rs
+++ b/group/src/member.rs
@@ -24,7 +24,7 @@
 pub const MEMBERSHIP_CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How often the pause between two tries to open a session doubles at most.
-const MOST_DOUBLINGS: u32 = 2;
+const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
 /// One duty that a process would do, and how gladly: of those that can, the lower rank comes first.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -63,8 +63,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner).values().cloned().collect()
     }
 
-    fn change<T>(&self, how: impl FnOnce(&mut BTreeMap<String, Guard>) -> T) -> T {
-        how(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
+    fn update<T>(&self, update: impl FnOnce(&mut BTreeMap<String, Guard>) -> T) -> T {
+        update(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
@@ -105,342 +105,356 @@
 
 /// A member.
 pub struct Member {
-    me: MemberSettings,
+    settings: MemberSettings,
     clock: Clock,
-    held: HeldDuties,
-    ways: Vec<VoterClient>,
+    held_duties: HeldDuties,
+    clients: Vec<VoterClient>,
     /// The voter that answered last.
-    at: Cell<usize>,
-    standing: watch::Sender<MemberStatus>,
-    able: Cell<bool>,
+    preferred_voter: Cell<usize>,
+    status: watch::Sender<MemberStatus>,
+    eligible: Cell<bool>,
     closed: Cell<bool>,
     lease: RefCell<Arc<Lease>>,
     /// Fences seen of each duty, and the highest one of this process's own that is over.
-    fences: RefCell<SeenFences>,
-    over: RefCell<BTreeMap<String, u64>>,
+    seen_fences: RefCell<SeenFences>,
+    ended_fences: RefCell<BTreeMap<String, u64>>,
     claiming: RefCell<BTreeSet<String>>,
     /// Sessions in a row that could not be opened.
-    vain: Cell<u32>,
-    gone: Notify,
+    failed_opens: Cell<u32>,
+    renew_now: Notify,
     /// A session has begun: what was known before may be another group's, which lost its state.
-    begun: Notify,
+    session_opened: Notify,
 }
 
 impl Member {
     /// A member that has not begun.
     pub fn new(
-        me: MemberSettings, group: &str, clock: Clock, held: HeldDuties,
+        settings: MemberSettings, group: &str, clock: Clock, held_duties: HeldDuties,
     ) -> (Rc<Self>, watch::Receiver<MemberStatus>) {
-        let (standing, seen) = watch::channel(MemberStatus::default());
-        let way = |node: &VoterEndpoint| {
-            Some(VoterClient::new(node.address.parse::<SocketAddr>().ok()?, group.into()))
+        let (status, status_receiver) = watch::channel(MemberStatus::default());
+        let client = |endpoint: &VoterEndpoint| {
+            Some(VoterClient::new(endpoint.address.parse::<SocketAddr>().ok()?, group.into()))
         };
-        let ways = me.voters.iter().filter_map(way).collect();
+        let clients = settings.voters.iter().filter_map(client).collect();
         let member = Self {
-            me,
+            settings,
             clock,
-            held,
-            ways,
-            at: Cell::new(0),
-            standing,
-            able: Cell::new(true),
+            held_duties,
+            clients,
+            preferred_voter: Cell::new(0),
+            status,
+            eligible: Cell::new(true),
             closed: Cell::new(false),
             lease: RefCell::default(),
-            fences: RefCell::default(),
-            over: RefCell::default(),
+            seen_fences: RefCell::default(),
+            ended_fences: RefCell::default(),
             claiming: RefCell::default(),
-            vain: Cell::new(0),
-            gone: Notify::new(),
-            begun: Notify::new(),
+            failed_opens: Cell::new(0),
+            renew_now: Notify::new(),
+            session_opened: Notify::new(),
         };
-        (Rc::new(member), seen)
+        (Rc::new(member), status_receiver)
     }
 
     /// Lives in the group until it is told to close.
-    pub async fn run(self: Rc<Self>, mut orders: mpsc::Receiver<PendingRequest>) {
-        tokio::task::spawn_local(self.clone().watch());
-        let sessions = self.clone();
+    pub async fn run(self: Rc<Self>, mut requests: mpsc::Receiver<PendingRequest>) {
+        tokio::task::spawn_local(self.clone().watch_views());
+        let session_loop = self.clone();
         tokio::task::spawn_local(async move {
-            while !sessions.closed.get() {
-                sessions.clone().session().await;
+            while !session_loop.closed.get() {
+                session_loop.clone().run_session().await;
             }
         });
-        while let Some((order, asker)) = orders.recv().await {
-            let closes = matches!(order, MemberRequest::Close);
+        while let Some((request, responder)) = requests.recv().await {
+            let is_close = matches!(request, MemberRequest::Close);
             let member = self.clone();
-            let carried = async move {
-                let _ = asker.send(member.carry_out(order).await);
+            let reply = async move {
+                let _ = responder.send(member.handle_request(request).await);
             };
-            if closes {
-                return carried.await;
+            if is_close {
+                return reply.await;
             }
-            tokio::task::spawn_local(carried);
+            tokio::task::spawn_local(reply);
         }
     }
 
     fn session_id(&self) -> Option<SessionId> {
-        self.standing.borrow().session
+        self.status.borrow().session
     }
 
     /// A part of a session's life, drawn so that many members do not come at one moment.
-    fn drawn(&self, least: f64, most: f64) -> Duration {
-        self.me.session_ttl.mul_f64(rand::rng().random_range(least..most))
+    fn random_ttl_fraction(&self, min: f64, max: f64) -> Duration {
+        self.settings.session_ttl.mul_f64(rand::rng().random_range(min..max))
     }
 
     /// Asks the voter that answered last; one that does not answer is passed over for the next.
-    async fn ask(&self, question: GroupRequest, within: Duration) -> Option<GroupResponse> {
-        let at = self.at.get() % self.ways.len().max(1);
-        let way = self.ways.get(at)?;
-        let answer = send_request(way, question, within).await;
-        match answer {
+    async fn call_voter(&self, request: GroupRequest, time_limit: Duration) -> Option<GroupResponse> {
+        let index = self.preferred_voter.get() % self.clients.len().max(1);
+        let client = self.clients.get(index)?;
+        let response = send_request(client, request, time_limit).await;
+        match response {
             Ok(GroupResponse::Unavailable) | Err(_) => {
-                self.at.set(at + 1);
+                self.preferred_voter.set(index + 1);
                 None
             }
-            Ok(answer) => Some(answer),
+            Ok(response) => Some(response),
         }
     }
 
     /// One session, from its opening until the group says that it is gone.
-    async fn session(self: Rc<Self>) {
+    async fn run_session(self: Rc<Self>) {
         let id = rand::random::<u64>() >> 11;
-        let (asked, seen_fences) = (self.clock.now(), self.fences.borrow().highest_fences());
-        let open = Command::OpenSession { session: id, info: self.me.session.clone(), seen_fences };
-        let opened = self.ask(GroupRequest::Propose(open), self.me.session_ttl / 4).await;
-        if opened != Some(GroupResponse::Reply(Reply::Done)) {
+        let (requested_at, seen_fences) = (self.clock.now(), self.seen_fences.borrow().highest_fences());
+        let open = Command::OpenSession { session: id, info: self.settings.session.clone(), seen_fences };
+        let response = self.call_voter(GroupRequest::Propose(open), self.settings.session_ttl / 4).await;
+        if response != Some(GroupResponse::Reply(Reply::Done)) {
             // After the voters were away, all members are here at once: each waits longer with each time.
-            let times = self.vain.replace(self.vain.get() + 1).min(MOST_DOUBLINGS);
-            return sleep(self.drawn(0.02, 0.2) * (1 << times)).await;
+            let doublings = self.failed_opens.replace(self.failed_opens.get() + 1).min(MAX_BACKOFF_DOUBLINGS);
+            return sleep(self.random_ttl_fraction(0.02, 0.2) * (1 << doublings)).await;
         }
-        self.vain.set(0);
+        self.failed_opens.set(0);
         let lease = Arc::new(Lease::default());
-        lease.grant(asked, self.me.session_ttl);
+        lease.grant(requested_at, self.settings.session_ttl);
         *self.lease.borrow_mut() = lease.clone();
-        self.standing.send_modify(|standing| {
-            (standing.session, standing.last_renewal) = (Some(id), Some(self.clock.now()));
-            standing.view.revision = 0;
+        self.status.send_modify(|status| {
+            (status.session, status.last_renewal) = (Some(id), Some(self.clock.now()));
+            status.view.revision = 0;
         });
-        self.begun.notify_one();
-        let mut next = Instant::now() + self.drawn(0.25, 0.33);
+        self.session_opened.notify_one();
+        let mut next_renewal = Instant::now() + self.random_ttl_fraction(0.25, 0.33);
         while !self.closed.get() {
             tokio::select! {
-                () = sleep_until(next) => {}
-                () = self.gone.notified() => {}
+                () = sleep_until(next_renewal) => {}
+                () = self.renew_now.notified() => {}
             }
-            let asked = self.clock.now();
-            match self.ask(GroupRequest::RenewSession(id), self.me.session_ttl / 6).await {
+            let requested_at = self.clock.now();
+            match self.call_voter(GroupRequest::RenewSession(id), self.settings.session_ttl / 6).await {
                 Some(GroupResponse::Renewed) => {
-                    lease.grant(asked, self.me.session_ttl);
-                    self.standing.send_modify(|standing| standing.last_renewal = Some(self.clock.now()));
-                    next = Instant::now() + self.drawn(0.25, 0.33);
+                    lease.grant(requested_at, self.settings.session_ttl);
+                    self.status.send_modify(|status| status.last_renewal = Some(self.clock.now()));
+                    next_renewal = Instant::now() + self.random_ttl_fraction(0.25, 0.33);
                 }
                 Some(GroupResponse::SessionEnded) => break,
-                _ => next = Instant::now() + self.drawn(0.02, 0.08),
+                _ => next_renewal = Instant::now() + self.random_ttl_fraction(0.02, 0.08),
             }
         }
         lease.end();
-        self.standing.send_modify(|standing| standing.session = None);
-        let lost = self.held.change(std::mem::take);
-        lost.into_values().for_each(|guard| self.is_over(&guard));
+        self.status.send_modify(|status| status.session = None);
+        let lost_guards = self.held_duties.update(std::mem::take);
+        lost_guards.into_values().for_each(|guard| self.retire(&guard));
     }
 
-    fn is_over(&self, guard: &Guard) {
+    fn retire(&self, guard: &Guard) {
         guard.release();
-        let mut over = self.over.borrow_mut();
-        let highest = over.entry(guard.duty.clone()).or_default();
+        let mut ended_fences = self.ended_fences.borrow_mut();
+        let highest = ended_fences.entry(guard.duty.clone()).or_default();
         *highest = (*highest).max(guard.fence());
     }
 
     /// One long wait for news after the other, at whichever voter answers.
-    async fn watch(self: Rc<Self>) {
-        let mut at = 0;
+    async fn watch_views(self: Rc<Self>) {
+        let mut index = 0;
         while !self.closed.get() {
-            let Some(way) = self.ways.get(at % self.ways.len().max(1)) else { return };
-            let wait = self.me.session_ttl * 2;
-            let after = self.standing.borrow().view.revision;
-            let watching = WatchRequest { known_revision: after, wait_ms: wait.as_millis() as u64 };
-            let within = wait + self.me.session_ttl / 2;
-            let news: Result<View, CallError> = tokio::select! {
-                news = way.call(CallKind::Watch, 0, &watching, within) => news,
-                () = self.begun.notified() => continue,
+            let Some(client) = self.clients.get(index % self.clients.len().max(1)) else { return };
+            let wait = self.settings.session_ttl * 2;
+            let known_revision = self.status.borrow().view.revision;
+            let watch_request = WatchRequest { known_revision, wait_ms: wait.as_millis() as u64 };
+            let time_limit = wait + self.settings.session_ttl / 2;
+            let watched: Result<View, CallError> = tokio::select! {
+                watched = client.call(CallKind::Watch, 0, &watch_request, time_limit) => watched,
+                () = self.session_opened.notified() => continue,
             };
-            match news {
+            match watched {
                 Ok(view) => {
                     // A voter that lags behind tells nothing that is newer; one without a leader is left.
-                    if view.leader.is_none() || view.revision < after {
-                        at += 1;
-                        sleep(self.drawn(0.02, 0.1)).await;
+                    if view.leader.is_none() || view.revision < known_revision {
+                        index += 1;
+                        sleep(self.random_ttl_fraction(0.02, 0.1)).await;
                     }
-                    if view.revision >= after {
-                        self.standing.send_modify(|standing| standing.view = view);
-                        self.take_notice();
+                    if view.revision >= known_revision {
+                        self.status.send_modify(|status| status.view = view);
+                        self.apply_view();
                     }
                 }
                 Err(_) => {
-                    at += 1;
-                    sleep(self.drawn(0.02, 0.1)).await;
+                    index += 1;
+                    sleep(self.random_ttl_fraction(0.02, 0.1)).await;
                 }
             }
         }
     }
 
     /// Acts on the view: duties granted to this session are held, free ones are asked for.
-    fn take_notice(self: &Rc<Self>) {
+    fn apply_view(self: &Rc<Self>) {
         let (duties, session) = {
-            let standing = self.standing.borrow();
-            (standing.view.duties.clone(), standing.session)
+            let status = self.status.borrow();
+            (status.view.duties.clone(), status.session)
         };
         let Some(session) = session else { return };
         for (duty, (fence, holder)) in &duties {
-            self.fences.borrow_mut().accept(duty, *fence);
+            self.seen_fences.borrow_mut().accept(duty, *fence);
             if holder.as_ref().is_some_and(|(holder, _)| *holder == session) {
-                self.hold(duty, *fence);
+                self.record_grant(duty, *fence);
             }
         }
-        for want in &self.me.candidate_duties {
-            let free = duties.get(&want.duty).is_none_or(|(_, holder)| holder.is_none());
-            if free && self.able.get() && self.claiming.borrow_mut().insert(want.duty.clone()) {
-                tokio::task::spawn_local(self.clone().claim(want.clone()));
+        for candidate in &self.settings.candidate_duties {
+            let is_free = duties.get(&candidate.duty).is_none_or(|(_, holder)| holder.is_none());
+            if is_free && self.eligible.get() && self.claiming.borrow_mut().insert(candidate.duty.clone()) {
+                tokio::task::spawn_local(self.clone().claim_duty(candidate.clone()));
             }
         }
     }
 
     /// The group granted a duty to the present session under this fence.
-    fn hold(&self, duty: &str, fence: u64) {
-        if self.over.borrow().get(duty).is_some_and(|over| fence <= *over) {
+    fn record_grant(&self, duty: &str, fence: u64) {
+        if self.ended_fences.borrow().get(duty).is_some_and(|ended| fence <= *ended) {
             return;
         }
         let guard = || Guard::new(duty.to_owned(), fence, self.lease.borrow().clone(), self.clock.clone());
-        let before = self.held.change(|held| match held.get(duty) {
+        let replaced = self.held_duties.update(|held| match held.get(duty) {
             Some(known) if known.fence() >= fence => None,
             _ => held.insert(duty.to_owned(), guard()),
         });
         // The same holder under a higher fence: the lower one is for nobody any more.
-        before.iter().for_each(Guard::release);
+        replaced.iter().for_each(Guard::release);
     }
 
     /// Asks for a duty that is free, after a pause by its rank and by chance, unless it was taken meanwhile.
-    async fn claim(self: Rc<Self>, want: CandidateDuty) {
-        let step = self.me.session_ttl / 12;
-        sleep(step * want.rank + step.mul_f64(rand::random::<f64>())).await;
-        let free = |member: &Self| {
-            let standing = member.standing.borrow();
-            let duty = standing.view.duties.get(&want.duty);
-            standing.session.filter(|_| duty.is_none_or(|(_, holder)| holder.is_none()))
+    async fn claim_duty(self: Rc<Self>, candidate: CandidateDuty) {
+        let delay_step = self.settings.session_ttl / 12;
+        sleep(delay_step * candidate.rank + delay_step.mul_f64(rand::random::<f64>())).await;
+        let if_free = |member: &Self| {
+            let status = member.status.borrow();
+            let duty = status.view.duties.get(&candidate.duty);
+            status.session.filter(|_| duty.is_none_or(|(_, holder)| holder.is_none()))
         };
-        while let Some(session) = free(&self).filter(|_| self.able.get() && !self.closed.get()) {
-            let claim = Command::ClaimDuty { session, duty: want.duty.clone() };
-            match self.ask(GroupRequest::Propose(claim), self.me.session_ttl / 4).await {
+        while let Some(session) = if_free(&self).filter(|_| self.eligible.get() && !self.closed.get()) {
+            let claim = Command::ClaimDuty { session, duty: candidate.duty.clone() };
+            match self.call_voter(GroupRequest::Propose(claim), self.settings.session_ttl / 4).await {
                 Some(GroupResponse::Reply(Reply::Held(fence))) => {
                     // The session may have ended since: then the grant was another one's.
                     if self.session_id() == Some(session) {
-                        self.fences.borrow_mut().accept(&want.duty, fence);
-                        self.hold(&want.duty, fence);
+                        self.seen_fences.borrow_mut().accept(&candidate.duty, fence);
+                        self.record_grant(&candidate.duty, fence);
                     }
                     break;
                 }
                 Some(GroupResponse::Reply(Reply::NotHeld { .. } | Reply::LimitExceeded)) => break,
                 Some(GroupResponse::Reply(Reply::NoSession)) => {
-                    self.gone.notify_one();
+                    self.renew_now.notify_one();
                     break;
                 }
-                _ => sleep(self.drawn(0.02, 0.1)).await,
+                _ => sleep(self.random_ttl_fraction(0.02, 0.1)).await,
             }
         }
-        self.claiming.borrow_mut().remove(&want.duty);
+        self.claiming.borrow_mut().remove(&candidate.duty);
     }
 
     /// Tells the group until it answers or the session is over, and with it all that the session has.
-    async fn insist(self: Rc<Self>, session: SessionId, command: Command) -> GroupResponse {
+    async fn propose_until_answered(self: Rc<Self>, session: SessionId, command: Command) -> GroupResponse {
         while self.session_id() == Some(session) {
-            match self.ask(GroupRequest::Propose(command.clone()), self.me.session_ttl / 4).await {
-                Some(answer) => return answer,
-                None => sleep(self.drawn(0.02, 0.1)).await,
+            match self.call_voter(GroupRequest::Propose(command.clone()), self.settings.session_ttl / 4).await
+            {
+                Some(response) => return response,
+                None => sleep(self.random_ttl_fraction(0.02, 0.1)).await,
             }
         }
         GroupResponse::SessionEnded
     }
 
-    async fn carry_out(self: &Rc<Self>, order: MemberRequest) -> GroupResponse {
-        let within = self.me.session_ttl / 3;
-        let nobody = |answer: Option<GroupResponse>| answer.unwrap_or(GroupResponse::Unavailable);
-        match order {
+    async fn handle_request(self: &Rc<Self>, request: MemberRequest) -> GroupResponse {
+        let time_limit = self.settings.session_ttl / 3;
+        let or_unavailable = |response: Option<GroupResponse>| response.unwrap_or(GroupResponse::Unavailable);
+        match request {
             MemberRequest::ReleaseDuty(duty, to) => {
-                let Some(guard) = self.held.change(|held| held.remove(&duty)) else {
+                let Some(guard) = self.held_duties.update(|held| held.remove(&duty)) else {
                     return GroupResponse::Refused(format!("{duty} is not held here"));
                 };
                 // From here on nothing is done under it, whether or not the group hears of it.
-                self.is_over(&guard);
+                self.retire(&guard);
                 let Some(session) = self.session_id() else { return GroupResponse::SessionEnded };
-                let give = Command::ReleaseDuty { session, duty, fence: guard.fence(), to };
+                let release = Command::ReleaseDuty { session, duty, fence: guard.fence(), to };
                 // Nobody else gets it before the group has heard, so it is told until it has.
-                let telling = tokio::task::spawn_local(self.clone().insist(session, give));
-                timeout(within, telling).await.ok().and_then(Result::ok).unwrap_or(GroupResponse::Unavailable)
+                let release_task =
+                    tokio::task::spawn_local(self.clone().propose_until_answered(session, release));
+                timeout(time_limit, release_task)
+                    .await
+                    .ok()
+                    .and_then(Result::ok)
+                    .unwrap_or(GroupResponse::Unavailable)
             }
             MemberRequest::WriteRecord(duty, key, value) => {
-                let guard = self.held.guard(&duty);
+                let guard = self.held_duties.guard(&duty);
                 let Some((fence, session)) = guard.and_then(|g| g.valid_fence()).zip(self.session_id())
                 else {
                     return GroupResponse::Refused(format!("{duty} is not held here"));
                 };
-                nobody(
-                    self.ask(
+                or_unavailable(
+                    self.call_voter(
                         GroupRequest::Propose(Command::WriteRecord { session, duty, fence, key, value }),
-                        within,
+                        time_limit,
                     )
                     .await,
                 )
             }
             MemberRequest::SendNote(duty, note) => match self.session_id() {
-                Some(session) => {
-                    nobody(self.ask(GroupRequest::SendNote { session, duty, note }, within).await)
-                }
+                Some(session) => or_unavailable(
+                    self.call_voter(GroupRequest::SendNote { session, duty, note }, time_limit).await,
+                ),
                 None => GroupResponse::Unavailable,
             },
             MemberRequest::CollectNotes(duty) => {
-                let guard = self.held.guard(&duty);
+                let guard = self.held_duties.guard(&duty);
                 let Some((fence, session)) = guard.and_then(|g| g.valid_fence()).zip(self.session_id())
                 else {
                     return GroupResponse::Refused(format!("{duty} is not held here"));
                 };
-                nobody(self.ask(GroupRequest::CollectNotes { session, duty, fence }, within).await)
+                or_unavailable(
+                    self.call_voter(GroupRequest::CollectNotes { session, duty, fence }, time_limit).await,
+                )
             }
             MemberRequest::RequestAbsence(max_absent) => match self.session_id() {
-                Some(session) => nobody(
-                    self.ask(GroupRequest::Propose(Command::RequestAbsence { session, max_absent }), within)
-                        .await,
+                Some(session) => or_unavailable(
+                    self.call_voter(
+                        GroupRequest::Propose(Command::RequestAbsence { session, max_absent }),
+                        time_limit,
+                    )
+                    .await,
                 ),
                 None => GroupResponse::Unavailable,
             },
-            MemberRequest::SetEligible(able) => {
-                self.able.set(able);
-                if !able {
-                    for guard in self.held.all() {
-                        Box::pin(self.carry_out(MemberRequest::ReleaseDuty(guard.duty, None))).await;
+            MemberRequest::SetEligible(eligible) => {
+                self.eligible.set(eligible);
+                if !eligible {
+                    for guard in self.held_duties.all() {
+                        Box::pin(self.handle_request(MemberRequest::ReleaseDuty(guard.duty, None))).await;
                     }
                 }
-                self.take_notice();
+                self.apply_view();
                 GroupResponse::Done
             }
-            MemberRequest::ChangeVoters(ask) => {
-                let mut answer = None;
+            MemberRequest::ChangeVoters(change) => {
+                let mut response = None;
                 // Harmless to ask again, and the voter asked may be the one that is not in yet.
-                for _ in 0..=self.ways.len() {
-                    answer = self.ask(ask.clone(), MEMBERSHIP_CHANGE_TIMEOUT).await;
-                    if answer.is_some() {
+                for _ in 0..=self.clients.len() {
+                    response = self.call_voter(change.clone(), MEMBERSHIP_CHANGE_TIMEOUT).await;
+                    if response.is_some() {
                         break;
                     }
                 }
-                nobody(answer)
+                or_unavailable(response)
             }
             MemberRequest::Close => {
                 self.closed.set(true);
-                let held = self.held.change(std::mem::take);
-                held.into_values().for_each(|guard| self.is_over(&guard));
+                let held = self.held_duties.update(std::mem::take);
+                held.into_values().for_each(|guard| self.retire(&guard));
                 let Some(session) = self.session_id() else { return GroupResponse::Done };
                 self.lease.borrow().end();
-                self.gone.notify_one();
-                nobody(self.ask(GroupRequest::Propose(Command::CloseSession { session }), within).await)
+                self.renew_now.notify_one();
+                or_unavailable(
+                    self.call_voter(GroupRequest::Propose(Command::CloseSession { session }), time_limit)
+                        .await,
+                )
             }
         }
     }
--- a/group/src/run.rs
+++ b/group/src/run.rs
@@ -21,9 +21,9 @@
 use tokio::task::LocalSet;
 
 /// Orders that wait.
-const WAITING: usize = 64;
+const MAX_PENDING_REQUESTS: usize = 64;
 /// Connections that wait to be accepted.
-const BACKLOG: u32 = 1024;
+const LISTEN_BACKLOG: u32 = 1024;
 
 /// What a process brings to its group.
 #[derive(Clone, Debug)]
@@ -56,9 +56,9 @@
 
 /// The way from the rest of the process to its part of the group.
 pub struct Handle {
-    orders: mpsc::Sender<PendingRequest>,
-    standing: watch::Receiver<MemberStatus>,
-    held: HeldDuties,
+    requests: mpsc::Sender<PendingRequest>,
+    status: watch::Receiver<MemberStatus>,
+    held_duties: HeldDuties,
     clock: Clock,
     thread: Option<JoinHandle<()>>,
 }
@@ -66,55 +66,55 @@
 impl Handle {
     /// The guard of a duty, if this process holds it.
     pub fn guard(&self, duty: &str) -> Option<Guard> {
-        self.held.guard(duty)
+        self.held_duties.guard(duty)
     }
 
     /// The guards of all duties that this process holds.
     pub fn guards(&self) -> Vec<Guard> {
-        self.held.all()
+        self.held_duties.all()
     }
 
     /// How it stands.
     pub fn status(&self) -> MemberStatus {
-        self.standing.borrow().clone()
+        self.status.borrow().clone()
     }
 
     /// News of how it stands.
     pub fn subscribe(&self) -> watch::Receiver<MemberStatus> {
-        self.standing.clone()
+        self.status.clone()
     }
 
     /// How long ago the group last said that this session goes on.
     pub fn contact_age(&self) -> Option<Duration> {
-        let last_renewal = self.standing.borrow().last_renewal;
-        last_renewal.map(|at| self.clock.now().saturating_sub(at))
+        let last_renewal = self.status.borrow().last_renewal;
+        last_renewal.map(|renewed_at| self.clock.now().saturating_sub(renewed_at))
     }
 
     /// Gives an order, and waits for its answer; there is one within a third of a session's life or so.
-    pub async fn request(&self, order: MemberRequest) -> GroupResponse {
-        let (asker, answer) = oneshot::channel();
+    pub async fn request(&self, request: MemberRequest) -> GroupResponse {
+        let (responder, response) = oneshot::channel();
         // A group that does not keep up is as good as one that cannot be reached.
-        if self.orders.try_send((order, asker)).is_err() {
+        if self.requests.try_send((request, responder)).is_err() {
             return GroupResponse::Unavailable;
         }
-        answer.await.unwrap_or(GroupResponse::Unavailable)
+        response.await.unwrap_or(GroupResponse::Unavailable)
     }
 
     /// Leaves the group: duties are given up and the session ends, if the group can be told.
     pub async fn close(mut self) {
         self.request(MemberRequest::Close).await;
-        drop(self.orders);
+        drop(self.requests);
         if let Some(thread) = self.thread.take() {
             let _ = tokio::task::spawn_blocking(move || thread.join()).await;
         }
     }
 }
 
-fn listen(at: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
-    socket.bind(at)?;
-    socket.listen(BACKLOG)
+    socket.bind(address)?;
+    socket.listen(LISTEN_BACKLOG)
 }
 
 /// Starts the thread. `tell` hears what belongs in the log.
@@ -122,66 +122,68 @@
 /// # Errors
 /// When a voter cannot listen or has no folder that it may write to.
 pub fn start(
-    settings: Settings, clock: Clock, tell: impl Fn(String) + Clone + Send + 'static,
+    settings: Settings, clock: Clock, log: impl Fn(String) + Clone + Send + 'static,
 ) -> Result<Handle, StartError> {
-    let (orders, ordered) = mpsc::channel(WAITING);
-    let (ready, started) = std::sync::mpsc::channel();
-    let held = HeldDuties::default();
-    let (parts, of) = (held.clone(), clock.clone());
+    let (requests, request_receiver) = mpsc::channel(MAX_PENDING_REQUESTS);
+    let (startup_sender, startup_result) = std::sync::mpsc::channel();
+    let held_duties = HeldDuties::default();
+    let (member_duties, member_clock) = (held_duties.clone(), clock.clone());
     let run = move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = match runtime {
             Ok(runtime) => runtime,
-            Err(error) => return drop(ready.send(Err(StartError(error.to_string())))),
+            Err(error) => return drop(startup_sender.send(Err(StartError(error.to_string())))),
         };
         let local = LocalSet::new();
         local.block_on(&runtime, async {
-            if let Err(error) = set_up(&settings, &of, &tell) {
-                return drop(ready.send(Err(error)));
+            if let Err(error) = start_voter(&settings, &member_clock, &log) {
+                return drop(startup_sender.send(Err(error)));
             }
             let Settings { group, session, candidate_duties, voters, session_ttl, .. } = settings;
             // Its own voter first: that one is nearest.
             let mut voters = voters;
-            voters.sort_by_key(|node| node.name != session.name);
-            let me = MemberSettings { session, candidate_duties, voters, session_ttl };
-            let (member, standing) = Member::new(me, &group, of, parts);
-            let _ = ready.send(Ok(standing));
-            member.run(ordered).await;
+            voters.sort_by_key(|endpoint| endpoint.name != session.name);
+            let member_settings = MemberSettings { session, candidate_duties, voters, session_ttl };
+            let (member, status) = Member::new(member_settings, &group, member_clock, member_duties);
+            let _ = startup_sender.send(Ok(status));
+            member.run(request_receiver).await;
         });
         // What still waits for others is not waited for.
         runtime.shutdown_background();
     };
     let thread = std::thread::Builder::new().name("group".into()).spawn(run);
     let thread = thread.map_err(|error| StartError(error.to_string()))?;
-    let standing = started.recv().unwrap_or_else(|_| Err(StartError("it ended at its start".into())))?;
-    Ok(Handle { orders, standing, held, clock, thread: Some(thread) })
+    let status = startup_result.recv().unwrap_or_else(|_| Err(StartError("it ended at its start".into())))?;
+    Ok(Handle { requests, status, held_duties, clock, thread: Some(thread) })
 }
 
 /// Starts the voter, if this process is one.
-fn set_up(
-    settings: &Settings, clock: &Clock, tell: &(impl Fn(String) + Clone + Send + 'static),
+fn start_voter(
+    settings: &Settings, clock: &Clock, log: &(impl Fn(String) + Clone + Send + 'static),
 ) -> Result<(), StartError> {
-    let Some((at, folder)) = &settings.voter else { return Ok(()) };
+    let Some((address, directory)) = &settings.voter else { return Ok(()) };
     let (name, group) = (&settings.session.name, &settings.group);
-    let failed = |what: &str, error: &dyn fmt::Display| StartError(format!("group {group}: {what}: {error}"));
+    let start_error =
+        |context: &str, error: &dyn fmt::Display| StartError(format!("group {group}: {context}: {error}"));
     // The two stand side by side in the log.
     if group.contains(char::is_whitespace) {
-        return Err(failed("its name has blanks", &name));
+        return Err(start_error("its name has blanks", &name));
     }
-    let listener = listen(*at).map_err(|e| failed(&format!("cannot listen at {at}"), &e))?;
-    let store = Store::open(folder, name, group, tell).map_err(|e| failed("no store", &e))?;
-    if counts_as_memory(folder) {
-        tell(format!(
+    let listener =
+        bind_listener(*address).map_err(|e| start_error(&format!("cannot listen at {address}"), &e))?;
+    let store = Store::open(directory, name, group, log).map_err(|e| start_error("no store", &e))?;
+    if is_tmpfs(directory) {
+        log(format!(
             "group {group}: {} counts as memory: what this voter knows goes with it",
-            folder.display()
+            directory.display()
         ));
     }
-    let node = settings.voters.iter().find(|node| node.name == *name).cloned();
-    let node = node.unwrap_or(VoterEndpoint { name: name.clone(), address: at.to_string() });
-    let times = Timeouts::from_session_ttl(settings.session_ttl);
-    let voter = Voter::start(store, node, group, times, clock.clone(), &settings.voters, tell.clone());
-    let voter = voter.map_err(|e| failed("voter", &e))?;
-    tell(format!("group {group}: voter {name} has number {} and listens at {at}", voter.incarnation()));
+    let endpoint = settings.voters.iter().find(|endpoint| endpoint.name == *name).cloned();
+    let endpoint = endpoint.unwrap_or(VoterEndpoint { name: name.clone(), address: address.to_string() });
+    let timeouts = Timeouts::from_session_ttl(settings.session_ttl);
+    let voter = Voter::start(store, endpoint, group, timeouts, clock.clone(), &settings.voters, log.clone());
+    let voter = voter.map_err(|e| start_error("voter", &e))?;
+    log(format!("group {group}: voter {name} has number {} and listens at {address}", voter.incarnation()));
     tokio::task::spawn_local(serve(listener, voter.clone()));
     let voters = settings.voters.clone();
     tokio::task::spawn_local(async move { voter.join(&voters).await });
@@ -189,8 +191,8 @@
 }
 
 /// Whether a folder's file system is kept in memory.
-fn counts_as_memory(folder: &std::path::Path) -> bool {
+fn is_tmpfs(directory: &std::path::Path) -> bool {
     /// The number of the kernel's file system in memory.
     const TMPFS: i64 = 0x0102_1994;
-    rustix::fs::statfs(folder).is_ok_and(|found| found.f_type == TMPFS)
+    rustix::fs::statfs(directory).is_ok_and(|stat| stat.f_type == TMPFS)
 }
--- a/group/src/state_machine.rs
+++ b/group/src/state_machine.rs
@@ -213,8 +213,8 @@
 
     fn open_session(&mut self, session: SessionId, info: &Session, seen_fences: &[(String, u64)]) -> Reply {
         let too_long = [&info.name, &info.zone, &info.version].iter().any(|text| text.len() > MAX_NAME_BYTES);
-        let new = !self.sessions.contains_key(&session);
-        if too_long || (new && self.sessions.len() >= MAX_SESSIONS) {
+        let is_new = !self.sessions.contains_key(&session);
+        if too_long || (is_new && self.sessions.len() >= MAX_SESSIONS) {
             return Reply::LimitExceeded;
         }
         self.sessions.insert(session, info.clone());
@@ -230,9 +230,9 @@
             if full || duty.len() > MAX_NAME_BYTES {
                 continue;
             }
-            let known = self.duties.entry(duty.clone()).or_default();
-            if known.fence < *fence {
-                known.fence = fence.saturating_add(u64::from(known.holder.is_some()));
+            let duty_state = self.duties.entry(duty.clone()).or_default();
+            if duty_state.fence < *fence {
+                duty_state.fence = fence.saturating_add(u64::from(duty_state.holder.is_some()));
                 self.revision += 1;
             }
         }
--- a/group/src/store.rs
+++ b/group/src/store.rs
@@ -14,14 +14,14 @@
 /// The number that a voter's votes are counted under.
 pub type Incarnation = u64;
 
-const FILE: &str = "group.redb";
+const FILE_NAME: &str = "group.redb";
 /// How many files that were set aside are kept.
-const ASIDE: u32 = 3;
+const MAX_SET_ASIDE_FILES: u32 = 3;
 
 /// A voter as the log names it. Its address there is no way to it but what stays the same: the group's name and its own.
 /// So a voter that comes back with an empty disk takes its own place, and a file tells whose it is.
-pub fn voter_id(group: &str, name: &str, number: Incarnation) -> VoterId {
-    VoterId { address: format!("{group} {name}"), incarnation: number }
+pub fn voter_id(group: &str, name: &str, incarnation: Incarnation) -> VoterId {
+    VoterId { address: format!("{group} {name}"), incarnation }
 }
 
 /// The group's and the process's name.
@@ -56,8 +56,8 @@
             Self::Raft(error) => write!(f, "{error}"),
             Self::UnreadableState => f.write_str("its state cannot be read"),
             Self::Busy => f.write_str("another process has it open"),
-            Self::WrongOwner(of) => {
-                let (group, name) = group_and_name(of);
+            Self::WrongOwner(owner) => {
+                let (group, name) = group_and_name(owner);
                 write!(f, "it is of {name} in group {group}")
             }
         }
@@ -165,29 +165,29 @@
     ///
     /// # Errors
     /// When there can be no file in the folder.
-    pub fn open(folder: &Path, name: &str, group: &str, tell: impl Fn(String)) -> Result<Self, StoreError> {
-        std::fs::create_dir_all(folder)?;
-        let path = folder.join(FILE);
+    pub fn open(directory: &Path, name: &str, group: &str, log: impl Fn(String)) -> Result<Self, StoreError> {
+        std::fs::create_dir_all(directory)?;
+        let path = directory.join(FILE_NAME);
         if path.exists() {
             match Self::read(&path, name, group) {
-                Ok(Some(found)) => return Ok(found),
+                Ok(Some(store)) => return Ok(store),
                 // Its process went before it had written who it is.
                 Ok(None) => {}
                 // Not this one's to set aside: its predecessor still votes by it.
                 Err(StoreError::Busy) => return Err(StoreError::Busy),
-                Err(why) => {
-                    let aside = set_aside(&path)?;
-                    tell(format!(
-                        "{}: not used: {why}; set aside as {}. This voter has no vote until it is taken in anew",
+                Err(error) => {
+                    let backup = set_aside(&path)?;
+                    log(format!(
+                        "{}: not used: {error}; set aside as {}. This voter has no vote until it is taken in anew",
                         path.display(),
-                        aside.display()
+                        backup.display()
                     ));
                 }
             }
         }
         let (disk, _) = raft::store::Store::open(&path)?;
-        let saved = disk.create(voter_id(group, name, drawn()), Vec::new())?;
-        sync_name(folder)?;
+        let saved = disk.create(voter_id(group, name, random_incarnation()), Vec::new())?;
+        sync_directory(directory)?;
         Ok(Self { disk, saved, applied: Applied::default() })
     }
 
@@ -204,13 +204,13 @@
 }
 
 /// A number for a voter without a past. Numbers of 53 bits stay whole in whatever shows them.
-fn drawn() -> Incarnation {
+fn random_incarnation() -> Incarnation {
     (rand::random::<u64>() >> 11).max(1)
 }
 
 /// The name of the file in the folder is to outlive a loss of power as well.
-fn sync_name(folder: &Path) -> io::Result<()> {
-    std::fs::File::open(folder)?.sync_all()
+fn sync_directory(directory: &Path) -> io::Result<()> {
+    std::fs::File::open(directory)?.sync_all()
 }
 
 /// Why a voter's disk cannot become a group of its own.
@@ -258,61 +258,61 @@
 /// # Errors
 /// When the disk cannot be used or the names are not those of the other voters; nothing has been changed then.
 pub fn rescue(
-    folder: &Path, name_here: &str, group: &str, lost: &[String],
+    directory: &Path, local_name: &str, group: &str, lost: &[String],
 ) -> Result<Incarnation, RescueError> {
-    let path = folder.join(FILE);
+    let path = directory.join(FILE_NAME);
     if !path.exists() {
         return Err(RescueError::NoGroupState);
     }
     let Store { disk, saved, mut applied } =
-        Store::read(&path, name_here, group)?.ok_or(RescueError::NoGroupState)?;
+        Store::read(&path, local_name, group)?.ok_or(RescueError::NoGroupState)?;
     for entry in &saved.entries {
         applied.apply(entry);
     }
     if !applied.voters.contains(&saved.me) {
         return Err(RescueError::NoGroupState);
     }
-    let others = applied.voters.iter().filter(|voter| **voter != saved.me);
-    let mut others: Vec<String> = others.map(|voter| voter_name(voter).to_owned()).collect();
-    let mut named = lost.to_vec();
-    others.sort();
-    named.sort();
-    if others != named {
-        return Err(RescueError::VoterNamesMismatch(others));
+    let other_names = applied.voters.iter().filter(|voter| **voter != saved.me);
+    let mut other_names: Vec<String> = other_names.map(|voter| voter_name(voter).to_owned()).collect();
+    let mut lost_names = lost.to_vec();
+    other_names.sort();
+    lost_names.sort();
+    if other_names != lost_names {
+        return Err(RescueError::VoterNamesMismatch(other_names));
     }
-    let me = voter_id(group, name_here, drawn());
+    let me = voter_id(group, local_name, random_incarnation());
     applied.voters = vec![me.clone()];
-    applied.state.set_voters(&[name_here]);
+    applied.state.set_voters(&[local_name]);
     let snapshot = applied.to_snapshot().ok_or(StoreError::UnreadableState)?;
     // The old file goes once the new one is whole: a full disk changes nothing.
-    let new = path.with_extension("rescued");
-    if new.exists() {
-        std::fs::remove_file(&new)?;
+    let new_path = path.with_extension("rescued");
+    if new_path.exists() {
+        std::fs::remove_file(&new_path)?;
     }
-    let (begun, _) = raft::store::Store::open(&new)?;
-    let id = me.incarnation;
+    let (new_store, _) = raft::store::Store::open(&new_path)?;
+    let incarnation = me.incarnation;
     // Terms go on above all that this voter has seen: an older one may have been another leader's.
-    begun.create_from_snapshot(me, saved.term + 1, snapshot)?;
-    drop((disk, begun));
+    new_store.create_from_snapshot(me, saved.term + 1, snapshot)?;
+    drop((disk, new_store));
     set_aside(&path)?;
-    std::fs::rename(&new, &path)?;
-    sync_name(folder)?;
-    Ok(id)
+    std::fs::rename(&new_path, &path)?;
+    sync_directory(directory)?;
+    Ok(incarnation)
 }
 
 /// Renames a file so that it is kept for whoever wants to look at it; the oldest such file goes.
 fn set_aside(path: &Path) -> io::Result<PathBuf> {
-    let name = |number: u32| path.with_extension(format!("aside-{number}"));
-    let free = (0..ASIDE).find(|number| !name(*number).exists());
-    let number = match free {
+    let numbered_path = |number: u32| path.with_extension(format!("aside-{number}"));
+    let unused = (0..MAX_SET_ASIDE_FILES).find(|number| !numbered_path(*number).exists());
+    let number = match unused {
         Some(number) => number,
         None => {
-            for number in 1..ASIDE {
-                std::fs::rename(name(number), name(number - 1))?;
+            for number in 1..MAX_SET_ASIDE_FILES {
+                std::fs::rename(numbered_path(number), numbered_path(number - 1))?;
             }
-            ASIDE - 1
+            MAX_SET_ASIDE_FILES - 1
         }
     };
-    std::fs::rename(path, name(number))?;
-    Ok(name(number))
+    std::fs::rename(path, numbered_path(number))?;
+    Ok(numbered_path(number))
 }
--- a/group/src/voter.rs
+++ b/group/src/voter.rs
@@ -1,10 +1,10 @@
 //! One voter: consensus on the log of [`crate::machine`], the leader's reckoning of sessions ([`crate::lease`]), and
 //! answers to members. Whoever is not the leader passes questions on to it.
 
-mod decide;
 mod driver;
-mod mail;
+mod leader;
 mod messages;
+mod raft_transport;
 
 use crate::clock::{Clock, Moment};
 use crate::lease::SessionDeadlines;
@@ -12,9 +12,9 @@
 use crate::store::{Applied, Incarnation, Store, voter_id, voter_name};
 use crate::wire::{CallError, CallHandler, CallKind, ResponseFuture, VoterClient, decode, encode};
 use bytes::Bytes;
-use driver::{Core, Office};
+use driver::{Core, Leadership};
 use hyper::StatusCode;
-use messages::Passed;
+use messages::RequestEnvelope;
 pub use messages::{
     GroupRequest, GroupResponse, Timeouts, View, VoterEndpoint, VoterError, VoterInfo, WatchRequest,
 };
@@ -27,30 +27,30 @@
 use tokio::time::{sleep, timeout};
 
 /// The longest wait of a watch.
-const LONGEST_WATCH: Duration = Duration::from_secs(20);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(20);
 
 /// A voter.
 pub struct Voter {
-    id: Incarnation,
-    me: VoterEndpoint,
+    incarnation: Incarnation,
+    endpoint: VoterEndpoint,
     group: Rc<str>,
-    times: Timeouts,
+    timeouts: Timeouts,
     clock: Clock,
-    tell: Box<dyn Fn(String)>,
+    log: Box<dyn Fn(String)>,
     core: RefCell<Core>,
     /// When the log wants to be looked after, and that this became sooner.
-    due: Cell<Millis>,
-    sooner: Notify,
-    changed: watch::Sender<u64>,
-    office: watch::Sender<Office>,
+    next_due: Cell<Millis>,
+    due_moved_earlier: Notify,
+    applied_changes: watch::Sender<u64>,
+    leadership: watch::Sender<Leadership>,
     /// Where this process's own settings find voters: that goes before what the group agreed on, since from one process
     /// to the next it may differ.
-    own: BTreeMap<String, String>,
+    configured_addresses: BTreeMap<String, String>,
     /// Where those were that were heard of last: for who is not in the settings, before the group has told.
-    heard: RefCell<BTreeMap<String, String>>,
-    ways: RefCell<HashMap<String, Rc<VoterClient>>>,
+    learned_addresses: RefCell<BTreeMap<String, String>>,
+    clients: RefCell<HashMap<String, Rc<VoterClient>>>,
     /// Messages that wait, for each voter that a task is carrying them to.
-    mail: RefCell<HashMap<VoterId, VecDeque<Vec<u8>>>>,
+    outgoing: RefCell<HashMap<VoterId, VecDeque<Vec<u8>>>>,
     deadlines: RefCell<SessionDeadlines>,
     absences: RefCell<BTreeMap<String, Moment>>,
     /// Notes by duty, while this voter leads.
@@ -64,65 +64,68 @@
     /// # Errors
     /// When it cannot go on from what the store holds.
     pub fn start(
-        store: Store, me: VoterEndpoint, group: &str, times: Timeouts, clock: Clock, known: &[VoterEndpoint],
-        tell: impl Fn(String) + 'static,
+        store: Store, endpoint: VoterEndpoint, group: &str, timeouts: Timeouts, clock: Clock,
+        configured_voters: &[VoterEndpoint], log: impl Fn(String) + 'static,
     ) -> Result<Rc<Self>, VoterError> {
         let Store { disk, saved, applied } = store;
-        let id = saved.me.incarnation;
+        let incarnation = saved.me.incarnation;
         let now = millis(&clock);
-        let node = raft::Node::start(saved, times.timing(), rand::random(), now);
-        let due = node.next_due();
+        let node = raft::Node::start(saved, timeouts.timing(), rand::random(), now);
+        let next_due = node.next_due();
         let core = Core {
             node,
             writer: None,
-            writers: 0,
-            snapshot_at: applied.index,
+            writer_generation: 0,
+            snapshot_index: applied.index,
             applied,
-            tokens: 0,
-            asked: HashMap::new(),
-            accepted: HashMap::new(),
+            last_token: 0,
+            waiters: HashMap::new(),
+            proposals: HashMap::new(),
         };
         let voter = Rc::new(Self {
-            id,
-            me,
+            incarnation,
+            endpoint,
             group: group.into(),
-            times,
+            timeouts,
             clock,
-            tell: Box::new(tell),
+            log: Box::new(log),
             core: RefCell::new(core),
-            due: Cell::new(due),
-            sooner: Notify::new(),
-            changed: watch::Sender::new(0),
-            office: watch::Sender::default(),
-            own: known.iter().map(|node| (node.name.clone(), node.address.clone())).collect(),
-            heard: RefCell::default(),
-            ways: RefCell::default(),
-            mail: RefCell::default(),
-            deadlines: RefCell::new(SessionDeadlines::new(times.session_ttl)),
+            next_due: Cell::new(next_due),
+            due_moved_earlier: Notify::new(),
+            applied_changes: watch::Sender::new(0),
+            leadership: watch::Sender::default(),
+            configured_addresses: configured_voters
+                .iter()
+                .map(|voter| (voter.name.clone(), voter.address.clone()))
+                .collect(),
+            learned_addresses: RefCell::default(),
+            clients: RefCell::default(),
+            outgoing: RefCell::default(),
+            deadlines: RefCell::new(SessionDeadlines::new(timeouts.session_ttl)),
             absences: RefCell::default(),
             notes: RefCell::default(),
         });
-        voter.write_to(disk)?;
-        tokio::task::spawn_local(voter.clone().look_after());
-        tokio::task::spawn_local(voter.clone().reckon());
+        voter.attach_disk(disk)?;
+        tokio::task::spawn_local(voter.clone().run_timer());
+        tokio::task::spawn_local(voter.clone().expire_sessions());
         Ok(voter)
     }
 
     /// Its number.
     pub fn incarnation(&self) -> Incarnation {
-        self.id
+        self.incarnation
     }
 
     /// The term in which this voter leads, if it does.
-    fn leads(&self) -> Option<u64> {
-        self.office.borrow().leads
+    fn leader_term(&self) -> Option<u64> {
+        self.leadership.borrow().leader_term
     }
 
     /// What this voter knows, without asking the others.
     pub fn view(&self) -> View {
         let core = self.core.borrow();
-        let silent = core.writer.is_none();
-        let leader = core.node.leader().filter(|_| !silent).map(|leader| voter_name(leader).to_owned());
+        let halted = core.writer.is_none();
+        let leader = core.node.leader().filter(|_| !halted).map(|leader| voter_name(leader).to_owned());
         let mut voters: Vec<String> = core.applied.voters.iter().map(|v| voter_name(v).to_owned()).collect();
         voters.sort();
         let state = &core.applied.state;
@@ -151,77 +154,79 @@
     /// Forms the group if it is this voter's part and nobody belongs to one yet; else waits to be taken in. `tell`
     /// hears once what it waits for.
     pub async fn join(self: Rc<Self>, voters: &[VoterEndpoint]) {
-        let (mut told, mut formed_at) = (false, None);
-        while self.is_new() && !self.is_silent() {
-            let mut all = vec![(self.id, self.me.clone())];
-            let mut formed = None;
-            for node in voters.iter().filter(|node| node.name != self.me.name) {
-                let Some(way) = self.way(&node.name) else { continue };
-                match way.call::<_, VoterInfo>(CallKind::Info, 0, &(), self.times.election.0).await {
-                    Ok(who) if who.is_new => all.push((who.incarnation, node.clone())),
-                    Ok(who) => formed = Some(who.name),
+        let (mut logged, mut formed_at) = (false, None);
+        while self.is_new() && !self.is_halted() {
+            let mut candidates = vec![(self.incarnation, self.endpoint.clone())];
+            let mut formed_by = None;
+            for endpoint in voters.iter().filter(|endpoint| endpoint.name != self.endpoint.name) {
+                let Some(client) = self.client_for(&endpoint.name) else { continue };
+                match client.call::<_, VoterInfo>(CallKind::Info, 0, &(), self.timeouts.election.0).await {
+                    Ok(info) if info.is_new => candidates.push((info.incarnation, endpoint.clone())),
+                    Ok(info) => formed_by = Some(info.name),
                     Err(_) => {}
                 }
             }
-            let first = voters.first().is_some_and(|first| first.name == self.me.name);
-            if let Some(by) = formed {
+            let is_first = voters.first().is_some_and(|first| first.name == self.endpoint.name);
+            if let Some(member) = formed_by {
                 // The group lives; this voter's part of it was lost, or it never was a voter. Or the group has just been
                 // formed with it: then it hears of that from the first leader, well within a life.
                 let since = *formed_at.get_or_insert_with(|| self.clock.now());
-                let long = self.clock.now().saturating_sub(since) >= self.times.session_ttl;
-                if long && !std::mem::replace(&mut told, true) {
-                    (self.tell)(format!(
-                        "group {}: {} has no vote: {by} is in the group already. GROUP ADD {} {} takes it in",
-                        self.group, self.me.name, self.me.name, self.me.address
+                let waited_long = self.clock.now().saturating_sub(since) >= self.timeouts.session_ttl;
+                if waited_long && !std::mem::replace(&mut logged, true) {
+                    (self.log)(format!(
+                        "group {}: {} has no vote: {member} is in the group already. GROUP ADD {} {} takes it in",
+                        self.group, self.endpoint.name, self.endpoint.name, self.endpoint.address
                     ));
                 }
-            } else if first && all.len() == voters.len() && self.is_new() {
-                if let Err(error) = self.form(&all) {
-                    self.fall_silent(&error);
+            } else if is_first && candidates.len() == voters.len() && self.is_new() {
+                if let Err(error) = self.form_group(&candidates) {
+                    self.halt(&error);
                 }
                 return;
             }
-            sleep(self.times.election.0).await;
+            sleep(self.timeouts.election.0).await;
         }
     }
 
     /// Begins the group's log: its first entry is who the voters are. They hear of it from their first leader.
-    fn form(self: &Rc<Self>, all: &[(Incarnation, VoterEndpoint)]) -> Result<(), VoterError> {
+    fn form_group(self: &Rc<Self>, candidates: &[(Incarnation, VoterEndpoint)]) -> Result<(), VoterError> {
         let disk = {
             let mut core = self.core.borrow_mut();
-            let voters = all.iter().map(|(id, node)| voter_id(&self.group, &node.name, *id)).collect();
+            let voters =
+                candidates.iter().map(|(id, endpoint)| voter_id(&self.group, &endpoint.name, *id)).collect();
             let mut applied = Applied { voters, index: 1, term: 1, ..Applied::default() };
-            let places = all.iter().map(|(_, node)| (node.name.clone(), node.address.clone()));
-            applied.state.voter_addresses = places.collect();
+            let addresses =
+                candidates.iter().map(|(_, endpoint)| (endpoint.name.clone(), endpoint.address.clone()));
+            applied.state.voter_addresses = addresses.collect();
             let snapshot = applied.to_snapshot().ok_or(VoterError::State)?;
             let disk = core.writer.take().and_then(Writer::stop).ok_or(VoterError::State)?;
             let term = core.node.term().max(1);
-            let begun = disk.create_from_snapshot(core.node.me().clone(), term, snapshot);
-            let saved = begun.map_err(|error| VoterError::Store(error.into()))?;
+            let created = disk.create_from_snapshot(core.node.me().clone(), term, snapshot);
+            let saved = created.map_err(|error| VoterError::Store(error.into()))?;
             // Nobody can lead a group that did not exist, so nobody is bound to one: it may stand as if it had waited.
-            let timing = self.times.timing();
-            let waited = millis(&self.clock).saturating_sub(timing.election);
-            core.node = raft::Node::start(saved, timing, rand::random(), waited);
-            core.snapshot_at = applied.index;
+            let timing = self.timeouts.timing();
+            let last_contact = millis(&self.clock).saturating_sub(timing.election);
+            core.node = raft::Node::start(saved, timing, rand::random(), last_contact);
+            core.snapshot_index = applied.index;
             core.applied = applied;
             disk
         };
-        self.write_to(disk)?;
-        self.feed(Input::Tick);
-        self.changed.send_modify(|changes| *changes += 1);
+        self.attach_disk(disk)?;
+        self.handle_input(Input::Tick);
+        self.applied_changes.send_modify(|changes| *changes += 1);
         Ok(())
     }
 
-    async fn watched(&self, watching: WatchRequest) -> View {
-        let mut changed = self.changed.subscribe();
-        let news = async {
-            while self.core.borrow().applied.state.revision <= watching.known_revision {
-                if changed.changed().await.is_err() {
+    async fn wait_for_view(&self, request: WatchRequest) -> View {
+        let mut changes = self.applied_changes.subscribe();
+        let newer_view = async {
+            while self.core.borrow().applied.state.revision <= request.known_revision {
+                if changes.changed().await.is_err() {
                     return;
                 }
             }
         };
-        let _ = timeout(Duration::from_millis(watching.wait_ms).min(LONGEST_WATCH), news).await;
+        let _ = timeout(Duration::from_millis(request.wait_ms).min(MAX_WATCH_WAIT), newer_view).await;
         self.view()
     }
 }
@@ -231,29 +236,29 @@
         &self.group
     }
 
-    fn id(&self) -> u64 {
-        self.id
+    fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
     fn handle(self: Rc<Self>, kind: CallKind, body: Bytes) -> ResponseFuture {
         Box::pin(async move {
             match kind {
                 CallKind::Raft => {
-                    self.take_in(decode(&body)?)?;
+                    self.receive_raft_messages(decode(&body)?)?;
                     encode(&())
                 }
                 CallKind::Request => {
-                    let Passed(ask, passed) = decode(&body)?;
-                    encode(&self.handle_request(ask, passed).await)
+                    let RequestEnvelope(request, forwarded) = decode(&body)?;
+                    encode(&self.handle_request(request, forwarded).await)
                 }
-                CallKind::Watch => encode(&self.watched(decode(&body)?).await),
+                CallKind::Watch => encode(&self.wait_for_view(decode(&body)?).await),
                 CallKind::Info => {
-                    if self.is_silent() {
+                    if self.is_halted() {
                         return Err(StatusCode::SERVICE_UNAVAILABLE);
                     }
                     encode(&VoterInfo {
-                        incarnation: self.id,
-                        name: self.me.name.clone(),
+                        incarnation: self.incarnation,
+                        name: self.endpoint.name.clone(),
                         is_new: self.is_new(),
                     })
                 }
@@ -274,5 +279,5 @@
 pub async fn send_request(
     client: &VoterClient, request: GroupRequest, time_limit: Duration,
 ) -> Result<GroupResponse, CallError> {
-    client.call(CallKind::Request, 0, &Passed(request, false), time_limit).await
+    client.call(CallKind::Request, 0, &RequestEnvelope(request, false), time_limit).await
 }
--- a/group/src/voter/messages.rs
+++ b/group/src/voter/messages.rs
@@ -52,7 +52,7 @@
 
 /// A question as it travels: whether it was passed on by a voter already.
 #[derive(Serialize, Deserialize)]
-pub(super) struct Passed(pub(super) GroupRequest, pub(super) bool);
+pub(super) struct RequestEnvelope(pub(super) GroupRequest, pub(super) bool);
 
 /// What the group says to a question.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/group/src/wire.rs
+++ b/group/src/wire.rs
@@ -71,7 +71,7 @@
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Connection(what) => f.write_str(what),
+            Self::Connection(reason) => f.write_str(reason),
             Self::TimedOut => f.write_str("no answer in time"),
             Self::Refused(status) => write!(f, "refused: {status}"),
             Self::Malformed => f.write_str("an answer that cannot be read"),
@@ -85,44 +85,44 @@
 pub struct VoterClient {
     address: SocketAddr,
     group: Rc<str>,
-    free: RefCell<Vec<SendRequest<Full<Bytes>>>>,
+    idle: RefCell<Vec<SendRequest<Full<Bytes>>>>,
 }
 
 impl VoterClient {
     /// A way without a connection yet.
     pub fn new(address: SocketAddr, group: Rc<str>) -> Self {
-        Self { address, group, free: RefCell::default() }
+        Self { address, group, idle: RefCell::default() }
     }
 
     /// Calls, and waits for the answer. `target` is the voter meant, 0 for whoever is there.
     ///
     /// # Errors
     /// When there is no usable answer in time.
-    pub async fn call<Q: Serialize, A: DeserializeOwned>(
-        &self, kind: CallKind, target: u64, question: &Q, within: Duration,
-    ) -> Result<A, CallError> {
-        let body = postcard::to_stdvec(question).map_err(|_| CallError::Malformed)?;
-        timeout(within, self.exchange(kind, target, body))
+    pub async fn call<Req: Serialize, Resp: DeserializeOwned>(
+        &self, kind: CallKind, target: u64, request: &Req, time_limit: Duration,
+    ) -> Result<Resp, CallError> {
+        let body = postcard::to_stdvec(request).map_err(|_| CallError::Malformed)?;
+        timeout(time_limit, self.exchange(kind, target, body))
             .await
             .unwrap_or(Err(CallError::TimedOut))
             .and_then(|bytes| postcard::from_bytes(&bytes).map_err(|_| CallError::Malformed))
     }
 
     async fn exchange(&self, kind: CallKind, target: u64, body: Vec<u8>) -> Result<Bytes, CallError> {
-        let broken = |error: &dyn fmt::Display| CallError::Connection(error.to_string());
-        let free = {
-            let mut free = self.free.borrow_mut();
-            free.retain(SendRequest::is_ready);
-            free.pop()
+        let connection_error = |error: &dyn fmt::Display| CallError::Connection(error.to_string());
+        let pooled = {
+            let mut idle = self.idle.borrow_mut();
+            idle.retain(SendRequest::is_ready);
+            idle.pop()
         };
-        let mut connection = match free {
-            Some(free) => free,
+        let mut connection = match pooled {
+            Some(connection) => connection,
             None => {
-                let stream = TcpStream::connect(self.address).await.map_err(|e| broken(&e))?;
-                stream.set_nodelay(true).map_err(|e| broken(&e))?;
+                let stream = TcpStream::connect(self.address).await.map_err(|e| connection_error(&e))?;
+                stream.set_nodelay(true).map_err(|e| connection_error(&e))?;
                 let io = TokioIo::new(stream);
                 let (sender, connection) =
-                    hyper::client::conn::http1::handshake(io).await.map_err(|e| broken(&e))?;
+                    hyper::client::conn::http1::handshake(io).await.map_err(|e| connection_error(&e))?;
                 tokio::task::spawn_local(async move {
                     // Whoever waits for its answer hears of the end.
                     let _ = connection.await;
@@ -130,22 +130,24 @@
                 sender
             }
         };
-        let path = PATHS.iter().find(|(of, _)| *of == kind).map_or("/", |(_, path)| path);
-        let [form, name, to] = HEADERS;
+        let path = PATHS.iter().find(|(entry, _)| *entry == kind).map_or("/", |(_, path)| path);
+        let [version_header, group_header, target_header] = HEADERS;
         let request = Request::post(path)
             .header("Host", self.address.to_string())
-            .header(form, PROTOCOL_VERSION)
-            .header(name, &*self.group)
-            .header(to, target)
+            .header(version_header, PROTOCOL_VERSION)
+            .header(group_header, &*self.group)
+            .header(target_header, target)
             .body(Full::new(Bytes::from(body)))
-            .map_err(|e| broken(&e))?;
-        let answer = connection.send_request(request).await.map_err(|e| broken(&e))?;
-        let status = answer.status();
-        let body =
-            Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await.map_err(|e| broken(&e))?;
-        let mut free = self.free.borrow_mut();
-        if free.len() < MAX_IDLE_CONNECTIONS {
-            free.push(connection);
+            .map_err(|e| connection_error(&e))?;
+        let response = connection.send_request(request).await.map_err(|e| connection_error(&e))?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
+            .collect()
+            .await
+            .map_err(|e| connection_error(&e))?;
+        let mut idle = self.idle.borrow_mut();
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(connection);
         }
         if status == StatusCode::OK { Ok(body.to_bytes()) } else { Err(CallError::Refused(status)) }
     }
@@ -159,7 +161,7 @@
     /// The group's name.
     fn group(&self) -> &str;
     /// The number of this voter.
-    fn id(&self) -> u64;
+    fn incarnation(&self) -> u64;
     /// The answer to one call.
     fn handle(self: Rc<Self>, kind: CallKind, body: Bytes) -> ResponseFuture;
 }
@@ -181,39 +183,39 @@
 }
 
 /// Answers calls at a listener, for ever.
-pub async fn serve(listener: TcpListener, by: Rc<impl CallHandler>) {
-    let free = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+pub async fn serve(listener: TcpListener, handler: Rc<impl CallHandler>) {
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok(place) = free.clone().acquire_owned().await else { return };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let by = by.clone();
+        let handler = handler.clone();
         tokio::task::spawn_local(async move {
-            let service = service_fn(move |request| one(by.clone(), request));
+            let service = service_fn(move |request| serve_request(handler.clone(), request));
             let mut http = hyper::server::conn::http1::Builder::new();
             http.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT);
             // A connection that breaks is its caller's affair.
             let _ = http.serve_connection(TokioIo::new(stream), service).await;
-            drop(place);
+            drop(permit);
         });
     }
 }
 
-async fn one(
-    by: Rc<impl CallHandler>, request: Request<Incoming>,
+async fn serve_request(
+    handler: Rc<impl CallHandler>, request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    let answered = match admitted(&*by, &request) {
+    let result = match validate_request(&*handler, &request) {
         Err(status) => Err(status),
         Ok(kind) => match Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await {
             Err(_) => Err(StatusCode::PAYLOAD_TOO_LARGE),
-            Ok(body) => by.handle(kind, body.to_bytes()).await,
+            Ok(body) => handler.handle(kind, body.to_bytes()).await,
         },
     };
     let mut response = Response::new(Full::default());
-    match answered {
+    match result {
         Ok(bytes) => *response.body_mut() = Full::new(Bytes::from(bytes)),
         Err(status) => {
             *response.status_mut() = status;
@@ -228,19 +230,19 @@
 }
 
 /// What a call is for, if it is one of this group's and meant for this voter.
-fn admitted(by: &impl CallHandler, request: &Request<Incoming>) -> Result<CallKind, StatusCode> {
-    let header = |at: usize| request.headers().get(HEADERS[at]).and_then(|value| value.to_str().ok());
+fn validate_request(handler: &impl CallHandler, request: &Request<Incoming>) -> Result<CallKind, StatusCode> {
+    let header = |index: usize| request.headers().get(HEADERS[index]).and_then(|value| value.to_str().ok());
     let kind = PATHS.iter().find(|(_, path)| *path == request.uri().path());
     let (kind, _) = kind.ok_or(StatusCode::NOT_FOUND)?;
     if request.method() != hyper::Method::POST {
         return Err(StatusCode::METHOD_NOT_ALLOWED);
     }
-    if header(0) != Some(PROTOCOL_VERSION) || header(1) != Some(by.group()) {
+    if header(0) != Some(PROTOCOL_VERSION) || header(1) != Some(handler.group()) {
         return Err(StatusCode::FORBIDDEN);
     }
     let target: u64 = header(2).and_then(|id| id.parse().ok()).ok_or(StatusCode::BAD_REQUEST)?;
     // A voter that lost its disk is not the one that was elected or that has the log.
-    if (*kind == CallKind::Raft || target != 0) && target != by.id() {
+    if (*kind == CallKind::Raft || target != 0) && target != handler.incarnation() {
         return Err(StatusCode::CONFLICT);
     }
     Ok(*kind)
--- a/group/tests/state_machine.rs
+++ b/group/tests/state_machine.rs
@@ -5,46 +5,51 @@
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-fn of(name: u64) -> Session {
+fn session_info(name: u64) -> Session {
     Session { name: format!("g{name}"), zone: "z".into(), version: "1".into() }
 }
 
 fn open(session: u64) -> Command {
-    Command::OpenSession { session, info: of(session % 10), seen_fences: Vec::new() }
+    Command::OpenSession { session, info: session_info(session % 10), seen_fences: Vec::new() }
 }
 
-fn drawn(random: &mut SmallRng, state: &State) -> Command {
+fn random_command(random: &mut SmallRng, state: &State) -> Command {
     let session = random.random_range(0..14);
     let duty = format!("d{}", random.random_range(0..3));
     // The present fence as often as one that is over, or was never given.
-    let present = state.duties.get(&duty).map_or(0, |duty| duty.fence);
-    let fence = present.saturating_sub(random.random_range(0..3)) + u64::from(random.random_bool(0.05));
+    let current = state.duties.get(&duty).map_or(0, |duty| duty.fence);
+    let fence = current.saturating_sub(random.random_range(0..3)) + u64::from(random.random_bool(0.05));
     match random.random_range(0..9) {
         0 => {
             let seen_fences = if random.random_bool(0.2) { vec![(duty, fence + 3)] } else { Vec::new() };
-            Command::OpenSession { session, info: of(session % 10), seen_fences }
+            Command::OpenSession { session, info: session_info(session % 10), seen_fences }
         }
         1 => Command::CloseSession { session },
         2 => Command::ExpireSession { session, term: random.random_range(1..3) },
         3 | 4 => Command::ClaimDuty { session, duty },
-        5 => Command::ReleaseDuty { session, duty, fence, to: random.random_bool(0.5).then(|| of(3).name) },
+        5 => Command::ReleaseDuty {
+            session,
+            duty,
+            fence,
+            to: random.random_bool(0.5).then(|| session_info(3).name),
+        },
         6 => Command::WriteRecord { session, duty, fence, key: "k".into(), value: vec![session as u8] },
         7 => Command::RequestAbsence { session, max_absent: 2 },
         _ => Command::ExpireAbsence {
-            name: of(random.random_range(0..10)).name,
+            name: session_info(random.random_range(0..10)).name,
             term: random.random_range(1..3),
         },
     }
 }
 
 #[test]
-fn no_log_breaks_the_invariants_and_all_voters_come_to_the_same_state() {
+fn random_logs_keep_the_invariants_and_replay_to_the_same_state() {
     for seed in 0..400 {
         let mut random = SmallRng::seed_from_u64(seed);
         let (mut state, mut log) = (State::default(), Vec::new());
-        let mut granted: BTreeMap<String, u64> = BTreeMap::new();
+        let mut last_granted: BTreeMap<String, u64> = BTreeMap::new();
         for _ in 0..300 {
-            let command = drawn(&mut random, &state);
+            let command = random_command(&mut random, &state);
             let before = state.clone();
             let reply = state.apply(1, &command);
             log.push(command.clone());
@@ -54,11 +59,11 @@
                 if let Some(holder) = duty.holder {
                     assert!(state.sessions.contains_key(&holder), "a holder without a session: {command:?}");
                     if old.holder != Some(holder) {
-                        let last = granted.insert(name.clone(), duty.fence);
+                        let last = last_granted.insert(name.clone(), duty.fence);
                         assert!(last.is_none_or(|last| duty.fence > last), "granted twice: {command:?}");
                         // It changes hands by the holder's own word, or when its session has ended.
-                        let by_word = matches!(&command, Command::ReleaseDuty { session, .. } if old.holder == Some(*session));
-                        assert!(old.holder.is_none() || by_word, "taken away: {command:?}");
+                        let by_release = matches!(&command, Command::ReleaseDuty { session, .. } if old.holder == Some(*session));
+                        assert!(old.holder.is_none() || by_release, "taken away: {command:?}");
                     }
                 }
             }
@@ -79,16 +84,16 @@
             assert_eq!(names.len(), state.absences.len());
             assert!(state.revision >= before.revision);
         }
-        let mut again = State::default();
+        let mut replayed = State::default();
         for command in &log {
-            again.apply(1, command);
+            replayed.apply(1, command);
         }
-        assert_eq!(state, again);
+        assert_eq!(state, replayed);
     }
 }
 
 #[test]
-fn a_claim_that_is_asked_again_gets_the_same_fence() {
+fn a_repeated_claim_gets_the_same_fence() {
     let mut state = State::default();
     state.apply(1, &open(1));
     state.apply(1, &open(2));
@@ -102,12 +107,12 @@
 }
 
 #[test]
-fn a_group_that_lost_all_goes_on_above_what_a_member_remembers_without_two_holders() {
+fn a_group_that_lost_its_state_continues_above_remembered_fences_with_one_holder() {
     let mut state = State::default();
     state.apply(1, &open(1));
     assert_eq!(state.apply(1, &Command::ClaimDuty { session: 1, duty: "d".into() }), Reply::Held(1));
     let seen_fences = vec![("d".to_owned(), 40)];
-    state.apply(1, &Command::OpenSession { session: 2, info: of(2), seen_fences });
+    state.apply(1, &Command::OpenSession { session: 2, info: session_info(2), seen_fences });
     // Who holds it may be acting: it holds on, higher than everything that was ever seen.
     assert_eq!((state.duties["d"].holder, state.duties["d"].fence), (Some(1), 41));
 }
@@ -132,15 +137,16 @@
         state.apply(1, &write(number.to_string(), 10));
     }
     assert!(state.records.len() <= 256);
-    let place = |name: String| Command::SetVoterAddress { name, address: "10.0.0.1:1".into() };
-    let placed = (0..1000).filter(|n| state.apply(1, &place(format!("v{n}"))) == Reply::Done).count();
-    assert_eq!((placed, state.voter_addresses.len()), (64, 64));
-    assert_eq!(state.apply(1, &place("v1".into())), Reply::Done, "known already");
+    let set_address = |name: String| Command::SetVoterAddress { name, address: "10.0.0.1:1".into() };
+    let accepted_addresses =
+        (0..1000).filter(|n| state.apply(1, &set_address(format!("v{n}"))) == Reply::Done).count();
+    assert_eq!((accepted_addresses, state.voter_addresses.len()), (64, 64));
+    assert_eq!(state.apply(1, &set_address("v1".into())), Reply::Done, "known already");
     state.set_voters(&["v1", "w"]);
     assert_eq!(state.voter_addresses.keys().collect::<Vec<_>>(), ["v1"]);
-    let long = Session { name: "x".repeat(100), zone: "z".into(), version: "1".into() };
+    let too_long = Session { name: "x".repeat(100), zone: "z".into(), version: "1".into() };
     assert_eq!(
-        state.apply(1, &Command::OpenSession { session: 1, info: long, seen_fences: Vec::new() }),
+        state.apply(1, &Command::OpenSession { session: 1, info: too_long, seen_fences: Vec::new() }),
         Reply::LimitExceeded
     );
 }
