--- a/group/examples/election_time.rs
+++ b/group/examples/election_time.rs
@@ -1,5 +1,6 @@
-//! How long a group decides nothing: three voters on loopback, several rounds of forming, of the leader's loss and of a
-//! common return with their disks. Prints each time from the start, or the loss, to the next entry that is committed.
+//! Measures how long a group cannot commit entries: three voters on loopback, with several rounds of group formation,
+//! leader loss, and restart of all voters with their disks. Prints the time from each event to the next committed
+//! entry.
 
 use fennelscale_group::clock::Clock;
 use fennelscale_group::member::MemberRequest;
@@ -14,7 +15,8 @@
 
 type Error = Box<dyn std::error::Error>;
 
-/// Waits until an entry is committed, and tells what it took. A turn with nobody away is refused, by an entry.
+/// Waits until an entry is committed and returns the elapsed time. A request for an absence with limit 0 is always
+/// refused, but its refusal requires a committed entry.
 async fn time_to_commit(handle: &Handle) -> Duration {
     let started = Instant::now();
     while !matches!(
@@ -51,7 +53,7 @@
                 voter,
             };
             loop {
-                // The port and the disk of one that has just gone may take a moment.
+                // The port and the file of a voter that was just stopped may still be in use.
                 match start(settings.clone(), Clock::Boot, |_| {}) {
                     Ok(handle) => return Ok(handle),
                     Err(_) => std::thread::sleep(Duration::from_millis(5)),
@@ -74,7 +76,7 @@
         drop(handles);
         let _ = std::fs::remove_dir_all(&directory);
     }
-    for (label, times) in ["formed", "leader lost", "all back"].iter().zip(times) {
+    for (label, times) in ["group formation", "leader loss", "restart of all voters"].iter().zip(times) {
         println!("{label}: {times:?} ms");
     }
     Ok(())
--- a/group/examples/resource_usage.rs
+++ b/group/examples/resource_usage.rs
@@ -1,5 +1,5 @@
-//! What a group costs: three voters on threads of their own and 300 sessions on one, for some seconds each idle and
-//! through the loss of a voter. Prints processor time by thread as the kernel counts it, and resident memory.
+//! Measures the cost of a group: three voters on their own threads and 300 sessions on one thread, first idle and then
+//! after the loss of the leader. Prints the CPU time per thread as counted by the kernel, and the resident memory.
 
 use fennelscale_group::clock::Clock;
 use fennelscale_group::member::{CandidateDuty, HeldDuties, Member, MemberSettings, MemberStatus};
@@ -20,7 +20,7 @@
     Session { name, zone: "z".into(), version: "1".into() }
 }
 
-/// Ticks of processor time by thread: its number and name.
+/// Returns the CPU time in clock ticks for each thread, by thread ID and name.
 fn cpu_ticks() -> BTreeMap<(String, String), u64> {
     let mut all = BTreeMap::new();
     for task in std::fs::read_dir("/proc/self/task").into_iter().flatten().flatten() {
@@ -42,7 +42,7 @@
         let used = after - before.get(&thread).copied().unwrap_or(0);
         if used > 0 {
             println!(
-                "  thread {} {}: {:.1} ms of processor time a second",
+                "  thread {} {}: {:.1} ms of CPU time per second",
                 thread.1,
                 thread.0,
                 used as f64 * 10.0 / time.as_secs_f64()
@@ -106,7 +106,7 @@
         let leader = handles[0].status().view.leader.unwrap_or_default();
         let leader_index = voters.iter().position(|endpoint| endpoint.name == leader).unwrap_or(0);
         drop(handles.remove(leader_index));
-        print_usage("the leader gone", MEASUREMENT_TIME).await;
+        print_usage("300 sessions, leader lost", MEASUREMENT_TIME).await;
         wait_for_sessions(&statuses).await;
     });
     std::fs::remove_dir_all(&directory)?;
--- a/group/src/clock.rs
+++ b/group/src/clock.rs
@@ -1,24 +1,25 @@
-//! Time in the group: durations on one monotonic clock of each machine. The system's time of day decides nothing.
+//! Time within the group. All durations are measured on the local monotonic clock; the wall clock is never used for
+//! decisions.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// A moment on one machine's clock, as time since some beginning of its own.
+/// A point in time on the clock of one machine, as the duration since an arbitrary origin.
 pub type Moment = Duration;
 
-/// A monotonic clock that goes on while the machine is suspended and while the process is stopped.
+/// A monotonic clock that keeps running while the machine is suspended and while the process is stopped.
 #[derive(Clone, Debug)]
 pub enum Clock {
-    /// The machine's.
+    /// The boot-time clock of the machine.
     Boot,
-    /// One that a test moves, in microseconds.
+    /// A clock that a test sets, in microseconds.
     Manual(Arc<AtomicU64>),
 }
 
 impl Clock {
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Moment {
         match self {
             Self::Boot => {
--- a/group/src/lease.rs
+++ b/group/src/lease.rs
@@ -1,11 +1,12 @@
-//! How long a session lives, reckoned on both sides so that the group never ends one that its holder still trusts.
+//! Session leases. The leader and the holder both track the expiry of a session such that the group never ends a
+//! session that its holder still considers valid.
 //!
-//! With L the life of a session and D the allowance for clocks that run at different speeds:
-//! - the holder trusts it until L after the moment *before* it asked for the renewal that was granted;
-//! - the leader ends it no sooner than L + D after a moment at which it surely led (it held the log's lease), which it
-//!   looks at anew after each renewal came in;
-//! - who becomes leader gives every session L + D from that moment. A renewal that an older leader granted was granted
-//!   while no quorum could elect the new one, so the holder asked before the new leader began.
+//! Let L be the session TTL and D the allowance for clock drift:
+//! - The holder considers the session valid until L after the moment *before* it sent the renewal that was granted.
+//! - The leader ends the session no sooner than L + D after a moment at which it held the Raft leader lease. The
+//!   leader checks its lease again after each renewal arrives.
+//! - A new leader gives every session L + D from the start of its leadership. While an older leader granted a renewal,
+//!   no quorum could elect the new leader, so the holder sent that renewal before the new leader started.
 
 use crate::clock::{Clock, Moment};
 use std::collections::BTreeMap;
@@ -13,17 +14,17 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Clocks of two machines may run apart by one part in so many.
+/// Clocks of two machines may drift apart by one part in this many.
 const DRIFT_DIVISOR: u32 = 100;
-/// And what a thread may need between reading its clock and acting on it, at the least.
+/// Lower bound of the drift allowance; covers the time a thread may need between reading its clock and acting on it.
 const MIN_DRIFT_ALLOWANCE: Duration = Duration::from_millis(20);
 
-/// The allowance for a life.
+/// Returns the allowance for clock drift over one session TTL.
 pub fn drift_allowance(session_ttl: Duration) -> Duration {
     (session_ttl / DRIFT_DIVISOR).max(MIN_DRIFT_ALLOWANCE)
 }
 
-/// The leader's side: when each session may be ended.
+/// The leader's view: the earliest time at which each session may be ended.
 #[derive(Debug)]
 pub struct SessionDeadlines {
     session_ttl: Duration,
@@ -32,13 +33,13 @@
 }
 
 impl SessionDeadlines {
-    /// None yet, for sessions of this life.
+    /// Creates an empty set of deadlines for sessions with this TTL.
     pub fn new(session_ttl: Duration) -> Self {
         Self { session_ttl, term: None, deadlines: BTreeMap::new() }
     }
 
-    /// Takes note that this process leads in a term (or does not) and of the sessions there are. Each one that is new
-    /// here, and each one at all in a new term, has its whole life before it.
+    /// Records the term in which this process leads (`None` if it does not lead) and the open sessions. Each session
+    /// that is new here gets a full TTL from `now`. In a new term every session gets a full TTL.
     pub fn update(&mut self, now: Moment, term: Option<u64>, sessions: impl Iterator<Item = u64>) {
         if self.term != term {
             self.term = term;
@@ -53,8 +54,9 @@
             sessions.map(|id| (id, previous.get(&id).copied().unwrap_or(full_deadline))).collect();
     }
 
-    /// A renewal came in, and that this process led was confirmed after that. False where it came too late: the
-    /// session may be ending, and must not be trusted any longer.
+    /// Extends the deadline of a session. The caller has confirmed its leadership after the renewal arrived. Returns
+    /// `false` if the renewal came after the deadline: the session may be ending, so its holder must not consider it
+    /// valid.
     pub fn renew(&mut self, now: Moment, session: u64) -> bool {
         let Some(deadline) = self.deadlines.get_mut(&session).filter(|deadline| **deadline > now) else {
             return false;
@@ -63,7 +65,7 @@
         true
     }
 
-    /// Sessions whose time is over, and the term in which that is so.
+    /// Returns the expired sessions and the current term, or `None` if this process does not lead.
     pub fn expired(&self, now: Moment) -> Option<(u64, Vec<u64>)> {
         let expired =
             self.deadlines.iter().filter(|(_, deadline)| **deadline <= now).map(|(id, _)| *id).collect();
@@ -71,26 +73,26 @@
     }
 }
 
-/// The holder's side: until when its session is to be trusted. Shared by all guards of the session.
+/// The holder's view: the time until which its session is valid. Shared by all guards of the session.
 #[derive(Debug, Default)]
 pub struct Lease {
-    /// In microseconds of the clock; 0: not at all.
+    /// Expiry in microseconds of the local clock; 0 means that no lease was granted yet.
     expires_at_micros: AtomicU64,
     ended: AtomicBool,
 }
 
 impl Lease {
-    /// It was granted to one that had asked at a moment.
+    /// Extends the lease after a successful renewal that was sent at `requested_at`.
     pub fn grant(&self, requested_at: Moment, session_ttl: Duration) {
         self.expires_at_micros.fetch_max((requested_at + session_ttl).as_micros() as u64, Ordering::SeqCst);
     }
 
-    /// It is over, whatever the clock says.
+    /// Ends the lease immediately, regardless of its expiry.
     pub fn end(&self) {
         self.ended.store(true, Ordering::SeqCst);
     }
 
-    /// What is left of it.
+    /// Returns the remaining time, or `None` if the lease has expired or ended.
     pub fn remaining(&self, now: Moment) -> Option<Duration> {
         if self.ended.load(Ordering::SeqCst) {
             return None;
@@ -100,11 +102,12 @@
     }
 }
 
-/// The right to do a duty. It is asked right before each act: it answers no once the session's lease is over by this
-/// process's own clock, also right after the process was stopped for long, and once the duty was given away.
+/// Permission to perform a duty. The process checks the guard right before each action. A guard becomes invalid when
+/// the session lease expires on the local clock, even if the process was paused meanwhile, and when the duty is
+/// released.
 #[derive(Clone, Debug)]
 pub struct Guard {
-    /// Which duty.
+    /// The name of the duty.
     pub duty: String,
     fence: u64,
     lease: Arc<Lease>,
@@ -113,43 +116,45 @@
 }
 
 impl Guard {
-    /// The right of a duty that the group granted to a session.
+    /// Creates a guard for a duty that the group granted to the session of `lease`.
     pub fn new(duty: String, fence: u64, lease: Arc<Lease>, clock: Clock) -> Self {
         Self { duty, fence, lease, released: Arc::default(), clock }
     }
 
-    /// The fence to act under, if the act may be done now. The act carries it: between this answer and the act the
-    /// process may stop, and then only the fence tells.
+    /// Returns the fence if the guard is currently valid. Every action must carry the fence: if the process pauses
+    /// between this check and the action, only the fence lets the receiver reject the action.
     pub fn valid_fence(&self) -> Option<u64> {
         self.remaining().map(|_| self.fence)
     }
 
-    /// What is left of the right.
+    /// Returns the remaining validity, or `None` if the guard is invalid.
     pub fn remaining(&self) -> Option<Duration> {
         let remaining = self.lease.remaining(self.clock.now());
         remaining.filter(|_| !self.released.load(Ordering::SeqCst))
     }
 
-    /// The fence, whether or not it may still be acted under.
+    /// Returns the fence even if the guard is no longer valid.
     pub fn fence(&self) -> u64 {
         self.fence
     }
 
-    /// The duty is given away: no act from now on.
+    /// Invalidates the guard and all its clones because the duty is released.
     pub fn release(&self) {
         self.released.store(true, Ordering::SeqCst);
     }
 }
 
-/// What one who is acted upon has seen: an act under a lower fence than one before is refused.
+/// The highest fence seen for each duty. The receiver of actions uses it to reject an action with a lower fence than
+/// an earlier one.
 #[derive(Clone, Debug, Default)]
 pub struct SeenFences(BTreeMap<String, u64>);
 
-/// The most duties that are remembered.
+/// Maximum number of duties whose fences are tracked.
 pub const MAX_DUTIES: usize = 64;
 
 impl SeenFences {
-    /// Whether an act under this fence is to be taken; if so, none under a lower one is from now on.
+    /// Returns whether an action with this fence is accepted, and if so rejects lower fences from now on. A new duty
+    /// is rejected once [`MAX_DUTIES`] duties are tracked.
     pub fn accept(&mut self, duty: &str, fence: u64) -> bool {
         let full = self.0.len() >= MAX_DUTIES;
         match self.0.get_mut(duty) {
@@ -161,7 +166,7 @@
         true
     }
 
-    /// The highest fence seen of each duty.
+    /// Returns the highest fence seen for each duty.
     pub fn highest_fences(&self) -> Vec<(String, u64)> {
         self.0.iter().map(|(duty, fence)| (duty.clone(), *fence)).collect()
     }
--- a/group/src/lib.rs
+++ b/group/src/lib.rs
@@ -1,8 +1,9 @@
-//! A group of processes that decides in common. Some of them are voters and run consensus; all hold a session, and
-//! through it duties that only one of them has at a time. It knows nothing of what the duties are for.
+//! Coordination of a group of processes. A few processes are voters and run Raft. Every process is a member: it holds
+//! a session, and through the session duties. A duty is a named role that at most one session holds at a time. The
+//! crate does not interpret what a duty is for.
 //!
-//! The promises, and why they hold, stand where they are kept: one holder by fences in [`machine`], one holder by
-//! time in [`lease`], what a disk must not forget in [`store`].
+//! The guarantees are documented where they are enforced: unique holders by fencing tokens in [`state_machine`],
+//! unique holders by time in [`lease`], and durable state in [`store`].
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/group/src/member.rs
+++ b/group/src/member.rs
@@ -1,9 +1,12 @@
-//! A member: one session after another, kept alive through whichever voter answers, the view of the group, and the
-//! duties that this process holds.
+//! A member of the group. It keeps a session alive through any voter that responds, opens a new session when the old
+//! one ends, follows the view of the group, and holds duties for this process.
 //!
-//! Invariants: a guard is made only for a duty whose fence the group granted to the present session, and never again
-//! for one that was given away; a session that the group says is gone takes its guards with it; nothing here waits
-//! for the group on anybody else's behalf: whoever asks gets an answer within a third of a session's life.
+//! Invariants:
+//! - A guard is created only for a duty whose fence the group granted to the current session, and never again for a
+//!   fence that was released.
+//! - When the group reports that a session has ended, its guards become invalid.
+//! - Callers never wait indefinitely for the group: a request gets its response within a third of the session TTL,
+//!   except for a change of the voters.
 
 use crate::clock::{Clock, Moment};
 use crate::lease::{Guard, Lease, SeenFences};
@@ -20,45 +23,45 @@
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// A change of the voters may take so long: a new one gets the whole log first.
+/// Time limit for a change of the voters. A new voter first receives the complete log.
 pub const MEMBERSHIP_CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often the pause between two tries to open a session doubles at most.
+/// Maximum number of times that the delay between attempts to open a session doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
-/// One duty that a process would do, and how gladly: of those that can, the lower rank comes first.
+/// A duty that this process is willing to hold. Among the candidates, the one with the lowest rank claims first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CandidateDuty {
-    /// The duty.
+    /// The name of the duty.
     pub duty: String,
-    /// 0: at once.
+    /// The rank; 0 claims without a rank delay.
     pub rank: u32,
 }
 
-/// Who a member is and what it wants.
+/// The settings of a member.
 #[derive(Clone, Debug)]
 pub struct MemberSettings {
-    /// The session as it is opened.
+    /// The session information of this process.
     pub session: Session,
-    /// The duties it would do.
+    /// The duties that this process claims when they are free.
     pub candidate_duties: Vec<CandidateDuty>,
-    /// The voters to ask, its own first if it is one.
+    /// The voters that receive requests; the voter of this process comes first, if there is one.
     pub voters: Vec<VoterEndpoint>,
-    /// The life of a session.
+    /// The time-to-live of a session.
     pub session_ttl: Duration,
 }
 
-/// The duties held now; read by any thread of the process.
+/// The currently held duties, shared between the threads of the process.
 #[derive(Clone, Debug, Default)]
 pub struct HeldDuties(Arc<Mutex<BTreeMap<String, Guard>>>);
 
 impl HeldDuties {
-    /// The guard of a duty that is held.
+    /// Returns the guard of a duty if the duty is held.
     pub fn guard(&self, duty: &str) -> Option<Guard> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).get(duty).cloned()
     }
 
-    /// All guards.
+    /// Returns the guards of all held duties.
     pub fn all(&self) -> Vec<Guard> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).values().cloned().collect()
     }
@@ -68,66 +71,67 @@
     }
 }
 
-/// What this process asks of the group.
+/// A request of this process to the group.
 #[derive(Debug)]
 pub enum MemberRequest {
-    /// Gives a duty to a process by name, or to whoever takes it.
+    /// Releases a duty to the named process, or to any candidate if no name is given.
     ReleaseDuty(String, Option<String>),
-    /// Writes a record under a duty that is held: duty, key, value.
+    /// Writes a record under a held duty: duty, key, value.
     WriteRecord(String, String, Vec<u8>),
-    /// Tells whoever has a duty; it may be lost.
+    /// Sends a note to the holder of a duty. The note may be lost.
     SendNote(String, Vec<u8>),
-    /// Fetches what was told to the holder of a duty that is held here.
+    /// Collects the notes sent to the holder of a duty that this process holds.
     CollectNotes(String),
-    /// Wants to be away, with at most so many others.
+    /// Requests a planned absence, limited to this number of absent processes.
     RequestAbsence(u32),
-    /// Takes duties, or (draining, starved) gives up those it has and takes none.
+    /// With `true`, claims free duties. With `false` (the process is draining or starved), releases all duties and
+    /// claims none.
     SetEligible(bool),
-    /// A voter is taken in, or let go.
+    /// Adds or removes a voter.
     ChangeVoters(GroupRequest),
-    /// The process ends: duties are given up and the session is closed.
+    /// Stops the member: releases all duties and closes the session.
     Close,
 }
 
-/// An order, and who waits for its answer.
+/// A request and the channel for its response.
 pub type PendingRequest = (MemberRequest, oneshot::Sender<GroupResponse>);
 
-/// How the member stands, for figures.
+/// The status of the member, also used for metrics.
 #[derive(Clone, Debug, Default)]
 pub struct MemberStatus {
-    /// The newest view of the group.
+    /// The latest view of the group.
     pub view: View,
-    /// The session, if the group knows one.
+    /// The current session, if one is open.
     pub session: Option<SessionId>,
-    /// When the group last said that the session goes on, by the machine's clock.
+    /// When the group last confirmed the session, on the local clock.
     pub last_renewal: Option<Moment>,
 }
 
-/// A member.
+/// Takes part in the group for this process.
 pub struct Member {
     settings: MemberSettings,
     clock: Clock,
     held_duties: HeldDuties,
     clients: Vec<VoterClient>,
-    /// The voter that answered last.
+    /// Index of the client to use for the next request; advances after a failure.
     preferred_voter: Cell<usize>,
     status: watch::Sender<MemberStatus>,
     eligible: Cell<bool>,
     closed: Cell<bool>,
     lease: RefCell<Arc<Lease>>,
-    /// Fences seen of each duty, and the highest one of this process's own that is over.
+    /// The highest fence seen for each duty, and the highest fence of each duty that this process no longer holds.
     seen_fences: RefCell<SeenFences>,
     ended_fences: RefCell<BTreeMap<String, u64>>,
     claiming: RefCell<BTreeSet<String>>,
-    /// Sessions in a row that could not be opened.
+    /// Number of consecutive failures to open a session.
     failed_opens: Cell<u32>,
     renew_now: Notify,
-    /// A session has begun: what was known before may be another group's, which lost its state.
+    /// Signals that a session was opened. The view known so far may come from a group that has lost its state.
     session_opened: Notify,
 }
 
 impl Member {
-    /// A member that has not begun.
+    /// Creates a member that is not running yet.
     pub fn new(
         settings: MemberSettings, group: &str, clock: Clock, held_duties: HeldDuties,
     ) -> (Rc<Self>, watch::Receiver<MemberStatus>) {
@@ -156,7 +160,7 @@
         (Rc::new(member), status_receiver)
     }
 
-    /// Lives in the group until it is told to close.
+    /// Runs the member until it receives [`MemberRequest::Close`].
     pub async fn run(self: Rc<Self>, mut requests: mpsc::Receiver<PendingRequest>) {
         tokio::task::spawn_local(self.clone().watch_views());
         let session_loop = self.clone();
@@ -182,12 +186,12 @@
         self.status.borrow().session
     }
 
-    /// A part of a session's life, drawn so that many members do not come at one moment.
+    /// Returns a random fraction of the session TTL, so that many members do not send requests at the same time.
     fn random_ttl_fraction(&self, min: f64, max: f64) -> Duration {
         self.settings.session_ttl.mul_f64(rand::rng().random_range(min..max))
     }
 
-    /// Asks the voter that answered last; one that does not answer is passed over for the next.
+    /// Sends a request to the preferred voter. After a failure, the next request goes to the next voter.
     async fn call_voter(&self, request: GroupRequest, time_limit: Duration) -> Option<GroupResponse> {
         let index = self.preferred_voter.get() % self.clients.len().max(1);
         let client = self.clients.get(index)?;
@@ -201,14 +205,14 @@
         }
     }
 
-    /// One session, from its opening until the group says that it is gone.
+    /// Runs one session from its opening until the group reports its end.
     async fn run_session(self: Rc<Self>) {
         let id = rand::random::<u64>() >> 11;
         let (requested_at, seen_fences) = (self.clock.now(), self.seen_fences.borrow().highest_fences());
         let open = Command::OpenSession { session: id, info: self.settings.session.clone(), seen_fences };
         let response = self.call_voter(GroupRequest::Propose(open), self.settings.session_ttl / 4).await;
         if response != Some(GroupResponse::Reply(Reply::Done)) {
-            // After the voters were away, all members are here at once: each waits longer with each time.
+            // After an outage of the voters all members try to open a session at once, so back off exponentially.
             let doublings = self.failed_opens.replace(self.failed_opens.get() + 1).min(MAX_BACKOFF_DOUBLINGS);
             return sleep(self.random_ttl_fraction(0.02, 0.2) * (1 << doublings)).await;
         }
@@ -251,7 +255,7 @@
         *highest = (*highest).max(guard.fence());
     }
 
-    /// One long wait for news after the other, at whichever voter answers.
+    /// Follows the view of the group by long polling, and moves on to the next voter after a failure.
     async fn watch_views(self: Rc<Self>) {
         let mut index = 0;
         while !self.closed.get() {
@@ -266,7 +270,8 @@
             };
             match watched {
                 Ok(view) => {
-                    // A voter that lags behind tells nothing that is newer; one without a leader is left.
+                    // A lagging voter has no newer view, and a voter without a leader may not get one: try the next
+                    // voter.
                     if view.leader.is_none() || view.revision < known_revision {
                         index += 1;
                         sleep(self.random_ttl_fraction(0.02, 0.1)).await;
@@ -284,7 +289,7 @@
         }
     }
 
-    /// Acts on the view: duties granted to this session are held, free ones are asked for.
+    /// Applies the current view: holds duties granted to this session and claims free candidate duties.
     fn apply_view(self: &Rc<Self>) {
         let (duties, session) = {
             let status = self.status.borrow();
@@ -305,7 +310,7 @@
         }
     }
 
-    /// The group granted a duty to the present session under this fence.
+    /// Creates a guard for a duty that the group granted to the current session under this fence.
     fn record_grant(&self, duty: &str, fence: u64) {
         if self.ended_fences.borrow().get(duty).is_some_and(|ended| fence <= *ended) {
             return;
@@ -315,11 +320,12 @@
             Some(known) if known.fence() >= fence => None,
             _ => held.insert(duty.to_owned(), guard()),
         });
-        // The same holder under a higher fence: the lower one is for nobody any more.
+        // The same session now holds the duty under a higher fence, so the lower fence is obsolete.
         replaced.iter().for_each(Guard::release);
     }
 
-    /// Asks for a duty that is free, after a pause by its rank and by chance, unless it was taken meanwhile.
+    /// Claims a free duty after a delay that depends on the rank and a random part. Stops when another session gets
+    /// the duty.
     async fn claim_duty(self: Rc<Self>, candidate: CandidateDuty) {
         let delay_step = self.settings.session_ttl / 12;
         sleep(delay_step * candidate.rank + delay_step.mul_f64(rand::random::<f64>())).await;
@@ -332,7 +338,7 @@
             let claim = Command::ClaimDuty { session, duty: candidate.duty.clone() };
             match self.call_voter(GroupRequest::Propose(claim), self.settings.session_ttl / 4).await {
                 Some(GroupResponse::Reply(Reply::Held(fence))) => {
-                    // The session may have ended since: then the grant was another one's.
+                    // The session may have ended since the claim; then the grant belongs to a past session.
                     if self.session_id() == Some(session) {
                         self.seen_fences.borrow_mut().accept(&candidate.duty, fence);
                         self.record_grant(&candidate.duty, fence);
@@ -350,7 +356,8 @@
         self.claiming.borrow_mut().remove(&candidate.duty);
     }
 
-    /// Tells the group until it answers or the session is over, and with it all that the session has.
+    /// Proposes a command until the group answers or the session ends. The end of a session also releases everything
+    /// that the session holds.
     async fn propose_until_answered(self: Rc<Self>, session: SessionId, command: Command) -> GroupResponse {
         while self.session_id() == Some(session) {
             match self.call_voter(GroupRequest::Propose(command.clone()), self.settings.session_ttl / 4).await
@@ -370,11 +377,13 @@
                 let Some(guard) = self.held_duties.update(|held| held.remove(&duty)) else {
                     return GroupResponse::Refused(format!("{duty} is not held here"));
                 };
-                // From here on nothing is done under it, whether or not the group hears of it.
+                // From here on this process does not act under the fence, whether or not the group receives the
+                // release.
                 self.retire(&guard);
                 let Some(session) = self.session_id() else { return GroupResponse::SessionEnded };
                 let release = Command::ReleaseDuty { session, duty, fence: guard.fence(), to };
-                // Nobody else gets it before the group has heard, so it is told until it has.
+                // No other session can get the duty before the group applies the release, so retry until the group
+                // answers.
                 let release_task =
                     tokio::task::spawn_local(self.clone().propose_until_answered(session, release));
                 timeout(time_limit, release_task)
@@ -435,7 +444,8 @@
             }
             MemberRequest::ChangeVoters(change) => {
                 let mut response = None;
-                // Harmless to ask again, and the voter asked may be the one that is not in yet.
+                // The request is idempotent, and the preferred voter may be the one that is not a member yet: try
+                // every voter.
                 for _ in 0..=self.clients.len() {
                     response = self.call_voter(change.clone(), MEMBERSHIP_CHANGE_TIMEOUT).await;
                     if response.is_some() {
--- a/group/src/run.rs
+++ b/group/src/run.rs
@@ -1,5 +1,5 @@
-//! The group's thread: a voter if this process is one, and a member in any case. The rest of the process talks to it
-//! through a [`Handle`], and never waits for it where a request would.
+//! Runs the group thread of a process: a member and, if configured, a voter. The rest of the process uses a [`Handle`]
+//! and never blocks on the group while it serves a request.
 
 use crate::clock::Clock;
 use crate::lease::Guard;
@@ -20,29 +20,29 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::LocalSet;
 
-/// Orders that wait.
+/// Maximum number of requests queued for the group thread.
 const MAX_PENDING_REQUESTS: usize = 64;
-/// Connections that wait to be accepted.
+/// Maximum number of incoming connections waiting to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// What a process brings to its group.
+/// Settings of a process in its group.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The group's name.
+    /// The group name.
     pub group: String,
-    /// Who this process is.
+    /// The name, zone and version of this process.
     pub session: Session,
-    /// Duties that it would do.
+    /// The duties that this process claims when they are free.
     pub candidate_duties: Vec<CandidateDuty>,
-    /// The voters that the group is formed of, and those to ask.
+    /// The initial voters of the group, which members also send their requests to.
     pub voters: Vec<VoterEndpoint>,
-    /// The life of a session.
+    /// The time-to-live of a session.
     pub session_ttl: Duration,
-    /// Where a voter listens, and the folder of its disk; none for a member alone.
+    /// The listen address and data directory of a voter, or `None` for a process that is only a member.
     pub voter: Option<(SocketAddr, PathBuf)>,
 }
 
-/// Why a group's part cannot run.
+/// The reason why the group thread could not start.
 #[derive(Debug)]
 pub struct StartError(String);
 
@@ -54,7 +54,7 @@
 
 impl std::error::Error for StartError {}
 
-/// The way from the rest of the process to its part of the group.
+/// Gives the rest of the process access to its group thread.
 pub struct Handle {
     requests: mpsc::Sender<PendingRequest>,
     status: watch::Receiver<MemberStatus>,
@@ -64,43 +64,44 @@
 }
 
 impl Handle {
-    /// The guard of a duty, if this process holds it.
+    /// Returns the guard of a duty, if this process holds the duty.
     pub fn guard(&self, duty: &str) -> Option<Guard> {
         self.held_duties.guard(duty)
     }
 
-    /// The guards of all duties that this process holds.
+    /// Returns the guards of all duties that this process holds.
     pub fn guards(&self) -> Vec<Guard> {
         self.held_duties.all()
     }
 
-    /// How it stands.
+    /// Returns the current status of the member.
     pub fn status(&self) -> MemberStatus {
         self.status.borrow().clone()
     }
 
-    /// News of how it stands.
+    /// Subscribes to changes of the status.
     pub fn subscribe(&self) -> watch::Receiver<MemberStatus> {
         self.status.clone()
     }
 
-    /// How long ago the group last said that this session goes on.
+    /// Returns the time since the group last opened or renewed the session of this process.
     pub fn contact_age(&self) -> Option<Duration> {
         let last_renewal = self.status.borrow().last_renewal;
         last_renewal.map(|renewed_at| self.clock.now().saturating_sub(renewed_at))
     }
 
-    /// Gives an order, and waits for its answer; there is one within a third of a session's life or so.
+    /// Sends a request to the group and waits for the response. Most requests are answered within about a third of the
+    /// session TTL. A change of the voters may take several times [`crate::member::MEMBERSHIP_CHANGE_TIMEOUT`].
     pub async fn request(&self, request: MemberRequest) -> GroupResponse {
         let (responder, response) = oneshot::channel();
-        // A group that does not keep up is as good as one that cannot be reached.
+        // A full queue means that the group does not respond in time, so treat the group as unavailable.
         if self.requests.try_send((request, responder)).is_err() {
             return GroupResponse::Unavailable;
         }
         response.await.unwrap_or(GroupResponse::Unavailable)
     }
 
-    /// Leaves the group: duties are given up and the session ends, if the group can be told.
+    /// Leaves the group: releases all duties and closes the session if the group can be reached.
     pub async fn close(mut self) {
         self.request(MemberRequest::Close).await;
         drop(self.requests);
@@ -117,10 +118,10 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// Starts the thread. `tell` hears what belongs in the log.
+/// Starts the group thread. `log` receives log messages.
 ///
 /// # Errors
-/// When a voter cannot listen or has no folder that it may write to.
+/// If a voter cannot listen on its address or cannot use its data directory.
 pub fn start(
     settings: Settings, clock: Clock, log: impl Fn(String) + Clone + Send + 'static,
 ) -> Result<Handle, StartError> {
@@ -140,7 +141,7 @@
                 return drop(startup_sender.send(Err(error)));
             }
             let Settings { group, session, candidate_duties, voters, session_ttl, .. } = settings;
-            // Its own voter first: that one is nearest.
+            // Prefer the voter of this process, which is the nearest.
             let mut voters = voters;
             voters.sort_by_key(|endpoint| endpoint.name != session.name);
             let member_settings = MemberSettings { session, candidate_duties, voters, session_ttl };
@@ -148,16 +149,18 @@
             let _ = startup_sender.send(Ok(status));
             member.run(request_receiver).await;
         });
-        // What still waits for others is not waited for.
+        // Do not wait for tasks that are still blocked on other processes.
         runtime.shutdown_background();
     };
     let thread = std::thread::Builder::new().name("group".into()).spawn(run);
     let thread = thread.map_err(|error| StartError(error.to_string()))?;
-    let status = startup_result.recv().unwrap_or_else(|_| Err(StartError("it ended at its start".into())))?;
+    let status = startup_result
+        .recv()
+        .unwrap_or_else(|_| Err(StartError("the group thread ended during startup".into())))?;
     Ok(Handle { requests, status, held_duties, clock, thread: Some(thread) })
 }
 
-/// Starts the voter, if this process is one.
+/// Starts the voter, if this process is configured as one.
 fn start_voter(
     settings: &Settings, clock: &Clock, log: &(impl Fn(String) + Clone + Send + 'static),
 ) -> Result<(), StartError> {
@@ -165,16 +168,17 @@
     let (name, group) = (&settings.session.name, &settings.group);
     let start_error =
         |context: &str, error: &dyn fmt::Display| StartError(format!("group {group}: {context}: {error}"));
-    // The two stand side by side in the log.
+    // The Raft identity joins the group and voter names with a space, so the group name must not contain whitespace.
     if group.contains(char::is_whitespace) {
-        return Err(start_error("its name has blanks", &name));
+        return Err(start_error("the group name contains whitespace", &name));
     }
     let listener =
         bind_listener(*address).map_err(|e| start_error(&format!("cannot listen at {address}"), &e))?;
-    let store = Store::open(directory, name, group, log).map_err(|e| start_error("no store", &e))?;
+    let store =
+        Store::open(directory, name, group, log).map_err(|e| start_error("cannot open the store", &e))?;
     if is_tmpfs(directory) {
         log(format!(
-            "group {group}: {} counts as memory: what this voter knows goes with it",
+            "group {group}: {} is in memory (tmpfs): this voter loses its state when the machine restarts",
             directory.display()
         ));
     }
@@ -182,17 +186,17 @@
     let endpoint = endpoint.unwrap_or(VoterEndpoint { name: name.clone(), address: address.to_string() });
     let timeouts = Timeouts::from_session_ttl(settings.session_ttl);
     let voter = Voter::start(store, endpoint, group, timeouts, clock.clone(), &settings.voters, log.clone());
-    let voter = voter.map_err(|e| start_error("voter", &e))?;
-    log(format!("group {group}: voter {name} has number {} and listens at {address}", voter.incarnation()));
+    let voter = voter.map_err(|e| start_error("cannot start the voter", &e))?;
+    log(format!("group {group}: voter {name} (incarnation {}) listens at {address}", voter.incarnation()));
     tokio::task::spawn_local(serve(listener, voter.clone()));
     let voters = settings.voters.clone();
     tokio::task::spawn_local(async move { voter.join(&voters).await });
     Ok(())
 }
 
-/// Whether a folder's file system is kept in memory.
+/// Returns whether a directory is on a file system in memory.
 fn is_tmpfs(directory: &std::path::Path) -> bool {
-    /// The number of the kernel's file system in memory.
+    /// The magic number of tmpfs in the Linux kernel.
     const TMPFS: i64 = 0x0102_1994;
     rustix::fs::statfs(directory).is_ok_and(|stat| stat.f_type == TMPFS)
 }
--- a/group/src/state_machine.rs
+++ b/group/src/state_machine.rs
@@ -1,17 +1,22 @@
-//! What the group agrees on: sessions, duties with their fences, turns, and records written under fences. A pure
-//! function of the log: it has no clock and no chance, so that every voter comes to the same state.
+//! The replicated state: sessions, duties with fencing tokens, planned absences, and records written under a fence.
+//! The state is a pure function of the log, without clocks or randomness, so all voters compute the same state.
 //!
-//! Invariants: a duty has one holder at most, and that has a session; each grant of a duty has a higher fence than
-//! every one before, also than those that members remember of a group that was lost; a record is written only under
-//! its duty's present fence; turns are at most as many as was asked for, each of a different name.
+//! Invariants:
+//! - A duty has at most one holder, and the holder has an open session.
+//! - Each grant of a duty has a higher fence than every earlier grant. This includes fences that members remember from
+//!   a group whose state was lost.
+//! - A record is written only under the current fence of its duty.
+//! - The number of planned absences never exceeds the limit given in the request, and each absence has a distinct
+//!   name.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The number of a session, drawn by who opens it.
+/// The ID of a session, chosen at random by the process that opens the session.
 pub type SessionId = u64;
 
-/// Bounds of the state: sessions, duties, records and their bytes, letters of a name.
+/// Limits of the replicated state: sessions, duties, records, bytes of a record's value, bytes of a name, and voter
+/// addresses.
 pub const MAX_SESSIONS: usize = 1000;
 const MAX_DUTIES: usize = crate::lease::MAX_DUTIES;
 const MAX_RECORDS: usize = 256;
@@ -19,156 +24,160 @@
 const MAX_NAME_BYTES: usize = 64;
 const MAX_VOTER_ADDRESSES: usize = 64;
 
-/// One process's presence in the group.
+/// The session of one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Session {
-    /// The process's name, the same after a restart.
+    /// The process name, which stays the same across restarts.
     pub name: String,
-    /// Its zone.
+    /// The zone of the process.
     pub zone: String,
-    /// The version of its program.
+    /// The program version of the process.
     pub version: String,
 }
 
-/// A duty that one session holds at a time.
+/// A named role that at most one session holds at a time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Duty {
-    /// The fence of the last grant.
+    /// The fence (fencing token) of the latest grant.
     pub fence: u64,
-    /// Who holds it.
+    /// The session that holds the duty.
     pub holder: Option<SessionId>,
 }
 
-/// A value written under a duty's fence.
+/// A value written under the fence of a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The duty.
+    /// The duty that authorized the write.
     pub duty: String,
-    /// The fence that it was written under.
+    /// The fence under which the record was written.
     pub fence: u64,
-    /// The value.
+    /// The stored value.
     pub value: Vec<u8>,
 }
 
-/// All of it.
+/// The complete replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// Raised with each change but that of a session alone.
+    /// Increases with every change that a view shows, except a change of the session count alone.
     pub revision: u64,
-    /// Who is there.
+    /// Open sessions by session ID.
     pub sessions: BTreeMap<SessionId, Session>,
-    /// The duties that were ever asked for.
+    /// All duties that were ever claimed or reported by a member, by name.
     pub duties: BTreeMap<String, Duty>,
-    /// What was written.
+    /// Records by key.
     pub records: BTreeMap<String, Record>,
-    /// Who is away by leave: names, with the session that asked.
+    /// Planned absences: the process name and the session that requested the absence.
     pub absences: BTreeMap<String, SessionId>,
-    /// Where voters listen, by name.
+    /// Listen addresses of voters, by voter name.
     pub voter_addresses: BTreeMap<String, String>,
 }
 
-/// An entry of the log.
+/// A command in a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// A process comes. `seen` are the fences that it has seen, of whatever group.
+    /// Opens a session. A process also reports the fences that it has seen, including fences of an earlier group whose
+    /// state was lost.
     OpenSession {
-        /// The number it drew.
+        /// The session ID chosen by the process.
         session: SessionId,
-        /// Who it is.
+        /// The name, zone and version of the process.
         info: Session,
-        /// Fences by duty.
+        /// The highest fence that the process has seen for each duty.
         seen_fences: Vec<(String, u64)>,
     },
-    /// A process goes, by its own word.
+    /// Closes a session at the request of its process.
     CloseSession {
-        /// Which session.
+        /// The session to close.
         session: SessionId,
     },
-    /// The leader ends a session. Void in another term: whoever led in between may have renewed it.
+    /// Expires a session by decision of the leader. The command has no effect when committed in another term, because
+    /// a leader in between may have renewed the session.
     ExpireSession {
-        /// Which session.
+        /// The session to expire.
         session: SessionId,
-        /// The leader's term.
+        /// The term of the leader that proposed the expiry.
         term: u64,
     },
-    /// A session wants a duty.
+    /// Claims a duty for a session.
     ClaimDuty {
-        /// Who.
+        /// The claiming session.
         session: SessionId,
-        /// Which duty.
+        /// The claimed duty.
         duty: String,
     },
-    /// A holder gives a duty up, or to another session at once.
+    /// Releases a duty, or transfers the duty directly to another session.
     ReleaseDuty {
-        /// Who.
+        /// The holder's session.
         session: SessionId,
-        /// Which duty.
+        /// The duty to release.
         duty: String,
-        /// The fence that it holds it under.
+        /// The fence under which the session holds the duty.
         fence: u64,
-        /// To the process of this name; none, and it is free.
+        /// The name of the process that receives the duty. `None` leaves the duty without a holder.
         to: Option<String>,
     },
-    /// A holder writes a record.
+    /// Writes a record under a held duty.
     WriteRecord {
-        /// Who.
+        /// The holder's session.
         session: SessionId,
-        /// For which duty.
+        /// The duty that authorizes the write.
         duty: String,
-        /// Under which fence.
+        /// The fence under which the session holds the duty.
         fence: u64,
-        /// The record's name.
+        /// The key of the record.
         key: String,
-        /// Its value.
+        /// The value of the record.
         value: Vec<u8>,
     },
-    /// A process wants to be away for a while, with at most so many others.
+    /// Requests a planned absence, for example a restart. The request is refused while `max_absent` processes are
+    /// absent.
     RequestAbsence {
-        /// Who.
+        /// The requesting session.
         session: SessionId,
-        /// The most that are away at once.
+        /// The maximum number of processes that may be absent at the same time.
         max_absent: u32,
     },
-    /// The time of a turn is over although its asker did not come back. Void in another term.
+    /// Ends a planned absence whose process did not return in time. The command has no effect when committed in
+    /// another term.
     ExpireAbsence {
-        /// Whose.
+        /// The name of the absent process.
         name: String,
-        /// The leader's term.
+        /// The term of the leader that proposed the expiry.
         term: u64,
     },
-    /// A voter listens there.
+    /// Records the listen address of a voter.
     SetVoterAddress {
-        /// Its name.
+        /// The name of the voter.
         name: String,
-        /// Its address.
+        /// The listen address of the voter.
         address: String,
     },
 }
 
-/// What came of an entry.
+/// The result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// It was done.
+    /// The command succeeded.
     Done,
-    /// The duty is held under this fence.
+    /// The session holds the duty under this fence.
     Held(u64),
-    /// Another one holds it, or nobody does.
+    /// Another session holds the duty, the duty has no holder, or the fence is outdated.
     NotHeld {
-        /// Who.
+        /// The current holder.
         holder: Option<SessionId>,
-        /// The present fence.
+        /// The current fence.
         fence: u64,
     },
-    /// There is no such session, or none of that name: it has ended, or never was.
+    /// The session, or a session of the named process, does not exist: it has ended or was never opened.
     NoSession,
-    /// So many are away already.
+    /// The limit on planned absences is reached; contains the number of absent processes.
     AbsenceLimitReached(u32),
-    /// A bound of the state is reached, or a name is too long.
+    /// A limit of the state is reached, or a name or value is too long.
     LimitExceeded,
 }
 
 impl State {
-    /// Applies one entry of the log, committed in a term.
+    /// Applies a command that was committed in `term`.
     pub fn apply(&mut self, term: u64, command: &Command) -> Reply {
         match command {
             Command::OpenSession { session, info, seen_fences } => {
@@ -195,7 +204,7 @@
         }
     }
 
-    /// Other processes are the voters now, by these names.
+    /// Drops the addresses of processes that are no longer voters. `names` lists the current voters.
     pub fn set_voters(&mut self, names: &[&str]) {
         self.voter_addresses.retain(|name, _| names.contains(&name.as_str()));
         self.revision += 1;
@@ -218,13 +227,14 @@
             return Reply::LimitExceeded;
         }
         self.sessions.insert(session, info.clone());
-        // Who is back has no turn any more.
+        // A process that opened a new session has returned from its planned absence.
         if self.absences.get(&info.name).is_some_and(|requester| *requester != session) {
             self.absences.remove(&info.name);
             self.revision += 1;
         }
-        // A group that lost its state goes on above what its members remember. Whoever holds a duty lower goes on
-        // holding it, higher: it may still be acting, so nobody else can have it.
+        // A group that lost its state continues above the fences that its members remember. If a session holds the
+        // duty under a lower fence, it keeps the duty under a higher one: the holder may still be acting, so no other
+        // session may get the duty.
         for (duty, fence) in seen_fences {
             let full = self.duties.len() >= MAX_DUTIES && !self.duties.contains_key(duty);
             if full || duty.len() > MAX_NAME_BYTES {
@@ -260,7 +270,7 @@
         }
         let duty = self.duties.entry(name.to_owned()).or_default();
         match duty.holder {
-            // Asked again, because the first answer was lost.
+            // The claim is a retry after a lost response.
             Some(holder) if holder == session => Reply::Held(duty.fence),
             Some(_) => Reply::NotHeld { holder: duty.holder, fence: duty.fence },
             None => {
--- a/group/src/store.rs
+++ b/group/src/store.rs
@@ -1,9 +1,9 @@
-//! The voter's disk: who it is, its vote, its log and its last snapshot, in one file that [`logbook`] keeps. Whatever is
-//! answered to others as written has been synced before.
+//! The voter's persistent state: identity, vote, log and last snapshot, in one file managed by [`raft::store`].
+//! Everything that the voter acknowledges to others has been synced before.
 //!
-//! Invariants: a file that cannot be read whole, or that is another group's or another process's, is set aside and told
-//! in one line, and the voter begins anew under a number never used before. So it cannot vote twice in a term that it
-//! has forgotten: the old number's vote is counted for nobody.
+//! Invariants: a file that cannot be read completely, or that belongs to another group or process, is renamed and
+//! reported in one log line. The voter then starts empty under an incarnation that was never used before. So it cannot
+//! vote twice in a term that it has forgotten, because votes of the old incarnation count for no one.
 
 use crate::state_machine::{Command, Reply, State};
 use raft::{Entry, Payload, PersistentState, Snapshot, VoterId};
@@ -11,41 +11,42 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The number that a voter's votes are counted under.
+/// Identifies one lifetime of a voter's state. Votes are counted per incarnation.
 pub type Incarnation = u64;
 
 const FILE_NAME: &str = "group.redb";
-/// How many files that were set aside are kept.
+/// Maximum number of renamed files that are kept.
 const MAX_SET_ASIDE_FILES: u32 = 3;
 
-/// A voter as the log names it. Its address there is no way to it but what stays the same: the group's name and its own.
-/// So a voter that comes back with an empty disk takes its own place, and a file tells whose it is.
+/// Returns the Raft identity of a voter. Its `address` field holds the group and voter names rather than a network
+/// address, since the names never change. So a voter that returns with an empty disk replaces its old entry, and a
+/// file identifies its owner.
 pub fn voter_id(group: &str, name: &str, incarnation: Incarnation) -> VoterId {
     VoterId { address: format!("{group} {name}"), incarnation }
 }
 
-/// The group's and the process's name.
+/// Splits a Raft identity into the group name and the voter name.
 fn group_and_name(voter: &VoterId) -> (&str, &str) {
     voter.address.split_once(' ').unwrap_or(("", &voter.address))
 }
 
-/// The process's name of a voter.
+/// Returns the process name of a voter.
 pub fn voter_name(voter: &VoterId) -> &str {
     group_and_name(voter).1
 }
 
-/// What is wrong with a file.
+/// The reason why the voter's file cannot be used.
 #[derive(Debug)]
 pub enum StoreError {
-    /// The folder, or what is beside the file.
+    /// An I/O error in the directory.
     Io(io::Error),
-    /// The log's own word.
+    /// An error of the Raft store.
     Raft(raft::store::StoreError),
-    /// The state that the log keeps cannot be read.
+    /// The state in a snapshot cannot be decoded.
     UnreadableState,
-    /// Another process has it.
+    /// Another process has the file open.
     Busy,
-    /// It is of another group or process.
+    /// The file belongs to another group or process.
     WrongOwner(VoterId),
 }
 
@@ -54,11 +55,11 @@
         match self {
             Self::Io(error) => write!(f, "{error}"),
             Self::Raft(error) => write!(f, "{error}"),
-            Self::UnreadableState => f.write_str("its state cannot be read"),
+            Self::UnreadableState => f.write_str("the state cannot be decoded"),
             Self::Busy => f.write_str("another process has it open"),
             Self::WrongOwner(owner) => {
                 let (group, name) = group_and_name(owner);
-                write!(f, "it is of {name} in group {group}")
+                write!(f, "the file belongs to voter {name} of group {group}")
             }
         }
     }
@@ -93,24 +94,24 @@
     }
 }
 
-/// What the entries of the log make, up to one of them.
+/// The result of applying the log up to an entry.
 #[derive(Clone, Debug, Default)]
 pub struct Applied {
-    /// The state.
+    /// The replicated state.
     pub state: State,
-    /// The voters.
+    /// The current voters.
     pub voters: Vec<VoterId>,
-    /// The entry.
+    /// The index of the last applied entry.
     pub index: u64,
-    /// Its term.
+    /// The term of the last applied entry.
     pub term: u64,
 }
 
 impl Applied {
-    /// What stood for all entries before those that the log tells again.
+    /// Restores the state that precedes the entries in the log: the snapshot, or the initial voters if there is none.
     ///
     /// # Errors
-    /// When the snapshot's state cannot be read.
+    /// If the state in the snapshot cannot be decoded.
     pub fn from_saved(saved: &PersistentState) -> Result<Self, StoreError> {
         saved.snapshot.as_ref().map_or_else(
             || Ok(Self { voters: saved.founders.clone(), ..Self::default() }),
@@ -118,20 +119,20 @@
         )
     }
 
-    /// A snapshot's; none if its state cannot be read.
+    /// Restores the state of a snapshot. Returns `None` if the state cannot be decoded.
     pub fn from_snapshot(snapshot: &Snapshot) -> Option<Self> {
         let state = postcard::from_bytes(&snapshot.state).ok()?;
         let voters = snapshot.members.clone();
         Some(Self { state, voters, index: snapshot.index, term: snapshot.term })
     }
 
-    /// As a snapshot; none if the state cannot be written.
+    /// Creates a snapshot. Returns `None` if the state cannot be encoded.
     pub fn to_snapshot(&self) -> Option<Snapshot> {
         let state = postcard::to_stdvec(&self.state).ok()?;
         Some(Snapshot { index: self.index, term: self.term, members: self.voters.clone(), state })
     }
 
-    /// Takes the next entry.
+    /// Applies the next committed entry.
     pub fn apply(&mut self, entry: &Entry) -> Reply {
         (self.index, self.term) = (entry.index, entry.term);
         match &entry.payload {
@@ -141,7 +142,7 @@
                 self.state.set_voters(&voters.iter().map(voter_name).collect::<Vec<_>>());
                 Reply::Done
             }
-            // One that cannot be read is void, and so at every voter.
+            // An entry that cannot be decoded has no effect, on this voter and on every other.
             Payload::Change(bytes) => match postcard::from_bytes::<Command>(bytes) {
                 Ok(command) => self.state.apply(entry.term, &command),
                 Err(_) => Reply::Done,
@@ -150,35 +151,36 @@
     }
 }
 
-/// The voter's file, and what was found in it.
+/// The voter's open file and the state loaded from it.
 pub struct Store {
-    /// The file.
+    /// The open file.
     pub disk: raft::store::Store,
-    /// What the log goes on from.
+    /// The persistent Raft state that the voter resumes from.
     pub saved: PersistentState,
-    /// What stands for the entries before.
+    /// The state that precedes the entries in the log.
     pub applied: Applied,
 }
 
 impl Store {
-    /// Opens the file in a folder, or makes it. `tell` hears why a file that was there is not used.
+    /// Opens the voter's file in a directory, or creates it. `log` receives a message if an existing file cannot be
+    /// used.
     ///
     /// # Errors
-    /// When there can be no file in the folder.
+    /// If the directory or the file cannot be created, or another process has the file open.
     pub fn open(directory: &Path, name: &str, group: &str, log: impl Fn(String)) -> Result<Self, StoreError> {
         std::fs::create_dir_all(directory)?;
         let path = directory.join(FILE_NAME);
         if path.exists() {
             match Self::read(&path, name, group) {
                 Ok(Some(store)) => return Ok(store),
-                // Its process went before it had written who it is.
+                // The process that created the file stopped before it wrote an identity.
                 Ok(None) => {}
-                // Not this one's to set aside: its predecessor still votes by it.
+                // Leave the file in place: the previous process still votes with it.
                 Err(StoreError::Busy) => return Err(StoreError::Busy),
                 Err(error) => {
                     let backup = set_aside(&path)?;
                     log(format!(
-                        "{}: not used: {error}; set aside as {}. This voter has no vote until it is taken in anew",
+                        "{}: not used: {error}; renamed to {}. This voter has no vote until it is added again",
                         path.display(),
                         backup.display()
                     ));
@@ -191,7 +193,7 @@
         Ok(Self { disk, saved, applied: Applied::default() })
     }
 
-    /// All of it is read: a voter that finds out later that it cannot read its log has voted by then.
+    /// Reads the complete file. A voter that detected an unreadable log entry only later would have voted by then.
     fn read(path: &Path, name: &str, group: &str) -> Result<Option<Self>, StoreError> {
         let (disk, saved) = raft::store::Store::open(path)?;
         let Some(saved) = saved else { return Ok(None) };
@@ -203,24 +205,24 @@
     }
 }
 
-/// A number for a voter without a past. Numbers of 53 bits stay whole in whatever shows them.
+/// Returns a random incarnation. It has 53 bits, so that JSON and other readers that use doubles keep it exact.
 fn random_incarnation() -> Incarnation {
     (rand::random::<u64>() >> 11).max(1)
 }
 
-/// The name of the file in the folder is to outlive a loss of power as well.
+/// Syncs the directory, so that the file's entry survives a power loss.
 fn sync_directory(directory: &Path) -> io::Result<()> {
     std::fs::File::open(directory)?.sync_all()
 }
 
-/// Why a voter's disk cannot become a group of its own.
+/// The reason why [`rescue`] refused to continue a group from one disk.
 #[derive(Debug)]
 pub enum RescueError {
-    /// The disk cannot be used, or is in use.
+    /// The file cannot be used, or another process has it open.
     Store(StoreError),
-    /// It holds nothing of a group.
+    /// The directory has no group state, or its voter was not a member.
     NoGroupState,
-    /// The names given are not those of all other voters, which are these.
+    /// The given names differ from the other voters, which are listed here.
     VoterNamesMismatch(Vec<String>),
 }
 
@@ -228,7 +230,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Store(error) => write!(f, "{error}"),
-            Self::NoGroupState => f.write_str("this disk holds nothing of a group"),
+            Self::NoGroupState => f.write_str("the directory holds no state of a group"),
             Self::VoterNamesMismatch(names) => {
                 write!(f, "the other voters are {}: name all of them, if all are lost", names.join(", "))
             }
@@ -251,12 +253,14 @@
     }
 }
 
-/// Makes a group of one voter out of the disk of the last one, when all others are lost for good: `lost` names all of
-/// them. The process must not be running. What this voter knew goes on, under a new number; the old file is set
-/// aside. If one of the others still lives there are two groups from now on: there is nobody who could tell.
+/// Turns the disk of the last surviving voter into a group with a single voter, after all other voters were lost
+/// permanently. `lost` must name all of them. The process must not be running. The replicated state is kept under a
+/// new incarnation, and the old file is renamed.
+///
+/// If any other voter is still running, two independent groups exist afterwards, and nothing detects this.
 ///
 /// # Errors
-/// When the disk cannot be used or the names are not those of the other voters; nothing has been changed then.
+/// If the disk cannot be used or `lost` does not name exactly the other voters. Nothing is changed in these cases.
 pub fn rescue(
     directory: &Path, local_name: &str, group: &str, lost: &[String],
 ) -> Result<Incarnation, RescueError> {
@@ -284,14 +288,14 @@
     applied.voters = vec![me.clone()];
     applied.state.set_voters(&[local_name]);
     let snapshot = applied.to_snapshot().ok_or(StoreError::UnreadableState)?;
-    // The old file goes once the new one is whole: a full disk changes nothing.
+    // The old file is replaced only after the new file is complete, so a full disk changes nothing.
     let new_path = path.with_extension("rescued");
     if new_path.exists() {
         std::fs::remove_file(&new_path)?;
     }
     let (new_store, _) = raft::store::Store::open(&new_path)?;
     let incarnation = me.incarnation;
-    // Terms go on above all that this voter has seen: an older one may have been another leader's.
+    // The new term exceeds every term that this voter has seen, since an older term may have had another leader.
     new_store.create_from_snapshot(me, saved.term + 1, snapshot)?;
     drop((disk, new_store));
     set_aside(&path)?;
@@ -300,7 +304,7 @@
     Ok(incarnation)
 }
 
-/// Renames a file so that it is kept for whoever wants to look at it; the oldest such file goes.
+/// Renames a file to keep it for inspection, and replaces the oldest renamed file if there are too many.
 fn set_aside(path: &Path) -> io::Result<PathBuf> {
     let numbered_path = |number: u32| path.with_extension(format!("aside-{number}"));
     let unused = (0..MAX_SET_ASIDE_FILES).find(|number| !numbered_path(*number).exists());
--- a/group/src/voter.rs
+++ b/group/src/voter.rs
@@ -1,5 +1,5 @@
-//! One voter: consensus on the log of [`crate::machine`], the leader's reckoning of sessions ([`crate::lease`]), and
-//! answers to members. Whoever is not the leader passes questions on to it.
+//! A voter: runs Raft on the log of [`crate::state_machine`], tracks session expiry while it leads ([`crate::lease`]),
+//! and answers members. A follower forwards requests to the leader.
 
 mod driver;
 mod leader;
@@ -26,10 +26,10 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{sleep, timeout};
 
-/// The longest wait of a watch.
+/// Maximum time that a long poll for a newer view waits.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(20);
 
-/// A voter.
+/// A voter of the group.
 pub struct Voter {
     incarnation: Incarnation,
     endpoint: VoterEndpoint,
@@ -38,31 +38,32 @@
     clock: Clock,
     log: Box<dyn Fn(String)>,
     core: RefCell<Core>,
-    /// When the log wants to be looked after, and that this became sooner.
+    /// The time of the next Raft timer, and a signal that this time has moved earlier.
     next_due: Cell<Millis>,
     due_moved_earlier: Notify,
     applied_changes: watch::Sender<u64>,
     leadership: watch::Sender<Leadership>,
-    /// Where this process's own settings find voters: that goes before what the group agreed on, since from one process
-    /// to the next it may differ.
+    /// Addresses of voters from the settings of this process. They take precedence over the replicated addresses,
+    /// because the address of a voter may differ between processes.
     configured_addresses: BTreeMap<String, String>,
-    /// Where those were that were heard of last: for who is not in the settings, before the group has told.
+    /// Addresses learned from incoming messages. Used for voters that are not in the settings, until the group has
+    /// replicated their addresses.
     learned_addresses: RefCell<BTreeMap<String, String>>,
     clients: RefCell<HashMap<String, Rc<VoterClient>>>,
-    /// Messages that wait, for each voter that a task is carrying them to.
+    /// Queued Raft messages per voter. An entry exists while a task delivers messages to that voter.
     outgoing: RefCell<HashMap<VoterId, VecDeque<Vec<u8>>>>,
     deadlines: RefCell<SessionDeadlines>,
     absences: RefCell<BTreeMap<String, Moment>>,
-    /// Notes by duty, while this voter leads.
+    /// Notes by duty. Kept only while this voter leads.
     notes: RefCell<BTreeMap<String, VecDeque<Vec<u8>>>>,
 }
 
 impl Voter {
-    /// Starts one on its store; `known` are other voters, where this process finds them, and `tell` hears what belongs
-    /// in the log. It has to be called on the thread and the local set that it lives on.
+    /// Starts a voter from its store. `configured_voters` are the voter addresses from the settings of this process,
+    /// and `log` receives log messages. Must be called on the thread and in the local task set that the voter runs on.
     ///
     /// # Errors
-    /// When it cannot go on from what the store holds.
+    /// If the voter cannot resume from the stored state.
     pub fn start(
         store: Store, endpoint: VoterEndpoint, group: &str, timeouts: Timeouts, clock: Clock,
         configured_voters: &[VoterEndpoint], log: impl Fn(String) + 'static,
@@ -111,17 +112,17 @@
         Ok(voter)
     }
 
-    /// Its number.
+    /// Returns the incarnation of this voter.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The term in which this voter leads, if it does.
+    /// Returns the term in which this voter leads, or `None` if it does not lead.
     fn leader_term(&self) -> Option<u64> {
         self.leadership.borrow().leader_term
     }
 
-    /// What this voter knows, without asking the others.
+    /// Returns the local view of this voter without contacting the other voters.
     pub fn view(&self) -> View {
         let core = self.core.borrow();
         let halted = core.writer.is_none();
@@ -146,13 +147,13 @@
         }
     }
 
-    /// Whether it belongs to no group yet.
+    /// Returns whether this voter does not belong to a group yet.
     fn is_new(&self) -> bool {
         self.core.borrow().node.members().is_empty()
     }
 
-    /// Forms the group if it is this voter's part and nobody belongs to one yet; else waits to be taken in. `tell`
-    /// hears once what it waits for.
+    /// Forms the group if this voter is the first in `voters` and no reachable voter belongs to a group yet. Otherwise
+    /// waits to be added, and logs once what it is waiting for.
     pub async fn join(self: Rc<Self>, voters: &[VoterEndpoint]) {
         let (mut logged, mut formed_at) = (false, None);
         while self.is_new() && !self.is_halted() {
@@ -168,13 +169,13 @@
             }
             let is_first = voters.first().is_some_and(|first| first.name == self.endpoint.name);
             if let Some(member) = formed_by {
-                // The group lives; this voter's part of it was lost, or it never was a voter. Or the group has just been
-                // formed with it: then it hears of that from the first leader, well within a life.
+                // The group exists, and this voter lost its state or was never a voter. The group may also have just
+                // been formed with this voter: then the first leader contacts it well within one session TTL.
                 let since = *formed_at.get_or_insert_with(|| self.clock.now());
                 let waited_long = self.clock.now().saturating_sub(since) >= self.timeouts.session_ttl;
                 if waited_long && !std::mem::replace(&mut logged, true) {
                     (self.log)(format!(
-                        "group {}: {} has no vote: {member} is in the group already. GROUP ADD {} {} takes it in",
+                        "group {}: {} has no vote: {member} is already in the group; use GROUP ADD {} {} to join",
                         self.group, self.endpoint.name, self.endpoint.name, self.endpoint.address
                     ));
                 }
@@ -188,7 +189,8 @@
         }
     }
 
-    /// Begins the group's log: its first entry is who the voters are. They hear of it from their first leader.
+    /// Creates the log of the group, starting from a snapshot that lists the voters. The other voters receive the
+    /// snapshot from their first leader.
     fn form_group(self: &Rc<Self>, candidates: &[(Incarnation, VoterEndpoint)]) -> Result<(), VoterError> {
         let disk = {
             let mut core = self.core.borrow_mut();
@@ -203,7 +205,8 @@
             let term = core.node.term().max(1);
             let created = disk.create_from_snapshot(core.node.me().clone(), term, snapshot);
             let saved = created.map_err(|error| VoterError::Store(error.into()))?;
-            // Nobody can lead a group that did not exist, so nobody is bound to one: it may stand as if it had waited.
+            // No vote can bind this voter before the group exists, so start as if the election timeout had already
+            // elapsed.
             let timing = self.timeouts.timing();
             let last_contact = millis(&self.clock).saturating_sub(timing.election);
             core.node = raft::Node::start(saved, timing, rand::random(), last_contact);
@@ -267,15 +270,15 @@
     }
 }
 
-/// The time now, as the log counts it.
+/// Returns the current time in Raft's unit.
 fn millis(clock: &Clock) -> Millis {
     clock.now().as_millis() as Millis
 }
 
-/// A member's question to a voter that it has a way to.
+/// Sends a member's request to a voter.
 ///
 /// # Errors
-/// When the voter gives no usable answer in time.
+/// If the voter does not return a usable response in time.
 pub async fn send_request(
     client: &VoterClient, request: GroupRequest, time_limit: Duration,
 ) -> Result<GroupResponse, CallError> {
--- a/group/src/voter/driver.rs
+++ b/group/src/voter/driver.rs
@@ -1,4 +1,4 @@
-//! The log on a voter: what happened goes in, and what it says is done.
+//! Drives the Raft node of a voter: passes inputs to the node and carries out its outputs.
 
 use super::messages::VoterError;
 use super::{Voter, millis};
@@ -12,24 +12,24 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
 
-/// Entries between two snapshots.
+/// Number of entries between two snapshots.
 const SNAPSHOT_INTERVAL_ENTRIES: u64 = 2000;
-/// The longest entry: no command that can be of use is longer, and what is in the log has to fit a call.
+/// Maximum size of an encoded entry. No useful command is longer, and entries must fit into a call.
 const MAX_ENTRY_BYTES: usize = 64 * 1024;
 
-/// The log on this voter, and what it makes.
+/// The Raft node of this voter and the state built from its log.
 pub(super) struct Core {
     pub(super) node: raft::Node,
-    /// None once the disk has failed: the voter is silent from then on.
+    /// The disk writer, or `None` once the disk has failed or the voter is halted for another reason.
     pub(super) writer: Option<Writer>,
-    /// Rises with each writer: what an older one still tells is not of this log.
+    /// Increases with each new writer. Events of an older writer do not belong to the current log.
     pub(super) writer_generation: u64,
     pub(super) applied: Applied,
     pub(super) snapshot_index: u64,
     pub(super) last_token: u64,
-    /// Who waits for what comes of an entry, by its token.
+    /// Callers waiting for the result of their proposal, by token.
     pub(super) waiters: HashMap<u64, oneshot::Sender<Reply>>,
-    /// Where such an entry stands: its term and token by its index.
+    /// Accepted proposals by log index: term and token.
     pub(super) proposals: HashMap<u64, (u64, u64)>,
 }
 
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A snapshot when one is due.
+    /// Returns a compaction input if a snapshot is due.
     fn compact(&mut self) -> Option<Input> {
         if self.applied.index < self.snapshot_index + SNAPSHOT_INTERVAL_ENTRIES {
             return None;
@@ -55,17 +55,17 @@
     }
 }
 
-/// How a voter stands in its log.
+/// The leadership of a voter as last published.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Leadership {
-    /// The term in which it leads, if it does.
+    /// The term in which this voter leads, if it does.
     pub(super) leader_term: Option<u64>,
-    /// Whether nobody else could when it last looked.
+    /// Whether the leader lease was valid at the last update, so that no other voter could lead.
     pub(super) lease_valid: bool,
 }
 
 impl Voter {
-    /// From now on this voter's saves go there.
+    /// Starts a writer for `disk` and uses it for all further saves.
     pub(super) fn attach_disk(self: &Rc<Self>, disk: raft::store::Store) -> Result<(), VoterError> {
         let (event_sender, mut events) = mpsc::unbounded_channel();
         let mut core = self.core.borrow_mut();
@@ -82,7 +82,7 @@
                 match event {
                     WriterEvent::Saved(ticket) => voter.handle_input(Input::Saved { ticket }),
                     WriterEvent::WriteFailed(error) => (voter.log)(format!(
-                        "group {}: voter {} votes and acknowledges nothing until its disk takes writes: {error}",
+                        "group {}: voter {} neither votes nor acknowledges until its disk accepts writes: {error}",
                         voter.group, voter.endpoint.name
                     )),
                     WriterEvent::StoreLost(error) => voter.halt(&error),
@@ -92,7 +92,8 @@
         Ok(())
     }
 
-    /// What cannot be written down cannot be promised: the others have to see that this voter is gone.
+    /// Stops taking part in the group. A voter that cannot persist its state cannot keep its promises, so the others
+    /// must detect its failure.
     pub(super) fn halt(&self, reason: &dyn fmt::Display) {
         {
             let mut core = self.core.borrow_mut();
@@ -100,14 +101,17 @@
             core.waiters.clear();
         }
         self.leadership.send_replace(Leadership::default());
-        (self.log)(format!("group {}: voter {} falls silent: {reason}", self.group, self.endpoint.name));
+        (self.log)(format!(
+            "group {}: voter {} stops taking part in the group: {reason}",
+            self.group, self.endpoint.name
+        ));
     }
 
     pub(super) fn is_halted(&self) -> bool {
         self.core.borrow().writer.is_none()
     }
 
-    /// Hands the log what happened, and does what it says.
+    /// Passes an input to the Raft node and carries out the resulting outputs.
     pub(super) fn handle_input(self: &Rc<Self>, input: Input) {
         let mut pending_input = Some(input);
         let mut state_changed = false;
@@ -127,7 +131,7 @@
                         state_changed = true;
                     }
                     Output::Install { snapshot } => {
-                        // A state that cannot be read is of another version of this program, which goes on leading.
+                        // Another program version wrote this state, and its leader continues without this voter.
                         let Some(applied) = Applied::from_snapshot(&snapshot) else {
                             drop(core);
                             return self.halt(&StoreError::UnreadableState);
@@ -157,7 +161,7 @@
         }
     }
 
-    /// Tells what waits for it how the voter stands now.
+    /// Publishes the leadership and the time of the next Raft timer.
     fn publish_leadership(&self) {
         let core = self.core.borrow();
         let leadership = Leadership {
@@ -171,7 +175,7 @@
         self.leadership.send_if_modified(|current| std::mem::replace(current, leadership) != leadership);
     }
 
-    /// Lets time pass for the log.
+    /// Passes a tick to the Raft node whenever its timer is due.
     pub(super) async fn run_timer(self: Rc<Self>) {
         while !self.is_halted() {
             let wait_ms = self.next_due.get().saturating_sub(millis(&self.clock)).max(1);
@@ -182,7 +186,7 @@
         }
     }
 
-    /// Puts an entry into the log, and waits for what comes of it; none if that cannot be told.
+    /// Proposes a command and waits for its result. Returns `None` if the outcome is unknown.
     pub(super) async fn propose_and_wait(self: &Rc<Self>, command: &Command) -> Option<Reply> {
         self.propose(command)?.await.ok()
     }
@@ -208,11 +212,12 @@
         Some(response)
     }
 
-    /// Waits until it is sure that at this moment nobody else leads. False if this voter does not.
+    /// Waits until the leader lease proves that no other voter leads at this moment. Returns `false` if this voter
+    /// does not lead.
     pub(super) async fn confirm_leadership(&self) -> bool {
         let mut leadership = self.leadership.subscribe();
         loop {
-            // The one in the office is as old as the last thing that happened.
+            // The published lease is only as recent as the last input, so check the lease at the current time.
             let lease_valid = {
                 let core = self.core.borrow();
                 core.writer.is_some() && core.node.holds_lease(millis(&self.clock))
--- a/group/src/voter/leader.rs
+++ b/group/src/voter/leader.rs
@@ -1,4 +1,4 @@
-//! What the leader says to the group's questions, and what it ends by itself.
+//! Request handling on the leader, and expiry of sessions and absences.
 
 use super::Voter;
 use super::messages::{GroupRequest, GroupResponse, RequestEnvelope, VoterEndpoint, VoterInfo};
@@ -11,15 +11,15 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Notes kept for one duty, and the longest of them.
+/// Maximum number of notes kept per duty, and maximum size of a note.
 const MAX_NOTES_PER_DUTY: usize = 512;
 const MAX_NOTE_BYTES: usize = 256;
-/// A turn whose asker is not back after this is over.
+/// A planned absence ends after this time if its process has not returned.
 const ABSENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl Voter {
-    /// A session goes on if this voter surely led after it was asked. Whoever leads later gives the session its whole
-    /// life from a later moment.
+    /// Renews a session if this voter confirms its leadership after the request arrived. A later leader gives the
+    /// session a full TTL from a later moment, so a successful renewal remains valid.
     async fn renew_session(&self, session: SessionId) -> GroupResponse {
         if !self.confirm_leadership().await {
             return GroupResponse::Unavailable;
@@ -41,7 +41,7 @@
         self.deadlines.borrow_mut().update(self.clock.now(), leader_term, sessions);
     }
 
-    /// Ends what is over, while this voter leads.
+    /// Expires sessions and planned absences while this voter leads.
     pub(super) async fn expire_sessions(self: Rc<Self>) {
         loop {
             sleep(
@@ -73,12 +73,13 @@
                     let _ = reply.await;
                 }
             };
-            // What is not done now is done with the next look, or by the next leader.
+            // Expirations that are not finished by then are repeated in the next round or by the next leader.
             let _ = timeout(self.timeouts.session_ttl / 3, all_replies).await;
         }
     }
 
-    /// What the group says to a question, within a time that is well inside a session's life.
+    /// Handles a request within a time well below the session TTL, except for a change of the voters. A follower
+    /// forwards the request to the leader, unless the request was already forwarded.
     pub async fn handle_request(self: &Rc<Self>, request: GroupRequest, forwarded: bool) -> GroupResponse {
         let is_membership_change =
             matches!(request, GroupRequest::AddVoter(_) | GroupRequest::RemoveVoter(_));
@@ -105,7 +106,8 @@
         match request {
             GroupRequest::RenewSession(session) => self.renew_session(session).await,
             GroupRequest::Propose(command) => {
-                // A duty that is held needs no entry to be refused: what is known here was committed.
+                // A claim for a held duty is refused without a log entry, because the local state contains only
+                // committed entries.
                 if let Command::ClaimDuty { session, duty } = &command
                     && let Some(duty_state) = self.core.borrow().applied.state.duties.get(duty)
                     && duty_state.holder.is_some_and(|holder| holder != *session)
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Keeps a note; of too many the oldest go.
+    /// Stores a note, and drops the oldest note if there are too many.
     fn store_note(&self, session: SessionId, duty: String, note: Vec<u8>) -> GroupResponse {
         let core = self.core.borrow();
         let state = &core.applied.state;
@@ -168,7 +170,8 @@
         if !self.change_voters(Input::AddVoter(added.clone()), |voters| voters.contains(&added)).await {
             return GroupResponse::Unavailable;
         }
-        // It is in whether or not the others hear where: they have its word for that.
+        // The voter has been added even if its address is not replicated: the others learn the address from its
+        // messages.
         match self
             .propose_and_wait(&Command::SetVoterAddress { name: endpoint.name, address: endpoint.address })
             .await
@@ -194,12 +197,13 @@
         }
     }
 
-    /// Asks for a change of the voters until it is committed. False if this voter leads no more before that.
+    /// Requests a change of the voters until the change is committed. Returns `false` if this voter loses its
+    /// leadership before that.
     async fn change_voters(self: &Rc<Self>, input: Input, done: impl Fn(&[VoterId]) -> bool) -> bool {
         let mut changes = self.applied_changes.subscribe();
         loop {
             self.handle_input(input.clone());
-            // One that has let itself go leads no more by then.
+            // Check this first: a leader that has removed itself no longer leads.
             if done(&self.core.borrow().applied.voters) {
                 return true;
             }
--- a/group/src/voter/messages.rs
+++ b/group/src/voter/messages.rs
@@ -1,4 +1,4 @@
-//! What a voter, its group and its members say to one another.
+//! Messages between voters and members, and the timeouts of a group.
 
 use crate::lease::drift_allowance;
 use crate::state_machine::{Command, Reply, SessionId};
@@ -10,123 +10,125 @@
 use std::io;
 use std::time::Duration;
 
-/// A voter as the others know it.
+/// The name and address of a voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterEndpoint {
-    /// The process's name.
+    /// The process name of the voter.
     pub name: String,
-    /// Where it listens.
+    /// The address on which the voter listens.
     pub address: String,
 }
 
-/// A question to the group.
+/// A request to the group.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum GroupRequest {
-    /// An entry for the log.
+    /// Appends a command to the log.
     Propose(Command),
-    /// A session goes on.
+    /// Renews a session.
     RenewSession(SessionId),
-    /// A note for whoever has a duty. It is kept by the leader alone, for a while, and may be lost.
+    /// Sends a note to the holder of a duty. Only the leader keeps the note, for a limited time, and the note may be
+    /// lost.
     SendNote {
-        /// Who says it.
+        /// The session of the sender.
         session: SessionId,
-        /// For which duty's holder.
+        /// The duty whose holder receives the note.
         duty: String,
-        /// What.
+        /// The content of the note.
         note: Vec<u8>,
     },
-    /// The notes for a duty, to its holder.
+    /// Collects the notes for a duty on behalf of its holder.
     CollectNotes {
-        /// Who has the duty.
+        /// The holder's session.
         session: SessionId,
         /// The duty.
         duty: String,
-        /// Under which fence.
+        /// The fence under which the session holds the duty.
         fence: u64,
     },
-    /// A voter is taken in: its name and address. One of that name that is a voter already goes.
+    /// Adds a voter by name and address. Replaces a voter with the same name.
     AddVoter(VoterEndpoint),
-    /// A voter is let go.
+    /// Removes a voter by name.
     RemoveVoter(String),
 }
 
-/// A question as it travels: whether it was passed on by a voter already.
+/// A request as sent to a voter. The flag tells whether another voter has forwarded the request.
 #[derive(Serialize, Deserialize)]
 pub(super) struct RequestEnvelope(pub(super) GroupRequest, pub(super) bool);
 
-/// What the group says to a question.
+/// The response of the group to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupResponse {
-    /// What came of an entry.
+    /// The result of applying a command.
     Reply(Reply),
-    /// The session goes on.
+    /// The session was renewed.
     Renewed,
     /// The session has ended.
     SessionEnded,
-    /// It was done.
+    /// The request succeeded.
     Done,
-    /// Notes, the oldest first.
+    /// The collected notes, oldest first.
     Notes(Vec<Vec<u8>>),
-    /// There is no leader, or no majority, within reach: it may have been done or not.
+    /// No leader or no quorum is reachable. The request may or may not have taken effect.
     Unavailable,
-    /// It cannot be done.
+    /// The request is refused; contains the reason.
     Refused(String),
 }
 
-/// What members are told of the group.
+/// The view of the group that members receive.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// Raised with each change.
+    /// The revision of the state.
     pub revision: u64,
-    /// The leader's name, as the voter knows it.
+    /// The name of the leader known to the voter.
     pub leader: Option<String>,
-    /// The term of consensus.
+    /// The Raft term known to the voter.
     pub term: u64,
-    /// How many sessions there are.
+    /// The number of open sessions.
     pub sessions: usize,
-    /// The voters' names.
+    /// The names of the voters.
     pub voters: Vec<String>,
-    /// Duties with their fence, and the holder's session and name.
+    /// Duties by name: the fence, and the holder's session and process name.
     pub duties: BTreeMap<String, (u64, Option<(SessionId, String)>)>,
-    /// Records by name: the duty, the fence, the value.
+    /// Records by key: the duty, the fence and the value.
     pub records: BTreeMap<String, (String, u64, Vec<u8>)>,
-    /// The names of those away by leave.
+    /// The names of processes with a planned absence.
     pub absent: Vec<String>,
 }
 
-/// Waiting for a view newer than this, for so many ms.
+/// A long poll for a view newer than the known revision.
 #[derive(Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// The revision that is known.
+    /// The revision that the member already has.
     pub known_revision: u64,
-    /// How long to wait.
+    /// Maximum time to wait, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Who a voter is, as it answers.
+/// The identity of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterInfo {
-    /// Its number.
+    /// The incarnation of the voter.
     pub incarnation: Incarnation,
-    /// Its name.
+    /// The name of the voter.
     pub name: String,
-    /// Whether it belongs to no group yet.
+    /// Whether the voter does not belong to a group yet.
     pub is_new: bool,
 }
 
-/// The times of a group. All of its processes hold the same.
+/// The timeouts of a group. All processes of a group must use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// The life of a session.
+    /// The time-to-live of a session.
     pub session_ttl: Duration,
-    /// Between two words of the leader to the other voters.
+    /// The interval between two heartbeats of the leader.
     pub heartbeat_interval: Duration,
-    /// A voter that has not heard of a leader for a time drawn between these stands for election.
+    /// Minimum and maximum election timeout. A follower that receives nothing from a leader for a random time in this
+    /// range starts an election.
     pub election: (Duration, Duration),
 }
 
 impl Timeouts {
-    /// The usual ones for a life: an election is over well before a session is.
+    /// Derives the timeouts from a session TTL such that an election finishes well before a session expires.
     pub fn from_session_ttl(session_ttl: Duration) -> Self {
         Self {
             session_ttl,
@@ -135,8 +137,8 @@
         }
     }
 
-    /// The log's: a vote binds for `election` at the least, and a lease ends well before, also by a clock that runs
-    /// apart.
+    /// Returns the timing of Raft. A vote is binding for at least `election`, and the leader lease ends well before
+    /// that, even if clocks drift.
     pub(super) fn timing(&self) -> Timing {
         let ms = |time: Duration| (time.as_millis() as Millis).max(1);
         let lease = self.election.0.saturating_sub(drift_allowance(self.election.0) * 2);
@@ -144,12 +146,12 @@
     }
 }
 
-/// A voter that cannot run.
+/// The reason why a voter cannot run.
 #[derive(Debug)]
 pub enum VoterError {
-    /// Its disk.
+    /// The voter's file cannot be used.
     Store(StoreError),
-    /// There is no thread for the disk.
+    /// The thread that writes to the disk cannot be started.
     Thread(io::Error),
     /// The state cannot be written.
     State,
@@ -159,7 +161,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Store(error) => write!(f, "{error}"),
-            Self::Thread(error) => write!(f, "no thread for the disk: {error}"),
+            Self::Thread(error) => write!(f, "cannot start the disk writer thread: {error}"),
             Self::State => f.write_str("the state cannot be written"),
         }
     }
--- a/group/src/voter/raft_transport.rs
+++ b/group/src/voter/raft_transport.rs
@@ -1,4 +1,4 @@
-//! The ways to other voters, and the log's messages on them.
+//! Clients for the other voters, and delivery of Raft messages to them.
 
 use super::Voter;
 use crate::store::{Incarnation, voter_id, voter_name};
@@ -10,22 +10,23 @@
 use std::rc::Rc;
 use tokio::time::sleep;
 
-/// Messages that wait for one voter, of which the oldest go, and the bytes of one call of several.
+/// Maximum number of messages queued for one voter (the oldest are dropped first), and maximum size of a batch with
+/// several messages.
 const MAX_QUEUED_MESSAGES: usize = 64;
 const MAX_BATCH_BYTES: usize = 1 << 20;
-/// Mail that is longer than this gets more time.
+/// A batch above this size gets a longer timeout.
 const LARGE_BATCH_BYTES: usize = 64 * 1024;
-/// Senders whose address is remembered.
+/// Maximum number of voters whose learned addresses are kept.
 const MAX_LEARNED_ADDRESSES: usize = 64;
 
-/// Messages of the log, of one voter to another.
+/// Raft messages from one voter to another.
 #[derive(Serialize, Deserialize)]
 pub(super) struct MessageBatch {
-    /// The sender, as the log names it.
+    /// The Raft identity of the sender.
     from: (String, Incarnation),
-    /// Where it listens: one that was just taken in knows it from nowhere else.
+    /// The listen address of the sender. A voter that was just added has no other source for this address.
     address: String,
-    /// The messages in the log's own form.
+    /// The messages, encoded by `bitcode`.
     messages: Vec<Vec<u8>>,
 }
 
@@ -46,7 +47,7 @@
         Some(client)
     }
 
-    /// Remembers where a voter listens.
+    /// Stores the address of a voter, learned from a message or a request.
     pub(super) fn learn_address(&self, name: &str, address: String) {
         let mut learned = self.learned_addresses.borrow_mut();
         if learned.len() < MAX_LEARNED_ADDRESSES || learned.contains_key(name) {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Where others find this voter.
+    /// Returns the address at which the other voters reach this voter.
     fn advertised_address(&self) -> String {
         let configured = self.configured_addresses.get(&self.endpoint.name).cloned();
         let replicated =
@@ -62,12 +63,12 @@
         configured.or_else(replicated).unwrap_or_else(|| self.endpoint.address.clone())
     }
 
-    /// Queues a message. All to one voter go one call after the other, so that they arrive in order.
+    /// Queues a message. Batches to one voter are sent one after another, so the messages arrive in order.
     pub(super) fn queue_message(self: &Rc<Self>, to: VoterId, message: &Message) {
         let mut outgoing = self.outgoing.borrow_mut();
         let needs_task = !outgoing.contains_key(&to);
         let queue = outgoing.entry(to.clone()).or_default();
-        // It is silent: what is old is of no use to it any more.
+        // The receiver does not respond, and the oldest messages are of no use to it any more.
         if queue.len() >= MAX_QUEUED_MESSAGES {
             queue.pop_front();
         }
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Carries messages to one voter until there are none.
+    /// Delivers queued messages to one voter until the queue is empty.
     async fn deliver(self: Rc<Self>, to: VoterId) {
         let election_timeout = self.timeouts.election.0;
         loop {
@@ -104,7 +105,7 @@
             let batch = MessageBatch { from, address: self.advertised_address(), messages };
             let delivered = match self.client_for(voter_name(&to)) {
                 Some(client) => {
-                    // Whatever gets no answer by then is lost; the next call goes by another connection.
+                    // Messages without a response within this time are lost; the next call uses another connection.
                     let time_limit = if is_large { self.timeouts.session_ttl } else { election_timeout / 2 };
                     client.call::<_, ()>(CallKind::Raft, to.incarnation, &batch, time_limit).await.is_ok()
                 }
--- a/group/src/wire.rs
+++ b/group/src/wire.rs
@@ -1,6 +1,7 @@
-//! What the processes of a group say to each other: HTTP/1.1, bodies in `postcard`. Each call names the form, the
-//! group and, for consensus, the voter it is meant for; anything else is answered 4xx and closed. Bounded in bytes,
-//! connections and time.
+//! The protocol between the processes of a group: HTTP/1.1 with bodies encoded by `postcard`. Each call names the
+//! protocol version, the group and the target voter. Raft calls must name a target; other calls may address any voter.
+//! A mismatch is answered with a 4xx status and closes the connection. Body size, number of connections and waiting
+//! time are bounded.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt as _, Full, Limited};
@@ -23,28 +24,28 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-/// The form of the calls.
+/// The protocol version; both sides must use the same one.
 const PROTOCOL_VERSION: &str = "2";
 const HEADERS: [&str; 3] = ["group-form", "group-name", "group-target"];
-/// The longest body.
+/// Maximum size of a request or response body.
 const MAX_BODY_BYTES: usize = 4 << 20;
-/// Connections held at once: every member's two, and the other voters'.
+/// Maximum number of open incoming connections: two from each member plus those of the other voters.
 const MAX_CONNECTIONS: usize = 1024;
-/// A connection without a request for this long is closed.
+/// An incoming connection without a request is closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Free connections kept to one address.
+/// Maximum number of idle connections kept per address.
 const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// What a call is for.
+/// The kind of a call, which determines its path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// Messages of the log, of one voter to another. They are answered by others, not by this call.
+    /// Raft messages from one voter to another. Raft replies are sent in separate calls, so the response is empty.
     Raft,
-    /// A member's question, or another voter's on its behalf.
+    /// A request of a member, sent directly or forwarded by another voter.
     Request,
-    /// Waiting for news.
+    /// A long poll for a newer view of the group.
     Watch,
-    /// Who a voter is.
+    /// A query for the identity of a voter.
     Info,
 }
 
@@ -55,16 +56,16 @@
     (CallKind::Info, "/who"),
 ];
 
-/// A call without a usable answer.
+/// The reason why a call has no usable response.
 #[derive(Debug)]
 pub enum CallError {
-    /// No connection, or it broke: the call may have arrived or not.
+    /// The connection could not be opened or broke. The call may or may not have arrived.
     Connection(String),
-    /// No answer in time: it may have arrived or not.
+    /// No response arrived in time. The call may or may not have arrived.
     TimedOut,
-    /// It was refused.
+    /// The voter answered with an error status.
     Refused(StatusCode),
-    /// The answer cannot be read.
+    /// The request cannot be encoded or the response cannot be decoded.
     Malformed,
 }
 
@@ -81,7 +82,7 @@
 
 impl std::error::Error for CallError {}
 
-/// The way to one address.
+/// An HTTP client for one address, with a pool of idle connections.
 pub struct VoterClient {
     address: SocketAddr,
     group: Rc<str>,
@@ -89,15 +90,16 @@
 }
 
 impl VoterClient {
-    /// A way without a connection yet.
+    /// Creates a client without connecting.
     pub fn new(address: SocketAddr, group: Rc<str>) -> Self {
         Self { address, group, idle: RefCell::default() }
     }
 
-    /// Calls, and waits for the answer. `target` is the voter meant, 0 for whoever is there.
+    /// Sends a request and waits for the response. `target` is the incarnation of the intended voter; 0 means any
+    /// voter at the address.
     ///
     /// # Errors
-    /// When there is no usable answer in time.
+    /// If no usable response arrives within `time_limit`.
     pub async fn call<Req: Serialize, Resp: DeserializeOwned>(
         &self, kind: CallKind, target: u64, request: &Req, time_limit: Duration,
     ) -> Result<Resp, CallError> {
@@ -124,7 +126,7 @@
                 let (sender, connection) =
                     hyper::client::conn::http1::handshake(io).await.map_err(|e| connection_error(&e))?;
                 tokio::task::spawn_local(async move {
-                    // Whoever waits for its answer hears of the end.
+                    // The pending request receives the connection error.
                     let _ = connection.await;
                 });
                 sender
@@ -153,36 +155,36 @@
     }
 }
 
-/// What a call is answered: bytes, or a status.
+/// The response to a call: an encoded body or an error status.
 pub type ResponseFuture = Pin<Box<dyn Future<Output = Result<Vec<u8>, StatusCode>>>>;
 
-/// Who answers calls.
+/// Handles incoming calls.
 pub trait CallHandler: 'static {
-    /// The group's name.
+    /// Returns the group name.
     fn group(&self) -> &str;
-    /// The number of this voter.
+    /// Returns the incarnation of this voter.
     fn incarnation(&self) -> u64;
-    /// The answer to one call.
+    /// Handles one call.
     fn handle(self: Rc<Self>, kind: CallKind, body: Bytes) -> ResponseFuture;
 }
 
-/// Reads a question.
+/// Decodes a request body.
 ///
 /// # Errors
-/// A status that says so, when it cannot be read.
+/// Returns status 400 if the body cannot be decoded.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, StatusCode> {
     postcard::from_bytes(body).map_err(|_| StatusCode::BAD_REQUEST)
 }
 
-/// Writes an answer.
+/// Encodes a response body.
 ///
 /// # Errors
-/// A status that says so, when it cannot be written.
+/// Returns status 500 if the value cannot be encoded.
 pub fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, StatusCode> {
     postcard::to_stdvec(value).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)
 }
 
-/// Answers calls at a listener, for ever.
+/// Accepts connections on `listener` and serves calls indefinitely.
 pub async fn serve(listener: TcpListener, handler: Rc<impl CallHandler>) {
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
@@ -197,7 +199,7 @@
             let service = service_fn(move |request| serve_request(handler.clone(), request));
             let mut http = hyper::server::conn::http1::Builder::new();
             http.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT);
-            // A connection that breaks is its caller's affair.
+            // The caller notices a broken connection and handles it.
             let _ = http.serve_connection(TokioIo::new(stream), service).await;
             drop(permit);
         });
@@ -219,7 +221,7 @@
         Ok(bytes) => *response.body_mut() = Full::new(Bytes::from(bytes)),
         Err(status) => {
             *response.status_mut() = status;
-            // Who says what is not understood is not listened to any longer.
+            // Close the connection: the client may speak another protocol or belong to another group.
             if status.is_client_error() {
                 let close = hyper::header::HeaderValue::from_static("close");
                 response.headers_mut().insert(hyper::header::CONNECTION, close);
@@ -229,7 +231,7 @@
     Ok(response)
 }
 
-/// What a call is for, if it is one of this group's and meant for this voter.
+/// Checks method, path and headers of a call and returns its kind.
 fn validate_request(handler: &impl CallHandler, request: &Request<Incoming>) -> Result<CallKind, StatusCode> {
     let header = |index: usize| request.headers().get(HEADERS[index]).and_then(|value| value.to_str().ok());
     let kind = PATHS.iter().find(|(_, path)| *path == request.uri().path());
@@ -241,7 +243,8 @@
         return Err(StatusCode::FORBIDDEN);
     }
     let target: u64 = header(2).and_then(|id| id.parse().ok()).ok_or(StatusCode::BAD_REQUEST)?;
-    // A voter that lost its disk is not the one that was elected or that has the log.
+    // A voter that lost its disk has a new incarnation: it neither is the elected leader nor has the log that the
+    // caller expects.
     if (*kind == CallKind::Raft || target != 0) && target != handler.incarnation() {
         return Err(StatusCode::CONFLICT);
     }
--- a/group/tests/failover.rs
+++ b/group/tests/failover.rs
@@ -1,5 +1,5 @@
-//! Groups of several voters and members on loopback sockets, each on a thread of its own: duties move on when their
-//! holder goes, disks are lost, and everybody is away at once.
+//! Groups of several voters and members on loopback sockets, each on its own thread. Duties must fail over when their
+//! holder stops, and the group must recover from lost disks and from an outage of all processes.
 
 use fennelscale_group::clock::Clock;
 use fennelscale_group::lease::Guard;
@@ -14,11 +14,11 @@
 use std::time::{Duration, Instant};
 
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
-/// Short, so that the tests are, and long enough that a busy machine ends no session; an election takes a sixth to a third
-/// of it.
+/// Short enough for a fast test, but long enough that no session expires on a busy machine. An election takes a sixth
+/// to a third of this time.
 const SESSION_TTL: Duration = Duration::from_millis(3000);
 
-/// A group's processes-to-be, in a folder that goes with it.
+/// A group under test, with a data directory that is removed at the end.
 struct TestGroup {
     directory: PathBuf,
     voters: Vec<VoterEndpoint>,
@@ -39,9 +39,12 @@
             std::env::temp_dir().join(format!("fennelscale-group-{}-{number}", std::process::id()));
         let subnet = (10 + std::process::id() % 240, number);
         let endpoint = |n: usize| {
-            // An address of the test's own: a voter that is away leaves its port to nobody.
+            // Each voter gets its own loopback address, so no other process takes its port while the voter is stopped.
             let probe = std::net::TcpListener::bind(format!("127.{}.{}.{}:0", subnet.0, subnet.1, n + 1));
-            let address = probe.and_then(|probe| probe.local_addr()).expect("a port").to_string();
+            let address = probe
+                .and_then(|probe| probe.local_addr())
+                .expect("cannot reserve a loopback port")
+                .to_string();
             VoterEndpoint { name: format!("v{n}"), address }
         };
         Self { directory, voters: (0..voters).map(endpoint).collect(), log_lines: Arc::default() }
@@ -54,7 +57,8 @@
     fn start_in(&self, name: &str, group: &str, duties: &[&str]) -> Handle {
         let session_info = Session { name: name.into(), zone: "z".into(), version: "1".into() };
         let endpoint = self.voters.iter().find(|endpoint| endpoint.name == name);
-        let address = endpoint.map(|endpoint| endpoint.address.parse::<SocketAddr>().expect("an address"));
+        let address =
+            endpoint.map(|endpoint| endpoint.address.parse::<SocketAddr>().expect("invalid voter address"));
         let settings = Settings {
             group: group.into(),
             session: session_info,
@@ -67,10 +71,10 @@
             voter: address.map(|address| (address, self.voter_directory(name))),
         };
         let log_lines = self.log_lines.clone();
-        let log = move |text: String| log_lines.lock().expect("log lines").push(text);
+        let log = move |text: String| log_lines.lock().expect("log lock poisoned").push(text);
         let started = Instant::now();
         loop {
-            // The port of a voter that has just gone may take a moment.
+            // The port of a voter that was just stopped may not be free yet.
             match start(settings.clone(), Clock::Boot, log.clone()) {
                 Ok(handle) => return handle,
                 Err(error) => assert!(started.elapsed() < WAIT_TIMEOUT, "{error}"),
@@ -84,7 +88,7 @@
     }
 
     fn has_logged(&self, part: &str) -> bool {
-        self.log_lines.lock().expect("log lines").iter().any(|text| text.contains(part))
+        self.log_lines.lock().expect("log lock poisoned").iter().any(|text| text.contains(part))
     }
 }
 
@@ -94,7 +98,7 @@
         if let Some(value) = condition() {
             return value;
         }
-        assert!(started.elapsed() < WAIT_TIMEOUT, "waited in vain: {description}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "timed out waiting for {description}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -107,13 +111,13 @@
     all.iter().enumerate().find_map(acting)
 }
 
-/// What the group says to an order, given again while an election is under way.
+/// Sends a request, and repeats it while the group is unavailable, for example during an election.
 async fn request_until_answered(handle: &Handle, request: impl Fn() -> MemberRequest) -> GroupResponse {
     let started = Instant::now();
     loop {
         match handle.request(request()).await {
             GroupResponse::Unavailable => {
-                assert!(started.elapsed() < WAIT_TIMEOUT, "no answer to {:?}", request())
+                assert!(started.elapsed() < WAIT_TIMEOUT, "no response to {:?}", request())
             }
             answer => return answer,
         }
@@ -121,7 +125,7 @@
     }
 }
 
-/// Ends a process's part as a kill would: nobody is told.
+/// Stops a process abruptly: it neither releases duties nor closes its session.
 fn kill(handle: Handle) {
     drop(handle);
 }
@@ -139,7 +143,7 @@
     kill(stopped);
     let new_guard = wait_until("the next holder", || {
         let new_guard = remaining.guard("d").filter(|guard| guard.valid_fence().is_some());
-        assert!(new_guard.is_none() || old_guard.valid_fence().is_none(), "two hold it");
+        assert!(new_guard.is_none() || old_guard.valid_fence().is_none(), "two members hold the duty");
         new_guard
     })
     .await;
@@ -156,12 +160,13 @@
     let write = |value: &[u8]| MemberRequest::WriteRecord("d".into(), "k".into(), value.to_vec());
     assert_eq!(request_until_answered(&a, || write(b"one")).await, GroupResponse::Reply(Reply::Done));
     let b = group.start("b", &[]);
-    wait_until("the other's session", || b.status().session).await;
+    wait_until("the session of the other member", || b.status().session).await;
     assert_eq!(
         request_until_answered(&a, || MemberRequest::ReleaseDuty("d".into(), Some("nobody".into()))).await,
         GroupResponse::Reply(Reply::NoSession)
     );
-    // Whoever has begun to give it away does not act under it any more; the same holder gets it no second time.
+    // The holder stops acting as soon as it starts to release the duty, and does not get the duty again even though
+    // the group refused the transfer.
     assert_eq!(guard.valid_fence(), None);
     assert!(a.guard("d").is_none());
     kill(a);
@@ -172,8 +177,10 @@
         request_until_answered(&successor, || MemberRequest::ReleaseDuty("d".into(), Some("b".into()))).await,
         GroupResponse::Reply(Reply::Done)
     );
-    let new_guard = wait_until("the named one", || b.guard("d").filter(|g| g.valid_fence().is_some())).await;
-    assert_eq!(successor.status().session, session, "it waited for the end of a session");
+    let new_guard =
+        wait_until("the guard of the named member", || b.guard("d").filter(|g| g.valid_fence().is_some()))
+            .await;
+    assert_eq!(successor.status().session, session, "the transfer required the end of a session");
     assert_eq!((new_guard.valid_fence(), successor.guard("d").is_some()), (Some(3), false));
     assert_eq!(request_until_answered(&b, || write(b"two")).await, GroupResponse::Reply(Reply::Done));
     assert!(matches!(
@@ -194,18 +201,20 @@
     let a = group.start("a", &["d"]);
     let mut last = wait_until("a holder", || a.guard("d").and_then(|g| g.valid_fence())).await;
     for disks_removed in [false, true] {
-        let held = a.guard("d").expect("held");
+        let held = a.guard("d").expect("the duty is not held");
         voters.drain(..).for_each(kill);
-        wait_until("the lease's end", || held.valid_fence().is_none().then_some(())).await;
+        wait_until("the end of the lease", || held.valid_fence().is_none().then_some(())).await;
         if disks_removed {
             (0..3).for_each(|n| {
-                std::fs::remove_dir_all(group.voter_directory(&format!("v{n}"))).expect("removed")
+                std::fs::remove_dir_all(group.voter_directory(&format!("v{n}")))
+                    .expect("cannot remove the voter directory")
             });
         }
         voters = (0..3).map(start).collect();
-        let fence = wait_until("the holder again", || a.guard("d").and_then(|g| g.valid_fence())).await;
-        // With its disks the group may have kept the session, and with it the fence.
-        assert!(fence > last || (!disks_removed && fence == last), "{fence} after {last}");
+        let fence =
+            wait_until("a holder after the restart", || a.guard("d").and_then(|g| g.valid_fence())).await;
+        // If the voters keep their disks, the session and its fence may survive.
+        assert!(fence > last || (!disks_removed && fence == last), "fence {fence} after {last}");
         last = fence;
     }
 }
@@ -218,19 +227,19 @@
     let a = group.start("a", &["d"]);
     wait_until("a holder", || a.guard("d").and_then(|g| g.valid_fence())).await;
     kill(v2);
-    std::fs::remove_dir_all(group.voter_directory("v2")).expect("removed");
+    std::fs::remove_dir_all(group.voter_directory("v2")).expect("cannot remove the voter directory");
     let v2 = start(2);
-    wait_until("what it is told", || group.has_logged("v2 has no vote").then_some(())).await;
+    wait_until("the log line of v2", || group.has_logged("v2 has no vote").then_some(())).await;
     let endpoint = group.voters[2].clone();
     let added =
         request_until_answered(&a, || MemberRequest::ChangeVoters(GroupRequest::AddVoter(endpoint.clone())))
             .await;
     assert_eq!(added, GroupResponse::Done);
-    // Now it counts: the group goes on without one of the others.
+    // The added voter counts towards the quorum: the group continues without one of the original voters.
     kill(v0);
-    let held = a.guard("d").expect("held");
+    let held = a.guard("d").expect("the duty is not held");
     let b = group.start("b", &["d"]);
-    // An election may be under way: then the group hears of it later.
+    // During an election the group may process the release later.
     let released = a.request(MemberRequest::ReleaseDuty("d".into(), None)).await;
     assert!(
         matches!(released, GroupResponse::Reply(Reply::Done) | GroupResponse::Unavailable),
@@ -243,7 +252,7 @@
         request_until_answered(&b, || MemberRequest::ChangeVoters(GroupRequest::RemoveVoter("v9".into())))
             .await;
     assert_eq!(unknown, GroupResponse::Refused("v9 is no voter".into()));
-    // What was not answered may have been done all the same.
+    // An earlier attempt without a response may already have removed the voter.
     let removed =
         request_until_answered(&b, || MemberRequest::ChangeVoters(GroupRequest::RemoveVoter("v0".into())))
             .await;
@@ -271,7 +280,7 @@
         GroupResponse::Done
     );
     wait_until("four voters", || (a.status().view.voters.len() == 4).then_some(())).await;
-    // Of four it takes three, so the new one has to count, whoever leads now.
+    // The quorum of four voters is three, so the added voter must count, whichever voter leads.
     let leader = wait_until("the leader's name", || a.status().view.leader).await;
     let leader_index = group.voters.iter().position(|endpoint| endpoint.name == leader).unwrap_or(0);
     let followers: Vec<Handle> =
@@ -307,21 +316,22 @@
             &lost,
         )
     };
-    let refused = wait_until("the disk", || {
+    let refused = wait_until("the release of the voter file", || {
         rescue(1, &["v0"]).err().map(|error| error.to_string()).filter(|why| !why.contains("open"))
     });
     assert_eq!(refused.await, "the other voters are v0, v2: name all of them, if all are lost");
-    rescue(1, &["v2", "v0"]).expect("rescued");
+    rescue(1, &["v2", "v0"]).expect("cannot continue from the disk of v1");
     let v1 = start(1);
     let b = group.start("b", &["d"]);
     let next = wait_until("a holder", || b.guard("d").and_then(|g| g.valid_fence())).await;
-    assert!(next > fence, "{next} after {fence}");
+    assert!(next > fence, "fence {next} after {fence}");
     let view =
         wait_until("the record", || Some(b.status().view).filter(|view| !view.records.is_empty())).await;
     assert_eq!((view.records["k"].2.as_slice(), view.voters), (&b"kept"[..], vec!["v1".to_owned()]));
-    // The others come back as new ones.
+    // The lost voters return with empty disks.
     for n in [0, 2] {
-        std::fs::remove_dir_all(group.voter_directory(&format!("v{n}"))).expect("removed");
+        std::fs::remove_dir_all(group.voter_directory(&format!("v{n}")))
+            .expect("cannot remove the voter directory");
     }
     let _others = (start(0), start(2));
     for n in [0, 2] {
@@ -342,23 +352,23 @@
     let group = TestGroup::new(1);
     let v0 = group.start("v0", &["d"]);
     wait_until("a holder", || v0.guard("d").and_then(|g| g.valid_fence())).await;
-    // A second process of its name leaves the disk to the one that votes by it.
+    // A second process with the same name must not take the file from the running voter.
     let second_open =
         fennelscale_group::store::Store::open(&group.voter_directory("v0"), "v0", "fleet", |_| {});
     assert!(matches!(second_open, Err(fennelscale_group::store::StoreError::Busy)));
     v0.close().await;
     let file = group.voter_directory("v0").join("group.redb");
-    let mut bytes = std::fs::read(&file).expect("read");
-    // A byte of the name of its own group, wherever it stands: the file also holds older copies that count no more.
+    let mut bytes = std::fs::read(&file).expect("cannot read the voter file");
+    // Corrupt every copy of the group name in the file, since the file also holds outdated pages.
     let offsets: Vec<usize> =
         (0..bytes.len()).filter(|offset| bytes[*offset..].starts_with(b"fleet")).collect();
-    assert!(!offsets.is_empty(), "its identity");
+    assert!(!offsets.is_empty(), "the voter file does not contain the group name");
     offsets.iter().for_each(|offset| bytes[*offset] ^= 1);
-    std::fs::write(&file, &bytes).expect("written");
+    std::fs::write(&file, &bytes).expect("cannot write the voter file");
     kill(group.start("v0", &[]));
     assert!(group.has_logged("not used") && group.has_logged("group.aside-0"), "{:?}", group.log_lines);
     kill(group.start_in("v0", "other", &[]));
-    assert!(group.has_logged("it is of v0 in group fleet"), "{:?}", group.log_lines);
+    assert!(group.has_logged("the file belongs to voter v0 of group fleet"), "{:?}", group.log_lines);
 }
 
 #[tokio::test]
@@ -368,7 +378,7 @@
     wait_until("a holder", || v0.guard("d").and_then(|g| g.valid_fence())).await;
     let outsider = group.start_in("x", "other", &["d"]);
     let insider = group.start("y", &[]);
-    wait_until("the other's session", || insider.status().session).await;
+    wait_until("the session of the other member", || insider.status().session).await;
     tokio::time::sleep(SESSION_TTL / 2).await;
     assert!(outsider.status().session.is_none() && outsider.guard("d").is_none());
     wait_until("two sessions", || (insider.status().view.sessions == 2).then_some(())).await;
@@ -390,7 +400,7 @@
     assert_eq!(
         request_until_answered(&a, || MemberRequest::RequestAbsence(1)).await,
         GroupResponse::Reply(Reply::Done),
-        "asked again"
+        "repeated request"
     );
     assert_eq!(
         request_until_answered(&b, || MemberRequest::RequestAbsence(1)).await,
@@ -400,10 +410,10 @@
     assert_eq!(
         request_until_answered(&b, || MemberRequest::RequestAbsence(1)).await,
         GroupResponse::Reply(Reply::AbsenceLimitReached(1)),
-        "it is not back yet"
+        "the absent member has not returned yet"
     );
     let a = group.start("a", &[]);
-    wait_until("it is back", || a.status().session).await;
+    wait_until("the return of the absent member", || a.status().session).await;
     assert_eq!(
         request_until_answered(&b, || MemberRequest::RequestAbsence(1)).await,
         GroupResponse::Reply(Reply::Done)
--- a/group/tests/lease.rs
+++ b/group/tests/lease.rs
@@ -1,6 +1,6 @@
-//! The leases against chance: a member, leaders that follow one another, clocks that run apart, messages that are
-//! late or lost, processes that stop. The member must not trust its session when the group has ended it. The same
-//! model finds each of three planted faults.
+//! Randomized model of session leases: one member, successive leaders, drifting clocks, delayed or lost messages, and
+//! paused processes. The member must not consider its session valid after the group has ended it. The model must also
+//! detect each of three injected faults.
 
 use fennelscale_group::clock::Clock;
 use fennelscale_group::lease::{Guard, Lease, SeenFences, SessionDeadlines, drift_allowance};
@@ -16,19 +16,19 @@
 #[derive(Clone, Copy, PartialEq)]
 enum InjectedFault {
     NoFault,
-    /// The member reckons from the answer instead of from before it asked.
+    /// The member starts its lease at the response instead of at the request.
     LeaseFromResponse,
-    /// The leader allows nothing for clocks that run apart.
+    /// The leader has no allowance for clock drift.
     NoDriftAllowance,
-    /// A new leader goes on with what the one before knew.
+    /// A new leader continues with the deadlines of its predecessor.
     NoWaitAfterElection,
 }
 
-/// One run in true time: gives by how many ms the member still trusted a session after the group had ended it, at
-/// the worst.
+/// Simulates one run in true time. Returns for how many milliseconds the member considered the session valid after the
+/// group had ended it.
 fn overlap_ms(seed: u64, fault: InjectedFault) -> Option<f64> {
     let mut random = SmallRng::seed_from_u64(seed);
-    // Each clock runs at its own pace, within the allowance of one in a hundred between any two.
+    // Each clock has its own rate; any two differ by at most one part in a hundred, as the allowance assumes.
     let mut clock_rate = || 1.0 + random.random_range(-0.0049..0.0049);
     let (member_rate, leader_rates) = (clock_rate(), [clock_rate(), clock_rate()]);
     let local_time =
@@ -46,7 +46,7 @@
     let mut ended_at = None;
     let mut next_renewal = 2000.0;
     while now < 60_000.0 && ended_at.is_none() {
-        // Fine steps where the end is near.
+        // Use small steps close to the expiry.
         let step = match lease.remaining(local_time(member_rate, now)) {
             Some(remaining) if remaining > Duration::from_millis(200) => 100.0,
             Some(_) => 2.0,
@@ -54,7 +54,7 @@
         };
         now += step;
         if random.random_bool(step / 5000.0) {
-            // Another one leads; what this one granted until now had been confirmed.
+            // Another leader takes over. The old leader had confirmed its leadership for every renewal granted so far.
             leader = 1 - leader;
             term += 1;
             if fault == InjectedFault::NoWaitAfterElection {
@@ -65,7 +65,8 @@
         let leader_now = local_time(leader_rates[leader], now);
         leaders[leader].update(leader_now, Some(current_term), [7].into_iter());
         if now >= next_renewal {
-            // On its way there, confirmed, and back; either may be lost, and the member may stop in between.
+            // Delays of the request and of the response. Either message may be lost, and the member may be paused in
+            // between.
             let (request_delay, response_delay) =
                 (random.random_range(1.0..400.0), random.random_range(1.0..400.0));
             let pause = if random.random_bool(0.1) { random.random_range(0.0..9000.0) } else { 0.0 };
@@ -114,16 +115,16 @@
     let lease = Arc::new(Lease::default());
     let guard = |fence| Guard::new("d".into(), fence, lease.clone(), clock.clone());
     let first = guard(3);
-    assert_eq!(first.valid_fence(), None, "nothing was granted yet");
+    assert_eq!(first.valid_fence(), None, "no lease was granted yet");
     lease.grant(clock.now(), SESSION_TTL);
     assert_eq!(first.valid_fence(), Some(3));
-    // Stopped for an hour between two looks.
+    // The process is paused for an hour between two checks.
     micros.fetch_add(3_600_000_000, Ordering::SeqCst);
     assert_eq!((first.valid_fence(), first.remaining()), (None, None));
-    // The group never ended the session: with the next renewal the same right goes on.
+    // The group has not ended the session, so the next renewal makes the same guard valid again.
     lease.grant(clock.now(), SESSION_TTL);
     assert_eq!(first.valid_fence(), Some(3));
-    // An answer to an older question shortens nothing.
+    // The response to an earlier request does not shorten the lease.
     lease.grant(clock.now() - SESSION_TTL / 2, SESSION_TTL);
     assert_eq!(first.remaining(), Some(SESSION_TTL));
     let copy = first.clone();
@@ -134,7 +135,7 @@
     lease.end();
     assert_eq!(second.valid_fence(), None);
     lease.grant(clock.now(), SESSION_TTL);
-    assert_eq!(second.valid_fence(), None, "a session that has ended is not renewed");
+    assert_eq!(second.valid_fence(), None, "an ended session cannot be renewed");
 }
 
 #[test]
@@ -147,5 +148,5 @@
     for number in 0..1000 {
         fences.accept(&number.to_string(), 1);
     }
-    assert!(fences.highest_fences().len() <= 64, "what others name is bounded");
+    assert!(fences.highest_fences().len() <= 64, "the number of tracked duties is unbounded");
 }
--- a/group/tests/many_sessions.rs
+++ b/group/tests/many_sessions.rs
@@ -1,5 +1,5 @@
-//! Three voters and 300 sessions of one process: they come back together after the voters were away, and what they
-//! cost a voter is bounded.
+//! Three voters and 300 sessions in one process. After an outage of all voters longer than the session TTL, all
+//! sessions must reopen within five TTLs and all duties must be held again.
 
 use fennelscale_group::clock::Clock;
 use fennelscale_group::member::{CandidateDuty, HeldDuties, Member, MemberSettings};
@@ -19,7 +19,7 @@
 }
 
 fn start_voter(endpoint: &VoterEndpoint, voters: &[VoterEndpoint], directory: &std::path::Path) -> Handle {
-    let address: SocketAddr = endpoint.address.parse().expect("an address");
+    let address: SocketAddr = endpoint.address.parse().expect("invalid voter address");
     let settings = Settings {
         group: "many".into(),
         session: session_named(endpoint.name.clone()),
@@ -41,7 +41,7 @@
 async fn wait_until(description: &str, condition: impl Fn() -> bool) -> Duration {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < WAIT_TIMEOUT, "waited in vain: {description}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "timed out waiting for {description}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     started.elapsed()
@@ -52,7 +52,8 @@
     let directory = std::env::temp_dir().join(format!("fennelscale-many-{}", std::process::id()));
     let endpoint = |n: usize| {
         let probe = std::net::TcpListener::bind(format!("127.251.0.{}:0", n + 1));
-        let address = probe.and_then(|probe| probe.local_addr()).expect("a port").to_string();
+        let address =
+            probe.and_then(|probe| probe.local_addr()).expect("cannot reserve a loopback port").to_string();
         VoterEndpoint { name: format!("v{n}"), address }
     };
     let voters: Vec<VoterEndpoint> = (0..3).map(endpoint).collect();
@@ -88,7 +89,7 @@
                 view.duties.len() == 3 && view.duties.values().all(|(_, holder)| holder.is_some())
             };
             wait_until("all duties", || all_duties_held(&handles)).await;
-            // Longer than a life: all sessions are over, and the voters come back with their disks.
+            // The outage is longer than the session TTL: all sessions expire, and the voters return with their disks.
             handles.clear();
             tokio::time::sleep(SESSION_TTL + SESSION_TTL / 2).await;
             handles = start_all_voters();
@@ -99,9 +100,10 @@
                 statuses.iter().filter(|status| is_recent(status.borrow().last_renewal)).count()
             };
             let recovery_time =
-                wait_until("all sessions again", || recently_renewed(SESSION_TTL / 2) == MEMBERS).await;
-            assert!(recovery_time < SESSION_TTL * 5, "{recovery_time:?}");
-            wait_until("all duties again", || all_duties_held(&handles)).await;
+                wait_until("all sessions after the restart", || recently_renewed(SESSION_TTL / 2) == MEMBERS)
+                    .await;
+            assert!(recovery_time < SESSION_TTL * 5, "recovery took {recovery_time:?}");
+            wait_until("all duties after the restart", || all_duties_held(&handles)).await;
         })
         .await;
     let _ = std::fs::remove_dir_all(&directory);
--- a/group/tests/state_machine.rs
+++ b/group/tests/state_machine.rs
@@ -1,5 +1,5 @@
-//! The state that a group agrees on, under commands drawn at random: one holder at a time, fences that only grow,
-//! records under the present fence only, turns within their bound. And the same state from the same log.
+//! The replicated state under random commands: a duty has one holder, fences never decrease, records are written only
+//! under the current fence, and absences stay within their limit. Replaying the log must produce the same state.
 
 use fennelscale_group::state_machine::{Command, MAX_SESSIONS, Reply, Session, State};
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
@@ -16,7 +16,7 @@
 fn random_command(random: &mut SmallRng, state: &State) -> Command {
     let session = random.random_range(0..14);
     let duty = format!("d{}", random.random_range(0..3));
-    // The present fence as often as one that is over, or was never given.
+    // The current fence, one of the two fences before it, or occasionally a fence that was never granted.
     let current = state.duties.get(&duty).map_or(0, |duty| duty.fence);
     let fence = current.saturating_sub(random.random_range(0..3)) + u64::from(random.random_bool(0.05));
     match random.random_range(0..9) {
@@ -55,28 +55,38 @@
             log.push(command.clone());
             for (name, duty) in &state.duties {
                 let old = before.duties.get(name).cloned().unwrap_or_default();
-                assert!(duty.fence >= old.fence, "a fence fell: {command:?}");
+                assert!(duty.fence >= old.fence, "fence decreased: {command:?}");
                 if let Some(holder) = duty.holder {
-                    assert!(state.sessions.contains_key(&holder), "a holder without a session: {command:?}");
+                    assert!(state.sessions.contains_key(&holder), "holder without a session: {command:?}");
                     if old.holder != Some(holder) {
                         let last = last_granted.insert(name.clone(), duty.fence);
-                        assert!(last.is_none_or(|last| duty.fence > last), "granted twice: {command:?}");
-                        // It changes hands by the holder's own word, or when its session has ended.
+                        assert!(
+                            last.is_none_or(|last| duty.fence > last),
+                            "fence granted twice: {command:?}"
+                        );
+                        // A duty changes its holder only by a release or after the holder's session has ended.
                         let by_release = matches!(&command, Command::ReleaseDuty { session, .. } if old.holder == Some(*session));
-                        assert!(old.holder.is_none() || by_release, "taken away: {command:?}");
+                        assert!(
+                            old.holder.is_none() || by_release,
+                            "duty taken from its holder: {command:?}"
+                        );
                     }
                 }
             }
             if let (Command::WriteRecord { session, duty, fence, .. }, Reply::Done) = (&command, &reply) {
                 let held = &before.duties[duty];
-                assert_eq!((held.holder, held.fence), (Some(*session), *fence), "written without a right");
+                assert_eq!(
+                    (held.holder, held.fence),
+                    (Some(*session), *fence),
+                    "write without holding the duty"
+                );
             }
             if let (Command::ExpireSession { session, term: 2 }, true) = (&command, before.sessions.len() > 3)
             {
                 assert_eq!(
                     before.sessions.get(session),
                     state.sessions.get(session),
-                    "another term's end counted"
+                    "an expiry from another term took effect"
                 );
             }
             assert!(state.absences.len() <= 2, "{command:?}");
@@ -113,7 +123,7 @@
     assert_eq!(state.apply(1, &Command::ClaimDuty { session: 1, duty: "d".into() }), Reply::Held(1));
     let seen_fences = vec![("d".to_owned(), 40)];
     state.apply(1, &Command::OpenSession { session: 2, info: session_info(2), seen_fences });
-    // Who holds it may be acting: it holds on, higher than everything that was ever seen.
+    // The holder may still be acting: it keeps the duty under a fence above every fence seen so far.
     assert_eq!((state.duties["d"].holder, state.duties["d"].fence), (Some(1), 41));
 }
 
@@ -141,7 +151,7 @@
     let accepted_addresses =
         (0..1000).filter(|n| state.apply(1, &set_address(format!("v{n}"))) == Reply::Done).count();
     assert_eq!((accepted_addresses, state.voter_addresses.len()), (64, 64));
-    assert_eq!(state.apply(1, &set_address("v1".into())), Reply::Done, "known already");
+    assert_eq!(state.apply(1, &set_address("v1".into())), Reply::Done, "a known address is replaced");
     state.set_voters(&["v1", "w"]);
     assert_eq!(state.voter_addresses.keys().collect::<Vec<_>>(), ["v1"]);
     let too_long = Session { name: "x".repeat(100), zone: "z".into(), version: "1".into() };
