--- a/group/src/lease.rs
+++ b/group/src/lease.rs
@@ -38,8 +38,8 @@
         Self { session_ttl, term: None, deadlines: BTreeMap::new() }
     }
 
-    /// Records the term in which this process leads (`None` if it does not lead) and the open sessions. Each session
-    /// that is new here gets a full TTL from `now`. In a new term every session gets a full TTL.
+    /// Records the term in which this process leads (`None` if it does not lead) and the open sessions. Each new
+    /// session gets a full TTL plus the drift allowance from `now`. In a new term, every session gets this deadline.
     pub fn update(&mut self, now: Moment, term: Option<u64>, sessions: impl Iterator<Item = u64>) {
         if self.term != term {
             self.term = term;
--- a/group/src/member.rs
+++ b/group/src/member.rs
@@ -122,7 +122,7 @@
     /// The highest fence seen for each duty, and the highest fence of each duty that this process no longer holds.
     seen_fences: RefCell<SeenFences>,
     ended_fences: RefCell<BTreeMap<String, u64>>,
-    claiming: RefCell<BTreeSet<String>>,
+    pending_claims: RefCell<BTreeSet<String>>,
     /// Number of consecutive failures to open a session.
     failed_opens: Cell<u32>,
     renew_now: Notify,
@@ -152,7 +152,7 @@
             lease: RefCell::default(),
             seen_fences: RefCell::default(),
             ended_fences: RefCell::default(),
-            claiming: RefCell::default(),
+            pending_claims: RefCell::default(),
             failed_opens: Cell::new(0),
             renew_now: Notify::new(),
             session_opened: Notify::new(),
@@ -172,13 +172,13 @@
         while let Some((request, responder)) = requests.recv().await {
             let is_close = matches!(request, MemberRequest::Close);
             let member = self.clone();
-            let reply = async move {
+            let response_task = async move {
                 let _ = responder.send(member.handle_request(request).await);
             };
             if is_close {
-                return reply.await;
+                return response_task.await;
             }
-            tokio::task::spawn_local(reply);
+            tokio::task::spawn_local(response_task);
         }
     }
 
@@ -304,7 +304,10 @@
         }
         for candidate in &self.settings.candidate_duties {
             let is_free = duties.get(&candidate.duty).is_none_or(|(_, holder)| holder.is_none());
-            if is_free && self.eligible.get() && self.claiming.borrow_mut().insert(candidate.duty.clone()) {
+            if is_free
+                && self.eligible.get()
+                && self.pending_claims.borrow_mut().insert(candidate.duty.clone())
+            {
                 tokio::task::spawn_local(self.clone().claim_duty(candidate.clone()));
             }
         }
@@ -353,7 +356,7 @@
                 _ => sleep(self.random_ttl_fraction(0.02, 0.1)).await,
             }
         }
-        self.claiming.borrow_mut().remove(&candidate.duty);
+        self.pending_claims.borrow_mut().remove(&candidate.duty);
     }
 
     /// Proposes a command until the group answers or the session ends. The end of a session also releases everything
--- a/group/src/store.rs
+++ b/group/src/store.rs
@@ -96,7 +96,7 @@
 
 /// The result of applying the log up to an entry.
 #[derive(Clone, Debug, Default)]
-pub struct Applied {
+pub struct AppliedState {
     /// The replicated state.
     pub state: State,
     /// The current voters.
@@ -107,7 +107,7 @@
     pub term: u64,
 }
 
-impl Applied {
+impl AppliedState {
     /// Restores the state that precedes the entries in the log: the snapshot, or the initial voters if there is none.
     ///
     /// # Errors
@@ -158,7 +158,7 @@
     /// The persistent Raft state that the voter resumes from.
     pub saved: PersistentState,
     /// The state that precedes the entries in the log.
-    pub applied: Applied,
+    pub applied: AppliedState,
 }
 
 impl Store {
@@ -190,7 +190,7 @@
         let (disk, _) = raft::store::Store::open(&path)?;
         let saved = disk.create(voter_id(group, name, random_incarnation()), Vec::new())?;
         sync_directory(directory)?;
-        Ok(Self { disk, saved, applied: Applied::default() })
+        Ok(Self { disk, saved, applied: AppliedState::default() })
     }
 
     /// Reads the complete file. A voter that detected an unreadable log entry only later would have voted by then.
@@ -200,7 +200,7 @@
         if group_and_name(&saved.me) != (group, name) {
             return Err(StoreError::WrongOwner(saved.me));
         }
-        let applied = Applied::from_saved(&saved)?;
+        let applied = AppliedState::from_saved(&saved)?;
         Ok(Some(Self { disk, saved, applied }))
     }
 }
@@ -284,8 +284,8 @@
     if other_names != lost_names {
         return Err(RescueError::VoterNamesMismatch(other_names));
     }
-    let me = voter_id(group, local_name, random_incarnation());
-    applied.voters = vec![me.clone()];
+    let new_id = voter_id(group, local_name, random_incarnation());
+    applied.voters = vec![new_id.clone()];
     applied.state.set_voters(&[local_name]);
     let snapshot = applied.to_snapshot().ok_or(StoreError::UnreadableState)?;
     // The old file is replaced only after the new file is complete, so a full disk changes nothing.
@@ -294,9 +294,9 @@
         std::fs::remove_file(&new_path)?;
     }
     let (new_store, _) = raft::store::Store::open(&new_path)?;
-    let incarnation = me.incarnation;
+    let incarnation = new_id.incarnation;
     // The new term exceeds every term that this voter has seen, since an older term may have had another leader.
-    new_store.create_from_snapshot(me, saved.term + 1, snapshot)?;
+    new_store.create_from_snapshot(new_id, saved.term + 1, snapshot)?;
     drop((disk, new_store));
     set_aside(&path)?;
     std::fs::rename(&new_path, &path)?;
--- a/group/src/voter.rs
+++ b/group/src/voter.rs
@@ -9,7 +9,7 @@
 use crate::clock::{Clock, Moment};
 use crate::lease::SessionDeadlines;
 use crate::state_machine::SessionId;
-use crate::store::{Applied, Incarnation, Store, voter_id, voter_name};
+use crate::store::{AppliedState, Incarnation, Store, voter_id, voter_name};
 use crate::wire::{CallError, CallHandler, CallKind, ResponseFuture, VoterClient, decode, encode};
 use bytes::Bytes;
 use driver::{Core, Leadership};
@@ -52,8 +52,8 @@
     clients: RefCell<HashMap<String, Rc<VoterClient>>>,
     /// Queued Raft messages per voter. An entry exists while a task delivers messages to that voter.
     outgoing: RefCell<HashMap<VoterId, VecDeque<Vec<u8>>>>,
-    deadlines: RefCell<SessionDeadlines>,
-    absences: RefCell<BTreeMap<String, Moment>>,
+    session_deadlines: RefCell<SessionDeadlines>,
+    absence_first_seen: RefCell<BTreeMap<String, Moment>>,
     /// Notes by duty. Kept only while this voter leads.
     notes: RefCell<BTreeMap<String, VecDeque<Vec<u8>>>>,
 }
@@ -71,7 +71,7 @@
         let Store { disk, saved, applied } = store;
         let incarnation = saved.me.incarnation;
         let now = millis(&clock);
-        let node = raft::Node::start(saved, timeouts.timing(), rand::random(), now);
+        let node = raft::Node::start(saved, timeouts.raft_timing(), rand::random(), now);
         let next_due = node.next_due();
         let core = Core {
             node,
@@ -102,8 +102,8 @@
             learned_addresses: RefCell::default(),
             clients: RefCell::default(),
             outgoing: RefCell::default(),
-            deadlines: RefCell::new(SessionDeadlines::new(timeouts.session_ttl)),
-            absences: RefCell::default(),
+            session_deadlines: RefCell::new(SessionDeadlines::new(timeouts.session_ttl)),
+            absence_first_seen: RefCell::default(),
             notes: RefCell::default(),
         });
         voter.attach_disk(disk)?;
@@ -155,24 +155,24 @@
     /// Forms the group if this voter is the first in `voters` and no reachable voter belongs to a group yet. Otherwise
     /// waits to be added, and logs once what it is waiting for.
     pub async fn join(self: Rc<Self>, voters: &[VoterEndpoint]) {
-        let (mut logged, mut formed_at) = (false, None);
+        let (mut logged, mut group_seen_at) = (false, None);
         while self.is_new() && !self.is_halted() {
             let mut candidates = vec![(self.incarnation, self.endpoint.clone())];
-            let mut formed_by = None;
+            let mut existing_member = None;
             for endpoint in voters.iter().filter(|endpoint| endpoint.name != self.endpoint.name) {
                 let Some(client) = self.client_for(&endpoint.name) else { continue };
                 match client.call::<_, VoterInfo>(CallKind::Info, 0, &(), self.timeouts.election.0).await {
                     Ok(info) if info.is_new => candidates.push((info.incarnation, endpoint.clone())),
-                    Ok(info) => formed_by = Some(info.name),
+                    Ok(info) => existing_member = Some(info.name),
                     Err(_) => {}
                 }
             }
             let is_first = voters.first().is_some_and(|first| first.name == self.endpoint.name);
-            if let Some(member) = formed_by {
+            if let Some(member) = existing_member {
                 // The group exists, and this voter lost its state or was never a voter. The group may also have just
                 // been formed with this voter: then the first leader contacts it well within one session TTL.
-                let since = *formed_at.get_or_insert_with(|| self.clock.now());
-                let waited_long = self.clock.now().saturating_sub(since) >= self.timeouts.session_ttl;
+                let seen_at = *group_seen_at.get_or_insert_with(|| self.clock.now());
+                let waited_long = self.clock.now().saturating_sub(seen_at) >= self.timeouts.session_ttl;
                 if waited_long && !std::mem::replace(&mut logged, true) {
                     (self.log)(format!(
                         "group {}: {} has no vote: {member} is already in the group; use GROUP ADD {} {} to join",
@@ -196,7 +196,7 @@
             let mut core = self.core.borrow_mut();
             let voters =
                 candidates.iter().map(|(id, endpoint)| voter_id(&self.group, &endpoint.name, *id)).collect();
-            let mut applied = Applied { voters, index: 1, term: 1, ..Applied::default() };
+            let mut applied = AppliedState { voters, index: 1, term: 1, ..AppliedState::default() };
             let addresses =
                 candidates.iter().map(|(_, endpoint)| (endpoint.name.clone(), endpoint.address.clone()));
             applied.state.voter_addresses = addresses.collect();
@@ -207,7 +207,7 @@
             let saved = created.map_err(|error| VoterError::Store(error.into()))?;
             // No vote can bind this voter before the group exists, so start as if the election timeout had already
             // elapsed.
-            let timing = self.timeouts.timing();
+            let timing = self.timeouts.raft_timing();
             let last_contact = millis(&self.clock).saturating_sub(timing.election);
             core.node = raft::Node::start(saved, timing, rand::random(), last_contact);
             core.snapshot_index = applied.index;
--- a/group/src/voter/driver.rs
+++ b/group/src/voter/driver.rs
@@ -3,7 +3,7 @@
 use super::messages::VoterError;
 use super::{Voter, millis};
 use crate::state_machine::{Command, Reply};
-use crate::store::{Applied, StoreError};
+use crate::store::{AppliedState, StoreError};
 use raft::{Entry, Input, Output, Snapshot, Writer, WriterEvent};
 use std::collections::HashMap;
 use std::fmt;
@@ -24,7 +24,7 @@
     pub(super) writer: Option<Writer>,
     /// Increases with each new writer. Events of an older writer do not belong to the current log.
     pub(super) writer_generation: u64,
-    pub(super) applied: Applied,
+    pub(super) applied: AppliedState,
     pub(super) snapshot_index: u64,
     pub(super) last_token: u64,
     /// Callers waiting for the result of their proposal, by token.
@@ -34,7 +34,7 @@
 }
 
 impl Core {
-    fn committed(&mut self, entry: &Entry) {
+    fn apply_committed(&mut self, entry: &Entry) {
         let reply = self.applied.apply(entry);
         if let Some((term, token)) = self.proposals.remove(&entry.index)
             && let Some(responder) = self.waiters.remove(&token)
@@ -127,12 +127,12 @@
                     Output::Send { to, message } => self.queue_message(to, &message),
                     Output::Save(save) => core.writer.iter().for_each(|writer| writer.save(save.clone())),
                     Output::Committed { entry } => {
-                        core.committed(&entry);
+                        core.apply_committed(&entry);
                         state_changed = true;
                     }
                     Output::Install { snapshot } => {
                         // Another program version wrote this state, and its leader continues without this voter.
-                        let Some(applied) = Applied::from_snapshot(&snapshot) else {
+                        let Some(applied) = AppliedState::from_snapshot(&snapshot) else {
                             drop(core);
                             return self.halt(&StoreError::UnreadableState);
                         };
--- a/group/src/voter/leader.rs
+++ b/group/src/voter/leader.rs
@@ -28,7 +28,7 @@
         if !self.core.borrow().applied.state.sessions.contains_key(&session) {
             return GroupResponse::SessionEnded;
         }
-        if self.deadlines.borrow_mut().renew(self.clock.now(), session) {
+        if self.session_deadlines.borrow_mut().renew(self.clock.now(), session) {
             GroupResponse::Renewed
         } else {
             GroupResponse::SessionEnded
@@ -38,7 +38,7 @@
     fn update_deadlines(&self, leader_term: Option<u64>) {
         let core = self.core.borrow();
         let sessions = core.applied.state.sessions.keys().copied();
-        self.deadlines.borrow_mut().update(self.clock.now(), leader_term, sessions);
+        self.session_deadlines.borrow_mut().update(self.clock.now(), leader_term, sessions);
     }
 
     /// Expires sessions and planned absences while this voter leads.
@@ -49,8 +49,8 @@
             )
             .await;
             self.update_deadlines(self.leader_term());
-            let Some((term, expired)) = self.deadlines.borrow().expired(self.clock.now()) else {
-                self.absences.borrow_mut().clear();
+            let Some((term, expired)) = self.session_deadlines.borrow().expired(self.clock.now()) else {
+                self.absence_first_seen.borrow_mut().clear();
                 self.notes.borrow_mut().clear();
                 continue;
             };
@@ -58,10 +58,10 @@
                 expired.into_iter().map(|session| Command::ExpireSession { session, term }).collect();
             {
                 let (now, core) = (self.clock.now(), self.core.borrow());
-                let mut absences = self.absences.borrow_mut();
-                absences.retain(|name, _| core.applied.state.absences.contains_key(name));
+                let mut first_seen = self.absence_first_seen.borrow_mut();
+                first_seen.retain(|name, _| core.applied.state.absences.contains_key(name));
                 for name in core.applied.state.absences.keys() {
-                    let since = *absences.entry(name.clone()).or_insert(now);
+                    let since = *first_seen.entry(name.clone()).or_insert(now);
                     if now.saturating_sub(since) >= ABSENCE_TIMEOUT {
                         expirations.push(Command::ExpireAbsence { name: name.clone(), term });
                     }
@@ -86,7 +86,9 @@
         let time_limit =
             if is_membership_change { MEMBERSHIP_CHANGE_TIMEOUT } else { self.timeouts.session_ttl / 3 };
         if self.leader_term().is_some() {
-            return timeout(time_limit, self.decide(request)).await.unwrap_or(GroupResponse::Unavailable);
+            return timeout(time_limit, self.execute_request(request))
+                .await
+                .unwrap_or(GroupResponse::Unavailable);
         }
         let leader =
             self.core.borrow().node.leader().filter(|leader| leader.incarnation != self.incarnation).cloned();
@@ -102,7 +104,7 @@
         }
     }
 
-    async fn decide(self: &Rc<Self>, request: GroupRequest) -> GroupResponse {
+    async fn execute_request(self: &Rc<Self>, request: GroupRequest) -> GroupResponse {
         match request {
             GroupRequest::RenewSession(session) => self.renew_session(session).await,
             GroupRequest::Propose(command) => {
--- a/group/src/voter/messages.rs
+++ b/group/src/voter/messages.rs
@@ -139,7 +139,7 @@
 
     /// Returns the timing of Raft. A vote is binding for at least `election`, and the leader lease ends well before
     /// that, even if clocks drift.
-    pub(super) fn timing(&self) -> Timing {
+    pub(super) fn raft_timing(&self) -> Timing {
         let ms = |time: Duration| (time.as_millis() as Millis).max(1);
         let lease = self.election.0.saturating_sub(drift_allowance(self.election.0) * 2);
         Timing { heartbeat: ms(self.heartbeat_interval), election: ms(self.election.0), lease: ms(lease) }
