--- a/group/src/member.rs
+++ b/group/src/member.rs
@@ -1,15 +1,18 @@
-//! A member: one session after another, kept alive through whichever voter answers, the view of the group, and the
-//! duties that this process holds.
+//! A member of the group. It keeps a session alive through any voter that responds, opens a new session when the old
+//! one ends, follows the view of the group, and holds duties for this process.
 //!
-//! Invariants: a guard is made only for a duty whose fence the group granted to the present session, and never again
-//! for one that was given away; a session that the group says is gone takes its guards with it; nothing here waits
-//! for the group on anybody else's behalf: whoever asks gets an answer within a third of a session's life.
+//! Invariants:
+//! - A guard is created only for a duty whose fence the group granted to the current session, and never again for a
+//!   fence that was released.
+//! - When the group reports that a session has ended, its guards become invalid.
+//! - Callers never wait indefinitely for the group: a request gets its response within a third of the session TTL,
+//!   except for a change of the voters.
 
 use crate::clock::{Clock, Moment};
-use crate::lease::{Fences, Guard, Lease};
-use crate::machine::{Command, Reply, Session, SessionId};
-use crate::voter::{Answer, Ask, Node, View, Watching, ask};
-use crate::wire::{CallError, Kind, Way};
+use crate::lease::{Guard, Lease, SeenFences};
+use crate::state_machine::{Command, Reply, Session, SessionId};
+use crate::voter::{GroupRequest, GroupResponse, View, VoterEndpoint, WatchRequest, send_request};
+use crate::wire::{CallError, CallKind, VoterClient};
 use rand::RngExt as _;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,410 +23,451 @@
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// A change of the voters may take so long: a new one gets the whole log first.
-pub const CHANGE: Duration = Duration::from_secs(10);
+/// Time limit for a change of the voters. A new voter first receives the complete log.
+pub const MEMBERSHIP_CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often the pause between two tries to open a session doubles at most.
-const MOST_DOUBLINGS: u32 = 2;
+/// Maximum number of times that the delay between attempts to open a session doubles.
+const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
-/// One duty that a process would do, and how gladly: of those that can, the lower rank comes first.
+/// A duty that this process is willing to hold. Among the candidates, the one with the lowest rank claims first.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Want {
-    /// The duty.
+pub struct CandidateDuty {
+    /// The name of the duty.
     pub duty: String,
-    /// 0: at once.
+    /// The rank; 0 claims without a rank delay.
     pub rank: u32,
 }
 
-/// Who a member is and what it wants.
+/// The settings of a member.
 #[derive(Clone, Debug)]
-pub struct Me {
-    /// The session as it is opened.
+pub struct MemberSettings {
+    /// The session information of this process.
     pub session: Session,
-    /// The duties it would do.
-    pub wants: Vec<Want>,
-    /// The voters to ask, its own first if it is one.
-    pub voters: Vec<Node>,
-    /// The life of a session.
-    pub life: Duration,
+    /// The duties that this process claims when they are free.
+    pub candidate_duties: Vec<CandidateDuty>,
+    /// The voters that receive requests; the voter of this process comes first, if there is one.
+    pub voters: Vec<VoterEndpoint>,
+    /// The time-to-live of a session.
+    pub session_ttl: Duration,
 }
 
-/// The duties held now; read by any thread of the process.
+/// The currently held duties, shared between the threads of the process.
 #[derive(Clone, Debug, Default)]
-pub struct Held(Arc<Mutex<BTreeMap<String, Guard>>>);
+pub struct HeldDuties(Arc<Mutex<BTreeMap<String, Guard>>>);
 
-impl Held {
-    /// The guard of a duty that is held.
+impl HeldDuties {
+    /// Returns the guard of a duty if the duty is held.
     pub fn guard(&self, duty: &str) -> Option<Guard> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).get(duty).cloned()
     }
 
-    /// All guards.
+    /// Returns the guards of all held duties.
     pub fn all(&self) -> Vec<Guard> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).values().cloned().collect()
     }
 
-    fn change<T>(&self, how: impl FnOnce(&mut BTreeMap<String, Guard>) -> T) -> T {
-        how(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
+    fn update<T>(&self, update: impl FnOnce(&mut BTreeMap<String, Guard>) -> T) -> T {
+        update(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-/// What this process asks of the group.
+/// A request of this process to the group.
 #[derive(Debug)]
-pub enum Order {
-    /// Gives a duty to a process by name, or to whoever takes it.
-    Give(String, Option<String>),
-    /// Writes a record under a duty that is held: duty, key, value.
-    Write(String, String, Vec<u8>),
-    /// Tells whoever has a duty; it may be lost.
-    Report(String, Vec<u8>),
-    /// Fetches what was told to the holder of a duty that is held here.
-    Collect(String),
-    /// Wants to be away, with at most so many others.
-    Leave(u32),
-    /// Takes duties, or (draining, starved) gives up those it has and takes none.
-    Able(bool),
-    /// A voter is taken in, or let go.
-    Voter(Ask),
-    /// The process ends: duties are given up and the session is closed.
+pub enum MemberRequest {
+    /// Releases a duty to the named process, or to any candidate if no name is given.
+    ReleaseDuty(String, Option<String>),
+    /// Writes a record under a held duty: duty, key, value.
+    WriteRecord(String, String, Vec<u8>),
+    /// Sends a note to the holder of a duty. The note may be lost.
+    SendNote(String, Vec<u8>),
+    /// Collects the notes sent to the holder of a duty that this process holds.
+    CollectNotes(String),
+    /// Requests a planned absence, limited to this number of absent processes.
+    RequestAbsence(u32),
+    /// With `true`, claims free duties. With `false` (the process is draining or starved), releases all duties and
+    /// claims none.
+    SetEligible(bool),
+    /// Adds or removes a voter.
+    ChangeVoters(GroupRequest),
+    /// Stops the member: releases all duties and closes the session.
     Close,
 }
 
-/// An order, and who waits for its answer.
-pub type Ordered = (Order, oneshot::Sender<Answer>);
+/// A request and the channel for its response.
+pub type PendingRequest = (MemberRequest, oneshot::Sender<GroupResponse>);
 
-/// How the member stands, for figures.
+/// The status of the member, also used for metrics.
 #[derive(Clone, Debug, Default)]
-pub struct Standing {
-    /// The newest view of the group.
+pub struct MemberStatus {
+    /// The latest view of the group.
     pub view: View,
-    /// The session, if the group knows one.
+    /// The current session, if one is open.
     pub session: Option<SessionId>,
-    /// When the group last said that the session goes on, by the machine's clock.
-    pub contact: Option<Moment>,
+    /// When the group last confirmed the session, on the local clock.
+    pub last_renewal: Option<Moment>,
 }
 
-/// A member.
+/// Takes part in the group for this process.
 pub struct Member {
-    me: Me,
+    settings: MemberSettings,
     clock: Clock,
-    held: Held,
-    ways: Vec<Way>,
-    /// The voter that answered last.
-    at: Cell<usize>,
-    standing: watch::Sender<Standing>,
-    able: Cell<bool>,
+    held_duties: HeldDuties,
+    clients: Vec<VoterClient>,
+    /// Index of the client to use for the next request; advances after a failure.
+    preferred_voter: Cell<usize>,
+    status: watch::Sender<MemberStatus>,
+    eligible: Cell<bool>,
     closed: Cell<bool>,
     lease: RefCell<Arc<Lease>>,
-    /// Fences seen of each duty, and the highest one of this process's own that is over.
-    fences: RefCell<Fences>,
-    over: RefCell<BTreeMap<String, u64>>,
-    claiming: RefCell<BTreeSet<String>>,
-    /// Sessions in a row that could not be opened.
-    vain: Cell<u32>,
-    gone: Notify,
-    /// A session has begun: what was known before may be another group's, which lost its state.
-    begun: Notify,
+    /// The highest fence seen for each duty, and the highest fence of each duty that this process no longer holds.
+    seen_fences: RefCell<SeenFences>,
+    ended_fences: RefCell<BTreeMap<String, u64>>,
+    pending_claims: RefCell<BTreeSet<String>>,
+    /// Number of consecutive failures to open a session.
+    failed_opens: Cell<u32>,
+    renew_now: Notify,
+    /// Signals that a session was opened. The view known so far may come from a group that has lost its state.
+    session_opened: Notify,
 }
 
 impl Member {
-    /// A member that has not begun.
-    pub fn new(me: Me, group: &str, clock: Clock, held: Held) -> (Rc<Self>, watch::Receiver<Standing>) {
-        let (standing, seen) = watch::channel(Standing::default());
-        let way = |node: &Node| Some(Way::new(node.address.parse::<SocketAddr>().ok()?, group.into()));
-        let ways = me.voters.iter().filter_map(way).collect();
+    /// Creates a member that is not running yet.
+    pub fn new(
+        settings: MemberSettings, group: &str, clock: Clock, held_duties: HeldDuties,
+    ) -> (Rc<Self>, watch::Receiver<MemberStatus>) {
+        let (status, status_receiver) = watch::channel(MemberStatus::default());
+        let client = |endpoint: &VoterEndpoint| {
+            Some(VoterClient::new(endpoint.address.parse::<SocketAddr>().ok()?, group.into()))
+        };
+        let clients = settings.voters.iter().filter_map(client).collect();
         let member = Self {
-            me,
+            settings,
             clock,
-            held,
-            ways,
-            at: Cell::new(0),
-            standing,
-            able: Cell::new(true),
+            held_duties,
+            clients,
+            preferred_voter: Cell::new(0),
+            status,
+            eligible: Cell::new(true),
             closed: Cell::new(false),
             lease: RefCell::default(),
-            fences: RefCell::default(),
-            over: RefCell::default(),
-            claiming: RefCell::default(),
-            vain: Cell::new(0),
-            gone: Notify::new(),
-            begun: Notify::new(),
+            seen_fences: RefCell::default(),
+            ended_fences: RefCell::default(),
+            pending_claims: RefCell::default(),
+            failed_opens: Cell::new(0),
+            renew_now: Notify::new(),
+            session_opened: Notify::new(),
         };
-        (Rc::new(member), seen)
+        (Rc::new(member), status_receiver)
     }
 
-    /// Lives in the group until it is told to close.
-    pub async fn run(self: Rc<Self>, mut orders: mpsc::Receiver<Ordered>) {
-        tokio::task::spawn_local(self.clone().watch());
-        let sessions = self.clone();
+    /// Runs the member until it receives [`MemberRequest::Close`].
+    pub async fn run(self: Rc<Self>, mut requests: mpsc::Receiver<PendingRequest>) {
+        tokio::task::spawn_local(self.clone().watch_views());
+        let session_loop = self.clone();
         tokio::task::spawn_local(async move {
-            while !sessions.closed.get() {
-                sessions.clone().session().await;
+            while !session_loop.closed.get() {
+                session_loop.clone().run_session().await;
             }
         });
-        while let Some((order, asker)) = orders.recv().await {
-            let closes = matches!(order, Order::Close);
+        while let Some((request, responder)) = requests.recv().await {
+            let is_close = matches!(request, MemberRequest::Close);
             let member = self.clone();
-            let carried = async move {
-                let _ = asker.send(member.carry_out(order).await);
+            let response_task = async move {
+                let _ = responder.send(member.handle_request(request).await);
             };
-            if closes {
-                return carried.await;
+            if is_close {
+                return response_task.await;
             }
-            tokio::task::spawn_local(carried);
+            tokio::task::spawn_local(response_task);
         }
     }
 
     fn session_id(&self) -> Option<SessionId> {
-        self.standing.borrow().session
+        self.status.borrow().session
     }
 
-    /// A part of a session's life, drawn so that many members do not come at one moment.
-    fn drawn(&self, least: f64, most: f64) -> Duration {
-        self.me.life.mul_f64(rand::rng().random_range(least..most))
+    /// Returns a random fraction of the session TTL, so that many members do not send requests at the same time.
+    fn random_ttl_fraction(&self, min: f64, max: f64) -> Duration {
+        self.settings.session_ttl.mul_f64(rand::rng().random_range(min..max))
     }
 
-    /// Asks the voter that answered last; one that does not answer is passed over for the next.
-    async fn ask(&self, question: Ask, within: Duration) -> Option<Answer> {
-        let at = self.at.get() % self.ways.len().max(1);
-        let way = self.ways.get(at)?;
-        let answer = ask(way, question, within).await;
-        match answer {
-            Ok(Answer::Nobody) | Err(_) => {
-                self.at.set(at + 1);
+    /// Sends a request to the preferred voter. After a failure, the next request goes to the next voter.
+    async fn call_voter(&self, request: GroupRequest, time_limit: Duration) -> Option<GroupResponse> {
+        let index = self.preferred_voter.get() % self.clients.len().max(1);
+        let client = self.clients.get(index)?;
+        let response = send_request(client, request, time_limit).await;
+        match response {
+            Ok(GroupResponse::Unavailable) | Err(_) => {
+                self.preferred_voter.set(index + 1);
                 None
             }
-            Ok(answer) => Some(answer),
+            Ok(response) => Some(response),
         }
     }
 
-    /// One session, from its opening until the group says that it is gone.
-    async fn session(self: Rc<Self>) {
+    /// Runs one session from its opening until the group reports its end.
+    async fn run_session(self: Rc<Self>) {
         let id = rand::random::<u64>() >> 11;
-        let (asked, seen) = (self.clock.now(), self.fences.borrow().seen());
-        let open = Command::Open { session: id, of: self.me.session.clone(), seen };
-        let opened = self.ask(Ask::Do(open), self.me.life / 4).await;
-        if opened != Some(Answer::Reply(Reply::Done)) {
-            // After the voters were away, all members are here at once: each waits longer with each time.
-            let times = self.vain.replace(self.vain.get() + 1).min(MOST_DOUBLINGS);
-            return sleep(self.drawn(0.02, 0.2) * (1 << times)).await;
+        let (requested_at, seen_fences) = (self.clock.now(), self.seen_fences.borrow().highest_fences());
+        let open = Command::OpenSession { session: id, info: self.settings.session.clone(), seen_fences };
+        let response = self.call_voter(GroupRequest::Propose(open), self.settings.session_ttl / 4).await;
+        if response != Some(GroupResponse::Reply(Reply::Done)) {
+            // After an outage of the voters all members try to open a session at once, so back off exponentially.
+            let doublings = self.failed_opens.replace(self.failed_opens.get() + 1).min(MAX_BACKOFF_DOUBLINGS);
+            return sleep(self.random_ttl_fraction(0.02, 0.2) * (1 << doublings)).await;
         }
-        self.vain.set(0);
+        self.failed_opens.set(0);
         let lease = Arc::new(Lease::default());
-        lease.granted(asked, self.me.life);
+        lease.grant(requested_at, self.settings.session_ttl);
         *self.lease.borrow_mut() = lease.clone();
-        self.standing.send_modify(|standing| {
-            (standing.session, standing.contact) = (Some(id), Some(self.clock.now()));
-            standing.view.revision = 0;
+        self.status.send_modify(|status| {
+            (status.session, status.last_renewal) = (Some(id), Some(self.clock.now()));
+            status.view.revision = 0;
         });
-        self.begun.notify_one();
-        let mut next = Instant::now() + self.drawn(0.25, 0.33);
+        self.session_opened.notify_one();
+        let mut next_renewal = Instant::now() + self.random_ttl_fraction(0.25, 0.33);
         while !self.closed.get() {
             tokio::select! {
-                () = sleep_until(next) => {}
-                () = self.gone.notified() => {}
+                () = sleep_until(next_renewal) => {}
+                () = self.renew_now.notified() => {}
             }
-            let asked = self.clock.now();
-            match self.ask(Ask::Renew(id), self.me.life / 6).await {
-                Some(Answer::Renewed) => {
-                    lease.granted(asked, self.me.life);
-                    self.standing.send_modify(|standing| standing.contact = Some(self.clock.now()));
-                    next = Instant::now() + self.drawn(0.25, 0.33);
+            let requested_at = self.clock.now();
+            match self.call_voter(GroupRequest::RenewSession(id), self.settings.session_ttl / 6).await {
+                Some(GroupResponse::Renewed) => {
+                    lease.grant(requested_at, self.settings.session_ttl);
+                    self.status.send_modify(|status| status.last_renewal = Some(self.clock.now()));
+                    next_renewal = Instant::now() + self.random_ttl_fraction(0.25, 0.33);
                 }
-                Some(Answer::Gone) => break,
-                _ => next = Instant::now() + self.drawn(0.02, 0.08),
+                Some(GroupResponse::SessionEnded) => break,
+                _ => next_renewal = Instant::now() + self.random_ttl_fraction(0.02, 0.08),
             }
         }
         lease.end();
-        self.standing.send_modify(|standing| standing.session = None);
-        let lost = self.held.change(std::mem::take);
-        lost.into_values().for_each(|guard| self.is_over(&guard));
+        self.status.send_modify(|status| status.session = None);
+        let lost_guards = self.held_duties.update(std::mem::take);
+        lost_guards.into_values().for_each(|guard| self.retire(&guard));
     }
 
-    fn is_over(&self, guard: &Guard) {
-        guard.give();
-        let mut over = self.over.borrow_mut();
-        let highest = over.entry(guard.duty.clone()).or_default();
+    fn retire(&self, guard: &Guard) {
+        guard.release();
+        let mut ended_fences = self.ended_fences.borrow_mut();
+        let highest = ended_fences.entry(guard.duty.clone()).or_default();
         *highest = (*highest).max(guard.fence());
     }
 
-    /// One long wait for news after the other, at whichever voter answers.
-    async fn watch(self: Rc<Self>) {
-        let mut at = 0;
+    /// Follows the view of the group by long polling, and moves on to the next voter after a failure.
+    async fn watch_views(self: Rc<Self>) {
+        let mut index = 0;
         while !self.closed.get() {
-            let Some(way) = self.ways.get(at % self.ways.len().max(1)) else { return };
-            let wait = self.me.life * 2;
-            let after = self.standing.borrow().view.revision;
-            let watching = Watching { after, wait_ms: wait.as_millis() as u64 };
-            let within = wait + self.me.life / 2;
-            let news: Result<View, CallError> = tokio::select! {
-                news = way.call(Kind::Watch, 0, &watching, within) => news,
-                () = self.begun.notified() => continue,
+            let Some(client) = self.clients.get(index % self.clients.len().max(1)) else { return };
+            let wait = self.settings.session_ttl * 2;
+            let known_revision = self.status.borrow().view.revision;
+            let watch_request = WatchRequest { known_revision, wait_ms: wait.as_millis() as u64 };
+            let time_limit = wait + self.settings.session_ttl / 2;
+            let watched: Result<View, CallError> = tokio::select! {
+                watched = client.call(CallKind::Watch, 0, &watch_request, time_limit) => watched,
+                () = self.session_opened.notified() => continue,
             };
-            match news {
+            match watched {
                 Ok(view) => {
-                    // A voter that lags behind tells nothing that is newer; one without a leader is left.
-                    if view.leader.is_none() || view.revision < after {
-                        at += 1;
-                        sleep(self.drawn(0.02, 0.1)).await;
+                    // A lagging voter has no newer view, and a voter without a leader may not get one: try the next
+                    // voter.
+                    if view.leader.is_none() || view.revision < known_revision {
+                        index += 1;
+                        sleep(self.random_ttl_fraction(0.02, 0.1)).await;
                     }
-                    if view.revision >= after {
-                        self.standing.send_modify(|standing| standing.view = view);
-                        self.take_notice();
+                    if view.revision >= known_revision {
+                        self.status.send_modify(|status| status.view = view);
+                        self.apply_view();
                     }
                 }
                 Err(_) => {
-                    at += 1;
-                    sleep(self.drawn(0.02, 0.1)).await;
+                    index += 1;
+                    sleep(self.random_ttl_fraction(0.02, 0.1)).await;
                 }
             }
         }
     }
 
-    /// Acts on the view: duties granted to this session are held, free ones are asked for.
-    fn take_notice(self: &Rc<Self>) {
+    /// Applies the current view: holds duties granted to this session and claims free candidate duties.
+    fn apply_view(self: &Rc<Self>) {
         let (duties, session) = {
-            let standing = self.standing.borrow();
-            (standing.view.duties.clone(), standing.session)
+            let status = self.status.borrow();
+            (status.view.duties.clone(), status.session)
         };
         let Some(session) = session else { return };
         for (duty, (fence, holder)) in &duties {
-            self.fences.borrow_mut().takes(duty, *fence);
+            self.seen_fences.borrow_mut().accept(duty, *fence);
             if holder.as_ref().is_some_and(|(holder, _)| *holder == session) {
-                self.hold(duty, *fence);
+                self.record_grant(duty, *fence);
             }
         }
-        for want in &self.me.wants {
-            let free = duties.get(&want.duty).is_none_or(|(_, holder)| holder.is_none());
-            if free && self.able.get() && self.claiming.borrow_mut().insert(want.duty.clone()) {
-                tokio::task::spawn_local(self.clone().claim(want.clone()));
+        for candidate in &self.settings.candidate_duties {
+            let is_free = duties.get(&candidate.duty).is_none_or(|(_, holder)| holder.is_none());
+            if is_free
+                && self.eligible.get()
+                && self.pending_claims.borrow_mut().insert(candidate.duty.clone())
+            {
+                tokio::task::spawn_local(self.clone().claim_duty(candidate.clone()));
             }
         }
     }
 
-    /// The group granted a duty to the present session under this fence.
-    fn hold(&self, duty: &str, fence: u64) {
-        if self.over.borrow().get(duty).is_some_and(|over| fence <= *over) {
+    /// Creates a guard for a duty that the group granted to the current session under this fence.
+    fn record_grant(&self, duty: &str, fence: u64) {
+        if self.ended_fences.borrow().get(duty).is_some_and(|ended| fence <= *ended) {
             return;
         }
         let guard = || Guard::new(duty.to_owned(), fence, self.lease.borrow().clone(), self.clock.clone());
-        let before = self.held.change(|held| match held.get(duty) {
+        let replaced = self.held_duties.update(|held| match held.get(duty) {
             Some(known) if known.fence() >= fence => None,
             _ => held.insert(duty.to_owned(), guard()),
         });
-        // The same holder under a higher fence: the lower one is for nobody any more.
-        before.iter().for_each(Guard::give);
+        // The same session now holds the duty under a higher fence, so the lower fence is obsolete.
+        replaced.iter().for_each(Guard::release);
     }
 
-    /// Asks for a duty that is free, after a pause by its rank and by chance, unless it was taken meanwhile.
-    async fn claim(self: Rc<Self>, want: Want) {
-        let step = self.me.life / 12;
-        sleep(step * want.rank + step.mul_f64(rand::random::<f64>())).await;
-        let free = |member: &Self| {
-            let standing = member.standing.borrow();
-            let duty = standing.view.duties.get(&want.duty);
-            standing.session.filter(|_| duty.is_none_or(|(_, holder)| holder.is_none()))
+    /// Claims a free duty after a delay that depends on the rank and a random part. Stops when another session gets
+    /// the duty.
+    async fn claim_duty(self: Rc<Self>, candidate: CandidateDuty) {
+        let delay_step = self.settings.session_ttl / 12;
+        sleep(delay_step * candidate.rank + delay_step.mul_f64(rand::random::<f64>())).await;
+        let if_free = |member: &Self| {
+            let status = member.status.borrow();
+            let duty = status.view.duties.get(&candidate.duty);
+            status.session.filter(|_| duty.is_none_or(|(_, holder)| holder.is_none()))
         };
-        while let Some(session) = free(&self).filter(|_| self.able.get() && !self.closed.get()) {
-            let claim = Command::Claim { session, duty: want.duty.clone() };
-            match self.ask(Ask::Do(claim), self.me.life / 4).await {
-                Some(Answer::Reply(Reply::Held(fence))) => {
-                    // The session may have ended since: then the grant was another one's.
+        while let Some(session) = if_free(&self).filter(|_| self.eligible.get() && !self.closed.get()) {
+            let claim = Command::ClaimDuty { session, duty: candidate.duty.clone() };
+            match self.call_voter(GroupRequest::Propose(claim), self.settings.session_ttl / 4).await {
+                Some(GroupResponse::Reply(Reply::Held(fence))) => {
+                    // The session may have ended since the claim; then the grant belongs to a past session.
                     if self.session_id() == Some(session) {
-                        self.fences.borrow_mut().takes(&want.duty, fence);
-                        self.hold(&want.duty, fence);
+                        self.seen_fences.borrow_mut().accept(&candidate.duty, fence);
+                        self.record_grant(&candidate.duty, fence);
                     }
                     break;
                 }
-                Some(Answer::Reply(Reply::NotHeld { .. } | Reply::Full)) => break,
-                Some(Answer::Reply(Reply::NoSession)) => {
-                    self.gone.notify_one();
+                Some(GroupResponse::Reply(Reply::NotHeld { .. } | Reply::LimitExceeded)) => break,
+                Some(GroupResponse::Reply(Reply::NoSession)) => {
+                    self.renew_now.notify_one();
                     break;
                 }
-                _ => sleep(self.drawn(0.02, 0.1)).await,
+                _ => sleep(self.random_ttl_fraction(0.02, 0.1)).await,
             }
         }
-        self.claiming.borrow_mut().remove(&want.duty);
+        self.pending_claims.borrow_mut().remove(&candidate.duty);
     }
 
-    /// Tells the group until it answers or the session is over, and with it all that the session has.
-    async fn insist(self: Rc<Self>, session: SessionId, command: Command) -> Answer {
+    /// Proposes a command until the group answers or the session ends. The end of a session also releases everything
+    /// that the session holds.
+    async fn propose_until_answered(self: Rc<Self>, session: SessionId, command: Command) -> GroupResponse {
         while self.session_id() == Some(session) {
-            match self.ask(Ask::Do(command.clone()), self.me.life / 4).await {
-                Some(answer) => return answer,
-                None => sleep(self.drawn(0.02, 0.1)).await,
+            match self.call_voter(GroupRequest::Propose(command.clone()), self.settings.session_ttl / 4).await
+            {
+                Some(response) => return response,
+                None => sleep(self.random_ttl_fraction(0.02, 0.1)).await,
             }
         }
-        Answer::Gone
+        GroupResponse::SessionEnded
     }
 
-    async fn carry_out(self: &Rc<Self>, order: Order) -> Answer {
-        let within = self.me.life / 3;
-        let nobody = |answer: Option<Answer>| answer.unwrap_or(Answer::Nobody);
-        match order {
-            Order::Give(duty, to) => {
-                let Some(guard) = self.held.change(|held| held.remove(&duty)) else {
-                    return Answer::No(format!("{duty} is not held here"));
+    async fn handle_request(self: &Rc<Self>, request: MemberRequest) -> GroupResponse {
+        let time_limit = self.settings.session_ttl / 3;
+        let or_unavailable = |response: Option<GroupResponse>| response.unwrap_or(GroupResponse::Unavailable);
+        match request {
+            MemberRequest::ReleaseDuty(duty, to) => {
+                let Some(guard) = self.held_duties.update(|held| held.remove(&duty)) else {
+                    return GroupResponse::Refused(format!("{duty} is not held here"));
                 };
-                // From here on nothing is done under it, whether or not the group hears of it.
-                self.is_over(&guard);
-                let Some(session) = self.session_id() else { return Answer::Gone };
-                let give = Command::Give { session, duty, fence: guard.fence(), to };
-                // Nobody else gets it before the group has heard, so it is told until it has.
-                let telling = tokio::task::spawn_local(self.clone().insist(session, give));
-                timeout(within, telling).await.ok().and_then(Result::ok).unwrap_or(Answer::Nobody)
+                // From here on this process does not act under the fence, whether or not the group receives the
+                // release.
+                self.retire(&guard);
+                let Some(session) = self.session_id() else { return GroupResponse::SessionEnded };
+                let release = Command::ReleaseDuty { session, duty, fence: guard.fence(), to };
+                // No other session can get the duty before the group applies the release, so retry until the group
+                // answers.
+                let release_task =
+                    tokio::task::spawn_local(self.clone().propose_until_answered(session, release));
+                timeout(time_limit, release_task)
+                    .await
+                    .ok()
+                    .and_then(Result::ok)
+                    .unwrap_or(GroupResponse::Unavailable)
             }
-            Order::Write(duty, key, value) => {
-                let guard = self.held.guard(&duty);
-                let Some((fence, session)) = guard.and_then(|g| g.may_act()).zip(self.session_id()) else {
-                    return Answer::No(format!("{duty} is not held here"));
+            MemberRequest::WriteRecord(duty, key, value) => {
+                let guard = self.held_duties.guard(&duty);
+                let Some((fence, session)) = guard.and_then(|g| g.valid_fence()).zip(self.session_id())
+                else {
+                    return GroupResponse::Refused(format!("{duty} is not held here"));
                 };
-                nobody(self.ask(Ask::Do(Command::Write { session, duty, fence, key, value }), within).await)
+                or_unavailable(
+                    self.call_voter(
+                        GroupRequest::Propose(Command::WriteRecord { session, duty, fence, key, value }),
+                        time_limit,
+                    )
+                    .await,
+                )
             }
-            Order::Report(duty, note) => match self.session_id() {
-                Some(session) => nobody(self.ask(Ask::Report { session, duty, note }, within).await),
-                None => Answer::Nobody,
+            MemberRequest::SendNote(duty, note) => match self.session_id() {
+                Some(session) => or_unavailable(
+                    self.call_voter(GroupRequest::SendNote { session, duty, note }, time_limit).await,
+                ),
+                None => GroupResponse::Unavailable,
             },
-            Order::Collect(duty) => {
-                let guard = self.held.guard(&duty);
-                let Some((fence, session)) = guard.and_then(|g| g.may_act()).zip(self.session_id()) else {
-                    return Answer::No(format!("{duty} is not held here"));
+            MemberRequest::CollectNotes(duty) => {
+                let guard = self.held_duties.guard(&duty);
+                let Some((fence, session)) = guard.and_then(|g| g.valid_fence()).zip(self.session_id())
+                else {
+                    return GroupResponse::Refused(format!("{duty} is not held here"));
                 };
-                nobody(self.ask(Ask::Collect { session, duty, fence }, within).await)
+                or_unavailable(
+                    self.call_voter(GroupRequest::CollectNotes { session, duty, fence }, time_limit).await,
+                )
             }
-            Order::Leave(most) => match self.session_id() {
-                Some(session) => nobody(self.ask(Ask::Do(Command::Leave { session, most }), within).await),
-                None => Answer::Nobody,
+            MemberRequest::RequestAbsence(max_absent) => match self.session_id() {
+                Some(session) => or_unavailable(
+                    self.call_voter(
+                        GroupRequest::Propose(Command::RequestAbsence { session, max_absent }),
+                        time_limit,
+                    )
+                    .await,
+                ),
+                None => GroupResponse::Unavailable,
             },
-            Order::Able(able) => {
-                self.able.set(able);
-                if !able {
-                    for guard in self.held.all() {
-                        Box::pin(self.carry_out(Order::Give(guard.duty, None))).await;
+            MemberRequest::SetEligible(eligible) => {
+                self.eligible.set(eligible);
+                if !eligible {
+                    for guard in self.held_duties.all() {
+                        Box::pin(self.handle_request(MemberRequest::ReleaseDuty(guard.duty, None))).await;
                     }
                 }
-                self.take_notice();
-                Answer::Done
+                self.apply_view();
+                GroupResponse::Done
             }
-            Order::Voter(ask) => {
-                let mut answer = None;
-                // Harmless to ask again, and the voter asked may be the one that is not in yet.
-                for _ in 0..=self.ways.len() {
-                    answer = self.ask(ask.clone(), CHANGE).await;
-                    if answer.is_some() {
+            MemberRequest::ChangeVoters(change) => {
+                let mut response = None;
+                // The request is idempotent, and the preferred voter may be the one that is not a member yet: try
+                // every voter.
+                for _ in 0..=self.clients.len() {
+                    response = self.call_voter(change.clone(), MEMBERSHIP_CHANGE_TIMEOUT).await;
+                    if response.is_some() {
                         break;
                     }
                 }
-                nobody(answer)
+                or_unavailable(response)
             }
-            Order::Close => {
+            MemberRequest::Close => {
                 self.closed.set(true);
-                let held = self.held.change(std::mem::take);
-                held.into_values().for_each(|guard| self.is_over(&guard));
-                let Some(session) = self.session_id() else { return Answer::Done };
+                let held = self.held_duties.update(std::mem::take);
+                held.into_values().for_each(|guard| self.retire(&guard));
+                let Some(session) = self.session_id() else { return GroupResponse::Done };
                 self.lease.borrow().end();
-                self.gone.notify_one();
-                nobody(self.ask(Ask::Do(Command::Close { session }), within).await)
+                self.renew_now.notify_one();
+                or_unavailable(
+                    self.call_voter(GroupRequest::Propose(Command::CloseSession { session }), time_limit)
+                        .await,
+                )
             }
         }
     }
--- a/group/src/store.rs
+++ b/group/src/store.rs
@@ -1,64 +1,65 @@
-//! The voter's disk: who it is, its vote, its log and its last snapshot, in one file that [`logbook`] keeps. Whatever is
-//! answered to others as written has been synced before.
+//! The voter's persistent state: identity, vote, log and last snapshot, in one file managed by [`raft::store`].
+//! Everything that the voter acknowledges to others has been synced before.
 //!
-//! Invariants: a file that cannot be read whole, or that is another group's or another process's, is set aside and told
-//! in one line, and the voter begins anew under a number never used before. So it cannot vote twice in a term that it
-//! has forgotten: the old number's vote is counted for nobody.
+//! Invariants: a file that cannot be read completely, or that belongs to another group or process, is renamed and
+//! reported in one log line. The voter then starts empty under an incarnation that was never used before. So it cannot
+//! vote twice in a term that it has forgotten, because votes of the old incarnation count for no one.
 
-use crate::machine::{Command, Reply, State};
+use crate::state_machine::{Command, Reply, State};
 use raft::{Entry, Payload, PersistentState, Snapshot, VoterId};
 use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The number that a voter's votes are counted under.
-pub type NodeId = u64;
+/// Identifies one lifetime of a voter's state. Votes are counted per incarnation.
+pub type Incarnation = u64;
 
-const FILE: &str = "group.redb";
-/// How many files that were set aside are kept.
-const ASIDE: u32 = 3;
+const FILE_NAME: &str = "group.redb";
+/// Maximum number of renamed files that are kept.
+const MAX_SET_ASIDE_FILES: u32 = 3;
 
-/// A voter as the log names it. Its address there is no way to it but what stays the same: the group's name and its own.
-/// So a voter that comes back with an empty disk takes its own place, and a file tells whose it is.
-pub fn voter(group: &str, name: &str, number: NodeId) -> VoterId {
-    VoterId { address: format!("{group} {name}"), incarnation: number }
+/// Returns the Raft identity of a voter. Its `address` field holds the group and voter names rather than a network
+/// address, since the names never change. So a voter that returns with an empty disk replaces its old entry, and a
+/// file identifies its owner.
+pub fn voter_id(group: &str, name: &str, incarnation: Incarnation) -> VoterId {
+    VoterId { address: format!("{group} {name}"), incarnation }
 }
 
-/// The group's and the process's name.
-fn names(voter: &VoterId) -> (&str, &str) {
+/// Splits a Raft identity into the group name and the voter name.
+fn group_and_name(voter: &VoterId) -> (&str, &str) {
     voter.address.split_once(' ').unwrap_or(("", &voter.address))
 }
 
-/// The process's name of a voter.
-pub fn name(voter: &VoterId) -> &str {
-    names(voter).1
+/// Returns the process name of a voter.
+pub fn voter_name(voter: &VoterId) -> &str {
+    group_and_name(voter).1
 }
 
-/// What is wrong with a file.
+/// The reason why the voter's file cannot be used.
 #[derive(Debug)]
 pub enum StoreError {
-    /// The folder, or what is beside the file.
-    Folder(io::Error),
-    /// The log's own word.
-    Log(raft::store::StoreError),
-    /// The state that the log keeps cannot be read.
-    State,
-    /// Another process has it.
+    /// An I/O error in the directory.
+    Io(io::Error),
+    /// An error of the Raft store.
+    Raft(raft::store::StoreError),
+    /// The state in a snapshot cannot be decoded.
+    UnreadableState,
+    /// Another process has the file open.
     Busy,
-    /// It is of another group or process.
-    Foreign(VoterId),
+    /// The file belongs to another group or process.
+    WrongOwner(VoterId),
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Folder(error) => write!(f, "{error}"),
-            Self::Log(error) => write!(f, "{error}"),
-            Self::State => f.write_str("its state cannot be read"),
+            Self::Io(error) => write!(f, "{error}"),
+            Self::Raft(error) => write!(f, "{error}"),
+            Self::UnreadableState => f.write_str("the state cannot be decoded"),
             Self::Busy => f.write_str("another process has it open"),
-            Self::Foreign(of) => {
-                let (group, name) = names(of);
-                write!(f, "it is of {name} in group {group}")
+            Self::WrongOwner(owner) => {
+                let (group, name) = group_and_name(owner);
+                write!(f, "the file belongs to voter {name} of group {group}")
             }
         }
     }
@@ -67,8 +68,8 @@
 impl std::error::Error for StoreError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
-            Self::Folder(error) => Some(error),
-            Self::Log(error) => Some(error),
+            Self::Io(error) => Some(error),
+            Self::Raft(error) => Some(error),
             _ => None,
         }
     }
@@ -76,7 +77,7 @@
 
 impl From<io::Error> for StoreError {
     fn from(error: io::Error) -> Self {
-        Self::Folder(error)
+        Self::Io(error)
     }
 }
 
@@ -88,60 +89,60 @@
             {
                 Self::Busy
             }
-            error => Self::Log(error),
+            error => Self::Raft(error),
         }
     }
 }
 
-/// What the entries of the log make, up to one of them.
+/// The result of applying the log up to an entry.
 #[derive(Clone, Debug, Default)]
-pub struct Applied {
-    /// The state.
+pub struct AppliedState {
+    /// The replicated state.
     pub state: State,
-    /// The voters.
+    /// The current voters.
     pub voters: Vec<VoterId>,
-    /// The entry.
+    /// The index of the last applied entry.
     pub index: u64,
-    /// Its term.
+    /// The term of the last applied entry.
     pub term: u64,
 }
 
-impl Applied {
-    /// What stood for all entries before those that the log tells again.
+impl AppliedState {
+    /// Restores the state that precedes the entries in the log: the snapshot, or the initial voters if there is none.
     ///
     /// # Errors
-    /// When the snapshot's state cannot be read.
-    pub fn of(saved: &PersistentState) -> Result<Self, StoreError> {
+    /// If the state in the snapshot cannot be decoded.
+    pub fn from_saved(saved: &PersistentState) -> Result<Self, StoreError> {
         saved.snapshot.as_ref().map_or_else(
             || Ok(Self { voters: saved.founders.clone(), ..Self::default() }),
-            |snapshot| Self::restored(snapshot).ok_or(StoreError::State),
+            |snapshot| Self::from_snapshot(snapshot).ok_or(StoreError::UnreadableState),
         )
     }
 
-    /// A snapshot's; none if its state cannot be read.
-    pub fn restored(snapshot: &Snapshot) -> Option<Self> {
+    /// Restores the state of a snapshot. Returns `None` if the state cannot be decoded.
+    pub fn from_snapshot(snapshot: &Snapshot) -> Option<Self> {
         let state = postcard::from_bytes(&snapshot.state).ok()?;
         let voters = snapshot.members.clone();
         Some(Self { state, voters, index: snapshot.index, term: snapshot.term })
     }
 
-    /// As a snapshot; none if the state cannot be written.
-    pub fn snapshot(&self) -> Option<Snapshot> {
+    /// Creates a snapshot. Returns `None` if the state cannot be encoded.
+    pub fn to_snapshot(&self) -> Option<Snapshot> {
         let state = postcard::to_stdvec(&self.state).ok()?;
         Some(Snapshot { index: self.index, term: self.term, members: self.voters.clone(), state })
     }
 
-    /// Takes the next entry.
-    pub fn take(&mut self, entry: &Entry) -> Reply {
+    /// Applies the next committed entry.
+    pub fn apply(&mut self, entry: &Entry) -> Reply {
         (self.index, self.term) = (entry.index, entry.term);
         match &entry.payload {
             Payload::Noop => Reply::Done,
             Payload::Members(voters) => {
                 self.voters = voters.clone();
-                self.state.voters(&voters.iter().map(name).collect::<Vec<_>>());
+                self.state.set_voters(&voters.iter().map(voter_name).collect::<Vec<_>>());
                 Reply::Done
             }
-            // One that cannot be read is void, and so at every voter.
+            // An entry that cannot be decoded has no effect, on this voter and on every other.
             Payload::Change(bytes) => match postcard::from_bytes::<Command>(bytes) {
                 Ok(command) => self.state.apply(entry.term, &command),
                 Err(_) => Reply::Done,
@@ -150,86 +151,87 @@
     }
 }
 
-/// The voter's file, and what was found in it.
+/// The voter's open file and the state loaded from it.
 pub struct Store {
-    /// The file.
+    /// The open file.
     pub disk: raft::store::Store,
-    /// What the log goes on from.
+    /// The persistent Raft state that the voter resumes from.
     pub saved: PersistentState,
-    /// What stands for the entries before.
-    pub applied: Applied,
+    /// The state that precedes the entries in the log.
+    pub applied: AppliedState,
 }
 
 impl Store {
-    /// Opens the file in a folder, or makes it. `tell` hears why a file that was there is not used.
+    /// Opens the voter's file in a directory, or creates it. `log` receives a message if an existing file cannot be
+    /// used.
     ///
     /// # Errors
-    /// When there can be no file in the folder.
-    pub fn open(folder: &Path, name: &str, group: &str, tell: impl Fn(String)) -> Result<Self, StoreError> {
-        std::fs::create_dir_all(folder)?;
-        let path = folder.join(FILE);
+    /// If the directory or the file cannot be created, or another process has the file open.
+    pub fn open(directory: &Path, name: &str, group: &str, log: impl Fn(String)) -> Result<Self, StoreError> {
+        std::fs::create_dir_all(directory)?;
+        let path = directory.join(FILE_NAME);
         if path.exists() {
             match Self::read(&path, name, group) {
-                Ok(Some(found)) => return Ok(found),
-                // Its process went before it had written who it is.
+                Ok(Some(store)) => return Ok(store),
+                // The process that created the file stopped before it wrote an identity.
                 Ok(None) => {}
-                // Not this one's to set aside: its predecessor still votes by it.
+                // Leave the file in place: the previous process still votes with it.
                 Err(StoreError::Busy) => return Err(StoreError::Busy),
-                Err(why) => {
-                    let aside = set_aside(&path)?;
-                    tell(format!(
-                        "{}: not used: {why}; set aside as {}. This voter has no vote until it is taken in anew",
+                Err(error) => {
+                    let backup = set_aside(&path)?;
+                    log(format!(
+                        "{}: not used: {error}; renamed to {}. This voter has no vote until it is added again",
                         path.display(),
-                        aside.display()
+                        backup.display()
                     ));
                 }
             }
         }
         let (disk, _) = raft::store::Store::open(&path)?;
-        let saved = disk.create(voter(group, name, drawn()), Vec::new())?;
-        sync_name(folder)?;
-        Ok(Self { disk, saved, applied: Applied::default() })
+        let saved = disk.create(voter_id(group, name, random_incarnation()), Vec::new())?;
+        sync_directory(directory)?;
+        Ok(Self { disk, saved, applied: AppliedState::default() })
     }
 
-    /// All of it is read: a voter that finds out later that it cannot read its log has voted by then.
+    /// Reads the complete file. A voter that detected an unreadable log entry only later would have voted by then.
     fn read(path: &Path, name: &str, group: &str) -> Result<Option<Self>, StoreError> {
         let (disk, saved) = raft::store::Store::open(path)?;
         let Some(saved) = saved else { return Ok(None) };
-        if names(&saved.me) != (group, name) {
-            return Err(StoreError::Foreign(saved.me));
+        if group_and_name(&saved.me) != (group, name) {
+            return Err(StoreError::WrongOwner(saved.me));
         }
-        let applied = Applied::of(&saved)?;
+        let applied = AppliedState::from_saved(&saved)?;
         Ok(Some(Self { disk, saved, applied }))
     }
 }
 
-/// A number for a voter without a past. Numbers of 53 bits stay whole in whatever shows them.
-fn drawn() -> NodeId {
+/// Returns a random incarnation. It has 53 bits, so that JSON and other readers that use doubles keep it exact.
+fn random_incarnation() -> Incarnation {
     (rand::random::<u64>() >> 11).max(1)
 }
 
-/// The name of the file in the folder is to outlive a loss of power as well.
-fn sync_name(folder: &Path) -> io::Result<()> {
-    std::fs::File::open(folder)?.sync_all()
+/// Syncs the directory, so that the file's entry survives a power loss.
+fn sync_directory(directory: &Path) -> io::Result<()> {
+    std::fs::File::open(directory)?.sync_all()
 }
 
-/// Why a voter's disk cannot become a group of its own.
+/// The reason why [`rescue`] refused to continue a group from one disk.
 #[derive(Debug)]
 pub enum RescueError {
-    /// The disk cannot be used, or is in use.
+    /// The file cannot be used, or another process has it open.
     Store(StoreError),
-    /// It holds nothing of a group.
-    Empty,
-    /// The names given are not those of all other voters, which are these.
-    Names(Vec<String>),
+    /// The directory has no group state, or its voter was not a member.
+    NoGroupState,
+    /// The given names differ from the other voters, which are listed here.
+    VoterNamesMismatch(Vec<String>),
 }
 
 impl fmt::Display for RescueError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Store(error) => write!(f, "{error}"),
-            Self::Empty => f.write_str("this disk holds nothing of a group"),
-            Self::Names(names) => {
+            Self::NoGroupState => f.write_str("the directory holds no state of a group"),
+            Self::VoterNamesMismatch(names) => {
                 write!(f, "the other voters are {}: name all of them, if all are lost", names.join(", "))
             }
         }
@@ -251,66 +253,70 @@
     }
 }
 
-/// Makes a group of one voter out of the disk of the last one, when all others are lost for good: `lost` names all of
-/// them. The process must not be running. What this voter knew goes on, under a new number; the old file is set
-/// aside. If one of the others still lives there are two groups from now on: there is nobody who could tell.
+/// Turns the disk of the last surviving voter into a group with a single voter, after all other voters were lost
+/// permanently. `lost` must name all of them. The process must not be running. The replicated state is kept under a
+/// new incarnation, and the old file is renamed.
+///
+/// If any other voter is still running, two independent groups exist afterwards, and nothing detects this.
 ///
 /// # Errors
-/// When the disk cannot be used or the names are not those of the other voters; nothing has been changed then.
-pub fn rescue(folder: &Path, name_here: &str, group: &str, lost: &[String]) -> Result<NodeId, RescueError> {
-    let path = folder.join(FILE);
+/// If the disk cannot be used or `lost` does not name exactly the other voters. Nothing is changed in these cases.
+pub fn rescue(
+    directory: &Path, local_name: &str, group: &str, lost: &[String],
+) -> Result<Incarnation, RescueError> {
+    let path = directory.join(FILE_NAME);
     if !path.exists() {
-        return Err(RescueError::Empty);
+        return Err(RescueError::NoGroupState);
     }
     let Store { disk, saved, mut applied } =
-        Store::read(&path, name_here, group)?.ok_or(RescueError::Empty)?;
+        Store::read(&path, local_name, group)?.ok_or(RescueError::NoGroupState)?;
     for entry in &saved.entries {
-        applied.take(entry);
+        applied.apply(entry);
     }
     if !applied.voters.contains(&saved.me) {
-        return Err(RescueError::Empty);
+        return Err(RescueError::NoGroupState);
     }
-    let others = applied.voters.iter().filter(|voter| **voter != saved.me);
-    let mut others: Vec<String> = others.map(|voter| name(voter).to_owned()).collect();
-    let mut named = lost.to_vec();
-    others.sort();
-    named.sort();
-    if others != named {
-        return Err(RescueError::Names(others));
+    let other_names = applied.voters.iter().filter(|voter| **voter != saved.me);
+    let mut other_names: Vec<String> = other_names.map(|voter| voter_name(voter).to_owned()).collect();
+    let mut lost_names = lost.to_vec();
+    other_names.sort();
+    lost_names.sort();
+    if other_names != lost_names {
+        return Err(RescueError::VoterNamesMismatch(other_names));
     }
-    let me = voter(group, name_here, drawn());
-    applied.voters = vec![me.clone()];
-    applied.state.voters(&[name_here]);
-    let snapshot = applied.snapshot().ok_or(StoreError::State)?;
-    // The old file goes once the new one is whole: a full disk changes nothing.
-    let new = path.with_extension("rescued");
-    if new.exists() {
-        std::fs::remove_file(&new)?;
+    let new_id = voter_id(group, local_name, random_incarnation());
+    applied.voters = vec![new_id.clone()];
+    applied.state.set_voters(&[local_name]);
+    let snapshot = applied.to_snapshot().ok_or(StoreError::UnreadableState)?;
+    // The old file is replaced only after the new file is complete, so a full disk changes nothing.
+    let new_path = path.with_extension("rescued");
+    if new_path.exists() {
+        std::fs::remove_file(&new_path)?;
     }
-    let (begun, _) = raft::store::Store::open(&new)?;
-    let id = me.incarnation;
-    // Terms go on above all that this voter has seen: an older one may have been another leader's.
-    begun.create_from_snapshot(me, saved.term + 1, snapshot)?;
-    drop((disk, begun));
+    let (new_store, _) = raft::store::Store::open(&new_path)?;
+    let incarnation = new_id.incarnation;
+    // The new term exceeds every term that this voter has seen, since an older term may have had another leader.
+    new_store.create_from_snapshot(new_id, saved.term + 1, snapshot)?;
+    drop((disk, new_store));
     set_aside(&path)?;
-    std::fs::rename(&new, &path)?;
-    sync_name(folder)?;
-    Ok(id)
+    std::fs::rename(&new_path, &path)?;
+    sync_directory(directory)?;
+    Ok(incarnation)
 }
 
-/// Renames a file so that it is kept for whoever wants to look at it; the oldest such file goes.
+/// Renames a file to keep it for inspection, and replaces the oldest renamed file if there are too many.
 fn set_aside(path: &Path) -> io::Result<PathBuf> {
-    let name = |number: u32| path.with_extension(format!("aside-{number}"));
-    let free = (0..ASIDE).find(|number| !name(*number).exists());
-    let number = match free {
+    let numbered_path = |number: u32| path.with_extension(format!("aside-{number}"));
+    let unused = (0..MAX_SET_ASIDE_FILES).find(|number| !numbered_path(*number).exists());
+    let number = match unused {
         Some(number) => number,
         None => {
-            for number in 1..ASIDE {
-                std::fs::rename(name(number), name(number - 1))?;
+            for number in 1..MAX_SET_ASIDE_FILES {
+                std::fs::rename(numbered_path(number), numbered_path(number - 1))?;
             }
-            ASIDE - 1
+            MAX_SET_ASIDE_FILES - 1
         }
     };
-    std::fs::rename(path, name(number))?;
-    Ok(name(number))
+    std::fs::rename(path, numbered_path(number))?;
+    Ok(numbered_path(number))
 }
--- a/group/src/voter.rs
+++ b/group/src/voter.rs
@@ -1,19 +1,23 @@
-//! One voter: consensus on the log of [`crate::machine`], the leader's reckoning of sessions ([`crate::lease`]), and
-//! answers to members. Whoever is not the leader passes questions on to it.
+//! A voter: runs Raft on the log of [`crate::state_machine`], tracks session expiry while it leads ([`crate::lease`]),
+//! and answers members. A follower forwards requests to the leader.
 
-mod decide;
 mod driver;
-mod mail;
-mod words;
+mod leader;
+mod messages;
+mod raft_transport;
 
 use crate::clock::{Clock, Moment};
-use crate::lease::Deadlines;
-use crate::machine::SessionId;
-use crate::store::{Applied, NodeId, Store, name, voter};
-use crate::wire::{Answered, Answers, CallError, Kind, Way, read, written};
+use crate::lease::SessionDeadlines;
+use crate::state_machine::SessionId;
+use crate::store::{AppliedState, Incarnation, Store, voter_id, voter_name};
+use crate::wire::{CallError, CallHandler, CallKind, ResponseFuture, VoterClient, decode, encode};
 use bytes::Bytes;
-use driver::{Core, Office};
+use driver::{Core, Leadership};
 use hyper::StatusCode;
+use messages::RequestEnvelope;
+pub use messages::{
+    GroupRequest, GroupResponse, Timeouts, View, VoterEndpoint, VoterError, VoterInfo, WatchRequest,
+};
 use raft::{Input, Millis, VoterId, Writer};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -21,107 +25,109 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 use tokio::time::{sleep, timeout};
-use words::Passed;
-pub use words::{Answer, Ask, Node, Times, View, VoterError, Watching, Who};
 
-/// The longest wait of a watch.
-const LONGEST_WATCH: Duration = Duration::from_secs(20);
+/// Maximum time that a long poll for a newer view waits.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(20);
 
-/// A voter.
+/// A voter of the group.
 pub struct Voter {
-    id: NodeId,
-    me: Node,
+    incarnation: Incarnation,
+    endpoint: VoterEndpoint,
     group: Rc<str>,
-    times: Times,
+    timeouts: Timeouts,
     clock: Clock,
-    tell: Box<dyn Fn(String)>,
+    log: Box<dyn Fn(String)>,
     core: RefCell<Core>,
-    /// When the log wants to be looked after, and that this became sooner.
-    due: Cell<Millis>,
-    sooner: Notify,
-    changed: watch::Sender<u64>,
-    office: watch::Sender<Office>,
-    /// Where this process's own settings find voters: that goes before what the group agreed on, since from one process
-    /// to the next it may differ.
-    own: BTreeMap<String, String>,
-    /// Where those were that were heard of last: for who is not in the settings, before the group has told.
-    heard: RefCell<BTreeMap<String, String>>,
-    ways: RefCell<HashMap<String, Rc<Way>>>,
-    /// Messages that wait, for each voter that a task is carrying them to.
-    mail: RefCell<HashMap<VoterId, VecDeque<Vec<u8>>>>,
-    deadlines: RefCell<Deadlines>,
-    turns: RefCell<BTreeMap<String, Moment>>,
-    /// Notes by duty, while this voter leads.
+    /// The time of the next Raft timer, and a signal that this time has moved earlier.
+    next_due: Cell<Millis>,
+    due_moved_earlier: Notify,
+    applied_changes: watch::Sender<u64>,
+    leadership: watch::Sender<Leadership>,
+    /// Addresses of voters from the settings of this process. They take precedence over the replicated addresses,
+    /// because the address of a voter may differ between processes.
+    configured_addresses: BTreeMap<String, String>,
+    /// Addresses learned from incoming messages. Used for voters that are not in the settings, until the group has
+    /// replicated their addresses.
+    learned_addresses: RefCell<BTreeMap<String, String>>,
+    clients: RefCell<HashMap<String, Rc<VoterClient>>>,
+    /// Queued Raft messages per voter. An entry exists while a task delivers messages to that voter.
+    outgoing: RefCell<HashMap<VoterId, VecDeque<Vec<u8>>>>,
+    session_deadlines: RefCell<SessionDeadlines>,
+    absence_first_seen: RefCell<BTreeMap<String, Moment>>,
+    /// Notes by duty. Kept only while this voter leads.
     notes: RefCell<BTreeMap<String, VecDeque<Vec<u8>>>>,
 }
 
 impl Voter {
-    /// Starts one on its store; `known` are other voters, where this process finds them, and `tell` hears what belongs
-    /// in the log. It has to be called on the thread and the local set that it lives on.
+    /// Starts a voter from its store. `configured_voters` are the voter addresses from the settings of this process,
+    /// and `log` receives log messages. Must be called on the thread and in the local task set that the voter runs on.
     ///
     /// # Errors
-    /// When it cannot go on from what the store holds.
+    /// If the voter cannot resume from the stored state.
     pub fn start(
-        store: Store, me: Node, group: &str, times: Times, clock: Clock, known: &[Node],
-        tell: impl Fn(String) + 'static,
+        store: Store, endpoint: VoterEndpoint, group: &str, timeouts: Timeouts, clock: Clock,
+        configured_voters: &[VoterEndpoint], log: impl Fn(String) + 'static,
     ) -> Result<Rc<Self>, VoterError> {
         let Store { disk, saved, applied } = store;
-        let id = saved.me.incarnation;
+        let incarnation = saved.me.incarnation;
         let now = millis(&clock);
-        let node = raft::Node::start(saved, times.timing(), rand::random(), now);
-        let due = node.next_due();
+        let node = raft::Node::start(saved, timeouts.raft_timing(), rand::random(), now);
+        let next_due = node.next_due();
         let core = Core {
             node,
             writer: None,
-            writers: 0,
-            snapshot_at: applied.index,
+            writer_generation: 0,
+            snapshot_index: applied.index,
             applied,
-            tokens: 0,
-            asked: HashMap::new(),
-            accepted: HashMap::new(),
+            last_token: 0,
+            waiters: HashMap::new(),
+            proposals: HashMap::new(),
         };
         let voter = Rc::new(Self {
-            id,
-            me,
+            incarnation,
+            endpoint,
             group: group.into(),
-            times,
+            timeouts,
             clock,
-            tell: Box::new(tell),
+            log: Box::new(log),
             core: RefCell::new(core),
-            due: Cell::new(due),
-            sooner: Notify::new(),
-            changed: watch::Sender::new(0),
-            office: watch::Sender::default(),
-            own: known.iter().map(|node| (node.name.clone(), node.address.clone())).collect(),
-            heard: RefCell::default(),
-            ways: RefCell::default(),
-            mail: RefCell::default(),
-            deadlines: RefCell::new(Deadlines::new(times.life)),
-            turns: RefCell::default(),
+            next_due: Cell::new(next_due),
+            due_moved_earlier: Notify::new(),
+            applied_changes: watch::Sender::new(0),
+            leadership: watch::Sender::default(),
+            configured_addresses: configured_voters
+                .iter()
+                .map(|voter| (voter.name.clone(), voter.address.clone()))
+                .collect(),
+            learned_addresses: RefCell::default(),
+            clients: RefCell::default(),
+            outgoing: RefCell::default(),
+            session_deadlines: RefCell::new(SessionDeadlines::new(timeouts.session_ttl)),
+            absence_first_seen: RefCell::default(),
             notes: RefCell::default(),
         });
-        voter.write_to(disk)?;
-        tokio::task::spawn_local(voter.clone().look_after());
-        tokio::task::spawn_local(voter.clone().reckon());
+        voter.attach_disk(disk)?;
+        tokio::task::spawn_local(voter.clone().run_timer());
+        tokio::task::spawn_local(voter.clone().expire_sessions());
         Ok(voter)
     }
 
-    /// Its number.
-    pub fn number(&self) -> NodeId {
-        self.id
+    /// Returns the incarnation of this voter.
+    pub fn incarnation(&self) -> Incarnation {
+        self.incarnation
     }
 
-    /// The term in which this voter leads, if it does.
-    fn leads(&self) -> Option<u64> {
-        self.office.borrow().leads
+    /// Returns the term in which this voter leads, or `None` if it does not lead.
+    fn leader_term(&self) -> Option<u64> {
+        self.leadership.borrow().leader_term
     }
 
-    /// What this voter knows, without asking the others.
+    /// Returns the local view of this voter without contacting the other voters.
     pub fn view(&self) -> View {
         let core = self.core.borrow();
-        let silent = core.writer.is_none();
-        let leader = core.node.leader().filter(|_| !silent).map(|leader| name(leader).to_owned());
-        let mut voters: Vec<String> = core.applied.voters.iter().map(|v| name(v).to_owned()).collect();
+        let halted = core.writer.is_none();
+        let leader = core.node.leader().filter(|_| !halted).map(|leader| voter_name(leader).to_owned());
+        let mut voters: Vec<String> = core.applied.voters.iter().map(|v| voter_name(v).to_owned()).collect();
         voters.sort();
         let state = &core.applied.state;
         let holder = |id: SessionId| Some((id, state.sessions.get(&id)?.name.clone()));
@@ -137,134 +143,144 @@
             records: records
                 .map(|(key, r)| (key.clone(), (r.duty.clone(), r.fence, r.value.clone())))
                 .collect(),
-            away: state.turns.keys().cloned().collect(),
+            absent: state.absences.keys().cloned().collect(),
         }
     }
 
-    /// Whether it belongs to no group yet.
+    /// Returns whether this voter does not belong to a group yet.
     fn is_new(&self) -> bool {
         self.core.borrow().node.members().is_empty()
     }
 
-    /// Forms the group if it is this voter's part and nobody belongs to one yet; else waits to be taken in. `tell`
-    /// hears once what it waits for.
-    pub async fn join(self: Rc<Self>, voters: &[Node]) {
-        let (mut told, mut formed_at) = (false, None);
-        while self.is_new() && !self.is_silent() {
-            let mut all = vec![(self.id, self.me.clone())];
-            let mut formed = None;
-            for node in voters.iter().filter(|node| node.name != self.me.name) {
-                let Some(way) = self.way(&node.name) else { continue };
-                match way.call::<_, Who>(Kind::Who, 0, &(), self.times.election.0).await {
-                    Ok(who) if who.new => all.push((who.id, node.clone())),
-                    Ok(who) => formed = Some(who.name),
+    /// Forms the group if this voter is the first in `voters` and no reachable voter belongs to a group yet. Otherwise
+    /// waits to be added, and logs once what it is waiting for.
+    pub async fn join(self: Rc<Self>, voters: &[VoterEndpoint]) {
+        let (mut logged, mut group_seen_at) = (false, None);
+        while self.is_new() && !self.is_halted() {
+            let mut candidates = vec![(self.incarnation, self.endpoint.clone())];
+            let mut existing_member = None;
+            for endpoint in voters.iter().filter(|endpoint| endpoint.name != self.endpoint.name) {
+                let Some(client) = self.client_for(&endpoint.name) else { continue };
+                match client.call::<_, VoterInfo>(CallKind::Info, 0, &(), self.timeouts.election.0).await {
+                    Ok(info) if info.is_new => candidates.push((info.incarnation, endpoint.clone())),
+                    Ok(info) => existing_member = Some(info.name),
                     Err(_) => {}
                 }
             }
-            let first = voters.first().is_some_and(|first| first.name == self.me.name);
-            if let Some(by) = formed {
-                // The group lives; this voter's part of it was lost, or it never was a voter. Or the group has just been
-                // formed with it: then it hears of that from the first leader, well within a life.
-                let since = *formed_at.get_or_insert_with(|| self.clock.now());
-                let long = self.clock.now().saturating_sub(since) >= self.times.life;
-                if long && !std::mem::replace(&mut told, true) {
-                    (self.tell)(format!(
-                        "group {}: {} has no vote: {by} is in the group already. GROUP ADD {} {} takes it in",
-                        self.group, self.me.name, self.me.name, self.me.address
+            let is_first = voters.first().is_some_and(|first| first.name == self.endpoint.name);
+            if let Some(member) = existing_member {
+                // The group exists, and this voter lost its state or was never a voter. The group may also have just
+                // been formed with this voter: then the first leader contacts it well within one session TTL.
+                let seen_at = *group_seen_at.get_or_insert_with(|| self.clock.now());
+                let waited_long = self.clock.now().saturating_sub(seen_at) >= self.timeouts.session_ttl;
+                if waited_long && !std::mem::replace(&mut logged, true) {
+                    (self.log)(format!(
+                        "group {}: {} has no vote: {member} is already in the group; use GROUP ADD {} {} to join",
+                        self.group, self.endpoint.name, self.endpoint.name, self.endpoint.address
                     ));
                 }
-            } else if first && all.len() == voters.len() && self.is_new() {
-                if let Err(error) = self.form(&all) {
-                    self.fall_silent(&error);
+            } else if is_first && candidates.len() == voters.len() && self.is_new() {
+                if let Err(error) = self.form_group(&candidates) {
+                    self.halt(&error);
                 }
                 return;
             }
-            sleep(self.times.election.0).await;
+            sleep(self.timeouts.election.0).await;
         }
     }
 
-    /// Begins the group's log: its first entry is who the voters are. They hear of it from their first leader.
-    fn form(self: &Rc<Self>, all: &[(NodeId, Node)]) -> Result<(), VoterError> {
+    /// Creates the log of the group, starting from a snapshot that lists the voters. The other voters receive the
+    /// snapshot from their first leader.
+    fn form_group(self: &Rc<Self>, candidates: &[(Incarnation, VoterEndpoint)]) -> Result<(), VoterError> {
         let disk = {
             let mut core = self.core.borrow_mut();
-            let voters = all.iter().map(|(id, node)| voter(&self.group, &node.name, *id)).collect();
-            let mut applied = Applied { voters, index: 1, term: 1, ..Applied::default() };
-            let places = all.iter().map(|(_, node)| (node.name.clone(), node.address.clone()));
-            applied.state.places = places.collect();
-            let snapshot = applied.snapshot().ok_or(VoterError::State)?;
+            let voters =
+                candidates.iter().map(|(id, endpoint)| voter_id(&self.group, &endpoint.name, *id)).collect();
+            let mut applied = AppliedState { voters, index: 1, term: 1, ..AppliedState::default() };
+            let addresses =
+                candidates.iter().map(|(_, endpoint)| (endpoint.name.clone(), endpoint.address.clone()));
+            applied.state.voter_addresses = addresses.collect();
+            let snapshot = applied.to_snapshot().ok_or(VoterError::State)?;
             let disk = core.writer.take().and_then(Writer::stop).ok_or(VoterError::State)?;
             let term = core.node.term().max(1);
-            let begun = disk.create_from_snapshot(core.node.me().clone(), term, snapshot);
-            let saved = begun.map_err(|error| VoterError::Store(error.into()))?;
-            // Nobody can lead a group that did not exist, so nobody is bound to one: it may stand as if it had waited.
-            let timing = self.times.timing();
-            let waited = millis(&self.clock).saturating_sub(timing.election);
-            core.node = raft::Node::start(saved, timing, rand::random(), waited);
-            core.snapshot_at = applied.index;
+            let created = disk.create_from_snapshot(core.node.me().clone(), term, snapshot);
+            let saved = created.map_err(|error| VoterError::Store(error.into()))?;
+            // No vote can bind this voter before the group exists, so start as if the election timeout had already
+            // elapsed.
+            let timing = self.timeouts.raft_timing();
+            let last_contact = millis(&self.clock).saturating_sub(timing.election);
+            core.node = raft::Node::start(saved, timing, rand::random(), last_contact);
+            core.snapshot_index = applied.index;
             core.applied = applied;
             disk
         };
-        self.write_to(disk)?;
-        self.feed(Input::Tick);
-        self.changed.send_modify(|changes| *changes += 1);
+        self.attach_disk(disk)?;
+        self.handle_input(Input::Tick);
+        self.applied_changes.send_modify(|changes| *changes += 1);
         Ok(())
     }
 
-    async fn watched(&self, watching: Watching) -> View {
-        let mut changed = self.changed.subscribe();
-        let news = async {
-            while self.core.borrow().applied.state.revision <= watching.after {
-                if changed.changed().await.is_err() {
+    async fn wait_for_view(&self, request: WatchRequest) -> View {
+        let mut changes = self.applied_changes.subscribe();
+        let newer_view = async {
+            while self.core.borrow().applied.state.revision <= request.known_revision {
+                if changes.changed().await.is_err() {
                     return;
                 }
             }
         };
-        let _ = timeout(Duration::from_millis(watching.wait_ms).min(LONGEST_WATCH), news).await;
+        let _ = timeout(Duration::from_millis(request.wait_ms).min(MAX_WATCH_WAIT), newer_view).await;
         self.view()
     }
 }
 
-impl Answers for Voter {
+impl CallHandler for Voter {
     fn group(&self) -> &str {
         &self.group
     }
 
-    fn id(&self) -> u64 {
-        self.id
+    fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
-    fn answer(self: Rc<Self>, kind: Kind, body: Bytes) -> Answered {
+    fn handle(self: Rc<Self>, kind: CallKind, body: Bytes) -> ResponseFuture {
         Box::pin(async move {
             match kind {
-                Kind::Log => {
-                    self.take_in(read(&body)?)?;
-                    written(&())
+                CallKind::Raft => {
+                    self.receive_raft_messages(decode(&body)?)?;
+                    encode(&())
                 }
-                Kind::Ask => {
-                    let Passed(ask, passed) = read(&body)?;
-                    written(&self.ask(ask, passed).await)
+                CallKind::Request => {
+                    let RequestEnvelope(request, forwarded) = decode(&body)?;
+                    encode(&self.handle_request(request, forwarded).await)
                 }
-                Kind::Watch => written(&self.watched(read(&body)?).await),
-                Kind::Who => {
-                    if self.is_silent() {
+                CallKind::Watch => encode(&self.wait_for_view(decode(&body)?).await),
+                CallKind::Info => {
+                    if self.is_halted() {
                         return Err(StatusCode::SERVICE_UNAVAILABLE);
                     }
-                    written(&Who { id: self.id, name: self.me.name.clone(), new: self.is_new() })
+                    encode(&VoterInfo {
+                        incarnation: self.incarnation,
+                        name: self.endpoint.name.clone(),
+                        is_new: self.is_new(),
+                    })
                 }
             }
         })
     }
 }
 
-/// The time now, as the log counts it.
+/// Returns the current time in Raft's unit.
 fn millis(clock: &Clock) -> Millis {
     clock.now().as_millis() as Millis
 }
 
-/// A member's question to a voter that it has a way to.
+/// Sends a member's request to a voter.
 ///
 /// # Errors
-/// When the voter gives no usable answer in time.
-pub async fn ask(way: &Way, ask: Ask, within: Duration) -> Result<Answer, CallError> {
-    way.call(Kind::Ask, 0, &Passed(ask, false), within).await
+/// If the voter does not return a usable response in time.
+pub async fn send_request(
+    client: &VoterClient, request: GroupRequest, time_limit: Duration,
+) -> Result<GroupResponse, CallError> {
+    client.call(CallKind::Request, 0, &RequestEnvelope(request, false), time_limit).await
 }
