--- a/crates/data-plane/src/backend_protocol.rs
+++ b/crates/data-plane/src/backend_protocol.rs
@@ -6,7 +6,7 @@
 };
 use crate::recorder::{Attempt, Recorder};
 use doorcourse::{LoadReport, Name, Outcome};
-use http_proxy::pool::{Answer, Dialect, End, Payload};
+use http_proxy::pool::{Answer, AttemptResult, Payload, Protocol};
 use hyper::header::{CONTENT_ENCODING, CONTENT_LENGTH, HeaderMap, HeaderValue, TRANSFER_ENCODING};
 use hyper::http::uri::PathAndQuery;
 use hyper::http::{request, response};
@@ -82,18 +82,18 @@
     }
 }
 
-impl Dialect for BackendProtocol {
-    type Ask = Rc<ClientRequest>;
+impl Protocol for BackendProtocol {
+    type RequestHead = Rc<ClientRequest>;
 
     /// How long a backend may be silent while it sends an answer. The value is long because the deadline of the request
     /// ends the wait, not the backend's silence.
-    const SILENT: Duration = Duration::from_secs(60);
+    const ANSWER_STALL_TIMEOUT: Duration = Duration::from_secs(60);
     /// A backend may run a request although the gateway has written only a part of the request.
-    const PART_MAY_RUN: bool = true;
+    const PARTIAL_REQUEST_MAY_RUN: bool = true;
     /// The kernel gives up a connection whose peer acknowledges no data for this long.
-    const DEAD_AFTER: Option<Duration> = Some(Duration::from_secs(4));
+    const TCP_USER_TIMEOUT: Option<Duration> = Some(Duration::from_secs(4));
     /// A backend may answer a request twice, the second time late.
-    const ANSWERS_TWICE: bool = true;
+    const MAY_ANSWER_TWICE: bool = true;
 
     fn request(
         &self, request: &Rc<ClientRequest>, to: &Name, _: SocketAddr, left: Duration,
@@ -111,7 +111,7 @@
 
     /// Whether an answer belongs to the request. An answer without an id may belong to another request, so that even a
     /// refusal without an id is not accepted. A request without an id accepts only failures without an id.
-    fn belongs(&self, request: &Rc<ClientRequest>, head: &response::Parts) -> bool {
+    fn matches_request(&self, request: &Rc<ClientRequest>, head: &response::Parts) -> bool {
         let is_valid = match head.status {
             // The request asked for no upgrade, so that an informational status cannot answer the request.
             status if status.is_informational() => false,
@@ -121,13 +121,13 @@
         is_valid && Self::echoes_id(request, head)
     }
 
-    fn keeps(&self, head: &HeaderMap) -> Option<Duration> {
+    fn idle_timeout(&self, head: &HeaderMap) -> Option<Duration> {
         keep_alive_timeout(head).map(|timeout| timeout.mul_f64(IDLE_TIMEOUT_RATIO).min(MAX_IDLE_TIMEOUT))
     }
 
-    fn judge(
+    fn classify(
         &self, request: &Rc<ClientRequest>, from: &Name, mut head: response::Parts, body: Payload,
-    ) -> End {
+    ) -> AttemptResult {
         let misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
         if misdirected && head.headers.get(INSTANCE_ID).is_none_or(|id| id.as_bytes() != from.as_bytes()) {
             (self.on_misdirected)(from);
@@ -159,15 +159,15 @@
             length.into_iter().for_each(|length| drop(head.headers.insert(CONTENT_LENGTH, length)));
             Answer { status: head.status, headers: head.headers, body }
         });
-        End { answer, ..outcome.into() }
+        AttemptResult { answer, ..outcome.into() }
     }
 
-    fn probe(&self, _: SocketAddr) -> request::Builder {
+    fn probe_request(&self, _: SocketAddr) -> request::Builder {
         // Probing is switched off in the engine: a probe would take up a slot of the backend, as a request does.
         Request::get("/")
     }
 
-    fn probed(&self, _: &[u8]) -> Option<LoadReport> {
+    fn parse_probe(&self, _: &[u8]) -> Option<LoadReport> {
         None
     }
 
@@ -179,7 +179,7 @@
         }
     }
 
-    fn ended(&self, request: &Rc<ClientRequest>, with: &Name, outcome: Outcome) {
+    fn on_attempt_ended(&self, request: &Rc<ClientRequest>, with: &Name, outcome: Outcome) {
         self.recorder.record_attempt(request, with, outcome);
     }
 }
--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -8,8 +8,8 @@
 use config::Version;
 use doorcourse::{BackendEntry, Class, DedupScope, Event, Idempotency, Name, Plan, Pool, Settings};
 use http_proxy::engine::Engine;
-use http_proxy::observe::figures::Figures;
-use http_proxy::planted::Faults;
+use http_proxy::fault_injection::Faults;
+use http_proxy::observe::metrics::Metrics;
 use http_proxy::pool::{Backends, Host, spawn};
 use http_proxy::time::clock::millis;
 use protocol::{Backend, Phase};
@@ -107,7 +107,7 @@
     instances: RefCell<InstanceTable>,
     /// The number of gateways and the index of this gateway.
     fleet: Cell<(u32, u32)>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     frontend: Frontend,
     /// When the process ends, once the shutdown has begun.
     shutdown_deadline: Cell<Option<Instant>>,
@@ -117,7 +117,7 @@
 impl DataPlane {
     /// A data plane without a configuration and backends. The seed must differ between processes.
     pub fn new(settings: DataPlaneSettings, admission: Rc<dyn Admission>, seed: u64) -> Rc<Self> {
-        let figures = Figures::new(&Settings::default());
+        let figures = Metrics::new(&Settings::default());
         let available_fds = settings.max_fds.saturating_sub(RESERVED_FDS).max(64);
         let max_clients = (available_fds as f64 * CLIENT_FD_RATIO) as usize;
         Rc::new_cyclic(|weak: &Weak<Self>| {
@@ -132,9 +132,9 @@
                 CONNECT_TIMEOUT,
                 DEFAULT_BACKEND_IDLE_TIMEOUT,
                 available_fds - max_clients,
-                figures.cost().clone(),
+                figures.usage().clone(),
             );
-            backends.limit_each(MIN_CONNECTIONS_PER_BACKEND);
+            backends.set_max_per_backend(MIN_CONNECTIONS_PER_BACKEND);
             Self {
                 seed,
                 admission,
@@ -156,7 +156,7 @@
     /// Injects faults into the connection pool, for tests.
     #[doc(hidden)]
     pub fn inject_faults(&self, faults: Faults) {
-        self.backends.plant(faults);
+        self.backends.inject_faults(faults);
     }
 
     /// Puts a configuration into force, unless its version is not newer than the one in force.
@@ -200,7 +200,7 @@
     pub async fn serve(
         self: Rc<Self>, clients: TcpListener, readiness: TcpListener, end: impl Future<Output = ()>,
     ) {
-        spawn(self.backends.clone().keep_tidy());
+        spawn(self.backends.clone().prune_idle_connections());
         spawn(Self::run_maintenance(Rc::downgrade(&self)));
         readiness::start(self.clone(), readiness);
         Frontend::serve(&self, clients, end).await;
@@ -229,7 +229,7 @@
     }
 
     /// The counters of the process.
-    pub fn figures(&self) -> &Rc<Figures> {
+    pub fn figures(&self) -> &Rc<Metrics> {
         &self.figures
     }
 
@@ -277,7 +277,7 @@
     /// Begins the shutdown. The process ends at this moment at the latest.
     pub(crate) fn begin_shutdown(&self, deadline: Instant) {
         self.shutdown_deadline.set(Some(deadline));
-        self.services.borrow().values().for_each(|service| service.engine.ending(deadline));
+        self.services.borrow().values().for_each(|service| service.engine.announce_shutdown(deadline));
     }
 
     pub(crate) fn is_shutting_down(&self) -> bool {
@@ -314,16 +314,16 @@
                     zone: instance.zone.clone(),
                     cell: 0,
                     state: instance.state(),
-                    started: instance.reduced_load_since.map(|at| engine.at(at)),
+                    started: instance.reduced_load_since.map(|at| engine.timestamp(at)),
                 },
-                dial: instance.address,
+                address: instance.address,
             };
             let hosts: Vec<_> = changed.iter().map(host).collect();
             self.backends.update(0, false, &hosts);
             engine.post(Event::BackendChanges(hosts.into_iter().map(|host| host.entry).collect()));
             for (id, instance) in changed {
                 if let Some(slots) = instance.initial_capacity {
-                    engine.works_on(&id, slots);
+                    engine.set_backend_slots(&id, slots);
                 }
                 engine.post(Event::HealthReport { backend: id, down: instance.overdue });
             }
@@ -380,7 +380,7 @@
                 return None;
             }
         };
-        self.shutdown_deadline.get().into_iter().for_each(|deadline| engine.ending(deadline));
+        self.shutdown_deadline.get().into_iter().for_each(|deadline| engine.announce_shutdown(deadline));
         let service = Rc::new(Service {
             engine,
             serving_backends: Cell::default(),
@@ -398,7 +398,7 @@
             config.iter().flat_map(|config| config.services.values()).map(|service| service.max_conns).min();
         let per_backend =
             limit.map_or(MIN_CONNECTIONS_PER_BACKEND, |limit| (limit / self.fleet.get().0) as usize);
-        self.backends.limit_each(per_backend.max(MIN_CONNECTIONS_PER_BACKEND));
+        self.backends.set_max_per_backend(per_backend.max(MIN_CONNECTIONS_PER_BACKEND));
     }
 
     /// Reminds the engines of overdue backends and removes what is no longer needed, until the data plane is dropped.
@@ -427,7 +427,9 @@
         let (config, instances) = (self.config.borrow(), self.instances.borrow());
         let known = |name: &str| config.as_ref().is_none_or(|config| config.services.contains_key(name));
         let mut services = self.services.borrow_mut();
-        services.values().for_each(|service| service.engine.forget_gone());
-        services.retain(|name, service| known(name) || instances.has(name) || service.engine.waiting() > 0);
+        services.values().for_each(|service| service.engine.remove_gone_backends());
+        services.retain(|name, service| {
+            known(name) || instances.has(name) || service.engine.pending_requests() > 0
+        });
     }
 }
--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -11,14 +11,14 @@
 use bytes::{Bytes, BytesMut};
 use config::Route;
 use doorcourse::{Arrival, Name, RequestId};
-use http_proxy::engine::{Engine, Reply, Waiting};
-use http_proxy::guest::{self, Guest, Hall, LAST_CALL};
-use http_proxy::observe::figures::{Ending, Figures};
-use http_proxy::pool::{Answer, Message, Payload, spawn};
+use http_proxy::clients::{self, CLOSE_GRACE, ClientConnection, ClientConnections};
+use http_proxy::engine::{Engine, Reply, RequestGuard};
+use http_proxy::observe::metrics::{Metrics, RequestResult};
+use http_proxy::pool::{Answer, ForwardedRequest, Payload, spawn};
 use http_proxy::time::budget::Budget;
-use http_proxy::time::clock::span;
-use http_proxy::wire::body::{ClientBody, Content, Cut, Upload};
-use http_proxy::wire::link::give_up_after;
+use http_proxy::time::clock::to_duration;
+use http_proxy::wire::body::{AnswerBody, BodyError, ClientBody, Upload};
+use http_proxy::wire::connection::set_user_timeout;
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::service::service_fn;
@@ -72,20 +72,20 @@
 const IDLE_SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Kept until an answer has been written completely.
-pub type ResponseGuard = guest::Keep<BackendProtocol>;
-type ClientResponse = Response<Content<ResponseGuard>>;
+pub type ResponseGuard = clients::ResponseGuard<BackendProtocol>;
+type ClientResponse = Response<AnswerBody<ResponseGuard>>;
 
 /// Accepts client connections and forwards their requests.
 pub struct Frontend {
-    connections: Rc<Hall>,
+    connections: Rc<ClientConnections>,
     rng_state: Cell<u64>,
     plan: Name,
 }
 
 impl Frontend {
-    pub fn new(max_clients: usize, seed: u64, figures: Rc<Figures>) -> Self {
+    pub fn new(max_clients: usize, seed: u64, figures: Rc<Metrics>) -> Self {
         Self {
-            connections: Hall::new(max_clients, figures),
+            connections: ClientConnections::new(max_clients, figures),
             rng_state: Cell::new(seed),
             plan: PLAN_NAME.into(),
         }
@@ -116,9 +116,9 @@
             // The platform sends clients here until two readiness checks have failed. Connections that are idle for
             // half of the delay are closed, as their clients may never use them again.
             sleep(delay / 2).await;
-            connections.see_off(delay / 2);
+            connections.close_idle(delay / 2);
             sleep(delay / 2).await;
-            connections.see_off(Duration::ZERO);
+            connections.close_idle(Duration::ZERO);
             deadline
         };
         let mut shutdown = pin!(shutdown);
@@ -134,19 +134,19 @@
         }
         drop(listener);
         let mut last_active = Instant::now();
-        while connections.guests() > 0
+        while connections.count() > 0
             && last_active.elapsed() < IDLE_SHUTDOWN_TIMEOUT
             && Instant::now() < deadline + FINAL_ANSWER_RESERVE / 2
         {
-            let _ = timeout(SHUTDOWN_POLL_INTERVAL, connections.left()).await;
-            connections.see_off(LAST_CALL);
+            let _ = timeout(SHUTDOWN_POLL_INTERVAL, connections.closed()).await;
+            connections.close_idle(CLOSE_GRACE);
             if data_plane.active_requests() > 0 {
                 last_active = Instant::now();
             }
         }
         data_plane.recorder().record_event(
             "end",
-            format_args!("shutdown complete, {} client connections still open", connections.guests()),
+            format_args!("shutdown complete, {} client connections still open", connections.count()),
         );
     }
 }
@@ -164,16 +164,16 @@
     let keep_alive = idle.as_secs().saturating_sub(KEEP_ALIVE_MARGIN_SECS);
     let keep_alive =
         (keep_alive > 0).then(|| HeaderValue::from_str(&format!("timeout={keep_alive}")).ok()).flatten();
-    give_up_after(&stream, CLIENT_DEAD_AFTER);
-    let (guest, connections) = (Guest::new(idle, head), data_plane.frontend().connections.clone());
+    set_user_timeout(&stream, CLIENT_DEAD_AFTER);
+    let (guest, connections) = (ClientConnection::new(idle, head), data_plane.frontend().connections.clone());
     let service = service_fn({
         let (data_plane, guest) = (data_plane.clone(), guest.clone());
         move |request| {
             let (data_plane, guest, keep_alive) = (data_plane.clone(), guest.clone(), keep_alive.clone());
             async move {
-                let busy = guest.asks();
+                let busy = guest.request_started();
                 let arrived = guest.read_at();
-                data_plane.figures().cost().asked();
+                data_plane.figures().usage().request_received();
                 let mut response = data_plane.handle(request, arrived).await;
                 let headers = response.headers_mut();
                 // Closing sends the client to another gateway, or makes room for other clients on this one.
@@ -182,12 +182,12 @@
                 } else if let Some(keep_alive) = keep_alive.filter(|_| !headers.contains_key(CONNECTION)) {
                     headers.insert(KEEP_ALIVE, keep_alive);
                 }
-                response.body_mut().keep.busy = Some(busy);
+                response.body_mut().guard.busy = Some(busy);
                 Ok::<_, Infallible>(response)
             }
         }
     });
-    connections.welcome(stream, guest, buffer, service);
+    connections.serve(stream, guest, buffer, service);
 }
 
 impl DataPlane {
@@ -233,7 +233,7 @@
             None => None,
         };
         let response = self.forward(&routed, body, rest.clone(), arrived, unit, tracker).await;
-        rest.into_iter().for_each(|rest| spawn(rest.drain_once_left()));
+        rest.into_iter().for_each(|rest| spawn(rest.drain_when_unshared()));
         let response = response?;
         if accepts_chunked || response.body().size_hint().exact().is_some() {
             return Ok(response);
@@ -293,11 +293,11 @@
         tracker.service = Some(service.clone());
         let engine = &service.engine;
         let class = service.class(route.pure, route.goal, routed.rank());
-        let budget = Budget::at_the_door(arrived, routed.timeout, engine.lateness());
-        let message = Message { ask: routed.request.clone(), body, rest, budget };
-        let active = self.figures().taken(&class);
+        let budget = Budget::on_arrival(arrived, routed.timeout, engine.event_loop_lag());
+        let message = ForwardedRequest { head: routed.request.clone(), body, rest, budget };
+        let active = self.figures().start_request(&class);
         let plan = &self.frontend().plan;
-        let (customer, plan, deadline) = (plan.clone(), plan.clone(), engine.at(budget.answer_by()));
+        let (customer, plan, deadline) = (plan.clone(), plan.clone(), engine.timestamp(budget.deadline()));
         let arrival = |id| Arrival {
             id,
             customer,
@@ -309,8 +309,8 @@
             first_gateway: 0,
             spread: 1,
         };
-        let (id, reply) = engine.open(arrival, message.clone(), route.max_tries);
-        let waiting = Waiting::new(engine.clone(), id);
+        let (id, reply) = engine.submit(arrival, message.clone(), route.max_tries);
+        let waiting = RequestGuard::new(engine.clone(), id);
         // Locals drop in reverse order: the unit drops before `waiting` withdraws the request, while the engine still
         // knows whether the request was sent.
         let mut unit = unit;
@@ -326,13 +326,13 @@
                 () = sleep_until(capacity_deadline), if unsent => {
                     unsent = false;
                     if engine.is_unsent(id) {
-                        break Reply::Refused { wait: 0.0, may_have_run: false };
+                        break Reply::Refused { retry_after: 0.0, may_have_run: false };
                     }
                 }
-                () = message.expires(None, budget.backstop()) => {
+                () = message.expired(None, budget.grace()) => {
                     let unsent = engine.is_unsent(id);
                     break if unsent {
-                        Reply::Refused { wait: 0.0, may_have_run: false }
+                        Reply::Refused { retry_after: 0.0, may_have_run: false }
                     } else {
                         Reply::Failed(true)
                     };
@@ -343,30 +343,37 @@
             Reply::Served(Answer { status, headers, body }) => {
                 let mut response = Response::new(match body {
                     // The request ends when the client has received the whole answer or disconnects.
-                    Payload::Stream(stream) => {
-                        Content::stream(stream, ResponseGuard { busy: None, served: Some((active, waiting)) })
-                    }
+                    Payload::Stream(stream) => AnswerBody::stream(
+                        stream,
+                        ResponseGuard { busy: None, streamed: Some((active, waiting)) },
+                    ),
                     Payload::Whole(body) => {
-                        active.ended(Ending::Served);
-                        Content::whole(body, ResponseGuard::default())
+                        active.finish(RequestResult::Served);
+                        AnswerBody::whole(body, ResponseGuard::default())
                     }
                 });
                 (*response.status_mut(), *response.headers_mut()) = (status, headers);
                 Ok(response)
             }
-            Reply::Refused { may_have_run: false, wait } => {
-                active.ended(Ending::Refused);
+            Reply::Refused { may_have_run: false, retry_after: wait } => {
+                active.finish(RequestResult::Refused);
                 unit.iter_mut().for_each(|unit| unit.request = None);
                 // The engine suggests a shorter delay if a retry can succeed at once; the shorter delay wins.
                 let retry_after = self.retry_after(routed);
-                Err(Rejection::NoCapacity(if wait > 0.0 { retry_after.min(span(wait)) } else { retry_after }))
+                Err(Rejection::NoCapacity(if wait > 0.0 {
+                    retry_after.min(to_duration(wait))
+                } else {
+                    retry_after
+                }))
             }
             // A request that may have run must not get a status which promises that it did not run.
             Reply::Refused { .. } | Reply::Failed(false) => {
-                active.ended(Ending::Failed);
-                match message.rest.as_ref().and_then(|rest| rest.cut()) {
-                    Some(Cut::TooLarge) => Err(Rejection::BodyTooLarge),
-                    Some(Cut::Broken | Cut::TooSlow) => Err(Rejection::Malformed("the body broke off")),
+                active.finish(RequestResult::Failed);
+                match message.rest.as_ref().and_then(|rest| rest.error()) {
+                    Some(BodyError::TooLarge) => Err(Rejection::BodyTooLarge),
+                    Some(BodyError::Broken | BodyError::TooSlow) => {
+                        Err(Rejection::Malformed("the body broke off"))
+                    }
                     None => {
                         tracker.outcome = Some(RequestOutcome::NoAnswer);
                         Ok(plain_text(StatusCode::BAD_GATEWAY, "the backend's answer did not come\n"))
@@ -374,7 +381,7 @@
                 }
             }
             Reply::Failed(true) => {
-                active.ended(Ending::Failed);
+                active.finish(RequestResult::Failed);
                 tracker.outcome = Some(RequestOutcome::DeadlineExceeded);
                 Ok(plain_text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"))
             }
@@ -407,14 +414,14 @@
     }
     let mut start = BytesMut::with_capacity(body.size_hint().lower().min(MAX_BUFFERED_BODY as u64) as usize);
     let mut body = ClientBody::new(body, Instant::now() + limits.header_wait.min(MAX_TIMEOUT))
-        .at_most(limits.max_body_bytes);
-    while let Some(bytes) = body.bytes().await {
+        .with_max_bytes(limits.max_body_bytes);
+    while let Some(bytes) = body.next_bytes().await {
         start.extend_from_slice(&bytes.map_err(|cut| match cut {
-            Cut::TooLarge => Rejection::BodyTooLarge,
-            Cut::TooSlow => Rejection::BodyTimeout,
-            Cut::Broken => Rejection::Malformed("the body broke off"),
+            BodyError::TooLarge => Rejection::BodyTooLarge,
+            BodyError::TooSlow => Rejection::BodyTimeout,
+            BodyError::Broken => Rejection::Malformed("the body broke off"),
         })?);
-        if start.len() > MAX_BUFFERED_BODY && !body.is_over() {
+        if start.len() > MAX_BUFFERED_BODY && !body.is_at_end() {
             return Ok((start.freeze(), Some(Upload::new(body))));
         }
     }
@@ -458,7 +465,7 @@
 /// An answer with a plain text body.
 fn plain_text(status: StatusCode, text: &'static str) -> ClientResponse {
     let mut response =
-        Response::new(Content::whole(Bytes::from_static(text.as_bytes()), ResponseGuard::default()));
+        Response::new(AnswerBody::whole(Bytes::from_static(text.as_bytes()), ResponseGuard::default()));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     response
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -27,7 +27,7 @@
 
 pub use data_plane::DataPlane;
 #[doc(hidden)]
-pub use http_proxy::planted::Faults;
+pub use http_proxy::fault_injection::Faults;
 pub use lease_client::LeaseClient;
 
 use config::Detours;
--- a/crates/data-plane/src/readiness.rs
+++ b/crates/data-plane/src/readiness.rs
@@ -3,9 +3,9 @@
 use crate::DataPlane;
 use crate::frontend::ResponseGuard;
 use bytes::Bytes;
-use http_proxy::guest::{Guest, Hall};
+use http_proxy::clients::{ClientConnection, ClientConnections};
 use http_proxy::pool::spawn;
-use http_proxy::wire::body::Content;
+use http_proxy::wire::body::AnswerBody;
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::service::service_fn;
@@ -26,25 +26,25 @@
 
 /// Serves the listener until the process ends.
 pub async fn serve(data_plane: Rc<DataPlane>, listener: TcpListener) {
-    let connections = Hall::new(MAX_CONNECTIONS, data_plane.figures().clone());
+    let connections = ClientConnections::new(MAX_CONNECTIONS, data_plane.figures().clone());
     loop {
         let stream = connections.accept(&listener).await;
-        let (data_plane, guest) = (data_plane.clone(), Guest::new(IDLE_TIMEOUT, IDLE_TIMEOUT));
+        let (data_plane, guest) = (data_plane.clone(), ClientConnection::new(IDLE_TIMEOUT, IDLE_TIMEOUT));
         let service = service_fn({
             let guest = guest.clone();
             move |request: Request<Incoming>| {
-                let mut response = Response::new(Content::whole(Bytes::new(), ResponseGuard::default()));
+                let mut response = Response::new(AnswerBody::whole(Bytes::new(), ResponseGuard::default()));
                 if let Some((content_type, text)) = operator_page(&data_plane, &request) {
-                    response = Response::new(Content::whole(text.into(), ResponseGuard::default()));
+                    response = Response::new(AnswerBody::whole(text.into(), ResponseGuard::default()));
                     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
                 } else if !data_plane.is_ready() {
                     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
                 }
-                response.body_mut().keep.busy = Some(guest.asks());
+                response.body_mut().guard.busy = Some(guest.request_started());
                 async move { Ok::<_, Infallible>(response) }
             }
         });
-        connections.clone().welcome(stream, guest, READ_BUFFER_BYTES, service);
+        connections.clone().serve(stream, guest, READ_BUFFER_BYTES, service);
     }
 }
 
--- a/crates/data-plane/src/recorder.rs
+++ b/crates/data-plane/src/recorder.rs
@@ -415,7 +415,7 @@
             "Requests refused unsent with too little time left",
             counter_rows(|p| p.too_late),
         );
-        let (late, latest) = self.figures().lateness().told();
+        let (late, latest) = self.figures().event_loop_lag().totals();
         page.counter("loop_late", "Times that the event loop ran late", late);
         page.gauge("loop_latest_seconds", "The most that it ran late", latest.as_secs_f64());
         let dropped = recorder.sent.borrow().dropped() + recorder.unsent.borrow().dropped();
--- a/crates/data-plane/tests/answers/main.rs
+++ b/crates/data-plane/tests/answers/main.rs
@@ -43,12 +43,12 @@
 }
 
 #[yare::parameterized(
-    ids_are_not_compared = { Faults { any_answer: true, ..Faults::default() }, |v| matches!(v, Violation::ForeignAnswer { .. }) },
-    a_broken_request_is_sent_again = { Faults { repeats_broken: true, ..Faults::default() }, |v| matches!(v, Violation::DuplicateExecution { .. }) },
-    a_timeout_counts_as_never_sent = { Faults { silence_is_unsent: true, ..Faults::default() }, |v| matches!(v, Violation::BrokenPromise { .. } | Violation::DuplicateExecution { .. }) },
-    a_connection_is_reused_after_a_timeout = { Faults { keeps_given_up: true, ..Faults::default() }, |v| matches!(v, Violation::InvalidConnectionReused { .. }) },
-    a_connection_is_reused_after_an_invalid_answer = { Faults { keeps_odd: true, ..Faults::default() }, |v| matches!(v, Violation::InvalidConnectionReused { .. }) },
-    attempts_of_a_request_share_a_connection = { Faults { any_carrier: true, ..Faults::default() }, |v| matches!(v, Violation::BrokenPromise { .. } | Violation::DuplicateExecution { .. }) },
+    ids_are_not_compared = { Faults { accept_any_answer: true, ..Faults::default() }, |v| matches!(v, Violation::ForeignAnswer { .. }) },
+    a_broken_request_is_sent_again = { Faults { resend_broken: true, ..Faults::default() }, |v| matches!(v, Violation::DuplicateExecution { .. }) },
+    a_timeout_counts_as_never_sent = { Faults { timeout_is_unsent: true, ..Faults::default() }, |v| matches!(v, Violation::BrokenPromise { .. } | Violation::DuplicateExecution { .. }) },
+    a_connection_is_reused_after_a_timeout = { Faults { reuse_timed_out: true, ..Faults::default() }, |v| matches!(v, Violation::InvalidConnectionReused { .. }) },
+    a_connection_is_reused_after_an_invalid_answer = { Faults { reuse_unmatched: true, ..Faults::default() }, |v| matches!(v, Violation::InvalidConnectionReused { .. }) },
+    attempts_of_a_request_share_a_connection = { Faults { share_connection: true, ..Faults::default() }, |v| matches!(v, Violation::BrokenPromise { .. } | Violation::DuplicateExecution { .. }) },
 )]
 fn injected_faults_are_found(faults: Faults, matches_fault: fn(&Violation) -> bool) {
     assert!((1..=MAX_SCENARIOS).any(|seed| run_scenario(seed, faults).violations.iter().any(matches_fault)));
--- a/crates/data-plane/tests/forward.rs
+++ b/crates/data-plane/tests/forward.rs
@@ -321,7 +321,7 @@
         assert!((0.3..=0.5).contains(&reply.retry_after().expect("the answer has Retry-After")));
         let mut client = Client::connect(gateway.client_address).await;
         client.send(&request("GET", "/p/x", "", "")).await;
-        let received = || gateway.data_plane.figures().cost().told()["requests"].as_u64();
+        let received = || gateway.data_plane.figures().usage().to_json()["requests"].as_u64();
         wait_until(|| received() == Some(2)).await;
         gateway.data_plane.apply_config(default_config());
         assert_eq!(client.receive().await.expect("the gateway answers").status(), 200);
--- a/gateway/src/backends/list.rs
+++ b/gateway/src/backends/list.rs
@@ -27,14 +27,14 @@
 impl std::error::Error for ListError {}
 
 #[derive(Deserialize, Serialize)]
-struct Sheet {
+struct RawList {
     seq: u64,
     whole: bool,
-    hosts: Vec<Row>,
+    hosts: Vec<RawHost>,
 }
 
 #[derive(Deserialize, Serialize)]
-struct Row {
+struct RawHost {
     host: String,
     dial: String,
     #[serde(default)]
@@ -71,7 +71,7 @@
     /// # Errors
     /// When it is malformed.
     pub fn parse(text: &[u8]) -> Result<Self, ListError> {
-        serde_json::from_slice(text).map_err(ListError::Malformed).and_then(Self::from_sheet)
+        serde_json::from_slice(text).map_err(ListError::Malformed).and_then(Self::from_raw)
     }
 
     /// Reads a list from a JSON value.
@@ -79,14 +79,14 @@
     /// # Errors
     /// When it is malformed.
     pub fn from_value(value: &Value) -> Result<Self, ListError> {
-        Sheet::deserialize(value).map_err(ListError::Malformed).and_then(Self::from_sheet)
+        RawList::deserialize(value).map_err(ListError::Malformed).and_then(Self::from_raw)
     }
 
     /// The list as discovery would write it.
     pub fn to_value(&self) -> Value {
-        let rows = self.hosts.iter().map(|host| Row {
+        let raw_hosts = self.hosts.iter().map(|host| RawHost {
             host: host.entry.name.to_string(),
-            dial: host.dial.to_string(),
+            dial: host.address.to_string(),
             site: host.entry.zone.to_string(),
             block: host.entry.cell,
             health: match host.entry.state {
@@ -96,23 +96,23 @@
             },
             born_ms: host.entry.started.unwrap_or_default(),
         });
-        let sheet = Sheet { seq: self.seq, whole: self.whole, hosts: rows.collect() };
-        serde_json::to_value(sheet).unwrap_or_default()
+        let raw = RawList { seq: self.seq, whole: self.whole, hosts: raw_hosts.collect() };
+        serde_json::to_value(raw).unwrap_or_default()
     }
 
-    fn from_sheet(sheet: Sheet) -> Result<Self, ListError> {
-        let hosts = sheet.hosts.into_iter().map(|row| {
-            let dial = row.dial.parse().map_err(|_| ListError::Address(row.host.clone()))?;
-            let state = match row.health {
+    fn from_raw(raw: RawList) -> Result<Self, ListError> {
+        let hosts = raw.hosts.into_iter().map(|raw_host| {
+            let address = raw_host.dial.parse().map_err(|_| ListError::Address(raw_host.host.clone()))?;
+            let state = match raw_host.health {
                 Health::InService => BackendState::Ready,
                 Health::Terminating => BackendState::Draining,
                 Health::Terminated => BackendState::Gone,
             };
             // 0 stands for a start long ago, of which nothing is known.
-            let started = (row.born_ms > 0.0).then_some(row.born_ms);
-            let (name, zone) = (row.host.into(), row.site.into());
-            Ok(Host { entry: BackendEntry { name, zone, cell: row.block, state, started }, dial })
+            let started = (raw_host.born_ms > 0.0).then_some(raw_host.born_ms);
+            let (name, zone) = (raw_host.host.into(), raw_host.site.into());
+            Ok(Host { entry: BackendEntry { name, zone, cell: raw_host.block, state, started }, address })
         });
-        Ok(Self { seq: sheet.seq, whole: sheet.whole, hosts: hosts.collect::<Result<_, _>>()? })
+        Ok(Self { seq: raw.seq, whole: raw.whole, hosts: hosts.collect::<Result<_, _>>()? })
     }
 }
--- a/gateway/src/backends/pool.rs
+++ b/gateway/src/backends/pool.rs
@@ -4,7 +4,7 @@
 use doorcourse::{LoadReport, Name, Outcome, Reports};
 use doorcourse_simhost::set_load;
 pub use http_proxy::pool::spawn;
-use http_proxy::pool::{Answer, Dialect, End, Payload};
+use http_proxy::pool::{Answer, AttemptResult, Payload, Protocol};
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
 use hyper::http::uri::PathAndQuery;
 use hyper::http::{request, response};
@@ -14,18 +14,18 @@
 use std::time::Duration;
 
 /// The word of a backend that never began with a request.
-const DECLINED: &str = "srv-declined";
+const DECLINED_HEADER: &str = "srv-declined";
 /// The load report that comes with answers.
-const LOAD: &str = "srv-load";
+const LOAD_HEADER: &str = "srv-load";
 
 /// All backends that this gateway knows.
-pub type Backends = http_proxy::pool::Backends<Speech>;
+pub type Backends = http_proxy::pool::Backends<BackendProtocol>;
 /// What a client asked, as far as it goes on to a backend.
-pub type Message = http_proxy::pool::Message<Ask>;
+pub type ForwardedRequest = http_proxy::pool::ForwardedRequest<RequestHead>;
 
 /// What a client asked, but for its body.
 #[derive(Clone)]
-pub struct Ask {
+pub struct RequestHead {
     /// The method.
     pub method: Method,
     /// Path and query, as they came.
@@ -33,28 +33,32 @@
     /// `Req-Id`.
     pub id: HeaderValue,
     /// `Idempotency-Key`.
-    pub key: Option<HeaderValue>,
+    pub idempotency_key: Option<HeaderValue>,
     /// `Content-Type`.
-    pub kind: Option<HeaderValue>,
+    pub content_type: Option<HeaderValue>,
 }
 
 /// The present protocol.
-pub struct Speech {
+pub struct BackendProtocol {
     /// Where load reports come from.
     pub reports: Reports,
 }
 
-impl Dialect for Speech {
-    type Ask = Ask;
+impl Protocol for BackendProtocol {
+    type RequestHead = RequestHead;
 
-    fn request(&self, ask: &Ask, _: &Name, dial: SocketAddr, left: Duration) -> request::Builder {
+    fn request(
+        &self, request: &RequestHead, _: &Name, address: SocketAddr, left: Duration,
+    ) -> request::Builder {
         let mut builder = Request::builder()
-            .method(ask.method.clone())
-            .uri(ask.target.clone())
-            .header("Host", dial.to_string())
-            .header("Req-Id", ask.id.clone())
+            .method(request.method.clone())
+            .uri(request.target.clone())
+            .header("Host", address.to_string())
+            .header("Req-Id", request.id.clone())
             .header("Req-Deadline-Ms", millis(left).floor().to_string());
-        for (key, value) in [("Idempotency-Key", &ask.key), (CONTENT_TYPE.as_str(), &ask.kind)] {
+        for (key, value) in
+            [("Idempotency-Key", &request.idempotency_key), (CONTENT_TYPE.as_str(), &request.content_type)]
+        {
             if let Some(value) = value {
                 builder = builder.header(key, value.clone());
             }
@@ -62,24 +66,24 @@
         builder
     }
 
-    fn belongs(&self, _: &Ask, _: &response::Parts) -> bool {
+    fn matches_request(&self, _: &RequestHead, _: &response::Parts) -> bool {
         true
     }
 
-    fn keeps(&self, _: &HeaderMap) -> Option<Duration> {
+    fn idle_timeout(&self, _: &HeaderMap) -> Option<Duration> {
         None
     }
 
-    fn judge(&self, _: &Ask, _: &Name, mut head: response::Parts, body: Payload) -> End {
-        let declined = head.headers.get(DECLINED).is_some_and(|v| v == "1");
+    fn classify(&self, _: &RequestHead, _: &Name, mut head: response::Parts, body: Payload) -> AttemptResult {
+        let declined = head.headers.get(DECLINED_HEADER).is_some_and(|v| v == "1");
         let outcome = match head.status {
             StatusCode::OK => Outcome::Served,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Outcome::Full,
             // Whatever else it says, it may have run.
             _ => Outcome::Error,
         };
-        let report = head.headers.remove(LOAD).filter(|_| self.reports == Reports::Answers);
-        let load = report.as_ref().and_then(|r| r.to_str().ok()).and_then(load);
+        let report = head.headers.remove(LOAD_HEADER).filter(|_| self.reports == Reports::Answers);
+        let load = report.as_ref().and_then(|r| r.to_str().ok()).and_then(parse_load);
         let answer = (outcome == Outcome::Served).then(|| {
             for name in
                 ["connection", "keep-alive", "transfer-encoding", "content-length", "upgrade", "trailer"]
@@ -88,20 +92,20 @@
             }
             Answer { status: head.status, headers: head.headers, body }
         });
-        End { answer, load, ..outcome.into() }
+        AttemptResult { answer, load, ..outcome.into() }
     }
 
-    fn probe(&self, dial: SocketAddr) -> request::Builder {
+    fn probe_request(&self, address: SocketAddr) -> request::Builder {
         let path = if self.reports == Reports::None { "/alive" } else { "/metrics/load" };
-        Request::get(path).header("Host", dial.to_string())
+        Request::get(path).header("Host", address.to_string())
     }
 
-    fn probed(&self, body: &[u8]) -> Option<LoadReport> {
-        std::str::from_utf8(body).ok().and_then(load)
+    fn parse_probe(&self, body: &[u8]) -> Option<LoadReport> {
+        std::str::from_utf8(body).ok().and_then(parse_load)
     }
 
-    fn log(&self, ask: Option<&Ask>, text: fmt::Arguments<'_>) {
-        match ask.map(|ask| ask.id.to_str().unwrap_or_default()) {
+    fn log(&self, request: Option<&RequestHead>, text: fmt::Arguments<'_>) {
+        match request.map(|request| request.id.to_str().unwrap_or_default()) {
             Some(id) => eprintln!("request {id}: {text}"),
             None => eprintln!("{text}"),
         }
@@ -109,7 +113,7 @@
 }
 
 /// Reads a report like `TEXT inflight=7, queue=2`; what it cannot read it leaves out.
-fn load(text: &str) -> Option<LoadReport> {
+fn parse_load(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in text.trim().strip_prefix("TEXT")?.split(',') {
         if let Some((key, value)) = pair.split_once('=')
--- a/gateway/src/clients/mod.rs
+++ b/gateway/src/clients/mod.rs
@@ -1,3 +1,3 @@
 //! The clients' side.
 
-pub mod front;
+pub mod frontend;
--- a/gateway/src/control/config.rs
+++ b/gateway/src/control/config.rs
@@ -2,7 +2,7 @@
 
 use crate::backends::list::{List, ListError};
 use crate::group::settings as group;
-use crate::time::clock::span;
+use crate::time::clock::to_duration;
 use doorcourse::Settings;
 use doorcourse_simhost::settings::{self, Object};
 use serde::Deserialize;
@@ -12,13 +12,13 @@
 use std::time::Duration;
 
 /// Used where the settings name no such time.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-const BACKEND_IDLE: Duration = Duration::from_secs(15);
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+const DEFAULT_BACKEND_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Used where the configuration names no limit.
-const SOCKETS: usize = 1024;
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
 /// The least time between SIGTERM and SIGKILL, by the protocol.
-const GRACE: Duration = Duration::from_millis(3700);
-const LONGEST_GRACE: f64 = 3_600_000.0;
+const DEFAULT_GRACE_PERIOD: Duration = Duration::from_millis(3700);
+const MAX_GRACE_MS: f64 = 3_600_000.0;
 
 /// A configuration that cannot be used.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     /// The time to end in is no number of ms above 0, or absurd.
     Grace,
     /// The list of backends in it cannot be used.
-    Known(ListError),
+    BackendList(ListError),
     /// The settings, or those of the group, cannot be used.
     Settings(String),
 }
@@ -49,8 +49,8 @@
             Self::Malformed(error) => write!(f, "NODE_CONFIG is malformed: {error}"),
             Self::Address(which) => write!(f, "{which}: no address, or an unusable one"),
             Self::Seed => write!(f, "seed is not a number in hex digits"),
-            Self::Grace => write!(f, "limits: grace_ms is no number above 0 and up to {LONGEST_GRACE}"),
-            Self::Known(error) => write!(f, "known: {error}"),
+            Self::Grace => write!(f, "limits: grace_ms is no number above 0 and up to {MAX_GRACE_MS}"),
+            Self::BackendList(error) => write!(f, "known: {error}"),
             Self::Settings(what) => write!(f, "{what}"),
         }
     }
@@ -97,15 +97,15 @@
     /// The seed of all chance.
     pub seed: u64,
     /// The most descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The process is killed no sooner than this after the signal to end.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// The list of backends as this gateway last had it.
     pub known: List,
     /// A connection that takes longer has failed.
     pub connect_timeout: Duration,
     /// Backends close connections that stood idle for this long.
-    pub backend_idle: Duration,
+    pub backend_idle_timeout: Duration,
     /// What the decisions are made by.
     pub settings: Settings,
     /// The gateway's part in a group, if it has one.
@@ -118,18 +118,18 @@
     /// # Errors
     /// When either cannot be used.
     pub fn from_environment() -> Result<Self, ConfigError> {
-        Self::parse(&Self::text()?, |key| std::env::var(key).ok())
+        Self::parse(&Self::read_file()?, |key| std::env::var(key).ok())
     }
 
     /// Reads the file again after it has been replaced: what it says of discovery is newer than the environment.
     ///
     /// # Errors
     /// When it cannot be used.
-    pub fn reread() -> Result<Self, ConfigError> {
-        Self::parse(&Self::text()?, |key| std::env::var(key).ok().filter(|_| key != "NODE_DISCOVERY"))
+    pub fn reload() -> Result<Self, ConfigError> {
+        Self::parse(&Self::read_file()?, |key| std::env::var(key).ok().filter(|_| key != "NODE_DISCOVERY"))
     }
 
-    fn text() -> Result<String, ConfigError> {
+    fn read_file() -> Result<String, ConfigError> {
         let path = std::env::var_os("NODE_CONFIG").ok_or(ConfigError::NoFile)?;
         std::fs::read_to_string(path).map_err(ConfigError::Unreadable)
     }
@@ -142,19 +142,19 @@
         };
         let settings = settings::read(&file.settings).map_err(ConfigError::Settings)?;
         let permissions = Object::of(&file.settings, "permissions").map_err(ConfigError::Settings)?;
-        let time = |key, usual| match permissions.number(key).map_err(ConfigError::Settings)? {
-            ms if ms > 0.0 => Ok(span(ms)),
-            _ => Ok(usual),
+        let time = |key, default| match permissions.number(key).map_err(ConfigError::Settings)? {
+            ms if ms > 0.0 => Ok(to_duration(ms)),
+            _ => Ok(default),
         };
         let known = match &file.known {
             Value::Null => List { seq: 0, whole: true, hosts: Vec::new() },
-            value => List::from_value(value).map_err(ConfigError::Known)?,
+            value => List::from_value(value).map_err(ConfigError::BackendList)?,
         };
-        let grace = match file.limits.grace_ms {
-            None => GRACE,
+        let grace_period = match file.limits.grace_ms {
+            None => DEFAULT_GRACE_PERIOD,
             Some(value) => {
-                let ms = value.as_f64().filter(|ms| *ms > 0.0 && *ms <= LONGEST_GRACE);
-                span(ms.ok_or(ConfigError::Grace)?)
+                let ms = value.as_f64().filter(|ms| *ms > 0.0 && *ms <= MAX_GRACE_MS);
+                to_duration(ms.ok_or(ConfigError::Grace)?)
             }
         };
         let counter = settings.counter.then(|| address(file.counter, "counter")).transpose()?;
@@ -170,11 +170,11 @@
             counter,
             console,
             seed: u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed)?,
-            sockets: file.limits.sockets.unwrap_or(SOCKETS),
-            grace,
+            max_descriptors: file.limits.sockets.unwrap_or(DEFAULT_MAX_DESCRIPTORS),
+            grace_period,
             known,
-            connect_timeout: time("dial-timeout-ms", CONNECT_TIMEOUT)?,
-            backend_idle: time("keepalive-ms", BACKEND_IDLE)?,
+            connect_timeout: time("dial-timeout-ms", DEFAULT_CONNECT_TIMEOUT)?,
+            backend_idle_timeout: time("keepalive-ms", DEFAULT_BACKEND_IDLE_TIMEOUT)?,
             settings,
             group,
         })
--- a/gateway/src/control/counter.rs
+++ b/gateway/src/control/counter.rs
@@ -1,9 +1,9 @@
 //! The shared counter: pipelined RESP2 calls on a few connections.
 
-use crate::observe::cost::{Cost, Use};
+use crate::observe::usage::{ConnectionUse, ResourceUsage};
 use crate::time::clock::millis;
 use doorcourse::{CountOutcome, Millis};
-use http_proxy::engine::{Count, Report};
+use http_proxy::engine::{Counter, CounterCallback};
 use redis_protocol::resp2::decode::decode;
 use redis_protocol::resp2::types::OwnedFrame;
 use std::cell::{Cell, RefCell};
@@ -17,210 +17,230 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 /// Connections; a name goes by the same one while that one answers, so its calls keep their order.
-pub const LANES: usize = 2;
+pub const CONNECTIONS: usize = 2;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// The wait before a new connection, doubled up to the last with each that fails.
-const BACK_OFF: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(500)];
+const RECONNECT_BACKOFF: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(500)];
 /// A connection on which calls wait and nothing has come for this long leads nowhere: a machine that vanished
 /// says nothing. It is longer than any line of calls that the counter lets grow.
-const SILENT: Duration = Duration::from_millis(250);
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(250);
 /// An idle connection is kept up by a ping this often.
-const PING: Duration = Duration::from_secs(3);
+const PING_INTERVAL: Duration = Duration::from_secs(3);
 /// The most calls on one connection without an answer, and the most bytes of answers not understood yet.
-const MOST_CALLS: usize = 1024;
-const MOST_BYTES: usize = 4096;
+const MAX_PENDING_CALLS: usize = 1024;
+const MAX_UNPARSED_BYTES: usize = 4096;
 
 struct Call {
     /// None for a ping.
     name: Option<u64>,
     amount: f64,
-    made: Instant,
+    made_at: Instant,
     /// Where its last byte stands in all that was ever written on this connection.
-    end: u64,
-    told: bool,
+    end_offset: u64,
+    reported: bool,
 }
 
 #[derive(Default)]
 struct Pipeline {
-    up: bool,
-    out: VecDeque<u8>,
+    connected: bool,
+    write_buffer: VecDeque<u8>,
     written: u64,
     calls: VecDeque<Call>,
     /// When something last came.
-    heard: Option<Instant>,
+    last_read_at: Option<Instant>,
 }
 
-struct Lane {
-    patience: Duration,
-    report: Rc<Report>,
-    cost: Rc<Cost>,
+struct CounterConnection {
+    call_timeout: Duration,
+    callback: Rc<CounterCallback>,
+    usage: Rc<ResourceUsage>,
     pipeline: RefCell<Pipeline>,
     wake: Notify,
-    told_bad: Cell<bool>,
+    error_logged: Cell<bool>,
 }
 
 /// The gateway's side of the counter.
-pub struct Counter {
-    lanes: Vec<Rc<Lane>>,
+pub struct CounterClient {
+    connections: Vec<Rc<CounterConnection>>,
     address: watch::Sender<SocketAddr>,
 }
 
-impl Counter {
+impl CounterClient {
     /// Connects and stays connected from now on. A call without an answer for `patience` is reported unknown.
-    pub fn start(address: SocketAddr, patience: Duration, report: Rc<Report>, cost: Rc<Cost>) -> Self {
+    pub fn start(
+        address: SocketAddr, call_timeout: Duration, callback: Rc<CounterCallback>, usage: Rc<ResourceUsage>,
+    ) -> Self {
         let (address, at) = watch::channel(address);
-        let lane = |_| {
-            let (pipeline, wake, told_bad) = (RefCell::default(), Notify::new(), Cell::new(false));
-            let lane = Rc::new(Lane {
-                patience,
-                report: report.clone(),
-                cost: cost.clone(),
+        let connection = |_| {
+            let (pipeline, wake, error_logged) = (RefCell::default(), Notify::new(), Cell::new(false));
+            let connection = Rc::new(CounterConnection {
+                call_timeout,
+                callback: callback.clone(),
+                usage: usage.clone(),
                 pipeline,
                 wake,
-                told_bad,
+                error_logged,
             });
-            tokio::task::spawn_local(lane.clone().run(at.clone()));
-            lane
+            tokio::task::spawn_local(connection.clone().run(at.clone()));
+            connection
         };
-        Self { lanes: (0..LANES).map(lane).collect(), address }
+        Self { connections: (0..CONNECTIONS).map(connection).collect(), address }
     }
 }
 
-impl Count for Counter {
+impl Counter for CounterClient {
     /// Moves to another address; calls that are out are still heard at the old one.
-    fn move_to(&self, address: SocketAddr) {
+    fn set_address(&self, address: SocketAddr) {
         self.address.send_replace(address);
     }
 
     /// Whether a connection stands.
-    fn is_up(&self) -> bool {
-        self.lanes.iter().any(|lane| lane.pipeline.borrow().up)
+    fn is_available(&self) -> bool {
+        self.connections.iter().any(|connection| connection.pipeline.borrow().connected)
     }
 
     /// Adds an amount to a name; the end is reported later or, with no connection, at once.
-    fn add(&self, name: u64, amount: f64, keep: Millis) {
-        let own = name as usize % self.lanes.len();
-        let mut lanes = self.lanes[own..].iter().chain(&self.lanes[..own]);
+    fn add(&self, name: u64, amount: f64, ttl: Millis) {
+        let home = name as usize % self.connections.len();
+        let mut connections = self.connections[home..].iter().chain(&self.connections[..home]);
         // Guards quotas against a connection that is gone or has gone blind: it would cost every call until it is
         // replaced, while another one stands.
-        let lane = lanes.find(|lane| lane.answers()).unwrap_or(&self.lanes[own]);
+        let connection =
+            connections.find(|connection| connection.is_responsive()).unwrap_or(&self.connections[home]);
         let name_text = name.to_string();
         let amount_text = format!("{}", (amount * 1e6).round() / 1e6);
-        let keep = (keep.ceil().max(1.0) as u64).to_string();
-        if !lane.push(Some(name), amount, &["ADDGET", &name_text, &amount_text, &keep]) {
-            (lane.report)(name, CountOutcome::NotAdded, 0.0);
+        let ttl = (ttl.ceil().max(1.0) as u64).to_string();
+        if !connection.enqueue(Some(name), amount, &["ADDGET", &name_text, &amount_text, &ttl]) {
+            (connection.callback)(name, CountOutcome::NotAdded, 0.0);
         }
     }
 }
 
-impl Lane {
+impl CounterConnection {
     /// Whether it is up and no call on it has outwaited its patience with nothing heard since.
-    fn answers(&self) -> bool {
+    fn is_responsive(&self) -> bool {
         let pipeline = self.pipeline.borrow();
-        let deaf = |c: &Call| c.told && pipeline.heard.is_none_or(|heard| heard < c.made);
-        pipeline.up && !pipeline.calls.front().is_some_and(deaf)
+        let unanswered = |c: &Call| {
+            c.reported && pipeline.last_read_at.is_none_or(|last_read_at| last_read_at < c.made_at)
+        };
+        pipeline.connected && !pipeline.calls.front().is_some_and(unanswered)
     }
 
     /// Puts a call in line, if there is a line.
-    fn push(&self, name: Option<u64>, amount: f64, words: &[&str]) -> bool {
+    fn enqueue(&self, name: Option<u64>, amount: f64, args: &[&str]) -> bool {
         let mut pipeline = self.pipeline.borrow_mut();
-        if !pipeline.up || pipeline.calls.len() >= MOST_CALLS {
+        if !pipeline.connected || pipeline.calls.len() >= MAX_PENDING_CALLS {
             return false;
         }
-        pipeline.out.extend(format!("*{}\r\n", words.len()).bytes());
-        for word in words {
-            pipeline.out.extend(format!("${}\r\n{word}\r\n", word.len()).bytes());
+        pipeline.write_buffer.extend(format!("*{}\r\n", args.len()).bytes());
+        for arg in args {
+            pipeline.write_buffer.extend(format!("${}\r\n{arg}\r\n", arg.len()).bytes());
         }
         if name.is_some() {
-            self.cost.counter_called();
+            self.usage.counter_called();
         }
-        let end = pipeline.written + pipeline.out.len() as u64;
-        pipeline.calls.push_back(Call { name, amount, made: Instant::now(), end, told: name.is_none() });
+        let end_offset = pipeline.written + pipeline.write_buffer.len() as u64;
+        pipeline.calls.push_back(Call {
+            name,
+            amount,
+            made_at: Instant::now(),
+            end_offset,
+            reported: name.is_none(),
+        });
         self.wake.notify_one();
         true
     }
 
     async fn run(self: Rc<Self>, mut address: watch::Receiver<SocketAddr>) {
-        let mut back_off = BACK_OFF[0];
+        let mut backoff = RECONNECT_BACKOFF[0];
         loop {
-            let (begun, at) = (Instant::now(), *address.borrow_and_update());
+            let (started, at) = (Instant::now(), *address.borrow_and_update());
             if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(at)).await
                 && stream.set_nodelay(true).is_ok()
             {
-                *self.pipeline.borrow_mut() = Pipeline { up: true, ..Pipeline::default() };
-                let held = self.cost.holds(Use::Counter);
-                let end = self.session(&stream, &mut address).await;
-                drop((stream, held));
-                self.fail_all();
-                if let Err(error) = end
+                *self.pipeline.borrow_mut() = Pipeline { connected: true, ..Pipeline::default() };
+                let open = self.usage.connection_opened(ConnectionUse::Counter);
+                let result = self.run_session(&stream, &mut address).await;
+                drop((stream, open));
+                self.report_unanswered();
+                if let Err(error) = result
                     && error.kind() == io::ErrorKind::InvalidData
-                    && !self.told_bad.replace(true)
+                    && !self.error_logged.replace(true)
                 {
                     eprintln!("counter: {error} (told once)");
                 }
                 // One that stood for a while was closed as idle or with its machine: no reason to wait.
-                if begun.elapsed() > SILENT {
-                    back_off = BACK_OFF[0];
+                if started.elapsed() > UNRESPONSIVE_TIMEOUT {
+                    backoff = RECONNECT_BACKOFF[0];
                 }
             }
             if *address.borrow() != at {
-                back_off = BACK_OFF[0];
+                backoff = RECONNECT_BACKOFF[0];
                 continue;
             }
-            sleep(back_off).await;
-            back_off = (back_off * 2).min(BACK_OFF[1]);
+            sleep(backoff).await;
+            backoff = (backoff * 2).min(RECONNECT_BACKOFF[1]);
         }
     }
 
     /// Tells of all that got no answer: what was not written whole was not added.
-    fn fail_all(&self) {
+    fn report_unanswered(&self) {
         let Pipeline { calls, written, .. } = self.pipeline.take();
         for call in calls {
-            let added = if call.end <= written { CountOutcome::Unknown } else { CountOutcome::NotAdded };
-            self.tell(&call, added);
+            let added =
+                if call.end_offset <= written { CountOutcome::Unknown } else { CountOutcome::NotAdded };
+            self.report(&call, added);
         }
     }
 
-    fn tell(&self, call: &Call, outcome: CountOutcome) {
-        if let (Some(name), false) = (call.name, call.told) {
-            (self.report)(name, outcome, millis(call.made.elapsed()));
+    fn report(&self, call: &Call, outcome: CountOutcome) {
+        if let (Some(name), false) = (call.name, call.reported) {
+            (self.callback)(name, outcome, millis(call.made_at.elapsed()));
         }
     }
 
-    async fn session(&self, stream: &TcpStream, address: &mut watch::Receiver<SocketAddr>) -> io::Result<()> {
-        let (mut heard, mut input, mut moved) = (Instant::now(), Vec::new(), false);
+    async fn run_session(
+        &self, stream: &TcpStream, address: &mut watch::Receiver<SocketAddr>,
+    ) -> io::Result<()> {
+        let (mut last_activity, mut input, mut address_changed) = (Instant::now(), Vec::new(), false);
         loop {
-            if moved && self.is_idle() {
+            if address_changed && self.is_idle() {
                 return Ok(());
             }
-            let (waiting, due) = {
+            let (has_output, due) = {
                 let pipeline = self.pipeline.borrow();
                 // The same moments as are looked at below: waiting for one that is over would take all of the
                 // processor until the other is.
-                let silence = pipeline.calls.front().map_or(heard + PING, |c| c.made.max(heard) + SILENT);
-                let untold = pipeline.calls.iter().find(|c| !c.told).map(|c| c.made + self.patience);
-                (!pipeline.out.is_empty(), untold.map_or(silence, |due| due.min(silence)))
+                let silence_deadline = pipeline.calls.front().map_or(last_activity + PING_INTERVAL, |c| {
+                    c.made_at.max(last_activity) + UNRESPONSIVE_TIMEOUT
+                });
+                let call_deadline =
+                    pipeline.calls.iter().find(|c| !c.reported).map(|c| c.made_at + self.call_timeout);
+                (
+                    !pipeline.write_buffer.is_empty(),
+                    call_deadline.map_or(silence_deadline, |due| due.min(silence_deadline)),
+                )
             };
             tokio::select! {
                 () = self.wake.notified() => {}
-                Ok(()) = address.changed(), if !moved => moved = true,
+                Ok(()) = address.changed(), if !address_changed => address_changed = true,
                 ready = stream.readable() => ready?,
-                ready = stream.writable(), if waiting => ready?,
+                ready = stream.writable(), if has_output => ready?,
                 () = sleep_until(due) => {}
             }
             self.write(stream)?;
             // Before the time-outs: an answer that is there counts.
             if self.read(stream, &mut input)? {
-                heard = Instant::now();
-                self.pipeline.borrow_mut().heard = Some(heard);
+                last_activity = Instant::now();
+                self.pipeline.borrow_mut().last_read_at = Some(last_activity);
             }
-            self.give_up_late();
-            if heard.elapsed() >= PING && self.is_idle() {
-                heard = Instant::now();
-                self.push(None, 0.0, &["PING"]);
+            self.report_timeouts();
+            if last_activity.elapsed() >= PING_INTERVAL && self.is_idle() {
+                last_activity = Instant::now();
+                self.enqueue(None, 0.0, &["PING"]);
             }
-            let oldest = self.pipeline.borrow().calls.front().map(|c| c.made.max(heard));
-            if oldest.is_some_and(|at| at.elapsed() >= SILENT) {
+            let oldest = self.pipeline.borrow().calls.front().map(|c| c.made_at.max(last_activity));
+            if oldest.is_some_and(|at| at.elapsed() >= UNRESPONSIVE_TIMEOUT) {
                 return Err(io::ErrorKind::TimedOut.into());
             }
         }
@@ -232,10 +252,10 @@
 
     fn write(&self, stream: &TcpStream) -> io::Result<()> {
         let mut pipeline = self.pipeline.borrow_mut();
-        while !pipeline.out.is_empty() {
-            match stream.try_write(pipeline.out.as_slices().0) {
+        while !pipeline.write_buffer.is_empty() {
+            match stream.try_write(pipeline.write_buffer.as_slices().0) {
                 Ok(written) => {
-                    pipeline.out.drain(..written);
+                    pipeline.write_buffer.drain(..written);
                     pipeline.written += written as u64;
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
@@ -247,30 +267,30 @@
 
     /// Reads what is there and tells of the answers; true if anything came.
     fn read(&self, stream: &TcpStream, input: &mut Vec<u8>) -> io::Result<bool> {
-        let (mut came, mut bytes) = (false, [0; 4096]);
+        let (mut received, mut bytes) = (false, [0; 4096]);
         loop {
             match stream.try_read(&mut bytes) {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Ok(read) => input.extend_from_slice(&bytes[..read]),
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(came),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(received),
                 Err(error) => return Err(error),
             }
-            came = true;
-            while let Some((frame, length)) = decode(input).map_err(|e| bad(e.to_string()))? {
+            received = true;
+            while let Some((frame, length)) = decode(input).map_err(|e| invalid_data(e.to_string()))? {
                 input.drain(..length);
-                self.answer(frame)?;
+                self.handle_reply(frame)?;
             }
-            if input.len() > MOST_BYTES {
-                return Err(bad("an answer without end".into()));
+            if input.len() > MAX_UNPARSED_BYTES {
+                return Err(invalid_data("an answer without end".into()));
             }
         }
     }
 
     /// Answers come in the order of the calls. One that comes late is told as that: the amount was added, and
     /// whoever took it for lost would leave it lying in the count.
-    fn answer(&self, frame: OwnedFrame) -> io::Result<()> {
+    fn handle_reply(&self, frame: OwnedFrame) -> io::Result<()> {
         let call = self.pipeline.borrow_mut().calls.pop_front();
-        let Some(call) = call else { return Err(bad("an answer to no call".into())) };
+        let Some(call) = call else { return Err(invalid_data("an answer to no call".into())) };
         let outcome = match frame {
             OwnedFrame::BulkString(text) => {
                 let total = std::str::from_utf8(&text).ok().and_then(|t| t.parse::<f64>().ok());
@@ -281,31 +301,31 @@
             _ => None,
         };
         match (call.name, outcome) {
-            (Some(name), Some(CountOutcome::Total(total))) if call.told => {
+            (Some(name), Some(CountOutcome::Total(total))) if call.reported => {
                 let late = CountOutcome::Late { total, amount: call.amount };
-                (self.report)(name, late, millis(call.made.elapsed()));
+                (self.callback)(name, late, millis(call.made_at.elapsed()));
             }
-            _ => self.tell(&call, outcome.unwrap_or(CountOutcome::Unknown)),
+            _ => self.report(&call, outcome.unwrap_or(CountOutcome::Unknown)),
         }
-        outcome.map(|_| ()).ok_or_else(|| bad("an answer that is no total".into()))
+        outcome.map(|_| ()).ok_or_else(|| invalid_data("an answer that is no total".into()))
     }
 
     /// Tells of calls whose time is over. They stay in line, as their answers are still to come; one that
     /// is not written whole yet is told as unknown too, as it may be from now on.
-    fn give_up_late(&self) {
+    fn report_timeouts(&self) {
         loop {
             let late = {
                 let mut pipeline = self.pipeline.borrow_mut();
-                let next = pipeline.calls.iter_mut().find(|c| !c.told);
-                let Some(call) = next.filter(|c| c.made.elapsed() >= self.patience) else { return };
-                call.told = true;
-                Call { told: false, ..*call }
+                let next = pipeline.calls.iter_mut().find(|c| !c.reported);
+                let Some(call) = next.filter(|c| c.made_at.elapsed() >= self.call_timeout) else { return };
+                call.reported = true;
+                Call { reported: false, ..*call }
             };
-            self.tell(&late, CountOutcome::Unknown);
+            self.report(&late, CountOutcome::Unknown);
         }
     }
 }
 
-fn bad(what: String) -> io::Error {
+fn invalid_data(what: String) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what)
 }
--- a/gateway/src/control/engine.rs
+++ b/gateway/src/control/engine.rs
@@ -1,31 +1,32 @@
 //! The decisions of the program in service: the shared engine, on its own protocol and with the shared counter.
 
-use crate::backends::pool::{Backends, Speech};
-use crate::control::counter::Counter;
-use crate::observe::figures::Figures;
-use crate::time::clock::span;
+use crate::backends::pool::{BackendProtocol, Backends};
+use crate::control::counter::CounterClient;
+use crate::observe::metrics::Metrics;
+use crate::time::clock::to_duration;
 use doorcourse::{Settings, SettingsError};
-use http_proxy::engine::Count;
-pub use http_proxy::engine::{Judged, Reply};
+use http_proxy::engine::Counter;
+pub use http_proxy::engine::{HealthObserver, Reply};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 /// Runs the decisions.
-pub type Engine = http_proxy::engine::Engine<Speech>;
+pub type Engine = http_proxy::engine::Engine<BackendProtocol>;
 /// A request whose client waits.
-pub type Waiting = http_proxy::engine::Waiting<Speech>;
+pub type RequestGuard = http_proxy::engine::RequestGuard<BackendProtocol>;
 
 /// An engine with nothing to do yet.
 ///
 /// # Errors
 /// When the settings cannot be used.
 pub fn start(
-    settings: Settings, seed: u64, backends: Rc<Backends>, counter: Option<SocketAddr>, figures: Rc<Figures>,
+    settings: Settings, seed: u64, backends: Rc<Backends>, counter: Option<SocketAddr>, metrics: Rc<Metrics>,
 ) -> Result<Rc<Engine>, SettingsError> {
-    let (patience, cost) = (span(settings.counter_timeout), figures.cost().clone());
+    let (timeout, usage) = (to_duration(settings.counter_timeout), metrics.usage().clone());
     let counter = |report| {
-        let start = |address| Box::new(Counter::start(address, patience, report, cost)) as Box<dyn Count>;
+        let start =
+            |address| Box::new(CounterClient::start(address, timeout, report, usage)) as Box<dyn Counter>;
         counter.map(start)
     };
-    Engine::start(settings, seed, backends, counter, figures)
+    Engine::start(settings, seed, backends, counter, metrics)
 }
--- a/gateway/src/group/mod.rs
+++ b/gateway/src/group/mod.rs
@@ -20,13 +20,13 @@
 use tokio::time::{sleep, timeout};
 
 /// A part that could not start is tried again after this.
-const COMES_UP: Duration = Duration::from_millis(500);
+const START_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// How often it is looked at which duties are held, for the log.
-const LOOKS: Duration = Duration::from_millis(250);
+const DUTY_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// How often an act is done under each duty, where they are written down.
-const ACTS: Duration = Duration::from_millis(20);
+const ACT_INTERVAL: Duration = Duration::from_millis(20);
 /// The process waits so long at its end for the group to hear of it.
-const CLOSING: Duration = Duration::from_millis(300);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Descriptors of a group's thread: its event loop, its disk, the other voters and the members' connections.
 pub const DESCRIPTORS: usize = 48;
 
@@ -35,20 +35,20 @@
     settings: Settings,
     handle: RefCell<Option<Rc<Handle>>>,
     /// Words about backends that were passed on to the decisions, and reports made.
-    told: Cell<(u64, u64)>,
+    report_counts: Cell<(u64, u64)>,
 }
 
 impl Group {
     /// Starts it beside everything else: the gateway serves meanwhile, and by itself for as long as it does not come
     /// up. A voter whose predecessor still runs has neither its address nor its disk before that one has ended.
     pub fn start(settings: Settings) -> Rc<Self> {
-        let group = Rc::new(Self { settings, handle: RefCell::default(), told: Cell::default() });
-        tokio::task::spawn_local(group.clone().come_up());
+        let group = Rc::new(Self { settings, handle: RefCell::default(), report_counts: Cell::default() });
+        tokio::task::spawn_local(group.clone().run());
         group
     }
 
-    async fn come_up(self: Rc<Self>) {
-        let mut told = false;
+    async fn run(self: Rc<Self>) {
+        let mut error_logged = false;
         loop {
             let settings = self.settings.run.clone();
             let tell = |text: String| eprintln!("{text}");
@@ -58,21 +58,21 @@
                     *self.handle.borrow_mut() = Some(Rc::new(handle));
                     break;
                 }
-                Ok(Err(error)) if !std::mem::replace(&mut told, true) => {
+                Ok(Err(error)) if !std::mem::replace(&mut error_logged, true) => {
                     eprintln!("{error}; this gateway goes on without the group until it can (told once)");
                 }
                 _ => {}
             }
-            sleep(COMES_UP).await;
+            sleep(START_RETRY_INTERVAL).await;
         }
         if self.settings.acts.is_some() {
-            tokio::task::spawn_local(self.clone().act());
+            tokio::task::spawn_local(self.clone().write_acts());
         }
-        self.follow().await;
+        self.log_duties().await;
     }
 
     /// Whether this gateway takes part in telling of backends.
-    pub fn scouts(&self) -> bool {
+    pub fn scout_enabled(&self) -> bool {
         self.settings.scout
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Tells the log which duties come and go.
-    async fn follow(self: Rc<Self>) {
+    async fn log_duties(self: Rc<Self>) {
         let mut known: BTreeMap<String, u64> = BTreeMap::new();
         while let Some(handle) = self.handle() {
             let acting = handle.held().into_iter().filter_map(|guard| Some((guard.may_act()?, guard.duty)));
@@ -106,12 +106,12 @@
             }
             known = now;
             drop(handle);
-            sleep(LOOKS).await;
+            sleep(DUTY_POLL_INTERVAL).await;
         }
     }
 
     /// Does an act under each duty again and again, and writes down when its guard had said yes.
-    async fn act(self: Rc<Self>) {
+    async fn write_acts(self: Rc<Self>) {
         let Some(path) = &self.settings.acts else { return };
         let mut file = match std::fs::OpenOptions::new().append(true).create(true).open(path) {
             Ok(file) => file,
@@ -126,15 +126,15 @@
                 let _ = file.write_all(line.as_bytes());
             }
             drop(handle);
-            sleep(ACTS).await;
+            sleep(ACT_INTERVAL).await;
         }
     }
 
     /// What `INFO` shows.
-    pub fn figures(&self) -> Value {
+    pub fn status(&self) -> Value {
         let Some(handle) = self.handle() else { return Value::Null };
-        let (standing, ms) = (handle.standing(), |span: Duration| span.as_millis() as u64);
-        let view = &standing.view;
+        let (status, ms) = (handle.standing(), |span: Duration| span.as_millis() as u64);
+        let view = &status.view;
         let held = handle.held().into_iter().map(|guard| {
             (guard.duty.clone(), json!({"fence": guard.fence(), "left_ms": guard.left().map_or(0, ms)}))
         });
@@ -147,18 +147,18 @@
             "term": view.term,
             "voters": view.voters,
             "sessions": view.sessions,
-            "in_group": standing.session.is_some(),
+            "in_group": status.session.is_some(),
             "contact_age_ms": handle.contact_age().map(ms),
             "held": held.collect::<serde_json::Map<_, _>>(),
             "duties": duties.collect::<serde_json::Map<_, _>>(),
             "away": view.away,
-            "words": self.told.get().0,
-            "reports": self.told.get().1,
+            "words": self.report_counts.get().0,
+            "reports": self.report_counts.get().1,
         })
     }
 
     /// The most gateways that may be away by leave now.
-    fn most_away(&self) -> u32 {
+    fn max_away(&self) -> u32 {
         let sessions = self.handle().map_or(0, |handle| handle.standing().view.sessions);
         ((sessions as f64 * self.settings.away_at_once) as u32).max(1)
     }
@@ -166,10 +166,10 @@
     /// An operator's call: its words after `GROUP`.
     pub async fn call(&self, words: &[&str]) -> String {
         let answer = match words {
-            [] | ["STATUS"] => return format!("{}\nEND", self.figures()),
+            [] | ["STATUS"] => return format!("{}\nEND", self.status()),
             ["GIVE", duty] => self.order(Order::Give((*duty).into(), None)).await,
             ["GIVE", duty, to] => self.order(Order::Give((*duty).into(), Some((*to).into()))).await,
-            ["TURN"] => self.order(Order::Leave(self.most_away())).await,
+            ["TURN"] => self.order(Order::Leave(self.max_away())).await,
             ["ADD", name, address] => {
                 let node = Node { name: (*name).into(), address: (*address).into() };
                 self.order(Order::Voter(Ask::Add(node))).await
@@ -194,14 +194,14 @@
     }
 
     /// The process is about to end: others take its duties at once, and it counts as away.
-    pub async fn drains(&self) {
+    pub async fn drain(&self) {
         self.order(Order::Leave(u32::MAX)).await;
         self.order(Order::Able(false)).await;
     }
 
     /// The process ends. Waits a little for the group to hear of it.
     pub async fn close(&self) {
-        let _ = timeout(CLOSING, self.order(Order::Close)).await;
+        let _ = timeout(CLOSE_TIMEOUT, self.order(Order::Close)).await;
         self.handle.take();
     }
 }
--- a/gateway/src/group/scout.rs
+++ b/gateway/src/group/scout.rs
@@ -21,12 +21,12 @@
 /// A duty's name is this and the zone's.
 const DUTY: &str = "scout:";
 /// Reports of one gateway a second, and the least time between two on one backend.
-const MOST_REPORTS: u32 = 20;
-const AGAIN: Duration = Duration::from_secs(1);
+const MAX_REPORTS_PER_SECOND: u32 = 20;
+const MIN_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// Words in one record.
-const MOST_WORDS: usize = 64;
+const MAX_RECORD_REPORTS: usize = 64;
 /// How often a scout looks for reports.
-const LOOKS: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The duty of a zone's scout.
 pub fn duty(zone: &str) -> String {
@@ -35,31 +35,31 @@
 
 /// A word about one backend.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Word {
+struct HealthReport {
     backend: String,
     down: bool,
 }
 
 /// What a record holds: the number of its last word, and the last ones in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Words {
-    last: u64,
-    words: VecDeque<Word>,
+struct HealthReports {
+    last_number: u64,
+    reports: VecDeque<HealthReport>,
 }
 
-impl Words {
-    fn add(&mut self, word: Word) {
-        self.last += 1;
-        self.words.push_back(word);
-        if self.words.len() > MOST_WORDS {
-            self.words.pop_front();
+impl HealthReports {
+    fn add(&mut self, report: HealthReport) {
+        self.last_number += 1;
+        self.reports.push_back(report);
+        if self.reports.len() > MAX_RECORD_REPORTS {
+            self.reports.pop_front();
         }
     }
 
     /// The words after a number.
-    fn after(&self, number: u64) -> impl Iterator<Item = &Word> {
-        let new = (self.last - number.min(self.last)) as usize;
-        self.words.iter().skip(self.words.len().saturating_sub(new))
+    fn after(&self, number: u64) -> impl Iterator<Item = &HealthReport> {
+        let new = (self.last_number - number.min(self.last_number)) as usize;
+        self.reports.iter().skip(self.reports.len().saturating_sub(new))
     }
 }
 
@@ -68,113 +68,115 @@
     group: Rc<Group>,
     zone: String,
     /// What the decisions are to be told.
-    tell: Box<dyn Fn(Name, bool)>,
+    on_report: Box<dyn Fn(Name, bool)>,
     /// When each backend was last reported on, and as what.
     reported: RefCell<BTreeMap<Name, (Instant, bool)>>,
-    allowed: Cell<u32>,
-    heard: RefCell<BTreeMap<String, (u64, u64)>>,
+    report_budget: Cell<u32>,
+    seen: RefCell<BTreeMap<String, (u64, u64)>>,
     fences: RefCell<Fences>,
 }
 
 impl Scout {
     /// Starts listening and, whenever this gateway has its zone's duty, telling.
-    pub fn start(group: Rc<Group>, zone: &str, tell: impl Fn(Name, bool) + 'static) -> Rc<Self> {
+    pub fn start(group: Rc<Group>, zone: &str, on_report: impl Fn(Name, bool) + 'static) -> Rc<Self> {
         let scout = Rc::new(Self {
             group,
             zone: zone.into(),
-            tell: Box::new(tell),
+            on_report: Box::new(on_report),
             reported: RefCell::default(),
-            allowed: Cell::new(MOST_REPORTS),
-            heard: RefCell::default(),
+            report_budget: Cell::new(MAX_REPORTS_PER_SECOND),
+            seen: RefCell::default(),
             fences: RefCell::default(),
         });
-        tokio::task::spawn_local(scout.clone().hear());
-        tokio::task::spawn_local(scout.clone().scout());
+        tokio::task::spawn_local(scout.clone().receive_reports());
+        tokio::task::spawn_local(scout.clone().run_scout());
         scout
     }
 
     /// The decisions found something out of a backend.
-    pub fn judged(&self, backend: Name, zone: &str, down: bool) {
+    pub fn report_health(&self, backend: Name, zone: &str, down: bool) {
         let now = Instant::now();
         let mut reported = self.reported.borrow_mut();
-        reported.retain(|_, (at, _)| now < *at + AGAIN);
+        reported.retain(|_, (at, _)| now < *at + MIN_REPORT_INTERVAL);
         let known = reported.get(&backend).is_some_and(|(_, as_what)| *as_what == down);
-        if known || self.allowed.get() == 0 {
+        if known || self.report_budget.get() == 0 {
             return;
         }
         reported.insert(backend.clone(), (now, down));
-        self.allowed.set(self.allowed.get() - 1);
-        self.group.told.update(|(words, reports)| (words, reports + 1));
-        let Ok(note) = postcard::to_stdvec(&Word { backend: backend.to_string(), down }) else { return };
+        self.report_budget.set(self.report_budget.get() - 1);
+        self.group.report_counts.update(|(received, sent)| (received, sent + 1));
+        let Ok(payload) = postcard::to_stdvec(&HealthReport { backend: backend.to_string(), down }) else {
+            return;
+        };
         let (group, duty) = (self.group.clone(), duty(zone));
-        tokio::task::spawn_local(async move { group.order(Order::Report(duty, note)).await });
+        tokio::task::spawn_local(async move { group.order(Order::Report(duty, payload)).await });
     }
 
     /// Tells the decisions what scouts say.
-    async fn hear(self: Rc<Self>) {
+    async fn receive_reports(self: Rc<Self>) {
         let handle = loop {
             match self.group.handle() {
                 Some(handle) => break handle,
-                None => sleep(LOOKS).await,
+                None => sleep(POLL_INTERVAL).await,
             }
         };
-        let mut news = handle.news();
+        let mut updates = handle.news();
         drop(handle);
         let mut first = true;
-        while news.changed().await.is_ok() {
-            let view = news.borrow_and_update().view.clone();
+        while updates.changed().await.is_ok() {
+            let view = updates.borrow_and_update().view.clone();
             if view.revision > 0 {
-                self.take(&view, std::mem::take(&mut first));
+                self.apply_records(&view, std::mem::take(&mut first));
             }
         }
     }
 
     /// The words in a view that are new; what the first one holds may be long over.
-    fn take(&self, view: &View, first: bool) {
+    fn apply_records(&self, view: &View, first: bool) {
         for (key, (duty, fence, value)) in view.records.iter().filter(|(key, _)| key.starts_with(DUTY)) {
             // A record that outlived its scout says nothing more; one under an older fence never counts.
             if !self.fences.borrow_mut().takes(duty, *fence) {
                 continue;
             }
-            let Ok(words) = postcard::from_bytes::<Words>(value) else { continue };
-            let mut heard = self.heard.borrow_mut();
-            let (of, number) =
-                heard.entry(key.clone()).or_insert((*fence, if first { words.last } else { 0 }));
-            let after = if of == fence { *number } else { 0 };
-            (*of, *number) = (*fence, words.last);
-            let new: Vec<Word> = words.after(after).cloned().collect();
-            drop(heard);
-            self.group.told.update(|(words, reports)| (words + new.len() as u64, reports));
-            new.into_iter().for_each(|word| (self.tell)(word.backend.into(), word.down));
+            let Ok(reports) = postcard::from_bytes::<HealthReports>(value) else { continue };
+            let mut seen = self.seen.borrow_mut();
+            let (record_fence, number) =
+                seen.entry(key.clone()).or_insert((*fence, if first { reports.last_number } else { 0 }));
+            let after = if record_fence == fence { *number } else { 0 };
+            (*record_fence, *number) = (*fence, reports.last_number);
+            let new: Vec<HealthReport> = reports.after(after).cloned().collect();
+            drop(seen);
+            self.group.report_counts.update(|(received, sent)| (received + new.len() as u64, sent));
+            new.into_iter().for_each(|report| (self.on_report)(report.backend.into(), report.down));
         }
     }
 
     /// Passes on what comes in, while this gateway has the duty.
-    async fn scout(self: Rc<Self>) {
+    async fn run_scout(self: Rc<Self>) {
         let duty = duty(&self.zone);
-        let mut words = Words::default();
-        let mut under = 0;
-        let mut looks = 0;
+        let mut reports = HealthReports::default();
+        let mut current_fence = 0;
+        let mut polls = 0;
         loop {
-            sleep(LOOKS).await;
-            looks += 1;
-            if looks % (1000 / LOOKS.as_millis()) == 0 {
-                self.allowed.set(MOST_REPORTS);
+            sleep(POLL_INTERVAL).await;
+            polls += 1;
+            if polls % (1000 / POLL_INTERVAL.as_millis()) == 0 {
+                self.report_budget.set(MAX_REPORTS_PER_SECOND);
             }
             let Some(fence) = self.group.guard(&duty).and_then(|guard| guard.may_act()) else { continue };
-            if std::mem::replace(&mut under, fence) != fence {
-                words = Words::default();
+            if std::mem::replace(&mut current_fence, fence) != fence {
+                reports = HealthReports::default();
             }
             let Answer::Notes(notes) = self.group.order(Order::Collect(duty.clone())).await else { continue };
-            let before = words.last;
-            for note in &notes {
+            let before = reports.last_number;
+            for payload in &notes {
                 // The last word on a backend is the one that counts.
-                if let Ok(word) = postcard::from_bytes::<Word>(note) {
-                    words.add(word);
+                if let Ok(report) = postcard::from_bytes::<HealthReport>(payload) {
+                    reports.add(report);
                 }
             }
-            if words.last > before
-                && let Ok(value) = postcard::to_stdvec(&words)
+            if reports.last_number > before
+                && let Ok(value) = postcard::to_stdvec(&reports)
             {
                 // Lost, it is made up for by the next one: reports go on for as long as there is a reason.
                 self.group.order(Order::Write(duty.clone(), duty.clone(), value)).await;
--- a/gateway/src/group/settings.rs
+++ b/gateway/src/group/settings.rs
@@ -13,14 +13,14 @@
 use std::time::Duration;
 
 /// The life of a session where nothing is said, and its bounds, in ms.
-const LIFE: u64 = 6000;
-const LIVES: std::ops::RangeInclusive<u64> = 1000..=60_000;
+const DEFAULT_LIFE_MS: u64 = 6000;
+const LIFE_RANGE_MS: std::ops::RangeInclusive<u64> = 1000..=60_000;
 /// The share of the fleet that may be away by leave where nothing is said.
-const AWAY: f64 = 0.1;
+const DEFAULT_AWAY_RATIO: f64 = 0.1;
 /// Duties besides the zone's own.
-const MOST_DUTIES: usize = 16;
+const MAX_DUTIES: usize = 16;
 /// Letters of a name.
-const MOST_NAME: usize = 64;
+const MAX_NAME_LENGTH: usize = 64;
 
 #[derive(Deserialize)]
 struct File {
@@ -33,11 +33,11 @@
     duties: Vec<String>,
     away_at_once: Option<f64>,
     acts: Option<PathBuf>,
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     scout: bool,
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
@@ -79,38 +79,39 @@
 /// One line that names the place, when a value cannot be used.
 pub fn read(value: &Value, me: &str, zone: &str) -> Result<Settings, String> {
     let file = File::deserialize(value).map_err(|error| format!("group: {error}"))?;
-    let named = |name: &str| (1..=MOST_NAME).contains(&name.len()) && !name.contains(char::is_whitespace);
-    let bad = |what: &str| Err(format!("group.{what}"));
-    if !named(&file.name) || !named(me) {
-        return bad("name: 1 to 64 letters without blanks, of the group and of the gateway");
+    let is_valid_name =
+        |name: &str| (1..=MAX_NAME_LENGTH).contains(&name.len()) && !name.contains(char::is_whitespace);
+    let invalid = |what: &str| Err(format!("group.{what}"));
+    if !is_valid_name(&file.name) || !is_valid_name(me) {
+        return invalid("name: 1 to 64 letters without blanks, of the group and of the gateway");
     }
     if ![1, 3, 5].contains(&file.voters.len()) {
-        return bad("voters: 1, 3 or 5 of them");
+        return invalid("voters: 1, 3 or 5 of them");
     }
     let names: BTreeSet<&str> = file.voters.iter().map(|voter| voter.name.as_str()).collect();
-    if names.len() != file.voters.len() || !names.iter().all(|name| named(name)) {
-        return bad("voters: each has a name of its own");
+    if names.len() != file.voters.len() || !names.iter().all(|name| is_valid_name(name)) {
+        return invalid("voters: each has a name of its own");
     }
     if let Some(voter) = file.voters.iter().find(|voter| voter.address.parse::<SocketAddr>().is_err()) {
         return Err(format!("group.voters: {}: no address, or an unusable one", voter.name));
     }
-    let life = file.life_ms.unwrap_or(LIFE);
-    if !LIVES.contains(&life) {
-        return bad("life_ms: 1000 to 60000");
+    let life = file.life_ms.unwrap_or(DEFAULT_LIFE_MS);
+    if !LIFE_RANGE_MS.contains(&life) {
+        return invalid("life_ms: 1000 to 60000");
     }
-    let away_at_once = file.away_at_once.unwrap_or(AWAY);
+    let away_at_once = file.away_at_once.unwrap_or(DEFAULT_AWAY_RATIO);
     if !(away_at_once > 0.0 && away_at_once <= 1.0) {
-        return bad("away_at_once: above 0 and up to 1");
+        return invalid("away_at_once: above 0 and up to 1");
     }
-    if file.duties.len() > MOST_DUTIES || !file.duties.iter().all(|duty| named(duty)) {
-        return bad("duties: up to 16 names of 1 to 64 letters without blanks");
+    if file.duties.len() > MAX_DUTIES || !file.duties.iter().all(|duty| is_valid_name(duty)) {
+        return invalid("duties: up to 16 names of 1 to 64 letters without blanks");
     }
     let listen = file.listen.as_ref().map(|text| text.parse::<SocketAddr>());
     let voter = match (listen, file.dir) {
         (Some(Ok(listen)), Some(dir)) => Some((listen, dir)),
         (None, None) if !names.contains(me) => None,
-        (Some(Err(_)), _) => return bad("listen: an unusable address"),
-        _ => return bad("listen, group.dir: a voter needs both, and another gateway neither"),
+        (Some(Err(_)), _) => return invalid("listen: an unusable address"),
+        _ => return invalid("listen, group.dir: a voter needs both, and another gateway neither"),
     };
     let scout = (file.scout && !zone.is_empty()).then(|| duty(zone));
     let wants = file.duties.into_iter().chain(scout).map(|duty| Want { duty, rank: 0 }).collect();
@@ -127,16 +128,16 @@
     use super::read;
     use serde_json::{Value, json};
 
-    fn sound() -> Value {
+    fn valid_settings() -> Value {
         json!({"name": "fleet", "voters": [{"name": "g0", "address": "127.0.0.1:1"}],
             "listen": "127.0.0.1:1", "dir": "/nowhere"})
     }
 
     #[test]
     fn unusable_values_are_named_in_one_line() {
-        assert!(read(&sound(), "g0", "a").is_ok());
+        assert!(read(&valid_settings(), "g0", "a").is_ok());
         let changed = |key: &str, value: Value| {
-            let mut file = sound();
+            let mut file = valid_settings();
             file[key] = value;
             read(&file, "g0", "a").expect_err(key)
         };
@@ -155,8 +156,8 @@
         }
         assert!(changed("life_ms", json!("long")).starts_with("group: "));
         // A gateway that is no voter has no address and no disk.
-        assert!(read(&sound(), "g1", "a").is_ok(), "a voter to be, that the list does not name yet");
-        let mut member = sound();
+        assert!(read(&valid_settings(), "g1", "a").is_ok(), "a voter to be, that the list does not name yet");
+        let mut member = valid_settings();
         (member["listen"], member["dir"]) = (Value::Null, Value::Null);
         assert!(read(&member, "g1", "a").is_ok());
         assert!(read(&member, "g0", "a").is_err());
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -4,14 +4,14 @@
 
 use clap::Parser as _;
 use doorcourse::Event;
-use fennelscale::backends::pool::{Backends, Speech, spawn};
-use fennelscale::clients::front::Front;
+use fennelscale::backends::pool::{BackendProtocol, Backends, spawn};
+use fennelscale::clients::frontend::Frontend;
 use fennelscale::control::config::Config;
 use fennelscale::control::discovery;
 use fennelscale::control::engine::{self, Engine};
 use fennelscale::group::scout::Scout;
 use fennelscale::group::{self, Group};
-use fennelscale::observe::figures::Figures;
+use fennelscale::observe::metrics::Metrics;
 use fennelscale::operators::console::Console;
 use fennelscale::state::detached::Detached;
 use fennelscale::state::handover::{self, Parts};
@@ -25,12 +25,12 @@
 use tokio::task::LocalSet;
 
 /// Descriptors for all but clients and backends: standard streams, the event loop, listener, counter, discovery.
-const OTHER_SOCKETS: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 /// Of the rest, the share for clients; backends get what is left.
-const CLIENT_SHARE: f64 = 0.55;
+const CLIENT_DESCRIPTOR_RATIO: f64 = 0.55;
 
 /// Connections that wait to be accepted.
-const BACKLOG: u32 = 1024;
+const LISTEN_BACKLOG: u32 = 1024;
 
 /// The quota gateway. Without options it serves, by the file that NODE_CONFIG names.
 #[derive(clap::Parser)]
@@ -46,31 +46,31 @@
     let options = Options::parse();
     let config = match Config::from_environment() {
         Ok(config) => config,
-        Err(error) => return unusable(&error),
+        Err(error) => return fail(&error),
     };
     if !options.rescue_group.is_empty() {
         return rescue(&config, &options.rescue_group);
     }
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return unusable(&error),
+        Err(error) => return fail(&error),
     };
     LocalSet::new().block_on(&runtime, run(config))
 }
 
-fn unusable(what: &dyn Display) -> ExitCode {
+fn fail(what: &dyn Display) -> ExitCode {
     eprintln!("fennelscale: {what}");
     ExitCode::from(2)
 }
 
 fn rescue(config: &Config, lost: &[String]) -> ExitCode {
-    let Some(group) = &config.group else { return unusable(&"this gateway is in no group") };
+    let Some(group) = &config.group else { return fail(&"this gateway is in no group") };
     match group.rescue(lost) {
-        Ok(told) => {
-            println!("{told}");
+        Ok(message) => {
+            println!("{message}");
             ExitCode::SUCCESS
         }
-        Err(error) => unusable(&error),
+        Err(error) => fail(&error),
     }
 }
 
@@ -81,94 +81,99 @@
         signal(SignalKind::hangup()),
     ) {
         (Ok(terminate), Ok(interrupt), Ok(hangup)) => (terminate, interrupt, hangup),
-        (Err(error), ..) | (_, Err(error), _) | (.., Err(error)) => return unusable(&error),
+        (Err(error), ..) | (_, Err(error), _) | (.., Err(error)) => return fail(&error),
     };
     let operators = match config.console.map(|address| listen(address, false)).transpose() {
         Ok(operators) => operators,
-        Err(error) => return unusable(&format!("cannot listen at NODE_CONSOLE: {error}")),
+        Err(error) => return fail(&format!("cannot listen at NODE_CONSOLE: {error}")),
     };
-    let met = match operators {
-        Some(_) => handover::meet(&config.name, config.listen).await,
+    let found = match operators {
+        Some(_) => handover::find_predecessor(&config.name, config.listen).await,
         None => None,
     };
-    let (predecessor, listener) = match met {
+    let (predecessor, listener) = match found {
         Some((predecessor, listener)) => (Some(predecessor), listener),
         None => match listen(config.listen, operators.is_some()) {
             Ok(listener) => (None, listener),
-            Err(error) => return unusable(&format!("cannot listen at {}: {error}", config.listen)),
+            Err(error) => return fail(&format!("cannot listen at {}: {error}", config.listen)),
         },
     };
     let listener = Rc::new(listener);
     let settings = config.settings;
-    let figures = Figures::new(&settings);
-    let sockets = config.sockets.saturating_sub(config.group.as_ref().map_or(0, |_| group::DESCRIPTORS));
-    let (most_clients, most_open) = shares(sockets, 0);
+    let metrics = Metrics::new(&settings);
+    let max_descriptors =
+        config.max_descriptors.saturating_sub(config.group.as_ref().map_or(0, |_| group::DESCRIPTORS));
+    let (max_clients, max_connections) = connection_limits(max_descriptors, 0);
     let backends = Backends::new(
-        Speech { reports: settings.reports },
+        BackendProtocol { reports: settings.reports },
         config.connect_timeout,
-        config.backend_idle,
-        most_open,
-        figures.cost().clone(),
+        config.backend_idle_timeout,
+        max_connections,
+        metrics.usage().clone(),
     );
     // Two processes may run on one configuration, and by one seed chance would choose alike.
     let seed = config.seed ^ predecessor.as_ref().map_or(0, |_| u64::from(std::process::id()) << 16);
-    let engine = engine::start(settings.clone(), seed, backends.clone(), config.counter, figures.clone());
+    let engine = engine::start(settings.clone(), seed, backends.clone(), config.counter, metrics.clone());
     let engine = match engine {
         Ok(engine) => engine,
-        Err(error) => return unusable(&error),
+        Err(error) => return fail(&error),
     };
-    let front = Front::new(engine.clone(), &settings, most_clients, config.grace, figures.clone());
-    discovery::tell(config.known, &backends, &engine);
+    let frontend =
+        Frontend::new(engine.clone(), &settings, max_clients, config.grace_period, metrics.clone());
+    discovery::apply_list(config.known, &backends, &engine);
     let group = config.group.map(Group::start);
-    if let Some(group) = group.clone().filter(|group| group.scouts()) {
-        let told = engine.clone();
-        let tell = move |backend, down| told.post(Event::HealthReport { backend, down });
-        let scout = Scout::start(group, &settings.zone, tell);
-        engine.tell_judged(Box::new(move |backend, zone, down| scout.judged(backend, zone, down)));
+    if let Some(group) = group.clone().filter(|group| group.scout_enabled()) {
+        let engine_handle = engine.clone();
+        let on_report = move |backend, down| engine_handle.post(Event::HealthReport { backend, down });
+        let scout = Scout::start(group, &settings.zone, on_report);
+        engine.set_health_observer(Box::new(move |backend, zone, down| {
+            scout.report_health(backend, zone, down)
+        }));
     }
     if let Some(operators) = operators {
         if let Ok(address) = operators.local_addr() {
             eprintln!("fennelscale {}: console at {address}", config.name);
         }
         let detached = Detached::new(&config.name, engine.clone(), backends.clone());
-        let (front, engine, backends) = (front.clone(), engine.clone(), backends.clone());
-        let (figures, detached_ones) = (figures.clone(), detached.clone());
-        let console = Console { front, engine, figures, detached: detached_ones, group: group.clone() };
-        let (front, engine) = (console.front.clone(), console.engine.clone());
+        let (frontend, engine, backends) = (frontend.clone(), engine.clone(), backends.clone());
+        let (metrics, console_detached) = (metrics.clone(), detached.clone());
+        let console = Console { frontend, engine, metrics, detached: console_detached, group: group.clone() };
+        let (frontend, engine) = (console.frontend.clone(), console.engine.clone());
         spawn(Rc::new(console).serve(operators));
-        let parts = Parts { name: config.name.clone(), front, engine, backends, detached };
+        let parts = Parts { name: config.name.clone(), frontend, engine, backends, detached };
         if let Some(predecessor) = predecessor {
-            let (front, backends, sockets) = (parts.front.clone(), parts.backends.clone(), sockets);
-            let share = move |held| {
-                let (most_clients, most_open) = shares(sockets, held);
-                front.limit(most_clients);
-                backends.limit(most_open);
+            let (frontend, backends, max_descriptors) =
+                (parts.frontend.clone(), parts.backends.clone(), max_descriptors);
+            let on_shared = move |held| {
+                let (max_clients, max_connections) = connection_limits(max_descriptors, held);
+                frontend.set_max_clients(max_clients);
+                backends.set_max_connections(max_connections);
             };
-            if let Err(error) = predecessor.take_over(&parts, share).await {
+            if let Err(error) = predecessor.take_over(&parts, on_shared).await {
                 eprintln!("handover: nothing but the listener got: {error}");
             }
         }
         handover::await_successor(parts, Rc::downgrade(&listener));
     }
-    spawn(backends.clone().keep_tidy());
+    spawn(backends.clone().prune_idle_connections());
     let (discovery, at) = watch::channel(config.discovery);
-    let retry = discovery::retry(settings.gateways, seed);
-    spawn(discovery::watch(at, backends, engine.clone(), retry, figures.cost().clone()));
-    spawn(reload(hangup, discovery, engine, figures));
+    let backoff = discovery::backoff(settings.gateways, seed);
+    spawn(discovery::watch(at, backends, engine.clone(), backoff, metrics.usage().clone()));
+    spawn(reload_on_hangup(hangup, discovery, engine, metrics));
     if let Ok(address) = listener.local_addr() {
         eprintln!("fennelscale {}: listening at {address}", config.name);
     }
     let leaving = group.clone();
-    let end = async {
+    let shutdown = async {
         tokio::select! {
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
         if let Some(group) = leaving {
-            spawn(async move { group.drains().await });
+            spawn(async move { group.drain().await });
         }
     };
-    front.serve(listener, end).await;
+    frontend.serve(listener, shutdown).await;
     if let Some(group) = group {
         group.close().await;
     }
@@ -176,11 +181,11 @@
 }
 
 /// How many connections of clients and to backends a process may hold, beside another one that holds so many.
-fn shares(sockets: usize, held: usize) -> (usize, usize) {
-    let others = if held > 0 { OTHER_SOCKETS + held } else { 0 };
-    let left = sockets.saturating_sub(OTHER_SOCKETS + others).max(sockets / 4).max(2);
-    let most_clients = ((left as f64 * CLIENT_SHARE) as usize).max(1);
-    (most_clients, left.saturating_sub(most_clients).max(1))
+fn connection_limits(max_descriptors: usize, held: usize) -> (usize, usize) {
+    let others = if held > 0 { RESERVED_DESCRIPTORS + held } else { 0 };
+    let left = max_descriptors.saturating_sub(RESERVED_DESCRIPTORS + others).max(max_descriptors / 4).max(2);
+    let max_clients = ((left as f64 * CLIENT_DESCRIPTOR_RATIO) as usize).max(1);
+    (max_clients, left.saturating_sub(max_clients).max(1))
 }
 
 /// Listens; a shared address can be had by another process of this gateway too, should no handover come about.
@@ -189,23 +194,23 @@
     socket.set_reuseaddr(true)?;
     socket.set_reuseport(shared)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 /// At SIGHUP discovery and the counter move to where the replaced file says; all else goes on as it is, and so does
 /// everything if the file cannot be used.
-async fn reload(
-    mut hangup: Signal, discovery: watch::Sender<SocketAddr>, engine: Rc<Engine>, figures: Rc<Figures>,
+async fn reload_on_hangup(
+    mut hangup: Signal, discovery: watch::Sender<SocketAddr>, engine: Rc<Engine>, metrics: Rc<Metrics>,
 ) {
     while hangup.recv().await.is_some() {
-        match Config::reread() {
+        match Config::reload() {
             Ok(config) => {
-                figures.reloaded(true);
+                metrics.record_reload(true);
                 discovery.send_replace(config.discovery);
-                config.counter.into_iter().for_each(|address| engine.move_counter(address));
+                config.counter.into_iter().for_each(|address| engine.set_counter_address(address));
             }
             Err(error) => {
-                figures.reloaded(false);
+                metrics.record_reload(false);
                 eprintln!("fennelscale: not reloaded: {error}");
             }
         }
--- a/gateway/src/operators/console.rs
+++ b/gateway/src/operators/console.rs
@@ -2,11 +2,11 @@
 //! and callers are bounded, so that nobody who connects can hold it up.
 
 use crate::backends::pool::spawn;
-use crate::clients::front::Front;
+use crate::clients::frontend::Frontend;
 use crate::control::engine::Engine;
 use crate::group::Group;
-use crate::observe::cost::Use;
-use crate::observe::figures::Figures;
+use crate::observe::metrics::Metrics;
+use crate::observe::usage::ConnectionUse;
 use crate::state::detached::Detached;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -19,27 +19,27 @@
 use tokio::time::{sleep, timeout};
 
 /// The longest call.
-const LONGEST_LINE: usize = 256;
+const MAX_LINE_BYTES: usize = 256;
 /// A caller has this long for its call ...
-const PATIENCE: Duration = Duration::from_secs(10);
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// ... and for taking the reply.
-const REPLY: Duration = Duration::from_secs(2);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Callers at once: of more, the one that came first gives way.
-const MOST_CALLERS: usize = 8;
+const MAX_CALLERS: usize = 8;
 /// What came after the call is read for this long, up to so many bytes: closing on it unread would reset the
 /// connection, and the reply with it.
-const REST: (Duration, u64) = (Duration::from_millis(200), 64 * 1024);
+const DRAIN_LIMITS: (Duration, u64) = (Duration::from_millis(200), 64 * 1024);
 /// A failed accept is tried again after this.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// What the operators' calls act on.
 pub struct Console {
     /// The clients' side, which can send clients away.
-    pub front: Rc<Front>,
+    pub frontend: Rc<Frontend>,
     /// Where the decisions are asked.
     pub engine: Rc<Engine>,
     /// What `INFO` shows.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
     /// The backends that are out by hand.
     pub detached: Rc<Detached>,
     /// This gateway's part in a group, if it has one.
@@ -53,45 +53,46 @@
         let callers: Rc<RefCell<VecDeque<oneshot::Sender<()>>>> = Rc::default();
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            let (stay, mut gives_way) = oneshot::channel();
+            let (keep_open, mut evicted) = oneshot::channel();
             {
                 let mut callers = callers.borrow_mut();
                 callers.retain(|caller| !caller.is_closed());
-                if callers.len() >= MOST_CALLERS {
+                if callers.len() >= MAX_CALLERS {
                     callers.pop_front();
                 }
-                callers.push_back(stay);
+                callers.push_back(keep_open);
             }
-            let (console, held) = (self.clone(), self.figures.cost().holds(Use::Console));
+            let (console, open) =
+                (self.clone(), self.metrics.usage().connection_opened(ConnectionUse::Console));
             spawn(async move {
-                let _held = held;
+                let _open = open;
                 tokio::select! {
                     // Who breaks off has no reply coming.
-                    _ = console.hear(stream) => {}
-                    _ = &mut gives_way => {}
+                    _ = console.handle(stream) => {}
+                    _ = &mut evicted => {}
                 }
             });
         }
     }
 
-    async fn hear(&self, mut stream: TcpStream) -> io::Result<()> {
-        let reply = match timeout(PATIENCE, line(&mut stream)).await {
+    async fn handle(&self, mut stream: TcpStream) -> io::Result<()> {
+        let reply = match timeout(READ_TIMEOUT, read_line(&mut stream)).await {
             Ok(line) => match line? {
                 Ok(line) => self.answer(&line).await,
-                Err(fault) => format!("NO {fault}\n"),
+                Err(error) => format!("NO {error}\n"),
             },
             Err(_) => "NO call came in time\n".into(),
         };
-        timeout(REPLY, async {
+        timeout(WRITE_TIMEOUT, async {
             stream.write_all(reply.as_bytes()).await?;
             stream.shutdown().await
         })
         .await??;
-        let mut rest = stream.take(REST.1);
-        let _ = timeout(REST.0, tokio::io::copy(&mut rest, &mut tokio::io::sink())).await;
+        let mut rest = stream.take(DRAIN_LIMITS.1);
+        let _ = timeout(DRAIN_LIMITS.0, tokio::io::copy(&mut rest, &mut tokio::io::sink())).await;
         Ok(())
     }
 
@@ -106,18 +107,18 @@
         }
         let mut words = line.split_ascii_whitespace();
         let reply = match (words.next(), words.next(), words.next()) {
-            (Some("PING"), None, _) if self.front.is_ready() => "YES ready to serve".into(),
+            (Some("PING"), None, _) if self.frontend.is_ready() => "YES ready to serve".into(),
             (Some("PING"), None, _) => "NO this process takes no clients, yet or any more".into(),
             (Some("INFO"), None, _) => {
-                let group = self.group.as_ref().map(|group| group.figures());
-                format!("{}\nEND", self.figures.line(self.engine.pool(), group))
+                let group = self.group.as_ref().map(|group| group.status());
+                format!("{}\nEND", self.metrics.to_json_line(self.engine.pool(), group))
             }
             (Some("LAMEDUCK"), None, _) => {
-                self.front.set_lame_duck(true);
+                self.frontend.set_lame_duck(true);
                 "YES clients are sent away".into()
             }
             (Some("REJOIN"), None, _) => {
-                self.front.set_lame_duck(false);
+                self.frontend.set_lame_duck(false);
                 "YES clients are taken".into()
             }
             (Some(call @ ("DETACH" | "ATTACH")), Some(id), None) => self.set(id, call == "DETACH"),
@@ -133,9 +134,9 @@
         reply + "\n"
     }
 
-    fn set(&self, id: &str, out: bool) -> String {
-        let done = if out { "left out" } else { "in use" };
-        match self.detached.set(id, out) {
+    fn set(&self, id: &str, detach: bool) -> String {
+        let done = if detach { "left out" } else { "in use" };
+        match self.detached.set(id, detach) {
             Ok(true) => format!("YES {id} is {done}"),
             Ok(false) => "NO backend has this ID".into(),
             // It is done, and that is what was asked; a new version would not know of it.
@@ -145,8 +146,8 @@
 }
 
 /// Reads a call up to the end of its line, or up to the end of what the caller sends.
-async fn line(stream: &mut TcpStream) -> io::Result<Result<String, &'static str>> {
-    let (mut bytes, mut filled) = ([0; LONGEST_LINE], 0);
+async fn read_line(stream: &mut TcpStream) -> io::Result<Result<String, &'static str>> {
+    let (mut bytes, mut filled) = ([0; MAX_LINE_BYTES], 0);
     loop {
         let end = bytes[..filled].iter().position(|b| *b == b'\n');
         if end.is_none() && filled == bytes.len() {
--- a/gateway/src/state/detached.rs
+++ b/gateway/src/state/detached.rs
@@ -12,10 +12,10 @@
 use std::rc::Rc;
 
 /// A file longer than this was not written here.
-const LONGEST: u64 = 1 << 20;
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// Where the processes of one gateway find what they share.
-pub fn place(gateway: &str, what: &str) -> PathBuf {
+pub fn shared_path(gateway: &str, what: &str) -> PathBuf {
     let safe = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
     let name: String = gateway.chars().take(40).map(safe).collect();
     std::env::temp_dir().join(format!("fennelscale-{name}.{what}"))
@@ -32,7 +32,7 @@
 impl Detached {
     /// Starts with those in the file that a process of this gateway left; one that cannot be read holds none.
     pub fn new(gateway: &str, engine: Rc<Engine>, backends: Rc<Backends>) -> Rc<Self> {
-        let path = place(gateway, "detached");
+        let path = shared_path(gateway, "detached");
         let this = Rc::new(Self { path, names: RefCell::default(), engine, backends });
         this.refresh();
         this
@@ -42,14 +42,14 @@
     ///
     /// # Errors
     /// When it is done but could not be written down.
-    pub fn set(&self, id: &str, out: bool) -> io::Result<bool> {
+    pub fn set(&self, id: &str, detach: bool) -> io::Result<bool> {
         self.refresh();
-        if !self.backends.has(id) && !self.names.borrow().contains(id) {
+        if !self.backends.contains(id) && !self.names.borrow().contains(id) {
             return Ok(false);
         }
         let mut names = self.names.borrow().clone();
-        if if out { names.insert(id.into()) } else { names.remove(id) } {
-            self.become_set(names);
+        if if detach { names.insert(id.into()) } else { names.remove(id) } {
+            self.apply(names);
             self.save()?;
         }
         Ok(true)
@@ -57,27 +57,27 @@
 
     /// Reads the file again: while two processes of this gateway run, either may be told.
     pub fn refresh(&self) {
-        let names = fs::metadata(&self.path).ok().filter(|m| m.len() <= LONGEST);
+        let names = fs::metadata(&self.path).ok().filter(|m| m.len() <= MAX_FILE_BYTES);
         let names = names.and_then(|_| fs::read(&self.path).ok());
         match names.map(|text| serde_json::from_slice::<Vec<String>>(&text)) {
-            Some(Ok(names)) => self.become_set(names.iter().map(|n| Name::from(n.as_str())).collect()),
+            Some(Ok(names)) => self.apply(names.iter().map(|n| Name::from(n.as_str())).collect()),
             Some(Err(error)) => eprintln!("detached: {} is damaged: {error}", self.path.display()),
             None => {}
         }
     }
 
     /// Tells the decisions once more: they have taken over from others that may have been told less.
-    pub fn tell_again(&self) {
+    pub fn resend(&self) {
         self.refresh();
         for backend in self.names.borrow().iter().cloned() {
             self.engine.post(Event::Detach { backend });
         }
     }
 
-    fn become_set(&self, names: BTreeSet<Name>) {
+    fn apply(&self, names: BTreeSet<Name>) {
         let old = self.names.replace(names.clone());
         for backend in names.difference(&old).cloned() {
-            self.backends.let_go(&backend);
+            self.backends.close_idle_to(&backend);
             self.engine.post(Event::Detach { backend });
         }
         for backend in old.difference(&names).cloned() {
@@ -87,9 +87,9 @@
 
     /// Replaces the file by one that is whole: whoever reads it finds the old names or the new ones.
     fn save(&self) -> io::Result<()> {
-        let fresh = self.path.with_extension("new");
+        let new_path = self.path.with_extension("new");
         let names: Vec<String> = self.names.borrow().iter().map(|name| name.to_string()).collect();
-        fs::write(&fresh, serde_json::to_vec(&names)?)?;
-        fs::rename(&fresh, &self.path)
+        fs::write(&new_path, serde_json::to_vec(&names)?)?;
+        fs::rename(&new_path, &self.path)
     }
 }
--- a/gateway/src/state/handover.rs
+++ b/gateway/src/state/handover.rs
@@ -4,10 +4,10 @@
 
 use crate::backends::list::List;
 use crate::backends::pool::{Backends, spawn};
-use crate::clients::front::Front;
+use crate::clients::frontend::Frontend;
 use crate::control::discovery;
 use crate::control::engine::Engine;
-use crate::state::detached::{Detached, place};
+use crate::state::detached::{Detached, shared_path};
 use doorcourse::HandoverState;
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
@@ -28,32 +28,34 @@
 use tokio::time::{sleep, timeout};
 
 /// The file name's end of the socket at which the process that serves is found.
-const SOCKET: &str = "handover";
+const SOCKET_NAME: &str = "handover";
 /// What the new process says when it could serve at once.
-const TAKE: &str = "take\n";
+const TAKE_OVER_MESSAGE: &str = "take\n";
 /// The other process answers within this; one that has been found and says nothing is given up.
-const PATIENCE: Duration = Duration::from_secs(1);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 /// The new process says that it takes over within this.
-const DECIDE: Duration = Duration::from_secs(10);
+const TAKE_OVER_TIMEOUT: Duration = Duration::from_secs(10);
 /// The new process waits this long for its counter, looking this often.
-const COUNTER: (Duration, Duration) = (Duration::from_millis(400), Duration::from_millis(5));
+const COUNTER_WAIT: (Duration, Duration) = (Duration::from_millis(400), Duration::from_millis(5));
 /// The longest estate that is read.
-const LONGEST: u64 = 32 << 20;
+const MAX_STATE_BYTES: u64 = 32 << 20;
 /// While both run, each looks this often for what operators told the other one.
-const REFRESH: Duration = Duration::from_millis(250);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 /// A failed accept is tried again after this.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// What one process leaves to the next.
 #[derive(Deserialize, Serialize)]
-struct Legacy {
-    estate: HandoverState,
+struct HandoverMessage {
+    #[serde(rename = "estate")]
+    state: HandoverState,
     /// The time as it was handed over, by the clock that the estate's times are of.
     now: Option<f64>,
     list: Value,
     lame_duck: bool,
     /// Connections of clients that are still there.
-    guests: usize,
+    #[serde(rename = "guests")]
+    clients: usize,
 }
 
 /// The parts of a process that a handover acts on.
@@ -61,7 +63,7 @@
     /// The gateway's name.
     pub name: String,
     /// The clients' side.
-    pub front: Rc<Front>,
+    pub frontend: Rc<Frontend>,
     /// Where the decisions are asked.
     pub engine: Rc<Engine>,
     /// The backends' side.
@@ -74,9 +76,10 @@
 pub struct Predecessor(UnixStream);
 
 /// Finds the process that serves already, and gets its listener.
-pub async fn meet(name: &str, listen: SocketAddr) -> Option<(Predecessor, TcpListener)> {
-    let stream = UnixStream::connect(place(name, SOCKET)).await.ok()?;
-    let received = within(PATIENCE, stream.async_io(Interest::READABLE, || receive(&stream))).await;
+pub async fn find_predecessor(name: &str, listen: SocketAddr) -> Option<(Predecessor, TcpListener)> {
+    let stream = UnixStream::connect(shared_path(name, SOCKET_NAME)).await.ok()?;
+    let received =
+        with_timeout(REPLY_TIMEOUT, stream.async_io(Interest::READABLE, || receive(&stream))).await;
     let listener = received.and_then(|fd| {
         let listener = std::net::TcpListener::from(fd);
         // A port of the system's choice cannot be compared.
@@ -101,35 +104,35 @@
     ///
     /// # Errors
     /// When the other process says nothing usable; its listener can be used all the same.
-    pub async fn take_over(self, parts: &Parts, share: impl Fn(usize) + 'static) -> io::Result<()> {
-        let counted = async {
-            while !parts.engine.has_counter() {
-                sleep(COUNTER.1).await;
+    pub async fn take_over(self, parts: &Parts, on_shared: impl Fn(usize) + 'static) -> io::Result<()> {
+        let counter_available = async {
+            while !parts.engine.counter_available() {
+                sleep(COUNTER_WAIT.1).await;
             }
         };
         // A counter that is down is no reason to keep an old version.
-        let _ = timeout(COUNTER.0, counted).await;
+        let _ = timeout(COUNTER_WAIT.0, counter_available).await;
         let mut stream = BufReader::new(self.0);
-        let legacy = within(PATIENCE, async {
-            stream.write_all(TAKE.as_bytes()).await?;
+        let message = with_timeout(REPLY_TIMEOUT, async {
+            stream.write_all(TAKE_OVER_MESSAGE.as_bytes()).await?;
             let mut text = Vec::new();
-            (&mut stream).take(LONGEST).read_until(b'\n', &mut text).await?;
-            Ok(serde_json::from_slice::<Legacy>(&text)?)
+            (&mut stream).take(MAX_STATE_BYTES).read_until(b'\n', &mut text).await?;
+            Ok(serde_json::from_slice::<HandoverMessage>(&text)?)
         });
-        let legacy = legacy.await;
+        let message = message.await;
         let detached = parts.detached.clone();
-        share(legacy.as_ref().map_or(0, |legacy| legacy.guests * 2));
+        on_shared(message.as_ref().map_or(0, |message| message.clients * 2));
         spawn(async move {
             // The other process ends what it has, says nothing more, and its end is the stream's.
-            alongside(&detached, async move { while stream.read_u8().await.is_ok() {} }).await;
-            share(0);
+            refresh_until(&detached, async move { while stream.read_u8().await.is_ok() {} }).await;
+            on_shared(0);
         });
-        let legacy = legacy?;
-        let list = List::from_value(&legacy.list).map_err(io::Error::other)?;
-        parts.front.set_lame_duck(legacy.lame_duck);
-        parts.engine.take_over(legacy.estate, legacy.now);
-        discovery::tell(list, &parts.backends, &parts.engine);
-        parts.detached.tell_again();
+        let message = message?;
+        let list = List::from_value(&message.list).map_err(io::Error::other)?;
+        parts.frontend.set_lame_duck(message.lame_duck);
+        parts.engine.take_over(message.state, message.now);
+        discovery::apply_list(list, &parts.backends, &parts.engine);
+        parts.detached.resend();
         Ok(())
     }
 }
@@ -137,7 +140,7 @@
 /// From now on a process that takes over finds this one, and is handed all. The listener stays the clients' side's
 /// to close.
 pub fn await_successor(parts: Parts, listener: Weak<TcpListener>) {
-    let path = place(&parts.name, SOCKET);
+    let path = shared_path(&parts.name, SOCKET_NAME);
     let _ = fs::remove_file(&path);
     let socket = match UnixListener::bind(&path) {
         Ok(socket) => socket,
@@ -149,14 +152,14 @@
 async fn serve(parts: Parts, socket: UnixListener, listener: Weak<TcpListener>) {
     loop {
         let Ok((stream, _)) = socket.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         match hand_over(&parts, stream, &listener).await {
             Ok(stream) => {
                 drop(socket);
                 // Held open to this process's end, which the other one sees by it.
-                return alongside(&parts.detached, async move {
+                return refresh_until(&parts.detached, async move {
                     let _stream = stream;
                     std::future::pending().await
                 })
@@ -175,32 +178,35 @@
     stream.async_io(Interest::WRITABLE, || send(&stream, &listener)).await?;
     drop(listener);
     let mut stream = BufReader::new(stream);
-    let mut said = String::new();
-    within(DECIDE, async { (&mut stream).take(TAKE.len() as u64).read_line(&mut said).await }).await?;
-    if said != TAKE || !parts.front.is_ready() {
-        return Err(io::Error::other(format!("it said {said:?}")));
+    let mut reply = String::new();
+    with_timeout(TAKE_OVER_TIMEOUT, async {
+        (&mut stream).take(TAKE_OVER_MESSAGE.len() as u64).read_line(&mut reply).await
+    })
+    .await?;
+    if reply != TAKE_OVER_MESSAGE || !parts.frontend.is_ready() {
+        return Err(io::Error::other(format!("it said {reply:?}")));
     }
-    let lame_duck = parts.front.is_lame_duck();
-    let guests = parts.front.hand_over();
+    let lame_duck = parts.frontend.is_lame_duck();
+    let clients = parts.frontend.hand_over();
     parts.backends.close_idle();
     let list = List { seq: parts.backends.seq(), whole: true, hosts: parts.backends.hosts() }.to_value();
-    let (estate, now) = parts.engine.hand_over();
-    let legacy = Legacy { estate, now: Some(now), list, lame_duck, guests };
-    let mut text = serde_json::to_vec(&legacy)?;
+    let (state, now) = parts.engine.hand_over();
+    let message = HandoverMessage { state, now: Some(now), list, lame_duck, clients };
+    let mut text = serde_json::to_vec(&message)?;
     text.push(b'\n');
     // From here on there is no way back: what the estate holds may be in use already.
-    if let Err(error) = within(PATIENCE, stream.write_all(&text)).await {
+    if let Err(error) = with_timeout(REPLY_TIMEOUT, stream.write_all(&text)).await {
         eprintln!("handover: the other process did not take all: {error}");
     }
     Ok(stream.into_inner())
 }
 
 /// Keeps up with what operators tell the other process, until `end` resolves.
-async fn alongside(detached: &Detached, end: impl Future<Output = ()>) {
+async fn refresh_until(detached: &Detached, end: impl Future<Output = ()>) {
     let refreshing = async {
         loop {
             detached.refresh();
-            sleep(REFRESH).await;
+            sleep(REFRESH_INTERVAL).await;
         }
     };
     tokio::select! {
@@ -209,8 +215,8 @@
     }
 }
 
-async fn within<T>(span: Duration, wanted: impl Future<Output = io::Result<T>>) -> io::Result<T> {
-    timeout(span, wanted).await?
+async fn with_timeout<T>(duration: Duration, future: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+    timeout(duration, future).await?
 }
 
 fn send(stream: &UnixStream, listener: &TcpListener) -> io::Result<()> {
--- a/gateway/tests/backends.rs
+++ b/gateway/tests/backends.rs
@@ -2,9 +2,9 @@
 
 mod helper;
 
-use fennelscale::observe::cost::Use;
-use fennelscale::wire::body::Outgoing;
-use fennelscale::wire::link::{Link, Progress};
+use fennelscale::observe::usage::ConnectionUse;
+use fennelscale::wire::body::OutgoingBody;
+use fennelscale::wire::connection::{Connection, WriteProgress};
 use helper::{Backend, Do, Gateway, Mood, Setup, World, list, ok, pause, request, row};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -169,13 +169,15 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
     // Larger than any socket buffer, to a peer that reads little of it and closes: not written whole.
-    for (size, heard, progress) in [(64 << 20, 10, Progress::Partly), (10, 40, Progress::Whole)] {
-        let mut link = Link::connect(at, Duration::from_secs(60), &Rc::default(), Use::Backend)
-            .await
-            .expect("a connection");
+    for (size, heard, progress) in [(64 << 20, 10, WriteProgress::Partly), (10, 40, WriteProgress::Whole)] {
+        let mut link =
+            Connection::connect(at, Duration::from_secs(60), &Rc::default(), ConnectionUse::Backend)
+                .await
+                .expect("a connection");
         let (mut peer, _) = listener.accept().await.expect("a connection");
-        let request =
-            hyper::Request::post("/x").body(Outgoing::new(vec![b'x'; size].into(), None)).expect("a request");
+        let request = hyper::Request::post("/x")
+            .body(OutgoingBody::new(vec![b'x'; size].into(), None))
+            .expect("a request");
         let close = async move {
             let mut bytes = vec![0; heard];
             peer.read_exact(&mut bytes).await.expect("bytes");
@@ -183,7 +185,7 @@
         };
         let (end, ()) = tokio::join!(link.exchange(request, 100), close);
         assert_eq!(end.expect_err("a broken connection"), progress);
-        assert!(!link.stands());
+        assert!(!link.is_open());
     }
 }
 
--- a/gateway/tests/counter.rs
+++ b/gateway/tests/counter.rs
@@ -4,7 +4,7 @@
 
 use doorcourse::CountOutcome;
 use helper::{Backend, Counter, Discovery, Do, Gateway, Mood, Setup, World, ok, pause, request, row, soon};
-use http_proxy::engine::Count as _;
+use http_proxy::engine::Counter as _;
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -97,10 +97,10 @@
 /// The gateway's own side of the counter, and all that it tells.
 fn lanes(
     at: std::net::SocketAddr, patience: Duration,
-) -> (fennelscale::control::counter::Counter, mpsc::UnboundedReceiver<(u64, CountOutcome)>) {
+) -> (fennelscale::control::counter::CounterClient, mpsc::UnboundedReceiver<(u64, CountOutcome)>) {
     let (tell, told) = mpsc::unbounded_channel();
     let report = move |name, outcome, _| tell.send((name, outcome)).expect("a listener");
-    (fennelscale::control::counter::Counter::start(at, patience, Rc::new(report), Rc::default()), told)
+    (fennelscale::control::counter::CounterClient::start(at, patience, Rc::new(report), Rc::default()), told)
 }
 
 /// The counter's end of all lanes.
@@ -112,7 +112,7 @@
 impl Peer {
     async fn accept(listener: &TcpListener) -> Self {
         let mut streams = Vec::new();
-        for _ in 0..fennelscale::control::counter::LANES {
+        for _ in 0..fennelscale::control::counter::CONNECTIONS {
             streams.push(soon("a lane", listener.accept()).await.expect("a connection").0);
         }
         let texts = vec![Vec::new(); streams.len()];
@@ -142,7 +142,8 @@
 /// Makes a call that gets no answer. A lane may not have noticed yet that it is up: such a call is told as not
 /// added, and made again.
 async fn call_in_vain(
-    counter: &fennelscale::control::counter::Counter, told: &mut mpsc::UnboundedReceiver<(u64, CountOutcome)>,
+    counter: &fennelscale::control::counter::CounterClient,
+    told: &mut mpsc::UnboundedReceiver<(u64, CountOutcome)>,
 ) {
     loop {
         counter.add(7, 5.0, 1000.0);
--- a/gateway/tests/retry.rs
+++ b/gateway/tests/retry.rs
@@ -1,6 +1,6 @@
 //! How often a fleet comes back to a discovery that turns it away.
 
-use fennelscale::control::discovery::retry;
+use fennelscale::control::discovery::backoff;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 fn tries(gateways: u32) -> Vec<Duration> {
     let mut moments = Vec::new();
     for number in 0..u64::from(gateways) {
-        let mut retry = retry(gateways, 0x8c1f_30d2_7a5b_e964 ^ (number << 20));
-        let mut at = retry.pause();
+        let mut backoff = backoff(gateways, 0x8c1f_30d2_7a5b_e964 ^ (number << 20));
+        let mut at = backoff.next_delay();
         while at < Duration::from_secs(10) {
             moments.push(at);
-            at += retry.pause();
+            at += backoff.next_delay();
         }
     }
     moments
@@ -35,10 +35,10 @@
 
 #[test]
 fn after_a_list_the_next_fault_is_a_first_one() {
-    let mut retry = retry(100, 7);
+    let mut backoff = backoff(100, 7);
     (0..20).for_each(|_| {
-        retry.pause();
+        backoff.next_delay();
     });
-    retry.reset();
-    assert!(retry.pause() <= Duration::from_millis(3300));
+    backoff.reset();
+    assert!(backoff.next_delay() <= Duration::from_millis(3300));
 }
--- a/http-proxy/src/engine.rs
+++ b/http-proxy/src/engine.rs
@@ -1,10 +1,10 @@
 //! The one place where the decisions are asked: events go in, actions come out and are carried out. It owns
 //! the tables of requests that have no final answer yet and of attempts that are out.
 
-use crate::observe::figures::{Figures, Stage};
-use crate::pool::{Answer, Backends, CallOff, Dialect, End, Message, spawn};
-use crate::time::clock::{Clock, millis, span};
-use crate::wire::link::{Carriers, Trace};
+use crate::observe::metrics::{Metrics, Stage};
+use crate::pool::{Answer, AttemptResult, Backends, CancelReason, ForwardedRequest, Protocol, spawn};
+use crate::time::clock::{Clock, millis, to_duration};
+use crate::wire::connection::{AttemptTrace, UsedConnections};
 use doorcourse::{
     Action, Arrival, AttemptEnd, Class, CountOutcome, Event, Gateway, HandoverState, Millis, Name, Outcome,
     Pool, RequestId, Settings, SettingsError,
@@ -25,7 +25,7 @@
     /// Harmless to try again, best after this time.
     Refused {
         /// That time.
-        wait: Millis,
+        retry_after: Millis,
         /// Whether an attempt may have run.
         may_have_run: bool,
     },
@@ -34,83 +34,83 @@
 }
 
 /// What is told of each call of the counter: its name, how it ended, how long it took. Once, but for a late answer.
-pub type Report = dyn Fn(u64, CountOutcome, Millis);
+pub type CounterCallback = dyn Fn(u64, CountOutcome, Millis);
 
 /// A shared counter.
-pub trait Count {
+pub trait Counter {
     /// Adds an amount to a name that is kept for so many ms; the end is reported later.
-    fn add(&self, name: u64, amount: f64, keep: Millis);
+    fn add(&self, name: u64, amount: f64, ttl: Millis);
     /// Whether it can be called.
-    fn is_up(&self) -> bool;
+    fn is_available(&self) -> bool;
     /// It is found at another address from now on.
-    fn move_to(&self, address: SocketAddr);
+    fn set_address(&self, address: SocketAddr);
 }
 
 /// A request without a final answer.
-struct Open<D: Dialect> {
-    message: Message<D::Ask>,
+struct PendingRequest<P: Protocol> {
+    forwarded: ForwardedRequest<P::RequestHead>,
     class: Name,
     /// When it came, or its last attempt ended: it waits since.
-    since: Instant,
+    waiting_since: Instant,
     reply: oneshot::Sender<Reply>,
     attempts: u32,
     /// To how many backends it has gone, and may go at most.
-    reached: u32,
-    most_reached: u32,
+    backends_reached: u32,
+    max_backends: u32,
     timed_out: bool,
     may_have_run: bool,
     /// What a backend said to it that did not serve it.
-    said: Option<Answer>,
-    carriers: Rc<Carriers>,
+    backend_answer: Option<Answer>,
+    used_connections: Rc<UsedConnections>,
 }
 
 /// An attempt without an end.
-struct Out {
-    number: u32,
-    call_off: Option<oneshot::Sender<CallOff>>,
+struct InFlightAttempt {
+    attempt: u32,
+    cancel: Option<oneshot::Sender<CancelReason>>,
 }
 
-impl<D: Dialect> Open<D> {
+impl<P: Protocol> PendingRequest<P> {
     /// What a backend said goes before any word of our own.
-    fn or_said(&mut self, reply: Reply) -> Reply {
-        self.said.take().map_or(reply, Reply::Served)
+    fn or_backend_answer(&mut self, reply: Reply) -> Reply {
+        self.backend_answer.take().map_or(reply, Reply::Served)
     }
 }
 
-struct State<D: Dialect> {
+struct State<P: Protocol> {
     gateway: Gateway,
-    open: HashMap<RequestId, Open<D>>,
-    out: HashMap<RequestId, Out>,
-    last: RequestId,
+    pending: HashMap<RequestId, PendingRequest<P>>,
+    in_flight: HashMap<RequestId, InFlightAttempt>,
+    last_id: RequestId,
 }
 
 /// Runs the decisions.
-pub struct Engine<D: Dialect> {
+pub struct Engine<P: Protocol> {
     clock: Cell<Clock>,
-    backends: Rc<Backends<D>>,
-    counter: Option<Box<dyn Count>>,
-    figures: Rc<Figures>,
-    state: RefCell<State<D>>,
+    backends: Rc<Backends<P>>,
+    counter: Option<Box<dyn Counter>>,
+    metrics: Rc<Metrics>,
+    state: RefCell<State<P>>,
     events: RefCell<VecDeque<Event>>,
     running: Cell<bool>,
-    judged: OnceCell<Judged>,
+    health_observer: OnceCell<HealthObserver>,
     me: Weak<Self>,
 }
 
 /// Who hears what the decisions find out of a backend: its name, its zone, whether it gives no sign.
-pub type Judged = Box<dyn Fn(Name, &str, bool)>;
+pub type HealthObserver = Box<dyn Fn(Name, &str, bool)>;
 
-impl<D: Dialect> Engine<D> {
+impl<P: Protocol> Engine<P> {
     /// An engine with nothing to do yet.
     ///
     /// # Errors
     /// When the settings cannot be used.
     pub fn start(
-        settings: Settings, seed: u64, backends: Rc<Backends<D>>,
-        counter: impl FnOnce(Rc<Report>) -> Option<Box<dyn Count>>, figures: Rc<Figures>,
+        settings: Settings, seed: u64, backends: Rc<Backends<P>>,
+        counter: impl FnOnce(Rc<CounterCallback>) -> Option<Box<dyn Counter>>, metrics: Rc<Metrics>,
     ) -> Result<Rc<Self>, SettingsError> {
         let gateway = Gateway::new(settings, seed)?;
-        let state = State { gateway, open: HashMap::new(), out: HashMap::new(), last: 0 };
+        let state = State { gateway, pending: HashMap::new(), in_flight: HashMap::new(), last_id: 0 };
         Ok(Rc::new_cyclic(|me: &Weak<Self>| {
             let to = me.clone();
             let report = move |name, outcome, latency| {
@@ -120,21 +120,21 @@
             };
             let counter = counter(Rc::new(report));
             Self {
-                clock: Cell::new(Clock::anchored()),
+                clock: Cell::new(Clock::from_system_clock()),
                 backends,
                 counter,
-                figures,
+                metrics,
                 state: RefCell::new(state),
                 events: RefCell::default(),
                 running: Cell::new(false),
-                judged: OnceCell::new(),
+                health_observer: OnceCell::new(),
                 me: me.clone(),
             }
         }))
     }
 
     /// The time of a moment, on the clock of the decisions.
-    pub fn at(&self, moment: Instant) -> Millis {
+    pub fn timestamp(&self, moment: Instant) -> Millis {
         self.clock.get().at(moment)
     }
 
@@ -144,59 +144,60 @@
     }
 
     /// Backends that are gone are remembered no more.
-    pub fn forget_gone(&self) {
+    pub fn remove_gone_backends(&self) {
         self.state.borrow_mut().gateway.remove_gone_backends();
     }
 
     /// There are so many gateways from now on, of which this one has that number.
-    pub fn resize(&self, gateways: u32, number: u32) {
-        self.state.borrow_mut().gateway.resize(gateways, number);
+    pub fn resize(&self, gateways: u32, index: u32) {
+        self.state.borrow_mut().gateway.resize(gateways, index);
     }
 
     /// A backend works on so many requests at once.
-    pub fn works_on(&self, backend: &Name, slots: u32) {
+    pub fn set_backend_slots(&self, backend: &Name, slots: u32) {
         self.state.borrow_mut().gateway.set_backend_slots(backend, slots);
     }
 
     /// How late the event loop runs.
-    pub fn lateness(&self) -> Duration {
-        self.figures.lateness().now()
+    pub fn event_loop_lag(&self) -> Duration {
+        self.metrics.event_loop_lag().current()
     }
 
     /// Somebody else hears from now on what the decisions find out of backends; the first one who asks.
-    pub fn tell_judged(&self, to: Judged) {
-        let _ = self.judged.set(to);
+    pub fn set_health_observer(&self, observer: HealthObserver) {
+        let _ = self.health_observer.set(observer);
     }
 
     /// The process ends at this moment at the latest.
-    pub fn ending(&self, by: Instant) {
-        self.post(Event::ShuttingDown { deadline: self.at(by) });
+    pub fn announce_shutdown(&self, deadline: Instant) {
+        self.post(Event::ShuttingDown { deadline: self.timestamp(deadline) });
     }
 
     /// Takes in a request that may go to so many backends at most; the reply comes once, unless the client leaves first.
-    pub fn open(
-        &self, arrival: impl FnOnce(RequestId) -> Arrival, message: Message<D::Ask>, most_reached: u32,
+    pub fn submit(
+        &self, arrival: impl FnOnce(RequestId) -> Arrival, forwarded: ForwardedRequest<P::RequestHead>,
+        max_backends: u32,
     ) -> (RequestId, oneshot::Receiver<Reply>) {
         let (reply, receiver) = oneshot::channel();
         let arrival = {
             let mut state = self.state.borrow_mut();
-            state.last += 1;
-            let arrival = arrival(state.last);
-            let (class, since) = (arrival.class.clone(), Instant::now());
-            let open = Open {
-                message,
+            state.last_id += 1;
+            let arrival = arrival(state.last_id);
+            let (class, waiting_since) = (arrival.class.clone(), Instant::now());
+            let pending = PendingRequest {
+                forwarded,
                 class,
-                since,
+                waiting_since,
                 reply,
                 attempts: 0,
-                reached: 0,
-                most_reached,
+                backends_reached: 0,
+                max_backends,
                 timed_out: false,
                 may_have_run: false,
-                said: None,
-                carriers: Rc::default(),
+                backend_answer: None,
+                used_connections: Rc::default(),
             };
-            state.open.insert(arrival.id, open);
+            state.pending.insert(arrival.id, pending);
             arrival
         };
         let id = arrival.id;
@@ -208,10 +209,10 @@
     pub fn client_left(&self, id: RequestId) {
         let left = {
             let mut state = self.state.borrow_mut();
-            if let Some(call_off) = state.out.get_mut(&id).and_then(|out| out.call_off.take()) {
-                let _ = call_off.send(CallOff::Left);
+            if let Some(cancel) = state.in_flight.get_mut(&id).and_then(|in_flight| in_flight.cancel.take()) {
+                let _ = cancel.send(CancelReason::ClientLeft);
             }
-            state.open.remove(&id).is_some()
+            state.pending.remove(&id).is_some()
         };
         if left {
             self.post(Event::ClientLeft { id });
@@ -219,9 +220,9 @@
     }
 
     /// The counter is found at another address from now on.
-    pub fn move_counter(&self, address: SocketAddr) {
+    pub fn set_counter_address(&self, address: SocketAddr) {
         if let Some(counter) = &self.counter {
-            counter.move_to(address);
+            counter.set_address(address);
         }
     }
 
@@ -231,22 +232,24 @@
     }
 
     /// Goes on where another process stopped, whose clock showed this time just now. Older versions do not tell.
-    pub fn take_over(&self, estate: HandoverState, told: Option<Millis>) {
+    pub fn take_over(&self, handover: HandoverState, clock_time: Option<Millis>) {
         let clock = self.clock.get();
-        if let Some((told, following)) = told.and_then(|told| Some((told, clock.following(told)?))) {
-            let step = clock.now() - told;
+        if let Some((clock_time, aligned)) =
+            clock_time.and_then(|clock_time| Some((clock_time, clock.aligned_with(clock_time)?)))
+        {
+            let step = clock.now() - clock_time;
             let text = format_args!(
                 "handover: the system's clock was set by {step:.0} ms; the time handed over goes on"
             );
-            self.backends.dialect().log(None, text);
-            self.clock.set(following);
+            self.backends.protocol().log(None, text);
+            self.clock.set(aligned);
         }
-        self.state.borrow_mut().gateway.take_over(estate, self.clock.get().now());
+        self.state.borrow_mut().gateway.take_over(handover, self.clock.get().now());
     }
 
     /// Whether the counter can be called, if there is one.
-    pub fn has_counter(&self) -> bool {
-        self.counter.as_ref().is_none_or(|counter| counter.is_up())
+    pub fn counter_available(&self) -> bool {
+        self.counter.as_ref().is_none_or(|counter| counter.is_available())
     }
 
     /// What operators are shown of the backends.
@@ -255,13 +258,13 @@
     }
 
     /// How many requests wait for their final answer.
-    pub fn waiting(&self) -> usize {
-        self.state.borrow().open.len()
+    pub fn pending_requests(&self) -> usize {
+        self.state.borrow().pending.len()
     }
 
     /// Whether a request waits for its first attempt.
     pub fn is_unsent(&self, id: RequestId) -> bool {
-        self.state.borrow().open.get(&id).is_some_and(|open| open.attempts == 0)
+        self.state.borrow().pending.get(&id).is_some_and(|pending| pending.attempts == 0)
     }
 
     /// Takes in an event. What it leads to may bring further events at once; these wait in line, so the
@@ -283,36 +286,39 @@
     fn perform(&self, action: Action) {
         match action {
             Action::Send { id, backend, timeout, quota_wait } => self.send(id, backend, timeout, quota_wait),
-            Action::Refuse { id, retry_after: wait } => {
-                self.finish(id, |open| {
-                    open.or_said(Reply::Refused { wait, may_have_run: open.may_have_run })
+            Action::Refuse { id, retry_after } => {
+                self.finish(id, |pending| {
+                    pending
+                        .or_backend_answer(Reply::Refused { retry_after, may_have_run: pending.may_have_run })
                 });
             }
-            Action::Fail { id } => self.finish(id, |open| open.or_said(Reply::Failed(open.timed_out))),
+            Action::Fail { id } => {
+                self.finish(id, |pending| pending.or_backend_answer(Reply::Failed(pending.timed_out)))
+            }
             Action::CallOff { id, attempt } => {
                 let mut state = self.state.borrow_mut();
-                let out = state.out.get_mut(&id).filter(|out| out.number == attempt);
-                if let Some(call_off) = out.and_then(|out| out.call_off.take()) {
-                    let _ = call_off.send(CallOff::Stalled);
+                let in_flight = state.in_flight.get_mut(&id).filter(|in_flight| in_flight.attempt == attempt);
+                if let Some(cancel) = in_flight.and_then(|in_flight| in_flight.cancel.take()) {
+                    let _ = cancel.send(CancelReason::Stalled);
                 }
             }
             Action::SetTimer { after, token } => {
-                let (due, me) = (Instant::now() + span(after), self.me.clone());
-                self.figures.lateness().expects(due);
+                let (due, me) = (Instant::now() + to_duration(after), self.me.clone());
+                self.metrics.event_loop_lag().timer_set(due);
                 spawn(async move {
                     tokio::time::sleep_until(due).await;
                     if let Some(engine) = me.upgrade() {
-                        engine.figures.lateness().met(due);
+                        engine.metrics.event_loop_lag().timer_fired(due);
                         engine.post(Event::Timer { token });
                     }
                 });
             }
             Action::Probe { backend } => {
-                let (backends, me, begun) = (self.backends.clone(), self.me.clone(), Instant::now());
+                let (backends, me, started) = (self.backends.clone(), self.me.clone(), Instant::now());
                 spawn(async move {
-                    let End { outcome, load, .. } = backends.probe(&backend).await;
+                    let AttemptResult { outcome, load, .. } = backends.probe(&backend).await;
                     if let Some(engine) = me.upgrade() {
-                        let latency = millis(begun.elapsed());
+                        let latency = millis(started.elapsed());
                         engine.post(Event::ProbeEnded { backend, outcome, latency, load });
                     }
                 });
@@ -326,33 +332,33 @@
                 }),
             },
             Action::HealthObserved { backend, zone, down } => {
-                if let Some(judged) = self.judged.get() {
-                    judged(backend, &zone, down);
+                if let Some(health_observer) = self.health_observer.get() {
+                    health_observer(backend, &zone, down);
                 }
             }
-            Action::Log(text) => self.backends.dialect().log(None, format_args!("{text}")),
+            Action::Log(text) => self.backends.protocol().log(None, format_args!("{text}")),
             // No peers to tell here, and the list is watched all the time.
             Action::Broadcast { .. } | Action::WatchBackends => {}
         }
     }
 
     /// The final answer. Whoever takes the request out of the table owns its reply: there is no other.
-    fn finish(&self, id: RequestId, reply: impl FnOnce(&mut Open<D>) -> Reply) {
-        let Some(mut open) = self.state.borrow_mut().open.remove(&id) else { return };
-        let reply = reply(&mut open);
-        if open.attempts == 0 {
-            self.figures.spent(&open.class, Stage::Unsent, open.since.elapsed());
+    fn finish(&self, id: RequestId, reply: impl FnOnce(&mut PendingRequest<P>) -> Reply) {
+        let Some(mut pending) = self.state.borrow_mut().pending.remove(&id) else { return };
+        let reply = reply(&mut pending);
+        if pending.attempts == 0 {
+            self.metrics.record_stage(&pending.class, Stage::Unsent, pending.waiting_since.elapsed());
         }
-        let _ = open.reply.send(reply);
+        let _ = pending.reply.send(reply);
     }
 
-    fn send(&self, id: RequestId, backend: Name, timeout: Millis, blocked: Millis) {
+    fn send(&self, id: RequestId, backend: Name, timeout: Millis, quota_wait: Millis) {
         let mut state = self.state.borrow_mut();
-        let State { open, out, .. } = &mut *state;
+        let State { pending, in_flight, .. } = &mut *state;
         // A request that is over, or still has an attempt out, is not sent; an end is owed all the same.
-        let free = open.get_mut(&id).filter(|_| !out.contains_key(&id));
+        let free = pending.get_mut(&id).filter(|_| !in_flight.contains_key(&id));
         let Some(request) = free else {
-            let finished = !open.contains_key(&id);
+            let finished = !pending.contains_key(&id);
             return self.post(Event::AttemptEnded(AttemptEnd {
                 id,
                 attempt: 0,
@@ -365,81 +371,95 @@
                 load: None,
             }));
         };
-        let (number, begun, limit) = (request.attempts, Instant::now(), span(timeout));
+        let (attempt, started, limit) = (request.attempts, Instant::now(), to_duration(timeout));
         request.attempts += 1;
-        let waited = begun.duration_since(request.since);
-        let blocked = if number == 0 { span(blocked).min(waited) } else { Duration::ZERO };
+        let wait = started.duration_since(request.waiting_since);
+        let quota_wait = if attempt == 0 { to_duration(quota_wait).min(wait) } else { Duration::ZERO };
         let class = request.class.clone();
-        if number == 0 {
-            self.figures.spent(&class, Stage::Block, blocked);
+        if attempt == 0 {
+            self.metrics.record_stage(&class, Stage::QuotaWait, quota_wait);
         }
-        self.figures.spent(&class, Stage::Room, waited - blocked);
-        let (call_off, called_off) = oneshot::channel();
-        out.insert(id, Out { number, call_off: Some(call_off) });
-        let (message, backends, me) = (request.message.clone(), self.backends.clone(), self.me.clone());
-        let (figures, carriers) = (Some(self.figures.clone()), request.carriers.clone());
-        let trace = Rc::new(Trace { figures, carriers, ..Trace::default() });
+        self.metrics.record_stage(&class, Stage::CapacityWait, wait - quota_wait);
+        let (cancel, cancelled) = oneshot::channel();
+        in_flight.insert(id, InFlightAttempt { attempt, cancel: Some(cancel) });
+        let (forwarded, backends, me) = (request.forwarded.clone(), self.backends.clone(), self.me.clone());
+        let (metrics, used_connections) = (Some(self.metrics.clone()), request.used_connections.clone());
+        let trace = Rc::new(AttemptTrace { metrics, used_connections, ..AttemptTrace::default() });
         spawn(async move {
             let (first_bytes, engine) = (Cell::new(None), me.clone());
             let begin = |answer| {
-                first_bytes.set(Some(begun.elapsed()));
+                first_bytes.set(Some(started.elapsed()));
                 if let Some(engine) = engine.upgrade() {
                     engine.finish(id, |_| Reply::Served(answer));
                     engine.post(Event::StreamStarted { id });
                 }
             };
-            let end = backends.attempt(&backend, &message, limit, &trace, called_off, begin).await;
-            backends.dialect().ended(&message.ask, &backend, end.outcome);
+            let end = backends.attempt(&backend, &forwarded, limit, &trace, cancelled, begin).await;
+            backends.protocol().on_attempt_ended(&forwarded.head, &backend, end.outcome);
             // A long answer is judged by its first bytes, a long body by what follows it.
-            let took = first_bytes.get().unwrap_or(message.waited(begun));
-            let spent = message.is_spent();
-            drop(message);
+            let latency = first_bytes.get().unwrap_or(forwarded.answer_time(started));
+            let body_consumed = forwarded.is_body_consumed();
+            drop(forwarded);
             if let Some(engine) = me.upgrade() {
-                engine.note(&class, &end, &trace, begun);
-                engine.ended(id, number, backend, end, millis(took), spent, trace.begun.get());
+                engine.record_stages(&class, &end, &trace, started);
+                engine.on_attempt_ended(
+                    id,
+                    attempt,
+                    backend,
+                    end,
+                    millis(latency),
+                    body_consumed,
+                    trace.write_started.get(),
+                );
             }
         });
     }
 
     /// Where an attempt's time went, and whether that was all of it or its share.
-    fn note(&self, class: &str, end: &End, trace: &Trace, begun: Instant) {
+    fn record_stages(&self, class: &str, end: &AttemptResult, trace: &AttemptTrace, started: Instant) {
         let connected = trace.connected.get();
-        self.figures.spent(class, Stage::Connect, connected.map_or(begun.elapsed(), |at| at - begun));
+        self.metrics.record_stage(
+            class,
+            Stage::Connect,
+            connected.map_or(started.elapsed(), |at| at - started),
+        );
         if let Some(at) = connected {
-            self.figures.spent(class, Stage::Backend, at.elapsed());
+            self.metrics.record_stage(class, Stage::Backend, at.elapsed());
         }
-        if end.cut {
-            self.figures.cut(class, end.outcome != Outcome::CalledOff);
+        if end.timed_out {
+            self.metrics.attempt_timed_out(class, end.outcome != Outcome::CalledOff);
         }
     }
 
     #[allow(clippy::too_many_arguments, reason = "the end of an attempt, from one place")]
-    fn ended(
-        &self, id: RequestId, attempt: u32, backend: Name, end: End, latency: Millis,
-        mut body_consumed: bool, reached: bool,
+    fn on_attempt_ended(
+        &self, id: RequestId, attempt: u32, backend: Name, end: AttemptResult, latency: Millis,
+        mut body_consumed: bool, write_started: bool,
     ) {
-        let End { outcome, answer, load, cut } = end;
-        self.state.borrow_mut().out.remove(&id);
-        let said = match answer {
+        let AttemptResult { outcome, answer, load, timed_out } = end;
+        self.state.borrow_mut().in_flight.remove(&id);
+        let backend_answer = match answer {
             Some(answer) if outcome == Outcome::Served => {
                 self.finish(id, |_| Reply::Served(answer));
                 None
             }
-            said => said,
+            backend_answer => backend_answer,
         };
         let finished = {
             let mut state = self.state.borrow_mut();
-            let open = state.open.get_mut(&id);
-            open.map(|open| {
-                (open.timed_out, open.since) = (cut, Instant::now());
-                open.reached += u32::from(reached);
-                // To the decisions it looks as if its body were gone.
-                body_consumed |= open.reached >= open.most_reached;
-                let harmless = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent);
-                open.may_have_run |= !harmless;
-                open.said = said.or(open.said.take());
-            })
-            .is_none()
+            let pending = state.pending.get_mut(&id);
+            pending
+                .map(|pending| {
+                    (pending.timed_out, pending.waiting_since) = (timed_out, Instant::now());
+                    pending.backends_reached += u32::from(write_started);
+                    // To the decisions it looks as if its body were gone.
+                    body_consumed |= pending.backends_reached >= pending.max_backends;
+                    let not_executed =
+                        matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent);
+                    pending.may_have_run |= !not_executed;
+                    pending.backend_answer = backend_answer.or(pending.backend_answer.take());
+                })
+                .is_none()
         };
         let true_units = None;
         self.post(Event::AttemptEnded(AttemptEnd {
@@ -458,19 +478,19 @@
 
 /// A request whose client waits. Dropped without an answer, as when the connection closes, it tells that the
 /// client has left; after an answer that finds nothing.
-pub struct Waiting<D: Dialect> {
-    engine: Rc<Engine<D>>,
+pub struct RequestGuard<P: Protocol> {
+    engine: Rc<Engine<P>>,
     id: RequestId,
 }
 
-impl<D: Dialect> Waiting<D> {
+impl<P: Protocol> RequestGuard<P> {
     /// The client of an open request.
-    pub fn new(engine: Rc<Engine<D>>, id: RequestId) -> Self {
+    pub fn new(engine: Rc<Engine<P>>, id: RequestId) -> Self {
         Self { engine, id }
     }
 }
 
-impl<D: Dialect> Drop for Waiting<D> {
+impl<P: Protocol> Drop for RequestGuard<P> {
     fn drop(&mut self) {
         self.engine.client_left(self.id);
     }
--- a/http-proxy/src/planted.rs
+++ b/http-proxy/src/fault_injection.rs
@@ -1,6 +1,6 @@
 //! Faults that tests plant to see that they are found. All off in service.
 
-use crate::wire::link::Link;
+use crate::wire::connection::Connection;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,46 +9,48 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
     /// An answer counts for whoever waits on its connection.
-    pub any_answer: bool,
+    pub accept_any_answer: bool,
     /// A request whose connection broke is sent again.
-    pub repeats_broken: bool,
+    pub resend_broken: bool,
     /// A request that had no answer in time counts as never sent.
-    pub silence_is_unsent: bool,
+    pub timeout_is_unsent: bool,
     /// The connection of a request that had no answer in time is used again.
-    pub keeps_given_up: bool,
+    pub reuse_timed_out: bool,
     /// A connection on which something came that was no answer is used again.
-    pub keeps_odd: bool,
+    pub reuse_unmatched: bool,
     /// Attempts of one request go over one connection.
-    pub any_carrier: bool,
+    pub share_connection: bool,
 }
 
 /// The faults, and what they need.
 #[derive(Default)]
-pub(crate) struct Planted {
+pub(crate) struct FaultInjector {
     pub(crate) faults: Cell<Faults>,
     /// Second holds on connections that carry requests, by the connections' numbers.
-    twins: RefCell<HashMap<u64, (Link, SocketAddr)>>,
+    duplicates: RefCell<HashMap<u64, (Connection, SocketAddr)>>,
 }
 
-impl Planted {
+impl FaultInjector {
     /// A request is about to be written to a connection.
-    pub(crate) async fn keep(&self, link: &Link, to: SocketAddr) {
-        if self.faults.get().keeps_given_up
-            && let Ok(twin) = link.twin().await
+    pub(crate) async fn keep_duplicate(&self, connection: &Connection, address: SocketAddr) {
+        if self.faults.get().reuse_timed_out
+            && let Ok(duplicate) = connection.duplicate().await
         {
-            self.twins.borrow_mut().insert(link.number(), (twin, to));
+            self.duplicates.borrow_mut().insert(connection.id(), (duplicate, address));
         }
     }
 
     /// The exchange on a connection is over.
-    pub(crate) fn forget(&self, number: u64) {
-        self.twins.borrow_mut().remove(&number);
+    pub(crate) fn drop_duplicate(&self, id: u64) {
+        self.duplicates.borrow_mut().remove(&id);
     }
 
     /// The exchange on a connection is given up.
-    pub(crate) fn give_back(&self, number: Option<u64>, back: impl FnOnce(Link, SocketAddr)) {
-        if let Some((link, to)) = number.and_then(|number| self.twins.borrow_mut().remove(&number)) {
-            back(link, to);
+    pub(crate) fn return_duplicate(
+        &self, id: Option<u64>, return_connection: impl FnOnce(Connection, SocketAddr),
+    ) {
+        if let Some((connection, address)) = id.and_then(|id| self.duplicates.borrow_mut().remove(&id)) {
+            return_connection(connection, address);
         }
     }
 }
--- a/http-proxy/src/lib.rs
+++ b/http-proxy/src/lib.rs
@@ -3,12 +3,12 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod clients;
 pub mod engine;
-pub mod guest;
+#[doc(hidden)]
+pub mod fault_injection;
 mod message;
 pub mod observe;
-#[doc(hidden)]
-pub mod planted;
 pub mod pool;
 pub mod time;
 pub mod wire;
--- a/http-proxy/src/observe/figures.rs
+++ b/http-proxy/src/observe/metrics.rs
@@ -1,8 +1,8 @@
 //! The figures that operators read: plain counters, all zero when the process starts, kept where requests and
 //! attempts end.
 
-use crate::observe::cost::Cost;
-use crate::time::budget::Lateness;
+use crate::observe::usage::ResourceUsage;
+use crate::time::budget::EventLoopLag;
 use crate::time::clock::millis;
 use doorcourse::{Name, Pool, Settings};
 use serde_json::{Map, Value, json};
@@ -12,7 +12,7 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestResult {
     /// With a backend's answer.
     Served,
     /// Harmless to try again.
@@ -27,9 +27,9 @@
     /// Its body comes in.
     Body,
     /// It waits for a block of its customer.
-    Block,
+    QuotaWait,
     /// It waits for a backend with room.
-    Room,
+    CapacityWait,
     /// It waits for either, and is never sent on.
     Unsent,
     /// A connection comes up.
@@ -37,92 +37,92 @@
     /// A backend has it.
     Backend,
     /// The answer goes out to the client.
-    PassOn,
+    WriteAnswer,
 }
 
 const STAGES: [(&str, Stage); 7] = [
     ("body", Stage::Body),
-    ("block", Stage::Block),
-    ("room", Stage::Room),
+    ("block", Stage::QuotaWait),
+    ("room", Stage::CapacityWait),
     ("unsent", Stage::Unsent),
     ("connect", Stage::Connect),
     ("backend", Stage::Backend),
-    ("pass_on", Stage::PassOn),
+    ("pass_on", Stage::WriteAnswer),
 ];
 
 #[derive(Default)]
-struct Row {
+struct ClassCounters {
     ok: Cell<u64>,
     shed: Cell<u64>,
     errors: Cell<u64>,
     /// For each stage how often it was gone through, and how long that took in all.
-    times: [Cell<(u64, Duration)>; STAGES.len()],
+    stage_times: [Cell<(u64, Duration)>; STAGES.len()],
     /// Attempts that ended because their share of the budget, or all of it, was used up.
-    cut: Cell<u64>,
-    used_up: Cell<u64>,
+    share_timeouts: Cell<u64>,
+    budget_timeouts: Cell<u64>,
 }
 
 /// What this process has done since its start.
-pub struct Figures {
-    classes: Vec<(Name, Row)>,
-    tries: Cell<u64>,
+pub struct Metrics {
+    classes: Vec<(Name, ClassCounters)>,
+    attempts: Cell<u64>,
     active: Cell<u64>,
     applied: Cell<u64>,
     rejected: Cell<u64>,
-    lateness: Rc<Lateness>,
-    cost: Rc<Cost>,
+    event_loop_lag: Rc<EventLoopLag>,
+    usage: Rc<ResourceUsage>,
 }
 
-impl Figures {
+impl Metrics {
     /// All zero.
     pub fn new(settings: &Settings) -> Rc<Self> {
         Rc::new(Self {
-            classes: settings.classes.iter().map(|c| (c.name.clone(), Row::default())).collect(),
-            tries: Cell::default(),
+            classes: settings.classes.iter().map(|c| (c.name.clone(), ClassCounters::default())).collect(),
+            attempts: Cell::default(),
             active: Cell::default(),
             applied: Cell::default(),
             rejected: Cell::default(),
-            lateness: Rc::default(),
-            cost: Rc::default(),
+            event_loop_lag: Rc::default(),
+            usage: Rc::default(),
         })
     }
 
     /// How late the event loop runs.
-    pub fn lateness(&self) -> &Rc<Lateness> {
-        &self.lateness
+    pub fn event_loop_lag(&self) -> &Rc<EventLoopLag> {
+        &self.event_loop_lag
     }
 
     /// What the process costs.
-    pub fn cost(&self) -> &Rc<Cost> {
-        &self.cost
+    pub fn usage(&self) -> &Rc<ResourceUsage> {
+        &self.usage
     }
 
     fn position(&self, class: &str) -> Option<usize> {
         self.classes.iter().position(|(name, _)| **name == *class)
     }
 
-    fn row(&self, class: &str) -> Option<&Row> {
+    fn counters(&self, class: &str) -> Option<&ClassCounters> {
         self.position(class).map(|at| &self.classes[at].1)
     }
 
     /// A request of a class has spent this much of its time in a stage.
-    pub fn spent(&self, class: &str, stage: Stage, time: Duration) {
-        if let Some(row) = self.row(class) {
-            row.times[stage as usize].update(|(times, sum)| (times + 1, sum + time));
+    pub fn record_stage(&self, class: &str, stage: Stage, time: Duration) {
+        if let Some(counters) = self.counters(class) {
+            counters.stage_times[stage as usize].update(|(times, sum)| (times + 1, sum + time));
         }
     }
 
     /// An attempt ended because its time was over: that of the whole request, or its share of it.
-    pub fn cut(&self, class: &str, whole: bool) {
-        if let Some(row) = self.row(class) {
-            if whole { &row.used_up } else { &row.cut }.update(|n| n + 1);
+    pub fn attempt_timed_out(&self, class: &str, all: bool) {
+        if let Some(counters) = self.counters(class) {
+            if all { &counters.budget_timeouts } else { &counters.share_timeouts }.update(|n| n + 1);
         }
     }
 
     /// A request is taken; it is active until what this gives back is dropped.
-    pub fn taken(self: &Rc<Self>, class: &str) -> Taken {
+    pub fn start_request(self: &Rc<Self>, class: &str) -> ActiveRequest {
         self.active.set(self.active.get() + 1);
-        Taken { figures: self.clone(), class: self.position(class) }
+        ActiveRequest { metrics: self.clone(), class: self.position(class) }
     }
 
     /// How many requests are taken and have not ended.
@@ -131,43 +131,43 @@
     }
 
     /// An attempt is written whole.
-    pub fn tried(&self) {
-        self.tries.set(self.tries.get() + 1);
+    pub fn attempt_written(&self) {
+        self.attempts.set(self.attempts.get() + 1);
     }
 
     /// The configuration was read again, and used or not.
-    pub fn reloaded(&self, used: bool) {
-        let count = if used { &self.applied } else { &self.rejected };
+    pub fn record_reload(&self, applied: bool) {
+        let count = if applied { &self.applied } else { &self.rejected };
         count.set(count.get() + 1);
     }
 
     /// All figures, as one line of JSON; those of the group where there is one.
-    pub fn line(&self, pool: Pool, group: Option<Value>) -> String {
-        let classes = |of: fn(&Row) -> Value| {
-            let pairs = self.classes.iter().map(|(name, row)| (name.to_string(), of(row)));
+    pub fn to_json_line(&self, pool: Pool, group: Option<Value>) -> String {
+        let classes = |of: fn(&ClassCounters) -> Value| {
+            let pairs = self.classes.iter().map(|(name, counters)| (name.to_string(), of(counters)));
             Value::Object(pairs.collect::<Map<_, _>>())
         };
-        let times = |row: &Row| {
+        let times = |counters: &ClassCounters| {
             let pairs = STAGES.iter().map(|(name, stage)| {
-                let (times, sum) = row.times[*stage as usize].get();
+                let (times, sum) = counters.stage_times[*stage as usize].get();
                 ((*name).to_owned(), json!([times, millis(sum).round()]))
             });
             Value::Object(pairs.collect::<Map<_, _>>())
         };
-        let (late, latest) = self.lateness.told();
+        let (late_timers, max_lag) = self.event_loop_lag.totals();
         let mut all = json!({
-            "ok": classes(|row| row.ok.get().into()),
-            "shed": classes(|row| row.shed.get().into()),
-            "errors": classes(|row| row.errors.get().into()),
+            "ok": classes(|counters| counters.ok.get().into()),
+            "shed": classes(|counters| counters.shed.get().into()),
+            "errors": classes(|counters| counters.errors.get().into()),
             "time_ms": classes(times),
-            "tries_cut": classes(|row| row.cut.get().into()),
-            "tries_used_up": classes(|row| row.used_up.get().into()),
+            "tries_cut": classes(|counters| counters.share_timeouts.get().into()),
+            "tries_used_up": classes(|counters| counters.budget_timeouts.get().into()),
             "too_late": pool.too_late,
             "retries_denied": pool.retries_denied,
-            "loop_late": late,
-            "loop_late_most_ms": millis(latest).round(),
-            "cost": self.cost.told(),
-            "tries": self.tries.get(),
+            "loop_late": late_timers,
+            "loop_late_most_ms": millis(max_lag).round(),
+            "cost": self.usage.to_json(),
+            "tries": self.attempts.get(),
             "active": self.active.get(),
             "pool_size": pool.size,
             "pool_ejected": pool.ejected,
@@ -182,26 +182,28 @@
 }
 
 /// A request that is taken and has not ended. Dropped without an end its client has left: that counts nowhere.
-pub struct Taken {
-    figures: Rc<Figures>,
+pub struct ActiveRequest {
+    metrics: Rc<Metrics>,
     class: Option<usize>,
 }
 
-impl Taken {
+impl ActiveRequest {
     /// It ended like this.
-    pub fn ended(self, ending: Ending) {
-        let Some((_, row)) = self.class.and_then(|class| self.figures.classes.get(class)) else { return };
-        let count = match ending {
-            Ending::Served => &row.ok,
-            Ending::Refused => &row.shed,
-            Ending::Failed => &row.errors,
+    pub fn finish(self, result: RequestResult) {
+        let Some((_, counters)) = self.class.and_then(|class| self.metrics.classes.get(class)) else {
+            return;
+        };
+        let count = match result {
+            RequestResult::Served => &counters.ok,
+            RequestResult::Refused => &counters.shed,
+            RequestResult::Failed => &counters.errors,
         };
         count.set(count.get() + 1);
     }
 }
 
-impl Drop for Taken {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.figures.active.set(self.figures.active.get() - 1);
+        self.metrics.active.set(self.metrics.active.get() - 1);
     }
 }
--- a/http-proxy/src/observe/mod.rs
+++ b/http-proxy/src/observe/mod.rs
@@ -1,4 +1,4 @@
 //! What is seen of a running gateway: figures and costs. Knows nothing of the other parts.
 
-pub mod cost;
-pub mod figures;
+pub mod metrics;
+pub mod usage;
--- a/http-proxy/src/observe/cost.rs
+++ b/http-proxy/src/observe/usage.rs
@@ -14,7 +14,7 @@
 
 /// What a connection is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
+pub enum ConnectionUse {
     /// A client's.
     Client,
     /// To a backend.
@@ -27,53 +27,53 @@
     Console,
 }
 
-const USES: [(&str, Use); 5] = [
-    ("clients", Use::Client),
-    ("backends", Use::Backend),
-    ("counter", Use::Counter),
-    ("discovery", Use::Discovery),
-    ("console", Use::Console),
+const CONNECTION_USES: [(&str, ConnectionUse); 5] = [
+    ("clients", ConnectionUse::Client),
+    ("backends", ConnectionUse::Backend),
+    ("counter", ConnectionUse::Counter),
+    ("discovery", ConnectionUse::Discovery),
+    ("console", ConnectionUse::Console),
 ];
 
 /// Counted since the process started.
 #[derive(Default)]
-pub struct Cost {
-    open: [Cell<u64>; USES.len()],
-    opened: [Cell<u64>; USES.len()],
+pub struct ResourceUsage {
+    open: [Cell<u64>; CONNECTION_USES.len()],
+    opened: [Cell<u64>; CONNECTION_USES.len()],
     reused: Cell<u64>,
     counter_calls: Cell<u64>,
     requests: Cell<u64>,
 }
 
 /// A connection that is open for as long as this lives.
-pub struct Held {
-    cost: Rc<Cost>,
-    of: Use,
+pub struct OpenConnection {
+    usage: Rc<ResourceUsage>,
+    purpose: ConnectionUse,
 }
 
-impl Held {
+impl OpenConnection {
     /// The same once more.
-    pub(crate) fn again(&self) -> Self {
-        self.cost.holds(self.of)
+    pub(crate) fn another(&self) -> Self {
+        self.usage.connection_opened(self.purpose)
     }
 }
 
-impl Drop for Held {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.cost.open[self.of as usize].update(|n| n - 1);
+        self.usage.open[self.purpose as usize].update(|n| n - 1);
     }
 }
 
-impl Cost {
+impl ResourceUsage {
     /// A connection has come up.
-    pub fn holds(self: &Rc<Self>, of: Use) -> Held {
-        self.open[of as usize].update(|n| n + 1);
-        self.opened[of as usize].update(|n| n + 1);
-        Held { cost: self.clone(), of }
+    pub fn connection_opened(self: &Rc<Self>, purpose: ConnectionUse) -> OpenConnection {
+        self.open[purpose as usize].update(|n| n + 1);
+        self.opened[purpose as usize].update(|n| n + 1);
+        OpenConnection { usage: self.clone(), purpose }
     }
 
     /// A free connection to a backend is used again.
-    pub fn reused(&self) {
+    pub fn connection_reused(&self) {
         self.reused.update(|n| n + 1);
     }
 
@@ -83,14 +83,17 @@
     }
 
     /// A request has come, whatever becomes of it.
-    pub fn asked(&self) {
+    pub fn request_received(&self) {
         self.requests.update(|n| n + 1);
     }
 
     /// All of it, with what the kernel says now.
-    pub fn told(&self) -> Value {
+    pub fn to_json(&self) -> Value {
         let by_use = |counts: &[Cell<u64>]| -> Map<String, Value> {
-            USES.iter().map(|(name, of)| ((*name).to_owned(), counts[*of as usize].get().into())).collect()
+            CONNECTION_USES
+                .iter()
+                .map(|(name, purpose)| ((*name).to_owned(), counts[*purpose as usize].get().into()))
+                .collect()
         };
         let kernel = Kernel::now();
         let mut descriptors = by_use(&self.open);
@@ -130,8 +133,8 @@
 
     fn parse(stat: &str, status: &str) -> Self {
         // The program's name stands in brackets and may hold anything; the times are the 12th and 13th word after it.
-        let words = stat.rsplit_once(')').map(|(_, rest)| rest);
-        let time = |at| words?.split_ascii_whitespace().nth(at)?.parse::<u64>().ok()?.checked_mul(TICK_MS);
+        let fields = stat.rsplit_once(')').map(|(_, rest)| rest);
+        let time = |at| fields?.split_ascii_whitespace().nth(at)?.parse::<u64>().ok()?.checked_mul(TICK_MS);
         let size = |key| {
             let line = status.lines().find_map(|line| line.strip_prefix(key))?;
             line.split_ascii_whitespace().next()?.parse().ok()
@@ -151,7 +154,7 @@
     use super::*;
 
     #[test]
-    fn the_kernel_s_accounts_are_read_whatever_the_program_is_called() {
+    fn kernel_figures_are_parsed_for_any_program_name() {
         let stat = "7 (a) R 9) S 1 7 7 0 -1 4194560 89 0 0 0 31 12 0 0 20 0 1 0 5 8192 700 1844";
         let status = "Name:\ta\nVmPeak:\t 9 kB\nVmHWM:\t 4321 kB\nVmRSS:\t 1234 kB\n";
         let expected = Kernel {
@@ -168,13 +171,14 @@
     }
 
     #[test]
-    fn what_is_held_is_counted_until_it_is_dropped() {
-        let cost = Rc::<Cost>::default();
-        let (one, two) = (cost.holds(Use::Client), cost.holds(Use::Client));
+    fn connections_are_counted_until_dropped() {
+        let usage = Rc::<ResourceUsage>::default();
+        let (one, two) =
+            (usage.connection_opened(ConnectionUse::Client), usage.connection_opened(ConnectionUse::Client));
         drop(one);
-        let told = cost.told();
-        assert_eq!((&told["descriptors"]["clients"], &told["opened"]["clients"]), (&json!(1), &json!(2)));
+        let value = usage.to_json();
+        assert_eq!((&value["descriptors"]["clients"], &value["opened"]["clients"]), (&json!(1), &json!(2)));
         drop(two);
-        assert_eq!(cost.told()["descriptors"]["clients"], 0);
+        assert_eq!(usage.to_json()["descriptors"]["clients"], 0);
     }
 }
--- a/http-proxy/src/time/clock.rs
+++ b/http-proxy/src/time/clock.rs
@@ -6,7 +6,7 @@
 
 /// Two processes of a gateway whose clocks differ by more than this many ms were started on either side of a step of
 /// the system's clock: well above what a handover takes.
-const STEP: Millis = 2000.0;
+const MIN_CLOCK_STEP: Millis = 2000.0;
 
 /// Unix time in milliseconds. Count names are made of window numbers, so all gateways must agree on it; it is
 /// read once from the system and then advanced by the steady clock, so that it never jumps or runs back.
@@ -18,7 +18,7 @@
 
 impl Clock {
     /// Anchors the clock to the system's time now.
-    pub fn anchored() -> Self {
+    pub fn from_system_clock() -> Self {
         // A system time before 1970 is no time at all: count from zero rather than fail.
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { unix, start: Instant::now() }
@@ -39,56 +39,56 @@
     /// The clock of another process of this gateway that told the time just now, if the system's clock was set in
     /// between: what is handed over stands in that time, and so do the windows that the other gateways count in.
     /// A small difference is the way from there to here.
-    pub fn following(self, told: Millis) -> Option<Self> {
-        let step = told - self.now();
+    pub fn aligned_with(self, reported: Millis) -> Option<Self> {
+        let step = reported - self.now();
         let unix = Duration::try_from_secs_f64(self.unix.as_secs_f64() + step / 1000.0).ok()?;
-        (step.abs() > STEP).then_some(Self { unix, ..self })
+        (step.abs() > MIN_CLOCK_STEP).then_some(Self { unix, ..self })
     }
 }
 
 /// A span of milliseconds as a duration; what is negative or no number is zero.
-pub fn span(millis: Millis) -> Duration {
+pub fn to_duration(millis: Millis) -> Duration {
     Duration::try_from_secs_f64(millis / 1000.0).unwrap_or_default()
 }
 
 /// A duration in milliseconds.
-pub fn millis(span: Duration) -> Millis {
-    span.as_secs_f64() * 1000.0
+pub fn millis(duration: Duration) -> Millis {
+    duration.as_secs_f64() * 1000.0
 }
 
 /// The pauses between tries of what fails for many at once: each is drawn from a span that doubles with every
 /// failure (full jitter). Without room to double it is the same pause each time.
 #[derive(Clone, Debug)]
-pub struct Retry {
+pub struct Backoff {
     first: Duration,
-    most: Duration,
-    next: Duration,
-    random: u64,
+    max: Duration,
+    range: Duration,
+    rng_state: u64,
 }
 
-impl Retry {
+impl Backoff {
     /// From the first pause up to the longest; the seed sets this process apart from the others.
-    pub fn new(first: Duration, most: Duration, seed: u64) -> Self {
-        Self { first, most, next: first, random: seed }
+    pub fn new(first: Duration, max: Duration, seed: u64) -> Self {
+        Self { first, max, range: first, rng_state: seed }
     }
 
     /// How long to wait before the next try.
-    pub fn pause(&mut self) -> Duration {
-        if self.most <= self.first {
+    pub fn next_delay(&mut self) -> Duration {
+        if self.max <= self.first {
             return self.first;
         }
         // Splitmix: seeds that hardly differ lead to draws that do.
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mixed = (self.random ^ (self.random >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        self.rng_state = self.rng_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed = (self.rng_state ^ (self.rng_state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        let share = ((mixed ^ (mixed >> 31)) >> 11) as f64 / (1u64 << 53) as f64;
-        let pause = self.next.mul_f64(share);
-        self.next = (self.next * 2).min(self.most);
-        pause
+        let fraction = ((mixed ^ (mixed >> 31)) >> 11) as f64 / (1u64 << 53) as f64;
+        let delay = self.range.mul_f64(fraction);
+        self.range = (self.range * 2).min(self.max);
+        delay
     }
 
     /// It went well: the next failure is a first one.
     pub fn reset(&mut self) {
-        self.next = self.first;
+        self.range = self.first;
     }
 }
