--- a/http-proxy/src/wire/body.rs
+++ b/http-proxy/src/wire/body.rs
@@ -1,7 +1,7 @@
 //! Bodies, both ways. What is short is held whole and can be sent again; what is long streams through bounded
 //! buffers: a reader that stalls stops the writer.
 
-use crate::time::clock::span;
+use crate::time::clock::to_duration;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -15,28 +15,28 @@
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
 /// A body of up to this many bytes is held whole.
-pub const HELD: usize = 64 * 1024;
+pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
 /// The largest body that is taken from a client.
-pub const LARGEST: u64 = 34 << 20;
+pub const MAX_REQUEST_BODY: u64 = 34 << 20;
 /// Frames of a long answer that wait for their reader.
-const FRAMES: usize = 2;
+const ANSWER_QUEUE_FRAMES: usize = 2;
 /// A client that is silent in the middle of a short body for this long, or of a long one, sends no proper request.
-const GAP: Duration = Duration::from_millis(2300);
-const LONG_GAP: Duration = Duration::from_secs(6);
+const SHORT_BODY_GAP_TIMEOUT: Duration = Duration::from_millis(2300);
+const LONG_BODY_GAP_TIMEOUT: Duration = Duration::from_secs(6);
 /// All the waiting for a client must stay within this much and what its bytes give at so many a second: half of
 /// what slow clients are allowed, as their bytes come in pieces.
-const SLACK: Duration = Duration::from_millis(2500);
-const SLOWEST: f64 = 32_000.0;
+const TOTAL_WAIT_BASE: Duration = Duration::from_millis(2500);
+const MIN_BYTES_PER_SECOND: f64 = 32_000.0;
 
 /// A backend may leave what is there of a long body for this long.
-const STALLED: Duration = Duration::from_secs(8);
+const UPLOAD_STALL_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Whether an attempt still draws on a body that is no longer wanted is looked after this often.
-const DRAIN: Duration = Duration::from_millis(10);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Why a body ended before its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum BodyError {
     /// Its sender broke it off.
     Broken,
     /// Its sender was silent or slow for too long.
@@ -45,7 +45,7 @@
     TooLarge,
 }
 
-impl fmt::Display for Cut {
+impl fmt::Display for BodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Broken => "the body broke off",
@@ -55,83 +55,93 @@
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for BodyError {}
 
 /// A client's body. Its time goes by progress: waiting counts, being read slowly does not.
 pub struct ClientBody {
     body: Incoming,
     timer: Pin<Box<Sleep>>,
     /// The first bytes come by this time.
-    first_by: Option<Instant>,
+    first_bytes_deadline: Option<Instant>,
     waiting_since: Option<Instant>,
-    waited: Duration,
+    total_wait: Duration,
     bytes: u64,
-    most: u64,
+    max_bytes: u64,
 }
 
 impl ClientBody {
     /// A body that has brought nothing yet.
-    pub fn new(body: Incoming, first_by: Instant) -> Self {
-        let timer = Box::pin(sleep_until(first_by));
+    pub fn new(body: Incoming, first_bytes_deadline: Instant) -> Self {
+        let timer = Box::pin(sleep_until(first_bytes_deadline));
         Self {
             body,
             timer,
-            first_by: Some(first_by),
+            first_bytes_deadline: Some(first_bytes_deadline),
             waiting_since: None,
-            waited: Duration::ZERO,
+            total_wait: Duration::ZERO,
             bytes: 0,
-            most: LARGEST,
+            max_bytes: MAX_REQUEST_BODY,
         }
     }
 
     /// It may be so large instead.
-    pub fn at_most(mut self, most: u64) -> Self {
-        self.most = most;
+    pub fn with_max_bytes(mut self, max_bytes: u64) -> Self {
+        self.max_bytes = max_bytes;
         self
     }
 
     /// How much is still to come, where that was said.
-    pub fn left(&self) -> Option<u64> {
+    pub fn remaining(&self) -> Option<u64> {
         self.body.size_hint().exact()
     }
 
     /// Whether nothing more comes.
-    pub fn is_over(&self) -> bool {
+    pub fn is_at_end(&self) -> bool {
         self.body.is_end_stream()
     }
 
     /// The next bytes; none at the end.
-    pub fn poll_bytes(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Cut>>> {
+    pub fn poll_bytes(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
                     // Trailers say nothing that goes on to a backend.
                     let Ok(bytes) = frame.into_data() else { continue };
-                    self.waited += self.waiting_since.take().map_or(Duration::ZERO, |since| since.elapsed());
-                    self.first_by = None;
+                    self.total_wait +=
+                        self.waiting_since.take().map_or(Duration::ZERO, |since| since.elapsed());
+                    self.first_bytes_deadline = None;
                     self.bytes += bytes.len() as u64;
-                    let fits = self.bytes <= self.most;
-                    return Poll::Ready(Some(if fits { Ok(bytes) } else { Err(Cut::TooLarge) }));
+                    let fits = self.bytes <= self.max_bytes;
+                    return Poll::Ready(Some(if fits { Ok(bytes) } else { Err(BodyError::TooLarge) }));
                 }
-                Poll::Ready(Some(Err(_))) => return Poll::Ready(Some(Err(Cut::Broken))),
+                Poll::Ready(Some(Err(_))) => return Poll::Ready(Some(Err(BodyError::Broken))),
                 Poll::Ready(None) => return Poll::Ready(None),
                 Poll::Pending => {}
             }
             if self.waiting_since.is_none() {
                 let now = Instant::now();
-                let gap = now + if self.bytes > HELD as u64 { LONG_GAP } else { GAP };
-                let allowed = SLACK + span(self.bytes as f64 / SLOWEST * 1000.0);
-                let due = self.first_by.unwrap_or(gap).min(now + allowed.saturating_sub(self.waited));
+                let gap = now
+                    + if self.bytes > MAX_BUFFERED_BODY as u64 {
+                        LONG_BODY_GAP_TIMEOUT
+                    } else {
+                        SHORT_BODY_GAP_TIMEOUT
+                    };
+                let allowed =
+                    TOTAL_WAIT_BASE + to_duration(self.bytes as f64 / MIN_BYTES_PER_SECOND * 1000.0);
+                let due = self
+                    .first_bytes_deadline
+                    .unwrap_or(gap)
+                    .min(now + allowed.saturating_sub(self.total_wait));
                 self.timer.as_mut().reset(due);
                 self.waiting_since = Some(now);
             }
             ready!(self.timer.as_mut().poll(cx));
-            return Poll::Ready(Some(Err(Cut::TooSlow)));
+            return Poll::Ready(Some(Err(BodyError::TooSlow)));
         }
     }
 
     /// The next bytes; none at the end.
-    pub async fn bytes(&mut self) -> Option<Result<Bytes, Cut>> {
+    pub async fn next_bytes(&mut self) -> Option<Result<Bytes, BodyError>> {
         std::future::poll_fn(|cx| self.poll_bytes(cx)).await
     }
 }
@@ -139,82 +149,82 @@
 /// What is still to come of a client's long body. It passes once: what an attempt has drawn is gone.
 pub struct Upload {
     body: RefCell<ClientBody>,
-    drawn: Cell<bool>,
+    consumed: Cell<bool>,
     /// When it last moved, and whether it is waited for since.
-    moved: Cell<(Instant, bool)>,
-    over: Cell<Option<(Instant, Option<Cut>)>>,
-    end: Notify,
+    last_poll: Cell<(Instant, bool)>,
+    end: Cell<Option<(Instant, Option<BodyError>)>>,
+    end_notify: Notify,
 }
 
 impl Upload {
     /// The rest of a body whose start is held.
     pub fn new(body: ClientBody) -> Rc<Self> {
-        let (drawn, moved) = (Cell::new(false), Cell::new((Instant::now(), false)));
-        let (body, over, end) = (RefCell::new(body), Cell::new(None), Notify::new());
-        Rc::new(Self { body, drawn, moved, over, end })
+        let (consumed, last_poll) = (Cell::new(false), Cell::new((Instant::now(), false)));
+        let (body, end, end_notify) = (RefCell::new(body), Cell::new(None), Notify::new());
+        Rc::new(Self { body, consumed, last_poll, end, end_notify })
     }
 
     /// Whether some of it is gone: it cannot be sent a second time.
-    pub fn is_drawn(&self) -> bool {
-        self.drawn.get()
+    pub fn is_consumed(&self) -> bool {
+        self.consumed.get()
     }
 
     /// Why its client is to blame for its end, if it is.
-    pub fn cut(&self) -> Option<Cut> {
-        self.over.get().and_then(|(_, cut)| cut)
+    pub fn error(&self) -> Option<BodyError> {
+        self.end.get().and_then(|(_, error)| error)
     }
 
     /// When its last byte came.
-    pub fn over_at(&self) -> Option<Instant> {
-        self.over.get().map(|(at, _)| at)
+    pub fn ended_at(&self) -> Option<Instant> {
+        self.end.get().map(|(at, _)| at)
     }
 
     /// Waits until it is over, and tells since when.
-    pub async fn ended(&self) -> Instant {
+    pub async fn wait_end(&self) -> Instant {
         loop {
-            let end = self.end.notified();
-            if let Some((at, _)) = self.over.get() {
+            let end_notify = self.end_notify.notified();
+            if let Some((at, _)) = self.end.get() {
                 return at;
             }
-            end.await;
+            end_notify.await;
         }
     }
 
     /// Waits until the backend that should draw on it has not done so for too long. That the client is slow is
     /// another matter.
-    pub async fn stalls(&self) {
+    pub async fn wait_stalled(&self) {
         loop {
-            let (at, waiting) = self.moved.get();
-            if !waiting && at.elapsed() >= STALLED {
+            let (at, waiting) = self.last_poll.get();
+            if !waiting && at.elapsed() >= UPLOAD_STALL_TIMEOUT {
                 return;
             }
-            sleep(STALLED / 8).await;
+            sleep(UPLOAD_STALL_TIMEOUT / 8).await;
         }
     }
 
-    fn poll_bytes(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Cut>>> {
-        if let Some((_, cut)) = self.over.get() {
-            return Poll::Ready(cut.map(Err));
+    fn poll_bytes(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
+        if let Some((_, error)) = self.end.get() {
+            return Poll::Ready(error.map(Err));
         }
         let mut body = self.body.borrow_mut();
         let next = body.poll_bytes(cx);
-        self.moved.set((Instant::now(), next.is_pending()));
+        self.last_poll.set((Instant::now(), next.is_pending()));
         let next = ready!(next);
-        self.drawn.set(true);
-        let cut = match &next {
-            Some(Err(cut)) => Some(*cut),
-            Some(Ok(_)) if !body.is_over() => return Poll::Ready(next),
+        self.consumed.set(true);
+        let error = match &next {
+            Some(Err(error)) => Some(*error),
+            Some(Ok(_)) if !body.is_at_end() => return Poll::Ready(next),
             _ => None,
         };
-        self.over.set(Some((Instant::now(), cut)));
-        self.end.notify_waiters();
+        self.end.set(Some((Instant::now(), error)));
+        self.end_notify.notify_waiters();
         Poll::Ready(next)
     }
 
     /// Reads what is left once nobody else holds it.
-    pub async fn drain_once_left(self: Rc<Self>) {
+    pub async fn drain_when_unshared(self: Rc<Self>) {
         while Rc::strong_count(&self) > 1 {
-            sleep(DRAIN).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
         self.drain().await;
     }
@@ -226,30 +236,32 @@
 }
 
 /// The body of a request on its way to a server.
-pub struct Outgoing {
+pub struct OutgoingBody {
     start: Bytes,
     rest: Option<Rc<Upload>>,
-    handed: Rc<Cell<bool>>,
+    handed_out: Rc<Cell<bool>>,
 }
 
-impl Outgoing {
+impl OutgoingBody {
     /// What is held, and then the rest if there is one.
     pub fn new(start: Bytes, rest: Option<Rc<Upload>>) -> Self {
-        let handed = Rc::new(Cell::new(start.is_empty() && rest.is_none()));
-        Self { start, rest, handed }
+        let handed_out = Rc::new(Cell::new(start.is_empty() && rest.is_none()));
+        Self { start, rest, handed_out }
     }
 
     /// Turns true once the last byte has been handed out.
-    pub fn handed(&self) -> Rc<Cell<bool>> {
-        self.handed.clone()
+    pub fn handed_out(&self) -> Rc<Cell<bool>> {
+        self.handed_out.clone()
     }
 }
 
-impl Body for Outgoing {
+impl Body for OutgoingBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyError;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>, cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let next = if self.start.is_empty() {
             match &self.rest {
                 Some(rest) => ready!(rest.poll_bytes(cx)),
@@ -258,120 +270,123 @@
         } else {
             Some(Ok(std::mem::take(&mut self.start)))
         };
-        self.handed.set(next.is_none() || self.is_end_stream());
+        self.handed_out.set(next.is_none() || self.is_end_stream());
         Poll::Ready(next.map(|bytes| bytes.map(Frame::data)))
     }
 
     fn is_end_stream(&self) -> bool {
         self.start.is_empty()
-            && self.rest.as_ref().is_none_or(|rest| rest.over.get().is_some_and(|o| o.1.is_none()))
+            && self.rest.as_ref().is_none_or(|rest| rest.end.get().is_some_and(|o| o.1.is_none()))
     }
 
     fn size_hint(&self) -> SizeHint {
         let start = self.start.len() as u64;
         match &self.rest {
             None => SizeHint::with_exact(start),
-            Some(rest) if rest.over.get().is_some() => SizeHint::with_exact(start),
+            Some(rest) if rest.end.get().is_some() => SizeHint::with_exact(start),
             Some(rest) => {
-                rest.body.borrow().left().map_or_else(SizeHint::new, |n| SizeHint::with_exact(start + n))
+                rest.body.borrow().remaining().map_or_else(SizeHint::new, |n| SizeHint::with_exact(start + n))
             }
         }
     }
 }
 
 /// What comes of a long answer: bytes or the word that they were all. Without that word it is cut, whatever came.
-pub type Piece = Result<Option<Bytes>, Cut>;
+pub type AnswerChunk = Result<Option<Bytes>, BodyError>;
 
 /// A long answer's body as its client gets it.
 #[derive(Debug)]
 pub struct Download {
-    frames: mpsc::Receiver<Piece>,
-    left: Option<u64>,
+    frames: mpsc::Receiver<AnswerChunk>,
+    remaining: Option<u64>,
 }
 
 /// A long answer whose length may be known, and where its bytes go.
-pub fn download(length: Option<u64>) -> (mpsc::Sender<Piece>, Download) {
-    let (sender, frames) = mpsc::channel(FRAMES);
-    (sender, Download { frames, left: length })
+pub fn download(length: Option<u64>) -> (mpsc::Sender<AnswerChunk>, Download) {
+    let (sender, frames) = mpsc::channel(ANSWER_QUEUE_FRAMES);
+    (sender, Download { frames, remaining: length })
 }
 
 /// The body of an answer to a client. `T` is what lasts until the client has it all.
-pub struct Content<T> {
-    kind: Kind,
+pub struct AnswerBody<T> {
+    source: Source,
     /// Told how the body ended, and dropped with it.
-    pub keep: T,
+    pub guard: T,
 }
 
-enum Kind {
+enum Source {
     Whole(Full<Bytes>),
     Stream(Download),
 }
 
 /// Hears of the end of an answer's body.
-pub trait Ended {
+pub trait OnBodyEnd {
     /// It ended, whole or not.
-    fn ended(&mut self, whole: bool);
+    fn body_ended(&mut self, complete: bool);
 }
 
-impl<T> Content<T> {
+impl<T> AnswerBody<T> {
     /// A body that is here.
-    pub fn whole(bytes: Bytes, keep: T) -> Self {
-        Self { kind: Kind::Whole(Full::new(bytes)), keep }
+    pub fn whole(bytes: Bytes, guard: T) -> Self {
+        Self { source: Source::Whole(Full::new(bytes)), guard }
     }
 
     /// A body that is still coming.
-    pub fn stream(download: Download, keep: T) -> Self {
-        Self { kind: Kind::Stream(download), keep }
+    pub fn stream(download: Download, guard: T) -> Self {
+        Self { source: Source::Stream(download), guard }
     }
 }
 
-impl<T: Ended + Unpin> Body for Content<T> {
+impl<T: OnBodyEnd + Unpin> Body for AnswerBody<T> {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyError;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>, cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let this = &mut *self;
-        let download = match &mut this.kind {
-            Kind::Whole(body) => {
+        let download = match &mut this.source {
+            Source::Whole(body) => {
                 return Pin::new(body).poll_frame(cx).map_err(|never| match never {});
             }
-            Kind::Stream(download) => download,
+            Source::Stream(download) => download,
         };
-        if download.left == Some(0) {
+        if download.remaining == Some(0) {
             return Poll::Ready(None);
         }
         let next = match ready!(download.frames.poll_recv(cx)) {
             Some(Ok(Some(bytes))) => {
-                download.left = download.left.map(|left| left.saturating_sub(bytes.len() as u64));
-                if download.left == Some(0) {
-                    this.keep.ended(true);
+                download.remaining =
+                    download.remaining.map(|remaining| remaining.saturating_sub(bytes.len() as u64));
+                if download.remaining == Some(0) {
+                    this.guard.body_ended(true);
                 }
                 Some(Ok(Frame::data(bytes)))
             }
-            Some(Ok(None)) if download.left.is_none() => {
-                this.keep.ended(true);
+            Some(Ok(None)) if download.remaining.is_none() => {
+                this.guard.body_ended(true);
                 None
             }
-            Some(Err(cut)) => Some(Err(cut)),
-            _ => Some(Err(Cut::Broken)),
+            Some(Err(error)) => Some(Err(error)),
+            _ => Some(Err(BodyError::Broken)),
         };
         if matches!(next, Some(Err(_))) {
-            this.keep.ended(false);
+            this.guard.body_ended(false);
         }
         Poll::Ready(next)
     }
 
     fn is_end_stream(&self) -> bool {
-        match &self.kind {
-            Kind::Whole(body) => body.is_end_stream(),
-            Kind::Stream(download) => download.left == Some(0),
+        match &self.source {
+            Source::Whole(body) => body.is_end_stream(),
+            Source::Stream(download) => download.remaining == Some(0),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
-        match &self.kind {
-            Kind::Whole(body) => body.size_hint(),
-            Kind::Stream(download) => download.left.map_or_else(SizeHint::new, SizeHint::with_exact),
+        match &self.source {
+            Source::Whole(body) => body.size_hint(),
+            Source::Stream(download) => download.remaining.map_or_else(SizeHint::new, SizeHint::with_exact),
         }
     }
 }
