--- a/http-proxy/src/clients.rs
+++ b/http-proxy/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: what each of them is at, and its socket.
+//! Client connections: the state of each, its socket, and the limit on all of them.
 
 use crate::engine::RequestGuard;
 use crate::observe::metrics::{ActiveRequest, Metrics, RequestResult, Stage};
@@ -22,31 +22,31 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// A failed accept is tried again after this: descriptors may have run out.
+/// Delay before the next accept after a failed one, for instance when file descriptors have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Who is asked to leave has this long for a request that crosses the word.
+/// A connection that is asked to close has this long to finish a request that arrives at the same time.
 pub const CLOSE_GRACE: Duration = Duration::from_millis(50);
 
-/// One client's connection.
+/// The state of one client connection.
 pub struct ClientConnection {
-    /// It may stand idle for so long, and be in the middle of a head.
+    /// Idle timeout, and timeout for receiving the head of a request.
     idle_timeout: Duration,
     head_timeout: Duration,
     busy: Cell<bool>,
-    /// When it came or was last answered, and when the first byte of the next request came, if any has.
+    /// When the connection was accepted or last answered, and when the first byte of the next request arrived.
     idle_since: Cell<Instant>,
     head_started_at: Cell<Option<Instant>>,
     has_been_answered: Cell<bool>,
-    /// Its answer has been handed out, but is not written yet: a client that reads slowly is busy still.
+    /// The answer has been handed to the HTTP library but is not yet written: a slow reader is still busy.
     handed_out: Cell<bool>,
-    /// When bytes last came from it, and since when an answer to a request of a class goes out to it.
+    /// When bytes were last received, and the class and start time of the answer being written.
     read_at: Cell<Instant>,
     writing: Cell<Option<(Name, Instant)>>,
     close_requested: Notify,
 }
 
 impl ClientConnection {
-    /// A client that came just now.
+    /// A connection that was accepted just now.
     pub fn new(idle_timeout: Duration, head_timeout: Duration) -> Rc<Self> {
         Rc::new(Self {
             idle_timeout,
@@ -62,7 +62,7 @@
         })
     }
 
-    /// A request is here; the guest is busy until its answer has been handed out and written.
+    /// Marks the connection as busy until the answer to the request has been handed out and written.
     pub fn request_started(self: &Rc<Self>) -> BusyGuard {
         self.busy.set(true);
         self.head_started_at.set(None);
@@ -70,43 +70,44 @@
         BusyGuard(self.clone())
     }
 
-    /// Whether it asks nothing.
+    /// Whether no request is being received or processed.
     pub fn is_idle(&self) -> bool {
         !self.busy.get() && self.head_started_at.get().is_none()
     }
 
-    /// Whether its request is not answered yet.
+    /// Whether a request is without a written answer.
     pub fn is_busy(&self) -> bool {
         self.busy.get()
     }
 
-    /// Whether it has had an answer.
+    /// Whether any answer has been written.
     pub fn has_been_answered(&self) -> bool {
         self.has_been_answered.get()
     }
 
-    /// When it came or was last answered.
+    /// When the connection was accepted or last answered.
     pub fn idle_since(&self) -> Instant {
         self.idle_since.get()
     }
 
-    /// When bytes last came from it.
+    /// When bytes were last received.
     pub fn read_at(&self) -> Instant {
         self.read_at.get()
     }
 
-    /// An answer to a request of this class goes out to it.
+    /// Records that an answer to a request of this class is being written.
     pub fn answer_started(&self, class: Name) {
         self.writing.set(Some((class, Instant::now())));
     }
 
-    /// Asks it to leave.
+    /// Asks the connection to close.
     pub fn request_close(&self) {
         self.close_requested.notify_one();
     }
 
-    /// Waits until its time for the next request is over. It goes by progress: a head has time of its own, but no
-    /// more than an idle connection before the first one, or a peer could stay twice as long and send nothing proper.
+    /// Waits until the time for the next request has elapsed. Receiving a head has a timeout of its own, but the first
+    /// head has to arrive within the idle timeout as well: otherwise a peer that never completes a request could stay
+    /// twice as long.
     async fn timed_out(&self) {
         loop {
             let (idle_by, head_started_at) =
@@ -127,7 +128,7 @@
     }
 }
 
-/// Lasts until a guest's answer has been handed out whole.
+/// Exists until the answer to a request has been handed out whole.
 pub struct BusyGuard(Rc<ClientConnection>);
 
 impl Drop for BusyGuard {
@@ -136,7 +137,7 @@
     }
 }
 
-/// A guest's socket; it notes when a request begins and when its answer has been written.
+/// The socket of a client connection. Records when a request begins and when its answer has been written.
 struct ClientSocket {
     stream: TcpStream,
     client: Rc<ClientConnection>,
@@ -175,7 +176,7 @@
         self.stream.is_write_vectored()
     }
 
-    /// The HTTP library flushes once all that it holds has been written.
+    /// The HTTP library flushes once it has written all buffered data.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.client.handed_out.replace(false) {
             self.client.busy.set(false);
@@ -193,11 +194,11 @@
     }
 }
 
-/// What lasts until an answer has been handed out whole.
+/// Guards that are held until an answer has been handed out whole.
 pub struct ResponseGuard<P: Protocol> {
-    /// Its guest is busy so long.
+    /// Keeps the connection busy.
     pub busy: Option<BusyGuard>,
-    /// Of a long answer: the request, which ends with it.
+    /// For a long answer: the request, which ends with its answer.
     pub streamed: Option<(ActiveRequest, RequestGuard<P>)>,
 }
 
@@ -216,7 +217,7 @@
     }
 }
 
-/// Where guests are: so many at most at once.
+/// All client connections, up to a maximum.
 pub struct ClientConnections {
     clients: RefCell<Vec<Rc<ClientConnection>>>,
     max_clients: Cell<usize>,
@@ -225,7 +226,7 @@
 }
 
 impl ClientConnections {
-    /// Nobody is here yet.
+    /// Creates an empty set of connections.
     pub fn new(max_clients: usize, metrics: Rc<Metrics>) -> Rc<Self> {
         Rc::new(Self {
             clients: RefCell::default(),
@@ -235,29 +236,29 @@
         })
     }
 
-    /// How many are here.
+    /// The number of connections.
     pub fn count(&self) -> usize {
         self.clients.borrow().len()
     }
 
-    /// No more than so many are let in from now on.
+    /// Sets the maximum number of connections.
     pub fn set_max_clients(&self, max_clients: usize) {
         self.max_clients.set(max_clients);
         self.closed.notify_one();
     }
 
-    /// Waits until one has left.
+    /// Waits until a connection has closed.
     pub async fn closed(&self) {
         self.closed.notified().await;
     }
 
-    /// Whether nobody else is let in.
+    /// Whether the maximum number of connections is reached.
     pub fn is_full(&self) -> bool {
         self.count() >= self.max_clients.get()
     }
 
-    /// Closes the connections that have stood idle for this long. Who is in the middle of a head is not idle: its
-    /// time is bounded, and its answer closes the connection.
+    /// Closes connections that have been idle for at least `min_idle`. A connection that is receiving a head is not idle;
+    /// the head has a timeout, and the answer closes the connection.
     pub fn close_idle(&self, min_idle: Duration) {
         let clients = self.clients.borrow();
         let idle_clients =
@@ -274,11 +275,12 @@
         }
     }
 
-    /// The next connection, once there is room.
+    /// Accepts the next connection as soon as the limit allows it.
     pub async fn accept(&self, listener: &TcpListener) -> TcpStream {
         loop {
-            // Guards the descriptors: who finds no room waits in the machine's line, and guards those who wait
-            // there against clients that keep a connection and say nothing.
+            // Protects the file descriptors: further clients wait in the kernel's accept queue. Closing the
+            // connection that has been idle longest protects waiting clients from peers that hold connections
+            // without using them.
             while self.is_full() {
                 self.close_longest_idle();
                 self.closed.notified().await;
@@ -290,7 +292,7 @@
         }
     }
 
-    /// Serves a guest until it leaves or is asked to. `buffer` holds one request's head.
+    /// Serves a connection until the client closes it or it is asked to close. `buffer` bounds the head of a request.
     pub fn serve<S, B>(
         self: Rc<Self>, stream: TcpStream, client: Rc<ClientConnection>, buffer: usize, service: S,
     ) where
@@ -303,7 +305,7 @@
         self.clients.borrow_mut().push(client.clone());
         let open = self.metrics.usage().connection_opened(ConnectionUse::Client);
         spawn(async move {
-            // Dropped after the connection, which is made later.
+            // Declared before the connection, hence dropped after it.
             let _open = open;
             let _ = stream.set_nodelay(true);
             let socket = ClientSocket { stream, client: client.clone(), metrics: self.metrics.clone() };
@@ -316,7 +318,7 @@
                     tokio::select! { () = client.close_requested.notified() => {} () = client.timed_out() => {} }
                 } => {
                     connection.as_mut().graceful_shutdown();
-                    // A request that came just now is answered still.
+                    // A request that arrived at the same time is still answered.
                     let finished = timeout(CLOSE_GRACE, connection.as_mut()).await.is_ok();
                     if !finished && client.busy.get() {
                         let _ = connection.await;
@@ -339,26 +341,26 @@
 
     #[tokio::test]
     async fn connection_is_busy_until_the_answer_is_written() {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let stream =
-            TcpStream::connect(listener.local_addr().expect("an address")).await.expect("a connection");
+            TcpStream::connect(listener.local_addr().expect("local address")).await.expect("connect");
         let client = ClientConnection::new(IDLE_TIMEOUT, IDLE_TIMEOUT);
         let metrics = Metrics::new(&Settings::default());
         let mut socket = ClientSocket { stream, client: client.clone(), metrics };
         let busy = client.request_started();
-        let mut flush = async || poll_fn(|cx| Pin::new(&mut socket).poll_flush(cx)).await.expect("flushed");
+        let mut flush = async || poll_fn(|cx| Pin::new(&mut socket).poll_flush(cx)).await.expect("flush");
         flush().await;
-        assert!(client.busy.get(), "its answer is still coming");
+        assert!(client.busy.get(), "the answer is not handed out yet");
         drop(busy);
-        // What has been handed out may wait for a client that reads slowly.
-        assert!(client.busy.get(), "its answer is still to be written");
+        // The answer may wait in the buffer for a slow client.
+        assert!(client.busy.get(), "the answer is not written yet");
         assert!(
             timeout(IDLE_TIMEOUT + IDLE_TIMEOUT / 2, client.timed_out()).await.is_err(),
-            "no guest has to leave before that"
+            "a busy connection does not time out"
         );
         flush().await;
         assert!(!client.busy.get() && client.has_been_answered.get());
-        // Of a pipeline the next one may be here before the flush, which is not its own.
+        // With pipelining the next request may arrive before the flush of the previous answer.
         drop(client.request_started());
         let next = client.request_started();
         flush().await;
--- a/http-proxy/src/engine.rs
+++ b/http-proxy/src/engine.rs
@@ -1,5 +1,5 @@
-//! The one place where the decisions are asked: events go in, actions come out and are carried out. It owns
-//! the tables of requests that have no final answer yet and of attempts that are out.
+//! Adapter between the decision engine (`doorcourse::Gateway`) and I/O: feeds events to the engine and carries out
+//! the actions that the engine returns. Owns the tables of pending requests and of attempts in flight.
 
 use crate::observe::metrics::{Metrics, Stage};
 use crate::pool::{Answer, AttemptResult, Backends, CancelReason, ForwardedRequest, Protocol, spawn};
@@ -17,32 +17,33 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The final answer of a request.
+/// The final answer to a request.
 #[derive(Debug)]
 pub enum Reply {
-    /// What a backend answered.
+    /// The answer of a backend.
     Served(Answer),
-    /// Harmless to try again, best after this time.
+    /// Refused; the client may safely retry, best after `wait`.
     Refused {
-        /// That time.
+        /// The recommended delay before a retry.
         retry_after: Millis,
-        /// Whether an attempt may have run.
+        /// Whether an attempt may have executed the request.
         may_have_run: bool,
     },
-    /// No promise; true when the last attempt got no answer in time.
+    /// Failed, and the request may have been executed. True if the last attempt timed out.
     Failed(bool),
 }
 
-/// What is told of each call of the counter: its name, how it ended, how long it took. Once, but for a late answer.
+/// Callback for the end of a counter call: count name, outcome and latency. Called once per call, and a second time
+/// if a late answer arrives.
 pub type CounterCallback = dyn Fn(u64, CountOutcome, Millis);
 
-/// A shared counter.
+/// A shared counter service.
 pub trait Counter {
-    /// Adds an amount to a name that is kept for so many ms; the end is reported later.
+    /// Adds `amount` to the count `name`, which the counter keeps for `ttl` ms. The callback reports the outcome.
     fn add(&self, name: u64, amount: f64, ttl: Millis);
-    /// Whether it can be called.
+    /// Whether the counter can be called.
     fn is_available(&self) -> bool;
-    /// It is found at another address from now on.
+    /// Changes the address of the counter.
     fn set_address(&self, address: SocketAddr);
 }
 
@@ -50,28 +51,28 @@
 struct PendingRequest<P: Protocol> {
     forwarded: ForwardedRequest<P::RequestHead>,
     class: Name,
-    /// When it came, or its last attempt ended: it waits since.
+    /// When the request arrived, or when its last attempt ended.
     waiting_since: Instant,
     reply: oneshot::Sender<Reply>,
     attempts: u32,
-    /// To how many backends it has gone, and may go at most.
+    /// How many backends have received part of the request, and the maximum.
     backends_reached: u32,
     max_backends: u32,
     timed_out: bool,
     may_have_run: bool,
-    /// What a backend said to it that did not serve it.
+    /// The answer of a backend to a failed attempt; the client gets it if no later attempt succeeds.
     backend_answer: Option<Answer>,
     used_connections: Rc<UsedConnections>,
 }
 
-/// An attempt without an end.
+/// An attempt in flight.
 struct InFlightAttempt {
     attempt: u32,
     cancel: Option<oneshot::Sender<CancelReason>>,
 }
 
 impl<P: Protocol> PendingRequest<P> {
-    /// What a backend said goes before any word of our own.
+    /// The answer of a backend, if there is one, takes precedence over the gateway's own reply.
     fn or_backend_answer(&mut self, reply: Reply) -> Reply {
         self.backend_answer.take().map_or(reply, Reply::Served)
     }
@@ -84,7 +85,7 @@
     last_id: RequestId,
 }
 
-/// Runs the decisions.
+/// Runs the decision engine of one gateway or service.
 pub struct Engine<P: Protocol> {
     clock: Cell<Clock>,
     backends: Rc<Backends<P>>,
@@ -97,14 +98,14 @@
     me: Weak<Self>,
 }
 
-/// Who hears what the decisions find out of a backend: its name, its zone, whether it gives no sign.
+/// Receives the engine's findings about backends: name, zone, and whether the backend is down.
 pub type HealthObserver = Box<dyn Fn(Name, &str, bool)>;
 
 impl<P: Protocol> Engine<P> {
-    /// An engine with nothing to do yet.
+    /// Creates an engine without requests.
     ///
     /// # Errors
-    /// When the settings cannot be used.
+    /// When the settings are invalid.
     pub fn start(
         settings: Settings, seed: u64, backends: Rc<Backends<P>>,
         counter: impl FnOnce(Rc<CounterCallback>) -> Option<Box<dyn Counter>>, metrics: Rc<Metrics>,
@@ -133,47 +134,48 @@
         }))
     }
 
-    /// The time of a moment, on the clock of the decisions.
+    /// Converts a moment to the time of the decision engine's clock.
     pub fn timestamp(&self, moment: Instant) -> Millis {
         self.clock.get().at(moment)
     }
 
-    /// Adds a class, unless there is one of that name.
+    /// Adds a class, unless a class of that name exists.
     pub fn add_class(&self, class: Class) {
         self.state.borrow_mut().gateway.add_class(class);
     }
 
-    /// Backends that are gone are remembered no more.
+    /// Removes the state of backends that are gone.
     pub fn remove_gone_backends(&self) {
         self.state.borrow_mut().gateway.remove_gone_backends();
     }
 
-    /// There are so many gateways from now on, of which this one has that number.
+    /// Sets the number of gateways and the index of this gateway among them.
     pub fn resize(&self, gateways: u32, index: u32) {
         self.state.borrow_mut().gateway.resize(gateways, index);
     }
 
-    /// A backend works on so many requests at once.
+    /// Sets how many requests a backend processes at once.
     pub fn set_backend_slots(&self, backend: &Name, slots: u32) {
         self.state.borrow_mut().gateway.set_backend_slots(backend, slots);
     }
 
-    /// How late the event loop runs.
+    /// The current lag of the event loop.
     pub fn event_loop_lag(&self) -> Duration {
         self.metrics.event_loop_lag().current()
     }
 
-    /// Somebody else hears from now on what the decisions find out of backends; the first one who asks.
+    /// Sets the observer of the engine's findings about backends. Only the first call has an effect.
     pub fn set_health_observer(&self, observer: HealthObserver) {
         let _ = self.health_observer.set(observer);
     }
 
-    /// The process ends at this moment at the latest.
+    /// Announces that the process ends at `deadline` at the latest.
     pub fn announce_shutdown(&self, deadline: Instant) {
         self.post(Event::ShuttingDown { deadline: self.timestamp(deadline) });
     }
 
-    /// Takes in a request that may go to so many backends at most; the reply comes once, unless the client leaves first.
+    /// Submits a request that may reach at most `max_backends` backends. The reply is sent exactly once, unless the
+    /// client leaves first.
     pub fn submit(
         &self, arrival: impl FnOnce(RequestId) -> Arrival, forwarded: ForwardedRequest<P::RequestHead>,
         max_backends: u32,
@@ -205,7 +207,7 @@
         (id, receiver)
     }
 
-    /// The client is gone: nothing is owed to it any more, and what is out for it is given up.
+    /// Removes the request of a client that has left, and cancels the attempt in flight.
     pub fn client_left(&self, id: RequestId) {
         let left = {
             let mut state = self.state.borrow_mut();
@@ -219,19 +221,20 @@
         }
     }
 
-    /// The counter is found at another address from now on.
+    /// Changes the address of the counter.
     pub fn set_counter_address(&self, address: SocketAddr) {
         if let Some(counter) = &self.counter {
             counter.set_address(address);
         }
     }
 
-    /// What another process of this gateway goes on with, and the time by the clock that it stands in.
+    /// The state for the succeeding process of this gateway, and the current time of the clock that the state uses.
     pub fn hand_over(&self) -> (HandoverState, Millis) {
         (self.state.borrow_mut().gateway.hand_over(), self.clock.get().now())
     }
 
-    /// Goes on where another process stopped, whose clock showed this time just now. Older versions do not tell.
+    /// Continues with the state of the preceding process, whose clock showed `clock_time` just now. Processes of older
+    /// versions do not send a clock time.
     pub fn take_over(&self, handover: HandoverState, clock_time: Option<Millis>) {
         let clock = self.clock.get();
         if let Some((clock_time, aligned)) =
@@ -239,7 +242,7 @@
         {
             let step = clock.now() - clock_time;
             let text = format_args!(
-                "handover: the system's clock was set by {step:.0} ms; the time handed over goes on"
+                "handover: system clock was set by {step:.0} ms; keeping the clock of the preceding process"
             );
             self.backends.protocol().log(None, text);
             self.clock.set(aligned);
@@ -247,28 +250,28 @@
         self.state.borrow_mut().gateway.take_over(handover, self.clock.get().now());
     }
 
-    /// Whether the counter can be called, if there is one.
+    /// Whether the counter can be called; true without a counter.
     pub fn counter_available(&self) -> bool {
         self.counter.as_ref().is_none_or(|counter| counter.is_available())
     }
 
-    /// What operators are shown of the backends.
+    /// The status of the backends for operators.
     pub fn pool(&self) -> Pool {
         self.state.borrow().gateway.pool(self.clock.get().now())
     }
 
-    /// How many requests wait for their final answer.
+    /// The number of requests without a final answer.
     pub fn pending_requests(&self) -> usize {
         self.state.borrow().pending.len()
     }
 
-    /// Whether a request waits for its first attempt.
+    /// Whether the request waits for its first attempt.
     pub fn is_unsent(&self, id: RequestId) -> bool {
         self.state.borrow().pending.get(&id).is_some_and(|pending| pending.attempts == 0)
     }
 
-    /// Takes in an event. What it leads to may bring further events at once; these wait in line, so the
-    /// decisions are never asked while they are being carried out.
+    /// Feeds an event to the decision engine. Events that arise while actions are carried out are queued, so the
+    /// decision engine is never called recursively.
     pub fn post(&self, event: Event) {
         self.events.borrow_mut().push_back(event);
         if self.running.replace(true) {
@@ -337,12 +340,12 @@
                 }
             }
             Action::Log(text) => self.backends.protocol().log(None, format_args!("{text}")),
-            // No peers to tell here, and the list is watched all the time.
+            // This host sends no peer messages, and it watches the backend list all the time.
             Action::Broadcast { .. } | Action::WatchBackends => {}
         }
     }
 
-    /// The final answer. Whoever takes the request out of the table owns its reply: there is no other.
+    /// Sends the final answer. Removing the request from the table first guarantees that only one answer is sent.
     fn finish(&self, id: RequestId, reply: impl FnOnce(&mut PendingRequest<P>) -> Reply) {
         let Some(mut pending) = self.state.borrow_mut().pending.remove(&id) else { return };
         let reply = reply(&mut pending);
@@ -355,7 +358,8 @@
     fn send(&self, id: RequestId, backend: Name, timeout: Millis, quota_wait: Millis) {
         let mut state = self.state.borrow_mut();
         let State { pending, in_flight, .. } = &mut *state;
-        // A request that is over, or still has an attempt out, is not sent; an end is owed all the same.
+        // Guards against sending for a finished request or for one with an attempt in flight. The decision engine
+        // still needs an end for every `Send`.
         let free = pending.get_mut(&id).filter(|_| !in_flight.contains_key(&id));
         let Some(request) = free else {
             let finished = !pending.contains_key(&id);
@@ -396,7 +400,8 @@
             };
             let end = backends.attempt(&backend, &forwarded, limit, &trace, cancelled, begin).await;
             backends.protocol().on_attempt_ended(&forwarded.head, &backend, end.outcome);
-            // A long answer is judged by its first bytes, a long body by what follows it.
+            // The latency of a long answer ends with its first bytes; the latency of a long upload begins with its
+            // last byte.
             let latency = first_bytes.get().unwrap_or(forwarded.answer_time(started));
             let body_consumed = forwarded.is_body_consumed();
             drop(forwarded);
@@ -415,7 +420,7 @@
         });
     }
 
-    /// Where an attempt's time went, and whether that was all of it or its share.
+    /// Records how long an attempt spent in each stage, and whether it ran out of time.
     fn record_stages(&self, class: &str, end: &AttemptResult, trace: &AttemptTrace, started: Instant) {
         let connected = trace.connected.get();
         self.metrics.record_stage(
@@ -431,7 +436,7 @@
         }
     }
 
-    #[allow(clippy::too_many_arguments, reason = "the end of an attempt, from one place")]
+    #[allow(clippy::too_many_arguments, reason = "called from one place only")]
     fn on_attempt_ended(
         &self, id: RequestId, attempt: u32, backend: Name, end: AttemptResult, latency: Millis,
         mut body_consumed: bool, write_started: bool,
@@ -452,7 +457,7 @@
                 .map(|pending| {
                     (pending.timed_out, pending.waiting_since) = (timed_out, Instant::now());
                     pending.backends_reached += u32::from(write_started);
-                    // To the decisions it looks as if its body were gone.
+                    // `body_consumed` prevents further attempts: the request has reached the maximum of backends.
                     body_consumed |= pending.backends_reached >= pending.max_backends;
                     let not_executed =
                         matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent);
@@ -476,15 +481,15 @@
     }
 }
 
-/// A request whose client waits. Dropped without an answer, as when the connection closes, it tells that the
-/// client has left; after an answer that finds nothing.
+/// Guard of a submitted request. Dropping the guard before the final answer, as when the connection closes, tells the
+/// engine that the client has left; dropping it afterwards has no effect.
 pub struct RequestGuard<P: Protocol> {
     engine: Rc<Engine<P>>,
     id: RequestId,
 }
 
 impl<P: Protocol> RequestGuard<P> {
-    /// The client of an open request.
+    /// Creates the guard of a submitted request.
     pub fn new(engine: Rc<Engine<P>>, id: RequestId) -> Self {
         Self { engine, id }
     }
--- a/http-proxy/src/fault_injection.rs
+++ b/http-proxy/src/fault_injection.rs
@@ -1,37 +1,37 @@
-//! Faults that tests plant to see that they are found. All off in service.
+//! Fault injection for tests that verify that violations are detected. All faults are off in production.
 
 use crate::wire::connection::Connection;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// What is planted.
+/// The injected faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// An answer counts for whoever waits on its connection.
+    /// Accept an answer on a connection without comparing the request id.
     pub accept_any_answer: bool,
-    /// A request whose connection broke is sent again.
+    /// Resend a request whose connection failed.
     pub resend_broken: bool,
-    /// A request that had no answer in time counts as never sent.
+    /// Treat a request that timed out as never sent.
     pub timeout_is_unsent: bool,
-    /// The connection of a request that had no answer in time is used again.
+    /// Reuse the connection of a request that timed out.
     pub reuse_timed_out: bool,
-    /// A connection on which something came that was no answer is used again.
+    /// Reuse a connection after an answer that belongs to no request.
     pub reuse_unmatched: bool,
-    /// Attempts of one request go over one connection.
+    /// Allow several attempts of a request on the same connection.
     pub share_connection: bool,
 }
 
-/// The faults, and what they need.
+/// The injected faults and the state they need.
 #[derive(Default)]
 pub(crate) struct FaultInjector {
     pub(crate) faults: Cell<Faults>,
-    /// Second holds on connections that carry requests, by the connections' numbers.
+    /// Duplicates of connections with a request in flight, by connection id.
     duplicates: RefCell<HashMap<u64, (Connection, SocketAddr)>>,
 }
 
 impl FaultInjector {
-    /// A request is about to be written to a connection.
+    /// Keeps a duplicate of a connection before a request is written.
     pub(crate) async fn keep_duplicate(&self, connection: &Connection, address: SocketAddr) {
         if self.faults.get().reuse_timed_out
             && let Ok(duplicate) = connection.duplicate().await
@@ -40,12 +40,12 @@
         }
     }
 
-    /// The exchange on a connection is over.
+    /// Drops the duplicate of a connection whose exchange has ended.
     pub(crate) fn drop_duplicate(&self, id: u64) {
         self.duplicates.borrow_mut().remove(&id);
     }
 
-    /// The exchange on a connection is given up.
+    /// Returns the duplicate of a connection whose exchange timed out to the pool.
     pub(crate) fn return_duplicate(
         &self, id: Option<u64>, return_connection: impl FnOnce(Connection, SocketAddr),
     ) {
--- a/http-proxy/src/lib.rs
+++ b/http-proxy/src/lib.rs
@@ -1,4 +1,5 @@
-//! What ties a gateway to sockets and time, for the program in service and for the system.
+//! HTTP/1.1 proxying on sockets and timers around the `doorcourse` decision engine, shared by the quota gateway
+//! (`fennelscale`) and the data plane of reachlb.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/http-proxy/src/message.rs
+++ b/http-proxy/src/message.rs
@@ -1,4 +1,4 @@
-//! What a client asked, as far as it goes on to a backend, and the time that it has.
+//! A client's request as the proxy forwards it to backends, with its time budget.
 
 use crate::time::budget::Budget;
 use crate::wire::body::Upload;
@@ -7,34 +7,34 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// What a client asked, as far as it goes on to a backend.
+/// A client's request as the proxy forwards it to backends.
 #[derive(Clone)]
 pub struct ForwardedRequest<H> {
-    /// All but the body.
+    /// The request without its body.
     pub head: H,
-    /// The body, or the start of a long one.
+    /// The whole body, or the first bytes of a long body.
     pub body: Bytes,
-    /// The rest of a long one.
+    /// The rest of a long body, streamed from the client.
     pub rest: Option<Rc<Upload>>,
-    /// What its client has left.
+    /// The time budget of the request.
     pub budget: Budget,
 }
 
 impl<H> ForwardedRequest<H> {
-    /// Whether some of its body is gone.
+    /// Whether an attempt has consumed part of the streamed body, so that the request cannot be sent again.
     pub fn is_body_consumed(&self) -> bool {
         self.rest.as_ref().is_some_and(|rest| rest.is_consumed())
     }
 
-    /// How long an answer has been waited for that was asked for at this time or, if the request was whole only
-    /// later, since then.
+    /// How long an attempt that began at `begun` has waited for its answer. The time starts when the request was
+    /// received whole, if that was after `begun`.
     pub fn answer_time(&self, begun: Instant) -> Duration {
         let whole = self.rest.as_ref().map_or(Some(begun), |rest| rest.ended_at());
         whole.map_or(Duration::ZERO, |at| at.max(begun).elapsed())
     }
 
-    /// Waits until its budget is used up, or so much of it as is given, and the grace after that. The time of a long
-    /// body begins with its last byte.
+    /// Waits until the budget, or `limit` if that is shorter, plus `grace` has elapsed. For a streamed body the time
+    /// starts with the last byte of the body; a stalled upload ends the wait as well.
     pub async fn expired(&self, limit: Option<Duration>, grace: Duration) {
         match &self.rest {
             Some(rest) => tokio::select! {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// When an attempt that begins now and may take so long has to be over.
+    /// The deadline of an attempt that begins now and may take at most `limit`.
     pub fn attempt_deadline(&self, limit: Option<Duration>) -> Instant {
         let end = self.budget.deadline();
         limit.map_or(end, |limit| end.min(Instant::now() + limit))
--- a/http-proxy/src/observe/metrics.rs
+++ b/http-proxy/src/observe/metrics.rs
@@ -1,5 +1,4 @@
-//! The figures that operators read: plain counters, all zero when the process starts, kept where requests and
-//! attempts end.
+//! Metrics for operators: counters that start at zero with the process and are updated when requests and attempts end.
 
 use crate::observe::usage::ResourceUsage;
 use crate::time::budget::EventLoopLag;
@@ -10,33 +9,33 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestResult {
-    /// With a backend's answer.
+    /// A backend answered.
     Served,
-    /// Harmless to try again.
+    /// Refused; safe to retry.
     Refused,
-    /// With no promise.
+    /// Failed; the request may have been executed.
     Failed,
 }
 
-/// Where the time of a request goes.
+/// The stages in which a request spends its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Its body comes in.
+    /// Receiving the body.
     Body,
-    /// It waits for a block of its customer.
+    /// Waiting for quota: a lease of units for the customer.
     QuotaWait,
-    /// It waits for a backend with room.
+    /// Waiting for a backend with capacity.
     CapacityWait,
-    /// It waits for either, and is never sent on.
+    /// Waiting for quota or capacity without ever being sent.
     Unsent,
-    /// A connection comes up.
+    /// Establishing a connection.
     Connect,
-    /// A backend has it.
+    /// Processing by the backend.
     Backend,
-    /// The answer goes out to the client.
+    /// Writing the answer to the client.
     WriteAnswer,
 }
 
@@ -55,14 +54,14 @@
     ok: Cell<u64>,
     shed: Cell<u64>,
     errors: Cell<u64>,
-    /// For each stage how often it was gone through, and how long that took in all.
+    /// For each stage the number of passes and their total duration.
     stage_times: [Cell<(u64, Duration)>; STAGES.len()],
-    /// Attempts that ended because their share of the budget, or all of it, was used up.
+    /// Attempts that timed out, by their share of the budget and by all of it.
     share_timeouts: Cell<u64>,
     budget_timeouts: Cell<u64>,
 }
 
-/// What this process has done since its start.
+/// The metrics of this process since its start.
 pub struct Metrics {
     classes: Vec<(Name, ClassCounters)>,
     attempts: Cell<u64>,
@@ -74,7 +73,7 @@
 }
 
 impl Metrics {
-    /// All zero.
+    /// Creates metrics that are all zero.
     pub fn new(settings: &Settings) -> Rc<Self> {
         Rc::new(Self {
             classes: settings.classes.iter().map(|c| (c.name.clone(), ClassCounters::default())).collect(),
@@ -87,12 +86,12 @@
         })
     }
 
-    /// How late the event loop runs.
+    /// The lag of the event loop.
     pub fn event_loop_lag(&self) -> &Rc<EventLoopLag> {
         &self.event_loop_lag
     }
 
-    /// What the process costs.
+    /// The resource usage of the process.
     pub fn usage(&self) -> &Rc<ResourceUsage> {
         &self.usage
     }
@@ -105,43 +104,43 @@
         self.position(class).map(|at| &self.classes[at].1)
     }
 
-    /// A request of a class has spent this much of its time in a stage.
+    /// Records the time that a request of a class spent in a stage.
     pub fn record_stage(&self, class: &str, stage: Stage, time: Duration) {
         if let Some(counters) = self.counters(class) {
             counters.stage_times[stage as usize].update(|(times, sum)| (times + 1, sum + time));
         }
     }
 
-    /// An attempt ended because its time was over: that of the whole request, or its share of it.
+    /// Counts an attempt that timed out, because all of the request's budget (`all`) or the attempt's share was used.
     pub fn attempt_timed_out(&self, class: &str, all: bool) {
         if let Some(counters) = self.counters(class) {
             if all { &counters.budget_timeouts } else { &counters.share_timeouts }.update(|n| n + 1);
         }
     }
 
-    /// A request is taken; it is active until what this gives back is dropped.
+    /// Counts an accepted request as active until the returned guard is dropped.
     pub fn start_request(self: &Rc<Self>, class: &str) -> ActiveRequest {
         self.active.set(self.active.get() + 1);
         ActiveRequest { metrics: self.clone(), class: self.position(class) }
     }
 
-    /// How many requests are taken and have not ended.
+    /// The number of accepted requests that have not ended.
     pub fn active(&self) -> u64 {
         self.active.get()
     }
 
-    /// An attempt is written whole.
+    /// Counts an attempt that was written whole.
     pub fn attempt_written(&self) {
         self.attempts.set(self.attempts.get() + 1);
     }
 
-    /// The configuration was read again, and used or not.
+    /// Counts a reload of the configuration, applied or rejected.
     pub fn record_reload(&self, applied: bool) {
         let count = if applied { &self.applied } else { &self.rejected };
         count.set(count.get() + 1);
     }
 
-    /// All figures, as one line of JSON; those of the group where there is one.
+    /// All metrics as one line of JSON, with those of the group if there is one.
     pub fn to_json_line(&self, pool: Pool, group: Option<Value>) -> String {
         let classes = |of: fn(&ClassCounters) -> Value| {
             let pairs = self.classes.iter().map(|(name, counters)| (name.to_string(), of(counters)));
@@ -181,14 +180,14 @@
     }
 }
 
-/// A request that is taken and has not ended. Dropped without an end its client has left: that counts nowhere.
+/// Guard of an active request. If dropped without an outcome, the client has left and no outcome is counted.
 pub struct ActiveRequest {
     metrics: Rc<Metrics>,
     class: Option<usize>,
 }
 
 impl ActiveRequest {
-    /// It ended like this.
+    /// Records the outcome of the request.
     pub fn finish(self, result: RequestResult) {
         let Some((_, counters)) = self.class.and_then(|class| self.metrics.classes.get(class)) else {
             return;
--- a/http-proxy/src/observe/mod.rs
+++ b/http-proxy/src/observe/mod.rs
@@ -1,4 +1,4 @@
-//! What is seen of a running gateway: figures and costs. Knows nothing of the other parts.
+//! Metrics and resource usage. Independent of the other modules.
 
 pub mod metrics;
 pub mod usage;
--- a/http-proxy/src/observe/usage.rs
+++ b/http-proxy/src/observe/usage.rs
@@ -1,29 +1,29 @@
-//! What the process costs: descriptors by use, connections opened and used again, calls and requests, and the kernel's
-//! own accounts of processor time and memory.
+//! Resource usage of the process: connections by purpose, reuse, counter calls and requests, and the kernel's figures
+//! for CPU time, memory and file descriptors.
 //!
-//! Invariants: who holds a connection holds its [`Held`], so that the open ones of each use are those that live; on the
-//! way of a request nothing but plain counters is touched; the kernel is asked only when the figures are.
+//! Invariants: the owner of a connection holds its [`OpenConnection`], so the count of each purpose is the number of
+//! live connections; handling a request only increments counters; the kernel is queried only when the metrics are read.
 
 use serde_json::{Map, Value, json};
 use std::cell::Cell;
 use std::fs;
 use std::rc::Rc;
 
-/// The kernel's unit of processor time in /proc, in ms: 100 a second on every Linux.
+/// The unit of CPU time in /proc, in ms: Linux uses 100 ticks per second on every machine.
 const TICK_MS: u64 = 10;
 
-/// What a connection is for.
+/// The purpose of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionUse {
-    /// A client's.
+    /// From a client.
     Client,
     /// To a backend.
     Backend,
     /// To the counter.
     Counter,
-    /// To discovery.
+    /// To the discovery service.
     Discovery,
-    /// An operator's.
+    /// From an operator.
     Console,
 }
 
@@ -35,7 +35,7 @@
     ("console", ConnectionUse::Console),
 ];
 
-/// Counted since the process started.
+/// Counters since the start of the process.
 #[derive(Default)]
 pub struct ResourceUsage {
     open: [Cell<u64>; CONNECTION_USES.len()],
@@ -45,14 +45,14 @@
     requests: Cell<u64>,
 }
 
-/// A connection that is open for as long as this lives.
+/// Counts a connection as open until dropped.
 pub struct OpenConnection {
     usage: Rc<ResourceUsage>,
     purpose: ConnectionUse,
 }
 
 impl OpenConnection {
-    /// The same once more.
+    /// Counts another connection of the same purpose.
     pub(crate) fn another(&self) -> Self {
         self.usage.connection_opened(self.purpose)
     }
@@ -65,29 +65,29 @@
 }
 
 impl ResourceUsage {
-    /// A connection has come up.
+    /// Counts a connection that was established.
     pub fn connection_opened(self: &Rc<Self>, purpose: ConnectionUse) -> OpenConnection {
         self.open[purpose as usize].update(|n| n + 1);
         self.opened[purpose as usize].update(|n| n + 1);
         OpenConnection { usage: self.clone(), purpose }
     }
 
-    /// A free connection to a backend is used again.
+    /// Counts the reuse of an idle connection to a backend.
     pub fn connection_reused(&self) {
         self.reused.update(|n| n + 1);
     }
 
-    /// The counter is called.
+    /// Counts a call of the counter.
     pub fn counter_called(&self) {
         self.counter_calls.update(|n| n + 1);
     }
 
-    /// A request has come, whatever becomes of it.
+    /// Counts a received request, whatever its outcome.
     pub fn request_received(&self) {
         self.requests.update(|n| n + 1);
     }
 
-    /// All of it, with what the kernel says now.
+    /// All counters and the kernel's current figures as JSON.
     pub fn to_json(&self) -> Value {
         let by_use = |counts: &[Cell<u64>]| -> Map<String, Value> {
             CONNECTION_USES
@@ -113,7 +113,7 @@
     }
 }
 
-/// The kernel's accounts of this process; what cannot be read is not there.
+/// The kernel's figures for this process; `None` for those that cannot be read.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Kernel {
     user_ms: Option<u64>,
@@ -126,13 +126,14 @@
 impl Kernel {
     fn now() -> Self {
         let text = |name| fs::read_to_string(name).unwrap_or_default();
-        // The listing itself holds one while it is read.
+        // Reading the directory itself uses one descriptor.
         let descriptors = fs::read_dir("/proc/self/fd").ok().map(|entries| entries.count() as u64 - 1);
         Self { descriptors, ..Self::parse(&text("/proc/self/stat"), &text("/proc/self/status")) }
     }
 
     fn parse(stat: &str, status: &str) -> Self {
-        // The program's name stands in brackets and may hold anything; the times are the 12th and 13th word after it.
+        // The program name is in parentheses and may contain any character; user and system time are the 12th and 13th
+        // fields after it.
         let fields = stat.rsplit_once(')').map(|(_, rest)| rest);
         let time = |at| fields?.split_ascii_whitespace().nth(at)?.parse::<u64>().ok()?.checked_mul(TICK_MS);
         let size = |key| {
--- a/http-proxy/src/pool.rs
+++ b/http-proxy/src/pool.rs
@@ -1,4 +1,4 @@
-//! The backends' side: where they listen, the connections to them, attempts and probes and how they end.
+//! The backend side of the proxy: known backends, connection pools, attempts, probes and their outcomes.
 
 use crate::fault_injection::{FaultInjector, Faults};
 pub use crate::message::ForwardedRequest;
@@ -21,113 +21,114 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// An answer of unknown length is passed on as it comes once it has lasted this long, however short it is so far.
+/// An answer of unknown length is buffered for at most this long before it is streamed to the client.
 const MAX_ANSWER_BUFFERING: Duration = Duration::from_millis(400);
-/// In the middle of a long answer a client may stop reading for this long.
+/// A streamed answer is aborted when the client reads nothing for this long.
 const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(20);
-/// Idle connections are looked after this often.
+/// Interval at which expired and closed idle connections are removed.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
-/// A connection is kept idle for this share of the time after which backends close it: well before.
+/// Idle connections are kept for this share of the backends' idle timeout, so that a request does not race with the
+/// backend closing the connection.
 const IDLE_TIMEOUT_RATIO: f64 = 0.5;
 
-/// One backend and where it listens.
+/// A backend and its address.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// What the decisions need to know.
+    /// The backend as the decision engine knows it.
     pub entry: BackendEntry,
-    /// Where it listens.
+    /// The address that the backend listens on.
     pub address: SocketAddr,
 }
 
-/// What a program speaks with its backends: how a request is put to one, and what an answer's head says.
+/// The application protocol between proxy and backends: builds requests and interprets the heads of answers.
 pub trait Protocol: 'static {
-    /// What a client asked, but for its body.
+    /// A client's request without its body.
     type RequestHead: Clone + 'static;
-    /// In the middle of a long answer a backend may be silent for this long.
+    /// Maximum time without new bytes in the middle of a streamed answer.
     const ANSWER_STALL_TIMEOUT: Duration = Duration::from_secs(8);
-    /// Whether a request may run of which a part was written, or only one that was written whole.
+    /// Whether a backend may execute a request that was only partly written.
     const PARTIAL_REQUEST_MAY_RUN: bool = false;
-    /// A connection whose peer's machine acknowledges nothing for this long is given up by the kernel.
+    /// TCP user timeout: the kernel closes a connection whose peer acknowledges nothing for this long.
     const TCP_USER_TIMEOUT: Option<Duration> = None;
-    /// Whether a backend may answer twice, the second time late: another attempt of a request then goes over another
-    /// connection, as no id would tell the second answer to the first attempt from its own.
+    /// Whether a backend may answer a request twice. If so, retries of a request use other connections, since the
+    /// request id does not tell a late second answer to an earlier attempt from the answer to the present one.
     const MAY_ANSWER_TWICE: bool = false;
 
-    /// The request as it goes to a backend that has this much time for it.
+    /// Builds the request to a backend that has `left` to answer.
     fn request(
         &self, request: &Self::RequestHead, to: &Name, address: SocketAddr, left: Duration,
     ) -> request::Builder;
 
-    /// Whether an answer belongs to the request. Its connection is spoilt otherwise.
+    /// Whether an answer belongs to the request. If not, the connection is closed.
     fn matches_request(&self, request: &Self::RequestHead, head: &response::Parts) -> bool;
 
-    /// How long the connection of an answer may stand idle, where that goes by the answer.
+    /// The idle timeout that the answer announces for its connection, if any.
     fn idle_timeout(&self, head: &HeaderMap) -> Option<Duration>;
 
-    /// What an answer means, and what of it goes to the client.
+    /// Derives the outcome of an attempt from the answer, and the part of the answer that the client receives.
     fn classify(
         &self, request: &Self::RequestHead, from: &Name, head: response::Parts, body: Payload,
     ) -> AttemptResult;
 
-    /// Asks a backend for its load, or for a sign of life.
+    /// Builds a probe for the load, or for the health, of a backend.
     fn probe_request(&self, address: SocketAddr) -> request::Builder;
 
-    /// The load that an answer to a probe tells.
+    /// Parses the load report in the answer to a probe.
     fn parse_probe(&self, body: &[u8]) -> Option<LoadReport>;
 
-    /// Hears what the log ought to say of a request, given by its ask if there is one.
+    /// Logs a line, for the given request if there is one.
     fn log(&self, request: Option<&Self::RequestHead>, text: fmt::Arguments<'_>);
 
-    /// Hears how an attempt of a request ended, and with whom.
+    /// Called when an attempt of a request at a backend has ended.
     fn on_attempt_ended(&self, _: &Self::RequestHead, _: &Name, _: Outcome) {}
 }
 
 /// The body of an answer.
 #[derive(Debug)]
 pub enum Payload {
-    /// It is here.
+    /// A body that was received whole.
     Whole(Bytes),
-    /// It is still coming.
+    /// A body that is still being received.
     Stream(Download),
 }
 
-/// A backend's answer, as far as it goes on to a client.
+/// A backend's answer as the client receives it.
 #[derive(Debug)]
 pub struct Answer {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its headers, without those that belong to the connection.
+    /// End-to-end headers: hop-by-hop headers are removed.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Payload,
 }
 
-/// An answer whose head and first bytes have come, and what is needed for the rest if there is one.
+/// An answer whose head and first bytes have arrived, with the connection for the rest of a long body.
 struct OpenedAnswer {
     head: response::Parts,
     start: Bytes,
     rest: Option<(Connection, Incoming, Slot, SocketAddr)>,
 }
 
-/// Why an attempt is called off.
+/// Why an attempt is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelReason {
-    /// Its client is gone: nothing speaks against the backend.
+    /// The client has left; the backend is not to blame.
     ClientLeft,
-    /// It has used up its share of the time.
+    /// The attempt has used up its share of the time budget.
     Stalled,
 }
 
-/// How an attempt or a probe ended.
+/// The result of an attempt or a probe.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// How it ended.
+    /// The outcome for the decision engine.
     pub outcome: Outcome,
-    /// Whether its time, or its share of it, was over.
+    /// Whether the attempt used up its share of the time budget, or all of it.
     pub timed_out: bool,
-    /// What was served. With another outcome it is the client's if there is no further attempt.
+    /// The answer. With an outcome other than `Served` the client receives it only if no further attempt is made.
     pub answer: Option<Answer>,
-    /// The load report that came along.
+    /// The load report that came with the answer.
     pub load: Option<LoadReport>,
 }
 
@@ -139,11 +140,11 @@
 
 struct Backend {
     host: Host,
-    /// When it last answered anything.
+    /// When the backend last answered anything.
     last_answer_at: Instant,
-    /// Free connections, the one used last at the end, and until when they may be used.
+    /// Idle connections, the most recently used last, each with the time when it expires.
     idle: Vec<(Connection, Instant)>,
-    /// Connections in use.
+    /// Number of connections in use.
     in_use: Rc<Cell<usize>>,
 }
 
@@ -153,7 +154,7 @@
     }
 }
 
-/// Counts a connection in use for as long as it lives, among all and among those of its backend.
+/// Counts a connection as in use, in total and for its backend, until dropped.
 struct Slot([Rc<Cell<usize>>; 2]);
 
 impl Drop for Slot {
@@ -162,7 +163,7 @@
     }
 }
 
-/// All backends that this gateway knows.
+/// The backends that this gateway knows, and the connections to them.
 pub struct Backends<P: Protocol> {
     protocol: P,
     backends: RefCell<HashMap<Name, Backend>>,
@@ -177,7 +178,7 @@
 }
 
 impl<P: Protocol> Backends<P> {
-    /// No backends yet; at most `most_open` connections to all of them together.
+    /// Creates an empty set of backends with at most `max_connections` connections to all of them together.
     pub fn new(
         protocol: P, connect_timeout: Duration, backend_idle_timeout: Duration, max_connections: usize,
         usage: Rc<ResourceUsage>,
@@ -201,24 +202,25 @@
         self.fault_injector.faults.set(faults);
     }
 
-    /// What is spoken with them.
+    /// The protocol spoken with the backends.
     pub fn protocol(&self) -> &P {
         &self.protocol
     }
 
-    /// Whether the list names a backend.
+    /// Whether the list contains the backend.
     pub fn contains(&self, name: &str) -> bool {
         self.backends.borrow().contains_key(name)
     }
 
-    /// Drops the free connections to a backend that operators take out.
+    /// Closes the idle connections to a backend that an operator has detached.
     pub fn close_idle_to(&self, name: &str) {
         if let Some(backend) = self.backends.borrow_mut().get_mut(name) {
             backend.idle.clear();
         }
     }
 
-    /// Takes in a list. Free connections to what drains, is gone or listens elsewhere now are dropped.
+    /// Applies a full list or a list of changes. Closes the idle connections to backends that are draining, gone or
+    /// have another address.
     pub fn update(&self, seq: u64, full: bool, hosts: &[Host]) {
         let mut backends = self.backends.borrow_mut();
         self.seq.set(seq);
@@ -249,27 +251,27 @@
         self.seq.get()
     }
 
-    /// The list as it stands.
+    /// The current list.
     pub fn hosts(&self) -> Vec<Host> {
         self.backends.borrow().values().map(|b| b.host.clone()).collect()
     }
 
-    /// Keeps no more than this many connections to any one backend from now on.
+    /// Sets the maximum number of connections to each backend.
     pub fn set_max_per_backend(&self, max_per_backend: usize) {
         self.max_per_backend.set(max_per_backend);
     }
 
-    /// Keeps no more than this many connections from now on.
+    /// Sets the maximum number of connections to all backends together.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
     }
 
-    /// Closes all free connections: none will be used again.
+    /// Closes all idle connections.
     pub fn close_idle(&self) {
         self.backends.borrow_mut().values_mut().for_each(|b| b.idle.clear());
     }
 
-    /// Drops free connections that have stood too long or have been closed, for ever.
+    /// Removes expired and closed idle connections periodically. Never returns.
     pub async fn prune_idle_connections(self: Rc<Self>) {
         loop {
             sleep(PRUNE_INTERVAL).await;
@@ -282,9 +284,9 @@
         }
     }
 
-    /// Sends a request to a backend and tells how that ended, once its connection is closed or free again. It has
-    /// to answer within `limit` and its client's budget, and before `called_off` resolves. A long answer is given to `begin` with its first bytes;
-    /// it is the client's from then on, and ends by itself.
+    /// Sends a request to a backend and returns the result once the connection is closed or idle again. The answer has
+    /// to arrive within `limit` and the client's budget, and before `cancelled` resolves. A long answer is passed to
+    /// `begin` with its first bytes; from then on neither the budget nor a cancellation ends the attempt.
     pub async fn attempt(
         &self, name: &Name, forwarded: &ForwardedRequest<P::RequestHead>, limit: Duration,
         trace: &Rc<AttemptTrace>, cancelled: oneshot::Receiver<CancelReason>, begin: impl FnOnce(Answer),
@@ -292,7 +294,7 @@
         let deadline = forwarded.attempt_deadline(Some(limit));
         let build = |address: SocketAddr| {
             let left = deadline.saturating_duration_since(Instant::now());
-            // What is over before it is written need not be begun.
+            // No time is left to answer: the request is not sent.
             if left.as_millis() == 0 && forwarded.rest.is_none() {
                 return None;
             }
@@ -301,7 +303,7 @@
         };
         let matches_request = |head: &response::Parts| self.protocol.matches_request(&forwarded.head, head);
         let started = Instant::now();
-        // Each arm ends the exchange, which closes its connection, before the end is told.
+        // Each branch drops the exchange, which closes its connection, before the result is returned.
         let mut timed_out = false;
         let opened = tokio::select! {
             biased;
@@ -315,7 +317,7 @@
                 let return_connection =
                     |connection, address| self.record_answer(name, address, None, Some(connection));
                 self.fault_injector.return_duplicate(trace.used_connections.last(), return_connection);
-                // Closed on before so much was written: no backend has begun with it.
+                // The connection is closed before the backend could execute the request.
                 let may_run =
                     if P::PARTIAL_REQUEST_MAY_RUN { trace.write_started.get() } else { trace.fully_written.get() };
                 let may_run = may_run && !self.fault_injector.faults.get().timeout_is_unsent;
@@ -332,7 +334,7 @@
                 let idle_timeout = self.protocol.idle_timeout(&head.headers);
                 let classified = self.protocol.classify(&forwarded.head, name, head, Payload::Stream(stream));
                 let AttemptResult { outcome, answer, load, .. } = classified;
-                // What else was said at length can wait for nobody: its connection closes.
+                // A long answer that the client does not receive is not read; its connection is closed.
                 let Some(answer) = answer else { return outcome.into() };
                 begin(answer);
                 let (since, stream_outcome) = (
@@ -342,7 +344,7 @@
                 if stream_outcome != Outcome::Served {
                     let after = since.elapsed().as_millis();
                     let text = format_args!(
-                        "its long answer from {name} ended after {after} ms: {stream_outcome:?}"
+                        "streamed answer from {name} aborted after {after} ms: {stream_outcome:?}"
                     );
                     self.protocol.log(Some(&forwarded.head), text);
                 }
@@ -352,7 +354,7 @@
                 }
             }
             Err(_) if forwarded.rest.as_ref().is_some_and(|rest| rest.error().is_some()) => {
-                // The backend is not to blame for what its client did not send.
+                // The client's upload failed, so the backend is not to blame.
                 Outcome::CalledOff.into()
             }
             Err(outcome) => {
@@ -364,8 +366,8 @@
         }
     }
 
-    /// Passes on a long answer as fast as its client reads, and tells how that ended.
-    #[allow(clippy::too_many_arguments, reason = "what an answer consists of, taken apart")]
+    /// Streams a long answer to the client at the client's pace, and returns the outcome.
+    #[allow(clippy::too_many_arguments, reason = "the parts of an answer")]
     async fn stream_answer(
         &self, name: &Name, address: SocketAddr, idle_timeout: Option<Duration>, mut connection: Connection,
         mut body: Incoming, start: Bytes, sender: mpsc::Sender<AnswerChunk>,
@@ -376,14 +378,14 @@
             let broken = next.is_err();
             match timeout(CLIENT_STALL_TIMEOUT, sender.send(next)).await {
                 Ok(_) if broken => return Outcome::Broken,
-                // By its length its client knows already that it has it all.
+                // The client has the whole body by its length and may have dropped the receiver.
                 Ok(_) if last => break,
                 Ok(Ok(())) => {}
-                // Its client has left, or reads no more.
+                // The client has left or has stopped reading.
                 Ok(Err(_)) | Err(_) => return Outcome::CalledOff,
             }
             next = tokio::select! {
-                // The end goes first: a client that has it all by its length has let go already.
+                // Polls the body first: the receiver is also closed when the client has the whole body by its length.
                 biased;
                 next = timeout(P::ANSWER_STALL_TIMEOUT, connection.next_bytes(&mut body)) => match next {
                     Ok(Some(bytes)) => bytes.map(Some).map_err(|_| BodyError::Broken),
@@ -399,9 +401,9 @@
         Outcome::Served
     }
 
-    /// Guards against machines that vanish: connections to one stay open and silent, and each would take a
-    /// request into doubt until its time is over. A new one fails soon and for certain. A backend that has
-    /// answered anything since is merely slow.
+    /// Closes the idle connections to a backend that has answered nothing since `since`. Guards against machines that
+    /// vanish: connections to them stay open, and each would leave one more request without a known outcome. A new
+    /// connection fails early and with a known outcome. A backend that has answered in the meantime is merely slow.
     fn close_suspect_connections(&self, name: &Name, since: Instant) {
         let mut backends = self.backends.borrow_mut();
         if let Some(backend) = backends.get_mut(name).filter(|b| b.last_answer_at < since) {
@@ -409,7 +411,7 @@
         }
     }
 
-    /// Asks a backend for its load, or where there are no reports for a sign of life.
+    /// Queries a backend for its load, or for its health if load reports are off.
     pub async fn probe(&self, name: &Name) -> AttemptResult {
         let build = |address: SocketAddr| {
             self.protocol.probe_request(address).body(OutgoingBody::new(Bytes::new(), None)).ok()
@@ -453,7 +455,7 @@
                     connection
                 }
             };
-            // Guards drains: while the connection came up the list may have changed.
+            // The backend may have started draining while the connection was being established.
             if self.address(name) != Some(address) {
                 return Err(Outcome::NeverSent);
             }
@@ -465,7 +467,7 @@
             self.fault_injector.drop_duplicate(connection.id());
             let faults = self.fault_injector.faults.get();
             match opened {
-                // Whose request this answers nobody knows, nor what comes next.
+                // The answer belongs to another request, and what follows on this connection is unknown.
                 Ok((head, ..)) if !faults.accept_any_answer && !matches_request(&head) => {
                     if faults.reuse_unmatched && connection.is_reusable().await {
                         self.record_answer(name, address, None, Some(connection));
@@ -480,8 +482,8 @@
                 Ok((head, start, Some(body))) => {
                     return Ok(OpenedAnswer { head, start, rest: Some((connection, body, slot, address)) });
                 }
-                // Guards against a free connection that its backend closed just now: nothing was written,
-                // so this is no second send, and the backend is not to blame.
+                // The backend closed the idle connection at the same time. No byte of the request was written, so the
+                // request can be sent on another connection and the backend is not to blame.
                 Err(WriteProgress::Unsent) if from_pool && !is_body_consumed() => {}
                 Err(_) if faults.resend_broken => {}
                 Err(WriteProgress::Unsent) => return Err(Outcome::ConnectFailed),
@@ -493,8 +495,8 @@
         }
     }
 
-    /// The head of an answer and its whole body, or the start of a long one. Until its first bytes are here an
-    /// answer can still break and be had elsewhere.
+    /// Receives the head of an answer and its whole body, or the first bytes of a long body. Before its first bytes a
+    /// failed answer can still be replaced by another attempt.
     async fn receive_answer(
         connection: &mut Connection, request: Request<OutgoingBody>, trace: Rc<AttemptTrace>,
     ) -> Result<(response::Parts, Bytes, Option<Incoming>), WriteProgress> {
@@ -521,12 +523,12 @@
         }
     }
 
-    /// Where a backend listens that may be sent something new.
+    /// The address of a backend that accepts new requests.
     fn address(&self, name: &Name) -> Option<SocketAddr> {
         self.backends.borrow().get(name).filter(|b| b.ready()).map(|b| b.host.address)
     }
 
-    /// A backend that may be sent something new, with a free connection that stands if there is one.
+    /// The address of a backend that accepts new requests, and an open idle connection to it if there is one.
     fn take_idle(
         &self, name: &Name, used_connections: &UsedConnections,
     ) -> Option<(SocketAddr, Option<Connection>)> {
@@ -537,8 +539,8 @@
             |(connection, _): &(Connection, Instant)| any || !used_connections.contains(connection);
         while let Some(at) = backend.idle.iter().rposition(may_carry) {
             let (connection, expires_at) = backend.idle.remove(at);
-            // Guards unsafe requests: one written to a connection that is closed or about to be is lost in
-            // doubt.
+            // Guards unsafe requests: the outcome of a request on a connection that is closed, or about to be closed,
+            // would be unknown.
             if Instant::now() < expires_at && connection.is_open() {
                 return Some((backend.host.address, Some(connection)));
             }
@@ -546,7 +548,7 @@
         Some((backend.host.address, None))
     }
 
-    /// Room for one more busy connection; free ones give way.
+    /// Reserves one more connection in use, closing idle connections if the limit requires it.
     fn acquire_slot(&self, name: &Name) -> Option<Slot> {
         let (in_use, max_connections) = (self.in_use.get(), self.max_connections.get());
         let mut backends = self.backends.borrow_mut();
@@ -566,7 +568,7 @@
         Some(Slot([self.in_use.clone(), own]))
     }
 
-    /// Notes that a backend answered, and keeps the connection if it is free again.
+    /// Records that a backend answered, and returns the connection to the pool if it can be reused.
     fn record_answer(
         &self, name: &Name, address: SocketAddr, idle_timeout: Option<Duration>,
         connection: Option<Connection>,
@@ -583,7 +585,7 @@
     }
 }
 
-/// Runs a task for as long as the program runs.
+/// Spawns a task on the local task set.
 pub fn spawn(task: impl Future<Output = ()> + 'static) {
     tokio::task::spawn_local(task);
 }
--- a/http-proxy/src/time/budget.rs
+++ b/http-proxy/src/time/budget.rs
@@ -1,23 +1,23 @@
-//! The time of a request: one budget, made at the door, which every stage asks what is left.
+//! The time budget of a request: created once on arrival, read by every later stage.
 //!
-//! Invariants: it is made once, when the request is whole or the start of its long body is here, and never grows; it
-//! lies on the steady clock; the one reserve for passing the answer on is taken off here and nowhere else in the
-//! gateway; no wait for a request goes on past `backstop`, which lies before the client's own deadline. The time of a
-//! long body goes by progress (`body.rs`): until it is whole nothing is drawn.
+//! Invariants: a budget is created when the request, or the start of its long body, has been received, and never grows;
+//! it uses the monotonic clock; the reserve for writing the answer to the client is subtracted here and nowhere else in
+//! the gateway; no wait for a request lasts longer than the budget plus [`Budget::grace`], which ends before the
+//! client's own deadline. Long uploads are bounded by their progress (`body.rs`): the budget starts with the last byte.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The last byte of an answer must be out before the client's patience ends: so much is kept for passing it on, and
-/// no more than this share.
+/// Time reserved for writing the answer before the client's timeout, and the maximum share of the timeout that is
+/// reserved.
 const ANSWER_RESERVE: Duration = Duration::from_millis(25);
 const ANSWER_RESERVE_RATIO: f64 = 0.25;
-/// What the event loop is late by says something of what comes in for this long. Less is the timers' own grain.
+/// How long an observed lag of the event loop counts, and the smallest lag that counts: less is timer granularity.
 const LAG_TTL: Duration = Duration::from_millis(100);
 const TIMER_GRANULARITY: Duration = Duration::from_millis(5);
 
-/// What a request has left.
+/// The time budget of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     deadline: Instant,
@@ -26,35 +26,36 @@
 }
 
 impl Budget {
-    /// The budget of a request whose last byte was read at `read_at` by an event loop that was so late, and whose
-    /// client waits for `patience` from its last byte on.
+    /// Creates the budget of a request whose last byte was read at `read_at`, by an event loop with lag `lag`, from a
+    /// client that waits for `patience` after its last byte.
     pub fn on_arrival(read_at: Instant, patience: Duration, lag: Duration) -> Self {
         let reserve = ANSWER_RESERVE.min(patience.mul_f64(ANSWER_RESERVE_RATIO));
         let total = patience.saturating_sub(reserve).saturating_sub(lag);
         Self { deadline: read_at + total, reserve, total }
     }
 
-    /// By when the answer has to be here.
+    /// The deadline for the backend's answer.
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// All of it, which a long body's request has from its last byte on.
+    /// The whole budget. A request with a long body has this much time from its last byte on.
     pub fn total(&self) -> Duration {
         self.total
     }
 
-    /// Whoever has no answer by then gets one all the same: half of the reserve is left for passing it on.
+    /// Grace after the deadline, half of the reserve. A request without an answer by then gets an error; the other half
+    /// is left for writing the error.
     pub fn grace(&self) -> Duration {
         self.reserve / 2
     }
 }
 
-/// How late the event loop runs, by its own timers: nothing is spent on asking.
+/// Measures the lag of the event loop by how late its existing timers fire, without timers of its own.
 ///
-/// Invariant: only what was seen within `FRESH`, or is overdue now, is told.
+/// Invariant: only a lag that was observed within `LAG_TTL`, or a timer that is overdue now, is reported.
 pub struct EventLoopLag {
-    /// The soonest timer that has not run out yet, of those set since the last one did.
+    /// The earliest pending timer among those set since the last timer fired.
     due: Cell<Option<Instant>>,
     last_lag: Cell<(Instant, Duration)>,
     max: Cell<Duration>,
@@ -69,12 +70,12 @@
 }
 
 impl EventLoopLag {
-    /// A timer is set.
+    /// Records that a timer has been set.
     pub fn timer_set(&self, due: Instant) {
         self.due.set(Some(self.due.get().map_or(due, |other| other.min(due))));
     }
 
-    /// That timer has run out, just now.
+    /// Records that the timer due at `due` has fired just now.
     pub fn timer_fired(&self, due: Instant) {
         if self.due.get().is_some_and(|next| next >= due) {
             self.due.set(None);
@@ -88,14 +89,14 @@
         self.late_count.set(self.late_count.get() + u64::from(!late.is_zero()));
     }
 
-    /// How late it is now.
+    /// The current lag.
     pub fn current(&self) -> Duration {
         let (at, last_lag) = self.last_lag.get();
         let last_lag = if at.elapsed() < LAG_TTL { last_lag } else { Duration::ZERO };
         last_lag.max(above_granularity(self.due.get().map_or(Duration::ZERO, |due| due.elapsed())))
     }
 
-    /// How often it was late, and the most that it ever was.
+    /// How many timers fired late, and the maximum lag.
     pub fn totals(&self) -> (u64, Duration) {
         (self.late_count.get(), self.max.get())
     }
@@ -124,7 +125,7 @@
         assert_eq!(left(budget), 55 * MS);
         advance(400 * MS).await;
         assert_eq!(left(budget), Duration::ZERO);
-        // Of little time no more than a quarter is kept back.
+        // At most a quarter of a short timeout is reserved.
         assert_eq!(left(Budget::on_arrival(Instant::now(), 20 * MS, Duration::ZERO)), 15 * MS);
     }
 
@@ -143,15 +144,15 @@
         let due = Instant::now() + 25 * MS;
         lag.timer_set(due);
         advance(28 * MS).await;
-        assert_eq!(lag.current(), Duration::ZERO, "the grain of timers");
+        assert_eq!(lag.current(), Duration::ZERO, "timer granularity is not lag");
         advance(297 * MS).await;
-        assert_eq!(lag.current(), 300 * MS, "the timer has not even run yet");
+        assert_eq!(lag.current(), 300 * MS, "an overdue timer counts before it fires");
         lag.timer_fired(due);
         lag.timer_set(Instant::now() + 25 * MS);
         assert_eq!(lag.current(), 300 * MS);
         advance(25 * MS).await;
         lag.timer_fired(Instant::now());
-        assert_eq!(lag.current(), 300 * MS, "one in time does not take it back at once");
+        assert_eq!(lag.current(), 300 * MS, "a timer on time does not reset the lag at once");
         advance(100 * MS).await;
         lag.timer_fired(Instant::now());
         assert_eq!((lag.current(), lag.totals()), (Duration::ZERO, (1, 300 * MS)));
--- a/http-proxy/src/time/clock.rs
+++ b/http-proxy/src/time/clock.rs
@@ -1,15 +1,15 @@
-//! The one clock of a gateway.
+//! The wall clock of a gateway and the backoff between retries.
 
 use doorcourse::Millis;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Two processes of a gateway whose clocks differ by more than this many ms were started on either side of a step of
-/// the system's clock: well above what a handover takes.
+/// If the clocks of two processes of a gateway differ by more than this many ms, the system clock was set between their
+/// starts. A handover takes much less time.
 const MIN_CLOCK_STEP: Millis = 2000.0;
 
-/// Unix time in milliseconds. Count names are made of window numbers, so all gateways must agree on it; it is
-/// read once from the system and then advanced by the steady clock, so that it never jumps or runs back.
+/// Unix time in milliseconds, read once from the system clock and then advanced by the monotonic clock, so that it
+/// never jumps. Count names contain window numbers derived from this time, so the clocks of all gateways must agree.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     unix: Duration,
@@ -17,28 +17,28 @@
 }
 
 impl Clock {
-    /// Anchors the clock to the system's time now.
+    /// Creates a clock that starts at the current system time.
     pub fn from_system_clock() -> Self {
-        // A system time before 1970 is no time at all: count from zero rather than fail.
+        // A system time before 1970 is treated as 0 rather than as an error.
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { unix, start: Instant::now() }
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Millis {
         self.at(Instant::now())
     }
 
-    /// The time at some moment.
+    /// The time at a given moment.
     pub fn at(&self, moment: Instant) -> Millis {
         let since = moment.saturating_duration_since(self.start).as_secs_f64();
         let before = self.start.saturating_duration_since(moment).as_secs_f64();
         (self.unix.as_secs_f64() + since - before) * 1000.0
     }
 
-    /// The clock of another process of this gateway that told the time just now, if the system's clock was set in
-    /// between: what is handed over stands in that time, and so do the windows that the other gateways count in.
-    /// A small difference is the way from there to here.
+    /// Adopts the clock of another process of this gateway that reported `reported` just now, if the system clock was
+    /// set since that process started: the handed-over state and the windows of the other gateways use the old time.
+    /// `None` if the difference is small enough to be the duration of the handover.
     pub fn aligned_with(self, reported: Millis) -> Option<Self> {
         let step = reported - self.now();
         let unix = Duration::try_from_secs_f64(self.unix.as_secs_f64() + step / 1000.0).ok()?;
@@ -46,18 +46,18 @@
     }
 }
 
-/// A span of milliseconds as a duration; what is negative or no number is zero.
+/// Converts milliseconds to a duration. Negative values and NaN become zero.
 pub fn to_duration(millis: Millis) -> Duration {
     Duration::try_from_secs_f64(millis / 1000.0).unwrap_or_default()
 }
 
-/// A duration in milliseconds.
+/// Converts a duration to milliseconds.
 pub fn millis(duration: Duration) -> Millis {
     duration.as_secs_f64() * 1000.0
 }
 
-/// The pauses between tries of what fails for many at once: each is drawn from a span that doubles with every
-/// failure (full jitter). Without room to double it is the same pause each time.
+/// Exponential backoff with full jitter: each delay is drawn from a range that doubles with every failure up to `max`.
+/// With `max` not above `first` the delay is constant, without jitter.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     first: Duration,
@@ -67,17 +67,17 @@
 }
 
 impl Backoff {
-    /// From the first pause up to the longest; the seed sets this process apart from the others.
+    /// Creates a backoff from the first range up to the maximum; the seed makes the delays of processes differ.
     pub fn new(first: Duration, max: Duration, seed: u64) -> Self {
         Self { first, max, range: first, rng_state: seed }
     }
 
-    /// How long to wait before the next try.
+    /// The delay before the next retry.
     pub fn next_delay(&mut self) -> Duration {
         if self.max <= self.first {
             return self.first;
         }
-        // Splitmix: seeds that hardly differ lead to draws that do.
+        // Splitmix64: similar seeds lead to unrelated draws.
         self.rng_state = self.rng_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.rng_state ^ (self.rng_state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -87,7 +87,7 @@
         delay
     }
 
-    /// It went well: the next failure is a first one.
+    /// Resets the backoff after a success.
     pub fn reset(&mut self) {
         self.range = self.first;
     }
--- a/http-proxy/src/time/mod.rs
+++ b/http-proxy/src/time/mod.rs
@@ -1,4 +1,4 @@
-//! Time: the one clock of a gateway, and the budget of time of each request.
+//! Wall clock of the gateway, backoff, and time budgets of requests.
 
 pub mod budget;
 pub mod clock;
--- a/http-proxy/src/wire/body.rs
+++ b/http-proxy/src/wire/body.rs
@@ -1,5 +1,5 @@
-//! Bodies, both ways. What is short is held whole and can be sent again; what is long streams through bounded
-//! buffers: a reader that stalls stops the writer.
+//! Request and response bodies. Short bodies are buffered whole and can be sent again. Long bodies are streamed through
+//! bounded buffers with backpressure: a stalled reader stops the writer.
 
 use crate::time::clock::to_duration;
 use bytes::Bytes;
@@ -14,34 +14,34 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
-/// A body of up to this many bytes is held whole.
+/// Bodies of up to this many bytes are buffered whole.
 pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
-/// The largest body that is taken from a client.
+/// Maximum size of a request body.
 pub const MAX_REQUEST_BODY: u64 = 34 << 20;
-/// Frames of a long answer that wait for their reader.
+/// Queue capacity of a streamed answer, in frames.
 const ANSWER_QUEUE_FRAMES: usize = 2;
-/// A client that is silent in the middle of a short body for this long, or of a long one, sends no proper request.
+/// Maximum time without bytes in the middle of a short body, and of a long one.
 const SHORT_BODY_GAP_TIMEOUT: Duration = Duration::from_millis(2300);
 const LONG_BODY_GAP_TIMEOUT: Duration = Duration::from_secs(6);
-/// All the waiting for a client must stay within this much and what its bytes give at so many a second: half of
-/// what slow clients are allowed, as their bytes come in pieces.
+/// The total time waiting for a client's body may not exceed this much plus the time its bytes take at
+/// `MIN_BYTES_PER_SECOND`, half of the rate that slow clients are promised, since their bytes arrive in bursts.
 const TOTAL_WAIT_BASE: Duration = Duration::from_millis(2500);
 const MIN_BYTES_PER_SECOND: f64 = 32_000.0;
 
-/// A backend may leave what is there of a long body for this long.
+/// Maximum time in which a backend reads none of the available bytes of a long body.
 const UPLOAD_STALL_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Whether an attempt still draws on a body that is no longer wanted is looked after this often.
+/// Interval for checking whether an attempt still holds an upload that is to be drained.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a body ended before its end.
+/// Why a body ended early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// Its sender broke it off.
+    /// The sender aborted the body.
     Broken,
-    /// Its sender was silent or slow for too long.
+    /// The sender sent nothing, or too little, for too long.
     TooSlow,
-    /// It is larger than what is taken.
+    /// The body exceeds the maximum size.
     TooLarge,
 }
 
@@ -57,11 +57,11 @@
 
 impl std::error::Error for BodyError {}
 
-/// A client's body. Its time goes by progress: waiting counts, being read slowly does not.
+/// A client's body with a progress timeout: time spent waiting for the client counts, backpressure does not.
 pub struct ClientBody {
     body: Incoming,
     timer: Pin<Box<Sleep>>,
-    /// The first bytes come by this time.
+    /// Deadline for the first bytes.
     first_bytes_deadline: Option<Instant>,
     waiting_since: Option<Instant>,
     total_wait: Duration,
@@ -70,7 +70,7 @@
 }
 
 impl ClientBody {
-    /// A body that has brought nothing yet.
+    /// Wraps a body of which nothing has been read.
     pub fn new(body: Incoming, first_bytes_deadline: Instant) -> Self {
         let timer = Box::pin(sleep_until(first_bytes_deadline));
         Self {
@@ -84,28 +84,28 @@
         }
     }
 
-    /// It may be so large instead.
+    /// Sets another maximum size.
     pub fn with_max_bytes(mut self, max_bytes: u64) -> Self {
         self.max_bytes = max_bytes;
         self
     }
 
-    /// How much is still to come, where that was said.
+    /// The number of bytes still to come, if known.
     pub fn remaining(&self) -> Option<u64> {
         self.body.size_hint().exact()
     }
 
-    /// Whether nothing more comes.
+    /// Whether the body has been read to its end.
     pub fn is_at_end(&self) -> bool {
         self.body.is_end_stream()
     }
 
-    /// The next bytes; none at the end.
+    /// Polls for the next bytes; `None` at the end.
     pub fn poll_bytes(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         loop {
             match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
-                    // Trailers say nothing that goes on to a backend.
+                    // Trailers are not forwarded.
                     let Ok(bytes) = frame.into_data() else { continue };
                     self.total_wait +=
                         self.waiting_since.take().map_or(Duration::ZERO, |since| since.elapsed());
@@ -140,46 +140,46 @@
         }
     }
 
-    /// The next bytes; none at the end.
+    /// Reads the next bytes; `None` at the end.
     pub async fn next_bytes(&mut self) -> Option<Result<Bytes, BodyError>> {
         std::future::poll_fn(|cx| self.poll_bytes(cx)).await
     }
 }
 
-/// What is still to come of a client's long body. It passes once: what an attempt has drawn is gone.
+/// The rest of a client's long body. Each byte can be read only once.
 pub struct Upload {
     body: RefCell<ClientBody>,
     consumed: Cell<bool>,
-    /// When it last moved, and whether it is waited for since.
+    /// When the body was last polled, and whether that poll is waiting for the client.
     last_poll: Cell<(Instant, bool)>,
     end: Cell<Option<(Instant, Option<BodyError>)>>,
     end_notify: Notify,
 }
 
 impl Upload {
-    /// The rest of a body whose start is held.
+    /// Wraps the rest of a body whose start is buffered.
     pub fn new(body: ClientBody) -> Rc<Self> {
         let (consumed, last_poll) = (Cell::new(false), Cell::new((Instant::now(), false)));
         let (body, end, end_notify) = (RefCell::new(body), Cell::new(None), Notify::new());
         Rc::new(Self { body, consumed, last_poll, end, end_notify })
     }
 
-    /// Whether some of it is gone: it cannot be sent a second time.
+    /// Whether part of the body has been read, so that it cannot be sent again.
     pub fn is_consumed(&self) -> bool {
         self.consumed.get()
     }
 
-    /// Why its client is to blame for its end, if it is.
+    /// The error by which the client ended the body, if any.
     pub fn error(&self) -> Option<BodyError> {
         self.end.get().and_then(|(_, error)| error)
     }
 
-    /// When its last byte came.
+    /// When the last byte arrived or the body failed.
     pub fn ended_at(&self) -> Option<Instant> {
         self.end.get().map(|(at, _)| at)
     }
 
-    /// Waits until it is over, and tells since when.
+    /// Waits for the end of the body and returns its time.
     pub async fn wait_end(&self) -> Instant {
         loop {
             let end_notify = self.end_notify.notified();
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Waits until the backend that should draw on it has not done so for too long. That the client is slow is
-    /// another matter.
+    /// Waits until the backend has not read available bytes for `UPLOAD_STALL_TIMEOUT`. Waiting for a slow client does
+    /// not count.
     pub async fn wait_stalled(&self) {
         loop {
             let (at, waiting) = self.last_poll.get();
@@ -221,7 +221,7 @@
         Poll::Ready(next)
     }
 
-    /// Reads what is left once nobody else holds it.
+    /// Drains the body as soon as this is the only reference to it.
     pub async fn drain_when_unshared(self: Rc<Self>) {
         while Rc::strong_count(&self) > 1 {
             sleep(DRAIN_POLL_INTERVAL).await;
@@ -229,13 +229,14 @@
         self.drain().await;
     }
 
-    /// Reads what nobody wants any more: closing on it unread would reset the connection, and the answer with it.
+    /// Reads and discards the rest. Closing the connection with unread bytes would reset it, and the answer would be
+    /// lost.
     pub async fn drain(&self) {
         while let Some(Ok(_)) = std::future::poll_fn(|cx| self.poll_bytes(cx)).await {}
     }
 }
 
-/// The body of a request on its way to a server.
+/// The body of a request to a backend.
 pub struct OutgoingBody {
     start: Bytes,
     rest: Option<Rc<Upload>>,
@@ -243,13 +244,13 @@
 }
 
 impl OutgoingBody {
-    /// What is held, and then the rest if there is one.
+    /// A buffered start, followed by the streamed rest if there is one.
     pub fn new(start: Bytes, rest: Option<Rc<Upload>>) -> Self {
         let handed_out = Rc::new(Cell::new(start.is_empty() && rest.is_none()));
         Self { start, rest, handed_out }
     }
 
-    /// Turns true once the last byte has been handed out.
+    /// A flag that becomes true once the last byte has been handed to the HTTP library.
     pub fn handed_out(&self) -> Rc<Cell<bool>> {
         self.handed_out.clone()
     }
@@ -291,26 +292,26 @@
     }
 }
 
-/// What comes of a long answer: bytes or the word that they were all. Without that word it is cut, whatever came.
+/// An item of a streamed answer: bytes, or `None` at the end. A stream without the end marker was truncated.
 pub type AnswerChunk = Result<Option<Bytes>, BodyError>;
 
-/// A long answer's body as its client gets it.
+/// The body of a streamed answer as the client receives it.
 #[derive(Debug)]
 pub struct Download {
     frames: mpsc::Receiver<AnswerChunk>,
     remaining: Option<u64>,
 }
 
-/// A long answer whose length may be known, and where its bytes go.
+/// Creates a streamed answer of known or unknown length, with the sender for its chunks.
 pub fn download(length: Option<u64>) -> (mpsc::Sender<AnswerChunk>, Download) {
     let (sender, frames) = mpsc::channel(ANSWER_QUEUE_FRAMES);
     (sender, Download { frames, remaining: length })
 }
 
-/// The body of an answer to a client. `T` is what lasts until the client has it all.
+/// The body of an answer to a client. `T` is held until the body has ended.
 pub struct AnswerBody<T> {
     source: Source,
-    /// Told how the body ended, and dropped with it.
+    /// Notified of the end of the body, and dropped with it.
     pub guard: T,
 }
 
@@ -319,19 +320,19 @@
     Stream(Download),
 }
 
-/// Hears of the end of an answer's body.
+/// Receives the end of an answer's body.
 pub trait OnBodyEnd {
-    /// It ended, whole or not.
+    /// Called when the body has ended, completely or not.
     fn body_ended(&mut self, complete: bool);
 }
 
 impl<T> AnswerBody<T> {
-    /// A body that is here.
+    /// A buffered body.
     pub fn whole(bytes: Bytes, guard: T) -> Self {
         Self { source: Source::Whole(Full::new(bytes)), guard }
     }
 
-    /// A body that is still coming.
+    /// A streamed body.
     pub fn stream(download: Download, guard: T) -> Self {
         Self { source: Source::Stream(download), guard }
     }
--- a/http-proxy/src/wire/connection.rs
+++ b/http-proxy/src/wire/connection.rs
@@ -1,5 +1,5 @@
-//! One HTTP/1.1 connection to a server. Whoever uses it drives it: it does nothing by itself, sends nothing
-//! twice, and is closed for certain the moment it is dropped.
+//! An HTTP/1.1 client connection. It makes progress only while its owner awaits it, never resends a request, and is
+//! closed as soon as it is dropped.
 
 use crate::observe::metrics::Metrics;
 use crate::observe::usage::{ConnectionUse, OpenConnection, ResourceUsage};
@@ -24,40 +24,40 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The most that is held of what comes in: heads, and a long body's next bytes.
+/// Maximum size of the read buffer, for heads and for the next bytes of a long body.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// The number of the next connection.
+/// The id of the next connection.
 static NEXT_ID: AtomicU64 = AtomicU64::new(0);
 
-/// How far a request had got when its connection failed.
+/// How much of a request had been written when its connection failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteProgress {
-    /// Not one byte of it was written.
+    /// No byte was written.
     Unsent,
-    /// Its last byte was not written.
+    /// Some bytes, but not the last one, were written.
     Partly,
-    /// It was written whole.
+    /// The last byte was written.
     Whole,
 }
 
-/// What is known of an attempt while it is out, and still when it has been dropped half-way.
+/// Progress of an attempt, readable during the attempt and after it has been dropped.
 #[derive(Default)]
 pub struct AttemptTrace {
-    /// Where it is counted once it is written whole.
+    /// Where the attempt is counted once it is written whole.
     pub metrics: Option<Rc<Metrics>>,
-    /// When its connection stood: a new one, or a free one that was there.
+    /// When the attempt obtained a connection, new or idle.
     pub connected: Cell<Option<Instant>>,
-    /// Whether any byte of it was written.
+    /// Whether any byte of the request was written.
     pub write_started: Cell<bool>,
-    /// Whether its last byte was written.
+    /// Whether the last byte of the request was written.
     pub fully_written: Cell<bool>,
-    /// The connections that carried an attempt of its request, this one included.
+    /// The connections used by attempts of the same request, including this one.
     pub used_connections: Rc<UsedConnections>,
 }
 
-/// The connections that carried one request, by their numbers. A second answer to an earlier attempt may still come on
-/// one of them, and its id would not tell it from the answer to the present one.
+/// The ids of the connections that carried attempts of one request. A late second answer to an earlier attempt may
+/// still arrive on one of them, and its request id would match the present attempt as well.
 #[derive(Default)]
 pub struct UsedConnections(RefCell<Vec<u64>>);
 
@@ -67,26 +67,26 @@
         self.0.borrow().contains(&connection.id)
     }
 
-    /// The one that carried it last.
+    /// The connection that carried the request last.
     pub(crate) fn last(&self) -> Option<u64> {
         self.0.borrow().last().copied()
     }
 
-    /// A connection carries the request from now on.
+    /// Records that a connection carries the request.
     pub fn add(&self, connection: &Connection) {
         self.0.borrow_mut().push(connection.id);
     }
 }
 
-/// How far the present request has been written, and who is told once it is whole.
+/// How much of the present request has been written, and its trace.
 struct WriteState {
     progress: Cell<WriteProgress>,
-    /// Whether the HTTP library has got its last byte.
+    /// Whether the HTTP library has received the last byte of the request.
     handed_out: RefCell<Rc<Cell<bool>>>,
     trace: RefCell<Rc<AttemptTrace>>,
 }
 
-/// The socket as the HTTP library sees it; it notes how far the present request has been written.
+/// The socket as the HTTP library uses it. Records how much of the present request has been written.
 struct TracedSocket {
     stream: Rc<TcpStream>,
     write_state: Rc<WriteState>,
@@ -136,7 +136,7 @@
         true
     }
 
-    /// The HTTP library flushes once all that it holds has been written.
+    /// The HTTP library flushes once it has written all buffered data.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.write_state.progress.get() == WriteProgress::Partly
             && self.write_state.handed_out.borrow().get()
@@ -156,13 +156,13 @@
     }
 }
 
-/// One connection.
+/// One HTTP/1.1 client connection.
 pub struct Connection {
     id: u64,
-    /// Whether all answers came as they should: after whole requests, in the protocol's present version.
+    /// Whether every answer used HTTP/1.1 and came after its request had been written whole.
     reusable: bool,
     sender: http1::SendRequest<OutgoingBody>,
-    /// Gone once it has ended.
+    /// `None` once the connection has ended.
     driver: Driver,
     stream: Rc<TcpStream>,
     write_state: Rc<WriteState>,
@@ -170,10 +170,10 @@
 }
 
 impl Connection {
-    /// Connects; it is counted as long as it is open.
+    /// Connects. The connection is counted for as long as it is open.
     ///
     /// # Errors
-    /// When no connection comes up in time.
+    /// When the connection is not established within the timeout.
     pub async fn connect(
         address: SocketAddr, timeout: Duration, usage: &Rc<ResourceUsage>, purpose: ConnectionUse,
     ) -> io::Result<Self> {
@@ -194,33 +194,33 @@
         Ok(Self { id, reusable: true, sender, driver: Some(Box::pin(driver)), stream, write_state, _open })
     }
 
-    /// Its number, which no other connection of this process has.
+    /// The id, unique within the process.
     pub(crate) fn id(&self) -> u64 {
         self.id
     }
 
-    /// The same connection once more, as if nothing had been asked on it. Only planted faults do so.
+    /// A duplicate of the connection without a pending request. Used only for fault injection.
     pub(crate) async fn duplicate(&self) -> io::Result<Self> {
         Self::from_stream(self.stream.clone(), self._open.another()).await
     }
 
-    /// Has the kernel break the connection once the other machine has acknowledged nothing for so long, in the middle
-    /// of a request or idle. A machine that vanishes says nothing.
+    /// Has the kernel close the connection when the peer has acknowledged nothing for `silence`, during a request or
+    /// while idle. A machine that vanishes sends neither a FIN nor a reset.
     pub fn set_user_timeout(&self, silence: Duration) {
         set_user_timeout(&self.stream, silence);
     }
 
-    /// Whether the idle connection still stands, by the kernel's newest word: asks the socket itself, since
-    /// what the event loop has heard so far may be old. Data that nobody asked for is a fault too.
+    /// Whether an idle connection is still open and has received nothing. Peeks at the socket, since the state known to
+    /// the event loop may be stale. Unsolicited data makes the connection unusable.
     pub fn is_open(&self) -> bool {
         let peeked = socket2::SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]);
         self.driver.is_some() && peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and waits for the head of the answer. `trace` hears when the request is written whole.
+    /// Sends a request and waits for the head of the answer. `trace` records the progress.
     ///
     /// # Errors
-    /// When the connection fails first or the answer cannot be read; says how far the request got.
+    /// When the connection fails first or the answer is invalid; the error says how much of the request was written.
     pub async fn send(
         &mut self, request: Request<OutgoingBody>, trace: Rc<AttemptTrace>,
     ) -> Result<(response::Parts, Incoming), WriteProgress> {
@@ -230,19 +230,19 @@
         let answer = self.sender.send_request(request);
         let answer = drive(&mut self.driver, answer).await;
         let answer = answer.map_err(|_| self.write_state.progress.get())?;
-        // Whoever answers before it has the request may take the rest for another one, and to an older version of the
-        // protocol the library would write the next request otherwise.
+        // A server that answers before it has the whole request may take the rest for a new request. After an answer
+        // of an older HTTP version the library would send the next request in that version.
         self.reusable &=
             self.write_state.progress.get() == WriteProgress::Whole && answer.version() == Version::HTTP_11;
         Ok(answer.into_parts())
     }
 
-    /// The next bytes of an answer's body; none at its end.
+    /// Reads the next bytes of an answer's body; `None` at the end.
     pub async fn next_bytes(&mut self, body: &mut Incoming) -> Option<Result<Bytes, WriteProgress>> {
         let next = poll_fn(|cx| {
             loop {
                 match ready!(Pin::new(&mut *body).poll_frame(cx)) {
-                    // Trailers say nothing that is passed on.
+                    // Trailers are not forwarded.
                     Some(Ok(frame)) if frame.is_trailers() => {}
                     next => return Poll::Ready(next),
                 }
@@ -255,10 +255,10 @@
         )
     }
 
-    /// Sends a request and waits for the whole answer, its body no larger than `most`.
+    /// Sends a request and reads the whole answer, with a body of at most `max_body` bytes.
     ///
     /// # Errors
-    /// When the connection fails first or the answer cannot be read; says how far the request got.
+    /// When the connection fails first or the answer is invalid; the error says how much of the request was written.
     pub async fn exchange(
         &mut self, request: Request<OutgoingBody>, max_body: usize,
     ) -> Result<(response::Parts, Bytes), WriteProgress> {
@@ -273,7 +273,7 @@
         Ok((head, whole.freeze()))
     }
 
-    /// Whether the connection can carry another request now.
+    /// Whether the connection can carry another request.
     pub async fn is_reusable(&mut self) -> bool {
         let (driver, sender) = (&mut self.driver, &mut self.sender);
         poll_fn(|cx| {
@@ -286,8 +286,8 @@
     }
 }
 
-/// Has the kernel break a connection whose other machine has acknowledged nothing for so long. Where that can't be had
-/// the connection goes on without.
+/// Has the kernel close a connection whose peer has acknowledged nothing for `silence`. If the options cannot be set,
+/// the connection stays usable without them.
 pub fn set_user_timeout(stream: &TcpStream, silence: Duration) {
     let socket = socket2::SockRef::from(stream);
     let probes =
@@ -304,7 +304,7 @@
     }
 }
 
-/// Waits for what the connection brings, and moves the connection's bytes meanwhile.
+/// Awaits a future of the connection while driving the connection's I/O.
 async fn drive<T>(driver: &mut Driver, wanted: impl Future<Output = T>) -> T {
     let mut wanted = pin!(wanted);
     poll_fn(|cx| {
--- a/http-proxy/src/wire/mod.rs
+++ b/http-proxy/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Bytes: bodies that are held or streamed, and a connection that carries requests.
+//! HTTP bodies and client connections to servers.
 
 pub mod body;
 pub mod connection;
