--- a/gateway/src/backends/list.rs
+++ b/gateway/src/backends/list.rs
@@ -1,4 +1,4 @@
-//! The list of backends: what discovery, a configuration and a predecessor say of them.
+//! The list of backends, as received from the discovery service, the configuration or the preceding process.
 
 use doorcourse::{BackendEntry, BackendState};
 pub use http_proxy::pool::Host;
@@ -6,12 +6,12 @@
 use serde_json::Value;
 use std::fmt;
 
-/// A list that cannot be used.
+/// An invalid list.
 #[derive(Debug)]
 pub enum ListError {
-    /// It is not JSON of the right form.
+    /// The text is not JSON of the expected form.
     Malformed(serde_json::Error),
-    /// An entry has no usable address.
+    /// The address of an entry is invalid.
     Address(String),
 }
 
@@ -19,7 +19,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Malformed(error) => write!(f, "malformed list of backends: {error}"),
-            Self::Address(host) => write!(f, "backend {host} has no usable address"),
+            Self::Address(host) => write!(f, "backend {host}: invalid address"),
         }
     }
 }
@@ -54,35 +54,35 @@
     Terminated,
 }
 
-/// The list of backends or changes to it.
+/// A full list of backends, or changes to the list.
 #[derive(Clone, Debug)]
 pub struct List {
-    /// Its version.
+    /// The version of the list.
     pub seq: u64,
-    /// Whether backends that are missing are gone.
+    /// Whether the list is complete: backends that it does not contain are gone.
     pub whole: bool,
     /// The entries.
     pub hosts: Vec<Host>,
 }
 
 impl List {
-    /// Reads a list from JSON text.
+    /// Parses a list from JSON text.
     ///
     /// # Errors
-    /// When it is malformed.
+    /// When the list is malformed.
     pub fn parse(text: &[u8]) -> Result<Self, ListError> {
         serde_json::from_slice(text).map_err(ListError::Malformed).and_then(Self::from_raw)
     }
 
-    /// Reads a list from a JSON value.
+    /// Parses a list from a JSON value.
     ///
     /// # Errors
-    /// When it is malformed.
+    /// When the list is malformed.
     pub fn from_value(value: &Value) -> Result<Self, ListError> {
         RawList::deserialize(value).map_err(ListError::Malformed).and_then(Self::from_raw)
     }
 
-    /// The list as discovery would write it.
+    /// The list in the JSON form of the discovery service.
     pub fn to_value(&self) -> Value {
         let raw_hosts = self.hosts.iter().map(|host| RawHost {
             host: host.entry.name.to_string(),
@@ -108,7 +108,7 @@
                 Health::Terminating => BackendState::Draining,
                 Health::Terminated => BackendState::Gone,
             };
-            // 0 stands for a start long ago, of which nothing is known.
+            // 0 means that the backend started long ago, at an unknown time.
             let started = (raw_host.born_ms > 0.0).then_some(raw_host.born_ms);
             let (name, zone) = (raw_host.host.into(), raw_host.site.into());
             Ok(Host { entry: BackendEntry { name, zone, cell: raw_host.block, state, started }, address })
--- a/gateway/src/backends/mod.rs
+++ b/gateway/src/backends/mod.rs
@@ -1,4 +1,4 @@
-//! The backends' side: the list of them, and the connections to them.
+//! The backend side of the gateway: the list of backends and the protocol spoken with them.
 
 pub mod list;
 pub mod pool;
--- a/gateway/src/backends/pool.rs
+++ b/gateway/src/backends/pool.rs
@@ -1,4 +1,4 @@
-//! What the program in service speaks with its backends; the connections to them are shared with the system.
+//! The quota gateway's protocol with its backends. Connection handling is shared with the data plane (`http_proxy`).
 
 use crate::time::clock::millis;
 use doorcourse::{LoadReport, Name, Outcome, Reports};
@@ -13,22 +13,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The word of a backend that never began with a request.
+/// Header by which a backend declares that it did not start the request.
 const DECLINED_HEADER: &str = "srv-declined";
-/// The load report that comes with answers.
+/// Header with the load report of a backend.
 const LOAD_HEADER: &str = "srv-load";
 
-/// All backends that this gateway knows.
+/// The backends that this gateway knows, and the connections to them.
 pub type Backends = http_proxy::pool::Backends<BackendProtocol>;
-/// What a client asked, as far as it goes on to a backend.
+/// A client's request as it is forwarded to backends.
 pub type ForwardedRequest = http_proxy::pool::ForwardedRequest<RequestHead>;
 
-/// What a client asked, but for its body.
+/// A client's request without its body.
 #[derive(Clone)]
 pub struct RequestHead {
     /// The method.
     pub method: Method,
-    /// Path and query, as they came.
+    /// Path and query, unchanged.
     pub target: PathAndQuery,
     /// `Req-Id`.
     pub id: HeaderValue,
@@ -38,9 +38,9 @@
     pub content_type: Option<HeaderValue>,
 }
 
-/// The present protocol.
+/// The protocol spoken with the backends.
 pub struct BackendProtocol {
-    /// Where load reports come from.
+    /// The source of load reports.
     pub reports: Reports,
 }
 
@@ -79,7 +79,7 @@
         let outcome = match head.status {
             StatusCode::OK => Outcome::Served,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Outcome::Full,
-            // Whatever else it says, it may have run.
+            // Any other answer leaves open whether the request was executed.
             _ => Outcome::Error,
         };
         let report = head.headers.remove(LOAD_HEADER).filter(|_| self.reports == Reports::Answers);
@@ -112,7 +112,7 @@
     }
 }
 
-/// Reads a report like `TEXT inflight=7, queue=2`; what it cannot read it leaves out.
+/// Parses a load report like `TEXT inflight=7, queue=2`, skipping entries that are invalid.
 fn parse_load(text: &str) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in text.trim().strip_prefix("TEXT")?.split(',') {
--- a/gateway/src/clients/frontend.rs
+++ b/gateway/src/clients/frontend.rs
@@ -1,4 +1,4 @@
-//! The clients' side: takes requests in, reads their headers, writes their answers, drains at the end.
+//! The client side of the gateway: accepts requests, parses their heads, writes answers and drains at shutdown.
 
 use crate::backends::pool::{BackendProtocol, ForwardedRequest, RequestHead, spawn};
 use crate::control::engine::{Engine, Reply, RequestGuard};
@@ -23,46 +23,46 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-/// No client waits longer than this; who claims so is not believed.
+/// Maximum value of `Req-Deadline-Ms`; larger values are rejected.
 const MAX_DEADLINE_MS: u64 = 600_000;
-/// A connection may stand idle, or be in the middle of the head of its first request, for this long, and of a later
-/// one for as long again: a peer that sends nothing proper is owed an error or the close within 3 s, and no idle
-/// connection may be closed within 2.
+/// Idle timeout, and timeout for the first head on a connection. A later head has as long again after the idle time.
+/// Chosen between two requirements: a peer that sends no valid request gets an error or a close within 3 s, and an idle
+/// connection stays open for at least 2 s.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2300);
-/// The first bytes of a body whose head came late in that time have this long all the same.
+/// Minimum time for the first bytes of a body whose head arrived late.
 const BODY_START_TIMEOUT: Duration = Duration::from_millis(600);
-/// A client's patience begins with the last byte of its request. The decisions are asked before a long body is here:
-/// they are told of a deadline so much later, which is what the slowest client needs for the longest body.
+/// A client's timeout starts with the last byte of its request, but the decision engine decides before a long body is
+/// complete. The deadline for the engine is extended by this much: the time of the slowest client for the longest body.
 const MAX_UPLOAD_TIME: Duration = Duration::from_secs(600);
-/// After the signal to end new connections are taken for this long. Halfway idle ones are closed, and so are those
-/// idle for half of it while clients are sent away ...
+/// How long new connections are accepted after the shutdown signal. Idle connections are closed after half of it. In
+/// lame-duck mode, connections that have been idle for half of it are closed.
 const SHUTDOWN_DELAY: Duration = Duration::from_millis(500);
-/// ... which is looked after this often.
+/// Interval for checking idle connections during shutdown and in lame-duck mode.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Clients that another process takes over may keep an idle connection for this long.
+/// Idle timeout for connections of clients after a handover to another process.
 const HANDOVER_IDLE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// After the last final answer connections have this long to be done with.
+/// How long connections may stay open at shutdown after the last final answer.
 const FINAL_DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
-/// Of the time that the process has to end in, what is kept for the last answers, at most this share.
+/// The part of the grace period that is reserved for writing the last answers, and its maximum share.
 const FINAL_ANSWER_RESERVE: Duration = Duration::from_millis(300);
 const FINAL_ANSWER_RESERVE_RATIO: f64 = 0.25;
-/// Read buffers hold one request's headers.
+/// Size of the read buffer, which holds the head of one request.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A request that is not taken in.
+/// Why a request is rejected before it reaches the decision engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Rejection {
-    /// There is no such path.
+    /// The path names no class.
     NotFound,
-    /// Something in it is missing, malformed or absurd.
+    /// A header or parameter is missing, malformed or out of range.
     Malformed(&'static str),
     /// The body is too large.
     TooLarge,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     TooSlow,
 }
 
-/// What a request says of itself.
+/// A request with its parsed head.
 struct ParsedRequest {
     class: Name,
     plan: Name,
@@ -81,7 +81,7 @@
     rest: Option<Rc<Upload>>,
 }
 
-/// The front side of one gateway.
+/// The client side of one gateway.
 pub struct Frontend {
     engine: Rc<Engine>,
     classes: Vec<(Name, Idempotency)>,
@@ -90,10 +90,10 @@
     grace: Duration,
     connections: Rc<ClientConnections>,
     metrics: Rc<Metrics>,
-    /// Operators send clients away; the process is about to end.
+    /// Whether operators send clients to other gateways, and whether the process is shutting down.
     lame_duck: watch::Sender<bool>,
     shutting_down: Cell<bool>,
-    /// Clients are being served; another process takes the new ones from now on.
+    /// Whether clients are served, and whether another process has taken over the new clients.
     serving: Cell<bool>,
     handed_over: Cell<bool>,
     hand_over: Notify,
@@ -103,7 +103,7 @@
 type ClientResponse = Response<AnswerBody<ResponseGuard>>;
 
 impl Frontend {
-    /// A front side that takes at most `most_clients` connections at once.
+    /// Creates a frontend that accepts at most `max_clients` connections at once.
     pub fn new(
         engine: Rc<Engine>, settings: &Settings, max_clients: usize, grace: Duration, metrics: Rc<Metrics>,
     ) -> Rc<Self> {
@@ -123,40 +123,40 @@
         })
     }
 
-    /// Sends clients away or takes them again: the process keeps running either way.
+    /// Enters or leaves lame-duck mode. The process keeps running in either case.
     pub fn set_lame_duck(&self, on: bool) {
         self.lame_duck.send_replace(on);
     }
 
-    /// Whether clients are sent away.
+    /// Whether lame-duck mode is on.
     pub fn is_lame_duck(&self) -> bool {
         *self.lame_duck.borrow()
     }
 
-    /// Whether new clients are taken by this process.
+    /// Whether this process accepts new clients.
     pub fn is_ready(&self) -> bool {
         self.serving.get() && !self.shutting_down.get() && !self.handed_over.get()
     }
 
-    /// Takes no new clients any more: another process of this gateway does, at the same listener. Gives the number
-    /// of those that are still here.
+    /// Stops accepting clients, since another process of this gateway accepts them on the same listener. Returns the
+    /// number of open client connections.
     pub fn hand_over(&self) -> usize {
         self.handed_over.set(true);
         self.hand_over.notify_one();
         self.connections.count()
     }
 
-    /// Takes no more than this many clients at once from now on.
+    /// Sets the maximum number of client connections.
     pub fn set_max_clients(&self, max_clients: usize) {
         self.connections.set_max_clients(max_clients);
     }
 
-    /// Whether clients ought to come on other connections.
+    /// Whether answers ask clients to use another connection.
     fn draining(&self) -> bool {
         self.is_lame_duck() || self.shutting_down.get() || self.handed_over.get()
     }
 
-    /// While operators send clients away, closes on those that keep a connection and ask nothing, for ever.
+    /// Closes idle connections whenever lame-duck mode is on. Never returns.
     async fn close_idle_while_lame_duck(self: Rc<Self>) {
         let mut lame_duck = self.lame_duck.subscribe();
         while lame_duck.wait_for(|on| *on).await.map(drop).is_ok() {
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Serves clients until `end` resolves or another process takes over, then lets those finish that are there.
-    /// Returns when the last one has gone.
+    /// Serves clients until `end` resolves or another process takes over, then drains. Returns when all connections
+    /// have closed.
     pub async fn serve(self: Rc<Self>, listener: Rc<TcpListener>, end: impl Future<Output = ()>) {
         spawn(self.clone().close_idle_while_lame_duck());
         self.serving.set(true);
@@ -178,8 +178,8 @@
                     - FINAL_ANSWER_RESERVE.min(self.grace.mul_f64(FINAL_ANSWER_RESERVE_RATIO)),
             );
             sleep(SHUTDOWN_DELAY / 2).await;
-            // Guards requests that cross the close of an idle connection: these are sent once more on a new
-            // one, so new ones must still be taken.
+            // Clients resend a request that crosses the close of an idle connection on a new connection, so new
+            // connections are accepted for a while longer.
             self.connections.close_idle(Duration::ZERO);
             sleep(SHUTDOWN_DELAY / 2).await;
         };
@@ -189,8 +189,8 @@
                 () = shutdown.as_mut() => break,
                 () = self.hand_over.notified() => {
                     drop(listener);
-                    // Each leaves with its next answer, as nobody reads what crosses a close; the others when they
-                    // have been idle for long.
+                    // Busy connections close with their next answer, since a request that crosses a close would be
+                    // lost. Idle connections close after a timeout.
                     while self.connections.count() > 0 {
                         let _ = timeout(SHUTDOWN_POLL_INTERVAL, self.connections.closed()).await;
                         self.connections.close_idle(HANDOVER_IDLE_TIMEOUT);
@@ -200,13 +200,13 @@
                 stream = self.connections.accept(&listener) => self.clone().serve_client(stream),
             }
         }
-        // What the machine has accepted for us already is ours to answer.
+        // Connections that the kernel has already accepted are served too.
         while let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
             self.clone().serve_client(stream);
         }
         drop(listener);
-        // Guards the end against clients that stop half-way: once nothing that was taken waits for its answer,
-        // the last answers and the last bodies have this long.
+        // Guards the shutdown against clients that stall: once no request waits for its answer, writing the remaining
+        // answers and reading the remaining bodies is bounded by this timeout.
         let mut last_active = Instant::now();
         while self.connections.count() > 0 && last_active.elapsed() < FINAL_DRAIN_TIMEOUT {
             let _ = timeout(SHUTDOWN_POLL_INTERVAL, self.connections.closed()).await;
@@ -239,7 +239,7 @@
         connections.serve(stream, client, READ_BUFFER_BYTES, service);
     }
 
-    /// The one answer to a request.
+    /// Produces the answer to a request.
     async fn answer(
         &self, request: Request<Incoming>, body_deadline: Instant, client: &ClientConnection,
     ) -> ClientResponse {
@@ -259,14 +259,14 @@
                 Err(rejection) => reject(rejection),
             }
         };
-        // So that clients find another gateway, or make room for others here.
+        // Moves clients to another gateway, or makes room for other clients here.
         if self.draining() || self.connections.is_full() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 
-    /// Whether new clients should come here.
+    /// Health check: whether new clients should use this gateway.
     fn health(&self, method: &Method) -> ClientResponse {
         match *method {
             Method::GET | Method::HEAD if self.is_lame_duck() || self.shutting_down.get() => {
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Reads a request whole, or with the start of a long body.
+    /// Receives a request whole, or with the start of a long body.
     async fn receive(
         &self, request: Request<Incoming>, body_deadline: Instant,
     ) -> Result<ParsedRequest, Rejection> {
@@ -337,7 +337,7 @@
             .filter(|c| c.len() == 16 && c.bytes().all(|b| b.is_ascii_hexdigit()))
             .filter(|c| u64::from_str_radix(c, 16).is_ok_and(|n| n < 1 << 33))
             .ok_or(Rejection::Malformed("Api-Customer"))?;
-        // One customer, one name: its quota does not double with the case of its digits.
+        // Hex digits in upper and lower case name the same customer, who would otherwise have several quotas.
         let customer = Name::from(customer.to_ascii_lowercase());
         let patience = header_text(headers, "req-deadline-ms")?
             .filter(|t| t.bytes().all(|b| b.is_ascii_digit()))
@@ -373,7 +373,7 @@
         })
     }
 
-    /// Reads `units=2,spread=3,first=1`; a request of no said units is one unit.
+    /// Parses `units=2,spread=3,first=1`; `units` defaults to 1.
     fn terms(&self, text: &str) -> Option<(f64, u32, u32)> {
         let (mut units, mut spread, mut first) = (1.0, None, None);
         for pair in text.split(',') {
@@ -388,7 +388,7 @@
         (units > 0.0 && units <= max).then_some((units, spread.filter(|s| *s > 0)?, first?))
     }
 
-    /// Has the decisions answer a request whose last byte was read at this time.
+    /// Submits a request, whose last byte was read at `read_at`, to the decision engine and awaits the answer.
     async fn process(&self, parsed: ParsedRequest, read_at: Instant) -> ClientResponse {
         let ParsedRequest { class, plan, customer, units, spread, first, repeat, patience, .. } = parsed;
         let ParsedRequest { method, target, id, idempotency_key, content_type, body, rest, .. } = parsed;
@@ -406,7 +406,7 @@
             |id| Arrival { id, customer, plan, class, units, repeat, deadline, first_gateway: first, spread };
         let (id, reply) = self.engine.submit(arrival, forwarded.clone(), u32::MAX);
         let request_guard = RequestGuard::new(self.engine.clone(), id);
-        // Guards the one final answer: should the decisions forget a request, it still gets one in time.
+        // Guarantees a final answer in time even if the decision engine were to lose a request.
         let reply = tokio::select! {
             biased;
             reply = reply => reply.ok(),
@@ -415,7 +415,7 @@
         let reply = reply.unwrap_or(Reply::Failed(true));
         match reply {
             Reply::Served(Answer { headers, body: Payload::Stream(stream), .. }) => {
-                // It has not ended yet, and ends when its client has it all, or leaves.
+                // The request stays active until the client has received the whole body or has left.
                 let guard = ResponseGuard { busy: None, streamed: Some((active, request_guard)) };
                 let mut response = Response::new(AnswerBody::stream(stream, guard));
                 *response.headers_mut() = headers;
@@ -448,7 +448,7 @@
     }
 }
 
-/// The only value of a header; a header given twice may be read differently by others.
+/// The value of a header that may occur only once: duplicates could be interpreted differently by other parties.
 fn single_header<'a>(
     headers: &'a HeaderMap, name: &'static str,
 ) -> Result<Option<&'a HeaderValue>, Rejection> {
--- a/gateway/src/clients/mod.rs
+++ b/gateway/src/clients/mod.rs
@@ -1,3 +1,3 @@
-//! The clients' side.
+//! The client side of the gateway.
 
 pub mod frontend;
--- a/gateway/src/control/config.rs
+++ b/gateway/src/control/config.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told at its start: the environment and the file that `NODE_CONFIG` names.
+//! The configuration of a gateway: environment variables and the file that `NODE_CONFIG` names.
 
 use crate::backends::list::{List, ListError};
 use crate::group::settings as group;
@@ -11,33 +11,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Used where the settings name no such time.
+/// Defaults for times that the settings do not contain.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 const DEFAULT_BACKEND_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Used where the configuration names no limit.
+/// Default for `limits.sockets`.
 const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
-/// The least time between SIGTERM and SIGKILL, by the protocol.
+/// Default grace period: the minimum time between SIGTERM and SIGKILL that the operating protocol guarantees.
 const DEFAULT_GRACE_PERIOD: Duration = Duration::from_millis(3700);
 const MAX_GRACE_MS: f64 = 3_600_000.0;
 
-/// A configuration that cannot be used.
+/// An invalid configuration.
 #[derive(Debug)]
 pub enum ConfigError {
     /// `NODE_CONFIG` is not set.
     NoFile,
     /// The file cannot be read.
     Unreadable(std::io::Error),
-    /// It is not the JSON object that it should be.
+    /// The file is not a JSON object of the expected form.
     Malformed(serde_json::Error),
-    /// An address is missing or is none.
+    /// An address is missing or invalid.
     Address(&'static str),
     /// The seed is not a number of up to 16 hex digits.
     Seed,
-    /// The time to end in is no number of ms above 0, or absurd.
+    /// The grace period is not a number of ms above 0 and up to the maximum.
     Grace,
-    /// The list of backends in it cannot be used.
+    /// The list of known backends is invalid.
     BackendList(ListError),
-    /// The settings, or those of the group, cannot be used.
+    /// The settings of the gateway or of its group are invalid.
     Settings(String),
 }
 
@@ -47,9 +47,9 @@
             Self::NoFile => write!(f, "NODE_CONFIG is not set"),
             Self::Unreadable(error) => write!(f, "NODE_CONFIG cannot be read: {error}"),
             Self::Malformed(error) => write!(f, "NODE_CONFIG is malformed: {error}"),
-            Self::Address(which) => write!(f, "{which}: no address, or an unusable one"),
-            Self::Seed => write!(f, "seed is not a number in hex digits"),
-            Self::Grace => write!(f, "limits: grace_ms is no number above 0 and up to {MAX_GRACE_MS}"),
+            Self::Address(which) => write!(f, "{which}: address missing or invalid"),
+            Self::Seed => write!(f, "seed is not a hexadecimal number"),
+            Self::Grace => write!(f, "limits: grace_ms is not a number above 0 and up to {MAX_GRACE_MS}"),
             Self::BackendList(error) => write!(f, "known: {error}"),
             Self::Settings(what) => write!(f, "{what}"),
         }
@@ -81,50 +81,51 @@
     grace_ms: Option<Value>,
 }
 
-/// All that a gateway is told at its start.
+/// The configuration of a gateway.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name, for the log.
+    /// The name of the gateway, for logs and file names.
     pub name: String,
-    /// Where clients connect.
+    /// Listen address for clients.
     pub listen: SocketAddr,
-    /// Where discovery is asked.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where the counter is, if there is one.
+    /// Address of the shared counter, if any.
     pub counter: Option<SocketAddr>,
-    /// Where operators connect, if they may.
+    /// Listen address of the operators' console, if any.
     pub console: Option<SocketAddr>,
-    /// The seed of all chance.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// The most descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub max_descriptors: usize,
-    /// The process is killed no sooner than this after the signal to end.
+    /// The time between the shutdown signal and the earliest kill of the process.
     pub grace_period: Duration,
-    /// The list of backends as this gateway last had it.
+    /// The list of backends that this gateway knew last.
     pub known: List,
-    /// A connection that takes longer has failed.
+    /// Timeout for connecting to a backend.
     pub connect_timeout: Duration,
-    /// Backends close connections that stood idle for this long.
+    /// Idle timeout after which backends close connections.
     pub backend_idle_timeout: Duration,
-    /// What the decisions are made by.
+    /// Settings of the decision engine.
     pub settings: Settings,
-    /// The gateway's part in a group, if it has one.
+    /// Settings of the gateway's group membership, if any.
     pub group: Option<group::Settings>,
 }
 
 impl Config {
-    /// Reads the environment and the file that it names.
+    /// Reads the configuration from the environment and the file that the environment names.
     ///
     /// # Errors
-    /// When either cannot be used.
+    /// When a variable or the file is invalid.
     pub fn from_environment() -> Result<Self, ConfigError> {
         Self::parse(&Self::read_file()?, |key| std::env::var(key).ok())
     }
 
-    /// Reads the file again after it has been replaced: what it says of discovery is newer than the environment.
+    /// Reads the file again after its replacement. The file's address of discovery takes precedence over the
+    /// environment, which is older.
     ///
     /// # Errors
-    /// When it cannot be used.
+    /// When the file is invalid.
     pub fn reload() -> Result<Self, ConfigError> {
         Self::parse(&Self::read_file()?, |key| std::env::var(key).ok().filter(|_| key != "NODE_DISCOVERY"))
     }
@@ -134,7 +135,7 @@
         std::fs::read_to_string(path).map_err(ConfigError::Unreadable)
     }
 
-    /// Reads the text of a file; what the environment says goes first.
+    /// Parses the text of a file. Environment variables take precedence.
     fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let file: File = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
         let address = |text: Option<String>, which| {
--- a/gateway/src/control/counter.rs
+++ b/gateway/src/control/counter.rs
@@ -1,4 +1,4 @@
-//! The shared counter: pipelined RESP2 calls on a few connections.
+//! Client of the shared counter: pipelined RESP2 calls on a few connections.
 
 use crate::observe::usage::{ConnectionUse, ResourceUsage};
 use crate::time::clock::millis;
@@ -16,26 +16,27 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Connections; a name goes by the same one while that one answers, so its calls keep their order.
+/// Number of connections. The calls for a name use the same connection while that connection responds, so that they
+/// are executed in order.
 pub const CONNECTIONS: usize = 2;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// The wait before a new connection, doubled up to the last with each that fails.
+/// Delay before reconnecting, first and maximum; the delay doubles with every failure.
 const RECONNECT_BACKOFF: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(500)];
-/// A connection on which calls wait and nothing has come for this long leads nowhere: a machine that vanished
-/// says nothing. It is longer than any line of calls that the counter lets grow.
+/// A connection with pending calls on which nothing has arrived for this long is closed: a machine that vanished sends
+/// no reset. The timeout exceeds the longest queue of calls that the counter accumulates.
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(250);
-/// An idle connection is kept up by a ping this often.
+/// Interval of pings on an idle connection.
 const PING_INTERVAL: Duration = Duration::from_secs(3);
-/// The most calls on one connection without an answer, and the most bytes of answers not understood yet.
+/// Maximum number of calls without an answer on a connection, and of received bytes that form no complete answer.
 const MAX_PENDING_CALLS: usize = 1024;
 const MAX_UNPARSED_BYTES: usize = 4096;
 
 struct Call {
-    /// None for a ping.
+    /// `None` for a ping.
     name: Option<u64>,
     amount: f64,
     made_at: Instant,
-    /// Where its last byte stands in all that was ever written on this connection.
+    /// Offset just after the call's last byte in the stream of bytes written on this connection.
     end_offset: u64,
     reported: bool,
 }
@@ -46,7 +47,7 @@
     write_buffer: VecDeque<u8>,
     written: u64,
     calls: VecDeque<Call>,
-    /// When something last came.
+    /// When bytes last arrived.
     last_read_at: Option<Instant>,
 }
 
@@ -59,14 +60,14 @@
     error_logged: Cell<bool>,
 }
 
-/// The gateway's side of the counter.
+/// Client of the shared counter.
 pub struct CounterClient {
     connections: Vec<Rc<CounterConnection>>,
     address: watch::Sender<SocketAddr>,
 }
 
 impl CounterClient {
-    /// Connects and stays connected from now on. A call without an answer for `patience` is reported unknown.
+    /// Connects and reconnects from now on. A call without an answer for `call_timeout` is reported as unknown.
     pub fn start(
         address: SocketAddr, call_timeout: Duration, callback: Rc<CounterCallback>, usage: Rc<ResourceUsage>,
     ) -> Self {
@@ -89,22 +90,22 @@
 }
 
 impl Counter for CounterClient {
-    /// Moves to another address; calls that are out are still heard at the old one.
+    /// Changes the address. Answers to pending calls are still read from the old address.
     fn set_address(&self, address: SocketAddr) {
         self.address.send_replace(address);
     }
 
-    /// Whether a connection stands.
+    /// Whether any connection is established.
     fn is_available(&self) -> bool {
         self.connections.iter().any(|connection| connection.pipeline.borrow().connected)
     }
 
-    /// Adds an amount to a name; the end is reported later or, with no connection, at once.
+    /// Adds an amount to a count. The outcome is reported later or, without a connection, at once.
     fn add(&self, name: u64, amount: f64, ttl: Millis) {
         let home = name as usize % self.connections.len();
         let mut connections = self.connections[home..].iter().chain(&self.connections[..home]);
-        // Guards quotas against a connection that is gone or has gone blind: it would cost every call until it is
-        // replaced, while another one stands.
+        // Avoids connections that are closed or unresponsive while another connection responds: every call on such a
+        // connection would fail until it is replaced.
         let connection =
             connections.find(|connection| connection.is_responsive()).unwrap_or(&self.connections[home]);
         let name_text = name.to_string();
@@ -117,7 +118,7 @@
 }
 
 impl CounterConnection {
-    /// Whether it is up and no call on it has outwaited its patience with nothing heard since.
+    /// Whether the connection is established, unless its oldest call has timed out and no bytes arrived since that call.
     fn is_responsive(&self) -> bool {
         let pipeline = self.pipeline.borrow();
         let unanswered = |c: &Call| {
@@ -126,7 +127,7 @@
         pipeline.connected && !pipeline.calls.front().is_some_and(unanswered)
     }
 
-    /// Puts a call in line, if there is a line.
+    /// Queues a call; false without a connection or with too many pending calls.
     fn enqueue(&self, name: Option<u64>, amount: f64, args: &[&str]) -> bool {
         let mut pipeline = self.pipeline.borrow_mut();
         if !pipeline.connected || pipeline.calls.len() >= MAX_PENDING_CALLS {
@@ -167,9 +168,9 @@
                     && error.kind() == io::ErrorKind::InvalidData
                     && !self.error_logged.replace(true)
                 {
-                    eprintln!("counter: {error} (told once)");
+                    eprintln!("counter: {error} (logged once)");
                 }
-                // One that stood for a while was closed as idle or with its machine: no reason to wait.
+                // A connection that lasted was closed as idle or with the counter's machine: no backoff needed.
                 if started.elapsed() > UNRESPONSIVE_TIMEOUT {
                     backoff = RECONNECT_BACKOFF[0];
                 }
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Tells of all that got no answer: what was not written whole was not added.
+    /// Reports all calls without an answer. A call that was not written whole was not executed.
     fn report_unanswered(&self) {
         let Pipeline { calls, written, .. } = self.pipeline.take();
         for call in calls {
@@ -209,8 +210,8 @@
             }
             let (has_output, due) = {
                 let pipeline = self.pipeline.borrow();
-                // The same moments as are looked at below: waiting for one that is over would take all of the
-                // processor until the other is.
+                // The same deadlines as are checked below: sleeping until a deadline that has passed would spin until
+                // the other deadline is reached.
                 let silence_deadline = pipeline.calls.front().map_or(last_activity + PING_INTERVAL, |c| {
                     c.made_at.max(last_activity) + UNRESPONSIVE_TIMEOUT
                 });
@@ -229,7 +230,7 @@
                 () = sleep_until(due) => {}
             }
             self.write(stream)?;
-            // Before the time-outs: an answer that is there counts.
+            // Reads before checking timeouts, so that an answer that has arrived counts.
             if self.read(stream, &mut input)? {
                 last_activity = Instant::now();
                 self.pipeline.borrow_mut().last_read_at = Some(last_activity);
@@ -265,7 +266,7 @@
         Ok(())
     }
 
-    /// Reads what is there and tells of the answers; true if anything came.
+    /// Reads what has arrived and reports the answers. Returns whether any bytes arrived.
     fn read(&self, stream: &TcpStream, input: &mut Vec<u8>) -> io::Result<bool> {
         let (mut received, mut bytes) = (false, [0; 4096]);
         loop {
@@ -281,16 +282,16 @@
                 self.handle_reply(frame)?;
             }
             if input.len() > MAX_UNPARSED_BYTES {
-                return Err(invalid_data("an answer without end".into()));
+                return Err(invalid_data("answer too long".into()));
             }
         }
     }
 
-    /// Answers come in the order of the calls. One that comes late is told as that: the amount was added, and
-    /// whoever took it for lost would leave it lying in the count.
+    /// Handles the answer to the oldest call. The answer to a call that was already reported as unknown is reported as
+    /// late: the amount was added and must be accounted for.
     fn handle_reply(&self, frame: OwnedFrame) -> io::Result<()> {
         let call = self.pipeline.borrow_mut().calls.pop_front();
-        let Some(call) = call else { return Err(invalid_data("an answer to no call".into())) };
+        let Some(call) = call else { return Err(invalid_data("answer without a call".into())) };
         let outcome = match frame {
             OwnedFrame::BulkString(text) => {
                 let total = std::str::from_utf8(&text).ok().and_then(|t| t.parse::<f64>().ok());
@@ -307,11 +308,11 @@
             }
             _ => self.report(&call, outcome.unwrap_or(CountOutcome::Unknown)),
         }
-        outcome.map(|_| ()).ok_or_else(|| invalid_data("an answer that is no total".into()))
+        outcome.map(|_| ()).ok_or_else(|| invalid_data("answer is not a total".into()))
     }
 
-    /// Tells of calls whose time is over. They stay in line, as their answers are still to come; one that
-    /// is not written whole yet is told as unknown too, as it may be from now on.
+    /// Reports calls that have timed out as unknown. The calls stay in the queue, since their answers may still arrive.
+    /// A call that is not yet written whole is reported as unknown as well, since the rest may still be written.
     fn report_timeouts(&self) {
         loop {
             let late = {
--- a/gateway/src/control/discovery.rs
+++ b/gateway/src/control/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of backends: what it says, and the watch that keeps it fresh.
+//! Keeps the list of backends up to date by long polling the discovery service.
 
 use crate::backends::list::List;
 use crate::backends::pool::Backends;
@@ -15,29 +15,31 @@
 use std::time::Duration;
 use tokio::sync::watch::Receiver;
 
-/// How long one call of the watch may wait for news.
+/// How long the discovery service may hold a long poll.
 const LONG_POLL_WAIT: Duration = Duration::from_secs(10);
-/// A call that is silent for this much longer has been lost.
+/// A long poll without an answer for this much longer has failed.
 const LONG_POLL_SLACK: Duration = Duration::from_millis(1500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Between calls after a fault: the watch lasts as long as the next call comes within 200 ms.
+/// Delay between polls after an error. The discovery service keeps a watch if the next poll comes within 200 ms.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Larger fleets than this retry their watches no more often, all together, than so many gateways do:
-/// a new watch is dear, and who all come at once keep discovery overbooked, so that none of them hears the news.
+/// The retry rate of a larger fleet is limited to the rate of this many gateways: a new watch is expensive for the
+/// discovery service, and a fleet that reconnects at once would overload the service so that no gateway gets an update.
 const FULL_RATE_GATEWAYS: u32 = 3;
-/// How often their pause doubles at most.
+/// How many times the range of the retry delay doubles at most.
 const MAX_DOUBLINGS: u32 = 2;
-/// The longest list that is read.
+/// Maximum size of a list.
 const MAX_LIST_BYTES: usize = 1 << 20;
 
-/// Brings a list to the connections first, so that nothing is sent by an older word, then to the decisions.
+/// Applies a list to the connections first, so that no request is sent by an outdated list, and then to the decision
+/// engine.
 pub fn apply_list(list: List, backends: &Backends, engine: &Engine) {
     backends.update(list.seq, list.whole, &list.hosts);
     let entries = list.hosts.into_iter().map(|h| h.entry).collect();
     engine.post(if list.whole { Event::BackendList(entries) } else { Event::BackendChanges(entries) });
 }
 
-/// Keeps a watch going for ever, at the newest address; while discovery is silent the last list stays.
+/// Polls the discovery service at its current address. While the service does not answer, the last list stays in use.
+/// Never returns.
 pub async fn watch(
     mut address: Receiver<SocketAddr>, backends: Rc<Backends>, engine: Rc<Engine>, mut backoff: Backoff,
     usage: Rc<ResourceUsage>,
@@ -48,28 +50,28 @@
         let watching = async {
             match Connection::connect(at, CONNECT_TIMEOUT, &usage, ConnectionUse::Discovery).await {
                 Ok(mut connection) => poll(&mut connection, at, &backends, &engine, &mut backoff).await,
-                Err(error) => format!("no connection: {error}"),
+                Err(error) => format!("cannot connect: {error}"),
             }
         };
         let error = tokio::select! {
             error = watching => error,
-            // A call that waits at the old address would hear no news any more.
+            // A poll that waits at the old address would receive no updates.
             Ok(()) = address.changed() => continue,
         };
         if !std::mem::replace(&mut error_logged, true) {
-            eprintln!("discovery: {error} (told once)");
+            eprintln!("discovery: {error} (logged once)");
         }
         tokio::time::sleep(backoff.next_delay()).await;
     }
 }
 
-/// The pauses of one of so many gateways.
+/// The backoff of one gateway in a fleet of `gateways`.
 pub fn backoff(gateways: u32, seed: u64) -> Backoff {
     let first = RETRY_DELAY * (gateways / FULL_RATE_GATEWAYS).max(1);
     Backoff::new(first, if first > RETRY_DELAY { first * (1 << MAX_DOUBLINGS) } else { first }, seed)
 }
 
-/// One call after another on one connection, until something is wrong with it.
+/// Polls repeatedly on one connection; returns the error that ends it.
 async fn poll(
     connection: &mut Connection, address: SocketAddr, backends: &Backends, engine: &Engine,
     backoff: &mut Backoff,
@@ -78,7 +80,7 @@
         let uri = format!("/discovery/hosts?after={}&wait_ms={}", backends.seq(), LONG_POLL_WAIT.as_millis());
         let request =
             Request::get(uri).header("Host", address.to_string()).body(OutgoingBody::new(Bytes::new(), None));
-        let Ok(request) = request else { return "the call cannot be written".into() };
+        let Ok(request) = request else { return "invalid request".into() };
         let answer = tokio::time::timeout(
             LONG_POLL_WAIT + LONG_POLL_SLACK,
             connection.exchange(request, MAX_LIST_BYTES),
@@ -86,9 +88,9 @@
         .await;
         let list = match answer {
             Ok(Ok((head, body))) if head.status == StatusCode::OK => List::parse(&body),
-            Ok(Ok((head, _))) => return format!("answered {}", head.status),
-            Ok(Err(_)) => return "the connection broke".into(),
-            Err(_) => return "silent".into(),
+            Ok(Ok((head, _))) => return format!("status {}", head.status),
+            Ok(Err(_)) => return "the connection failed".into(),
+            Err(_) => return "no answer in time".into(),
         };
         match list {
             Ok(list) => {
--- a/gateway/src/control/engine.rs
+++ b/gateway/src/control/engine.rs
@@ -1,4 +1,4 @@
-//! The decisions of the program in service: the shared engine, on its own protocol and with the shared counter.
+//! The decision engine of the gateway, with the gateway's backend protocol and the shared counter.
 
 use crate::backends::pool::{BackendProtocol, Backends};
 use crate::control::counter::CounterClient;
@@ -10,15 +10,15 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Runs the decisions.
+/// The engine that runs the gateway's decisions.
 pub type Engine = http_proxy::engine::Engine<BackendProtocol>;
-/// A request whose client waits.
+/// Guard of a submitted request.
 pub type RequestGuard = http_proxy::engine::RequestGuard<BackendProtocol>;
 
-/// An engine with nothing to do yet.
+/// Creates an engine without requests.
 ///
 /// # Errors
-/// When the settings cannot be used.
+/// When the settings are invalid.
 pub fn start(
     settings: Settings, seed: u64, backends: Rc<Backends>, counter: Option<SocketAddr>, metrics: Rc<Metrics>,
 ) -> Result<Rc<Engine>, SettingsError> {
--- a/gateway/src/control/mod.rs
+++ b/gateway/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! Where the decisions are asked, and what tells them of the world: configuration, discovery, counter.
+//! The decision engine and its inputs: configuration, discovery and the shared counter.
 
 pub mod config;
 pub mod counter;
--- a/gateway/src/group/mod.rs
+++ b/gateway/src/group/mod.rs
@@ -1,5 +1,5 @@
-//! This gateway's part in the group: started and ended with the process, shown in `INFO`, asked by operators. It owns
-//! the handle of the group's thread and nothing else; whatever goes wrong in it, the gateway serves on.
+//! The gateway's membership in a group: started and stopped with the process, shown in `INFO`, controlled by operators.
+//! Holds only the handle of the group's thread; failures of the group do not affect serving.
 
 pub mod scout;
 pub mod settings;
@@ -19,28 +19,28 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// A part that could not start is tried again after this.
+/// Delay before a failed start is retried.
 const START_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// How often it is looked at which duties are held, for the log.
+/// Interval at which the held duties are checked, for the log.
 const DUTY_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// How often an act is done under each duty, where they are written down.
+/// Interval of the acts that are written to `group.acts` for each held duty.
 const ACT_INTERVAL: Duration = Duration::from_millis(20);
-/// The process waits so long at its end for the group to hear of it.
+/// How long the process waits at shutdown until the group is notified.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Descriptors of a group's thread: its event loop, its disk, the other voters and the members' connections.
+/// File descriptors of the group's thread: event loop, disk, connections to the voters and from the members.
 pub const DESCRIPTORS: usize = 48;
 
-/// A gateway's part.
+/// A gateway's membership in a group.
 pub struct Group {
     settings: Settings,
     handle: RefCell<Option<Rc<Handle>>>,
-    /// Words about backends that were passed on to the decisions, and reports made.
+    /// Health reports that were received from scouts, and reports that were sent to scouts.
     report_counts: Cell<(u64, u64)>,
 }
 
 impl Group {
-    /// Starts it beside everything else: the gateway serves meanwhile, and by itself for as long as it does not come
-    /// up. A voter whose predecessor still runs has neither its address nor its disk before that one has ended.
+    /// Starts the membership in the background: the gateway serves meanwhile, and without a group as long as the start
+    /// fails. A voter whose preceding process still runs cannot use its address and disk before that process has ended.
     pub fn start(settings: Settings) -> Rc<Self> {
         let group = Rc::new(Self { settings, handle: RefCell::default(), report_counts: Cell::default() });
         tokio::task::spawn_local(group.clone().run());
@@ -59,7 +59,9 @@
                     break;
                 }
                 Ok(Err(error)) if !std::mem::replace(&mut error_logged, true) => {
-                    eprintln!("{error}; this gateway goes on without the group until it can (told once)");
+                    eprintln!(
+                        "{error}; this gateway serves without the group until the group starts (logged once)"
+                    );
                 }
                 _ => {}
             }
@@ -71,7 +73,7 @@
         self.log_duties().await;
     }
 
-    /// Whether this gateway takes part in telling of backends.
+    /// Whether this gateway exchanges health reports about backends.
     pub fn scout_enabled(&self) -> bool {
         self.settings.scout
     }
@@ -87,12 +89,12 @@
         }
     }
 
-    /// The guard of a duty, if this gateway holds it.
+    /// The guard of a duty, if this gateway holds the duty.
     pub fn guard(&self, duty: &str) -> Option<Guard> {
         self.handle()?.guard(duty)
     }
 
-    /// Tells the log which duties come and go.
+    /// Logs which duties are gained and lost.
     async fn log_duties(self: Rc<Self>) {
         let mut known: BTreeMap<String, u64> = BTreeMap::new();
         while let Some(handle) = self.handle() {
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Does an act under each duty again and again, and writes down when its guard had said yes.
+    /// Performs an act under each held duty periodically, and writes to the file when the guard permitted the act.
     async fn write_acts(self: Rc<Self>) {
         let Some(path) = &self.settings.acts else { return };
         let mut file = match std::fs::OpenOptions::new().append(true).create(true).open(path) {
@@ -119,7 +121,8 @@
         };
         while let Some(handle) = self.handle() {
             for guard in handle.held() {
-                // The time before the question: a stop between the two must not make a yes look later than it was.
+                // Reads the clock before querying the guard: a pause in between must not make the permission appear
+                // later than it was given.
                 let now = Clock::Boot.now();
                 let Some(fence) = guard.may_act() else { continue };
                 let line = format!("{} {} {fence}\n", now.as_micros(), guard.duty);
@@ -130,7 +133,7 @@
         }
     }
 
-    /// What `INFO` shows.
+    /// The status that `INFO` shows.
     pub fn status(&self) -> Value {
         let Some(handle) = self.handle() else { return Value::Null };
         let (status, ms) = (handle.standing(), |span: Duration| span.as_millis() as u64);
@@ -157,13 +160,13 @@
         })
     }
 
-    /// The most gateways that may be away by leave now.
+    /// The maximum number of gateways that may be away with permission now.
     fn max_away(&self) -> u32 {
         let sessions = self.handle().map_or(0, |handle| handle.standing().view.sessions);
         ((sessions as f64 * self.settings.away_at_once) as u32).max(1)
     }
 
-    /// An operator's call: its words after `GROUP`.
+    /// Executes an operator's command: the words after `GROUP`.
     pub async fn call(&self, words: &[&str]) -> String {
         let answer = match words {
             [] | ["STATUS"] => return format!("{}\nEND", self.status()),
@@ -193,13 +196,13 @@
         }
     }
 
-    /// The process is about to end: others take its duties at once, and it counts as away.
+    /// Announces the shutdown: the duties pass to other gateways at once, and this gateway counts as away.
     pub async fn drain(&self) {
         self.order(Order::Leave(u32::MAX)).await;
         self.order(Order::Able(false)).await;
     }
 
-    /// The process ends. Waits a little for the group to hear of it.
+    /// Leaves the group at the end of the process, waiting for a short time until the group is notified.
     pub async fn close(&self) {
         let _ = timeout(CLOSE_TIMEOUT, self.order(Order::Close)).await;
         self.handle.take();
--- a/gateway/src/group/scout.rs
+++ b/gateway/src/group/scout.rs
@@ -1,10 +1,10 @@
-//! Words about backends: what any gateway finds out of one, the scout of its zone tells all others, who are told of
-//! it as an event to the decisions. A scout is a duty: one gateway of the zone has it at a time, and every word
-//! carries its fence.
+//! Health reports about backends. Every gateway reports its findings to the scout of the zone, which publishes them in
+//! a record for all gateways; each gateway passes new reports to its decision engine. Being the scout is a duty: one
+//! gateway per zone holds the duty at a time, and its fencing token accompanies every record.
 //!
-//! Nothing is decided here. Bounds: each gateway reports on a backend at most once a second and at most
-//! [`MOST_REPORTS`] times a second in all; a scout writes one record of at most [`MOST_WORDS`] words, five times a
-//! second at the most, and only when there are new ones.
+//! This module makes no decisions. Limits: each gateway reports on a backend at most once a second and sends at most
+//! [`MAX_REPORTS_PER_SECOND`] reports a second; a scout writes a record of at most [`MAX_RECORD_REPORTS`] reports, at
+//! most five times a second and only when there are new reports.
 
 use super::Group;
 use doorcourse::Name;
@@ -18,29 +18,29 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// A duty's name is this and the zone's.
+/// Prefix of the duty's name, followed by the zone.
 const DUTY: &str = "scout:";
-/// Reports of one gateway a second, and the least time between two on one backend.
+/// Maximum number of reports of one gateway per second, and minimum interval between its reports on one backend.
 const MAX_REPORTS_PER_SECOND: u32 = 20;
 const MIN_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Words in one record.
+/// Maximum number of reports in a record.
 const MAX_RECORD_REPORTS: usize = 64;
-/// How often a scout looks for reports.
+/// Interval at which a scout collects reports.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The duty of a zone's scout.
+/// The name of the duty of a zone's scout.
 pub fn duty(zone: &str) -> String {
     format!("{DUTY}{zone}")
 }
 
-/// A word about one backend.
+/// A report on the health of one backend.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct HealthReport {
     backend: String,
     down: bool,
 }
 
-/// What a record holds: the number of its last word, and the last ones in order.
+/// The content of a record: the latest reports in order, and the sequence number of the last one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct HealthReports {
     last_number: u64,
@@ -56,28 +56,29 @@
         }
     }
 
-    /// The words after a number.
+    /// The reports with sequence numbers above `number`.
     fn after(&self, number: u64) -> impl Iterator<Item = &HealthReport> {
         let new = (self.last_number - number.min(self.last_number)) as usize;
         self.reports.iter().skip(self.reports.len().saturating_sub(new))
     }
 }
 
-/// This gateway's ears and mouth.
+/// Sends, receives and, as the zone's scout, publishes health reports.
 pub struct Scout {
     group: Rc<Group>,
     zone: String,
-    /// What the decisions are to be told.
+    /// Called with each received report.
     on_report: Box<dyn Fn(Name, bool)>,
-    /// When each backend was last reported on, and as what.
+    /// When each backend was last reported, and whether as down.
     reported: RefCell<BTreeMap<Name, (Instant, bool)>>,
     report_budget: Cell<u32>,
+    /// Fencing token and last sequence number that were passed on, by record.
     seen: RefCell<BTreeMap<String, (u64, u64)>>,
     fences: RefCell<Fences>,
 }
 
 impl Scout {
-    /// Starts listening and, whenever this gateway has its zone's duty, telling.
+    /// Starts receiving reports and, whenever this gateway holds its zone's duty, publishing them.
     pub fn start(group: Rc<Group>, zone: &str, on_report: impl Fn(Name, bool) + 'static) -> Rc<Self> {
         let scout = Rc::new(Self {
             group,
@@ -93,7 +94,7 @@
         scout
     }
 
-    /// The decisions found something out of a backend.
+    /// Sends a finding of the decision engine about a backend to the zone's scout.
     pub fn report_health(&self, backend: Name, zone: &str, down: bool) {
         let now = Instant::now();
         let mut reported = self.reported.borrow_mut();
@@ -112,7 +113,7 @@
         tokio::task::spawn_local(async move { group.order(Order::Report(duty, payload)).await });
     }
 
-    /// Tells the decisions what scouts say.
+    /// Passes published reports to the decision engine.
     async fn receive_reports(self: Rc<Self>) {
         let handle = loop {
             match self.group.handle() {
@@ -131,10 +132,10 @@
         }
     }
 
-    /// The words in a view that are new; what the first one holds may be long over.
+    /// Passes on the new reports in a view. Those in the first view are skipped, since they may be outdated.
     fn apply_records(&self, view: &View, first: bool) {
         for (key, (duty, fence, value)) in view.records.iter().filter(|(key, _)| key.starts_with(DUTY)) {
-            // A record that outlived its scout says nothing more; one under an older fence never counts.
+            // Ignores records with a fencing token older than one already seen: their scout has lost the duty.
             if !self.fences.borrow_mut().takes(duty, *fence) {
                 continue;
             }
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Passes on what comes in, while this gateway has the duty.
+    /// Publishes collected reports while this gateway holds the duty.
     async fn run_scout(self: Rc<Self>) {
         let duty = duty(&self.zone);
         let mut reports = HealthReports::default();
@@ -170,7 +171,7 @@
             let Answer::Notes(notes) = self.group.order(Order::Collect(duty.clone())).await else { continue };
             let before = reports.last_number;
             for payload in &notes {
-                // The last word on a backend is the one that counts.
+                // The last report on a backend takes effect.
                 if let Ok(report) = postcard::from_bytes::<HealthReport>(payload) {
                     reports.add(report);
                 }
@@ -178,7 +179,7 @@
             if reports.last_number > before
                 && let Ok(value) = postcard::to_stdvec(&reports)
             {
-                // Lost, it is made up for by the next one: reports go on for as long as there is a reason.
+                // A lost record is superseded by the next one: reports are repeated as long as their cause lasts.
                 self.group.order(Order::Write(duty.clone(), duty.clone(), value)).await;
             }
         }
--- a/gateway/src/group/settings.rs
+++ b/gateway/src/group/settings.rs
@@ -1,4 +1,4 @@
-//! What the configuration says of the group: `group`, an object. Without it there is none.
+//! The `group` object of the configuration. Without it the gateway is in no group.
 
 use super::scout::duty;
 use fennelscale_group::machine::Session;
@@ -12,14 +12,14 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The life of a session where nothing is said, and its bounds, in ms.
+/// Default lifetime of a session without renewal, and the permitted range, in ms.
 const DEFAULT_LIFE_MS: u64 = 6000;
 const LIFE_RANGE_MS: std::ops::RangeInclusive<u64> = 1000..=60_000;
-/// The share of the fleet that may be away by leave where nothing is said.
+/// Default for `away_at_once`.
 const DEFAULT_AWAY_RATIO: f64 = 0.1;
-/// Duties besides the zone's own.
+/// Maximum number of duties in the configuration; the scout's duty is additional.
 const MAX_DUTIES: usize = 16;
-/// Letters of a name.
+/// Maximum length of a name.
 const MAX_NAME_LENGTH: usize = 64;
 
 #[derive(Deserialize)]
@@ -47,53 +47,56 @@
     address: String,
 }
 
-/// The settings of a gateway's part.
+/// Settings of a gateway's group membership.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// What the group's own thread runs by.
+    /// Settings of the group's thread.
     pub run: run::Settings,
-    /// The share of the fleet that may be away by leave at once.
+    /// The share of the fleet that may be away with permission at once.
     pub away_at_once: f64,
-    /// Whether words about backends are told and heard.
+    /// Whether health reports about backends are exchanged.
     pub scout: bool,
-    /// Where each act under a duty is written down, for trials.
+    /// File to which each act under a duty is written, for tests.
     pub acts: Option<PathBuf>,
 }
 
 impl Settings {
-    /// Goes on without the other voters, all of whom are lost for good and named in `lost`. Gives what to tell.
+    /// Rebuilds the group with this voter alone, after the permanent loss of all other voters, which `lost` names.
+    /// Returns a message for the operator.
     ///
     /// # Errors
-    /// When this gateway is no voter, or its disk or the names will not do.
+    /// When this gateway is not a voter, or the disk or the names are not usable.
     pub fn rescue(&self, lost: &[String]) -> Result<String, String> {
-        let Some((_, folder)) = &self.run.voter else { return Err("this gateway is no voter".into()) };
+        let Some((_, folder)) = &self.run.voter else { return Err("this gateway is not a voter".into()) };
         let (me, group) = (&self.run.session.name, &self.run.group);
         let id = store::rescue(folder, me, group, lost).map_err(|error| error.to_string())?;
-        Ok(format!("group {group}: {me} is its only voter now, with number {id}; GROUP ADD takes others in"))
+        Ok(format!("group {group}: {me} is the only voter now, with id {id}; GROUP ADD adds further voters"))
     }
 }
 
-/// Reads the object; `me` and `zone` are the gateway's.
+/// Parses the object; `me` and `zone` are the gateway's name and zone.
 ///
 /// # Errors
-/// One line that names the place, when a value cannot be used.
+/// One line that names the invalid key.
 pub fn read(value: &Value, me: &str, zone: &str) -> Result<Settings, String> {
     let file = File::deserialize(value).map_err(|error| format!("group: {error}"))?;
     let is_valid_name =
         |name: &str| (1..=MAX_NAME_LENGTH).contains(&name.len()) && !name.contains(char::is_whitespace);
     let invalid = |what: &str| Err(format!("group.{what}"));
     if !is_valid_name(&file.name) || !is_valid_name(me) {
-        return invalid("name: 1 to 64 letters without blanks, of the group and of the gateway");
+        return invalid(
+            "name: the names of the group and of the gateway need 1 to 64 characters without whitespace",
+        );
     }
     if ![1, 3, 5].contains(&file.voters.len()) {
-        return invalid("voters: 1, 3 or 5 of them");
+        return invalid("voters: 1, 3 or 5 voters are required");
     }
     let names: BTreeSet<&str> = file.voters.iter().map(|voter| voter.name.as_str()).collect();
     if names.len() != file.voters.len() || !names.iter().all(|name| is_valid_name(name)) {
-        return invalid("voters: each has a name of its own");
+        return invalid("voters: the names must be valid and unique");
     }
     if let Some(voter) = file.voters.iter().find(|voter| voter.address.parse::<SocketAddr>().is_err()) {
-        return Err(format!("group.voters: {}: no address, or an unusable one", voter.name));
+        return Err(format!("group.voters: {}: invalid address", voter.name));
     }
     let life = file.life_ms.unwrap_or(DEFAULT_LIFE_MS);
     if !LIFE_RANGE_MS.contains(&life) {
@@ -104,14 +107,14 @@
         return invalid("away_at_once: above 0 and up to 1");
     }
     if file.duties.len() > MAX_DUTIES || !file.duties.iter().all(|duty| is_valid_name(duty)) {
-        return invalid("duties: up to 16 names of 1 to 64 letters without blanks");
+        return invalid("duties: up to 16 names of 1 to 64 characters without whitespace");
     }
     let listen = file.listen.as_ref().map(|text| text.parse::<SocketAddr>());
     let voter = match (listen, file.dir) {
         (Some(Ok(listen)), Some(dir)) => Some((listen, dir)),
         (None, None) if !names.contains(me) => None,
-        (Some(Err(_)), _) => return invalid("listen: an unusable address"),
-        _ => return invalid("listen, group.dir: a voter needs both, and another gateway neither"),
+        (Some(Err(_)), _) => return invalid("listen: invalid address"),
+        _ => return invalid("listen, group.dir: required for a voter, not allowed for another gateway"),
     };
     let scout = (file.scout && !zone.is_empty()).then(|| duty(zone));
     let wants = file.duties.into_iter().chain(scout).map(|duty| Want { duty, rank: 0 }).collect();
@@ -134,7 +137,7 @@
     }
 
     #[test]
-    fn unusable_values_are_named_in_one_line() {
+    fn invalid_values_are_reported_in_one_line() {
         assert!(read(&valid_settings(), "g0", "a").is_ok());
         let changed = |key: &str, value: Value| {
             let mut file = valid_settings();
@@ -155,8 +158,11 @@
             assert!(error.starts_with("group.") && error.contains(key) && !error.contains('\n'), "{error}");
         }
         assert!(changed("life_ms", json!("long")).starts_with("group: "));
-        // A gateway that is no voter has no address and no disk.
-        assert!(read(&valid_settings(), "g1", "a").is_ok(), "a voter to be, that the list does not name yet");
+        // A gateway that is not a voter has no address and no disk.
+        assert!(
+            read(&valid_settings(), "g1", "a").is_ok(),
+            "a gateway that is to become a voter need not be in the list"
+        );
         let mut member = valid_settings();
         (member["listen"], member["dir"]) = (Value::Null, Value::Null);
         assert!(read(&member, "g1", "a").is_ok());
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,5 +1,5 @@
-//! The real gateway: doorcourse's decisions on real sockets. Everything runs on one thread; what is to be
-//! decided is decided by the module behind [`control::engine`], the other files move bytes.
+//! The quota gateway: `doorcourse`'s decision engine on real sockets, single-threaded. All decisions are made by the
+//! engine behind [`control::engine`]; the other modules perform I/O.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! `fennelscale`: one real gateway.
+//! `fennelscale`: the quota gateway process.
 
 #![forbid(unsafe_code)]
 
@@ -24,20 +24,20 @@
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 
-/// Descriptors for all but clients and backends: standard streams, the event loop, listener, counter, discovery.
+/// File descriptors reserved for standard streams, the event loop, the listener, the counter and discovery.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Of the rest, the share for clients; backends get what is left.
+/// The share of the remaining descriptors for client connections; the rest is for connections to backends.
 const CLIENT_DESCRIPTOR_RATIO: f64 = 0.55;
 
-/// Connections that wait to be accepted.
+/// Length of the accept queue.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// The quota gateway. Without options it serves, by the file that NODE_CONFIG names.
+/// The quota gateway. Without options it serves with the configuration file named by NODE_CONFIG.
 #[derive(clap::Parser)]
 #[command(version, about)]
 struct Options {
-    /// Makes a group of one out of this voter's disk when all other voters are lost for good: their names, with
-    /// commas. The gateway must not be running.
+    /// Rebuilds the group from this voter's disk, with this gateway as the only voter, after all other voters are
+    /// permanently lost. Takes the names of the lost voters, separated by commas. The gateway must not be running.
     #[arg(long, value_name = "NAMES", value_delimiter = ',')]
     rescue_group: Vec<String>,
 }
@@ -111,7 +111,8 @@
         max_connections,
         metrics.usage().clone(),
     );
-    // Two processes may run on one configuration, and by one seed chance would choose alike.
+    // Two processes may run with the same configuration during a handover; with the same seed both would make the same
+    // random choices.
     let seed = config.seed ^ predecessor.as_ref().map_or(0, |_| u64::from(std::process::id()) << 16);
     let engine = engine::start(settings.clone(), seed, backends.clone(), config.counter, metrics.clone());
     let engine = match engine {
@@ -150,7 +151,7 @@
                 backends.set_max_connections(max_connections);
             };
             if let Err(error) = predecessor.take_over(&parts, on_shared).await {
-                eprintln!("handover: nothing but the listener got: {error}");
+                eprintln!("handover: received only the listener: {error}");
             }
         }
         handover::await_successor(parts, Rc::downgrade(&listener));
@@ -180,7 +181,8 @@
     ExitCode::SUCCESS
 }
 
-/// How many connections of clients and to backends a process may hold, beside another one that holds so many.
+/// The maximum numbers of client and of backend connections, while another process of this gateway still holds `held`
+/// descriptors.
 fn connection_limits(max_descriptors: usize, held: usize) -> (usize, usize) {
     let others = if held > 0 { RESERVED_DESCRIPTORS + held } else { 0 };
     let left = max_descriptors.saturating_sub(RESERVED_DESCRIPTORS + others).max(max_descriptors / 4).max(2);
@@ -188,7 +190,8 @@
     (max_clients, left.saturating_sub(max_clients).max(1))
 }
 
-/// Listens; a shared address can be had by another process of this gateway too, should no handover come about.
+/// Binds a listener. With `shared` another process of this gateway can bind the same address, in case no handover takes
+/// place.
 fn listen(address: SocketAddr, shared: bool) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
@@ -197,8 +200,8 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// At SIGHUP discovery and the counter move to where the replaced file says; all else goes on as it is, and so does
-/// everything if the file cannot be used.
+/// Reloads the configuration file at SIGHUP: only the addresses of discovery and of the counter change. If the file is
+/// invalid, nothing changes.
 async fn reload_on_hangup(
     mut hangup: Signal, discovery: watch::Sender<SocketAddr>, engine: Rc<Engine>, metrics: Rc<Metrics>,
 ) {
@@ -211,7 +214,7 @@
             }
             Err(error) => {
                 metrics.record_reload(false);
-                eprintln!("fennelscale: not reloaded: {error}");
+                eprintln!("fennelscale: configuration not reloaded: {error}");
             }
         }
     }
--- a/gateway/src/operators/console.rs
+++ b/gateway/src/operators/console.rs
@@ -1,5 +1,5 @@
-//! The operators' side: a further address, at which each connection carries one call and its reply. Line, time
-//! and callers are bounded, so that nobody who connects can hold it up.
+//! The operators' console: a TCP address at which each connection carries one command and its reply. The length of a
+//! command, the time per connection and the number of connections are limited, so that no peer can block the console.
 
 use crate::backends::pool::spawn;
 use crate::clients::frontend::Frontend;
@@ -18,38 +18,38 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-/// The longest call.
+/// Maximum length of a command.
 const MAX_LINE_BYTES: usize = 256;
-/// A caller has this long for its call ...
+/// Timeout for receiving the command.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// ... and for taking the reply.
+/// Timeout for writing the reply.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Callers at once: of more, the one that came first gives way.
+/// Maximum number of connections; an additional one replaces the oldest.
 const MAX_CALLERS: usize = 8;
-/// What came after the call is read for this long, up to so many bytes: closing on it unread would reset the
-/// connection, and the reply with it.
+/// Data after the command is read and discarded for at most this time and this many bytes: closing the connection with
+/// unread data would reset it, and the reply would be lost.
 const DRAIN_LIMITS: (Duration, u64) = (Duration::from_millis(200), 64 * 1024);
-/// A failed accept is tried again after this.
+/// Delay before the next accept after a failed one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What the operators' calls act on.
+/// The parts of the gateway that console commands act on.
 pub struct Console {
-    /// The clients' side, which can send clients away.
+    /// The client side, with the lame-duck mode.
     pub frontend: Rc<Frontend>,
-    /// Where the decisions are asked.
+    /// The decision engine.
     pub engine: Rc<Engine>,
-    /// What `INFO` shows.
+    /// The metrics that `INFO` shows.
     pub metrics: Rc<Metrics>,
-    /// The backends that are out by hand.
+    /// The backends that operators have detached.
     pub detached: Rc<Detached>,
-    /// This gateway's part in a group, if it has one.
+    /// The gateway's group membership, if any.
     pub group: Option<Rc<Group>>,
 }
 
 impl Console {
-    /// Answers calls for ever.
+    /// Serves commands. Never returns.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        // Each caller holds the other half of its entry: dropping an entry sends the caller away.
+        // Each connection's task awaits the receiver of its sender here: dropping the sender closes the connection.
         let callers: Rc<RefCell<VecDeque<oneshot::Sender<()>>>> = Rc::default();
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -70,7 +70,7 @@
             spawn(async move {
                 let _open = open;
                 tokio::select! {
-                    // Who breaks off has no reply coming.
+                    // A caller that aborts the connection gets no reply.
                     _ = console.handle(stream) => {}
                     _ = &mut evicted => {}
                 }
@@ -96,7 +96,7 @@
         Ok(())
     }
 
-    /// The reply to a call.
+    /// Executes a command and returns the reply.
     async fn answer(&self, line: &str) -> String {
         if let Some(("GROUP", rest)) = line.split_once(char::is_whitespace).or(Some((line.trim(), ""))) {
             let words: Vec<&str> = rest.split_ascii_whitespace().collect();
@@ -139,13 +139,13 @@
         match self.detached.set(id, detach) {
             Ok(true) => format!("YES {id} is {done}"),
             Ok(false) => "NO backend has this ID".into(),
-            // It is done, and that is what was asked; a new version would not know of it.
+            // The change is effective in this process, but a succeeding process would not know of it.
             Err(error) => format!("YES {id} is {done}, but until this process ends only: {error}"),
         }
     }
 }
 
-/// Reads a call up to the end of its line, or up to the end of what the caller sends.
+/// Reads a command up to the end of the line or of the stream.
 async fn read_line(stream: &mut TcpStream) -> io::Result<Result<String, &'static str>> {
     let (mut bytes, mut filled) = ([0; MAX_LINE_BYTES], 0);
     loop {
--- a/gateway/src/operators/mod.rs
+++ b/gateway/src/operators/mod.rs
@@ -1,3 +1,3 @@
-//! The operators' side.
+//! The operator side of the gateway.
 
 pub mod console;
--- a/gateway/src/state/detached.rs
+++ b/gateway/src/state/detached.rs
@@ -1,5 +1,5 @@
-//! The backends that operators have taken out: told to the decisions, and kept in a file of `$TMPDIR`, so that they
-//! stay out when a new version takes over.
+//! Backends that operators have detached: reported to the decision engine, and stored in a file in `$TMPDIR`, so that
+//! they stay detached when a new process takes over.
 
 use crate::backends::pool::Backends;
 use crate::control::engine::Engine;
@@ -11,17 +11,17 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// A file longer than this was not written here.
+/// Maximum size of the file; a larger file was not written by a gateway.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// Where the processes of one gateway find what they share.
+/// The path of a file that the processes of one gateway share.
 pub fn shared_path(gateway: &str, what: &str) -> PathBuf {
     let safe = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
     let name: String = gateway.chars().take(40).map(safe).collect();
     std::env::temp_dir().join(format!("fennelscale-{name}.{what}"))
 }
 
-/// The backends that are out of use by hand.
+/// The set of backends that operators have detached.
 pub struct Detached {
     path: PathBuf,
     names: RefCell<BTreeSet<Name>>,
@@ -30,7 +30,7 @@
 }
 
 impl Detached {
-    /// Starts with those in the file that a process of this gateway left; one that cannot be read holds none.
+    /// Reads the file that a process of this gateway left; a file that cannot be read counts as empty.
     pub fn new(gateway: &str, engine: Rc<Engine>, backends: Rc<Backends>) -> Rc<Self> {
         let path = shared_path(gateway, "detached");
         let this = Rc::new(Self { path, names: RefCell::default(), engine, backends });
@@ -38,10 +38,10 @@
         this
     }
 
-    /// Takes a backend out, or gives it back; false if nobody has such a backend.
+    /// Detaches or attaches a backend. Returns false if the backend is unknown.
     ///
     /// # Errors
-    /// When it is done but could not be written down.
+    /// When the change is effective but the file could not be written.
     pub fn set(&self, id: &str, detach: bool) -> io::Result<bool> {
         self.refresh();
         if !self.backends.contains(id) && !self.names.borrow().contains(id) {
@@ -55,7 +55,7 @@
         Ok(true)
     }
 
-    /// Reads the file again: while two processes of this gateway run, either may be told.
+    /// Reads the file again: while two processes of this gateway run, operators may use the console of either one.
     pub fn refresh(&self) {
         let names = fs::metadata(&self.path).ok().filter(|m| m.len() <= MAX_FILE_BYTES);
         let names = names.and_then(|_| fs::read(&self.path).ok());
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Tells the decisions once more: they have taken over from others that may have been told less.
+    /// Repeats all detachments to the decision engine, after it has taken over a state that may lack some of them.
     pub fn resend(&self) {
         self.refresh();
         for backend in self.names.borrow().iter().cloned() {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Replaces the file by one that is whole: whoever reads it finds the old names or the new ones.
+    /// Replaces the file atomically.
     fn save(&self) -> io::Result<()> {
         let new_path = self.path.with_extension("new");
         let names: Vec<String> = self.names.borrow().iter().map(|name| name.to_string()).collect();
--- a/gateway/src/state/handover.rs
+++ b/gateway/src/state/handover.rs
@@ -1,6 +1,7 @@
-//! A new version under load: the process that serves hands the listener itself to the one that is started beside
-//! it, then its blocks, its list and what it has learned. One listener with one queue: nothing that waits at the
-//! door is reset. Until the old process has ended the two share the limits.
+//! Handover between two processes of a gateway, for upgrades under load. The running process passes its listening
+//! socket to the new process, then its quota leases, its list of backends and the learned state. Both use one listener
+//! with one accept queue, so no waiting connection is reset. Until the old process ends, the two share the descriptor
+//! limits.
 
 use crate::backends::list::List;
 use crate::backends::pool::{Backends, spawn};
@@ -27,33 +28,33 @@
 use tokio::net::{TcpListener, UnixListener, UnixStream};
 use tokio::time::{sleep, timeout};
 
-/// The file name's end of the socket at which the process that serves is found.
+/// Suffix of the Unix socket at which the running process is found.
 const SOCKET_NAME: &str = "handover";
-/// What the new process says when it could serve at once.
+/// Sent by the new process once it is ready to serve.
 const TAKE_OVER_MESSAGE: &str = "take\n";
-/// The other process answers within this; one that has been found and says nothing is given up.
+/// Timeout for the messages of the other process.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
-/// The new process says that it takes over within this.
+/// Timeout for the new process to announce that it takes over.
 const TAKE_OVER_TIMEOUT: Duration = Duration::from_secs(10);
-/// The new process waits this long for its counter, looking this often.
+/// How long the new process waits for its counter connection, and the polling interval.
 const COUNTER_WAIT: (Duration, Duration) = (Duration::from_millis(400), Duration::from_millis(5));
-/// The longest estate that is read.
+/// Maximum size of the handover message.
 const MAX_STATE_BYTES: u64 = 32 << 20;
-/// While both run, each looks this often for what operators told the other one.
+/// Interval at which each of two running processes reads the detached backends that operators set at the other one.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(250);
-/// A failed accept is tried again after this.
+/// Delay before the next accept after a failed one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What one process leaves to the next.
+/// The state that one process sends to its successor.
 #[derive(Deserialize, Serialize)]
 struct HandoverMessage {
     #[serde(rename = "estate")]
     state: HandoverState,
-    /// The time as it was handed over, by the clock that the estate's times are of.
+    /// The sender's clock at the time of sending, in which the times in `state` are expressed.
     now: Option<f64>,
     list: Value,
     lame_duck: bool,
-    /// Connections of clients that are still there.
+    /// The number of client connections that are still open.
     #[serde(rename = "guests")]
     clients: usize,
 }
@@ -62,29 +63,29 @@
 pub struct Parts {
     /// The gateway's name.
     pub name: String,
-    /// The clients' side.
+    /// The client side.
     pub frontend: Rc<Frontend>,
-    /// Where the decisions are asked.
+    /// The decision engine.
     pub engine: Rc<Engine>,
-    /// The backends' side.
+    /// The backend side.
     pub backends: Rc<Backends>,
-    /// The backends that are out by hand.
+    /// The backends that operators have detached.
     pub detached: Rc<Detached>,
 }
 
-/// The process that serves under this name already.
+/// The process that currently serves under this gateway's name.
 pub struct Predecessor(UnixStream);
 
-/// Finds the process that serves already, and gets its listener.
+/// Connects to the running process of this gateway and receives its listening socket.
 pub async fn find_predecessor(name: &str, listen: SocketAddr) -> Option<(Predecessor, TcpListener)> {
     let stream = UnixStream::connect(shared_path(name, SOCKET_NAME)).await.ok()?;
     let received =
         with_timeout(REPLY_TIMEOUT, stream.async_io(Interest::READABLE, || receive(&stream))).await;
     let listener = received.and_then(|fd| {
         let listener = std::net::TcpListener::from(fd);
-        // A port of the system's choice cannot be compared.
+        // With port 0 the kernel chose the port, so the addresses cannot be compared.
         if listen.port() != 0 && listener.local_addr()? != listen {
-            return Err(io::Error::other("a listener at another address"));
+            return Err(io::Error::other("the listener has another address"));
         }
         listener.set_nonblocking(true)?;
         TcpListener::from_std(listener)
@@ -92,25 +93,25 @@
     match listener {
         Ok(listener) => Some((Predecessor(stream), listener)),
         Err(error) => {
-            eprintln!("handover: nothing got from the process that serves: {error}");
+            eprintln!("handover: no listener from the running process: {error}");
             None
         }
     }
 }
 
 impl Predecessor {
-    /// Takes over once this process could serve at once. `share` is told how many descriptors the other process
-    /// still holds, and then that it holds none.
+    /// Takes over once this process is ready to serve. `on_shared` receives the number of descriptors that the other
+    /// process still holds, and 0 when that process has ended.
     ///
     /// # Errors
-    /// When the other process says nothing usable; its listener can be used all the same.
+    /// When the handover message is missing or invalid. The listening socket can be used nevertheless.
     pub async fn take_over(self, parts: &Parts, on_shared: impl Fn(usize) + 'static) -> io::Result<()> {
         let counter_available = async {
             while !parts.engine.counter_available() {
                 sleep(COUNTER_WAIT.1).await;
             }
         };
-        // A counter that is down is no reason to keep an old version.
+        // An unavailable counter does not prevent the takeover.
         let _ = timeout(COUNTER_WAIT.0, counter_available).await;
         let mut stream = BufReader::new(self.0);
         let message = with_timeout(REPLY_TIMEOUT, async {
@@ -123,7 +124,7 @@
         let detached = parts.detached.clone();
         on_shared(message.as_ref().map_or(0, |message| message.clients * 2));
         spawn(async move {
-            // The other process ends what it has, says nothing more, and its end is the stream's.
+            // The other process sends nothing more; the stream ends when that process ends.
             refresh_until(&detached, async move { while stream.read_u8().await.is_ok() {} }).await;
             on_shared(0);
         });
@@ -137,14 +138,14 @@
     }
 }
 
-/// From now on a process that takes over finds this one, and is handed all. The listener stays the clients' side's
-/// to close.
+/// Waits for a successor from now on and hands everything over to it. The frontend still owns the listener and closes
+/// it.
 pub fn await_successor(parts: Parts, listener: Weak<TcpListener>) {
     let path = shared_path(&parts.name, SOCKET_NAME);
     let _ = fs::remove_file(&path);
     let socket = match UnixListener::bind(&path) {
         Ok(socket) => socket,
-        Err(error) => return eprintln!("handover: no socket at {}: {error}", path.display()),
+        Err(error) => return eprintln!("handover: cannot listen at {}: {error}", path.display()),
     };
     spawn(serve(parts, socket, listener));
 }
@@ -158,15 +159,15 @@
         match hand_over(&parts, stream, &listener).await {
             Ok(stream) => {
                 drop(socket);
-                // Held open to this process's end, which the other one sees by it.
+                // Kept open until this process ends: the successor detects the end by the closed stream.
                 return refresh_until(&parts.detached, async move {
                     let _stream = stream;
                     std::future::pending().await
                 })
                 .await;
             }
-            // The new process has gone or thought better of it: this one goes on as before.
-            Err(error) => eprintln!("handover: not taken over: {error}"),
+            // The new process has ended or not taken over: this process continues to serve.
+            Err(error) => eprintln!("handover: the successor did not take over: {error}"),
         }
     }
 }
@@ -174,7 +175,7 @@
 async fn hand_over(
     parts: &Parts, stream: UnixStream, listener: &Weak<TcpListener>,
 ) -> io::Result<UnixStream> {
-    let listener = listener.upgrade().ok_or_else(|| io::Error::other("this process is ending"))?;
+    let listener = listener.upgrade().ok_or_else(|| io::Error::other("this process is shutting down"))?;
     stream.async_io(Interest::WRITABLE, || send(&stream, &listener)).await?;
     drop(listener);
     let mut stream = BufReader::new(stream);
@@ -184,7 +185,7 @@
     })
     .await?;
     if reply != TAKE_OVER_MESSAGE || !parts.frontend.is_ready() {
-        return Err(io::Error::other(format!("it said {reply:?}")));
+        return Err(io::Error::other(format!("unexpected message {reply:?}, or not ready")));
     }
     let lame_duck = parts.frontend.is_lame_duck();
     let clients = parts.frontend.hand_over();
@@ -194,14 +195,14 @@
     let message = HandoverMessage { state, now: Some(now), list, lame_duck, clients };
     let mut text = serde_json::to_vec(&message)?;
     text.push(b'\n');
-    // From here on there is no way back: what the estate holds may be in use already.
+    // The handover is final from here on: the successor may already use the leases in the message.
     if let Err(error) = with_timeout(REPLY_TIMEOUT, stream.write_all(&text)).await {
-        eprintln!("handover: the other process did not take all: {error}");
+        eprintln!("handover: state not sent completely: {error}");
     }
     Ok(stream.into_inner())
 }
 
-/// Keeps up with what operators tell the other process, until `end` resolves.
+/// Applies detachments made at the other process until `end` resolves.
 async fn refresh_until(detached: &Detached, end: impl Future<Output = ()>) {
     let refreshing = async {
         loop {
@@ -236,5 +237,5 @@
         RecvAncillaryMessage::ScmRights(mut fds) => fds.next(),
         _ => None,
     });
-    listener.ok_or_else(|| io::Error::other("no listener came"))
+    listener.ok_or_else(|| io::Error::other("no listener received"))
 }
--- a/gateway/src/state/mod.rs
+++ b/gateway/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What outlives a process: what it hands over to the next, and what operators took out.
+//! State that outlives a process: the handover to the next process, and detached backends.
 
 pub mod detached;
 pub mod handover;
--- a/http-proxy/src/message.rs
+++ b/http-proxy/src/message.rs
@@ -26,11 +26,11 @@
         self.rest.as_ref().is_some_and(|rest| rest.is_consumed())
     }
 
-    /// How long an attempt that began at `begun` has waited for its answer. The time starts when the request was
-    /// received whole, if that was after `begun`.
-    pub fn answer_time(&self, begun: Instant) -> Duration {
-        let whole = self.rest.as_ref().map_or(Some(begun), |rest| rest.ended_at());
-        whole.map_or(Duration::ZERO, |at| at.max(begun).elapsed())
+    /// How long an attempt that began at `started` has waited for its answer. The time starts when the request was
+    /// received whole, if that was after `started`.
+    pub fn answer_time(&self, started: Instant) -> Duration {
+        let whole = self.rest.as_ref().map_or(Some(started), |rest| rest.ended_at());
+        whole.map_or(Duration::ZERO, |at| at.max(started).elapsed())
     }
 
     /// Waits until the budget, or `limit` if that is shorter, plus `grace` has elapsed. For a streamed body the time
