--- a/gateway/src/control/config.rs
+++ b/gateway/src/control/config.rs
@@ -59,7 +59,7 @@
 impl std::error::Error for ConfigError {}
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     #[serde(default)]
     name: String,
     listen: Option<String>,
@@ -137,7 +137,7 @@
 
     /// Parses the text of a file. Environment variables take precedence.
     fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        let file: File = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
+        let file: ConfigFile = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
         let address = |text: Option<String>, which| {
             text.and_then(|t| t.parse::<SocketAddr>().ok()).ok_or(ConfigError::Address(which))
         };
--- a/gateway/src/group/mod.rs
+++ b/gateway/src/group/mod.rs
@@ -31,14 +31,14 @@
 pub const DESCRIPTORS: usize = 48;
 
 /// A gateway's membership in a group.
-pub struct Group {
+pub struct GroupMembership {
     settings: Settings,
     handle: RefCell<Option<Rc<Handle>>>,
     /// Health reports that were received from scouts, and reports that were sent to scouts.
     report_counts: Cell<(u64, u64)>,
 }
 
-impl Group {
+impl GroupMembership {
     /// Starts the membership in the background: the gateway serves meanwhile, and without a group as long as the start
     /// fails. A voter whose preceding process still runs cannot use its address and disk before that process has ended.
     pub fn start(settings: Settings) -> Rc<Self> {
--- a/gateway/src/group/scout.rs
+++ b/gateway/src/group/scout.rs
@@ -6,7 +6,7 @@
 //! [`MAX_REPORTS_PER_SECOND`] reports a second; a scout writes a record of at most [`MAX_RECORD_REPORTS`] reports, at
 //! most five times a second and only when there are new reports.
 
-use super::Group;
+use super::GroupMembership;
 use doorcourse::Name;
 use fennelscale_group::lease::Fences;
 use fennelscale_group::member::Order;
@@ -65,7 +65,7 @@
 
 /// Sends, receives and, as the zone's scout, publishes health reports.
 pub struct Scout {
-    group: Rc<Group>,
+    group: Rc<GroupMembership>,
     zone: String,
     /// Called with each received report.
     on_report: Box<dyn Fn(Name, bool)>,
@@ -79,7 +79,9 @@
 
 impl Scout {
     /// Starts receiving reports and, whenever this gateway holds its zone's duty, publishing them.
-    pub fn start(group: Rc<Group>, zone: &str, on_report: impl Fn(Name, bool) + 'static) -> Rc<Self> {
+    pub fn start(
+        group: Rc<GroupMembership>, zone: &str, on_report: impl Fn(Name, bool) + 'static,
+    ) -> Rc<Self> {
         let scout = Rc::new(Self {
             group,
             zone: zone.into(),
--- a/gateway/src/group/settings.rs
+++ b/gateway/src/group/settings.rs
@@ -23,9 +23,9 @@
 const MAX_NAME_LENGTH: usize = 64;
 
 #[derive(Deserialize)]
-struct File {
+struct RawSettings {
     name: String,
-    voters: Vec<Voter>,
+    voters: Vec<RawVoter>,
     listen: Option<String>,
     dir: Option<PathBuf>,
     life_ms: Option<u64>,
@@ -42,7 +42,7 @@
 }
 
 #[derive(Deserialize)]
-struct Voter {
+struct RawVoter {
     name: String,
     address: String,
 }
@@ -79,51 +79,51 @@
 /// # Errors
 /// One line that names the invalid key.
 pub fn read(value: &Value, me: &str, zone: &str) -> Result<Settings, String> {
-    let file = File::deserialize(value).map_err(|error| format!("group: {error}"))?;
+    let raw = RawSettings::deserialize(value).map_err(|error| format!("group: {error}"))?;
     let is_valid_name =
         |name: &str| (1..=MAX_NAME_LENGTH).contains(&name.len()) && !name.contains(char::is_whitespace);
     let invalid = |what: &str| Err(format!("group.{what}"));
-    if !is_valid_name(&file.name) || !is_valid_name(me) {
+    if !is_valid_name(&raw.name) || !is_valid_name(me) {
         return invalid(
             "name: the names of the group and of the gateway need 1 to 64 characters without whitespace",
         );
     }
-    if ![1, 3, 5].contains(&file.voters.len()) {
+    if ![1, 3, 5].contains(&raw.voters.len()) {
         return invalid("voters: 1, 3 or 5 voters are required");
     }
-    let names: BTreeSet<&str> = file.voters.iter().map(|voter| voter.name.as_str()).collect();
-    if names.len() != file.voters.len() || !names.iter().all(|name| is_valid_name(name)) {
+    let names: BTreeSet<&str> = raw.voters.iter().map(|voter| voter.name.as_str()).collect();
+    if names.len() != raw.voters.len() || !names.iter().all(|name| is_valid_name(name)) {
         return invalid("voters: the names must be valid and unique");
     }
-    if let Some(voter) = file.voters.iter().find(|voter| voter.address.parse::<SocketAddr>().is_err()) {
+    if let Some(voter) = raw.voters.iter().find(|voter| voter.address.parse::<SocketAddr>().is_err()) {
         return Err(format!("group.voters: {}: invalid address", voter.name));
     }
-    let life = file.life_ms.unwrap_or(DEFAULT_LIFE_MS);
+    let life = raw.life_ms.unwrap_or(DEFAULT_LIFE_MS);
     if !LIFE_RANGE_MS.contains(&life) {
         return invalid("life_ms: 1000 to 60000");
     }
-    let away_at_once = file.away_at_once.unwrap_or(DEFAULT_AWAY_RATIO);
+    let away_at_once = raw.away_at_once.unwrap_or(DEFAULT_AWAY_RATIO);
     if !(away_at_once > 0.0 && away_at_once <= 1.0) {
         return invalid("away_at_once: above 0 and up to 1");
     }
-    if file.duties.len() > MAX_DUTIES || !file.duties.iter().all(|duty| is_valid_name(duty)) {
+    if raw.duties.len() > MAX_DUTIES || !raw.duties.iter().all(|duty| is_valid_name(duty)) {
         return invalid("duties: up to 16 names of 1 to 64 characters without whitespace");
     }
-    let listen = file.listen.as_ref().map(|text| text.parse::<SocketAddr>());
-    let voter = match (listen, file.dir) {
+    let listen = raw.listen.as_ref().map(|text| text.parse::<SocketAddr>());
+    let voter = match (listen, raw.dir) {
         (Some(Ok(listen)), Some(dir)) => Some((listen, dir)),
         (None, None) if !names.contains(me) => None,
         (Some(Err(_)), _) => return invalid("listen: invalid address"),
         _ => return invalid("listen, group.dir: required for a voter, not allowed for another gateway"),
     };
-    let scout = (file.scout && !zone.is_empty()).then(|| duty(zone));
-    let wants = file.duties.into_iter().chain(scout).map(|duty| Want { duty, rank: 0 }).collect();
-    let voters = file.voters.into_iter().map(|v| Node { name: v.name, address: v.address }).collect();
+    let scout = (raw.scout && !zone.is_empty()).then(|| duty(zone));
+    let wants = raw.duties.into_iter().chain(scout).map(|duty| Want { duty, rank: 0 }).collect();
+    let voters = raw.voters.into_iter().map(|v| Node { name: v.name, address: v.address }).collect();
     let session =
         Session { name: me.to_owned(), zone: zone.to_owned(), version: env!("CARGO_PKG_VERSION").to_owned() };
     let life = Duration::from_millis(life);
-    let run = run::Settings { group: file.name, session, wants, voters, life, voter };
-    Ok(Settings { run, away_at_once, scout: file.scout, acts: file.acts })
+    let run = run::Settings { group: raw.name, session, wants, voters, life, voter };
+    Ok(Settings { run, away_at_once, scout: raw.scout, acts: raw.acts })
 }
 
 #[cfg(test)]
@@ -140,9 +140,9 @@
     fn invalid_values_are_reported_in_one_line() {
         assert!(read(&valid_settings(), "g0", "a").is_ok());
         let changed = |key: &str, value: Value| {
-            let mut file = valid_settings();
-            file[key] = value;
-            read(&file, "g0", "a").expect_err(key)
+            let mut raw = valid_settings();
+            raw[key] = value;
+            read(&raw, "g0", "a").expect_err(key)
         };
         for (key, value) in [
             ("name", json!("")),
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -10,10 +10,10 @@
 use fennelscale::control::discovery;
 use fennelscale::control::engine::{self, Engine};
 use fennelscale::group::scout::Scout;
-use fennelscale::group::{self, Group};
+use fennelscale::group::{self, GroupMembership};
 use fennelscale::observe::metrics::Metrics;
 use fennelscale::operators::console::Console;
-use fennelscale::state::detached::Detached;
+use fennelscale::state::detached::DetachedBackends;
 use fennelscale::state::handover::{self, Parts};
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -122,7 +122,7 @@
     let frontend =
         Frontend::new(engine.clone(), &settings, max_clients, config.grace_period, metrics.clone());
     discovery::apply_list(config.known, &backends, &engine);
-    let group = config.group.map(Group::start);
+    let group = config.group.map(GroupMembership::start);
     if let Some(group) = group.clone().filter(|group| group.scout_enabled()) {
         let engine_handle = engine.clone();
         let on_report = move |backend, down| engine_handle.post(Event::HealthReport { backend, down });
@@ -135,7 +135,7 @@
         if let Ok(address) = operators.local_addr() {
             eprintln!("fennelscale {}: console at {address}", config.name);
         }
-        let detached = Detached::new(&config.name, engine.clone(), backends.clone());
+        let detached = DetachedBackends::new(&config.name, engine.clone(), backends.clone());
         let (frontend, engine, backends) = (frontend.clone(), engine.clone(), backends.clone());
         let (metrics, console_detached) = (metrics.clone(), detached.clone());
         let console = Console { frontend, engine, metrics, detached: console_detached, group: group.clone() };
--- a/gateway/src/operators/console.rs
+++ b/gateway/src/operators/console.rs
@@ -4,10 +4,10 @@
 use crate::backends::pool::spawn;
 use crate::clients::frontend::Frontend;
 use crate::control::engine::Engine;
-use crate::group::Group;
+use crate::group::GroupMembership;
 use crate::observe::metrics::Metrics;
 use crate::observe::usage::ConnectionUse;
-use crate::state::detached::Detached;
+use crate::state::detached::DetachedBackends;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io;
@@ -41,9 +41,9 @@
     /// The metrics that `INFO` shows.
     pub metrics: Rc<Metrics>,
     /// The backends that operators have detached.
-    pub detached: Rc<Detached>,
+    pub detached: Rc<DetachedBackends>,
     /// The gateway's group membership, if any.
-    pub group: Option<Rc<Group>>,
+    pub group: Option<Rc<GroupMembership>>,
 }
 
 impl Console {
--- a/gateway/src/state/detached.rs
+++ b/gateway/src/state/detached.rs
@@ -22,14 +22,14 @@
 }
 
 /// The set of backends that operators have detached.
-pub struct Detached {
+pub struct DetachedBackends {
     path: PathBuf,
     names: RefCell<BTreeSet<Name>>,
     engine: Rc<Engine>,
     backends: Rc<Backends>,
 }
 
-impl Detached {
+impl DetachedBackends {
     /// Reads the file that a process of this gateway left; a file that cannot be read counts as empty.
     pub fn new(gateway: &str, engine: Rc<Engine>, backends: Rc<Backends>) -> Rc<Self> {
         let path = shared_path(gateway, "detached");
--- a/gateway/src/state/handover.rs
+++ b/gateway/src/state/handover.rs
@@ -8,7 +8,7 @@
 use crate::clients::frontend::Frontend;
 use crate::control::discovery;
 use crate::control::engine::Engine;
-use crate::state::detached::{Detached, shared_path};
+use crate::state::detached::{DetachedBackends, shared_path};
 use doorcourse::HandoverState;
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
@@ -70,7 +70,7 @@
     /// The backend side.
     pub backends: Rc<Backends>,
     /// The backends that operators have detached.
-    pub detached: Rc<Detached>,
+    pub detached: Rc<DetachedBackends>,
 }
 
 /// The process that currently serves under this gateway's name.
@@ -203,7 +203,7 @@
 }
 
 /// Applies detachments made at the other process until `end` resolves.
-async fn refresh_until(detached: &Detached, end: impl Future<Output = ()>) {
+async fn refresh_until(detached: &DetachedBackends, end: impl Future<Output = ()>) {
     let refreshing = async {
         loop {
             detached.refresh();
--- a/gateway/tests/budget.rs
+++ b/gateway/tests/budget.rs
@@ -21,8 +21,8 @@
 
 /// The deadlines that a backend received, in ms.
 fn deadlines(backend: &Backend) -> Vec<u64> {
-    let heard = backend.received.lock().expect("lock");
-    heard.iter().map(|h| h.headers["req-deadline-ms"].parse().expect("integer")).collect()
+    let received = backend.received.lock().expect("lock");
+    received.iter().map(|h| h.headers["req-deadline-ms"].parse().expect("integer")).collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/gateway/tests/requests.rs
+++ b/gateway/tests/requests.rs
@@ -15,14 +15,14 @@
     assert_eq!((reply.status(), reply.body.as_slice()), (200, &b"ab\ncd"[..]));
     assert_eq!((reply.headers["x-note"].as_str(), reply.headers["content-type"].as_str()), ("n", "a/b"));
     client.expect_silence().await;
-    let heard = backend.received.lock().expect("lock").clone();
-    assert_eq!(heard.len(), 1);
-    assert_eq!(heard[0].line, "POST /save/a%20b?c=d HTTP/1.1");
-    assert_eq!(heard[0].body, b"the body");
-    assert!(heard[0].headers["req-id"].starts_with("id-"));
-    assert!(heard[0].headers["idempotency-key"].starts_with("key-"));
-    assert_eq!(heard[0].headers["content-type"], "x/y");
-    let left: u64 = heard[0].headers["req-deadline-ms"].parse().expect("integer");
+    let received = backend.received.lock().expect("lock").clone();
+    assert_eq!(received.len(), 1);
+    assert_eq!(received[0].line, "POST /save/a%20b?c=d HTTP/1.1");
+    assert_eq!(received[0].body, b"the body");
+    assert!(received[0].headers["req-id"].starts_with("id-"));
+    assert!(received[0].headers["idempotency-key"].starts_with("key-"));
+    assert_eq!(received[0].headers["content-type"], "x/y");
+    let left: u64 = received[0].headers["req-deadline-ms"].parse().expect("integer");
     assert!((1..900).contains(&left), "{left}");
 }
 
--- a/http-proxy/src/wire/body.rs
+++ b/http-proxy/src/wire/body.rs
@@ -48,8 +48,8 @@
 impl fmt::Display for BodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Broken => "the body broke off",
-            Self::TooSlow => "the body came too slowly",
+            Self::Broken => "the body was aborted",
+            Self::TooSlow => "the body arrived too slowly",
             Self::TooLarge => "the body is too large",
         })
     }
@@ -277,7 +277,7 @@
 
     fn is_end_stream(&self) -> bool {
         self.start.is_empty()
-            && self.rest.as_ref().is_none_or(|rest| rest.end.get().is_some_and(|o| o.1.is_none()))
+            && self.rest.as_ref().is_none_or(|rest| rest.end.get().is_some_and(|end| end.1.is_none()))
     }
 
     fn size_hint(&self) -> SizeHint {
