--- a/gateway/src/clients/frontend.rs
+++ b/gateway/src/clients/frontend.rs
@@ -71,7 +71,7 @@
     spread: u32,
     first: u32,
     repeat: bool,
-    patience: Duration,
+    client_timeout: Duration,
     method: Method,
     target: PathAndQuery,
     id: HeaderValue,
@@ -339,12 +339,12 @@
             .ok_or(Rejection::Malformed("Api-Customer"))?;
         // Hex digits in upper and lower case name the same customer, who would otherwise have several quotas.
         let customer = Name::from(customer.to_ascii_lowercase());
-        let patience = header_text(headers, "req-deadline-ms")?
+        let client_timeout = header_text(headers, "req-deadline-ms")?
             .filter(|t| t.bytes().all(|b| b.is_ascii_digit()))
             .and_then(|t| t.parse::<u64>().ok())
             .filter(|ms| (1..=MAX_DEADLINE_MS).contains(ms))
             .ok_or(Rejection::Malformed("Req-Deadline-Ms"))?;
-        let patience = Duration::from_millis(patience);
+        let client_timeout = Duration::from_millis(client_timeout);
         let repeat = match header_text(headers, "req-retry")? {
             None | Some("0") => false,
             Some("1") => true,
@@ -362,7 +362,7 @@
             spread,
             first,
             repeat,
-            patience,
+            client_timeout,
             method,
             target,
             id,
@@ -390,9 +390,10 @@
 
     /// Submits a request, whose last byte was read at `read_at`, to the decision engine and awaits the answer.
     async fn process(&self, parsed: ParsedRequest, read_at: Instant) -> ClientResponse {
-        let ParsedRequest { class, plan, customer, units, spread, first, repeat, patience, .. } = parsed;
+        let ParsedRequest { class, plan, customer, units, spread, first, repeat, client_timeout, .. } =
+            parsed;
         let ParsedRequest { method, target, id, idempotency_key, content_type, body, rest, .. } = parsed;
-        let budget = Budget::on_arrival(read_at, patience, self.engine.event_loop_lag());
+        let budget = Budget::on_arrival(read_at, client_timeout, self.engine.event_loop_lag());
         let forwarded = ForwardedRequest {
             head: RequestHead { method, target, id, idempotency_key, content_type },
             body,
--- a/gateway/src/group/mod.rs
+++ b/gateway/src/group/mod.rs
@@ -51,8 +51,8 @@
         let mut error_logged = false;
         loop {
             let settings = self.settings.run.clone();
-            let tell = |text: String| eprintln!("{text}");
-            let started = tokio::task::spawn_blocking(move || start(settings, Clock::Boot, tell)).await;
+            let log = |text: String| eprintln!("{text}");
+            let started = tokio::task::spawn_blocking(move || start(settings, Clock::Boot, log)).await;
             match started {
                 Ok(Ok(handle)) => {
                     *self.handle.borrow_mut() = Some(Rc::new(handle));
@@ -160,15 +160,15 @@
         })
     }
 
-    /// The maximum number of gateways that may be away with permission now.
+    /// The maximum number of gateways that the group may currently permit to be away at the same time, as for a restart.
     fn max_away(&self) -> u32 {
         let sessions = self.handle().map_or(0, |handle| handle.standing().view.sessions);
         ((sessions as f64 * self.settings.away_at_once) as u32).max(1)
     }
 
     /// Executes an operator's command: the words after `GROUP`.
-    pub async fn call(&self, words: &[&str]) -> String {
-        let answer = match words {
+    pub async fn execute(&self, args: &[&str]) -> String {
+        let answer = match args {
             [] | ["STATUS"] => return format!("{}\nEND", self.status()),
             ["GIVE", duty] => self.order(Order::Give((*duty).into(), None)).await,
             ["GIVE", duty, to] => self.order(Order::Give((*duty).into(), Some((*to).into()))).await,
--- a/gateway/src/operators/console.rs
+++ b/gateway/src/operators/console.rs
@@ -99,14 +99,14 @@
     /// Executes a command and returns the reply.
     async fn answer(&self, line: &str) -> String {
         if let Some(("GROUP", rest)) = line.split_once(char::is_whitespace).or(Some((line.trim(), ""))) {
-            let words: Vec<&str> = rest.split_ascii_whitespace().collect();
+            let args: Vec<&str> = rest.split_ascii_whitespace().collect();
             return match &self.group {
-                Some(group) => group.call(&words).await + "\n",
+                Some(group) => group.execute(&args).await + "\n",
                 None => "NO this gateway is in no group\n".into(),
             };
         }
-        let mut words = line.split_ascii_whitespace();
-        let reply = match (words.next(), words.next(), words.next()) {
+        let mut args = line.split_ascii_whitespace();
+        let reply = match (args.next(), args.next(), args.next()) {
             (Some("PING"), None, _) if self.frontend.is_ready() => "YES ready to serve".into(),
             (Some("PING"), None, _) => "NO this process takes no clients, yet or any more".into(),
             (Some("INFO"), None, _) => {
--- a/http-proxy/src/time/budget.rs
+++ b/http-proxy/src/time/budget.rs
@@ -27,10 +27,10 @@
 
 impl Budget {
     /// Creates the budget of a request whose last byte was read at `read_at`, by an event loop with lag `lag`, from a
-    /// client that waits for `patience` after its last byte.
-    pub fn on_arrival(read_at: Instant, patience: Duration, lag: Duration) -> Self {
-        let reserve = ANSWER_RESERVE.min(patience.mul_f64(ANSWER_RESERVE_RATIO));
-        let total = patience.saturating_sub(reserve).saturating_sub(lag);
+    /// client that waits for `timeout` after its last byte.
+    pub fn on_arrival(read_at: Instant, timeout: Duration, lag: Duration) -> Self {
+        let reserve = ANSWER_RESERVE.min(timeout.mul_f64(ANSWER_RESERVE_RATIO));
+        let total = timeout.saturating_sub(reserve).saturating_sub(lag);
         Self { deadline: read_at + total, reserve, total }
     }
 
