--- a/gateway/src/group/scout.rs
+++ b/gateway/src/group/scout.rs
@@ -3,7 +3,7 @@
 //! gateway per zone holds the duty at a time, and its fencing token accompanies every record.
 //!
 //! This module makes no decisions. Limits: each gateway reports on a backend at most once a second and sends at most
-//! [`MAX_REPORTS_PER_SECOND`] reports a second; a scout writes a record of at most [`MAX_RECORD_REPORTS`] reports, at
+//! `MAX_REPORTS_PER_SECOND` reports a second; a scout writes a record of at most `MAX_RECORD_REPORTS` reports, at
 //! most five times a second and only when there are new reports.
 
 use super::GroupMembership;
