--- a/gateway/src/group/mod.rs
+++ b/gateway/src/group/mod.rs
@@ -160,7 +160,7 @@
         })
     }
 
-    /// The maximum number of gateways that the group may currently permit to be away at the same time, as for a restart.
+    /// The maximum number of gateways that the group may permit to be absent at the same time, as for a restart.
     fn max_away(&self) -> u32 {
         let sessions = self.handle().map_or(0, |handle| handle.standing().view.sessions);
         ((sessions as f64 * self.settings.away_at_once) as u32).max(1)
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Announces the shutdown: the duties pass to other gateways at once, and this gateway counts as away.
+    /// Announces the shutdown: the duties pass to other gateways at once, and this gateway counts as absent.
     pub async fn drain(&self) {
         self.order(Order::Leave(u32::MAX)).await;
         self.order(Order::Able(false)).await;
--- a/gateway/src/group/settings.rs
+++ b/gateway/src/group/settings.rs
@@ -52,7 +52,7 @@
 pub struct Settings {
     /// Settings of the group's thread.
     pub run: run::Settings,
-    /// The share of the fleet that the group permits to be away at the same time, as for a restart.
+    /// The share of the fleet that the group permits to be absent at the same time, as for a restart.
     pub away_at_once: f64,
     /// Whether health reports about backends are exchanged.
     pub scout: bool,
