--- a/gateway/src/group/mod.rs
+++ b/gateway/src/group/mod.rs
@@ -1,5 +1,5 @@
-//! This gateway's part in the group: started and ended with the process, shown in `INFO`, asked by operators. It owns
-//! the handle of the group's thread and nothing else; whatever goes wrong in it, the gateway serves on.
+//! The gateway's membership in a group: started and stopped with the process, shown in `INFO`, controlled by operators.
+//! Holds only the handle of the group's thread; failures of the group do not affect serving.
 
 pub mod scout;
 pub mod settings;
@@ -19,60 +19,62 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// A part that could not start is tried again after this.
-const COMES_UP: Duration = Duration::from_millis(500);
-/// How often it is looked at which duties are held, for the log.
-const LOOKS: Duration = Duration::from_millis(250);
-/// How often an act is done under each duty, where they are written down.
-const ACTS: Duration = Duration::from_millis(20);
-/// The process waits so long at its end for the group to hear of it.
-const CLOSING: Duration = Duration::from_millis(300);
-/// Descriptors of a group's thread: its event loop, its disk, the other voters and the members' connections.
+/// Delay before a failed start is retried.
+const START_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which the held duties are checked, for the log.
+const DUTY_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval of the acts that are written to `group.acts` for each held duty.
+const ACT_INTERVAL: Duration = Duration::from_millis(20);
+/// How long the process waits at shutdown until the group is notified.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
+/// File descriptors of the group's thread: event loop, disk, connections to the voters and from the members.
 pub const DESCRIPTORS: usize = 48;
 
-/// A gateway's part.
-pub struct Group {
+/// A gateway's membership in a group.
+pub struct GroupMembership {
     settings: Settings,
     handle: RefCell<Option<Rc<Handle>>>,
-    /// Words about backends that were passed on to the decisions, and reports made.
-    told: Cell<(u64, u64)>,
+    /// Health reports that were received from scouts, and reports that were sent to scouts.
+    report_counts: Cell<(u64, u64)>,
 }
 
-impl Group {
-    /// Starts it beside everything else: the gateway serves meanwhile, and by itself for as long as it does not come
-    /// up. A voter whose predecessor still runs has neither its address nor its disk before that one has ended.
+impl GroupMembership {
+    /// Starts the membership in the background: the gateway serves meanwhile, and without a group as long as the start
+    /// fails. A voter whose preceding process still runs cannot use its address and disk before that process has ended.
     pub fn start(settings: Settings) -> Rc<Self> {
-        let group = Rc::new(Self { settings, handle: RefCell::default(), told: Cell::default() });
-        tokio::task::spawn_local(group.clone().come_up());
+        let group = Rc::new(Self { settings, handle: RefCell::default(), report_counts: Cell::default() });
+        tokio::task::spawn_local(group.clone().run());
         group
     }
 
-    async fn come_up(self: Rc<Self>) {
-        let mut told = false;
+    async fn run(self: Rc<Self>) {
+        let mut error_logged = false;
         loop {
             let settings = self.settings.run.clone();
-            let tell = |text: String| eprintln!("{text}");
-            let started = tokio::task::spawn_blocking(move || start(settings, Clock::Boot, tell)).await;
+            let log = |text: String| eprintln!("{text}");
+            let started = tokio::task::spawn_blocking(move || start(settings, Clock::Boot, log)).await;
             match started {
                 Ok(Ok(handle)) => {
                     *self.handle.borrow_mut() = Some(Rc::new(handle));
                     break;
                 }
-                Ok(Err(error)) if !std::mem::replace(&mut told, true) => {
-                    eprintln!("{error}; this gateway goes on without the group until it can (told once)");
+                Ok(Err(error)) if !std::mem::replace(&mut error_logged, true) => {
+                    eprintln!(
+                        "{error}; this gateway serves without the group until the group starts (logged once)"
+                    );
                 }
                 _ => {}
             }
-            sleep(COMES_UP).await;
+            sleep(START_RETRY_INTERVAL).await;
         }
         if self.settings.acts.is_some() {
-            tokio::task::spawn_local(self.clone().act());
+            tokio::task::spawn_local(self.clone().write_acts());
         }
-        self.follow().await;
+        self.log_duties().await;
     }
 
-    /// Whether this gateway takes part in telling of backends.
-    pub fn scouts(&self) -> bool {
+    /// Whether this gateway exchanges health reports about backends.
+    pub fn scout_enabled(&self) -> bool {
         self.settings.scout
     }
 
@@ -87,13 +89,13 @@
         }
     }
 
-    /// The guard of a duty, if this gateway holds it.
+    /// The guard of a duty, if this gateway holds the duty.
     pub fn guard(&self, duty: &str) -> Option<Guard> {
         self.handle()?.guard(duty)
     }
 
-    /// Tells the log which duties come and go.
-    async fn follow(self: Rc<Self>) {
+    /// Logs which duties are gained and lost.
+    async fn log_duties(self: Rc<Self>) {
         let mut known: BTreeMap<String, u64> = BTreeMap::new();
         while let Some(handle) = self.handle() {
             let acting =
@@ -107,12 +109,12 @@
             }
             known = now;
             drop(handle);
-            sleep(LOOKS).await;
+            sleep(DUTY_POLL_INTERVAL).await;
         }
     }
 
-    /// Does an act under each duty again and again, and writes down when its guard had said yes.
-    async fn act(self: Rc<Self>) {
+    /// Performs an act under each held duty periodically, and writes to the file when the guard permitted the act.
+    async fn write_acts(self: Rc<Self>) {
         let Some(path) = &self.settings.acts else { return };
         let mut file = match std::fs::OpenOptions::new().append(true).create(true).open(path) {
             Ok(file) => file,
@@ -120,22 +122,23 @@
         };
         while let Some(handle) = self.handle() {
             for guard in handle.guards() {
-                // The time before the question: a stop between the two must not make a yes look later than it was.
+                // Reads the clock before querying the guard: a pause in between must not make the permission appear
+                // later than it was given.
                 let now = Clock::Boot.now();
                 let Some(fence) = guard.valid_fence() else { continue };
                 let line = format!("{} {} {fence}\n", now.as_micros(), guard.duty);
                 let _ = file.write_all(line.as_bytes());
             }
             drop(handle);
-            sleep(ACTS).await;
+            sleep(ACT_INTERVAL).await;
         }
     }
 
-    /// What `INFO` shows.
-    pub fn figures(&self) -> Value {
+    /// The status that `INFO` shows.
+    pub fn status(&self) -> Value {
         let Some(handle) = self.handle() else { return Value::Null };
-        let (standing, ms) = (handle.status(), |span: Duration| span.as_millis() as u64);
-        let view = &standing.view;
+        let (status, ms) = (handle.status(), |span: Duration| span.as_millis() as u64);
+        let view = &status.view;
         let held = handle.guards().into_iter().map(|guard| {
             (guard.duty.clone(), json!({"fence": guard.fence(), "left_ms": guard.remaining().map_or(0, ms)}))
         });
@@ -148,31 +151,31 @@
             "term": view.term,
             "voters": view.voters,
             "sessions": view.sessions,
-            "in_group": standing.session.is_some(),
+            "in_group": status.session.is_some(),
             "contact_age_ms": handle.contact_age().map(ms),
             "held": held.collect::<serde_json::Map<_, _>>(),
             "duties": duties.collect::<serde_json::Map<_, _>>(),
             "away": view.absent,
-            "words": self.told.get().0,
-            "reports": self.told.get().1,
+            "words": self.report_counts.get().0,
+            "reports": self.report_counts.get().1,
         })
     }
 
-    /// The most gateways that may be away by leave now.
-    fn most_away(&self) -> u32 {
+    /// The maximum number of gateways that the group may permit to be absent at the same time, as for a restart.
+    fn max_away(&self) -> u32 {
         let sessions = self.handle().map_or(0, |handle| handle.status().view.sessions);
         ((sessions as f64 * self.settings.away_at_once) as u32).max(1)
     }
 
-    /// An operator's call: its words after `GROUP`.
-    pub async fn call(&self, words: &[&str]) -> String {
-        let answer = match words {
-            [] | ["STATUS"] => return format!("{}\nEND", self.figures()),
+    /// Executes an operator's command: the words after `GROUP`.
+    pub async fn execute(&self, args: &[&str]) -> String {
+        let answer = match args {
+            [] | ["STATUS"] => return format!("{}\nEND", self.status()),
             ["GIVE", duty] => self.order(MemberRequest::ReleaseDuty((*duty).into(), None)).await,
             ["GIVE", duty, to] => {
                 self.order(MemberRequest::ReleaseDuty((*duty).into(), Some((*to).into()))).await
             }
-            ["TURN"] => self.order(MemberRequest::RequestAbsence(self.most_away())).await,
+            ["TURN"] => self.order(MemberRequest::RequestAbsence(self.max_away())).await,
             ["ADD", name, address] => {
                 let node = VoterEndpoint { name: (*name).into(), address: (*address).into() };
                 self.order(MemberRequest::ChangeVoters(GroupRequest::AddVoter(node))).await
@@ -199,15 +202,15 @@
         }
     }
 
-    /// The process is about to end: others take its duties at once, and it counts as away.
-    pub async fn drains(&self) {
+    /// Announces the shutdown: the duties pass to other gateways at once, and this gateway counts as absent.
+    pub async fn drain(&self) {
         self.order(MemberRequest::RequestAbsence(u32::MAX)).await;
         self.order(MemberRequest::SetEligible(false)).await;
     }
 
-    /// The process ends. Waits a little for the group to hear of it.
+    /// Leaves the group at the end of the process, waiting for a short time until the group is notified.
     pub async fn close(&self) {
-        let _ = timeout(CLOSING, self.order(MemberRequest::Close)).await;
+        let _ = timeout(CLOSE_TIMEOUT, self.order(MemberRequest::Close)).await;
         self.handle.take();
     }
 }
--- a/gateway/src/group/scout.rs
+++ b/gateway/src/group/scout.rs
@@ -1,12 +1,12 @@
-//! Words about backends: what any gateway finds out of one, the scout of its zone tells all others, who are told of
-//! it as an event to the decisions. A scout is a duty: one gateway of the zone has it at a time, and every word
-//! carries its fence.
+//! Health reports about backends. Every gateway reports its findings to the scout of the zone, which publishes them in
+//! a record for all gateways; each gateway passes new reports to its decision engine. Being the scout is a duty: one
+//! gateway per zone holds the duty at a time, and its fencing token accompanies every record.
 //!
-//! Nothing is decided here. Bounds: each gateway reports on a backend at most once a second and at most
-//! [`MOST_REPORTS`] times a second in all; a scout writes one record of at most [`MOST_WORDS`] words, five times a
-//! second at the most, and only when there are new ones.
+//! This module makes no decisions. Limits: each gateway reports on a backend at most once a second and sends at most
+//! `MAX_REPORTS_PER_SECOND` reports a second; a scout writes a record of at most `MAX_RECORD_REPORTS` reports, at
+//! most five times a second and only when there are new reports.
 
-use super::Group;
+use super::GroupMembership;
 use doorcourse::Name;
 use fennelscale_group::lease::SeenFences;
 use fennelscale_group::member::MemberRequest;
@@ -18,169 +18,174 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// A duty's name is this and the zone's.
+/// Prefix of the duty's name, followed by the zone.
 const DUTY: &str = "scout:";
-/// Reports of one gateway a second, and the least time between two on one backend.
-const MOST_REPORTS: u32 = 20;
-const AGAIN: Duration = Duration::from_secs(1);
-/// Words in one record.
-const MOST_WORDS: usize = 64;
-/// How often a scout looks for reports.
-const LOOKS: Duration = Duration::from_millis(200);
+/// Maximum number of reports of one gateway per second, and minimum interval between its reports on one backend.
+const MAX_REPORTS_PER_SECOND: u32 = 20;
+const MIN_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of reports in a record.
+const MAX_RECORD_REPORTS: usize = 64;
+/// Interval at which a scout collects reports.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The duty of a zone's scout.
+/// The name of the duty of a zone's scout.
 pub fn duty(zone: &str) -> String {
     format!("{DUTY}{zone}")
 }
 
-/// A word about one backend.
+/// A report on the health of one backend.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Word {
+struct HealthReport {
     backend: String,
     down: bool,
 }
 
-/// What a record holds: the number of its last word, and the last ones in order.
+/// The content of a record: the latest reports in order, and the sequence number of the last one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Words {
-    last: u64,
-    words: VecDeque<Word>,
+struct HealthReports {
+    last_number: u64,
+    reports: VecDeque<HealthReport>,
 }
 
-impl Words {
-    fn add(&mut self, word: Word) {
-        self.last += 1;
-        self.words.push_back(word);
-        if self.words.len() > MOST_WORDS {
-            self.words.pop_front();
+impl HealthReports {
+    fn add(&mut self, report: HealthReport) {
+        self.last_number += 1;
+        self.reports.push_back(report);
+        if self.reports.len() > MAX_RECORD_REPORTS {
+            self.reports.pop_front();
         }
     }
 
-    /// The words after a number.
-    fn after(&self, number: u64) -> impl Iterator<Item = &Word> {
-        let new = (self.last - number.min(self.last)) as usize;
-        self.words.iter().skip(self.words.len().saturating_sub(new))
+    /// The reports with sequence numbers above `number`.
+    fn after(&self, number: u64) -> impl Iterator<Item = &HealthReport> {
+        let new = (self.last_number - number.min(self.last_number)) as usize;
+        self.reports.iter().skip(self.reports.len().saturating_sub(new))
     }
 }
 
-/// This gateway's ears and mouth.
+/// Sends, receives and, as the zone's scout, publishes health reports.
 pub struct Scout {
-    group: Rc<Group>,
+    group: Rc<GroupMembership>,
     zone: String,
-    /// What the decisions are to be told.
-    tell: Box<dyn Fn(Name, bool)>,
-    /// When each backend was last reported on, and as what.
+    /// Called with each received report.
+    on_report: Box<dyn Fn(Name, bool)>,
+    /// When each backend was last reported, and whether as down.
     reported: RefCell<BTreeMap<Name, (Instant, bool)>>,
-    allowed: Cell<u32>,
-    heard: RefCell<BTreeMap<String, (u64, u64)>>,
+    report_budget: Cell<u32>,
+    /// Fencing token and last sequence number that were passed on, by record.
+    seen: RefCell<BTreeMap<String, (u64, u64)>>,
     fences: RefCell<SeenFences>,
 }
 
 impl Scout {
-    /// Starts listening and, whenever this gateway has its zone's duty, telling.
-    pub fn start(group: Rc<Group>, zone: &str, tell: impl Fn(Name, bool) + 'static) -> Rc<Self> {
+    /// Starts receiving reports and, whenever this gateway holds its zone's duty, publishing them.
+    pub fn start(
+        group: Rc<GroupMembership>, zone: &str, on_report: impl Fn(Name, bool) + 'static,
+    ) -> Rc<Self> {
         let scout = Rc::new(Self {
             group,
             zone: zone.into(),
-            tell: Box::new(tell),
+            on_report: Box::new(on_report),
             reported: RefCell::default(),
-            allowed: Cell::new(MOST_REPORTS),
-            heard: RefCell::default(),
+            report_budget: Cell::new(MAX_REPORTS_PER_SECOND),
+            seen: RefCell::default(),
             fences: RefCell::default(),
         });
-        tokio::task::spawn_local(scout.clone().hear());
-        tokio::task::spawn_local(scout.clone().scout());
+        tokio::task::spawn_local(scout.clone().receive_reports());
+        tokio::task::spawn_local(scout.clone().run_scout());
         scout
     }
 
-    /// The decisions found something out of a backend.
-    pub fn judged(&self, backend: Name, zone: &str, down: bool) {
+    /// Sends a finding of the decision engine about a backend to the zone's scout.
+    pub fn report_health(&self, backend: Name, zone: &str, down: bool) {
         let now = Instant::now();
         let mut reported = self.reported.borrow_mut();
-        reported.retain(|_, (at, _)| now < *at + AGAIN);
+        reported.retain(|_, (at, _)| now < *at + MIN_REPORT_INTERVAL);
         let known = reported.get(&backend).is_some_and(|(_, as_what)| *as_what == down);
-        if known || self.allowed.get() == 0 {
+        if known || self.report_budget.get() == 0 {
             return;
         }
         reported.insert(backend.clone(), (now, down));
-        self.allowed.set(self.allowed.get() - 1);
-        self.group.told.update(|(words, reports)| (words, reports + 1));
-        let Ok(note) = postcard::to_stdvec(&Word { backend: backend.to_string(), down }) else { return };
+        self.report_budget.set(self.report_budget.get() - 1);
+        self.group.report_counts.update(|(received, sent)| (received, sent + 1));
+        let Ok(payload) = postcard::to_stdvec(&HealthReport { backend: backend.to_string(), down }) else {
+            return;
+        };
         let (group, duty) = (self.group.clone(), duty(zone));
-        tokio::task::spawn_local(async move { group.order(MemberRequest::SendNote(duty, note)).await });
+        tokio::task::spawn_local(async move { group.order(MemberRequest::SendNote(duty, payload)).await });
     }
 
-    /// Tells the decisions what scouts say.
-    async fn hear(self: Rc<Self>) {
+    /// Passes published reports to the decision engine.
+    async fn receive_reports(self: Rc<Self>) {
         let handle = loop {
             match self.group.handle() {
                 Some(handle) => break handle,
-                None => sleep(LOOKS).await,
+                None => sleep(POLL_INTERVAL).await,
             }
         };
-        let mut news = handle.subscribe();
+        let mut updates = handle.subscribe();
         drop(handle);
         let mut first = true;
-        while news.changed().await.is_ok() {
-            let view = news.borrow_and_update().view.clone();
+        while updates.changed().await.is_ok() {
+            let view = updates.borrow_and_update().view.clone();
             if view.revision > 0 {
-                self.take(&view, std::mem::take(&mut first));
+                self.apply_records(&view, std::mem::take(&mut first));
             }
         }
     }
 
-    /// The words in a view that are new; what the first one holds may be long over.
-    fn take(&self, view: &View, first: bool) {
+    /// Passes on the new reports in a view. Those in the first view are skipped, since they may be outdated.
+    fn apply_records(&self, view: &View, first: bool) {
         for (key, (duty, fence, value)) in view.records.iter().filter(|(key, _)| key.starts_with(DUTY)) {
-            // A record that outlived its scout says nothing more; one under an older fence never counts.
+            // Ignores records with a fencing token older than one already seen: their scout has lost the duty.
             if !self.fences.borrow_mut().accept(duty, *fence) {
                 continue;
             }
-            let Ok(words) = postcard::from_bytes::<Words>(value) else { continue };
-            let mut heard = self.heard.borrow_mut();
-            let (of, number) =
-                heard.entry(key.clone()).or_insert((*fence, if first { words.last } else { 0 }));
-            let after = if of == fence { *number } else { 0 };
-            (*of, *number) = (*fence, words.last);
-            let new: Vec<Word> = words.after(after).cloned().collect();
-            drop(heard);
-            self.group.told.update(|(words, reports)| (words + new.len() as u64, reports));
-            new.into_iter().for_each(|word| (self.tell)(word.backend.into(), word.down));
+            let Ok(reports) = postcard::from_bytes::<HealthReports>(value) else { continue };
+            let mut seen = self.seen.borrow_mut();
+            let (record_fence, number) =
+                seen.entry(key.clone()).or_insert((*fence, if first { reports.last_number } else { 0 }));
+            let after = if record_fence == fence { *number } else { 0 };
+            (*record_fence, *number) = (*fence, reports.last_number);
+            let new: Vec<HealthReport> = reports.after(after).cloned().collect();
+            drop(seen);
+            self.group.report_counts.update(|(received, sent)| (received + new.len() as u64, sent));
+            new.into_iter().for_each(|report| (self.on_report)(report.backend.into(), report.down));
         }
     }
 
-    /// Passes on what comes in, while this gateway has the duty.
-    async fn scout(self: Rc<Self>) {
+    /// Publishes collected reports while this gateway holds the duty.
+    async fn run_scout(self: Rc<Self>) {
         let duty = duty(&self.zone);
-        let mut words = Words::default();
-        let mut under = 0;
-        let mut looks = 0;
+        let mut reports = HealthReports::default();
+        let mut current_fence = 0;
+        let mut polls = 0;
         loop {
-            sleep(LOOKS).await;
-            looks += 1;
-            if looks % (1000 / LOOKS.as_millis()) == 0 {
-                self.allowed.set(MOST_REPORTS);
+            sleep(POLL_INTERVAL).await;
+            polls += 1;
+            if polls % (1000 / POLL_INTERVAL.as_millis()) == 0 {
+                self.report_budget.set(MAX_REPORTS_PER_SECOND);
             }
             let Some(fence) = self.group.guard(&duty).and_then(|guard| guard.valid_fence()) else { continue };
-            if std::mem::replace(&mut under, fence) != fence {
-                words = Words::default();
+            if std::mem::replace(&mut current_fence, fence) != fence {
+                reports = HealthReports::default();
             }
             let GroupResponse::Notes(notes) =
                 self.group.order(MemberRequest::CollectNotes(duty.clone())).await
             else {
                 continue;
             };
-            let before = words.last;
-            for note in &notes {
-                // The last word on a backend is the one that counts.
-                if let Ok(word) = postcard::from_bytes::<Word>(note) {
-                    words.add(word);
+            let before = reports.last_number;
+            for payload in &notes {
+                // The last report on a backend takes effect.
+                if let Ok(report) = postcard::from_bytes::<HealthReport>(payload) {
+                    reports.add(report);
                 }
             }
-            if words.last > before
-                && let Ok(value) = postcard::to_stdvec(&words)
+            if reports.last_number > before
+                && let Ok(value) = postcard::to_stdvec(&reports)
             {
-                // Lost, it is made up for by the next one: reports go on for as long as there is a reason.
+                // A lost record is superseded by the next one: reports are repeated as long as their cause lasts.
                 self.group.order(MemberRequest::WriteRecord(duty.clone(), duty.clone(), value)).await;
             }
         }
--- a/gateway/src/operators/console.rs
+++ b/gateway/src/operators/console.rs
@@ -1,13 +1,13 @@
-//! The operators' side: a further address, at which each connection carries one call and its reply. Line, time
-//! and callers are bounded, so that nobody who connects can hold it up.
+//! The operators' console: a TCP address at which each connection carries one command and its reply. The length of a
+//! command, the time per connection and the number of connections are limited, so that no peer can block the console.
 
 use crate::backends::pool::spawn;
-use crate::clients::front::Front;
+use crate::clients::frontend::Frontend;
 use crate::control::engine::Engine;
-use crate::group::Group;
-use crate::observe::cost::Use;
-use crate::observe::figures::Figures;
-use crate::state::detached::Detached;
+use crate::group::GroupMembership;
+use crate::observe::metrics::Metrics;
+use crate::observe::usage::ConnectionUse;
+use crate::state::detached::DetachedBackends;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io;
@@ -18,106 +18,107 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-/// The longest call.
-const LONGEST_LINE: usize = 256;
-/// A caller has this long for its call ...
-const PATIENCE: Duration = Duration::from_secs(10);
-/// ... and for taking the reply.
-const REPLY: Duration = Duration::from_secs(2);
-/// Callers at once: of more, the one that came first gives way.
-const MOST_CALLERS: usize = 8;
-/// What came after the call is read for this long, up to so many bytes: closing on it unread would reset the
-/// connection, and the reply with it.
-const REST: (Duration, u64) = (Duration::from_millis(200), 64 * 1024);
-/// A failed accept is tried again after this.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Maximum length of a command.
+const MAX_LINE_BYTES: usize = 256;
+/// Timeout for receiving the command.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout for writing the reply.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of connections; an additional one replaces the oldest.
+const MAX_CALLERS: usize = 8;
+/// Data after the command is read and discarded for at most this time and this many bytes: closing the connection with
+/// unread data would reset it, and the reply would be lost.
+const DRAIN_LIMITS: (Duration, u64) = (Duration::from_millis(200), 64 * 1024);
+/// Delay before the next accept after a failed one.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What the operators' calls act on.
+/// The parts of the gateway that console commands act on.
 pub struct Console {
-    /// The clients' side, which can send clients away.
-    pub front: Rc<Front>,
-    /// Where the decisions are asked.
+    /// The client side, with the lame-duck mode.
+    pub frontend: Rc<Frontend>,
+    /// The decision engine.
     pub engine: Rc<Engine>,
-    /// What `INFO` shows.
-    pub figures: Rc<Figures>,
-    /// The backends that are out by hand.
-    pub detached: Rc<Detached>,
-    /// This gateway's part in a group, if it has one.
-    pub group: Option<Rc<Group>>,
+    /// The metrics that `INFO` shows.
+    pub metrics: Rc<Metrics>,
+    /// The backends that operators have detached.
+    pub detached: Rc<DetachedBackends>,
+    /// The gateway's group membership, if any.
+    pub group: Option<Rc<GroupMembership>>,
 }
 
 impl Console {
-    /// Answers calls for ever.
+    /// Serves commands. Never returns.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        // Each caller holds the other half of its entry: dropping an entry sends the caller away.
+        // Each connection's task awaits the receiver of its sender here: dropping the sender closes the connection.
         let callers: Rc<RefCell<VecDeque<oneshot::Sender<()>>>> = Rc::default();
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            let (stay, mut gives_way) = oneshot::channel();
+            let (keep_open, mut evicted) = oneshot::channel();
             {
                 let mut callers = callers.borrow_mut();
                 callers.retain(|caller| !caller.is_closed());
-                if callers.len() >= MOST_CALLERS {
+                if callers.len() >= MAX_CALLERS {
                     callers.pop_front();
                 }
-                callers.push_back(stay);
+                callers.push_back(keep_open);
             }
-            let (console, held) = (self.clone(), self.figures.cost().holds(Use::Console));
+            let (console, open) =
+                (self.clone(), self.metrics.usage().connection_opened(ConnectionUse::Console));
             spawn(async move {
-                let _held = held;
+                let _open = open;
                 tokio::select! {
-                    // Who breaks off has no reply coming.
-                    _ = console.hear(stream) => {}
-                    _ = &mut gives_way => {}
+                    // A caller that aborts the connection gets no reply.
+                    _ = console.handle(stream) => {}
+                    _ = &mut evicted => {}
                 }
             });
         }
     }
 
-    async fn hear(&self, mut stream: TcpStream) -> io::Result<()> {
-        let reply = match timeout(PATIENCE, line(&mut stream)).await {
+    async fn handle(&self, mut stream: TcpStream) -> io::Result<()> {
+        let reply = match timeout(READ_TIMEOUT, read_line(&mut stream)).await {
             Ok(line) => match line? {
                 Ok(line) => self.answer(&line).await,
-                Err(fault) => format!("NO {fault}\n"),
+                Err(error) => format!("NO {error}\n"),
             },
             Err(_) => "NO call came in time\n".into(),
         };
-        timeout(REPLY, async {
+        timeout(WRITE_TIMEOUT, async {
             stream.write_all(reply.as_bytes()).await?;
             stream.shutdown().await
         })
         .await??;
-        let mut rest = stream.take(REST.1);
-        let _ = timeout(REST.0, tokio::io::copy(&mut rest, &mut tokio::io::sink())).await;
+        let mut rest = stream.take(DRAIN_LIMITS.1);
+        let _ = timeout(DRAIN_LIMITS.0, tokio::io::copy(&mut rest, &mut tokio::io::sink())).await;
         Ok(())
     }
 
-    /// The reply to a call.
+    /// Executes a command and returns the reply.
     async fn answer(&self, line: &str) -> String {
         if let Some(("GROUP", rest)) = line.split_once(char::is_whitespace).or(Some((line.trim(), ""))) {
-            let words: Vec<&str> = rest.split_ascii_whitespace().collect();
+            let args: Vec<&str> = rest.split_ascii_whitespace().collect();
             return match &self.group {
-                Some(group) => group.call(&words).await + "\n",
+                Some(group) => group.execute(&args).await + "\n",
                 None => "NO this gateway is in no group\n".into(),
             };
         }
-        let mut words = line.split_ascii_whitespace();
-        let reply = match (words.next(), words.next(), words.next()) {
-            (Some("PING"), None, _) if self.front.is_ready() => "YES ready to serve".into(),
+        let mut args = line.split_ascii_whitespace();
+        let reply = match (args.next(), args.next(), args.next()) {
+            (Some("PING"), None, _) if self.frontend.is_ready() => "YES ready to serve".into(),
             (Some("PING"), None, _) => "NO this process takes no clients, yet or any more".into(),
             (Some("INFO"), None, _) => {
-                let group = self.group.as_ref().map(|group| group.figures());
-                format!("{}\nEND", self.figures.line(self.engine.pool(), group))
+                let group = self.group.as_ref().map(|group| group.status());
+                format!("{}\nEND", self.metrics.to_json_line(self.engine.pool(), group))
             }
             (Some("LAMEDUCK"), None, _) => {
-                self.front.set_lame_duck(true);
+                self.frontend.set_lame_duck(true);
                 "YES clients are sent away".into()
             }
             (Some("REJOIN"), None, _) => {
-                self.front.set_lame_duck(false);
+                self.frontend.set_lame_duck(false);
                 "YES clients are taken".into()
             }
             (Some(call @ ("DETACH" | "ATTACH")), Some(id), None) => self.set(id, call == "DETACH"),
@@ -133,20 +134,20 @@
         reply + "\n"
     }
 
-    fn set(&self, id: &str, out: bool) -> String {
-        let done = if out { "left out" } else { "in use" };
-        match self.detached.set(id, out) {
+    fn set(&self, id: &str, detach: bool) -> String {
+        let done = if detach { "left out" } else { "in use" };
+        match self.detached.set(id, detach) {
             Ok(true) => format!("YES {id} is {done}"),
             Ok(false) => "NO backend has this ID".into(),
-            // It is done, and that is what was asked; a new version would not know of it.
+            // The change is effective in this process, but a succeeding process would not know of it.
             Err(error) => format!("YES {id} is {done}, but until this process ends only: {error}"),
         }
     }
 }
 
-/// Reads a call up to the end of its line, or up to the end of what the caller sends.
-async fn line(stream: &mut TcpStream) -> io::Result<Result<String, &'static str>> {
-    let (mut bytes, mut filled) = ([0; LONGEST_LINE], 0);
+/// Reads a command up to the end of the line or of the stream.
+async fn read_line(stream: &mut TcpStream) -> io::Result<Result<String, &'static str>> {
+    let (mut bytes, mut filled) = ([0; MAX_LINE_BYTES], 0);
     loop {
         let end = bytes[..filled].iter().position(|b| *b == b'\n');
         if end.is_none() && filled == bytes.len() {
--- a/gateway/src/state/detached.rs
+++ b/gateway/src/state/detached.rs
@@ -1,5 +1,5 @@
-//! The backends that operators have taken out: told to the decisions, and kept in a file of `$TMPDIR`, so that they
-//! stay out when a new version takes over.
+//! Backends that operators have detached: reported to the decision engine, and stored in a file in `$TMPDIR`, so that
+//! they stay detached when a new process takes over.
 
 use crate::backends::pool::Backends;
 use crate::control::engine::Engine;
@@ -11,73 +11,73 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// A file longer than this was not written here.
-const LONGEST: u64 = 1 << 20;
+/// Maximum size of the file; a larger file was not written by a gateway.
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// Where the processes of one gateway find what they share.
-pub fn place(gateway: &str, what: &str) -> PathBuf {
+/// The path of a file that the processes of one gateway share.
+pub fn shared_path(gateway: &str, what: &str) -> PathBuf {
     let safe = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
     let name: String = gateway.chars().take(40).map(safe).collect();
     std::env::temp_dir().join(format!("fennelscale-{name}.{what}"))
 }
 
-/// The backends that are out of use by hand.
-pub struct Detached {
+/// The set of backends that operators have detached.
+pub struct DetachedBackends {
     path: PathBuf,
     names: RefCell<BTreeSet<Name>>,
     engine: Rc<Engine>,
     backends: Rc<Backends>,
 }
 
-impl Detached {
-    /// Starts with those in the file that a process of this gateway left; one that cannot be read holds none.
+impl DetachedBackends {
+    /// Reads the file that a process of this gateway left; a file that cannot be read counts as empty.
     pub fn new(gateway: &str, engine: Rc<Engine>, backends: Rc<Backends>) -> Rc<Self> {
-        let path = place(gateway, "detached");
+        let path = shared_path(gateway, "detached");
         let this = Rc::new(Self { path, names: RefCell::default(), engine, backends });
         this.refresh();
         this
     }
 
-    /// Takes a backend out, or gives it back; false if nobody has such a backend.
+    /// Detaches or attaches a backend. Returns false if the backend is unknown.
     ///
     /// # Errors
-    /// When it is done but could not be written down.
-    pub fn set(&self, id: &str, out: bool) -> io::Result<bool> {
+    /// When the change is effective but the file could not be written.
+    pub fn set(&self, id: &str, detach: bool) -> io::Result<bool> {
         self.refresh();
-        if !self.backends.has(id) && !self.names.borrow().contains(id) {
+        if !self.backends.contains(id) && !self.names.borrow().contains(id) {
             return Ok(false);
         }
         let mut names = self.names.borrow().clone();
-        if if out { names.insert(id.into()) } else { names.remove(id) } {
-            self.become_set(names);
+        if if detach { names.insert(id.into()) } else { names.remove(id) } {
+            self.apply(names);
             self.save()?;
         }
         Ok(true)
     }
 
-    /// Reads the file again: while two processes of this gateway run, either may be told.
+    /// Reads the file again: while two processes of this gateway run, operators may use the console of either one.
     pub fn refresh(&self) {
-        let names = fs::metadata(&self.path).ok().filter(|m| m.len() <= LONGEST);
+        let names = fs::metadata(&self.path).ok().filter(|m| m.len() <= MAX_FILE_BYTES);
         let names = names.and_then(|_| fs::read(&self.path).ok());
         match names.map(|text| serde_json::from_slice::<Vec<String>>(&text)) {
-            Some(Ok(names)) => self.become_set(names.iter().map(|n| Name::from(n.as_str())).collect()),
+            Some(Ok(names)) => self.apply(names.iter().map(|n| Name::from(n.as_str())).collect()),
             Some(Err(error)) => eprintln!("detached: {} is damaged: {error}", self.path.display()),
             None => {}
         }
     }
 
-    /// Tells the decisions once more: they have taken over from others that may have been told less.
-    pub fn tell_again(&self) {
+    /// Repeats all detachments to the decision engine, after it has taken over a state that may lack some of them.
+    pub fn resend(&self) {
         self.refresh();
         for backend in self.names.borrow().iter().cloned() {
             self.engine.post(Event::Detach { backend });
         }
     }
 
-    fn become_set(&self, names: BTreeSet<Name>) {
+    fn apply(&self, names: BTreeSet<Name>) {
         let old = self.names.replace(names.clone());
         for backend in names.difference(&old).cloned() {
-            self.backends.let_go(&backend);
+            self.backends.close_idle_to(&backend);
             self.engine.post(Event::Detach { backend });
         }
         for backend in old.difference(&names).cloned() {
@@ -85,11 +85,11 @@
         }
     }
 
-    /// Replaces the file by one that is whole: whoever reads it finds the old names or the new ones.
+    /// Replaces the file atomically.
     fn save(&self) -> io::Result<()> {
-        let fresh = self.path.with_extension("new");
+        let new_path = self.path.with_extension("new");
         let names: Vec<String> = self.names.borrow().iter().map(|name| name.to_string()).collect();
-        fs::write(&fresh, serde_json::to_vec(&names)?)?;
-        fs::rename(&fresh, &self.path)
+        fs::write(&new_path, serde_json::to_vec(&names)?)?;
+        fs::rename(&new_path, &self.path)
     }
 }
