--- a/crates/control-plane/tests/malformed_input.rs
+++ b/crates/control-plane/tests/malformed_input.rs
@@ -26,7 +26,7 @@
 fn fuzz(seed: u64, corpus: Vec<Vec<u8>>, mut read: impl FnMut(&[u8]) -> bool) {
     corpus.iter().for_each(|whole| assert!(read(whole), "{}", String::from_utf8_lossy(whole)));
     let mut mutator = Mutator::new(seed, corpus);
-    let accepted = (0..INPUTS_PER_PARSER).filter(|_| read(&mutator.spoil())).count();
+    let accepted = (0..INPUTS_PER_PARSER).filter(|_| read(&mutator.next_input())).count();
     assert!((1..INPUTS_PER_PARSER).contains(&accepted), "{accepted} of {INPUTS_PER_PARSER} were accepted");
 }
 
@@ -81,7 +81,7 @@
 fn odd_ids_and_headers_do_not_panic() {
     let mut mutator = Mutator::new(4, [b"r12".to_vec(), b"limit=5&after=r3".to_vec(), b"i-0a1b2c".to_vec()]);
     for _ in 0..INPUTS_PER_PARSER {
-        let (id, base, body) = (mutator.spoil(), mutator.spoil(), mutator.spoil());
+        let (id, base, body) = (mutator.next_input(), mutator.next_input(), mutator.next_input());
         let mut headers = HeaderMap::new();
         if let Ok(value) = HeaderValue::from_bytes(&base) {
             headers.insert("x-base-version", value);
--- a/crates/fault-injection/src/clock.rs
+++ b/crates/fault-injection/src/clock.rs
@@ -7,19 +7,19 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// The tool looks at its own clock this often; later than [`MOST_LATE`], and it did not keep its times.
+/// The tool looks at its own clock this often; later than [`MAX_CLOCK_DELAY`], and it did not keep its times.
 const TICK: Duration = Duration::from_millis(10);
-/// See [`keeps_time`].
-pub const MOST_LATE: Duration = Duration::from_millis(250);
+/// See [`measure_clock_delay`].
+pub const MAX_CLOCK_DELAY: Duration = Duration::from_millis(250);
 
-/// How often the disk is tried; where a few bytes took longer than [`MOST_STUCK`], whoever waits for it was held up.
+/// How often the disk is tried; where a few bytes took longer than [`MAX_WRITE_TIME`], whoever waits for it was held up.
 const TRIES: Duration = Duration::from_millis(250);
-/// See [`keeps_disk`].
-pub const MOST_STUCK: Duration = Duration::from_millis(1500);
+/// See [`measure_write_time`].
+pub const MAX_WRITE_TIME: Duration = Duration::from_millis(1500);
 
 /// Notes how many microseconds it took at the worst to put a few bytes on the disk, until it is dropped; one that is
 /// under way counts as well.
-pub async fn keeps_disk(path: PathBuf, stuck: Arc<AtomicU64>) {
+pub async fn measure_write_time(path: PathBuf, stuck: Arc<AtomicU64>) {
     loop {
         let (path, begun) = (path.clone(), Instant::now());
         let mut write = tokio::task::spawn_blocking(move || -> io::Result<()> {
@@ -39,7 +39,7 @@
 }
 
 /// Notes by how many microseconds the tool's own clock is late at the worst, until it is dropped.
-pub async fn keeps_time(late: Arc<AtomicU64>) {
+pub async fn measure_clock_delay(late: Arc<AtomicU64>) {
     let mut due = Instant::now() + TICK;
     loop {
         sleep_until(due).await;
--- a/crates/fault-injection/src/estimate.rs
+++ b/crates/fault-injection/src/estimate.rs
@@ -8,7 +8,8 @@
     /// The mean.
     pub mean: f64,
     /// Half the width of the interval; absent with fewer than two figures.
-    pub within: Option<f64>,
+    #[serde(rename = "within")]
+    pub half_width: Option<f64>,
     /// How many figures.
     pub count: usize,
 }
@@ -24,11 +25,11 @@
     pub fn of(figures: &[f64]) -> Self {
         let count = figures.len();
         let mean = figures.iter().sum::<f64>() / count.max(1) as f64;
-        let within = (count > 1).then(|| {
+        let half_width = (count > 1).then(|| {
             let squares: f64 = figures.iter().map(|figure| (figure - mean).powi(2)).sum();
             let deviation = (squares / (count - 1) as f64).sqrt();
             T975.get(count - 2).copied().unwrap_or(1.96) * deviation / (count as f64).sqrt()
         });
-        Self { mean, within, count }
+        Self { mean, half_width, count }
     }
 }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -6,8 +6,8 @@
 
 pub mod clock;
 mod estimate;
+mod location;
 pub mod mutate;
-mod place;
 pub mod plot;
 mod random;
 pub mod relay;
@@ -16,6 +16,6 @@
 pub mod timeline;
 
 pub use estimate::Estimate;
-pub use place::place;
+pub use location::format_location;
 pub use random::Random;
 pub use span::Span;
--- a/crates/fault-injection/src/place.rs
+++ b/crates/fault-injection/src/location.rs
@@ -1,7 +1,7 @@
 //! Where in a text something stands, for whoever has to mend it.
 
 /// One line: the file, line and column of an offset in its text, and what is wrong there.
-pub fn place(name: &str, text: &str, at: usize, what: &str) -> String {
+pub fn format_location(name: &str, text: &str, at: usize, what: &str) -> String {
     let mut at = at.min(text.len());
     while !text.is_char_boundary(at) {
         at -= 1;
--- a/crates/fault-injection/src/mutate.rs
+++ b/crates/fault-injection/src/mutate.rs
@@ -59,7 +59,7 @@
     }
 
     /// The next one.
-    pub fn spoil(&mut self) -> Vec<u8> {
+    pub fn next_input(&mut self) -> Vec<u8> {
         if self.corpus.is_empty() {
             return Vec::new();
         }
@@ -74,7 +74,7 @@
                 }
                 1 if !bytes.is_empty() => {
                     let at = begin.min(bytes.len() - 1);
-                    bytes[at] = self.random.number() as u8;
+                    bytes[at] = self.random.next_u64() as u8;
                 }
                 2 => drop(bytes.drain(begin..end)),
                 3 => {
@@ -112,7 +112,7 @@
         let corpus = || [b"{\"a\": 12}".to_vec(), b"name = 'b'".to_vec()];
         let made = |seed| {
             let mut mutator = Mutator::new(seed, corpus());
-            (0..1000).map(|_| mutator.spoil()).collect::<Vec<_>>()
+            (0..1000).map(|_| mutator.next_input()).collect::<Vec<_>>()
         };
         assert_eq!(made(1), made(1));
         assert_ne!(made(1), made(2));
--- a/crates/fault-injection/src/plot.rs
+++ b/crates/fault-injection/src/plot.rs
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// When it cannot be drawn.
-pub fn drawn(
+pub fn render_svg(
     draw: impl FnOnce(&DrawingArea<SVGBackend<'_>, Shift>) -> Result<(), PlotError>, size: (u32, u32),
 ) -> Result<String, PlotError> {
     let mut svg = String::new();
@@ -43,11 +43,11 @@
 ///
 /// # Errors
 /// When they cannot be drawn.
-pub fn lines(title: &str, unit: &str, series: &[Series]) -> Result<String, PlotError> {
+pub fn line_chart(title: &str, unit: &str, series: &[Series]) -> Result<String, PlotError> {
     let all = || series.iter().flat_map(|(_, points)| points);
     let right = all().map(|(x, _)| *x).fold(1.0, f64::max);
     let top = all().map(|(_, y)| *y).fold(1e-9, f64::max) * 1.08;
-    drawn(
+    render_svg(
         |area| {
             let mut chart = ChartBuilder::on(area)
                 .caption(title, ("sans-serif", 17))
@@ -79,14 +79,14 @@
 ///
 /// # Errors
 /// When they cannot be drawn.
-pub fn bars(
+pub fn bar_chart(
     title: &str, unit: &str, labels: &[String], series: &[(String, Vec<f64>)],
 ) -> Result<String, PlotError> {
     let figures = || series.iter().flat_map(|(_, figures)| figures).copied();
     let (low, high) = (figures().fold(0.0, f64::min), figures().fold(1e-9, f64::max));
     let range = low * 1.1..high * 1.1;
     let count = labels.len().max(1);
-    drawn(
+    render_svg(
         |area| {
             let mut chart = ChartBuilder::on(area)
                 .caption(title, ("sans-serif", 17))
@@ -135,6 +135,6 @@
 }
 
 /// A text as it stands in a page.
-pub fn escaped(text: &str) -> String {
+pub fn escape_xml(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('"', "&quot;")
 }
--- a/crates/fault-injection/src/random.rs
+++ b/crates/fault-injection/src/random.rs
@@ -30,19 +30,19 @@
     }
 
     /// Any number.
-    pub fn number(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0.random()
     }
 
     /// Evenly from a range.
     pub fn within(&mut self, span: Span) -> f64 {
-        span.least + (span.most - span.least) * self.unit()
+        span.min + (span.max - span.min) * self.unit()
     }
 
     /// A whole number from a range, both ends included.
-    pub fn whole(&mut self, span: Span) -> usize {
-        let count = (span.most.floor() - span.least.ceil()).max(0.0) + 1.0;
-        (span.least.ceil() + (self.unit() * count).floor()) as usize
+    pub fn integer_within(&mut self, span: Span) -> usize {
+        let count = (span.max.floor() - span.min.ceil()).max(0.0) + 1.0;
+        (span.min.ceil() + (self.unit() * count).floor()) as usize
     }
 
     /// A number below a bound; 0 where there is none.
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -2,7 +2,7 @@
 //! of it is a link of its own with its own faults.
 //!
 //! Invariants: bytes leave in the order in which they came, and none is made up; a half-close and a reset pass on;
-//! a reader that stops stops its writer (at most [`MOST_HELD`] bytes wait in a relay). A connection that a fault has
+//! a reader that stops stops its writer (at most [`MAX_BUFFERED_BYTES`] bytes wait in a relay). A connection that a fault has
 //! taken bytes from never goes on as if nothing had been: it is reset when the fault ends.
 
 use crate::Random;
@@ -22,7 +22,7 @@
 /// Bytes read at once, and the most that wait in one direction of a connection.
 const PIECE: usize = 16 * 1024;
 /// See [`PIECE`].
-pub const MOST_HELD: usize = 64 * PIECE;
+pub const MAX_BUFFERED_BYTES: usize = 64 * PIECE;
 /// Connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
 /// A process that is just being started holds, until it runs its program, what its parent had open: the port of a
@@ -46,15 +46,15 @@
     /// Connections come up, and what is written vanishes.
     Mute,
     /// As with a machine that vanished: open connections stay open and silent, new ones never come up.
-    Hole,
+    BlackHole,
     /// Connections are reset, new ones are refused.
     Reset,
 }
 
 /// What a fault of links does to them, as schedules name it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Harm {
-    /// [`Flow::Hole`].
+pub enum LinkFault {
+    /// [`Flow::BlackHole`].
     Cut,
     /// [`Flow::Reset`].
     Reset,
@@ -68,7 +68,7 @@
     CutAfter,
 }
 
-impl Harm {
+impl LinkFault {
     /// What the links do.
     ///
     /// # Errors
@@ -76,7 +76,7 @@
     pub fn flow(self, ms: Option<(f64, f64)>, bytes: Option<u64>) -> Result<Flow, &'static str> {
         let bytes = || bytes.filter(|bytes| *bytes > 0).ok_or("bytes, above 0, is missing");
         Ok(match self {
-            Self::Cut => Flow::Hole,
+            Self::Cut => Flow::BlackHole,
             Self::Reset => Flow::Reset,
             Self::Mute => Flow::Mute,
             Self::Throttle => Flow::Throttled(bytes()?),
@@ -223,7 +223,7 @@
     }
 
     /// Says whether the target's process listens.
-    pub fn set_up(&self, up: bool) {
+    pub fn set_listening(&self, up: bool) {
         self.up.send_if_modified(|now| std::mem::replace(now, up) != up);
     }
 
@@ -235,7 +235,7 @@
         let (there, back) = (self.there.flow(), self.back.flow());
         if !*self.up.borrow() || there == Flow::Reset || back == Flow::Reset {
             Door::Closed
-        } else if there == Flow::Hole || back == Flow::Hole {
+        } else if there == Flow::BlackHole || back == Flow::BlackHole {
             Door::Hidden
         } else {
             Door::Open
@@ -336,7 +336,7 @@
     let mut left = None;
     loop {
         let flow = *flows.borrow_and_update();
-        let (hole, mute) = (flow == Flow::Hole, flow == Flow::Mute);
+        let (hole, mute) = (flow == Flow::BlackHole, flow == Flow::Mute);
         if flow == Flow::Reset || (touched && !hole && !mute) {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
@@ -371,7 +371,7 @@
         };
         // In a hole bytes stay where they are; that there are some is what tells the connection from an idle one.
         let read = async {
-            match (hole, ended || (hole && touched) || held >= MOST_HELD) {
+            match (hole, ended || (hole && touched) || held >= MAX_BUFFERED_BYTES) {
                 (_, true) => std::future::pending().await,
                 (true, _) => from.readable().await.map(|()| None),
                 (false, _) => from.read(&mut bytes).await.map(Some),
@@ -451,7 +451,7 @@
     ///
     /// # Errors
     /// When there is no address for the relay.
-    pub fn way(
+    pub fn add_relay(
         &self, (from, to): (P, P), at: SocketAddr, source: IpAddr, target: SocketAddr, up: bool,
     ) -> io::Result<SocketAddr> {
         let (there, back) = (self.link(from, to), self.link(to, from));
@@ -462,17 +462,20 @@
     }
 
     /// Whether a party's process listens: where not, connections to it are refused.
-    pub fn set_up(&self, party: P, up: bool) {
-        self.relays().iter().filter(|(_, to, _)| *to == party).for_each(|(_, _, relay)| relay.set_up(up));
+    pub fn set_listening(&self, party: P, up: bool) {
+        self.relays()
+            .iter()
+            .filter(|(_, to, _)| *to == party)
+            .for_each(|(_, _, relay)| relay.set_listening(up));
     }
 
     /// How often relays themselves have failed.
-    pub fn failed(&self) -> u64 {
+    pub fn failure_count(&self) -> u64 {
         self.failed.count.load(Ordering::Relaxed)
     }
 
     /// The last of these failures, in words.
-    pub fn failure(&self) -> String {
+    pub fn last_failure(&self) -> String {
         self.failed.last.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
--- a/crates/fault-injection/src/running.rs
+++ b/crates/fault-injection/src/running.rs
@@ -21,19 +21,19 @@
 }
 
 /// Kills all processes that were started here and still run.
-pub fn end_all() {
+pub fn kill_all() {
     for pid in std::mem::take(&mut *running()) {
         signal(pid, Signal::KILL);
     }
 }
 
 /// From now on a panic ends all processes too: a program that aborts on panics runs no destructors.
-pub fn end_with_panics() {
+pub fn kill_all_on_panic() {
     static ONCE: Once = Once::new();
     ONCE.call_once(|| {
         let before = std::panic::take_hook();
         std::panic::set_hook(Box::new(move |info| {
-            end_all();
+            kill_all();
             before(info);
         }));
     });
--- a/crates/fault-injection/src/span.rs
+++ b/crates/fault-injection/src/span.rs
@@ -7,10 +7,12 @@
 /// A range of figures that are finite and not below 0; one number stands for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Span {
-    /// The least.
-    pub least: f64,
-    /// The most.
-    pub most: f64,
+    /// The lower end.
+    #[serde(rename = "least")]
+    pub min: f64,
+    /// The upper end.
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
 struct SpanVisitor;
@@ -19,11 +21,11 @@
     type Value = Span;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a number or a range [least, most]")
+        f.write_str("a number or a range [min, max]")
     }
 
     fn visit_f64<E: serde::de::Error>(self, figure: f64) -> Result<Span, E> {
-        Ok(Span { least: figure, most: figure })
+        Ok(Span { min: figure, max: figure })
     }
 
     fn visit_i64<E: serde::de::Error>(self, figure: i64) -> Result<Span, E> {
@@ -38,19 +40,19 @@
         if from.next_element::<f64>()?.is_some() {
             return Err(A::Error::invalid_length(3, &self));
         }
-        Ok(Span { least: ends[0], most: ends[1] })
+        Ok(Span { min: ends[0], max: ends[1] })
     }
 }
 
 impl<'de> Deserialize<'de> for Span {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        let Self { least, most } = from.deserialize_any(SpanVisitor)?;
-        if !(least.is_finite() && most.is_finite() && least >= 0.0) {
+        let Self { min, max } = from.deserialize_any(SpanVisitor)?;
+        if !(min.is_finite() && max.is_finite() && min >= 0.0) {
             return Err(D::Error::custom("figures must be finite and not below 0"));
         }
-        if least > most {
-            return Err(D::Error::custom(format!("the range is upside down: {least} is more than {most}")));
+        if min > max {
+            return Err(D::Error::custom(format!("the range is upside down: {min} is more than {max}")));
         }
-        Ok(Self { least, most })
+        Ok(Self { min, max })
     }
 }
--- a/crates/fault-injection/src/timeline.rs
+++ b/crates/fault-injection/src/timeline.rs
@@ -18,11 +18,11 @@
     /// When the trial ended.
     pub end: f64,
     /// The share of worth that was served.
-    pub worth: Vec<(f64, f64)>,
+    pub served_share: Vec<(f64, f64)>,
     /// Faults in the order of their rows, with begin, end and name; nothing for one that never began.
     pub faults: Vec<Option<(f64, f64, String)>>,
     /// When a rule was broken.
-    pub breaks: Vec<f64>,
+    pub violations: Vec<f64>,
 }
 
 impl Timeline {
@@ -59,9 +59,9 @@
                 chart.draw_series([shade]).map_err(|e| failed(&e))?;
             }
             chart
-                .draw_series(LineSeries::new(self.worth.iter().copied(), BLUE.stroke_width(2)))
+                .draw_series(LineSeries::new(self.served_share.iter().copied(), BLUE.stroke_width(2)))
                 .map_err(|e| failed(&e))?;
-            let broken = self.breaks.iter().map(|at| Cross::new((*at, 1.02), 5, RED.stroke_width(2)));
+            let broken = self.violations.iter().map(|at| Cross::new((*at, 1.02), 5, RED.stroke_width(2)));
             chart.draw_series(broken).map_err(|e| failed(&e))?;
             let mut bars = ChartBuilder::on(&lower)
                 .margin(10)
--- a/crates/reachlb/src/check.rs
+++ b/crates/reachlb/src/check.rs
@@ -1,6 +1,6 @@
 //! Checks a file as a process would read it.
 
-use crate::UNUSABLE;
+use crate::EXIT_INVALID_INPUT;
 use config::{Config, ConfigFault, Settings, SettingsFault};
 use std::path::Path;
 use std::process::ExitCode;
@@ -16,7 +16,7 @@
         println!("{}: usable", file.display());
         return ExitCode::SUCCESS;
     }
-    ExitCode::from(UNUSABLE)
+    ExitCode::from(EXIT_INVALID_INPUT)
 }
 
 fn configuration(file: &Path) -> Vec<String> {
--- a/crates/reachlb/src/founder.rs
+++ b/crates/reachlb/src/founder.rs
@@ -1,6 +1,6 @@
 //! Whether a founder's empty folder is that of the first start, or of a voter that lost its disk.
 
-use crate::operate::client;
+use crate::operator::client;
 use config::Settings;
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/crates/reachlb/src/main.rs
+++ b/crates/reachlb/src/main.rs
@@ -3,7 +3,7 @@
 #![forbid(unsafe_code)]
 
 use gumdrop::Options;
-use reachlb::{Program, Switches, UNUSABLE, check, operate, serve};
+use reachlb::{EXIT_INVALID_INPUT, Overrides, Program, check, operator, serve};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -28,15 +28,15 @@
     /// check a settings file (TOML) or a configuration (JSON), every fault on a line of its own
     Check(Check),
     /// how a fleet stands, as one of its processes knows it
-    Status(operate::Status),
+    Status(operator::Status),
     /// the configuration: in force, former ones, what changed, another one
-    Config(operate::ConfigCalls),
+    Config(operator::ConfigCommand),
     /// what became of a node, a backend, a version (r12) or a request, and why
-    Explain(operate::Explain),
+    Explain(operator::Explain),
     /// what lies in the data folder of a process that does not run
-    State(operate::StateCalls),
+    State(operator::StateCommand),
     /// the list of voters, changed by hand
-    Voter(operate::VoterCalls),
+    Voter(operator::VoterCommand),
 }
 
 #[derive(Debug, Options)]
@@ -59,18 +59,18 @@
     let arguments = Arguments::parse_args_default_or_exit();
     let Some(command) = arguments.command else {
         eprintln!("no command\n\n{}", Arguments::usage());
-        return ExitCode::from(UNUSABLE);
+        return ExitCode::from(EXIT_INVALID_INPUT);
     };
     let (program, plane) = match command {
         Command::Check(Check { file, .. }) => return check::run(&file),
-        Command::Status(call) => return operate::run(operate::status(call)),
-        Command::Config(call) => return operate::run(operate::config(call)),
-        Command::Explain(call) => return operate::run(operate::explain(call)),
-        Command::State(call) => return operate::told(operate::state(call)),
-        Command::Voter(call) => return operate::run(operate::voter(call)),
+        Command::Status(call) => return operator::run(operator::status(call)),
+        Command::Config(call) => return operator::run(operator::config(call)),
+        Command::Explain(call) => return operator::run(operator::explain(call)),
+        Command::State(call) => return operator::print_result(operator::state(call)),
+        Command::Voter(call) => return operator::run(operator::voter(call)),
         Command::DataPlane(plane) => (Program::DataPlane, plane),
         Command::ControlPlane(plane) => (Program::ControlPlane, plane),
     };
     let Plane { watching, .. } = plane;
-    serve(program, arguments.settings, Switches { watching })
+    serve(program, arguments.settings, Overrides { watching })
 }
--- a/crates/reachlb/src/operate/client.rs
+++ b/crates/reachlb/src/operator/client.rs
@@ -1,6 +1,6 @@
 //! Calls to processes: one connection each, a bounded time, a bounded answer.
 
-use super::Trouble;
+use super::CommandError;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1;
@@ -29,22 +29,22 @@
 
 impl Answer {
     /// The answer, unless it is a refusal.
-    pub fn granted(self, step: &'static str) -> Result<Self, Trouble> {
+    pub fn granted(self, step: &'static str) -> Result<Self, CommandError> {
         if self.status == 200 { Ok(self) } else { Err(self.refused(step)) }
     }
 
     /// The answer as a refusal, with its reason.
-    pub fn refused(self, step: &'static str) -> Trouble {
+    pub fn refused(self, step: &'static str) -> CommandError {
         let read = serde_json::from_slice::<Value>(&self.body).ok();
         let why = read.and_then(|body| Some(body.get("error")?.as_str()?.to_owned()));
         let why = why.unwrap_or_else(|| String::from_utf8_lossy(&self.body).chars().take(400).collect());
-        Trouble::Refused { step, peer: self.peer, status: self.status, why }
+        CommandError::Refused { step, peer: self.peer, status: self.status, why }
     }
 
     /// The answer read.
-    pub fn json(self, step: &'static str) -> Result<Value, Trouble> {
+    pub fn json(self, step: &'static str) -> Result<Value, CommandError> {
         let answer = self.granted(step)?;
-        serde_json::from_slice(&answer.body).map_err(|error| Trouble::Unanswered {
+        serde_json::from_slice(&answer.body).map_err(|error| CommandError::Unanswered {
             step,
             peer: answer.peer,
             why: error.to_string(),
@@ -53,14 +53,14 @@
 }
 
 /// Asks the first of some addresses (separated by commas) that answers at all.
-pub async fn get(at: &str, step: &'static str, path: &str) -> Result<Answer, Trouble> {
+pub async fn get(at: &str, step: &'static str, path: &str) -> Result<Answer, CommandError> {
     call(at, step, Method::GET, path, None, Bytes::new()).await
 }
 
 /// Calls the first of some addresses that answers at all.
 pub async fn call(
     at: &str, step: &'static str, method: Method, path: &str, base: Option<u64>, body: Bytes,
-) -> Result<Answer, Trouble> {
+) -> Result<Answer, CommandError> {
     let mut last = "no address".to_owned();
     for peer in at.split(',').map(str::trim).filter(|peer| !peer.is_empty()) {
         match one(peer, method.clone(), path, base, body.clone()).await {
@@ -68,7 +68,7 @@
             Err(why) => last = why,
         }
     }
-    Err(Trouble::Unanswered { step, peer: at.to_owned(), why: last })
+    Err(CommandError::Unanswered { step, peer: at.to_owned(), why: last })
 }
 
 async fn one(
--- a/crates/reachlb/src/operate/config.rs
+++ b/crates/reachlb/src/operator/config.rs
@@ -1,7 +1,7 @@
 //! The configuration: in force, former ones, what changed, another one.
 
 use super::table::table;
-use super::{Trouble, client};
+use super::{CommandError, client};
 use bytes::Bytes;
 use config::{Config, Version};
 use gumdrop::Options;
@@ -11,7 +11,7 @@
 
 /// The arguments.
 #[derive(Debug, Options)]
-pub struct ConfigCalls {
+pub struct ConfigCommand {
     /// print this help
     help: bool,
     #[options(command, required)]
@@ -84,7 +84,7 @@
 }
 
 /// Does what is asked.
-pub async fn config(calls: ConfigCalls) -> Result<String, Trouble> {
+pub async fn config(calls: ConfigCommand) -> Result<String, CommandError> {
     match calls.call {
         Some(Kind::Get(call)) => {
             let path = call.version.map_or("/Config.Read".to_owned(), |v| format!("/Config.History/{v}"));
@@ -101,7 +101,7 @@
             Ok(if call.json { answer.to_string() + "\n" } else { history(&answer) })
         }
         Some(Kind::Diff(call)) => diff(call).await,
-        None => Err(Trouble::Unusable {
+        None => Err(CommandError::Unusable {
             step: "read",
             what: "arguments".into(),
             why: "one of get, replace, history, diff is wanted".into(),
@@ -128,8 +128,8 @@
 }
 
 /// Reads a body as a process would.
-fn parse(step: &'static str, what: &str, body: &[u8]) -> Result<Config, Trouble> {
-    let unusable = |fault: config::ConfigFault| Trouble::Unusable {
+fn parse(step: &'static str, what: &str, body: &[u8]) -> Result<Config, CommandError> {
+    let unusable = |fault: config::ConfigFault| CommandError::Unusable {
         step,
         what: what.to_owned(),
         why: fault.to_string(),
@@ -137,9 +137,9 @@
     Config::parse(body).map_err(unusable)
 }
 
-fn file(path: &Path) -> Result<(Bytes, Config), Trouble> {
+fn file(path: &Path) -> Result<(Bytes, Config), CommandError> {
     let name = path.display().to_string();
-    let body = std::fs::read(path).map_err(|error| Trouble::Unusable {
+    let body = std::fs::read(path).map_err(|error| CommandError::Unusable {
         step: "read",
         what: name.clone(),
         why: error.to_string(),
@@ -148,7 +148,7 @@
     Ok((body.into(), config))
 }
 
-async fn replace(call: Replace) -> Result<String, Trouble> {
+async fn replace(call: Replace) -> Result<String, CommandError> {
     let (body, config) = file(&call.file)?;
     let base = match call.base {
         Some(base) => base,
@@ -183,13 +183,13 @@
     })
 }
 
-async fn diff(call: Diff) -> Result<String, Trouble> {
+async fn diff(call: Diff) -> Result<String, CommandError> {
     let (before, after) = match call.which.as_slice() {
         [] => {
             let history = client::get(&call.at, "history", "/Config.History").await?.json("history")?;
             let newest = |at: usize| history["versions"][at]["version"].as_str().map(str::to_owned);
             let (Some(after), Some(before)) = (newest(0), newest(1)) else {
-                return Err(Trouble::Unusable {
+                return Err(CommandError::Unusable {
                     step: "diff",
                     what: "the history".into(),
                     why: "it does not have two versions".into(),
@@ -203,7 +203,7 @@
         }
         [before, after] => (one(&call.at, before).await?, one(&call.at, after).await?),
         _ => {
-            return Err(Trouble::Unusable {
+            return Err(CommandError::Unusable {
                 step: "diff",
                 what: "arguments".into(),
                 why: "at most two are compared".into(),
@@ -221,7 +221,7 @@
 }
 
 /// A version, or a file.
-async fn one(at: &str, which: &str) -> Result<Config, Trouble> {
+async fn one(at: &str, which: &str) -> Result<Config, CommandError> {
     match which.parse::<Version>() {
         Ok(version) => {
             let path = format!("/Config.History/{version}");
--- a/crates/reachlb/src/operate/explain.rs
+++ b/crates/reachlb/src/operator/explain.rs
@@ -1,7 +1,7 @@
 //! What became of something, and why: the records of all processes that answer.
 
 use super::table::{ago, cell, table};
-use super::{Trouble, client};
+use super::{CommandError, client};
 use gumdrop::Options;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 }
 
 /// Asks all control planes that are known for records, and all data planes for requests and what they saw themselves.
-pub async fn explain(call: Explain) -> Result<String, Trouble> {
+pub async fn explain(call: Explain) -> Result<String, CommandError> {
     let first = client::get(&call.at, "status", "/Harbour.Status").await?;
     let asked = first.peer.clone();
     let first = first.json("status")?;
--- a/crates/reachlb/src/operate/mod.rs
+++ b/crates/reachlb/src/operator/mod.rs
@@ -11,11 +11,11 @@
 mod table;
 mod voter;
 
-pub use config::{ConfigCalls, config};
+pub use config::{ConfigCommand, config};
 pub use explain::{Explain, explain};
-pub use state::{StateCalls, state};
+pub use state::{StateCommand, state};
 pub use status::{Status, status};
-pub use voter::{VoterCalls, voter};
+pub use voter::{VoterCommand, voter};
 
 use miette::Diagnostic;
 use std::process::ExitCode;
@@ -23,7 +23,7 @@
 
 /// Why there is nothing to show, at which step and with whom.
 #[derive(Debug, Error, Diagnostic)]
-pub enum Trouble {
+pub enum CommandError {
     /// Someone says no.
     #[error("{step}: {peer} refuses with {status}: {why}")]
     Refused {
@@ -70,11 +70,11 @@
     },
 }
 
-impl Trouble {
+impl CommandError {
     fn status(&self) -> u8 {
         match self {
             Self::Refused { .. } => 1,
-            Self::Unusable { .. } => crate::UNUSABLE,
+            Self::Unusable { .. } => crate::EXIT_INVALID_INPUT,
             Self::Damaged { .. } => 3,
             Self::Unanswered { .. } => 4,
         }
@@ -82,18 +82,18 @@
 }
 
 /// Runs a call that speaks with others.
-pub fn run(call: impl Future<Output = Result<String, Trouble>>) -> ExitCode {
+pub fn run(call: impl Future<Output = Result<String, CommandError>>) -> ExitCode {
     match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(runtime) => told(runtime.block_on(call)),
+        Ok(runtime) => print_result(runtime.block_on(call)),
         Err(error) => {
             eprintln!("start: {error}");
-            ExitCode::from(crate::UNUSABLE)
+            ExitCode::from(crate::EXIT_INVALID_INPUT)
         }
     }
 }
 
 /// Prints what there is to show.
-pub fn told(call: Result<String, Trouble>) -> ExitCode {
+pub fn print_result(call: Result<String, CommandError>) -> ExitCode {
     match call {
         Ok(text) => {
             use std::io::Write;
@@ -101,10 +101,10 @@
             let _ = std::io::stdout().write_all(text.as_bytes());
             ExitCode::SUCCESS
         }
-        Err(trouble) => {
-            let status = trouble.status();
-            eprintln!("{trouble}");
-            if let Some(help) = trouble.help() {
+        Err(error) => {
+            let status = error.status();
+            eprintln!("{error}");
+            if let Some(help) = error.help() {
                 eprintln!("help: {help}");
             }
             ExitCode::from(status)
--- a/crates/reachlb/src/operate/state.rs
+++ b/crates/reachlb/src/operator/state.rs
@@ -1,6 +1,6 @@
 //! What lies in a data folder, read from a copy: neither a repair nor a fault of this program changes the original.
 
-use super::Trouble;
+use super::CommandError;
 use control_plane::{Change, DrainEntry, QuotaCheckpoint, SnapshotState};
 use gumdrop::Options;
 use raft::store::{Store, StoreError};
@@ -11,7 +11,7 @@
 
 /// The arguments.
 #[derive(Debug, Options)]
-pub struct StateCalls {
+pub struct StateCommand {
     /// print this help
     help: bool,
     #[options(command, required)]
@@ -37,13 +37,13 @@
 }
 
 /// Does what is asked.
-pub fn state(calls: StateCalls) -> Result<String, Trouble> {
+pub fn state(calls: StateCommand) -> Result<String, CommandError> {
     let (folder, all) = match calls.call {
         Some(Kind::Inspect(folder)) => (folder, true),
         Some(Kind::Verify(folder)) => (folder, false),
         None => {
             let why = "one of inspect, verify is wanted".into();
-            return Err(Trouble::Unusable { step: "read", what: "arguments".into(), why });
+            return Err(CommandError::Unusable { step: "read", what: "arguments".into(), why });
         }
     };
     let path = folder.folder.join("log.redb");
@@ -59,9 +59,12 @@
     })
 }
 
-fn read(path: &Path) -> Result<Option<PersistentState>, Trouble> {
-    let unusable =
-        |step: &'static str, why: String| Trouble::Unusable { step, what: path.display().to_string(), why };
+fn read(path: &Path) -> Result<Option<PersistentState>, CommandError> {
+    let unusable = |step: &'static str, why: String| CommandError::Unusable {
+        step,
+        what: path.display().to_string(),
+        why,
+    };
     let mut original = File::open(path).map_err(|error| unusable("open", error.to_string()))?;
     // Held while it is copied: a process that runs holds it alone.
     original.try_lock_shared().map_err(|error| match error {
@@ -80,11 +83,11 @@
     }
 }
 
-fn damaged(path: &Path, why: String) -> Trouble {
-    Trouble::Damaged { what: path.display().to_string(), why }
+fn damaged(path: &Path, why: String) -> CommandError {
+    CommandError::Damaged { what: path.display().to_string(), why }
 }
 
-fn described(saved: &PersistentState, path: &Path) -> Result<Value, Trouble> {
+fn described(saved: &PersistentState, path: &Path) -> Result<Value, CommandError> {
     let snapshot = match &saved.snapshot {
         Some(snapshot) => {
             let state = SnapshotState::restore(&snapshot.state)
@@ -95,7 +98,7 @@
         }
         None => None,
     };
-    let entry = |entry: &Entry| -> Result<Value, Trouble> {
+    let entry = |entry: &Entry| -> Result<Value, CommandError> {
         let what = match &entry.payload {
             Payload::Noop => "the first of a leader".to_owned(),
             Payload::Members(list) => {
@@ -169,7 +172,7 @@
 
     fn called(folder: &Path, kind: fn(Folder) -> Kind) -> Result<String, u8> {
         let folder = Folder { help: false, json: false, folder: folder.to_path_buf() };
-        state(StateCalls { help: false, call: Some(kind(folder)) }).map_err(|trouble| trouble.status())
+        state(StateCommand { help: false, call: Some(kind(folder)) }).map_err(|error| error.status())
     }
 
     fn filled() -> (tempfile::TempDir, PathBuf) {
--- a/crates/reachlb/src/operate/status.rs
+++ b/crates/reachlb/src/operator/status.rs
@@ -1,7 +1,7 @@
 //! How a fleet stands, as one of its processes knows it.
 
 use super::table::{ago, cell, of};
-use super::{Trouble, client};
+use super::{CommandError, client};
 use gumdrop::Options;
 use serde_json::Value;
 use std::fmt::Write;
@@ -20,7 +20,7 @@
 }
 
 /// Asks and shows.
-pub async fn status(call: Status) -> Result<String, Trouble> {
+pub async fn status(call: Status) -> Result<String, CommandError> {
     let answer = client::get(&call.at, "status", "/Harbour.Status").await?;
     if call.json {
         let answer = answer.granted("status")?;
--- a/crates/reachlb/src/operate/voter.rs
+++ b/crates/reachlb/src/operator/voter.rs
@@ -1,6 +1,6 @@
 //! The list of voters, changed by hand.
 
-use super::{Trouble, client};
+use super::{CommandError, client};
 use bytes::Bytes;
 use gumdrop::Options;
 use hyper::Method;
@@ -15,7 +15,7 @@
 
 /// The arguments.
 #[derive(Debug, Options)]
-pub struct VoterCalls {
+pub struct VoterCommand {
     /// print this help
     help: bool,
     #[options(command, required)]
@@ -42,17 +42,17 @@
 }
 
 /// Does what is asked.
-pub async fn voter(calls: VoterCalls) -> Result<String, Trouble> {
+pub async fn voter(calls: VoterCommand) -> Result<String, CommandError> {
     match calls.call {
         Some(Kind::Remove(call)) => remove(call).await,
         None => {
             let why = "remove is wanted".into();
-            Err(Trouble::Unusable { step: "read", what: "arguments".into(), why })
+            Err(CommandError::Unusable { step: "read", what: "arguments".into(), why })
         }
     }
 }
 
-async fn remove(call: Remove) -> Result<String, Trouble> {
+async fn remove(call: Remove) -> Result<String, CommandError> {
     let step = "remove";
     let path = format!("/Voters.Remove/{}", call.address);
     let begun = Instant::now();
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -245,7 +245,7 @@
     /// # Errors
     /// When the fleet can't be built, or is told to end.
     pub async fn run(&self) -> Result<bool, Fault> {
-        fault_injection::running::end_with_panics();
+        fault_injection::running::kill_all_on_panic();
         tokio::select! {
             done = self.play() => done,
             // All processes go with the future that owns them.
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -58,7 +58,7 @@
         let failed = |error| Fault::Start { name: self.backend.name.clone(), error };
         let child = Command::new(&self.backend.program)
             .args(&self.backend.arguments)
-            .env(reachlb::SETTINGS, &self.backend.settings)
+            .env(reachlb::SETTINGS_VARIABLE, &self.backend.settings)
             .stdin(Stdio::null())
             .stdout(log.try_clone().map_err(failed)?)
             .stderr(log)
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -298,7 +298,7 @@
         let (program, own) = (program.clone(), own.clone());
         scale::run::Plan { program, own, gateways, processes, seconds, requests_per_s, backends_each }
     };
-    fault_injection::running::end_with_panics();
+    fault_injection::running::kill_all_on_panic();
     let measured = runtime.block_on(async {
         let mut outcomes = Vec::new();
         for gateways in all {
@@ -329,7 +329,7 @@
     let text = schedule::text(&name)?;
     let all: Result<Vec<_>, _> = (seeds.0..=seeds.1).map(|seed| Schedule::read(&name, &text, seed)).collect();
     let all = all?;
-    fault_injection::running::end_with_panics();
+    fault_injection::running::kill_all_on_panic();
     let play = |program, keep| {
         let options = trial::Options { program, keep };
         let all = all.clone();
@@ -406,12 +406,12 @@
             return ExitCode::from(UNUSABLE);
         }
     };
-    reachlb::serve(program, None, reachlb::Switches::default())
+    reachlb::serve(program, None, reachlb::Overrides::default())
 }
 
 /// Hollow data planes, by the settings file that the environment names as for the programs.
 fn hollow() -> ExitCode {
-    let Some(path) = std::env::var_os(reachlb::SETTINGS) else { return ExitCode::from(UNUSABLE) };
+    let Some(path) = std::env::var_os(reachlb::SETTINGS_VARIABLE) else { return ExitCode::from(UNUSABLE) };
     match scale::hollow::serve(Path::new(&path)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
--- a/crates/testbed/src/trial/draw.rs
+++ b/crates/testbed/src/trial/draw.rs
@@ -89,7 +89,7 @@
 
 impl Shape {
     fn draw(self, seconds: f64, random: &mut Random) -> Vec<Row> {
-        let span = |least: f64, most: f64| Span { least, most };
+        let span = |min: f64, max: f64| Span { min, max };
         let (first, last) = (seconds * DRAWN.0, seconds * DRAWN.1);
         let at = random.within(span(first, (first + last) / 2.0));
         let lasts = random.within(span(0.5, last - at));
--- a/crates/testbed/src/trial/mod.rs
+++ b/crates/testbed/src/trial/mod.rs
@@ -18,7 +18,7 @@
 use crate::judge::{Verdict, judge};
 use crate::load::{Load, Tallies};
 use crate::site::{Site, ZONES};
-use fault_injection::clock::{MOST_LATE, MOST_STUCK, keeps_disk, keeps_time};
+use fault_injection::clock::{MAX_CLOCK_DELAY, MAX_WRITE_TIME, measure_clock_delay, measure_write_time};
 pub use results::{Figures, compare};
 use schedule::Schedule;
 use stage::Stage;
@@ -105,9 +105,9 @@
     }
     settle(&options.program, &stage.site, folder)?;
     let late = Arc::new(AtomicU64::new(0));
-    let punctual = tokio::spawn(keeps_time(late.clone()));
+    let punctual = tokio::spawn(measure_clock_delay(late.clone()));
     let stuck = Arc::new(AtomicU64::new(0));
-    let writes = tokio::spawn(keeps_disk(folder.join("heartbeat"), stuck.clone()));
+    let writes = tokio::spawn(measure_write_time(folder.join("heartbeat"), stuck.clone()));
     let watched = platform.clone();
     let watch = tokio::spawn(async move { watched.watch().await });
     let lasts = Duration::from_secs_f64(schedule.seconds);
@@ -151,13 +151,17 @@
     let failed = stage.failed.borrow().join("; ");
     let void = if full {
         Some("the history is full".to_owned())
-    } else if late > MOST_LATE {
+    } else if late > MAX_CLOCK_DELAY {
         Some(format!("the tool itself was {} ms late", late.as_millis()))
-    } else if stuck > MOST_STUCK {
+    } else if stuck > MAX_WRITE_TIME {
         // Votes, changes and ends of control planes wait for it.
         Some(format!("the disk took {} ms for a few bytes of the tool", stuck.as_millis()))
-    } else if stage.net.failed() > 0 {
-        Some(format!("the tool's own relays failed {} times: {}", stage.net.failed(), stage.net.failure()))
+    } else if stage.net.failure_count() > 0 {
+        Some(format!(
+            "the tool's own relays failed {} times: {}",
+            stage.net.failure_count(),
+            stage.net.last_failure()
+        ))
     } else {
         (!failed.is_empty()).then_some(failed)
     };
--- a/crates/testbed/src/trial/page.rs
+++ b/crates/testbed/src/trial/page.rs
@@ -4,7 +4,7 @@
 use crate::history::{End, Line, Seen};
 use crate::judge::{BUCKET, RULES, Verdict};
 use crate::site::VOTERS;
-use fault_injection::plot::{PlotError, Series, escaped, lines as plotted};
+use fault_injection::plot::{PlotError, Series, escape_xml, line_chart};
 use fault_injection::timeline::Timeline;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt::Write as _;
@@ -29,28 +29,28 @@
         "<!doctype html><meta charset=utf-8><title>{0}</title>\
          <style>body{{font:14px sans-serif;margin:2em;max-width:1150px}}svg{{max-width:100%}}\
          td{{padding:0 1em 0 0}}</style><h1>{0}</h1>\n",
-        escaped(&title)
+        escape_xml(&title)
     );
     html.push_str(&timeline(schedule, lines, verdict, begun, title).svg()?);
-    html.push_str(&plotted("Time of those served", "ms", &latencies(lines, begun))?);
-    html.push_str(&plotted("Further tries", "each second", &tries(lines, begun))?);
+    html.push_str(&line_chart("Time of those served", "ms", &latencies(lines, begun))?);
+    html.push_str(&line_chart("Further tries", "each second", &tries(lines, begun))?);
     let (leads, versions) = standing(lines, begun);
-    html.push_str(&plotted("Who leads", "machine (0: nobody says so)", &leads)?);
-    html.push_str(&plotted("Versions by control plane", "newest known", &versions)?);
+    html.push_str(&line_chart("Who leads", "machine (0: nobody says so)", &leads)?);
+    html.push_str(&line_chart("Versions by control plane", "newest known", &versions)?);
     html.push_str("<h2>The judge</h2>\n<table>\n");
     for (rule, name) in RULES {
         let count = verdict.counts.get(&rule).copied().unwrap_or_default();
         // Writing to a text can't fail.
-        let _ = writeln!(html, "<tr><td>{count}<td>{}", escaped(name));
+        let _ = writeln!(html, "<tr><td>{count}<td>{}", escape_xml(name));
     }
     html.push_str("</table>\n<ul>\n");
     for broken in &verdict.breaks {
         let at = broken.at - begun as f64 / 1e6;
         let text = format!("{at:.3} s {:?}: {} [{}]", broken.rule, broken.what, broken.faults.join(", "));
-        let _ = writeln!(html, "<li>{}", escaped(&text));
+        let _ = writeln!(html, "<li>{}", escape_xml(&text));
     }
     for late in &verdict.late {
-        let _ = writeln!(html, "<li>late: {}", escaped(late));
+        let _ = writeln!(html, "<li>late: {}", escape_xml(late));
     }
     html.push_str("</ul>\n");
     Ok(html)
@@ -77,9 +77,9 @@
     Timeline {
         title,
         end: seconds(last, begun),
-        worth: verdict.worth.iter().enumerate().filter_map(share).collect(),
+        served_share: verdict.worth.iter().enumerate().filter_map(share).collect(),
         faults: schedule.faults.iter().enumerate().map(fault).collect(),
-        breaks: verdict.breaks.iter().map(|b| (b.at - begun as f64 / 1e6).max(0.0)).collect(),
+        violations: verdict.breaks.iter().map(|b| (b.at - begun as f64 / 1e6).max(0.0)).collect(),
     }
 }
 
--- a/crates/testbed/src/trial/results.rs
+++ b/crates/testbed/src/trial/results.rs
@@ -146,7 +146,7 @@
             let moves: Vec<f64> =
                 of.iter().map(|(old, new)| new.named()[row].1 - old.named()[row].1).collect();
             let mean = of.iter().map(|(old, _)| old.named()[row].1).sum::<f64>() / of.len() as f64;
-            let Estimate { mean: moved, within, .. } = Estimate::of(&moves);
+            let Estimate { mean: moved, half_width: within, .. } = Estimate::of(&moves);
             let within = within.map_or("-".to_owned(), |within| format!("{within:.3}"));
             let _ = writeln!(text, "  {figure:<18} {mean:>9.3}  moved {moved:>+9.3} +- {within}");
         }
--- a/crates/testbed/src/trial/schedule.rs
+++ b/crates/testbed/src/trial/schedule.rs
@@ -3,7 +3,7 @@
 
 use super::draw::{Shape, draw};
 use super::parties::Party;
-use fault_injection::relay::{Flow, Harm, links_between};
+use fault_injection::relay::{Flow, LinkFault, links_between};
 use serde::Deserialize;
 use std::path::Path;
 use thiserror::Error;
@@ -81,14 +81,14 @@
 }
 
 impl Kind {
-    fn harm(self) -> Option<Harm> {
+    fn harm(self) -> Option<LinkFault> {
         Some(match self {
-            Self::Cut => Harm::Cut,
-            Self::Reset => Harm::Reset,
-            Self::Mute => Harm::Mute,
-            Self::Delay => Harm::Delay,
-            Self::Throttle => Harm::Throttle,
-            Self::CutAfter => Harm::CutAfter,
+            Self::Cut => LinkFault::Cut,
+            Self::Reset => LinkFault::Reset,
+            Self::Mute => LinkFault::Mute,
+            Self::Delay => LinkFault::Delay,
+            Self::Throttle => LinkFault::Throttle,
+            Self::CutAfter => LinkFault::CutAfter,
             _ => return None,
         })
     }
@@ -237,7 +237,8 @@
     /// # Errors
     /// When it cannot be played: one line with the place.
     pub fn read(name: &str, text: &str, seed: u64) -> Result<Self, ScheduleError> {
-        let place = |at: usize, what: &str| ScheduleError(fault_injection::place(name, text, at, what));
+        let place =
+            |at: usize, what: &str| ScheduleError(fault_injection::format_location(name, text, at, what));
         let file: File = toml::from_str(text)
             .map_err(|error| place(error.span().map_or(0, |span| span.start), error.message()))?;
         let (seconds, rate) = (*file.seconds.get_ref(), *file.rate.get_ref());
--- a/crates/testbed/src/trial/stage.rs
+++ b/crates/testbed/src/trial/stage.rs
@@ -79,13 +79,13 @@
                 let at = SocketAddr::new(site.way(from, target.ip()), target.port());
                 let (parties, source) =
                     ((Party::Machine(from), Party::ControlPlane(to)), site.source(Some(from)));
-                net.way(parties, at, source, target, true).map_err(failed)?;
+                net.add_relay(parties, at, source, target, true).map_err(failed)?;
             }
         }
         let controls = |of: Party| -> Result<Control, Failure> {
             let way = |machine| {
                 let (parties, target) = ((of, Party::ControlPlane(machine)), site.control(machine));
-                net.way(parties, SocketAddr::new(others, 0), others, target, true).map_err(failed)
+                net.add_relay(parties, SocketAddr::new(others, 0), others, target, true).map_err(failed)
             };
             let ways: Vec<_> = (0..VOTERS).map(way).collect::<Result<_, _>>()?;
             let own: Vec<_> = (0..VOTERS).map(|machine| site.control(machine)).collect();
@@ -93,7 +93,7 @@
         };
         let front = |machine| {
             let (parties, target) = ((Party::Clients, Party::DataPlane(machine)), site.front(machine));
-            net.way(parties, SocketAddr::new(others, 0), others, target, true).map_err(failed)
+            net.add_relay(parties, SocketAddr::new(others, 0), others, target, true).map_err(failed)
         };
         let fronts: Arc<[_]> = (0..ZONES.len()).map(front).collect::<Result<_, _>>()?;
         let operator = Operator::new(controls(Party::Operator)?, fronts.to_vec(), history.clone());
@@ -135,7 +135,7 @@
                 let way = SocketAddr::new(self.site.way(machine, at.ip()), at.port());
                 let (parties, source) =
                     ((Party::Machine(machine), Party::StandInBackend(slot)), self.site.source(Some(machine)));
-                self.net.way(parties, way, source, at, true).map_err(failed)?;
+                self.net.add_relay(parties, way, source, at, true).map_err(failed)?;
             }
         }
         StandInBackend::start(Cradle {
@@ -242,7 +242,7 @@
             }
             Kind::Kill => {
                 self.deed(machine, data_plane, Deed::Killed);
-                self.net.set_up(party, false);
+                self.net.set_listening(party, false);
                 process.kill().await;
             }
             _ => {
@@ -252,7 +252,7 @@
                     let deed = Deed::Wrong(format!("did not end {} s after SIGTERM", GRACE.as_secs()));
                     self.deed(machine, data_plane, deed);
                 }
-                self.net.set_up(party, false);
+                self.net.set_listening(party, false);
             }
         }
         if fault.disk == Disk::Empty && !data_plane {
@@ -262,7 +262,7 @@
         }
         sleep_until(until).await;
         process.restart()?;
-        self.net.set_up(party, true);
+        self.net.set_listening(party, true);
         self.deed(machine, data_plane, Deed::Started);
         Ok(())
     }
--- a/crates/testbed/src/up.rs
+++ b/crates/testbed/src/up.rs
@@ -44,7 +44,7 @@
     /// # Errors
     /// When the fleet can't be built.
     pub async fn run(&self) -> Result<(), Fault> {
-        fault_injection::running::end_with_panics();
+        fault_injection::running::kill_all_on_panic();
         std::fs::create_dir_all(&self.dir).map_err(Fault::file(&self.dir))?;
         // A process finds its files by their whole path, wherever it runs.
         let dir = self.dir.canonicalize().map_err(Fault::file(&self.dir))?;
--- a/emulator/src/draw.rs
+++ b/emulator/src/draw.rs
@@ -352,7 +352,7 @@
         };
         let first_wait = random.within(site.clients.backoff_ms) * pace;
         let clients = Clients {
-            retries: random.whole(site.clients.retries) as u32,
+            retries: random.integer_within(site.clients.retries) as u32,
             patience: random.within(site.clients.patience.0),
             backoff: match random.one_of(&site.clients.backoff) {
                 Backoff::None => (0, 1.0),
@@ -374,7 +374,7 @@
             line: 1e6 / random.within(site.discovery.lines_per_s.0),
             timeout: micros(site.discovery.timeout_ms),
         };
-        let parts = random.whole(site.counter.parts.0);
+        let parts = random.integer_within(site.counter.parts.0);
         let counter = Counting {
             parts,
             turn: 1e6 * parts as f64 / random.within(site.counter.calls_per_s.0),
@@ -388,8 +388,8 @@
         let cores = f64::from(kind.cores);
         let machine = Machine {
             cores,
-            slots: (cores * random.whole(kind.slots_per_core.0) as f64) as usize,
-            line: (cores * random.whole(kind.line_per_core.0) as f64) as usize,
+            slots: (cores * random.integer_within(kind.slots_per_core.0) as f64) as usize,
+            line: (cores * random.integer_within(kind.line_per_core.0) as f64) as usize,
             thrash: random.within(kind.thrash),
             knee: cores * random.within(kind.thrash_at),
             cold_share: random.within(kind.cold_share.0),
@@ -410,7 +410,7 @@
         let mut random = Random::new(seed, "machines", 0);
         let (mean_speed, spread) = (random.within(kind.speed.0), random.within(kind.speed_spread));
         let new_backend = |random: &mut Random, number: usize| Backend {
-            name: format!("b{:08x}", random.number() as u32).into(),
+            name: format!("b{:08x}", random.next_u64() as u32).into(),
             zone: random.below(zones),
             cell: (number / 4) as u64,
             speed: cores * mean_speed * random.lognormal(spread),
@@ -418,12 +418,12 @@
             drains: None,
         };
         let mut backends: Vec<_> =
-            (0..random.whole(scenario.backends)).map(|n| new_backend(&mut random, n)).collect();
+            (0..random.integer_within(scenario.backends)).map(|n| new_backend(&mut random, n)).collect();
         // Zones are about even: their number goes round in an order that the seed gives.
         let offset = random.below(zones);
         backends.iter_mut().enumerate().for_each(|(n, b)| b.zone = (n + offset) % zones);
         let gateways: Vec<usize> =
-            (0..random.whole(scenario.gateways)).map(|_| random.below(zones)).collect();
+            (0..random.integer_within(scenario.gateways)).map(|_| random.below(zones)).collect();
 
         let mut random = Random::new(seed, "troubles", 0);
         let mut troubles = Vec::new();
@@ -431,7 +431,7 @@
             let comes = random.happens(trouble.chance);
             let lasts = seconds(random.within(trouble.for_s)).min(length);
             let latest = (length as f64 * 0.9 - lasts as f64).max(length as f64 * 0.15);
-            let range = Span { least: length as f64 * 0.15, most: latest };
+            let range = Span { min: length as f64 * 0.15, max: latest };
             let drawn = random.within(range) as Micros;
             let from = trouble.from_s.map_or(drawn, |span| seconds(random.within(span))).min(length);
             let part = random.within(trouble.part.0);
@@ -439,7 +439,7 @@
             let zone = random.below(zones);
             let of_gateways = matches!(trouble.kind, Kind::GatewayCrash | Kind::GatewayRoll);
             let total = if of_gateways { gateways.len() } else { backends.len() };
-            let mut order: Vec<(u64, usize)> = (0..total).map(|n| (random.number(), n)).collect();
+            let mut order: Vec<(u64, usize)> = (0..total).map(|n| (random.next_u64(), n)).collect();
             order.sort_unstable();
             let count = ((total as f64 * part).round() as usize).clamp(1, total);
             let targets = order.into_iter().take(count).map(|(_, n)| n).collect();
@@ -583,7 +583,7 @@
                     }
                     _ => use_inside += plan.rate * base,
                 }
-                let name = format!("{:016x}", random.number() % (1 << 33)).into();
+                let name = format!("{:016x}", random.next_u64() % (1 << 33)).into();
                 customers.push(Customer { name, plan: number, habit, first, spread, base });
                 demands.push(Demand { base, spells });
             }
@@ -616,7 +616,7 @@
                     for _ in 0..count as usize {
                         let plan = random.below(plans.len());
                         let (first, spread) = set_of(&mut random, plan);
-                        let name = format!("{:016x}", random.number() % (1 << 33)).into();
+                        let name = format!("{:016x}", random.next_u64() % (1 << 33)).into();
                         customers.push(Customer { name, plan, habit: Habit::Once, first, spread, base: 0.0 });
                         demands.push(Demand { base: 0.0, spells: Vec::new() });
                     }
--- a/emulator/src/live/process.rs
+++ b/emulator/src/live/process.rs
@@ -1,8 +1,8 @@
 //! Gateways as processes of their own. Every process that is started here is ended here: when its owner goes, when
-//! the program panics ([`end_with_panics`]), and when it is told to stop ([`end_all`]).
+//! the program panics ([`kill_all_on_panic`]), and when it is told to stop ([`kill_all`]).
 
 use fault_injection::running;
-pub use fault_injection::running::{end_all, end_with_panics, signal};
+pub use fault_injection::running::{kill_all, kill_all_on_panic, signal};
 use rustix::process::Signal;
 use serde_json::Value;
 use std::fs::{File, OpenOptions};
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -169,7 +169,7 @@
 
 /// How long a word of a backend takes from one gateway to another, in ms: a report, up to a fifth of a second until
 /// it is collected, an entry of the log, a watch that ends.
-const WORDS: Span = Span { least: 50.0, most: 350.0 };
+const WORDS: Span = Span { min: 50.0, max: 350.0 };
 
 #[derive(Clone, Debug)]
 struct Seeds(Vec<u64>);
@@ -362,7 +362,7 @@
             });
             // Whatever still runs goes before the answer is given.
             drop(runtime);
-            fennelscale_lab::live::process::end_all();
+            fennelscale_lab::live::process::kill_all();
             let told = told?;
             write!(out, "{}", told.text())?;
             match (told.broken, told.void) {
@@ -524,7 +524,7 @@
 }
 
 fn estimate(estimate: &Estimate) -> String {
-    let within = estimate.within.map_or(String::new(), |within| format!(" ± {within:.4}"));
+    let within = estimate.half_width.map_or(String::new(), |within| format!(" ± {within:.4}"));
     format!("{:+.4}{within}", estimate.mean)
 }
 
--- a/emulator/src/report.rs
+++ b/emulator/src/report.rs
@@ -4,7 +4,7 @@
 use crate::books::Part;
 use crate::experiment::{Estimate, losses};
 use crate::results::{Results, Row};
-use fault_injection::plot::{COLOURS, PlotError, SIZE, bars, drawn, escaped, lines};
+use fault_injection::plot::{COLOURS, PlotError, SIZE, bar_chart, escape_xml, line_chart, render_svg};
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -23,7 +23,7 @@
         level -= lost;
         lowest = lowest.min(level);
     }
-    drawn(
+    render_svg(
         |area| {
             area.draw(&Text::new(title.to_string(), (12, 10), ("sans-serif", 17)))?;
             let x = |share: f64| 190 + ((share - lowest) / (1.0 - lowest).max(1e-9) * 430.0) as i32;
@@ -89,7 +89,7 @@
             (side.to_string(), names.iter().map(share).collect())
         })
         .collect();
-    bars(title, "share earned", &names, &series)
+    bar_chart(title, "share earned", &names, &series)
 }
 
 /// The page about results, with older ones beside.
@@ -111,8 +111,8 @@
         writeln!(
             html,
             "<p>{side}: commit {}, decisions {}",
-            escaped(&head.commit),
-            escaped(&head.decisions)
+            escape_xml(&head.commit),
+            escape_xml(&head.decisions)
         )?;
         if results.missing() > 0 {
             writeln!(
@@ -137,13 +137,13 @@
         let rows = of(new, name);
         let g: Vec<f64> = rows.iter().map(|row| row.books.g).collect();
         let estimate = Estimate::of(&g);
-        let within = estimate.within.map_or("-".into(), |within| format!("± {within:.3}"));
+        let within = estimate.half_width.map_or("-".into(), |within| format!("± {within:.3}"));
         let broken: u64 = rows.iter().map(|row| row.broken).sum();
         let figure = |of: &dyn Fn(&Row) -> f64| format!("<td>{:.3}", mean(&rows, of));
         write!(
             html,
             "<tr><td><a href=\"#{0}\">{0}</a><td>{1}<td>{2:.3}<td>{within}",
-            escaped(name),
+            escape_xml(name),
             rows.len(),
             estimate.mean
         )?;
@@ -179,12 +179,12 @@
     if let Some(old_rows) = &old_rows {
         sides.push(("old", old_rows));
     }
-    writeln!(html, "<h2 id=\"{0}\">{0}</h2><div class=\"plots\">", escaped(name))?;
+    writeln!(html, "<h2 id=\"{0}\">{0}</h2><div class=\"plots\">", escape_xml(name))?;
     let mut worth = vec![("offered".to_string(), by_second(&rows, |s| s.part.offered))];
     worth.extend(
         sides.iter().map(|(side, rows)| (format!("earned, {side}"), by_second(rows, |s| s.part.earned))),
     );
-    html.push_str(&lines("Worth by the second of its first try", "worth", &worth)?);
+    html.push_str(&line_chart("Worth by the second of its first try", "worth", &worth)?);
     let tries = [
         ("tries".to_string(), by_second(&rows, |s| f64::from(s.tries))),
         ("refused".to_string(), by_second(&rows, |s| f64::from(s.refused))),
@@ -193,14 +193,14 @@
             by_look(&rows, |look, before| (look.5 - before.map_or(0, |before| before.5)) as f64 * 2.0),
         ),
     ];
-    html.push_str(&lines("Tries, refusals and counter calls", "a second", &tries)?);
+    html.push_str(&line_chart("Tries, refusals and counter calls", "a second", &tries)?);
     let held = [
         ("held by all backends".to_string(), by_look(&rows, |look, _| look.1 as f64)),
         ("of these waiting".to_string(), by_look(&rows, |look, _| look.2 as f64)),
         ("backends that serve".to_string(), by_look(&rows, |look, _| look.4 as f64)),
         ("gateways that run".to_string(), by_look(&rows, |look, _| look.3 as f64)),
     ];
-    html.push_str(&lines("Requests out at backends, and machines", "number", &held)?);
+    html.push_str(&line_chart("Requests out at backends, and machines", "number", &held)?);
     let mut triggers: Vec<String> = rows.iter().flat_map(|row| row.books.refusals.keys().cloned()).collect();
     triggers.sort();
     triggers.dedup();
@@ -213,7 +213,7 @@
             (side.to_string(), triggers.iter().map(count).collect())
         })
         .collect();
-    html.push_str(&bars(
+    html.push_str(&bar_chart(
         "Refusals by what the gateway was told just before",
         "tries a day",
         &triggers,
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -18,8 +18,8 @@
 impl<'de> Deserialize<'de> for Shares {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let span = Span::deserialize(from)?;
-        if span.most > 1.0 {
-            return Err(D::Error::custom(format!("a share is at most 1, not {}", span.most)));
+        if span.max > 1.0 {
+            return Err(D::Error::custom(format!("a share is at most 1, not {}", span.max)));
         }
         Ok(Self(span))
     }
@@ -32,7 +32,7 @@
 impl<'de> Deserialize<'de> for Positive {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let span = Span::deserialize(from)?;
-        if span.least <= 0.0 {
+        if span.min <= 0.0 {
             return Err(D::Error::custom("must be more than 0"));
         }
         Ok(Self(span))
@@ -46,7 +46,7 @@
 impl<'de> Deserialize<'de> for Machines {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let span = Span::deserialize(from)?;
-        if span.least < 1.0 || span.most > 10_000.0 {
+        if span.min < 1.0 || span.max > 10_000.0 {
             return Err(D::Error::custom("there must be 1 to 10,000 of them"));
         }
         Ok(Self(span))
@@ -459,7 +459,7 @@
 }
 
 fn all_of() -> Span {
-    Span { least: 1.0, most: 1.0 }
+    Span { min: 1.0, max: 1.0 }
 }
 
 fn one() -> f64 {
--- a/emulator/src/trial/mod.rs
+++ b/emulator/src/trial/mod.rs
@@ -11,7 +11,7 @@
 use crate::live::load::{Class, Load, Watch};
 use crate::live::process::{self, Process, free_addresses};
 use crate::live::stand_ins::{Backend, COLD, Counter, Discovery, hosts};
-use fault_injection::clock::{MOST_LATE, keeps_time};
+use fault_injection::clock::{MAX_CLOCK_DELAY, measure_clock_delay};
 use judge::{CLASSES, FALL, LIMITS, PLANS, Verdict};
 use relay::{Flow, Net, Party};
 use rustix::process::Signal;
@@ -105,11 +105,11 @@
 /// # Errors
 /// When something cannot be started or written.
 pub async fn play(schedule: &Schedule, options: &Options) -> Result<Verdict, TrialError> {
-    process::end_with_panics();
+    process::kill_all_on_panic();
     let folder = Folder::new()?;
     let (stage, to) = Stage::set(schedule, options, &folder).await?;
     let late = Arc::new(AtomicU64::new(0));
-    let watching = tokio::spawn(keeps_time(late.clone()));
+    let watching = tokio::spawn(measure_clock_delay(late.clone()));
     let class = |class: &judge::Class| Class {
         name: class.name.into(),
         safe: class.safe,
@@ -151,10 +151,10 @@
     let faulty = stage.faulty.lock().unwrap_or_else(PoisonError::into_inner).join("; ");
     let void = if full {
         Some("the history is full".into())
-    } else if late > MOST_LATE {
+    } else if late > MAX_CLOCK_DELAY {
         Some(format!("the tool itself was {} ms late", late.as_millis()))
-    } else if stage.net.failed() > 0 {
-        Some(format!("the tool's own relays failed {} times", stage.net.failed()))
+    } else if stage.net.failure_count() > 0 {
+        Some(format!("the tool's own relays failed {} times", stage.net.failure_count()))
     } else if !faulty.is_empty() {
         Some(faulty)
     } else {
@@ -309,7 +309,7 @@
         self.history.note(Seen::Up { gateway: node.number, pid: process.pid });
         node.process = Some(process);
         node.asked = false;
-        self.net.set_up(Party::Gateway(node.number), true);
+        self.net.set_listening(Party::Gateway(node.number), true);
         self.admitted[node.number].store(true, Ordering::Relaxed);
         Ok(())
     }
@@ -330,7 +330,7 @@
                 let pid = process.pid;
                 if let Some(status) = process.ended() {
                     node.process = None;
-                    self.net.set_up(Party::Gateway(node.number), false);
+                    self.net.set_listening(Party::Gateway(node.number), false);
                     self.ended(&node, pid, &status);
                 } else if let Some((descriptors, resident_kb)) = process.holds() {
                     self.history.note(Seen::Holds { gateway: node.number, pid, descriptors, resident_kb });
@@ -382,7 +382,7 @@
                     let mut node = self.nodes[gateway].lock().await;
                     let Some(mut process) = node.process.take() else { continue };
                     node.asked = true;
-                    self.net.set_up(Party::Gateway(gateway), false);
+                    self.net.set_listening(Party::Gateway(gateway), false);
                     let status = process.kill().await?;
                     self.ended(&node, process.pid, &status);
                 }
@@ -471,7 +471,7 @@
         };
         let (ended, ()) = tokio::join!(process.terminate(GRACE), front);
         let (status, by_itself) = ended?;
-        self.net.set_up(Party::Gateway(gateway), false);
+        self.net.set_listening(Party::Gateway(gateway), false);
         node.asked = by_itself;
         let told = if by_itself { "" } else { ", killed: it had not ended after SIGTERM" };
         self.ended(&node, pid, &format!("{status}{told}"));
--- a/emulator/src/trial/page.rs
+++ b/emulator/src/trial/page.rs
@@ -39,9 +39,9 @@
     let timeline = Timeline {
         title: format!("{} seed {}: {told}", schedule.name, schedule.seed),
         end: seconds(last),
-        worth: verdict.worth.iter().enumerate().filter_map(share).collect(),
+        served_share: verdict.worth.iter().enumerate().filter_map(share).collect(),
         faults: schedule.faults.iter().enumerate().map(fault).collect(),
-        breaks: verdict.breaks.iter().map(|b| b.at).collect(),
+        violations: verdict.breaks.iter().map(|b| b.at).collect(),
     };
     timeline.svg()
 }
--- a/emulator/src/trial/relay.rs
+++ b/emulator/src/trial/relay.rs
@@ -1,7 +1,7 @@
 //! Who is connected in a trial, and the relays between them ([`fault_injection::relay`]).
 
 use crate::live::history::Addresses;
-pub use fault_injection::relay::{Flow, Link, MOST_HELD};
+pub use fault_injection::relay::{Flow, Link, MAX_BUFFERED_BYTES};
 use std::fmt;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -68,6 +68,6 @@
     /// When there is no address for the relay.
     pub fn way(&self, from: Party, to: Party, target: SocketAddr, up: bool) -> io::Result<SocketAddr> {
         let source = from.source(self.addresses);
-        self.net.way((from, to), SocketAddr::new(source, 0), source, target, up)
+        self.net.add_relay((from, to), SocketAddr::new(source, 0), source, target, up)
     }
 }
--- a/emulator/src/trial/schedule.rs
+++ b/emulator/src/trial/schedule.rs
@@ -4,7 +4,7 @@
 use crate::scenario::Span;
 use crate::trial::relay::{Flow, Party};
 use fault_injection::Random;
-use fault_injection::relay::{Harm, links_between};
+use fault_injection::relay::{LinkFault, links_between};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::path::Path;
@@ -82,14 +82,14 @@
 
 impl Kind {
     /// What it does, if it is one of links.
-    fn harm(self) -> Option<Harm> {
+    fn harm(self) -> Option<LinkFault> {
         Some(match self {
-            Self::Cut => Harm::Cut,
-            Self::Reset => Harm::Reset,
-            Self::Mute => Harm::Mute,
-            Self::Delay => Harm::Delay,
-            Self::Throttle => Harm::Throttle,
-            Self::CutAfter => Harm::CutAfter,
+            Self::Cut => LinkFault::Cut,
+            Self::Reset => LinkFault::Reset,
+            Self::Mute => LinkFault::Mute,
+            Self::Delay => LinkFault::Delay,
+            Self::Throttle => LinkFault::Throttle,
+            Self::CutAfter => LinkFault::CutAfter,
             _ => return None,
         })
     }
@@ -341,7 +341,8 @@
     /// # Errors
     /// When it cannot be played: one line with the place.
     pub fn read(name: &str, text: &str, seed: u64, seconds: Option<f64>) -> Result<Self, ScheduleError> {
-        let place = |at: usize, what: &str| ScheduleError(fault_injection::place(name, text, at, what));
+        let place =
+            |at: usize, what: &str| ScheduleError(fault_injection::format_location(name, text, at, what));
         let file: File = toml::from_str(text)
             .map_err(|error| place(error.span().map_or(0, |span| span.start), error.message()))?;
         let bad = |at: std::ops::Range<usize>, what: String| Err(place(at.start, &what));
@@ -500,7 +501,7 @@
 
 impl Shape {
     fn draw(self, fleet: &Fleet, seconds: f64, random: &mut Random) -> Vec<Row> {
-        let span = |least: f64, most: f64| Span { least, most };
+        let span = |min: f64, max: f64| Span { min, max };
         let (first, last) = (seconds * DRAWN.0, seconds * DRAWN.1);
         let at = random.within(span(first, (first + last) / 2.0));
         let lasts = random.within(span(0.5, (last - at).max(0.5)));
--- a/emulator/tests/scenario.rs
+++ b/emulator/tests/scenario.rs
@@ -71,7 +71,7 @@
         let scenario = Scenario::load(name).expect(name);
         assert_eq!(scenario.name, name);
         let full_size = !name.starts_with("small") && name != "speed-30";
-        assert_eq!(full_size, scenario.gateways.least >= 270.0, "{name}");
+        assert_eq!(full_size, scenario.gateways.min >= 270.0, "{name}");
         assert!(text.starts_with("# "), "{name} says not what it is");
     }
 }
@@ -131,9 +131,9 @@
     let moved = &moved[0];
     assert!((moved.g.mean - 0.01).abs() < 1e-12 && moved.g.count == 3);
     // The deviation is 0.02; t of two degrees of freedom is 4.303.
-    assert!((moved.g.within.expect("three days") - 4.303 * 0.02 / 3f64.sqrt()).abs() < 1e-6);
+    assert!((moved.g.half_width.expect("three days") - 4.303 * 0.02 / 3f64.sqrt()).abs() < 1e-6);
     assert_eq!(moved.worst.0, 3);
     assert_eq!(moved.causes[0].0, "worst plan");
     assert!((moved.causes[0].1.mean + 0.01).abs() < 1e-12);
-    assert_eq!(Estimate::of(&[1.0]).within, None);
+    assert_eq!(Estimate::of(&[1.0]).half_width, None);
 }
--- a/emulator/tests/trial.rs
+++ b/emulator/tests/trial.rs
@@ -94,7 +94,7 @@
     let (net, address, listener) = way().await;
     let (mut idle, mut idle_far) = pair(address, &listener).await;
     let (mut used, mut used_far) = pair(address, &listener).await;
-    net.begin(0, &both(), Flow::Hole);
+    net.begin(0, &both(), Flow::BlackHole);
     used.write_all(b"lost").await.expect("written into the hole");
     let nothing = timeout(Duration::from_millis(200), used_far.read(&mut [0; 8])).await;
     assert!(nothing.is_err(), "something came through: {nothing:?}");
--- a/emulator/tests/trial_panic.rs
+++ b/emulator/tests/trial_panic.rs
@@ -16,7 +16,7 @@
         .expect("written");
     let started = Process::start(&program, &config, &folder, &folder.join("tmp"), None).await;
     let mut process = started.expect("started");
-    process::end_with_panics();
+    process::kill_all_on_panic();
     process::signal(process.pid, rustix::process::Signal::STOP);
     // As it would be in a program that aborts: the process is not dropped, only the hook runs.
     let panicked = std::thread::spawn(|| panic!("on purpose")).join();
