--- a/crates/fault-injection/src/clock.rs
+++ b/crates/fault-injection/src/clock.rs
@@ -1,4 +1,5 @@
-//! Whether the tool itself kept its times: where it did not, it cannot judge others.
+//! Measures delays of the test tool itself: a late event loop and slow disk writes. When the tool was delayed too much,
+//! its verdict on the tested processes is not valid.
 
 use std::io::{self, Write as _};
 use std::path::PathBuf;
@@ -7,43 +8,45 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// The tool looks at its own clock this often; later than [`MAX_CLOCK_DELAY`], and it did not keep its times.
-const TICK: Duration = Duration::from_millis(10);
-/// See [`measure_clock_delay`].
+/// Period of the timer whose delay [`measure_clock_delay`] measures.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Longest timer delay, as measured by [`measure_clock_delay`], at which the tool's verdict is valid.
 pub const MAX_CLOCK_DELAY: Duration = Duration::from_millis(250);
 
-/// How often the disk is tried; where a few bytes took longer than [`MAX_WRITE_TIME`], whoever waits for it was held up.
-const TRIES: Duration = Duration::from_millis(250);
-/// See [`measure_write_time`].
+/// Pause between the test writes of [`measure_write_time`], and interval at which a write in progress is measured.
+const WRITE_INTERVAL: Duration = Duration::from_millis(250);
+/// Longest write time, as measured by [`measure_write_time`], at which the tool's verdict is valid. Slower writes also
+/// delay the tested processes that wait for the same disk.
 pub const MAX_WRITE_TIME: Duration = Duration::from_millis(1500);
 
-/// Notes how many microseconds it took at the worst to put a few bytes on the disk, until it is dropped; one that is
-/// under way counts as well.
-pub async fn measure_write_time(path: PathBuf, stuck: Arc<AtomicU64>) {
+/// Stores in `max_micros` the longest time, in microseconds, that writing and syncing a small file at `path` has taken.
+/// A write in progress counts with its time so far. Runs until the future is dropped.
+pub async fn measure_write_time(path: PathBuf, max_micros: Arc<AtomicU64>) {
     loop {
-        let (path, begun) = (path.clone(), Instant::now());
+        let (path, started) = (path.clone(), Instant::now());
         let mut write = tokio::task::spawn_blocking(move || -> io::Result<()> {
             let mut file = std::fs::File::create(path)?;
             file.write_all(b"here")?;
             file.sync_all()
         });
         loop {
-            let done = tokio::time::timeout(TRIES, &mut write).await.is_ok();
-            stuck.fetch_max(begun.elapsed().as_micros() as u64, Ordering::Relaxed);
+            let done = tokio::time::timeout(WRITE_INTERVAL, &mut write).await.is_ok();
+            max_micros.fetch_max(started.elapsed().as_micros() as u64, Ordering::Relaxed);
             if done {
                 break;
             }
         }
-        sleep(TRIES).await;
+        sleep(WRITE_INTERVAL).await;
     }
 }
 
-/// Notes by how many microseconds the tool's own clock is late at the worst, until it is dropped.
-pub async fn measure_clock_delay(late: Arc<AtomicU64>) {
-    let mut due = Instant::now() + TICK;
+/// Stores in `max_micros` the longest delay of a timer of this runtime, in microseconds. Runs until the future is
+/// dropped.
+pub async fn measure_clock_delay(max_micros: Arc<AtomicU64>) {
+    let mut due = Instant::now() + TICK_INTERVAL;
     loop {
         sleep_until(due).await;
-        late.fetch_max(due.elapsed().as_micros() as u64, Ordering::Relaxed);
-        due = Instant::now() + TICK;
+        max_micros.fetch_max(due.elapsed().as_micros() as u64, Ordering::Relaxed);
+        due = Instant::now() + TICK_INTERVAL;
     }
 }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the tools that try real processes have in common: relays with faults on every link, chance by seed, the
-//! processes that they started, their own punctuality, places in files, estimates and plots.
+//! Shared parts of the tools that test real processes: relays with link faults, seeded random numbers, tracking of
+//! child processes, checks of the tool's own delays, positions in files, estimates and plots.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/fault-injection/src/mutate.rs
+++ b/crates/fault-injection/src/mutate.rs
@@ -1,8 +1,8 @@
-//! Bytes that are nearly right, by seed: for readers of bytes that come from outside.
+//! Seeded mutations of valid inputs, for tests of parsers of untrusted bytes.
 
 use crate::Random;
 
-/// Pieces that readers of texts and lengths have stumbled over.
+/// Byte sequences that are known to break parsers of text and lengths.
 const TOKENS: [&[u8]; 24] = [
     b"",
     b"0",
@@ -29,44 +29,44 @@
     b"nan",
     b"r18446744073709551615",
 ];
-/// Changes of one text.
-const MOST_CHANGES: usize = 6;
-/// What is made is at most so many times as long as the longest one of the corpus.
-const GROWTH: usize = 4;
+/// Maximum number of mutations of one input.
+const MAX_MUTATIONS: usize = 6;
+/// Maximum length of a mutated input, as a multiple of the longest input of the corpus.
+const MAX_GROWTH_FACTOR: usize = 4;
 
-/// A source of changed bytes.
+/// Generator of mutated inputs.
 #[derive(Clone, Debug)]
 pub struct Mutator {
     random: Random,
     corpus: Vec<Vec<u8>>,
-    longest: usize,
+    max_length: usize,
 }
 
 impl Mutator {
-    /// One that changes what is right.
+    /// Creates a mutator of the valid inputs in `corpus`.
     pub fn new(seed: u64, corpus: impl IntoIterator<Item = Vec<u8>>) -> Self {
         let corpus: Vec<_> = corpus.into_iter().collect();
-        let longest = GROWTH * corpus.iter().map(Vec::len).max().unwrap_or_default();
-        Self { random: Random::new(seed, "mutate", 0), corpus, longest }
+        let max_length = MAX_GROWTH_FACTOR * corpus.iter().map(Vec::len).max().unwrap_or_default();
+        Self { random: Random::new(seed, "mutate", 0), corpus, max_length }
     }
 
-    /// A part of something: where it begins and ends.
-    fn part(&mut self, length: usize) -> (usize, usize) {
+    /// Draws a range within a sequence of the given length and returns its start and end.
+    fn random_range(&mut self, length: usize) -> (usize, usize) {
         let begin = self.random.below(length + 1);
-        // Short ones more often than long ones.
+        // The cube makes short ranges more frequent than long ranges.
         let share = self.random.unit().powi(3);
         (begin, begin + ((length - begin) as f64 * share) as usize)
     }
 
-    /// The next one.
+    /// Returns the next mutated input; empty when the corpus is empty.
     pub fn next_input(&mut self) -> Vec<u8> {
         if self.corpus.is_empty() {
             return Vec::new();
         }
-        let which = self.random.below(self.corpus.len());
-        let mut bytes = self.corpus[which].clone();
-        for _ in 0..=self.random.below(MOST_CHANGES) {
-            let (begin, end) = self.part(bytes.len());
+        let index = self.random.below(self.corpus.len());
+        let mut bytes = self.corpus[index].clone();
+        for _ in 0..=self.random.below(MAX_MUTATIONS) {
+            let (begin, end) = self.random_range(bytes.len());
             match self.random.below(8) {
                 0 if !bytes.is_empty() => {
                     let at = begin.min(bytes.len() - 1);
@@ -78,17 +78,17 @@
                 }
                 2 => drop(bytes.drain(begin..end)),
                 3 => {
-                    let again = bytes[begin..end].to_vec();
-                    bytes.splice(end..end, again);
+                    let copy = bytes[begin..end].to_vec();
+                    bytes.splice(end..end, copy);
                 }
                 4 => bytes.truncate(end),
                 5 => {
                     let other = self.random.below(self.corpus.len());
-                    let (from, to) = self.part(self.corpus[other].len());
+                    let (from, to) = self.random_range(self.corpus[other].len());
                     let piece = self.corpus[other][from..to].to_vec();
                     bytes.splice(begin..end, piece);
                 }
-                // Digits in a row are a number: another one.
+                // Replaces a run of digits, that is, a number.
                 6 => {
                     let digit = |at: &usize| bytes.get(*at).is_some_and(u8::is_ascii_digit);
                     let first = (begin..bytes.len()).find(digit).unwrap_or(begin);
@@ -97,7 +97,7 @@
                 }
                 _ => drop(bytes.splice(begin..begin, self.random.one_of(&TOKENS).to_vec())),
             }
-            bytes.truncate(self.longest);
+            bytes.truncate(self.max_length);
         }
         bytes
     }
@@ -108,15 +108,15 @@
     use super::*;
 
     #[test]
-    fn the_same_seed_changes_alike_and_most_are_changed() {
+    fn equal_seeds_yield_equal_inputs_and_most_inputs_are_mutated() {
         let corpus = || [b"{\"a\": 12}".to_vec(), b"name = 'b'".to_vec()];
-        let made = |seed| {
+        let inputs = |seed| {
             let mut mutator = Mutator::new(seed, corpus());
             (0..1000).map(|_| mutator.next_input()).collect::<Vec<_>>()
         };
-        assert_eq!(made(1), made(1));
-        assert_ne!(made(1), made(2));
-        assert!(made(1).iter().filter(|bytes| !corpus().contains(bytes)).count() > 900);
-        assert!(made(1).iter().all(|bytes| bytes.len() <= 40));
+        assert_eq!(inputs(1), inputs(1));
+        assert_ne!(inputs(1), inputs(2));
+        assert!(inputs(1).iter().filter(|bytes| !corpus().contains(bytes)).count() > 900);
+        assert!(inputs(1).iter().all(|bytes| bytes.len() <= 40));
     }
 }
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -1,9 +1,13 @@
-//! Relays: every connection between two parties of a trial runs through one that the tool owns, and each direction
-//! of it is a link of its own with its own faults.
+//! TCP relays with injected faults. Every connection between two parties of a trial passes through a relay of the test
+//! tool. Each direction between two parties is a [`Link`] with faults of its own.
 //!
-//! Invariants: bytes leave in the order in which they came, and none is made up; a half-close and a reset pass on;
-//! a reader that stops stops its writer (at most [`MAX_BUFFERED_BYTES`] bytes wait in a relay). A connection that a fault has
-//! taken bytes from never goes on as if nothing had been: it is reset when the fault ends.
+//! Invariants:
+//! - A relay keeps the order of bytes and never invents bytes.
+//! - A relay forwards half-closes and resets.
+//! - A relay applies backpressure: when the receiver stops reading, the relay buffers up to [`MAX_BUFFERED_BYTES`] of
+//!   that direction and then stops reading from the sender.
+//! - When a fault has withheld or dropped bytes of a connection, the relay resets the connection at the end of the
+//!   fault. The connection never continues with a gap in its stream.
 
 use crate::Random;
 use bytes::{Buf as _, Bytes};
@@ -19,39 +23,40 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Bytes read at once, and the most that wait in one direction of a connection.
-const PIECE: usize = 16 * 1024;
-/// See [`PIECE`].
-pub const MAX_BUFFERED_BYTES: usize = 64 * PIECE;
-/// Connections that wait to be accepted.
+/// Size of one read from a socket, in bytes.
+const CHUNK_SIZE: usize = 16 * 1024;
+/// A relay stops reading one direction of a connection while it buffers this many bytes of that direction.
+pub const MAX_BUFFERED_BYTES: usize = 64 * CHUNK_SIZE;
+/// Listen backlog: maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// A process that is just being started holds, until it runs its program, what its parent had open: the port of a
-/// relay that has closed may be taken for so long.
-const BUSY: Duration = Duration::from_secs(1);
-/// How long the relay tries to fill its own line of waiting connections when it hides.
-const FILLING: Duration = Duration::from_millis(200);
-
-/// What one direction of a link does with bytes. Where several faults hold at once, the hardest one counts: the
-/// order of the variants.
+/// Time for which a relay may fail to listen again on its port without a counted failure. Between fork and exec, a
+/// child process of the tool inherits the closed listener's descriptor, which keeps the port in use.
+const REBIND_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for filling the relay's own accept queue when the relay stops responding to connection attempts.
+const BACKLOG_FILL_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// How one direction of a link treats bytes. The variants are ordered by severity: when several faults are active, the
+/// most severe one applies.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub enum Flow {
-    /// They pass.
+    /// Bytes pass unchanged.
     Free,
-    /// Only so many bytes a second pass.
+    /// At most this many bytes pass per second.
     Throttled(u64),
-    /// Each piece passes after a time drawn evenly from these two, in ms.
+    /// Each chunk is delayed by a time drawn uniformly between these two bounds, in milliseconds.
     Delayed(f64, f64),
-    /// The connection is reset once this many bytes have passed since the fault began.
+    /// Each connection is reset after this many of its bytes have passed since the start of the fault.
     CutAfter(u64),
-    /// Connections come up, and what is written vanishes.
+    /// Connections are established, but the relay discards all bytes written to them.
     Mute,
-    /// As with a machine that vanished: open connections stay open and silent, new ones never come up.
+    /// Simulates an unreachable machine: open connections stay open without traffic, connection attempts get no
+    /// response.
     BlackHole,
-    /// Connections are reset, new ones are refused.
+    /// Open connections are reset and connection attempts are refused.
     Reset,
 }
 
-/// What a fault of links does to them, as schedules name it.
+/// Kind of a link fault, as fault schedules name the kinds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
     /// [`Flow::BlackHole`].
@@ -60,19 +65,19 @@
     Reset,
     /// [`Flow::Mute`].
     Mute,
-    /// [`Flow::Delayed`], which wants `ms`.
+    /// [`Flow::Delayed`]; requires `ms`.
     Delay,
-    /// [`Flow::Throttled`], which wants `bytes`.
+    /// [`Flow::Throttled`]; requires `bytes`.
     Throttle,
-    /// [`Flow::CutAfter`], which wants `bytes`.
+    /// [`Flow::CutAfter`]; requires `bytes`.
     CutAfter,
 }
 
 impl LinkFault {
-    /// What the links do.
+    /// Converts the fault kind and its parameters into the treatment of bytes on the affected links.
     ///
     /// # Errors
-    /// When a figure is missing or of no use; in words.
+    /// Returns a message when a required parameter is missing or invalid.
     pub fn flow(self, ms: Option<(f64, f64)>, bytes: Option<u64>) -> Result<Flow, &'static str> {
         let bytes = || bytes.filter(|bytes| *bytes > 0).ok_or("bytes, above 0, is missing");
         Ok(match self {
@@ -82,26 +87,28 @@
             Self::Throttle => Flow::Throttled(bytes()?),
             Self::CutAfter => Flow::CutAfter(bytes()?),
             Self::Delay => {
-                let (least, most) = ms.unwrap_or((-1.0, -1.0));
-                if !(least >= 0.0 && most >= least && most <= 60_000.0) {
-                    return Err("ms = [least, most] is missing or out of order");
+                let (min_ms, max_ms) = ms.unwrap_or((-1.0, -1.0));
+                if !(min_ms >= 0.0 && max_ms >= min_ms && max_ms <= 60_000.0) {
+                    return Err("ms = [min, max] is missing, reversed or outside 0 to 60000");
                 }
-                Flow::Delayed(least, most)
+                Flow::Delayed(min_ms, max_ms)
             }
         })
     }
 }
 
-/// The links between two groups, in the direction from the one to the other and, unless `one_way`, back; `talk` says
-/// who connects to whom. Unless the first group is `whole`, parties of both keep each other: a zone that is cut from
-/// all is whole inside.
+/// Returns the links from the group `from` to the group `to` and, unless `one_way`, the links back, sorted and without
+/// duplicates. Only pairs of parties of which one opens connections to the other (`connects`) are included.
+///
+/// Links to a party that is in both groups are included only with `include_internal`. Without `include_internal`, a
+/// zone that is cut off from all parties keeps the links inside the zone.
 pub fn links_between<P: Copy + Ord>(
-    from: &[P], to: &[P], one_way: bool, whole: bool, talk: impl Fn(P, P) -> bool,
+    from: &[P], to: &[P], one_way: bool, include_internal: bool, connects: impl Fn(P, P) -> bool,
 ) -> Vec<(P, P)> {
     let mut links = Vec::new();
     for a in from {
-        for b in to.iter().filter(|b| whole || !from.contains(b)) {
-            if !talk(*a, *b) && !talk(*b, *a) {
+        for b in to.iter().filter(|b| include_internal || !from.contains(b)) {
+            if !connects(*a, *b) && !connects(*b, *a) {
                 continue;
             }
             links.push((*a, *b));
@@ -115,38 +122,42 @@
     links
 }
 
-/// One direction between two parties.
+/// One direction between two parties, with its active faults.
 #[derive(Debug)]
 pub struct Link {
     faults: Mutex<Vec<(usize, Flow)>>,
     flow: watch::Sender<Flow>,
-    /// Bytes that have passed.
-    pub passed: AtomicU64,
+    /// Number of bytes that have passed, over all connections.
+    pub bytes_passed: AtomicU64,
 }
 
 impl Default for Link {
     fn default() -> Self {
-        Self { faults: Mutex::default(), flow: watch::Sender::new(Flow::Free), passed: AtomicU64::new(0) }
+        Self {
+            faults: Mutex::default(),
+            flow: watch::Sender::new(Flow::Free),
+            bytes_passed: AtomicU64::new(0),
+        }
     }
 }
 
 impl Link {
-    /// A fault holds from now on.
+    /// Activates a fault on this link.
     pub fn begin(&self, fault: usize, flow: Flow) {
-        self.change(|faults| faults.push((fault, flow)));
+        self.update_faults(|faults| faults.push((fault, flow)));
     }
 
-    /// A fault holds no longer.
+    /// Deactivates a fault on this link.
     pub fn end(&self, fault: usize) {
-        self.change(|faults| faults.retain(|(number, _)| *number != fault));
+        self.update_faults(|faults| faults.retain(|(number, _)| *number != fault));
     }
 
-    fn change(&self, how: impl FnOnce(&mut Vec<(usize, Flow)>)) {
+    fn update_faults(&self, update: impl FnOnce(&mut Vec<(usize, Flow)>)) {
         let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
-        how(&mut faults);
+        update(&mut faults);
         let flows = faults.iter().map(|(_, flow)| *flow);
-        let hardest = flows.fold(Flow::Free, |hardest, flow| if flow > hardest { flow } else { hardest });
-        self.flow.send_if_modified(|now| std::mem::replace(now, hardest) != hardest);
+        let most_severe = flows.fold(Flow::Free, |worst, flow| if flow > worst { flow } else { worst });
+        self.flow.send_if_modified(|current| std::mem::replace(current, most_severe) != most_severe);
     }
 
     fn flow(&self) -> Flow {
@@ -154,48 +165,49 @@
     }
 }
 
-/// How often relays themselves failed, for want of descriptors or ports: a trial with such has no verdict.
+/// Failures of the relays themselves, for example a lack of descriptors or ports. A trial with such failures has no
+/// verdict.
 #[derive(Debug, Default)]
 pub struct Failures {
     count: AtomicU64,
-    last: Mutex<String>,
+    last_failure: Mutex<String>,
 }
 
 impl Failures {
-    fn add(&self, what: &str, error: &io::Error) {
+    fn add(&self, operation: &str, error: &io::Error) {
         self.count.fetch_add(1, Ordering::Relaxed);
-        *self.last.lock().unwrap_or_else(PoisonError::into_inner) = format!("{what}: {error}");
+        *self.last_failure.lock().unwrap_or_else(PoisonError::into_inner) = format!("{operation}: {error}");
     }
 }
 
-/// One relay: a listener for one party's connections to another.
+/// Relay for the connections of one party to one address of another party.
 pub struct Relay {
-    /// Where the party that connects finds the other one.
+    /// Address of the relay, to which the client connects.
     pub address: SocketAddr,
-    /// Bytes of the one that connects.
-    pub there: Arc<Link>,
-    /// Bytes of the other one.
-    pub back: Arc<Link>,
+    /// Link from the client to the target.
+    pub forward: Arc<Link>,
+    /// Link from the target to the client.
+    pub backward: Arc<Link>,
     source: IpAddr,
     target: SocketAddr,
-    /// Whether the target's process listens; otherwise connections are refused.
-    up: watch::Sender<bool>,
-    failed: Arc<Failures>,
-    /// Holds the port while nobody listens at it.
-    _place: TcpSocket,
+    /// Whether the target's process listens. Otherwise, the relay refuses connections.
+    target_listening: watch::Sender<bool>,
+    failures: Arc<Failures>,
+    /// Bound socket that never listens. It reserves the port while the relay has no listener.
+    _port_reservation: TcpSocket,
 }
 
-/// Who the relay is to those that connect.
+/// How the relay answers connection attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Door {
-    Open,
-    /// New connections never come up.
-    Hidden,
-    /// New connections are refused.
-    Closed,
+enum ListenerState {
+    Accepting,
+    /// Connection attempts get no response.
+    Unresponsive,
+    /// Connection attempts are refused.
+    Refusing,
 }
 
-fn bound(address: SocketAddr) -> io::Result<TcpSocket> {
+fn bind(address: SocketAddr) -> io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
@@ -203,96 +215,111 @@
 }
 
 impl Relay {
-    /// Starts one that listens at an address (of the connecting party's own), and connects on from another one. It
-    /// lives as long as the runtime.
+    /// Starts a relay that listens at `listen_address`, which only the client uses, and connects to `target` from the
+    /// address `source`. The relay runs until the runtime shuts down.
     ///
     /// # Errors
-    /// When the address cannot be had.
+    /// Returns an error when the relay cannot bind or listen at `listen_address`.
     pub fn start(
-        at: SocketAddr, source: IpAddr, target: SocketAddr, there: Arc<Link>, back: Arc<Link>, up: bool,
-        failed: Arc<Failures>,
+        listen_address: SocketAddr, source: IpAddr, target: SocketAddr, forward: Arc<Link>,
+        backward: Arc<Link>, target_listening: bool, failures: Arc<Failures>,
     ) -> io::Result<Arc<Self>> {
-        // The port is held by a socket that never listens, so that it can be closed and opened again.
-        let place = bound(at)?;
-        let address = place.local_addr()?;
-        let up = watch::Sender::new(up);
-        let relay = Arc::new(Self { address, there, back, source, target, up, failed, _place: place });
-        let first = relay.listen()?;
-        tokio::spawn(relay.clone().run(first));
+        // A socket that never listens reserves the port, so that the listener can be closed and opened again.
+        let reservation = bind(listen_address)?;
+        let address = reservation.local_addr()?;
+        let target_listening = watch::Sender::new(target_listening);
+        let relay = Arc::new(Self {
+            address,
+            forward,
+            backward,
+            source,
+            target,
+            target_listening,
+            failures,
+            _port_reservation: reservation,
+        });
+        let first_listener = relay.listen()?;
+        tokio::spawn(relay.clone().run(first_listener));
         Ok(relay)
     }
 
-    /// Says whether the target's process listens.
-    pub fn set_listening(&self, up: bool) {
-        self.up.send_if_modified(|now| std::mem::replace(now, up) != up);
+    /// Sets whether the target's process listens.
+    pub fn set_listening(&self, listening: bool) {
+        self.target_listening.send_if_modified(|current| std::mem::replace(current, listening) != listening);
     }
 
     fn listen(&self) -> io::Result<TcpListener> {
-        bound(self.address)?.listen(BACKLOG as u32)
+        bind(self.address)?.listen(BACKLOG as u32)
     }
 
-    fn door(&self) -> Door {
-        let (there, back) = (self.there.flow(), self.back.flow());
-        if !*self.up.borrow() || there == Flow::Reset || back == Flow::Reset {
-            Door::Closed
-        } else if there == Flow::BlackHole || back == Flow::BlackHole {
-            Door::Hidden
+    fn listener_state(&self) -> ListenerState {
+        let (forward, backward) = (self.forward.flow(), self.backward.flow());
+        if !*self.target_listening.borrow() || forward == Flow::Reset || backward == Flow::Reset {
+            ListenerState::Refusing
+        } else if forward == Flow::BlackHole || backward == Flow::BlackHole {
+            ListenerState::Unresponsive
         } else {
-            Door::Open
+            ListenerState::Accepting
         }
     }
 
-    async fn run(self: Arc<Self>, first: TcpListener) {
-        let mut changes = (self.there.flow.subscribe(), self.back.flow.subscribe(), self.up.subscribe());
-        let (mut listener, mut filler, mut shut) = (Some(first), None, None);
+    async fn run(self: Arc<Self>, first_listener: TcpListener) {
+        let mut changes = (
+            self.forward.flow.subscribe(),
+            self.backward.flow.subscribe(),
+            self.target_listening.subscribe(),
+        );
+        let (mut listener, mut backlog_filler, mut rebind_failing_since) = (Some(first_listener), None, None);
         loop {
-            let door = {
+            let state = {
                 changes.0.mark_unchanged();
                 changes.1.mark_unchanged();
                 changes.2.mark_unchanged();
-                self.door()
+                self.listener_state()
             };
-            match (door, &listener) {
-                (Door::Closed, _) => (listener, filler) = (None, None),
+            match (state, &listener) {
+                (ListenerState::Refusing, _) => (listener, backlog_filler) = (None, None),
                 (_, None) => match self.listen() {
                     Ok(new) => {
-                        (listener, shut) = (Some(new), None);
+                        (listener, rebind_failing_since) = (Some(new), None);
                         continue;
                     }
                     Err(error) => {
-                        if shut.get_or_insert_with(Instant::now).elapsed() > BUSY {
-                            self.failed.add("listen again", &error);
+                        if rebind_failing_since.get_or_insert_with(Instant::now).elapsed() > REBIND_TIMEOUT {
+                            self.failures.add("listen again", &error);
                         }
                         tokio::time::sleep(Duration::from_millis(20)).await;
                         continue;
                     }
                 },
-                (Door::Hidden, Some(open)) if filler.is_none() => {
-                    // A line of waiting connections that is full makes the system drop what knocks.
-                    let _ = rustix::net::listen(open, 0);
-                    filler = Some(timeout(FILLING, TcpStream::connect(self.address)).await.ok());
+                (ListenerState::Unresponsive, Some(socket)) if backlog_filler.is_none() => {
+                    // The kernel drops connection attempts while the accept queue is full. A connection of the relay
+                    // to itself fills the queue of backlog 0.
+                    let _ = rustix::net::listen(socket, 0);
+                    backlog_filler =
+                        Some(timeout(BACKLOG_FILL_TIMEOUT, TcpStream::connect(self.address)).await.ok());
                 }
-                (Door::Open, Some(open)) if filler.is_some() => {
-                    // What has waited in that line is reset, the relay's own connection too.
-                    let _ = rustix::net::listen(open, BACKLOG);
-                    while let Ok(Ok((stream, _))) = timeout(Duration::from_millis(1), open.accept()).await {
+                (ListenerState::Accepting, Some(socket)) if backlog_filler.is_some() => {
+                    // Resets all connections in the accept queue, including the relay's own.
+                    let _ = rustix::net::listen(socket, BACKLOG);
+                    while let Ok(Ok((stream, _))) = timeout(Duration::from_millis(1), socket.accept()).await {
                         let _ = stream.set_zero_linger();
                     }
-                    filler = None;
+                    backlog_filler = None;
                 }
                 _ => {}
             }
             let accepted = async {
                 match &listener {
-                    Some(open) if door == Door::Open => open.accept().await,
+                    Some(socket) if state == ListenerState::Accepting => socket.accept().await,
                     _ => std::future::pending().await,
                 }
             };
             tokio::select! {
                 accepted = accepted => match accepted {
-                    Ok((stream, _)) => drop(tokio::spawn(self.clone().pass_on(stream))),
+                    Ok((stream, _)) => drop(tokio::spawn(self.clone().relay_connection(stream))),
                     Err(error) => {
-                        self.failed.add("accept", &error);
+                        self.failures.add("accept", &error);
                         tokio::time::sleep(Duration::from_millis(10)).await;
                     }
                 },
@@ -303,194 +330,216 @@
         }
     }
 
-    async fn pass_on(self: Arc<Self>, mut near: TcpStream) {
-        let far = async {
+    async fn relay_connection(self: Arc<Self>, mut client: TcpStream) {
+        let connect = async {
             let socket = TcpSocket::new_v4()?;
             socket.bind(SocketAddr::new(self.source, 0))?;
             socket.connect(self.target).await
         };
-        let Ok(mut far) = far.await else {
-            let _ = near.set_zero_linger();
+        let Ok(mut server) = connect.await else {
+            let _ = client.set_zero_linger();
             return;
         };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let broke = {
-            let (near_read, near_write) = near.split();
-            let (far_read, far_write) = far.split();
-            tokio::try_join!(pump(near_read, far_write, &self.there), pump(far_read, near_write, &self.back))
-                .is_err()
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let failed = {
+            let (client_read, client_write) = client.split();
+            let (server_read, server_write) = server.split();
+            tokio::try_join!(
+                copy_bytes(client_read, server_write, &self.forward),
+                copy_bytes(server_read, client_write, &self.backward)
+            )
+            .is_err()
         };
-        if broke {
-            let _ = (near.set_zero_linger(), far.set_zero_linger());
+        if failed {
+            let _ = (client.set_zero_linger(), server.set_zero_linger());
         }
     }
 }
 
-/// Moves one direction's bytes until its end; an error resets the whole connection.
-async fn pump(mut from: ReadHalf<'_>, mut to: WriteHalf<'_>, link: &Link) -> io::Result<()> {
-    let mut flows = link.flow.subscribe();
-    let mut random = Random::new(std::process::id().into(), "relay", link.passed.load(Ordering::Relaxed));
-    let mut waiting: VecDeque<(Instant, Bytes)> = VecDeque::new();
-    let mut bytes = vec![0; PIECE];
-    let (mut ended, mut touched, mut held, mut not_before) = (false, false, 0, Instant::now());
-    let mut left = None;
+/// Copies the bytes of one direction of a connection until the end of the stream. On an error, the caller resets both
+/// directions of the connection.
+async fn copy_bytes(mut from: ReadHalf<'_>, mut to: WriteHalf<'_>, link: &Link) -> io::Result<()> {
+    let mut flow_changes = link.flow.subscribe();
+    let mut random =
+        Random::new(std::process::id().into(), "relay", link.bytes_passed.load(Ordering::Relaxed));
+    // Chunks in order, each with the earliest time at which the relay may write the chunk.
+    let mut queue: VecDeque<(Instant, Bytes)> = VecDeque::new();
+    let mut buffer = vec![0; CHUNK_SIZE];
+    // `bytes_withheld`: a fault has withheld or dropped bytes of this connection.
+    let (mut read_closed, mut bytes_withheld, mut queued_bytes, mut next_write_at) =
+        (false, false, 0, Instant::now());
+    let mut bytes_until_reset = None;
     loop {
-        let flow = *flows.borrow_and_update();
-        let (hole, mute) = (flow == Flow::BlackHole, flow == Flow::Mute);
-        if flow == Flow::Reset || (touched && !hole && !mute) {
+        let flow = *flow_changes.borrow_and_update();
+        let (black_hole, mute) = (flow == Flow::BlackHole, flow == Flow::Mute);
+        if flow == Flow::Reset || (bytes_withheld && !black_hole && !mute) {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
-        touched |= hole && !waiting.is_empty();
-        left = match (flow, left) {
-            (Flow::CutAfter(most), None) => Some(most),
-            (Flow::CutAfter(_), left) => left,
+        bytes_withheld |= black_hole && !queue.is_empty();
+        bytes_until_reset = match (flow, bytes_until_reset) {
+            (Flow::CutAfter(limit), None) => Some(limit),
+            (Flow::CutAfter(_), remaining) => remaining,
             _ => None,
         };
-        if left == Some(0) {
+        if bytes_until_reset == Some(0) {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
-        if ended && waiting.is_empty() && !hole {
+        if read_closed && queue.is_empty() && !black_hole {
             return to.shutdown().await;
         }
-        let due = waiting.front().map(|(due, _)| (*due).max(not_before));
-        let most = match flow {
-            Flow::Throttled(rate) => (rate as usize / 20).clamp(1, PIECE),
-            Flow::CutAfter(_) => left.map_or(PIECE, |left| left as usize),
-            _ => PIECE,
+        let write_at = queue.front().map(|(due, _)| (*due).max(next_write_at));
+        let max_write = match flow {
+            Flow::Throttled(rate) => (rate as usize / 20).clamp(1, CHUNK_SIZE),
+            Flow::CutAfter(_) => bytes_until_reset.map_or(CHUNK_SIZE, |remaining| remaining as usize),
+            _ => CHUNK_SIZE,
         };
         let write = async {
-            match (due, waiting.front()) {
-                (Some(due), Some((_, head))) if !hole => {
-                    if due > Instant::now() {
-                        sleep_until(due).await;
+            match (write_at, queue.front()) {
+                (Some(write_at), Some((_, chunk))) if !black_hole => {
+                    if write_at > Instant::now() {
+                        sleep_until(write_at).await;
                     }
-                    to.write(&head[..head.len().min(most)]).await
+                    to.write(&chunk[..chunk.len().min(max_write)]).await
                 }
                 _ => std::future::pending().await,
             }
         };
-        // In a hole bytes stay where they are; that there are some is what tells the connection from an idle one.
+        // A black hole leaves bytes in the socket. Readable bytes mark the connection as one to reset at the end of the
+        // fault; an idle connection survives the fault.
         let read = async {
-            match (hole, ended || (hole && touched) || held >= MAX_BUFFERED_BYTES) {
+            match (
+                black_hole,
+                read_closed || (black_hole && bytes_withheld) || queued_bytes >= MAX_BUFFERED_BYTES,
+            ) {
                 (_, true) => std::future::pending().await,
                 (true, _) => from.readable().await.map(|()| None),
-                (false, _) => from.read(&mut bytes).await.map(Some),
+                (false, _) => from.read(&mut buffer).await.map(Some),
             }
         };
         tokio::select! {
             biased;
-            changed = flows.changed() => changed.map_err(io::Error::other)?,
-            wrote = write => {
-                let wrote = wrote?;
-                link.passed.fetch_add(wrote as u64, Ordering::Relaxed);
-                held -= wrote;
-                left = left.map(|left| left.saturating_sub(wrote as u64));
+            changed = flow_changes.changed() => changed.map_err(io::Error::other)?,
+            written = write => {
+                let written = written?;
+                link.bytes_passed.fetch_add(written as u64, Ordering::Relaxed);
+                queued_bytes -= written;
+                bytes_until_reset = bytes_until_reset.map(|remaining| remaining.saturating_sub(written as u64));
                 if let Flow::Throttled(rate) = flow {
-                    not_before = Instant::now() + Duration::from_secs_f64(wrote as f64 / rate.max(1) as f64);
+                    next_write_at = Instant::now() + Duration::from_secs_f64(written as f64 / rate.max(1) as f64);
                 }
-                let spent = waiting.front_mut().is_some_and(|(_, head)| {
-                    head.advance(wrote);
-                    head.is_empty()
+                let chunk_written = queue.front_mut().is_some_and(|(_, chunk)| {
+                    chunk.advance(written);
+                    chunk.is_empty()
                 });
-                if spent {
-                    waiting.pop_front();
+                if chunk_written {
+                    queue.pop_front();
                 }
             }
             read = read => {
                 let Some(read) = read? else {
-                    touched = true;
+                    bytes_withheld = true;
                     continue;
                 };
-                ended = read == 0;
-                touched |= mute;
+                read_closed = read == 0;
+                bytes_withheld |= mute;
                 if read > 0 && !mute {
-                    let after = match flow {
-                        Flow::Delayed(least, most) => least + (most - least) * random.unit(),
+                    let delay_ms = match flow {
+                        Flow::Delayed(min_ms, max_ms) => min_ms + (max_ms - min_ms) * random.unit(),
                         _ => 0.0,
                     };
-                    // What comes later leaves later.
-                    let due = Instant::now() + Duration::from_secs_f64(after.max(0.0) / 1000.0);
-                    let due = waiting.back().map_or(due, |(last, _)| due.max(*last));
-                    held += read;
-                    waiting.push_back((due, Bytes::copy_from_slice(&bytes[..read])));
+                    // A chunk never becomes due before the chunk ahead of it, so bytes stay in order.
+                    let due = Instant::now() + Duration::from_secs_f64(delay_ms.max(0.0) / 1000.0);
+                    let due = queue.back().map_or(due, |(last, _)| due.max(*last));
+                    queued_bytes += read;
+                    queue.push_back((due, Bytes::copy_from_slice(&buffer[..read])));
                 }
             }
         }
     }
 }
 
-/// A relay and whose way it is.
-type Way<P> = (P, P, Arc<Relay>);
+/// Client, target and the relay between both.
+type RelayEntry<P> = (P, P, Arc<Relay>);
 
-/// Everything between the parties, which `P` names.
+/// All links and relays between the parties of a trial. `P` identifies a party.
 pub struct Net<P> {
-    failed: Arc<Failures>,
+    failures: Arc<Failures>,
     links: Mutex<BTreeMap<(P, P), Arc<Link>>>,
-    relays: Mutex<Vec<Way<P>>>,
+    relays: Mutex<Vec<RelayEntry<P>>>,
 }
 
 impl<P> Default for Net<P> {
     fn default() -> Self {
-        Self { failed: Arc::default(), links: Mutex::default(), relays: Mutex::default() }
+        Self { failures: Arc::default(), links: Mutex::default(), relays: Mutex::default() }
     }
 }
 
 impl<P: Copy + Ord> Net<P> {
-    fn relays(&self) -> MutexGuard<'_, Vec<Way<P>>> {
+    fn relays(&self) -> MutexGuard<'_, Vec<RelayEntry<P>>> {
         self.relays.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The link from one party to another.
+    /// Returns the link from one party to another and creates the link on first use.
     pub fn link(&self, from: P, to: P) -> Arc<Link> {
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         links.entry((from, to)).or_default().clone()
     }
 
-    /// Opens the way from one party to another, which listens at `target`: the relay listens `at`, where port 0 is any
-    /// free one, and connects on from `source`. Gives the address to connect to.
+    /// Adds a relay for connections of the party `from` to the party `to`, whose process listens at `target`. The relay
+    /// listens at `listen_address` (port 0 selects any free port) and connects to `target` from `source`. Returns the
+    /// address of the relay.
     ///
     /// # Errors
-    /// When there is no address for the relay.
+    /// Returns an error when the relay cannot listen.
     pub fn add_relay(
-        &self, (from, to): (P, P), at: SocketAddr, source: IpAddr, target: SocketAddr, up: bool,
+        &self, (from, to): (P, P), listen_address: SocketAddr, source: IpAddr, target: SocketAddr,
+        target_listening: bool,
     ) -> io::Result<SocketAddr> {
-        let (there, back) = (self.link(from, to), self.link(to, from));
-        let relay = Relay::start(at, source, target, there, back, up, self.failed.clone())?;
+        let (forward, backward) = (self.link(from, to), self.link(to, from));
+        let relay = Relay::start(
+            listen_address,
+            source,
+            target,
+            forward,
+            backward,
+            target_listening,
+            self.failures.clone(),
+        )?;
         let address = relay.address;
         self.relays().push((from, to, relay));
         Ok(address)
     }
 
-    /// Whether a party's process listens: where not, connections to it are refused.
-    pub fn set_listening(&self, party: P, up: bool) {
+    /// Sets whether a party's process listens. While it does not, the relays refuse connections to the party.
+    pub fn set_listening(&self, party: P, listening: bool) {
         self.relays()
             .iter()
             .filter(|(_, to, _)| *to == party)
-            .for_each(|(_, _, relay)| relay.set_listening(up));
+            .for_each(|(_, _, relay)| relay.set_listening(listening));
     }
 
-    /// How often relays themselves have failed.
+    /// Number of failures of the relays themselves.
     pub fn failure_count(&self) -> u64 {
-        self.failed.count.load(Ordering::Relaxed)
+        self.failures.count.load(Ordering::Relaxed)
     }
 
-    /// The last of these failures, in words.
+    /// Message of the latest failure of a relay; empty when no relay has failed.
     pub fn last_failure(&self) -> String {
-        self.failed.last.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.failures.last_failure.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// All links that there are, by who writes and who reads.
+    /// All links, each as the pair of sending and receiving party.
     pub fn links(&self) -> Vec<(P, P)> {
         let links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         links.keys().copied().collect()
     }
 
-    /// A fault holds on these links from now on.
+    /// Activates a fault on the given links.
     pub fn begin(&self, fault: usize, links: &[(P, P)], flow: Flow) {
         links.iter().for_each(|(from, to)| self.link(*from, *to).begin(fault, flow));
     }
 
-    /// A fault holds nowhere any longer.
+    /// Deactivates a fault on all links.
     pub fn end(&self, fault: usize) {
         let links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         links.values().for_each(|link| link.end(fault));
