--- a/crates/reachlb/src/check.rs
+++ b/crates/reachlb/src/check.rs
@@ -1,14 +1,16 @@
-//! Checks a file as a process would read it.
+//! The `check` command: validates a settings file or a configuration with the parsers of the processes.
 
 use crate::EXIT_INVALID_INPUT;
 use config::{Config, ConfigFault, Settings, SettingsFault};
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Status 0 when the file can be used, 2 when not.
+/// Prints each error of the file on a line. The exit status is 0 for a valid file, otherwise [`EXIT_INVALID_INPUT`].
+///
+/// Files with the extension `json` are configurations, all other files are settings.
 pub fn run(file: &Path) -> ExitCode {
-    let json = file.extension().is_some_and(|extension| extension == "json");
-    let faults = if json { configuration(file) } else { settings(file) };
+    let is_json = file.extension().is_some_and(|extension| extension == "json");
+    let faults = if is_json { configuration(file) } else { settings(file) };
     for fault in &faults {
         println!("{}: {fault}", file.display());
     }
--- a/crates/reachlb/src/lib.rs
+++ b/crates/reachlb/src/lib.rs
@@ -1,5 +1,5 @@
-//! The programs of the system, as a library: `reachlb` is a thin command line around it, and whoever plays a whole
-//! fleet on one machine starts them from a binary of its own.
+//! Programs of the gateway as a library. The `reachlb` binary is a thin command line around this library. Test tools
+//! that run a whole fleet on one machine start the same programs from binaries of their own.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -15,33 +15,34 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The variable that says where the settings file is.
+/// Environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "REACHLB_BOOT";
 
-/// Status of a program whose arguments, or settings file, can't be used.
+/// Exit status when the arguments or an input file are invalid.
 pub const EXIT_INVALID_INPUT: u8 = 2;
 
-/// A program.
+/// Program of the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Program {
-    /// Carries requests from clients to backends.
+    /// Proxies requests from clients to backends.
     DataPlane,
-    /// Serves control.
+    /// Replicates configurations, tracks backends and grants quota leases.
     ControlPlane,
 }
 
-/// What the command line turns on, whatever the settings say.
+/// Options of the command line that take precedence over the settings.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Overrides {
-    /// Processes watch each other.
+    /// Enables the failure detector between neighboring processes. `false` leaves the choice to the settings.
     pub watching: bool,
 }
 
-/// Runs a program until the platform ends it. Without a path, [`SETTINGS_VARIABLE`] names the settings file.
+/// Runs a program until the process receives SIGTERM. Without a path in `settings`, the environment variable
+/// [`SETTINGS_VARIABLE`] names the settings file.
 pub fn serve(program: Program, settings: Option<PathBuf>, overrides: Overrides) -> ExitCode {
     let path = settings.or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from));
     let Some(path) = path else {
-        eprintln!("no settings file: neither --settings nor {SETTINGS_VARIABLE} names one");
+        eprintln!("no settings file: set --settings or {SETTINGS_VARIABLE}");
         return ExitCode::from(EXIT_INVALID_INPUT);
     };
     let mut settings = match config::Settings::read(&path) {
@@ -56,11 +57,11 @@
         eprintln!("logs: {error}");
         return ExitCode::from(EXIT_INVALID_INPUT);
     }
-    let done = match program {
+    let result = match program {
         Program::DataPlane => start::run(run_data_plane::run(settings, path)),
         Program::ControlPlane => start::run(run_control_plane::run(settings, path)),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
             spdlog::critical!("{:?}", report, kv: { step = "start" });
--- a/crates/reachlb/src/logs.rs
+++ b/crates/reachlb/src/logs.rs
@@ -1,14 +1,14 @@
-//! Logs: JSON lines on standard error.
+//! Logging as JSON lines on standard error.
 
 use spdlog::formatter::JsonFormatter;
 use spdlog::sink::StdStreamSink;
 use spdlog::{Level, LevelFilter, Logger};
 use std::sync::Arc;
 
-/// Writes what is at this level or above from now on.
+/// Installs the default logger, which writes lines of the given level and above. An unknown level means `info`.
 ///
 /// # Errors
-/// When the library can't be set up.
+/// Returns an error when the logger cannot be created.
 pub fn start(level: &str) -> Result<(), spdlog::Error> {
     let filter = match level {
         "off" => LevelFilter::Off,
--- a/crates/reachlb/src/main.rs
+++ b/crates/reachlb/src/main.rs
@@ -1,4 +1,4 @@
-//! `reachlb`: one binary, a program for each plane.
+//! `reachlb`: one binary with the programs of both planes and the operators' commands.
 
 #![forbid(unsafe_code)]
 
@@ -7,12 +7,12 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// reachlb: an API gateway that needs nobody else's services.
+/// reachlb: an API gateway without external dependencies.
 #[derive(Debug, Options)]
 struct Arguments {
     /// print this help
     help: bool,
-    /// the settings file; without it, the one that REACHLB_BOOT names
+    /// settings file (default: the file that REACHLB_BOOT names)
     #[options(meta = "FILE")]
     settings: Option<PathBuf>,
     #[options(command)]
@@ -21,21 +21,21 @@
 
 #[derive(Debug, Options)]
 enum Command {
-    /// carry requests from clients to backends
+    /// run a data plane: proxy requests from clients to backends
     DataPlane(Plane),
-    /// serve control: backends' beats, the operator's calls, the log, the counts
+    /// run a control plane: backend heartbeats, operator calls, replicated log, quotas
     ControlPlane(Plane),
-    /// check a settings file (TOML) or a configuration (JSON), every fault on a line of its own
+    /// check a settings file (TOML) or a configuration (JSON) and print each error on a line
     Check(Check),
-    /// how a fleet stands, as one of its processes knows it
+    /// show the state of the fleet as one of its control planes knows it
     Status(operator::Status),
-    /// the configuration: in force, former ones, what changed, another one
+    /// show, compare or replace the configuration
     Config(operator::ConfigCommand),
-    /// what became of a node, a backend, a version (r12) or a request, and why
+    /// show what happened to a node, a backend, a configuration version (r12) or a request, and why
     Explain(operator::Explain),
-    /// what lies in the data folder of a process that does not run
+    /// inspect the data directory of a stopped process
     State(operator::StateCommand),
-    /// the list of voters, changed by hand
+    /// change the voter list by hand
     Voter(operator::VoterCommand),
 }
 
@@ -51,7 +51,7 @@
 struct Plane {
     /// print this help
     help: bool,
-    /// watch a few other processes, and be watched by them
+    /// take part in the failure detector: probe a few other processes and answer their probes
     watching: bool,
 }
 
--- a/crates/reachlb/src/operator/client.rs
+++ b/crates/reachlb/src/operator/client.rs
@@ -1,4 +1,5 @@
-//! Calls to processes: one connection each, a bounded time, a bounded answer.
+//! HTTP calls to processes of the fleet. Each call uses a connection of its own and has limits for time and response
+//! size.
 
 use super::CommandError;
 use bytes::Bytes;
@@ -12,103 +13,107 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Somebody who is there accepts within this time.
-const CONNECT: Duration = Duration::from_secs(2);
-/// The slowest call waits for disks.
-const ANSWER: Duration = Duration::from_secs(5);
-/// The longest answer that is read.
-const LONGEST: usize = 32 * 1024 * 1024;
+/// Timeout for connecting to a process.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for the response. The slowest calls wait for disk writes of a quorum.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
 
-/// An answer.
-pub struct Answer {
-    /// Who gave it.
+/// Response of a process.
+pub struct Response {
+    /// Address of the process.
     pub peer: String,
     pub status: u16,
     pub body: Bytes,
 }
 
-impl Answer {
-    /// The answer, unless it is a refusal.
-    pub fn granted(self, step: &'static str) -> Result<Self, CommandError> {
-        if self.status == 200 { Ok(self) } else { Err(self.refused(step)) }
+impl Response {
+    /// Returns the response if its status is 200, otherwise the error that the process reported.
+    pub fn success(self, step: &'static str) -> Result<Self, CommandError> {
+        if self.status == 200 { Ok(self) } else { Err(self.into_error(step)) }
     }
 
-    /// The answer as a refusal, with its reason.
-    pub fn refused(self, step: &'static str) -> CommandError {
-        let read = serde_json::from_slice::<Value>(&self.body).ok();
-        let why = read.and_then(|body| Some(body.get("error")?.as_str()?.to_owned()));
-        let why = why.unwrap_or_else(|| String::from_utf8_lossy(&self.body).chars().take(400).collect());
-        CommandError::Refused { step, peer: self.peer, status: self.status, why }
+    /// Converts the response into an error with the reason that the process gave.
+    pub fn into_error(self, step: &'static str) -> CommandError {
+        let parsed = serde_json::from_slice::<Value>(&self.body).ok();
+        let reason = parsed.and_then(|body| Some(body.get("error")?.as_str()?.to_owned()));
+        let reason =
+            reason.unwrap_or_else(|| String::from_utf8_lossy(&self.body).chars().take(400).collect());
+        CommandError::Rejected { step, peer: self.peer, status: self.status, reason }
     }
 
-    /// The answer read.
+    /// Parses the body of a successful response as JSON.
     pub fn json(self, step: &'static str) -> Result<Value, CommandError> {
-        let answer = self.granted(step)?;
-        serde_json::from_slice(&answer.body).map_err(|error| CommandError::Unanswered {
+        let response = self.success(step)?;
+        serde_json::from_slice(&response.body).map_err(|error| CommandError::NoResponse {
             step,
-            peer: answer.peer,
-            why: error.to_string(),
+            peer: response.peer,
+            reason: error.to_string(),
         })
     }
 }
 
-/// Asks the first of some addresses (separated by commas) that answers at all.
-pub async fn get(at: &str, step: &'static str, path: &str) -> Result<Answer, CommandError> {
-    call(at, step, Method::GET, path, None, Bytes::new()).await
+/// Sends a GET request to the first address that responds. `addresses` is separated by commas.
+pub async fn get(addresses: &str, step: &'static str, path: &str) -> Result<Response, CommandError> {
+    call(addresses, step, Method::GET, path, None, Bytes::new()).await
 }
 
-/// Calls the first of some addresses that answers at all.
+/// Sends a request to the first address that responds. `addresses` is separated by commas. `base_version` is the
+/// configuration version that a replacement builds on.
 pub async fn call(
-    at: &str, step: &'static str, method: Method, path: &str, base: Option<u64>, body: Bytes,
-) -> Result<Answer, CommandError> {
-    let mut last = "no address".to_owned();
-    for peer in at.split(',').map(str::trim).filter(|peer| !peer.is_empty()) {
-        match one(peer, method.clone(), path, base, body.clone()).await {
-            Ok((status, body)) => return Ok(Answer { peer: peer.to_owned(), status, body }),
-            Err(why) => last = why,
+    addresses: &str, step: &'static str, method: Method, path: &str, base_version: Option<u64>, body: Bytes,
+) -> Result<Response, CommandError> {
+    let mut last_error = "no address".to_owned();
+    for peer in addresses.split(',').map(str::trim).filter(|peer| !peer.is_empty()) {
+        match exchange(peer, method.clone(), path, base_version, body.clone()).await {
+            Ok((status, body)) => return Ok(Response { peer: peer.to_owned(), status, body }),
+            Err(error) => last_error = error,
         }
     }
-    Err(CommandError::Unanswered { step, peer: at.to_owned(), why: last })
+    Err(CommandError::NoResponse { step, peer: addresses.to_owned(), reason: last_error })
 }
 
-async fn one(
-    peer: &str, method: Method, path: &str, base: Option<u64>, body: Bytes,
+async fn exchange(
+    peer: &str, method: Method, path: &str, base_version: Option<u64>, body: Bytes,
 ) -> Result<(u16, Bytes), String> {
-    let late = |what: &str| format!("{what}: not in time");
-    let stream = timeout(CONNECT, TcpStream::connect(peer)).await.map_err(|_| late("connect"))?;
+    let timed_out = |operation: &str| format!("{operation}: timed out");
+    let stream =
+        timeout(CONNECT_TIMEOUT, TcpStream::connect(peer)).await.map_err(|_| timed_out("connect"))?;
     let stream = stream.map_err(|error| format!("connect: {error}"))?;
     let mut request =
         Request::builder().method(method).uri(path).header(HOST, peer).header(CONNECTION, "close");
-    if let Some(base) = base {
-        request = request.header("X-Base-Version", format!("r{base}"));
+    if let Some(version) = base_version {
+        request = request.header("X-Base-Version", format!("r{version}"));
     }
     let request = request.body(Full::new(body)).map_err(|error| error.to_string())?;
-    let exchange = async {
+    let send = async {
         let (mut sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(|error| error.to_string())?;
-        let answered = async {
+        let receive = async {
             let response = sender.send_request(request).await.map_err(|error| error.to_string())?;
             let status = response.status().as_u16();
-            let body = Limited::new(response.into_body(), LONGEST).collect().await;
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
             Ok((status, body.map_err(|error| error.to_string())?.to_bytes()))
         };
-        // The connection moves only while it is polled; it may end before the answer has been read.
-        let moved = async {
+        // The connection makes progress only while it is polled. It may end before the response has been read, so its
+        // future must not complete the select.
+        let drive = async {
             let _ = connection.await;
             std::future::pending::<()>().await;
         };
         tokio::select! {
-            answer = answered => answer,
-            () = moved => Err("closed".to_owned()),
+            response = receive => response,
+            () = drive => Err("connection closed".to_owned()),
         }
     };
-    timeout(ANSWER, exchange).await.map_err(|_| late("answer"))?
+    timeout(RESPONSE_TIMEOUT, send).await.map_err(|_| timed_out("response"))?
 }
 
-/// A word as it may stand in a path or a query.
-pub fn escape(text: &str) -> String {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~:".contains(&byte);
+/// Percent-encodes text for use in a path or a query.
+pub fn percent_encode(text: &str) -> String {
+    let is_unreserved = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~:".contains(&byte);
     text.bytes()
-        .map(|byte| if plain(byte) { char::from(byte).to_string() } else { format!("%{byte:02X}") })
+        .map(|byte| if is_unreserved(byte) { char::from(byte).to_string() } else { format!("%{byte:02X}") })
         .collect()
 }
--- a/crates/reachlb/src/operator/config.rs
+++ b/crates/reachlb/src/operator/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: in force, former ones, what changed, another one.
+//! The `config` command: shows the current and former configurations, compares them, and replaces the current one.
 
 use super::table::table;
 use super::{CommandError, client};
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 
-/// The arguments.
+/// Arguments of the `config` command.
 #[derive(Debug, Options)]
 pub struct ConfigCommand {
     /// print this help
@@ -20,14 +20,14 @@
 
 #[derive(Debug, Options)]
 enum Kind {
-    /// print the one in force, byte for byte
+    /// print the configuration in force, byte for byte
     Get(Get),
-    /// put another one in force
+    /// replace the configuration
     Replace(Replace),
-    /// list the last ones: epoch and index tell when, since no two machines share a clock
+    /// list the latest versions; epoch and index give their order, because machines do not share a clock
     History(Plain),
-    /// what changed from A to B, each a version (r12) or a file; without B to the one in force, without A from the one
-    /// before it
+    /// show the changes from A to B, each a version (r12) or a file (default for B: the configuration in force, default
+    /// for A and B: the two latest versions)
     Diff(Diff),
 }
 
@@ -35,10 +35,10 @@
 struct Get {
     /// print this help
     help: bool,
-    /// control sockets, separated by commas; the first one that answers is asked
+    /// control socket addresses, separated by commas; the first that responds is used
     #[options(required, meta = "CONTROL")]
     at: String,
-    /// a former one, as that process keeps it: this needs no leader
+    /// print this former version from the history of the process; needs no leader
     #[options(meta = "rN")]
     version: Option<Version>,
 }
@@ -47,7 +47,7 @@
 struct Plain {
     /// print this help
     help: bool,
-    /// control sockets, separated by commas; the first one that answers is asked
+    /// control socket addresses, separated by commas; the first that responds is used
     #[options(required, meta = "CONTROL")]
     at: String,
     /// print the answer as it is
@@ -58,10 +58,10 @@
 struct Replace {
     /// print this help
     help: bool,
-    /// control sockets, separated by commas; the first one that answers is asked
+    /// control socket addresses, separated by commas; the first that responds is used
     #[options(required, meta = "CONTROL")]
     at: String,
-    /// the version that the file builds on; without it, the one in force now
+    /// version that the file builds on (default: the version in force)
     #[options(meta = "rN")]
     base: Option<Version>,
     /// print the answer as JSON
@@ -74,22 +74,22 @@
 struct Diff {
     /// print this help
     help: bool,
-    /// control sockets, separated by commas; the first one that answers is asked
+    /// control socket addresses, separated by commas; the first that responds is used
     #[options(required, meta = "CONTROL")]
     at: String,
-    /// print a list of lines
+    /// print the changes as a JSON list of lines
     json: bool,
     #[options(free)]
     which: Vec<String>,
 }
 
-/// Does what is asked.
-pub async fn config(calls: ConfigCommand) -> Result<String, CommandError> {
-    match calls.call {
+/// Runs the `config` command.
+pub async fn config(command: ConfigCommand) -> Result<String, CommandError> {
+    match command.call {
         Some(Kind::Get(call)) => {
             let path = call.version.map_or("/Config.Read".to_owned(), |v| format!("/Config.History/{v}"));
-            let answer = client::get(&call.at, "read", &path).await?.granted("read")?;
-            let mut text = String::from_utf8_lossy(&answer.body).into_owned();
+            let response = client::get(&call.at, "read", &path).await?.success("read")?;
+            let mut text = String::from_utf8_lossy(&response.body).into_owned();
             if !text.ends_with('\n') {
                 text.push('\n');
             }
@@ -97,27 +97,27 @@
         }
         Some(Kind::Replace(call)) => replace(call).await,
         Some(Kind::History(call)) => {
-            let answer = client::get(&call.at, "history", "/Config.History").await?.json("history")?;
-            Ok(if call.json { answer.to_string() + "\n" } else { history(&answer) })
+            let body = client::get(&call.at, "history", "/Config.History").await?.json("history")?;
+            Ok(if call.json { body.to_string() + "\n" } else { format_history(&body) })
         }
         Some(Kind::Diff(call)) => diff(call).await,
-        None => Err(CommandError::Unusable {
+        None => Err(CommandError::InvalidInput {
             step: "read",
-            what: "arguments".into(),
-            why: "one of get, replace, history, diff is wanted".into(),
+            subject: "arguments".into(),
+            reason: "expected one of the subcommands get, replace, history, diff".into(),
         }),
     }
 }
 
-fn history(answer: &Value) -> String {
-    let versions = answer["versions"].as_array().into_iter().flatten();
-    let short = |digest: &Value| digest.as_str().unwrap_or_default().chars().take(16).collect();
+fn format_history(body: &Value) -> String {
+    let versions = body["versions"].as_array().into_iter().flatten();
+    let abbreviated = |digest: &Value| digest.as_str().unwrap_or_default().chars().take(16).collect();
     let cell = super::table::cell;
     let rows: Vec<Vec<String>> = versions
         .map(|v| {
             vec![
                 cell(&v["version"]),
-                short(&v["digest"]),
+                abbreviated(&v["digest"]),
                 cell(&v["epoch"]),
                 cell(&v["index"]),
                 cell(&v["body_kept"]),
@@ -127,59 +127,61 @@
     table(&["version", "digest", "epoch", "index", "body kept"], &rows)
 }
 
-/// Reads a body as a process would.
-fn parse(step: &'static str, what: &str, body: &[u8]) -> Result<Config, CommandError> {
-    let unusable = |fault: config::ConfigFault| CommandError::Unusable {
+/// Parses a configuration with the parser of the processes.
+fn parse(step: &'static str, subject: &str, body: &[u8]) -> Result<Config, CommandError> {
+    let invalid = |fault: config::ConfigFault| CommandError::InvalidInput {
         step,
-        what: what.to_owned(),
-        why: fault.to_string(),
+        subject: subject.to_owned(),
+        reason: fault.to_string(),
     };
-    Config::parse(body).map_err(unusable)
+    Config::parse(body).map_err(invalid)
 }
 
-fn file(path: &Path) -> Result<(Bytes, Config), CommandError> {
+fn read_file(path: &Path) -> Result<(Bytes, Config), CommandError> {
     let name = path.display().to_string();
-    let body = std::fs::read(path).map_err(|error| CommandError::Unusable {
+    let body = std::fs::read(path).map_err(|error| CommandError::InvalidInput {
         step: "read",
-        what: name.clone(),
-        why: error.to_string(),
+        subject: name.clone(),
+        reason: error.to_string(),
     })?;
     let config = parse("check", &name, &body)?;
     Ok((body.into(), config))
 }
 
 async fn replace(call: Replace) -> Result<String, CommandError> {
-    let (body, config) = file(&call.file)?;
+    let (body, config) = read_file(&call.file)?;
     let base = match call.base {
         Some(base) => base,
         None => {
-            let present = client::get(&call.at, "read", "/Config.Read").await?;
-            if present.status == 404 {
+            let current = client::get(&call.at, "read", "/Config.Read").await?;
+            if current.status == 404 {
                 Version(0)
             } else {
-                let present = present.granted("read")?;
-                parse("read", "the configuration in force", &present.body)?.version
+                let current = current.success("read")?;
+                parse("read", "the configuration in force", &current.body)?.version
             }
         }
     };
-    let answer =
+    let response =
         client::call(&call.at, "replace", Method::POST, "/Config.Replace", Some(base.0), body).await?;
-    let peer = answer.granted("replace")?.peer;
+    let peer = response.success("replace")?.peer;
     let version = config.version;
-    // The same configuration again is acknowledged also after newer ones.
-    let present = client::get(&peer, "read", "/Config.Read").await.and_then(|answer| answer.granted("read"));
-    let present = present.and_then(|present| parse("read", "the configuration in force", &present.body));
-    // It was taken, whether anybody can be asked just now or not.
-    let present = present.map_or(version, |present| present.version);
+    // A repeated call with an already accepted configuration succeeds even if a newer version is in force, so the
+    // command reads the version in force afterwards.
+    let current =
+        client::get(&peer, "read", "/Config.Read").await.and_then(|response| response.success("read"));
+    let current = current.and_then(|current| parse("read", "the configuration in force", &current.body));
+    // The replacement has been accepted, even if the version in force cannot be read now.
+    let current = current.map_or(version, |current| current.version);
     Ok(if call.json {
-        json!({ "version": version.to_string(), "base": base.to_string(), "in_force": present.to_string(),
+        json!({ "version": version.to_string(), "base": base.to_string(), "in_force": current.to_string(),
             "peer": peer })
         .to_string()
             + "\n"
-    } else if present == version {
+    } else if current == version {
         format!("{version} is in force (on {base}, by {peer})\n")
     } else {
-        format!("{version} was taken, {present} is in force now (by {peer})\n")
+        format!("{version} was accepted, {current} is in force now (by {peer})\n")
     })
 }
 
@@ -187,26 +189,31 @@
     let (before, after) = match call.which.as_slice() {
         [] => {
             let history = client::get(&call.at, "history", "/Config.History").await?.json("history")?;
-            let newest = |at: usize| history["versions"][at]["version"].as_str().map(str::to_owned);
-            let (Some(after), Some(before)) = (newest(0), newest(1)) else {
-                return Err(CommandError::Unusable {
+            let nth_latest = |index: usize| history["versions"][index]["version"].as_str().map(str::to_owned);
+            let (Some(after), Some(before)) = (nth_latest(0), nth_latest(1)) else {
+                return Err(CommandError::InvalidInput {
                     step: "diff",
-                    what: "the history".into(),
-                    why: "it does not have two versions".into(),
+                    subject: "the history".into(),
+                    reason: "fewer than two versions".into(),
                 });
             };
-            (one(&call.at, &before).await?, one(&call.at, &after).await?)
+            (read_version_or_file(&call.at, &before).await?, read_version_or_file(&call.at, &after).await?)
         }
         [before] => {
-            let present = client::get(&call.at, "read", "/Config.Read").await?.granted("read")?;
-            (one(&call.at, before).await?, parse("read", "the configuration in force", &present.body)?)
+            let current = client::get(&call.at, "read", "/Config.Read").await?.success("read")?;
+            (
+                read_version_or_file(&call.at, before).await?,
+                parse("read", "the configuration in force", &current.body)?,
+            )
+        }
+        [before, after] => {
+            (read_version_or_file(&call.at, before).await?, read_version_or_file(&call.at, after).await?)
         }
-        [before, after] => (one(&call.at, before).await?, one(&call.at, after).await?),
         _ => {
-            return Err(CommandError::Unusable {
+            return Err(CommandError::InvalidInput {
                 step: "diff",
-                what: "arguments".into(),
-                why: "at most two are compared".into(),
+                subject: "arguments".into(),
+                reason: "expected at most two versions or files".into(),
             });
         }
     };
@@ -220,14 +227,14 @@
     })
 }
 
-/// A version, or a file.
-async fn one(at: &str, which: &str) -> Result<Config, CommandError> {
-    match which.parse::<Version>() {
+/// Reads a configuration by its version from a process, or from a file when `source` is not a version.
+async fn read_version_or_file(addresses: &str, source: &str) -> Result<Config, CommandError> {
+    match source.parse::<Version>() {
         Ok(version) => {
             let path = format!("/Config.History/{version}");
-            let answer = client::get(at, "read", &path).await?.granted("read")?;
-            parse("read", which, &answer.body)
+            let response = client::get(addresses, "read", &path).await?.success("read")?;
+            parse("read", source, &response.body)
         }
-        Err(_) => Ok(file(Path::new(which))?.1),
+        Err(_) => Ok(read_file(Path::new(source))?.1),
     }
 }
--- a/crates/reachlb/src/operator/explain.rs
+++ b/crates/reachlb/src/operator/explain.rs
@@ -1,124 +1,133 @@
-//! What became of something, and why: the records of all processes that answer.
+//! The `explain` command: collects the records about one subject from all processes that respond.
 
-use super::table::{ago, cell, table};
+use super::table::{cell, duration, table};
 use super::{CommandError, client};
 use gumdrop::Options;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A fleet has some dozens of control planes and some hundreds of data planes; more are not asked.
-const MOST_ASKED: usize = 1024;
+/// Maximum number of control planes and of data planes to query. A fleet has some dozens of control planes and some
+/// hundreds of data planes.
+const MAX_QUERIED: usize = 1024;
 
-/// The arguments.
+/// Arguments of the `explain` command.
 #[derive(Debug, Options)]
 pub struct Explain {
     /// print this help
     help: bool,
-    /// control sockets, separated by commas; the first one that answers is asked who else there is
+    /// control socket addresses, separated by commas; the first that responds names the other processes
     #[options(required, meta = "CONTROL")]
     at: String,
-    /// print what the processes say as JSON
+    /// print the records as JSON
     json: bool,
     #[options(free, required)]
     what: String,
 }
 
-/// Asks all control planes that are known for records, and all data planes for requests and what they saw themselves.
+/// Runs the `explain` command: queries all known control planes for events, and all known data planes for request
+/// records and events.
 pub async fn explain(call: Explain) -> Result<String, CommandError> {
-    let first = client::get(&call.at, "status", "/Harbour.Status").await?;
-    let asked = first.peer.clone();
-    let first = first.json("status")?;
-    let (mut found, mut data_planes) = (Vec::new(), data_planes_of(&first));
-    let path = format!("/Harbour.Events?about={}", client::escape(&call.what));
-    let mut unheard = 0;
-    for control in masters_of(&first, &asked) {
+    let response = client::get(&call.at, "status", "/Harbour.Status").await?;
+    let first_control = response.peer.clone();
+    let first_status = response.json("status")?;
+    let (mut events, mut data_planes) = (Vec::new(), data_planes_of(&first_status));
+    let path = format!("/Harbour.Events?about={}", client::percent_encode(&call.what));
+    let mut unanswered = 0;
+    for control in control_sockets_of(&first_status, &first_control) {
         match client::get(&control, "events", &path).await {
-            Ok(answer) if answer.status == 200 => {
-                found.extend(events_of(answer.json("events")?));
-                // Each data plane follows one control plane: only all of them know all data planes.
-                if control != asked
+            Ok(response) if response.status == 200 => {
+                events.extend(events_of(response.json("events")?));
+                // A control plane knows only the data planes that are connected to it, so all control planes are
+                // queried.
+                if control != first_control
                     && let Ok(status) = client::get(&control, "status", "/Harbour.Status").await
                     && let Ok(status) = status.json("status")
                 {
                     data_planes.extend(data_planes_of(&status));
                 }
             }
-            _ => unheard += 1,
+            _ => unanswered += 1,
         }
     }
     let mut requests = Vec::new();
-    let word = client::escape(&call.what);
-    for (name, readiness) in data_planes.iter().take(MOST_ASKED) {
-        let Ok(answer) = client::get(readiness, "request", &format!("/requests/{word}")).await else {
-            unheard += 1;
+    let subject = client::percent_encode(&call.what);
+    for (name, readiness) in data_planes.iter().take(MAX_QUERIED) {
+        let Ok(response) = client::get(readiness, "request", &format!("/requests/{subject}")).await else {
+            unanswered += 1;
             continue;
         };
-        if let Ok(Value::Object(mut answer)) = answer.json("request")
-            && let Some(Value::Array(list)) = answer.remove("requests")
+        if let Ok(Value::Object(mut body)) = response.json("request")
+            && let Some(Value::Array(list)) = body.remove("requests")
         {
-            requests.extend(list.into_iter().map(|request| with(request, "by", name)));
+            requests.extend(list.into_iter().map(|request| with_field(request, "by", name)));
         }
-        let events = client::get(readiness, "events", &format!("/events?about={word}")).await;
-        found.extend(events.and_then(|answer| answer.json("events")).map(events_of).unwrap_or_default());
+        let response = client::get(readiness, "events", &format!("/events?about={subject}")).await;
+        events
+            .extend(response.and_then(|response| response.json("events")).map(events_of).unwrap_or_default());
     }
-    found.sort_by_key(|event| event["age_ms"].as_u64());
-    let now = now(&first, &call.what);
+    events.sort_by_key(|event| event["age_ms"].as_u64());
+    let now = current_state(&first_status, &call.what);
     if call.json {
-        let told = json!({ "what": call.what, "now": now, "events": found, "requests": requests, "unheard": unheard });
-        return Ok(told.to_string() + "\n");
+        let report = json!({ "what": call.what, "now": now, "events": events, "requests": requests, "unheard": unanswered });
+        return Ok(report.to_string() + "\n");
     }
-    Ok(shown(&call.what, &now, &found, &requests, unheard))
+    Ok(format_report(&call.what, &now, &events, &requests, unanswered))
 }
 
-/// The control sockets of all control planes. All machines of a fleet have the same ports, so only the address differs.
-fn masters_of(status: &Value, asked: &str) -> Vec<String> {
-    let mut all = vec![asked.to_owned()];
-    let port = asked.rsplit_once(':').and_then(|(_, port)| port.parse::<u16>().ok());
-    let me = status["name"].as_str();
-    let lines = status["lines"].as_array().into_iter().flatten();
-    let control_planes = lines.filter(|line| line["plane"] == "Control plane" && line["name"].as_str() != me);
-    for line in control_planes {
-        let address = line["address"].as_str().and_then(|address| address.parse::<SocketAddr>().ok());
+/// Returns the control socket addresses of all control planes in a status, starting with `first_control`. All machines
+/// of a fleet use the same control port, so only the IP addresses differ.
+fn control_sockets_of(status: &Value, first_control: &str) -> Vec<String> {
+    let mut sockets = vec![first_control.to_owned()];
+    let port = first_control.rsplit_once(':').and_then(|(_, port)| port.parse::<u16>().ok());
+    let own_name = status["name"].as_str();
+    let connections = status["lines"].as_array().into_iter().flatten();
+    let control_planes = connections.filter(|connection| {
+        connection["plane"] == "Control plane" && connection["name"].as_str() != own_name
+    });
+    for connection in control_planes {
+        let address = connection["address"].as_str().and_then(|address| address.parse::<SocketAddr>().ok());
         if let Some((address, port)) = address.zip(port) {
             let control = SocketAddr::new(address.ip(), port).to_string();
-            if !all.contains(&control) && all.len() < MOST_ASKED {
-                all.push(control);
+            if !sockets.contains(&control) && sockets.len() < MAX_QUERIED {
+                sockets.push(control);
             }
         }
     }
-    all
+    sockets
 }
 
-/// Name and readiness socket of each data plane that a control plane is connected with.
+/// Returns the name and the readiness socket address of each data plane that is connected to a control plane.
 fn data_planes_of(status: &Value) -> BTreeMap<String, String> {
-    let lines = status["lines"].as_array().into_iter().flatten();
-    let data_planes = lines.filter(|line| line["plane"] == "Data plane");
-    let data_planes = data_planes.map(|line| (cell(&line["name"]), cell(&line["address"])));
+    let connections = status["lines"].as_array().into_iter().flatten();
+    let data_planes = connections.filter(|connection| connection["plane"] == "Data plane");
+    let data_planes = data_planes.map(|connection| (cell(&connection["name"]), cell(&connection["address"])));
     data_planes.filter(|(_, address)| address.parse::<SocketAddr>().is_ok()).collect()
 }
 
-fn events_of(mut answer: Value) -> Vec<Value> {
-    let by = cell(&answer["name"]);
-    let Value::Array(events) = answer["events"].take() else { return Vec::new() };
-    events.into_iter().map(|event| with(event, "by", &by)).collect()
+/// Returns the events in a response, each with the name of the process that recorded it.
+fn events_of(mut body: Value) -> Vec<Value> {
+    let recorded_by = cell(&body["name"]);
+    let Value::Array(events) = body["events"].take() else { return Vec::new() };
+    events.into_iter().map(|event| with_field(event, "by", &recorded_by)).collect()
 }
 
-fn with(mut object: Value, field: &str, value: &str) -> Value {
+fn with_field(mut object: Value, field: &str, value: &str) -> Value {
     if let Value::Object(fields) = &mut object {
         fields.insert(field.to_owned(), value.into());
     }
     object
 }
 
-/// What the status says of it at this moment.
-fn now(status: &Value, what: &str) -> Vec<String> {
+/// Describes the current state of the subject according to a status.
+fn current_state(status: &Value, what: &str) -> Vec<String> {
     let mut lines = Vec::new();
-    let all = |list: &str| status[list].as_array().cloned().unwrap_or_default();
+    let list = |key: &str| status[key].as_array().cloned().unwrap_or_default();
     if status["version"] == what {
         lines.push(format!("configuration {what} is in force"));
     }
-    for control_plane in all("control_planes").iter().filter(|control_plane| control_plane["address"] == what)
+    for control_plane in
+        list("control_planes").iter().filter(|control_plane| control_plane["address"] == what)
     {
         let leads = if status["leader"] == what { ", leads" } else { "" };
         lines.push(format!(
@@ -127,14 +136,18 @@
             cell(&control_plane["reached"])
         ));
     }
-    if all("data_planes").iter().any(|data_plane| data_plane == what) {
-        lines.push("data plane that counts".to_owned());
+    if list("data_planes").iter().any(|data_plane| data_plane == what) {
+        lines.push("data plane in the current fleet".to_owned());
     }
-    for line in all("lines").iter().filter(|line| line["name"] == what) {
-        let silent = line["silent_ms"].as_u64().unwrap_or_default();
-        lines.push(format!("connected as {}, last heard {} ago", cell(&line["plane"]), ago(silent)));
+    for connection in list("lines").iter().filter(|connection| connection["name"] == what) {
+        let silent_ms = connection["silent_ms"].as_u64().unwrap_or_default();
+        lines.push(format!(
+            "connected as {}, last message {} ago",
+            cell(&connection["plane"]),
+            duration(silent_ms)
+        ));
     }
-    for backend in all("backends").iter().filter(|backend| backend["id"] == what) {
+    for backend in list("backends").iter().filter(|backend| backend["id"] == what) {
         let overdue = if backend["overdue"] == true { ", overdue" } else { "" };
         lines.push(format!(
             "backend of {} at {}: {}{overdue}",
@@ -146,11 +159,13 @@
     lines
 }
 
-fn shown(what: &str, now: &[String], events: &[Value], requests: &[Value], unheard: usize) -> String {
+fn format_report(
+    what: &str, now: &[String], events: &[Value], requests: &[Value], unanswered: usize,
+) -> String {
     let mut text = String::new();
     now.iter().for_each(|line| text.push_str(&format!("now: {line}\n")));
     if !events.is_empty() {
-        let age = |event: &Value| ago(event["age_ms"].as_u64().unwrap_or_default());
+        let age = |event: &Value| duration(event["age_ms"].as_u64().unwrap_or_default());
         let row = |e: &Value| {
             vec![
                 age(e),
@@ -170,22 +185,24 @@
             "request {} at {}, {} ago: route {}, tenant {}, answered {} after {} ms: {}\n",
             cell(&request["id"]),
             cell(&request["by"]),
-            ago(request["age_ms"].as_u64().unwrap_or_default()),
+            duration(request["age_ms"].as_u64().unwrap_or_default()),
             cell(&request["route"]),
             cell(&request["tenant"]),
             cell(&request["status"]),
             cell(&request["took_ms"]),
             cell(&request["why"])
         ));
-        for tried in request["tries"].as_array().into_iter().flatten() {
-            text.push_str(&format!("  tried {}: {}\n", cell(&tried["backend"]), cell(&tried["outcome"])));
+        for attempt in request["tries"].as_array().into_iter().flatten() {
+            text.push_str(&format!("  tried {}: {}\n", cell(&attempt["backend"]), cell(&attempt["outcome"])));
         }
     }
     if text.is_empty() {
-        text.push_str(&format!("nothing is recorded of {what}: all went smoothly, or it is too long ago\n"));
+        text.push_str(&format!(
+            "nothing is recorded of {what}: no problem occurred, or the records have expired\n"
+        ));
     }
-    if unheard > 0 {
-        text.push_str(&format!("{unheard} processes gave no answer: this may not be all\n"));
+    if unanswered > 0 {
+        text.push_str(&format!("{unanswered} processes gave no answer: this may not be all\n"));
     }
     text
 }
@@ -195,7 +212,7 @@
     use super::*;
 
     #[test]
-    fn whom_to_ask_is_read_from_the_status_of_one() {
+    fn processes_to_query_come_from_one_status() {
         let status = json!({ "name": "a", "lines": [
             { "name": "b", "plane": "Control plane", "address": "10.0.0.2:7660" },
             { "name": "b", "plane": "Control plane", "address": "10.0.0.2:7660" },
@@ -203,18 +220,21 @@
             { "name": "b", "plane": "Data plane", "address": "10.0.0.2:8406" },
             { "name": "old", "plane": "Data plane", "address": "" },
         ]});
-        assert_eq!(masters_of(&status, "10.0.0.1:8407"), ["10.0.0.1:8407", "10.0.0.2:8407"]);
+        assert_eq!(control_sockets_of(&status, "10.0.0.1:8407"), ["10.0.0.1:8407", "10.0.0.2:8407"]);
         assert_eq!(data_planes_of(&status), BTreeMap::from([("b".into(), "10.0.0.2:8406".into())]));
-        assert_eq!((masters_of(&json!([]), "x"), data_planes_of(&json!(7)).len()), (vec!["x".to_owned()], 0));
+        assert_eq!(
+            (control_sockets_of(&json!([]), "x"), data_planes_of(&json!(7)).len()),
+            (vec!["x".to_owned()], 0)
+        );
     }
 
     #[test]
-    fn what_is_found_is_told_with_its_holes() {
+    fn report_counts_processes_without_response() {
         let request = json!({ "id": "7f", "by": "q", "age_ms": 1500, "route": "r", "tenant": null, "status": 503,
             "took_ms": 20, "why": "no room", "tries": [{ "backend": "i", "outcome": "full" }] });
-        let text = shown("7f", &[], &[], &[request], 2);
-        let told = "request 7f at q, 1.5 s ago: route r, tenant -, answered 503 after 20 ms: no room\n  tried i: full\n";
-        assert_eq!(text, format!("{told}2 processes gave no answer: this may not be all\n"));
-        assert!(shown("x", &[], &[], &[], 0).starts_with("nothing is recorded of x"));
+        let text = format_report("7f", &[], &[], &[request], 2);
+        let expected = "request 7f at q, 1.5 s ago: route r, tenant -, answered 503 after 20 ms: no room\n  tried i: full\n";
+        assert_eq!(text, format!("{expected}2 processes gave no answer: this may not be all\n"));
+        assert!(format_report("x", &[], &[], &[], 0).starts_with("nothing is recorded of x"));
     }
 }
--- a/crates/reachlb/src/operator/mod.rs
+++ b/crates/reachlb/src/operator/mod.rs
@@ -1,7 +1,11 @@
-//! What operators ask of a fleet and of a data folder.
+//! Operators' commands, which query or change a running fleet or read a data directory.
 //!
-//! Statuses: 0 it is as asked; 1 the answer was a refusal; 2 the arguments or a file can't be used; 3 what a process
-//! has written is damaged; 4 nobody answered.
+//! Exit statuses:
+//! - 0: success
+//! - 1: a process rejected the call
+//! - 2: invalid arguments or an unusable file
+//! - 3: the stored data is damaged
+//! - 4: no process responded, or the response was not valid JSON
 
 pub(crate) mod client;
 mod config;
@@ -21,88 +25,90 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Why there is nothing to show, at which step and with whom.
+/// Error of an operator's command.
 #[derive(Debug, Error, Diagnostic)]
 pub enum CommandError {
-    /// Someone says no.
-    #[error("{step}: {peer} refuses with {status}: {why}")]
-    Refused {
-        /// What was asked for.
+    /// A process rejected the call.
+    #[error("{step}: {peer} rejected the call with status {status}: {reason}")]
+    Rejected {
+        /// Failed step of the command.
         step: &'static str,
-        /// Of whom.
+        /// Address of the process.
         peer: String,
-        /// Status of the answer.
+        /// HTTP status of the response.
         status: u16,
-        /// What it says.
-        why: String,
+        /// Error message in the response.
+        reason: String,
     },
-    /// Arguments or a file.
-    #[error("{step} {what}: {why}")]
-    Unusable {
-        /// What was being done.
+    /// The arguments or a file cannot be used.
+    #[error("{step} {subject}: {reason}")]
+    InvalidInput {
+        /// Failed step of the command.
         step: &'static str,
-        /// With what.
-        what: String,
-        /// Why it can't be used.
-        why: String,
+        /// Argument or file.
+        subject: String,
+        /// Why the argument or file cannot be used.
+        reason: String,
     },
-    /// What a process has written is not there any more as it was.
-    #[error("{what}: {why}")]
-    #[diagnostic(help("end the process, move the file away and start it: it joins as a new voter"))]
+    /// A file that a process has written is damaged.
+    #[error("{path}: {reason}")]
+    #[diagnostic(help(
+        "stop the process, move the file away and start the process: it joins as a new voter"
+    ))]
     Damaged {
-        /// The file.
-        what: String,
-        /// What is wrong.
-        why: String,
+        /// Path of the file.
+        path: String,
+        /// Description of the damage.
+        reason: String,
     },
-    /// Nobody answers.
-    #[error("{step}: no answer from {peer}: {why}")]
+    /// No process responded, or the response was not valid JSON.
+    #[error("{step}: no response from {peer}: {reason}")]
     #[diagnostic(help(
-        "--at takes several addresses, separated by commas: the first one that answers is asked"
+        "--at accepts several addresses, separated by commas: the first that responds is used"
     ))]
-    Unanswered {
-        /// What was asked for.
+    NoResponse {
+        /// Failed step of the command.
         step: &'static str,
-        /// Of whom.
+        /// Addresses that were tried.
         peer: String,
-        /// What happened.
-        why: String,
+        /// Error of the last attempt.
+        reason: String,
     },
 }
 
 impl CommandError {
-    fn status(&self) -> u8 {
+    fn exit_status(&self) -> u8 {
         match self {
-            Self::Refused { .. } => 1,
-            Self::Unusable { .. } => crate::EXIT_INVALID_INPUT,
+            Self::Rejected { .. } => 1,
+            Self::InvalidInput { .. } => crate::EXIT_INVALID_INPUT,
             Self::Damaged { .. } => 3,
-            Self::Unanswered { .. } => 4,
+            Self::NoResponse { .. } => 4,
         }
     }
 }
 
-/// Runs a call that speaks with others.
-pub fn run(call: impl Future<Output = Result<String, CommandError>>) -> ExitCode {
+/// Runs a command that calls other processes and prints its result.
+pub fn run(command: impl Future<Output = Result<String, CommandError>>) -> ExitCode {
     match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(runtime) => print_result(runtime.block_on(call)),
+        Ok(runtime) => print_result(runtime.block_on(command)),
         Err(error) => {
-            eprintln!("start: {error}");
+            eprintln!("cannot start the runtime: {error}");
             ExitCode::from(crate::EXIT_INVALID_INPUT)
         }
     }
 }
 
-/// Prints what there is to show.
-pub fn print_result(call: Result<String, CommandError>) -> ExitCode {
-    match call {
+/// Prints the output or the error of a command and returns the exit status.
+pub fn print_result(result: Result<String, CommandError>) -> ExitCode {
+    match result {
         Ok(text) => {
             use std::io::Write;
-            // Whoever reads may have seen enough.
+            // A closed pipe is not an error: the reader may stop early.
             let _ = std::io::stdout().write_all(text.as_bytes());
             ExitCode::SUCCESS
         }
         Err(error) => {
-            let status = error.status();
+            let status = error.exit_status();
             eprintln!("{error}");
             if let Some(help) = error.help() {
                 eprintln!("help: {help}");
--- a/crates/reachlb/src/operator/state.rs
+++ b/crates/reachlb/src/operator/state.rs
@@ -1,4 +1,5 @@
-//! What lies in a data folder, read from a copy: neither a repair nor a fault of this program changes the original.
+//! The `state` command: shows or checks the log store in the data directory of a stopped process. The command reads a
+//! copy, so that neither a repair by the store nor a fault of this program changes the original file.
 
 use super::CommandError;
 use control_plane::{Change, DrainEntry, QuotaCheckpoint, SnapshotState};
@@ -9,7 +10,7 @@
 use std::fs::{File, TryLockError};
 use std::path::{Path, PathBuf};
 
-/// The arguments.
+/// Arguments of the `state` command.
 #[derive(Debug, Options)]
 pub struct StateCommand {
     /// print this help
@@ -20,9 +21,9 @@
 
 #[derive(Debug, Options)]
 enum Kind {
-    /// print what is in it
+    /// print the content of the log store
     Inspect(Folder),
-    /// say whether it can be used
+    /// check whether the log store is intact
     Verify(Folder),
 }
 
@@ -36,58 +37,63 @@
     folder: PathBuf,
 }
 
-/// Does what is asked.
-pub fn state(calls: StateCommand) -> Result<String, CommandError> {
-    let (folder, all) = match calls.call {
+/// Runs the `state` command.
+pub fn state(command: StateCommand) -> Result<String, CommandError> {
+    let (folder, with_content) = match command.call {
         Some(Kind::Inspect(folder)) => (folder, true),
         Some(Kind::Verify(folder)) => (folder, false),
         None => {
-            let why = "one of inspect, verify is wanted".into();
-            return Err(CommandError::Unusable { step: "read", what: "arguments".into(), why });
+            let reason = "expected one of the subcommands inspect, verify".into();
+            return Err(CommandError::InvalidInput { step: "read", subject: "arguments".into(), reason });
         }
     };
     let path = folder.folder.join("log.redb");
-    let told = read(&path)?.map(|saved| described(&saved, &path)).transpose()?;
+    let content = read_store(&path)?.map(|saved| describe(&saved, &path)).transpose()?;
     let name = path.display();
-    Ok(match (folder.json, told) {
-        (true, told) => {
-            json!({ "file": path, "whole": true, "state": told.filter(|_| all) }).to_string() + "\n"
+    Ok(match (folder.json, content) {
+        (true, content) => {
+            json!({ "file": path, "whole": true, "state": content.filter(|_| with_content) }).to_string()
+                + "\n"
         }
-        (false, None) => format!("{name}: whole, and empty: no voter was ever named in it\n"),
-        (false, Some(_)) if !all => format!("{name}: whole\n"),
-        (false, Some(told)) => shown(&told),
+        (false, None) => format!("{name}: whole, and empty: no voter identity has been stored\n"),
+        (false, Some(_)) if !with_content => format!("{name}: whole\n"),
+        (false, Some(content)) => format_content(&content),
     })
 }
 
-fn read(path: &Path) -> Result<Option<PersistentState>, CommandError> {
-    let unusable = |step: &'static str, why: String| CommandError::Unusable {
+fn read_store(path: &Path) -> Result<Option<PersistentState>, CommandError> {
+    let unusable = |step: &'static str, reason: String| CommandError::InvalidInput {
         step,
-        what: path.display().to_string(),
-        why,
+        subject: path.display().to_string(),
+        reason,
     };
     let mut original = File::open(path).map_err(|error| unusable("open", error.to_string()))?;
-    // Held while it is copied: a process that runs holds it alone.
+    // The shared lock is held during the copy. A running process holds the lock exclusively.
     original.try_lock_shared().map_err(|error| match error {
-        TryLockError::WouldBlock => unusable("open", "a process uses it: ask that one for its status".into()),
+        TryLockError::WouldBlock => unusable(
+            "open",
+            "a running process uses the file: query the status of that process instead".into(),
+        ),
         TryLockError::Error(error) => unusable("lock", error.to_string()),
     })?;
-    let folder = tempfile::tempdir().map_err(|error| unusable("copy", error.to_string()))?;
-    let copy = folder.path().join("log.redb");
-    let mut to = File::create(&copy).map_err(|error| unusable("copy", error.to_string()))?;
-    std::io::copy(&mut original, &mut to).map_err(|error| unusable("copy", error.to_string()))?;
-    drop(to);
-    match Store::open(&copy) {
+    let temporary_directory = tempfile::tempdir().map_err(|error| unusable("copy", error.to_string()))?;
+    let copy_path = temporary_directory.path().join("log.redb");
+    let mut copy = File::create(&copy_path).map_err(|error| unusable("copy", error.to_string()))?;
+    std::io::copy(&mut original, &mut copy).map_err(|error| unusable("copy", error.to_string()))?;
+    drop(copy);
+    match Store::open(&copy_path) {
         Ok((_, saved)) => Ok(saved),
         Err(StoreError::Damaged { reason, .. }) => Err(damaged(path, reason)),
         Err(error) => Err(unusable("read", error.to_string())),
     }
 }
 
-fn damaged(path: &Path, why: String) -> CommandError {
-    CommandError::Damaged { what: path.display().to_string(), why }
+fn damaged(path: &Path, reason: String) -> CommandError {
+    CommandError::Damaged { path: path.display().to_string(), reason }
 }
 
-fn described(saved: &PersistentState, path: &Path) -> Result<Value, CommandError> {
+/// Converts the stored state into JSON. Fails when a part of the state cannot be decoded.
+fn describe(saved: &PersistentState, path: &Path) -> Result<Value, CommandError> {
     let snapshot = match &saved.snapshot {
         Some(snapshot) => {
             let state = SnapshotState::restore(&snapshot.state)
@@ -100,21 +106,26 @@
     };
     let entry = |entry: &Entry| -> Result<Value, CommandError> {
         let what = match &entry.payload {
-            Payload::Noop => "the first of a leader".to_owned(),
+            Payload::Noop => "no-op entry of a new leader".to_owned(),
             Payload::Members(list) => {
                 let list: Vec<_> = list.iter().map(ToString::to_string).collect();
                 format!("voters {}", list.join(" "))
             }
-            Payload::Change(change) if let Some(marks) = QuotaCheckpoint::decode(change) => {
-                let marks = marks
-                    .map_err(|error| damaged(path, format!("the marks in entry {}: {error}", entry.index)))?;
-                format!("marks: {} floors of counts, {} data planes", marks.floors.len(), marks.fleet_size)
+            Payload::Change(change) if let Some(checkpoint) = QuotaCheckpoint::decode(change) => {
+                let checkpoint = checkpoint.map_err(|error| {
+                    damaged(path, format!("the quota checkpoint in entry {}: {error}", entry.index))
+                })?;
+                format!(
+                    "quota checkpoint: {} floors, {} data planes",
+                    checkpoint.floors.len(),
+                    checkpoint.fleet_size
+                )
             }
             Payload::Change(change) if let Some(drains) = DrainEntry::decode(change) => {
                 let drains = drains.map_err(|error| {
                     damaged(path, format!("the drains in entry {}: {error}", entry.index))
                 })?;
-                format!("backends that leave: {}", drains.ids.join(" "))
+                format!("draining backends: {}", drains.ids.join(" "))
             }
             Payload::Change(change) => {
                 let change = Change::decode(change).map_err(|error| {
@@ -126,30 +137,30 @@
         Ok(json!({ "index": entry.index, "term": entry.term, "what": what }))
     };
     let entries = saved.entries.iter().map(entry).collect::<Result<Vec<_>, _>>()?;
-    let newest = saved.entries.iter().rev().find_map(|entry| match &entry.payload {
+    let latest_members = saved.entries.iter().rev().find_map(|entry| match &entry.payload {
         Payload::Members(list) => Some(list),
         _ => None,
     });
-    let members = newest.or(saved.snapshot.as_ref().map(|s| &s.members)).unwrap_or(&saved.founders);
-    let all = |list: &[raft::VoterId]| list.iter().map(ToString::to_string).collect::<Vec<_>>();
+    let members = latest_members.or(saved.snapshot.as_ref().map(|s| &s.members)).unwrap_or(&saved.founders);
+    let names = |list: &[raft::VoterId]| list.iter().map(ToString::to_string).collect::<Vec<_>>();
     Ok(
         json!({ "me": saved.me.to_string(), "term": saved.term, "vote": saved.vote.as_ref().map(ToString::to_string),
-        "founders": all(&saved.founders), "members": all(members), "snapshot": snapshot, "entries": entries }),
+        "founders": names(&saved.founders), "members": names(members), "snapshot": snapshot, "entries": entries }),
     )
 }
 
-fn shown(told: &Value) -> String {
-    use super::table::{cell, of};
+fn format_content(content: &Value) -> String {
+    use super::table::{cell, table_of};
     let list = |list: &Value| list.as_array().into_iter().flatten().map(cell).collect::<Vec<_>>().join(" ");
     let mut text = format!(
         "voter     {}\nterm      {}\nvote      {}\nmembers   {}\nfounders  {}\n",
-        cell(&told["me"]),
-        cell(&told["term"]),
-        cell(&told["vote"]),
-        list(&told["members"]),
-        list(&told["founders"])
+        cell(&content["me"]),
+        cell(&content["term"]),
+        cell(&content["vote"]),
+        list(&content["members"]),
+        list(&content["founders"])
     );
-    let snapshot = &told["snapshot"];
+    let snapshot = &content["snapshot"];
     if snapshot.is_null() {
         text.push_str("snapshot  none\n");
     } else {
@@ -162,7 +173,7 @@
         ));
     }
     text.push('\n');
-    text + &of(&told["entries"], &["index", "term", "what"])
+    text + &table_of(&content["entries"], &["index", "term", "what"])
 }
 
 #[cfg(test)]
@@ -170,55 +181,55 @@
     use super::*;
     use raft::{Save, Snapshot, VoterId};
 
-    fn called(folder: &Path, kind: fn(Folder) -> Kind) -> Result<String, u8> {
+    fn run(folder: &Path, kind: fn(Folder) -> Kind) -> Result<String, u8> {
         let folder = Folder { help: false, json: false, folder: folder.to_path_buf() };
-        state(StateCommand { help: false, call: Some(kind(folder)) }).map_err(|error| error.status())
+        state(StateCommand { help: false, call: Some(kind(folder)) }).map_err(|error| error.exit_status())
     }
 
-    fn filled() -> (tempfile::TempDir, PathBuf) {
-        let folder = tempfile::tempdir().expect("a folder");
+    fn directory_with_store() -> (tempfile::TempDir, PathBuf) {
+        let folder = tempfile::tempdir().expect("cannot create the directory");
         let path = folder.path().join("log.redb");
-        let (store, _) = Store::open(&path).expect("a store");
+        let (store, _) = Store::open(&path).expect("cannot create the store");
         let me = VoterId { address: "10.0.0.1:7".into(), incarnation: 0 };
-        store.create(me.clone(), vec![me.clone()]).expect("created");
-        // What the version before this one wrote: a number, a body, digests.
+        store.create(me.clone(), vec![me.clone()]).expect("cannot store the voter identity");
+        // Snapshot state in the format of the previous program version: version number, body, digests.
         let state =
             bitcode::encode(&(5u64, b"body".to_vec(), std::collections::BTreeMap::<u64, [u8; 32]>::new()));
         let change = Change { base: 5, version: 6, digest: [6; 32], body: b"marked body".to_vec() };
         let snapshot = Snapshot { index: 2, term: 3, members: vec![me], state };
-        let what = Payload::Change(bitcode::encode(&change));
-        let entries = vec![Entry { index: 3, term: 3, payload: what }];
+        let payload = Payload::Change(bitcode::encode(&change));
+        let entries = vec![Entry { index: 3, term: 3, payload }];
         let save = Save { ticket: 1, term: 3, vote: None, truncate: None, entries, snapshot: Some(snapshot) };
-        store.save(&save).expect("saved");
+        store.save(&save).expect("cannot save");
         (folder, path)
     }
 
     #[test]
-    fn what_lies_there_is_shown_and_stays_as_it_is() {
-        let (folder, path) = filled();
-        let before = std::fs::read(&path).expect("the file");
-        let text = called(folder.path(), Kind::Inspect).expect("it is whole");
+    fn inspect_prints_the_content_and_leaves_the_file_unchanged() {
+        let (folder, path) = directory_with_store();
+        let before = std::fs::read(&path).expect("cannot read the file");
+        let text = run(folder.path(), Kind::Inspect).expect("the store counts as damaged");
         for part in ["10.0.0.1:7#0", "entry 2 of term 3: configuration r5", "change r6 on r5, 11 bytes"] {
-            assert!(text.contains(part), "{part} in {text}");
+            assert!(text.contains(part), "{part} is missing in {text}");
         }
-        assert!(std::fs::read(&path).expect("the file") == before);
+        assert!(std::fs::read(&path).expect("cannot read the file") == before);
     }
 
     #[test]
-    fn statuses_tell_damage_from_what_can_t_be_used() {
-        let (folder, path) = filled();
-        assert!(called(folder.path(), Kind::Verify).is_ok());
-        let held = Store::open(&path).expect("a process that runs");
-        assert_eq!(called(folder.path(), Kind::Verify), Err(2), "in use");
-        drop(held);
-        let mut bytes = std::fs::read(&path).expect("the file");
-        let places: Vec<_> =
-            bytes.windows(6).enumerate().filter(|(_, w)| w == b"marked").map(|(at, _)| at).collect();
-        places.into_iter().for_each(|at| bytes[at] ^= 1);
-        std::fs::write(&path, &bytes).expect("written");
-        assert_eq!(called(folder.path(), Kind::Verify), Err(3), "a flipped bit");
-        std::fs::write(&path, [7; 5000]).expect("written");
-        assert_eq!(called(folder.path(), Kind::Verify), Err(3), "something else");
-        assert_eq!(called(&folder.path().join("none"), Kind::Verify), Err(2));
+    fn exit_statuses_distinguish_damaged_files_from_unusable_files() {
+        let (folder, path) = directory_with_store();
+        assert!(run(folder.path(), Kind::Verify).is_ok());
+        let open_store = Store::open(&path).expect("cannot open the store");
+        assert_eq!(run(folder.path(), Kind::Verify), Err(2), "file in use");
+        drop(open_store);
+        let mut bytes = std::fs::read(&path).expect("cannot read the file");
+        let offsets: Vec<_> =
+            bytes.windows(6).enumerate().filter(|(_, w)| w == b"marked").map(|(offset, _)| offset).collect();
+        offsets.into_iter().for_each(|offset| bytes[offset] ^= 1);
+        std::fs::write(&path, &bytes).expect("cannot write the file");
+        assert_eq!(run(folder.path(), Kind::Verify), Err(3), "flipped bit");
+        std::fs::write(&path, [7; 5000]).expect("cannot write the file");
+        assert_eq!(run(folder.path(), Kind::Verify), Err(3), "not a store");
+        assert_eq!(run(&folder.path().join("none"), Kind::Verify), Err(2));
     }
 }
--- a/crates/reachlb/src/operator/status.rs
+++ b/crates/reachlb/src/operator/status.rs
@@ -1,85 +1,92 @@
-//! How a fleet stands, as one of its processes knows it.
+//! The `status` command: shows the state of the fleet as one of its control planes knows it.
 
-use super::table::{ago, cell, of};
+use super::table::{cell, duration, table_of};
 use super::{CommandError, client};
 use gumdrop::Options;
 use serde_json::Value;
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// The arguments.
+/// Arguments of the `status` command.
 #[derive(Debug, Options)]
 pub struct Status {
     /// print this help
     help: bool,
-    /// control sockets, separated by commas; the first one that answers is asked
+    /// control socket addresses, separated by commas; the first that responds is used
     #[options(required, meta = "CONTROL")]
     at: String,
     /// print the answer as it is
     json: bool,
 }
 
-/// Asks and shows.
+/// Runs the `status` command.
 pub async fn status(call: Status) -> Result<String, CommandError> {
-    let answer = client::get(&call.at, "status", "/Harbour.Status").await?;
+    let response = client::get(&call.at, "status", "/Harbour.Status").await?;
     if call.json {
-        let answer = answer.granted("status")?;
-        return Ok(String::from_utf8_lossy(&answer.body).into_owned() + "\n");
+        let response = response.success("status")?;
+        return Ok(String::from_utf8_lossy(&response.body).into_owned() + "\n");
     }
-    let asked = answer.peer.clone();
-    let status = answer.json("status")?;
-    let standing = standing(&status, &asked).await;
-    Ok(shown(&status, &standing))
+    let control = response.peer.clone();
+    let status = response.json("status")?;
+    let fault_tolerance = fault_tolerance(&status, &control).await;
+    Ok(format_status(&status, &fault_tolerance))
 }
 
-/// What the list of voters bears: only its leader knows. All machines have the same ports, so that its control socket is
-/// at the port that was asked.
-async fn standing(status: &Value, asked: &str) -> Value {
+/// Returns the fault tolerance of the voter list, or `null` when unknown. Only the leader reports it, so the function
+/// queries the leader if `status` comes from another process. All machines use the same control port, so the leader's
+/// control socket has the port of `queried_control`.
+async fn fault_tolerance(status: &Value, queried_control: &str) -> Value {
     let own = &status["log"]["standing"];
     let leader = status["leader"].as_str().and_then(|leader| leader.parse::<SocketAddr>().ok());
-    let port = asked.rsplit_once(':').and_then(|(_, port)| port.parse::<u16>().ok());
+    let port = queried_control.rsplit_once(':').and_then(|(_, port)| port.parse::<u16>().ok());
     let (true, Some((leader, port))) = (own.is_null(), leader.zip(port)) else { return own.clone() };
     let control = SocketAddr::new(leader.ip(), port).to_string();
-    let answer = client::get(&control, "status", "/Harbour.Status").await;
-    let status = answer.and_then(|answer| answer.json("status"));
+    let response = client::get(&control, "status", "/Harbour.Status").await;
+    let status = response.and_then(|response| response.json("status"));
     status.map_or(Value::Null, |status| status["log"]["standing"].clone())
 }
 
-/// A line on what may be lost from now on, and who is about to join or is not heard.
-fn borne(standing: &Value) -> String {
-    if standing.is_null() {
-        return "voters: what may be lost is not known, no leader says\n".into();
+/// Formats a line on the losses that the voter list still tolerates, silent voters and joining learners.
+fn format_fault_tolerance(fault_tolerance: &Value) -> String {
+    if fault_tolerance.is_null() {
+        return "voters: tolerated losses are not known, no leader reports them\n".into();
     }
-    let (borne, wanted) = (&standing["further_losses"], &standing["tolerated"]);
-    let figures = ["machines", "zones", "regions"]
-        .map(|of| format!("{} {of} (wanted {})", cell(&borne[of]), cell(&wanted[of])))
+    let (remaining, configured) = (&fault_tolerance["further_losses"], &fault_tolerance["tolerated"]);
+    let losses = ["machines", "zones", "regions"]
+        .map(|unit| format!("{} {unit} (wanted {})", cell(&remaining[unit]), cell(&configured[unit])))
         .join(", ");
     let mut text = format!(
-        "voters: {} of {} count; may be lost now: {figures}",
-        cell(&standing["counted"]),
-        cell(&standing["voters"])
+        "voters: {} of {} count; may be lost now: {losses}",
+        cell(&fault_tolerance["counted"]),
+        cell(&fault_tolerance["voters"])
     );
-    let names = |list: &Value, pick: fn(&Value) -> String| {
-        list.as_array().into_iter().flatten().map(pick).collect::<Vec<_>>().join(" ")
+    let names = |list: &Value, name: fn(&Value) -> String| {
+        list.as_array().into_iter().flatten().map(name).collect::<Vec<_>>().join(" ")
     };
-    let unheard = names(&standing["unheard"], cell);
-    if !unheard.is_empty() {
-        text += &format!("; not heard: {unheard}");
+    let silent_voters = names(&fault_tolerance["unheard"], cell);
+    if !silent_voters.is_empty() {
+        text += &format!("; not heard: {silent_voters}");
     }
-    let learners = names(&standing["learners"], |learner| cell(&learner["address"]));
+    let learners = names(&fault_tolerance["learners"], |learner| cell(&learner["address"]));
     if !learners.is_empty() {
         text += &format!("; joining: {learners}");
     }
     text + "\n"
 }
 
-fn shown(status: &Value, standing: &Value) -> String {
+fn format_status(status: &Value, fault_tolerance: &Value) -> String {
     let mut text = String::new();
-    let up = status["up_ms"].as_u64().unwrap_or_default();
-    let behind =
-        if status["fresh"] == true { "" } else { "; perhaps behind: no word of the leader just now" };
-    // A string takes everything.
-    let _ = writeln!(text, "{} in {}, up {}{behind}", cell(&status["name"]), cell(&status["zone"]), ago(up));
+    let uptime_ms = status["up_ms"].as_u64().unwrap_or_default();
+    let stale =
+        if status["fresh"] == true { "" } else { "; possibly stale: no recent contact with the leader" };
+    // Writing to a string cannot fail.
+    let _ = writeln!(
+        text,
+        "{} in {}, up {}{stale}",
+        cell(&status["name"]),
+        cell(&status["zone"]),
+        duration(uptime_ms)
+    );
     let _ = writeln!(
         text,
         "leader {}, epoch {}, configuration {}",
@@ -89,7 +96,7 @@
     );
     let log = &status["log"];
     if log.is_null() {
-        text.push_str("no log here: this process has no disk that counts\n");
+        text.push_str("no log: this process does not take part in the quorum\n");
     } else {
         let members = log["members"].as_array().into_iter().flatten();
         let members: Vec<_> = members.map(|member| cell(&member["address"])).collect();
@@ -103,19 +110,22 @@
             members.join(" ")
         );
     }
-    text.push_str(&borne(standing));
+    text.push_str(&format_fault_tolerance(fault_tolerance));
     let data_planes = status["data_planes"].as_array().map_or(0, Vec::len);
     let names: Vec<_> = status["data_planes"].as_array().into_iter().flatten().map(cell).collect();
     let _ = writeln!(text, "data planes: {data_planes}: {}", names.join(" "));
     let watch = &status["watch"];
     if !watch.is_null() {
-        let isolated =
-            if watch["isolated"] == true { "; isolated: it hears nobody, and judges nobody" } else { "" };
+        let isolated = if watch["isolated"] == true {
+            "; isolated: no contact with other processes, failure detection is suspended"
+        } else {
+            ""
+        };
         let _ = writeln!(text, "watch: {} processes are here{isolated}", cell(&watch["here"]));
     }
     let mut section = |name: &str, list: &Value, fields: &[&str]| {
         if list.as_array().is_some_and(|list| !list.is_empty()) {
-            let _ = write!(text, "\n{name}\n{}", of(list, fields));
+            let _ = write!(text, "\n{name}\n{}", table_of(list, fields));
         }
     };
     section("control_planes", &status["control_planes"], &["address", "zone", "reached"]);
@@ -140,14 +150,14 @@
     use serde_json::json;
 
     #[test]
-    fn what_may_be_lost_stands_beside_what_is_wanted() {
-        let figures = |machines: u32| json!({ "machines": machines, "zones": 0, "regions": 0 });
-        let standing = json!({ "voters": 4, "counted": 3, "unheard": ["10.0.0.3:7"],
+    fn remaining_losses_are_shown_with_the_configured_losses() {
+        let losses = |machines: u32| json!({ "machines": machines, "zones": 0, "regions": 0 });
+        let fault_tolerance = json!({ "voters": 4, "counted": 3, "unheard": ["10.0.0.3:7"],
             "learners": [{ "address": "10.0.0.5:7", "caught_up": false }],
-            "further_losses": figures(0), "tolerated": figures(1) });
-        let told = "voters: 3 of 4 count; may be lost now: 0 machines (wanted 1), 0 zones (wanted 0), \
+            "further_losses": losses(0), "tolerated": losses(1) });
+        let expected = "voters: 3 of 4 count; may be lost now: 0 machines (wanted 1), 0 zones (wanted 0), \
             0 regions (wanted 0); not heard: 10.0.0.3:7; joining: 10.0.0.5:7\n";
-        assert_eq!(borne(&standing), told);
-        assert!(borne(&Value::Null).contains("not known"));
+        assert_eq!(format_fault_tolerance(&fault_tolerance), expected);
+        assert!(format_fault_tolerance(&Value::Null).contains("not known"));
     }
 }
--- a/crates/reachlb/src/operator/voter.rs
+++ b/crates/reachlb/src/operator/voter.rs
@@ -1,4 +1,4 @@
-//! The list of voters, changed by hand.
+//! The `voter` command: changes the voter list by hand.
 
 use super::{CommandError, client};
 use bytes::Bytes;
@@ -8,12 +8,13 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// A list that a majority does not have by then is left to the operator: a repeat of the call does no harm.
-const WITHIN: Duration = Duration::from_secs(5);
-/// A change of the list takes a round between voters, and a write on each.
-const AGAIN: Duration = Duration::from_millis(100);
+/// Time limit for a change of the voter list to be committed. After a timeout, the operator can safely repeat the
+/// command.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval between polls. A change of the voter list takes a round trip between the voters and a disk write on each.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The arguments.
+/// Arguments of the `voter` command.
 #[derive(Debug, Options)]
 pub struct VoterCommand {
     /// print this help
@@ -24,7 +25,7 @@
 
 #[derive(Debug, Options)]
 enum Kind {
-    /// take a voter that is gone for good off the list, by its address
+    /// remove the voter with this address, which is permanently gone, from the voter list
     Remove(Remove),
 }
 
@@ -32,7 +33,7 @@
 struct Remove {
     /// print this help
     help: bool,
-    /// control sockets, separated by commas; the first one that answers is asked
+    /// control socket addresses, separated by commas; the first that responds is used
     #[options(required, meta = "CONTROL")]
     at: String,
     /// print the answer as JSON
@@ -41,13 +42,13 @@
     address: String,
 }
 
-/// Does what is asked.
-pub async fn voter(calls: VoterCommand) -> Result<String, CommandError> {
-    match calls.call {
+/// Runs the `voter` command.
+pub async fn voter(command: VoterCommand) -> Result<String, CommandError> {
+    match command.call {
         Some(Kind::Remove(call)) => remove(call).await,
         None => {
-            let why = "remove is wanted".into();
-            Err(CommandError::Unusable { step: "read", what: "arguments".into(), why })
+            let reason = "expected the subcommand remove".into();
+            Err(CommandError::InvalidInput { step: "read", subject: "arguments".into(), reason })
         }
     }
 }
@@ -55,24 +56,24 @@
 async fn remove(call: Remove) -> Result<String, CommandError> {
     let step = "remove";
     let path = format!("/Voters.Remove/{}", call.address);
-    let begun = Instant::now();
-    let mut asked = false;
+    let started = Instant::now();
+    let mut accepted = false;
     loop {
-        let answer = client::call(&call.at, step, Method::POST, &path, None, Bytes::new()).await?;
-        match answer.status {
-            // It was one when it was asked first.
-            404 if asked => {
-                let text = format!("{} is no voter any more\n", call.address);
+        let response = client::call(&call.at, step, Method::POST, &path, None, Bytes::new()).await?;
+        match response.status {
+            // The address was a voter when the leader accepted the removal, so the removal is committed.
+            404 if accepted => {
+                let text = format!("{} is no longer a voter\n", call.address);
                 return Ok(if call.json {
                     json!({ "removed": call.address }).to_string() + "\n"
                 } else {
                     text
                 });
             }
-            // The leader has changed, or is about to.
-            202 | 503 if begun.elapsed() < WITHIN => asked |= answer.status == 202,
-            _ => return Err(answer.refused(step)),
+            // 202: the removal is in progress. 503: there is no leader, or the leader is changing.
+            202 | 503 if started.elapsed() < COMMIT_TIMEOUT => accepted |= response.status == 202,
+            _ => return Err(response.into_error(step)),
         }
-        sleep(AGAIN).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/reachlb/src/run_control_plane.rs
+++ b/crates/reachlb/src/run_control_plane.rs
@@ -1,4 +1,4 @@
-//! The program that serves control.
+//! Control plane program.
 
 use crate::start;
 use config::Settings;
@@ -15,64 +15,64 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-/// So many commands wait for the owner of the tables.
-const COMMANDS: usize = 1024;
-/// The silence of a voter that is gone takes one of so many parts of the time that its successor has to catch up.
+/// Capacity of the command channel of the control plane's event loop.
+const COMMAND_QUEUE_LENGTH: usize = 1024;
+/// A silent voter is removed after the catch-up bound divided by this number.
 const CATCH_UP_PARTS: u64 = 3;
-/// ... and at least so many elections: shorter silences are lost messages.
-const LEAST_SILENT_ELECTIONS: u64 = 4;
-/// A process that is to end waits at most this long for its successor as leader, and for the answers to its calls.
-const END_WAIT: Duration = Duration::from_millis(800);
-/// The last answers are written to their sockets meanwhile.
-const ANSWERS_LEAVE: Duration = Duration::from_millis(50);
-/// Descriptors kept for files, listeners and other processes.
-const KEPT: usize = 400;
+/// Minimum silence before a voter is removed, in election timeouts. Lost messages explain shorter silences.
+const MIN_SILENT_ELECTIONS: u64 = 4;
+/// Maximum time for which a process that shuts down waits for the handover of leadership and for open calls.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(800);
+/// Delay before the exit in which the last responses are written to their sockets.
+const RESPONSE_FLUSH_DELAY: Duration = Duration::from_millis(50);
+/// File descriptors reserved for files, listeners and connections to other processes.
+const RESERVED_DESCRIPTORS: usize = 400;
 
-/// Runs until the platform ends it.
+/// Runs a control plane until the process receives SIGTERM.
 ///
 /// # Errors
-/// When settings lack something, or a socket or the disk can't be had.
+/// Returns an error when a required setting is missing, or a socket or the log store cannot be opened.
 pub async fn run(settings: Settings, path: PathBuf) -> Result<()> {
-    let life = start::draw();
+    let instance = start::random_id();
     let address = SocketAddr::new(settings.ip, start::peer_port(&settings));
     let control = settings.control.ok_or_else(|| miette!("settings: bind.control is missing"))?;
     let control = start::listen("control", control)?;
     let peers = start::listen("other processes", address)?;
-    let (commands, queue) = mpsc::channel(COMMANDS);
-    let folder = settings.data_path.clone().filter(|_| settings.in_quorum);
-    let log = match &folder {
-        Some(folder) => {
-            // Who was here at the first start is among the founders with all seeds that are; who comes to an empty
-            // disk later is somebody else than the one whose disk it was.
+    let (commands, queue) = mpsc::channel(COMMAND_QUEUE_LENGTH);
+    let directory = settings.data_path.clone().filter(|_| settings.in_quorum);
+    let log = match &directory {
+        Some(directory) => {
+            // At the first start of the fleet, each seed is a founding voter, with incarnation 0. A process that starts
+            // on an empty disk later has lost its votes, so it joins as another voter, with a random incarnation.
             let seeds: Vec<_> = start::seeds(&settings).iter().map(SocketAddr::to_string).collect();
-            let founder = settings.bootstrap && seeds.contains(&address.to_string());
-            let empty = !folder.join(Disk::FILE).exists();
-            let lost = founder && empty && crate::founder::lost_its_disk(&settings).await;
-            if lost {
-                spdlog::warn!("the folder is empty and the system is past its first start: joins as another voter",
+            let is_founder = settings.bootstrap && seeds.contains(&address.to_string());
+            let empty = !directory.join(Disk::FILE).exists();
+            let lost_disk = is_founder && empty && crate::founder::lost_its_disk(&settings).await;
+            if lost_disk {
+                spdlog::warn!("the data directory is empty after the first start of the fleet: joining as a new voter",
                     kv: { step = "start" });
             }
-            let newcomer = |damaged: bool| {
-                let at_birth = founder && !damaged && !lost;
-                let incarnation = if at_birth { 0 } else { start::draw() | 1 };
+            let new_voter = |damaged: bool| {
+                let first_start = is_founder && !damaged && !lost_disk;
+                let incarnation = if first_start { 0 } else { start::random_id() | 1 };
                 let founders = seeds.iter().map(|a| VoterId { address: a.clone(), incarnation: 0 });
-                let founders = if at_birth { founders.collect() } else { Vec::new() };
+                let founders = if first_start { founders.collect() } else { Vec::new() };
                 (VoterId { address: address.to_string(), incarnation }, founders)
             };
-            Some(Disk::open(folder, newcomer, commands.clone())?)
+            Some(Disk::open(directory, new_voter, commands.clone())?)
         }
         None => None,
     };
     let me = Hello {
         name: settings.node_name.to_string(),
-        life,
+        life: instance,
         plane: Plane::ControlPlane,
         address: address.to_string(),
         zone: settings.zone.to_string(),
         quorum: log.is_some(),
         incarnation: log.as_ref().map(|(_, saved)| saved.me.incarnation),
     };
-    let control_plane = ControlPlaneSettings {
+    let control_plane_settings = ControlPlaneSettings {
         me,
         address,
         seeds: start::seeds(&settings),
@@ -85,55 +85,56 @@
         tolerance: tolerance(&settings),
         retire_after_ms: retire_after(&settings),
         max_lease_requests_per_holder: settings.tuning.draws_a_holder,
-        seed: life,
+        seed: instance,
         detours: settings.tuning.ways.clone(),
     };
-    let numbers = Rc::new(Cell::new(0));
-    let numbers: Rc<dyn Fn() -> u64> = Rc::new(move || {
-        numbers.set(numbers.get() + 1);
-        numbers.get()
+    let last_id = Rc::new(Cell::new(0));
+    let next_id: Rc<dyn Fn() -> u64> = Rc::new(move || {
+        last_id.set(last_id.get() + 1);
+        last_id.get()
     });
-    spdlog::info!("serves control", kv: { step = "start", life, quorum = folder.is_some() });
-    let neighbor_watch = start::watch(&settings, false, life)?;
-    let control_plane = ControlPlane::new(control_plane, log, commands.clone(), numbers.clone())
+    spdlog::info!("serves control", kv: { step = "start", life = instance, quorum = directory.is_some() });
+    let neighbor_watch = start::neighbor_watch(&settings, false, instance)?;
+    let control_plane = ControlPlane::new(control_plane_settings, log, commands.clone(), next_id.clone())
         .with_neighbor_watch(neighbor_watch.clone());
-    tokio::task::spawn_local(control_plane::listen(peers, commands.clone(), move || numbers()));
-    let callers = (settings.max_fds as usize).saturating_sub(KEPT).clamp(64, 4096);
-    tokio::task::spawn_local(control_plane::serve(control, commands.clone(), callers));
+    tokio::task::spawn_local(control_plane::listen(peers, commands.clone(), move || next_id()));
+    let max_callers = (settings.max_fds as usize).saturating_sub(RESERVED_DESCRIPTORS).clamp(64, 4096);
+    tokio::task::spawn_local(control_plane::serve(control, commands.clone(), max_callers));
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| miette!("signals: {e}"))?;
-    let mut end = signal(SignalKind::terminate()).map_err(|e| miette!("signals: {e}"))?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(|e| miette!("signals: {e}"))?;
     tokio::task::spawn_local(control_plane.run(queue));
     loop {
         tokio::select! {
-            _ = end.recv() => {
+            _ = terminate.recv() => {
                 if let Some(neighbor_watch) = &neighbor_watch {
                     neighbor_watch.leave();
                 }
-                end_in_order(&commands).await;
+                shut_down(&commands).await;
                 return Ok(());
             }
             _ = hangup.recv() => match Settings::read(&path) {
                 Ok(settings) => {
                     if let Some(neighbor_watch) = &neighbor_watch {
-                        neighbor_watch.seeds(&start::watch_seeds(&settings));
+                        neighbor_watch.seeds(&start::neighbor_watch_seeds(&settings));
                     }
                     let seeds = start::seeds(&settings);
                     let _ = commands.send(Command::Seeds(seeds)).await;
                 }
-                Err(fault) => spdlog::error!("settings not taken: {}", fault, kv: { step = "hangup" }),
+                Err(fault) => spdlog::error!("settings not reloaded: {}", fault, kv: { step = "hangup" }),
             }
         }
     }
 }
 
-/// Waits until another process leads and no call waits here any more, for as long as that may take.
-async fn end_in_order(commands: &mpsc::Sender<Command>) {
-    let (ending, ended) = oneshot::channel();
-    let in_order = async { commands.send(Command::Shutdown(ending)).await.is_ok() && ended.await.is_ok() };
-    if !timeout(END_WAIT, in_order).await.unwrap_or(false) {
-        spdlog::warn!("the lead was not handed over, this voter is still on the list, or calls still wait", kv: { step = "end" });
+/// Shuts down gracefully: waits until another process leads, this voter has left a voter list of even size, and no call
+/// is pending. Waits for at most [`SHUTDOWN_TIMEOUT`].
+async fn shut_down(commands: &mpsc::Sender<Command>) {
+    let (done, completion) = oneshot::channel();
+    let shutdown = async { commands.send(Command::Shutdown(done)).await.is_ok() && completion.await.is_ok() };
+    if !timeout(SHUTDOWN_TIMEOUT, shutdown).await.unwrap_or(false) {
+        spdlog::warn!("shutdown timed out: still leader, still on the voter list, or calls still pending", kv: { step = "end" });
     }
-    sleep(ANSWERS_LEAVE).await;
+    sleep(RESPONSE_FLUSH_DELAY).await;
 }
 
 fn tolerance(settings: &Settings) -> Tolerance {
@@ -147,11 +148,12 @@
     Tolerance { losses, region_of: region_of.collect() }
 }
 
-/// A voter counts as gone after this silence, in ms. An election may come first, and a successor catches up meanwhile;
-/// both together have to fit into the time in which a machine that was replaced still counts as lost.
+/// Returns the silence, in milliseconds, after which a voter is removed from the voter list. The silence, an election
+/// and the catch-up of a new voter must all fit into the catch-up bound, within which a replaced machine still counts
+/// as lost.
 fn retire_after(settings: &Settings) -> u64 {
-    let third = millis(settings.bounds.catch_up) / CATCH_UP_PARTS;
-    third.max(LEAST_SILENT_ELECTIONS * millis(settings.tuning.election))
+    let part = millis(settings.bounds.catch_up) / CATCH_UP_PARTS;
+    part.max(MIN_SILENT_ELECTIONS * millis(settings.tuning.election))
 }
 
 fn millis(span: Duration) -> u64 {
--- a/crates/reachlb/src/run_data_plane.rs
+++ b/crates/reachlb/src/run_data_plane.rs
@@ -1,4 +1,4 @@
-//! The program that carries requests.
+//! Data plane program, which proxies requests.
 
 use crate::start;
 use config::{Config, Settings};
@@ -15,39 +15,41 @@
 use tokio::time::timeout;
 use transport::{ControlFollower, FollowerSettings, Update, freshness};
 
-/// A process that has ended waits at most this long until control has accepted that.
-const LEAVE_WAIT: Duration = Duration::from_millis(400);
+/// Maximum time for which a data plane that shuts down waits until a control plane has acknowledged the departure.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Runs until the platform ends it.
+/// Runs a data plane until the process receives SIGTERM.
 ///
 /// # Errors
-/// When settings lack something or a socket can't be had.
+/// Returns an error when a required setting is missing or a socket cannot be opened.
 pub async fn run(settings: Settings, path: PathBuf) -> Result<()> {
-    let life = start::draw();
-    let front_at = settings.front.ok_or_else(|| miette!("settings: bind.front is missing"))?;
-    let readiness_at = settings.readiness.ok_or_else(|| miette!("settings: bind.readiness is missing"))?;
-    let front = start::listen("clients", front_at)?;
-    let readiness = start::listen("readiness", readiness_at)?;
+    let instance = start::random_id();
+    let front_address = settings.front.ok_or_else(|| miette!("settings: bind.front is missing"))?;
+    let readiness_address =
+        settings.readiness.ok_or_else(|| miette!("settings: bind.readiness is missing"))?;
+    let front = start::listen("clients", front_address)?;
+    let readiness = start::listen("readiness", readiness_address)?;
     let me = Hello {
         name: settings.node_name.to_string(),
-        life,
+        life: instance,
         plane: Plane::DataPlane,
-        // Whom operators ask what became of a request.
-        address: if readiness_at.ip().is_unspecified() {
-            SocketAddr::new(settings.ip, readiness_at.port()).to_string()
+        // Operators query this address for records of requests.
+        address: if readiness_address.ip().is_unspecified() {
+            SocketAddr::new(settings.ip, readiness_address.port()).to_string()
         } else {
-            readiness_at.to_string()
+            readiness_address.to_string()
         },
         zone: settings.zone.to_string(),
         quorum: false,
         incarnation: None,
     };
-    // The follower's news and the lease client's draws need each other.
+    // The follower delivers updates to the lease client, and the lease client sends its lease requests through the
+    // follower. The cell breaks this cycle: the follower is stored after both have been created.
     let follower: Rc<RefCell<Option<ControlFollower>>> = Rc::default();
-    let wire = follower.clone();
-    let send = move |to: &str, draw| wire.borrow().as_ref().is_some_and(|follower| follower.draw(to, draw));
-    let lease_client = LeaseClient::start(life, Box::new(send));
-    let about = DataPlaneSettings {
+    let sender = follower.clone();
+    let send = move |to: &str, draw| sender.borrow().as_ref().is_some_and(|follower| follower.draw(to, draw));
+    let lease_client = LeaseClient::start(instance, Box::new(send));
+    let data_plane_settings = DataPlaneSettings {
         max_fds: settings.max_fds as usize,
         grace_period: settings.bounds.grace,
         detours: settings.tuning.ways.clone(),
@@ -55,13 +57,13 @@
             let (step, version, left_out) = (line.step, line.version, line.left_out);
             spdlog::info!("{}", line.text, kv: { step, version, left_out });
         }),
-        ..DataPlaneSettings::new(front_at, readiness_at, &settings.zone, &settings.node_name)
+        ..DataPlaneSettings::new(front_address, readiness_address, &settings.zone, &settings.node_name)
     };
-    let data_plane = DataPlane::new(about, lease_client.clone(), life);
-    let news = {
+    let data_plane = DataPlane::new(data_plane_settings, lease_client.clone(), instance);
+    let on_update = {
         let (data_plane, lease_client) = (data_plane.clone(), lease_client.clone());
-        let mut known = (None, 0);
-        move |news| match news {
+        let mut known_leader = (None, 0);
+        move |update| match update {
             Update::ConfigSnapshot(config_snapshot) => match Config::parse(&config_snapshot.body) {
                 Ok(config) => {
                     lease_client.set_quotas(quotas(&config));
@@ -69,18 +71,18 @@
                 }
                 Err(fault) => {
                     let version = config_snapshot.version;
-                    spdlog::error!("not read: {}", fault, kv: { step = "config", version });
+                    spdlog::error!("cannot parse the configuration: {}", fault, kv: { step = "config", version });
                 }
             },
             Update::Backends { whole, backends } => data_plane.update_backends(&backends, whole),
             Update::Heartbeat(heartbeat) => {
                 let leader = (heartbeat.leader.clone(), heartbeat.epoch);
-                if leader != known {
-                    // Once for each leader, and once when there is none: elections bound how often.
+                if leader != known_leader {
+                    // Logged once per change of the leader or the epoch, so elections bound the rate of this line.
                     let (peer, version, epoch) =
                         (heartbeat.leader.as_deref().unwrap_or("none"), heartbeat.version, heartbeat.epoch);
-                    spdlog::info!("the counts are drawn from another leader", kv: { step = "leader", peer, version, epoch });
-                    known = leader;
+                    spdlog::info!("the leader that grants quota leases has changed", kv: { step = "leader", peer, version, epoch });
+                    known_leader = leader;
                 }
                 lease_client.set_gateway_count(heartbeat.fleet, heartbeat.fresh);
                 data_plane.set_fleet(heartbeat.fleet, heartbeat.number);
@@ -91,43 +93,43 @@
             Update::Unanswered { number } => lease_client.abandon_lease_request(number),
         }
     };
-    let neighbor_watch = start::watch(&settings, true, life)?;
+    let neighbor_watch = start::neighbor_watch(&settings, true, instance)?;
     let seeds = start::seeds(&settings);
-    let ways = settings.tuning.ways.clone();
+    let detours = settings.tuning.ways.clone();
     *follower.borrow_mut() = Some(ControlFollower::start(
-        FollowerSettings { me, seeds, ways, stale_after: stale_after(&settings) },
-        news,
+        FollowerSettings { me, seeds, ways: detours, stale_after: stale_after(&settings) },
+        on_update,
     ));
-    let (watch, seeded) = (neighbor_watch.clone(), follower.clone());
-    let mut end = signal(SignalKind::terminate()).map_err(|e| miette!("signals: {e}"))?;
+    let (watch, reloaded_follower) = (neighbor_watch.clone(), follower.clone());
+    let mut terminate = signal(SignalKind::terminate()).map_err(|e| miette!("signals: {e}"))?;
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| miette!("signals: {e}"))?;
     tokio::task::spawn_local(async move {
         while hangup.recv().await.is_some() {
             match Settings::read(&path) {
                 Ok(settings) => {
-                    if let Some(follower) = seeded.borrow().as_ref() {
+                    if let Some(follower) = reloaded_follower.borrow().as_ref() {
                         follower.seeds(start::seeds(&settings));
                     }
                     if let Some(watch) = &watch {
-                        watch.seeds(&start::watch_seeds(&settings));
+                        watch.seeds(&start::neighbor_watch_seeds(&settings));
                     }
                 }
-                Err(fault) => spdlog::error!("settings not taken: {}", fault, kv: { step = "hangup" }),
+                Err(fault) => spdlog::error!("settings not reloaded: {}", fault, kv: { step = "hangup" }),
             }
         }
     });
-    spdlog::info!("carries requests", kv: { step = "start", life });
-    let ended = async move {
-        end.recv().await;
+    spdlog::info!("carries requests", kv: { step = "start", life = instance });
+    let shutdown = async move {
+        terminate.recv().await;
     };
-    data_plane.serve(front, readiness, ended).await;
-    // Only now: while it finishes its work it spends.
+    data_plane.serve(front, readiness, shutdown).await;
+    // The lease client closes last, because requests that finish during the shutdown still use leases.
     lease_client.close();
     let follower = follower.borrow_mut().take();
     if let Some(follower) = follower
-        && timeout(LEAVE_WAIT, follower.leave()).await.is_err()
+        && timeout(LEAVE_TIMEOUT, follower.leave()).await.is_err()
     {
-        spdlog::warn!("no process of control has accepted that this one ends", kv: { step = "end" });
+        spdlog::warn!("no control plane has acknowledged the departure of this data plane", kv: { step = "end" });
     }
     if let Some(neighbor_watch) = neighbor_watch {
         neighbor_watch.leave();
@@ -136,15 +138,16 @@
     Ok(())
 }
 
-/// How old the leader's word may be before another process is asked, in ms: changes of backends and configurations have to
-/// be obeyed within their bounds.
+/// Returns the maximum age, in milliseconds, of the newest state received from the leader. When the state is older, the
+/// data plane queries other control planes. The limit leaves enough time to apply changes of backends and
+/// configurations within their bounds.
 fn stale_after(settings: &Settings) -> u64 {
     let bound = settings.bounds.drain.min(settings.bounds.apply).as_millis() as u64;
     if !freshness::keeps(bound) {
-        let least = freshness::LEAST_BOUND;
+        let minimum = freshness::LEAST_BOUND;
         spdlog::error!(
-            "bound_table: drain_ms or apply_ms is {}, and less than {} is not kept while control planes are cut off",
-            bound, least, kv: { step = "settings" });
+            "bound_table: drain_ms or apply_ms is {}, bounds below {} are not kept while control planes are isolated",
+            bound, minimum, kv: { step = "settings" });
     }
     freshness::stale_after(bound)
 }
