--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,13 +1,13 @@
-//! What the tools that try real processes have in common: relays with faults on every link, chance by seed, the
-//! processes that they started, their own punctuality, places in files, estimates and plots.
+//! Shared parts of the tools that test real processes: relays with link faults, seeded random numbers, tracking of
+//! child processes, checks of the tool's own delays, positions in files, estimates and plots.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod clock;
 mod estimate;
+mod location;
 pub mod mutate;
-mod place;
 pub mod plot;
 mod random;
 pub mod relay;
@@ -16,6 +16,6 @@
 pub mod timeline;
 
 pub use estimate::Estimate;
-pub use place::place;
+pub use location::format_location;
 pub use random::Random;
 pub use span::Span;
