--- a/crates/testbed/src/backend.rs
+++ b/crates/testbed/src/backend.rs
@@ -4,7 +4,7 @@
 use crate::chance::{Chance, mix};
 use crate::control::Control;
 use crate::fault::Fault;
-use crate::history::{History, Seen};
+use crate::history::{Event, History};
 use crate::mood::{Body, Mood};
 use crate::plan::SERVICES;
 use crate::site::sender;
@@ -137,7 +137,7 @@
         };
         let number = NUMBERS.fetch_add(1, Ordering::Relaxed);
         if let Some(history) = &history {
-            history.note(Seen::Born { backend: number, id: id.clone(), service: service.clone() });
+            history.note(Event::BackendStarted { backend: number, id: id.clone(), service: service.clone() });
         }
         let backend = Arc::new(Self {
             service,
@@ -175,9 +175,9 @@
         *self.mood.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note(&self, seen: Seen) {
+    fn note(&self, event: Event) {
         if let Some(history) = &self.history {
-            history.note(seen);
+            history.note(event);
         }
     }
 
@@ -211,7 +211,7 @@
     pub async fn leave(&self) -> bool {
         let told = self.voice.drains().await;
         if told.is_some() {
-            self.note(Seen::Drained { backend: self.number });
+            self.note(Event::Drained { backend: self.number });
         }
         self.leaving.store(true, Ordering::Relaxed);
         if let Some(moment) = told {
@@ -254,10 +254,10 @@
         let Some(id) = text("X-Attempt-Id") else { return Ok(not_run(StatusCode::BAD_REQUEST)) };
         let number = u64::from_str_radix(id, 16).ok();
         let backend = self.number;
-        self.note(Seen::Arrived { id: number, backend, machine });
+        self.note(Event::Arrived { id: number, backend, machine });
         let mood = self.mood();
         if mood == Mood::Silent {
-            self.note(Seen::Broke { id: number.unwrap_or_default() });
+            self.note(Event::AnswerWithheld { id: number.unwrap_or_default() });
             std::future::pending::<()>().await;
         }
         let Ok(body) = Limited::new(body, LONGEST).collect().await else {
@@ -285,7 +285,7 @@
         if let Some(history) = &self.history {
             let (tenant, arrived) = (text("X-Tenant").map(str::to_owned), history.at(arrived));
             let key = head.headers.contains_key("Authorization");
-            history.note(Seen::Ran { id: number, backend, arrived, tenant, key, unchanged });
+            history.note(Event::Ran { id: number, backend, arrived, tenant, key, unchanged });
         }
         let takes = if let Mood::Slow(factor) = mood { self.takes().mul_f64(factor) } else { self.takes() };
         let done = timeout(left(longest), sleep(takes)).await.is_ok();
@@ -298,7 +298,7 @@
                 return Ok(plain(StatusCode::INTERNAL_SERVER_ERROR));
             }
             Mood::Loses(share) if self.unit() < share => {
-                self.note(Seen::Broke { id: number.unwrap_or_default() });
+                self.note(Event::AnswerWithheld { id: number.unwrap_or_default() });
                 return Err(io::ErrorKind::ConnectionAborted.into());
             }
             _ => {}
@@ -310,7 +310,7 @@
         };
         let breaks = mood == Mood::Garbles;
         if breaks {
-            self.note(Seen::Broke { id: number.unwrap_or_default() });
+            self.note(Event::AnswerWithheld { id: number.unwrap_or_default() });
         }
         let mut response = Response::new(Body::new(answer, breaks));
         let headers = response.headers_mut();
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::backend::{answer_to, path_of, question, sealed};
 use crate::chance::{Chance, mix};
-use crate::history::{End, History, Seen};
+use crate::history::{End, Event, History};
 use crate::plan::HOST;
 use crate::wire::{Connection, LONGEST, connect};
 use bytes::Bytes;
@@ -198,7 +198,7 @@
             }
             let id = self.ids.draw();
             let (kind, tenant, pure) = (Some(wish.kind), wish.tenant, wish.pure);
-            if !self.history.note(Seen::Sent { id, kind, tenant, pure }) {
+            if !self.history.note(Event::Sent { id, kind, tenant, pure }) {
                 break;
             }
             tries += 1;
@@ -240,13 +240,13 @@
         let unread = Tried::Failed { status: None, unread: true };
         let Some((machine, mut connection)) = connection else { return unread };
         let Some(request) = request(wish, id, left) else { return unread };
-        self.history.note(Seen::Took { id, machine });
+        self.history.note(Event::Connected { id, machine });
         let answer = match connection.sender.send_request(request).await {
             Ok(answer) => answer,
             // Only this one says that nothing was written.
             Err(error) => {
                 if !error.is_canceled() {
-                    self.history.note(Seen::Cut { id });
+                    self.history.note(Event::Cut { id });
                 }
                 return Tried::Failed { status: None, unread: error.is_canceled() };
             }
@@ -254,7 +254,7 @@
         let (head, body) = answer.into_parts();
         let status = head.status.as_u16();
         let Ok(body) = Limited::new(body, LONGEST).collect().await else {
-            self.history.note(Seen::Cut { id });
+            self.history.note(Event::Cut { id });
             return Tried::Failed { status: Some(status), unread: false };
         };
         let body = body.to_bytes();
@@ -262,7 +262,7 @@
         let echoed = text("X-Attempt-Id").is_some_and(|text| text == format!("{id:016x}"));
         let (seal, whole) = (text("X-Server-Seal").map(str::to_owned), body == answer_to(id));
         let own = echoed && whole && seal.as_deref().is_some_and(|seal| sealed(seal, id));
-        self.history.note(Seen::Answered { id, status, seal, echoed, whole });
+        self.history.note(Event::Answered { id, status, seal, echoed, whole });
         let tried = match status {
             200..=299 if own => Tried::Served,
             200..=299 => Tried::Final(status),
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -5,8 +5,8 @@
 use crate::control::Control;
 use crate::fault::Fault;
 use crate::fleet::{self, Backend, Process};
-use crate::history::{Deed, History, Seen};
-use crate::judge::{Terms, judge};
+use crate::history::{Event, History, ProcessEvent};
+use crate::judge::{TimeBounds, judge};
 use crate::load::{Greed, Load, Tallies};
 use crate::operator::Operator;
 use crate::plan::{APPLY_MS, DRAIN_MS, FIRST, SERVICES};
@@ -31,7 +31,7 @@
 const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
 /// What the judge goes by; the settings files say the same of the first two and of the grace.
-pub const TERMS: Terms = Terms {
+pub const TIME_BOUNDS: TimeBounds = TimeBounds {
     drain: DRAIN_MS * 1000,
     apply: APPLY_MS * 1000,
     contact: 3_000_000,
@@ -332,7 +332,7 @@
         }
         backends.iter().for_each(|backend| backend.end());
         let (lines, full) = history.take();
-        let verdict = judge(&lines, &TERMS, full.then(|| "the history is full".to_owned()));
+        let verdict = judge(&lines, &TIME_BOUNDS, full.then(|| "the history is full".to_owned()));
         let spent = [
             Spent { name: "data planes", count: ZONES.len(), time: after[1].saturating_sub(before[1]) },
             Spent { name: "control planes", count: VOTERS, time: after[0].saturating_sub(before[0]) },
@@ -348,8 +348,8 @@
     for (data_plane, processes) in [(false, control_planes), (true, data_planes)] {
         for (machine, process) in processes.iter_mut().enumerate() {
             if let Some(status) = process.ended() {
-                let deed = Deed::Wrong(format!("ended by itself: {status}"));
-                history.note(Seen::Process { machine, data_plane, deed });
+                let process_event = ProcessEvent::Wrong(format!("ended by itself: {status}"));
+                history.note(Event::Process { machine, data_plane, process_event });
             }
         }
     }
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -1,275 +1,286 @@
-//! What the tool's own parties saw, on one clock: the only thing that the judge goes by.
+//! Records what clients, backends, the operator and the testbed observe, on one clock. The judge uses nothing else.
 
 use serde::{Deserialize, Serialize};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// Lines that are kept; longer plays have no verdict.
-const MOST: usize = 12_000_000;
+/// Maximum number of records; a trial with more records has no verdict.
+const MAX_RECORDS: usize = 12_000_000;
 
-/// How a request ended for its client.
+/// Outcome of a request as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// A success.
+    /// The request succeeded.
     Served,
-    /// Refused at the last.
+    /// The last attempt was refused.
     Refused,
-    /// Anything else: with the status, if there was one.
+    /// The request failed otherwise; holds the status, if there was an answer.
     Failed(Option<u16>),
 }
 
-/// What becomes of a process.
+/// An event in the life of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Deed {
-    /// It was started.
+pub enum ProcessEvent {
+    /// The process was started.
     Started,
-    /// It was killed.
+    /// The process was killed.
     Killed,
-    /// It was told to end.
+    /// The process received SIGTERM.
     Told,
-    /// It was stopped, as by SIGSTOP.
+    /// The process was suspended with SIGSTOP.
     Stopped,
-    /// It goes on.
+    /// The process was resumed with SIGCONT.
     Continued,
-    /// It ended by itself, or did not end when told to.
+    /// The process exited unexpectedly, or did not exit after SIGTERM.
     Wrong(String),
 }
 
-/// One thing that was seen. Machines and kinds are numbers from 0, tries are known by their ids.
+/// An observed event. Machines, tenants and kinds are indexes from 0; attempts are identified by their ids.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Seen {
-    /// A client has a request for a tenant.
-    Asked {
-        /// Whose it is.
+pub enum Event {
+    /// A client issues a request for a tenant.
+    #[serde(rename = "Asked")]
+    Requested {
+        /// Index of the tenant.
         tenant: usize,
     },
-    /// A client is about to send a try.
+    /// A client is about to send an attempt.
     Sent {
-        /// Its id.
+        /// Id of the attempt.
         id: u64,
-        /// Its kind, where its route is one of the first.
+        /// Index of the request's kind, if its route belongs to the first configuration.
         kind: Option<usize>,
-        /// The tenant whose key it has.
+        /// Index of the tenant whose API key the attempt carries.
         tenant: Option<usize>,
-        /// Whether it may run more than once.
+        /// Whether the request is pure, so that it may run more than once.
         pure: bool,
     },
-    /// It goes to this machine.
-    Took {
-        /// Its id.
+    /// A client connected to a machine to send an attempt.
+    #[serde(rename = "Took")]
+    Connected {
+        /// Id of the attempt.
         id: u64,
-        /// Whose clients' port was connected to.
+        /// The machine whose client port accepted the connection.
         machine: usize,
     },
-    /// A backend of this number began its life.
-    Born {
-        /// A number of its own.
+    /// A stand-in backend started.
+    #[serde(rename = "Born")]
+    BackendStarted {
+        /// Unique number of the backend.
         backend: u32,
-        /// What it calls itself.
+        /// Instance id that the backend announces.
         id: String,
-        /// Its service.
+        /// Service of the backend.
         service: String,
     },
-    /// A request reached a backend that is the one it was meant for.
+    /// An attempt reached the backend that it was addressed to.
     Arrived {
-        /// Its id, if it has a proper one.
+        /// Id of the attempt, if the id is valid.
         id: Option<u64>,
-        /// Where.
+        /// Number of the backend.
         backend: u32,
-        /// Whose connection it came on, where relays tell.
+        /// The machine whose connection carried the attempt, if relays make it known.
         machine: Option<usize>,
     },
-    /// A backend begins to work on it.
+    /// A backend starts to process an attempt.
     Ran {
-        /// Its id.
+        /// Id of the attempt, if the id is valid.
         id: Option<u64>,
-        /// Where.
+        /// Number of the backend.
         backend: u32,
-        /// When it had arrived, in us.
+        /// When the attempt arrived, in microseconds.
         arrived: u64,
-        /// The tenant that the backend is told of.
+        /// The tenant named to the backend.
         tenant: Option<String>,
-        /// Whether it was shown a key.
+        /// Whether the backend received an API key.
         key: bool,
-        /// Whether method, path and body are those of the client.
+        /// Whether method, path and body are as the client sent them.
         unchanged: bool,
     },
-    /// A backend keeps its answer to itself, or breaks it off.
-    Broke {
-        /// The try's id.
+    /// A backend withholds its answer or breaks it off.
+    #[serde(rename = "Broke")]
+    AnswerWithheld {
+        /// Id of the attempt.
         id: u64,
     },
-    /// A client got a whole answer.
+    /// A client received a complete answer.
     Answered {
-        /// The try's id.
+        /// Id of the attempt.
         id: u64,
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// The seal.
+        /// The seal by which the answering backend identifies itself.
         seal: Option<String>,
-        /// Whether the answer names this try.
+        /// Whether the answer names this attempt.
         echoed: bool,
-        /// Whether it has the whole body of the backend.
+        /// Whether the answer has the backend's complete body.
         whole: bool,
     },
-    /// A client's connection ended without a whole answer, though all was sent.
+    /// A client's connection closed without a complete answer after the client had sent the whole request.
     Cut {
-        /// The try's id.
+        /// Id of the attempt.
         id: u64,
     },
-    /// A request came to its end.
+    /// A request finished.
     Done {
-        /// Its kind.
+        /// Index of the request's kind.
         kind: usize,
-        /// Whether something is owed for it: not beyond a tenant's limit.
+        /// Whether service is owed for the request: false beyond the tenant's quota.
         owed: bool,
-        /// When it was due, in us.
+        /// When the request was due, in microseconds.
         due: u64,
-        /// How it ended.
+        /// Outcome of the request.
         end: End,
-        /// Its tries.
+        /// Number of attempts.
         tries: u32,
     },
-    /// A backend's drain was acknowledged.
+    /// The drain of a backend was acknowledged.
     Drained {
-        /// Whose.
+        /// Number of the backend.
         backend: u32,
     },
-    /// The operator sends a change.
-    Order {
-        /// Its number.
+    /// The operator sends a configuration change.
+    #[serde(rename = "Order")]
+    ChangeSent {
+        /// Version that the change creates.
         version: u64,
-        /// The version that it changes.
+        /// Version that the change is based on.
         base: u64,
-        /// Whether it is valid.
+        /// Whether the change is valid.
         valid: bool,
-        /// The changes whose own routes it has.
+        /// Versions of the changes whose own routes the configuration contains.
         routes: Vec<u64>,
     },
-    /// It is acknowledged.
+    /// A change was acknowledged.
     Acked {
-        /// Its number.
+        /// Version of the change.
         version: u64,
     },
-    /// It is clearly refused.
-    Turned {
-        /// Its number.
+    /// A change was definitely rejected.
+    #[serde(rename = "Turned")]
+    ChangeRejected {
+        /// Version of the change.
         version: u64,
-        /// The status.
+        /// The HTTP status.
         status: u16,
     },
-    /// A request on the route of one change was answered.
+    /// A request on the route that a change added was answered.
     Probed {
-        /// The change.
+        /// Version of the change.
         version: u64,
-        /// By whom.
+        /// The machine that answered.
         machine: usize,
-        /// When it was sent, in us.
+        /// When the request was sent, in microseconds.
         sent: u64,
-        /// The status.
+        /// The HTTP status.
         status: u16,
     },
-    /// A control plane says at the end what holds; without a version it said nothing.
+    /// A control plane reported its configuration at the end of the trial; no version means no answer.
     Read {
-        /// Which.
+        /// The machine of the control plane.
         machine: usize,
-        /// The number.
+        /// The reported version.
         version: Option<u64>,
-        /// Whether it is what was sent under that number.
+        /// Whether the configuration equals the one sent under this version.
         same: bool,
     },
-    /// Something becomes of a process.
+    /// The state of a process changed.
     Process {
-        /// On which machine.
+        /// The machine of the process.
         machine: usize,
-        /// Which plane.
+        /// Whether the process is a data plane; otherwise a control plane.
         data_plane: bool,
-        /// What.
-        deed: Deed,
+        /// What happened to the process.
+        #[serde(rename = "deed")]
+        process_event: ProcessEvent,
     },
-    /// A fault begins.
-    Begins {
-        /// Its number in the schedule.
+    /// A fault began.
+    #[serde(rename = "Begins")]
+    FaultBegan {
+        /// Index of the fault in the schedule.
         fault: usize,
-        /// In words.
+        /// Description of the fault.
         text: String,
-        /// Machines whose links it harms.
+        /// Machines whose links or processes the fault affects.
         machines: Vec<usize>,
     },
-    /// It has ended, and all is put right.
-    Ends {
-        /// Its number.
+    /// A fault ended and everything that it affected is restored.
+    #[serde(rename = "Ends")]
+    FaultEnded {
+        /// Index of the fault in the schedule.
         fault: usize,
     },
-    /// How a control plane stands.
-    Stands {
-        /// Which.
+    /// A control plane reported its status.
+    #[serde(rename = "Stands")]
+    StatusReported {
+        /// The machine of the control plane.
         machine: usize,
-        /// Whether it leads.
+        /// Whether the control plane is the leader.
         leads: bool,
-        /// The version that it knows.
+        /// The newest version that the control plane knows.
         version: u64,
     },
-    /// Something came late, which may be the machine's fault.
+    /// Something was delayed, possibly by the machine that runs the trial.
     Late {
-        /// In words.
+        /// Description of the delay.
         text: String,
     },
 }
 
-/// One line.
+/// An event with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
-    /// When, in us since the history's begin.
+pub struct Record {
+    /// Time in microseconds since the start of the history.
     pub at: u64,
-    /// What.
-    pub seen: Seen,
+    /// The event.
+    #[serde(rename = "seen")]
+    pub event: Event,
 }
 
-/// Where all parties write.
+/// Collects the records of all parties.
 pub struct History {
-    begun: Instant,
-    lines: Mutex<Vec<Line>>,
+    start: Instant,
+    records: Mutex<Vec<Record>>,
 }
 
 impl Default for History {
     fn default() -> Self {
-        Self { begun: Instant::now(), lines: Mutex::default() }
+        Self { start: Instant::now(), records: Mutex::default() }
     }
 }
 
 impl History {
-    fn lines(&self) -> MutexGuard<'_, Vec<Line>> {
-        // Lines are whole between two calls, whoever panicked.
-        self.lines.lock().unwrap_or_else(PoisonError::into_inner)
+    fn records(&self) -> MutexGuard<'_, Vec<Record>> {
+        // Each push is atomic, so a panic elsewhere leaves the records consistent.
+        self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A moment on the history's clock, in us.
+    /// Converts an instant to the history's clock, in microseconds.
     pub fn at(&self, moment: Instant) -> u64 {
-        moment.saturating_duration_since(self.begun).as_micros() as u64
+        moment.saturating_duration_since(self.start).as_micros() as u64
     }
 
-    /// Notes what is seen now. False when there is no room.
-    pub fn note(&self, seen: Seen) -> bool {
-        let mut lines = self.lines();
-        // Within the lock, so that times rise.
+    /// Records an event at the current time. Returns false when the history is full.
+    pub fn note(&self, event: Event) -> bool {
+        let mut records = self.records();
+        // Read the clock under the lock, so that record times never decrease.
         let at = self.at(Instant::now());
-        let room = lines.len() < MOST;
-        if room {
-            lines.push(Line { at, seen });
+        let has_room = records.len() < MAX_RECORDS;
+        if has_room {
+            records.push(Record { at, event });
         }
-        room
+        has_room
     }
 
-    /// Notes that something came too late.
+    /// Records a delay.
     pub fn late(&self, text: impl Into<String>) {
-        self.note(Seen::Late { text: text.into() });
+        self.note(Event::Late { text: text.into() });
     }
 
-    /// All lines so far, and whether some were lost.
-    pub fn take(&self) -> (Vec<Line>, bool) {
-        let lines = std::mem::take(&mut *self.lines());
-        let full = lines.len() >= MOST;
-        (lines, full)
+    /// Takes all records, and tells whether the history became full.
+    pub fn take(&self) -> (Vec<Record>, bool) {
+        let records = std::mem::take(&mut *self.records());
+        let full = records.len() >= MAX_RECORDS;
+        (records, full)
     }
 }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -2,7 +2,7 @@
 
 use crate::chance::Chance;
 use crate::clients::{Client, Ids, Platform, Wish};
-use crate::history::{End, History, Seen};
+use crate::history::{End, Event, History};
 use crate::plan::{KINDS, TENANTS};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -180,7 +180,7 @@
             sleep_until(due.into()).await;
             tallies.begins(due);
             if let Some(tenant) = tenant {
-                history.note(Seen::Asked { tenant });
+                history.note(Event::Requested { tenant });
             }
             let Ok(place) = out.clone().try_acquire_owned() else {
                 tallies.add(kind, End::Failed(None), due);
@@ -200,7 +200,7 @@
                 let (end, tries) = client.ask(&wish).await;
                 tallies.add(kind, end, due);
                 let due = history.at(due);
-                history.note(Seen::Done { kind, owed: !greedy, due, end, tries });
+                history.note(Event::Done { kind, owed: !greedy, due, end, tries });
                 drop(place);
             });
         }
--- a/crates/testbed/src/operator.rs
+++ b/crates/testbed/src/operator.rs
@@ -3,7 +3,7 @@
 use crate::backend::path_of;
 use crate::chance::{Chance, mix, wild};
 use crate::control::Control;
-use crate::history::{History, Seen};
+use crate::history::{Event, History};
 use crate::plan::{APPLY_MS, FIRST, HOST, KINDS, SERVICES, TENANTS, configuration};
 use crate::wire::Answer;
 use bytes::Bytes;
@@ -69,11 +69,13 @@
         until: Instant,
     ) -> Option<Answer> {
         let valid = config::Config::parse(body).is_ok_and(|config| config.version.0 > base);
-        self.history.note(Seen::Order { version, base, valid, routes });
+        self.history.note(Event::ChangeSent { version, base, valid, routes });
         let answer = self.control.replace(first, base, body, until).await;
         match &answer {
-            Some(answer) if answer.status.is_success() => self.history.note(Seen::Acked { version }),
-            Some(answer) => self.history.note(Seen::Turned { version, status: answer.status.as_u16() }),
+            Some(answer) if answer.status.is_success() => self.history.note(Event::Acked { version }),
+            Some(answer) => {
+                self.history.note(Event::ChangeRejected { version, status: answer.status.as_u16() })
+            }
             None => false,
         };
         answer
@@ -253,7 +255,7 @@
             let read = Control::new([*address]).read(Instant::now() + READ).await;
             let sent = |read: &Value| *read == self.newest || self.open.iter().any(|(_, body)| body == read);
             let (version, same) = (read.as_ref().and_then(number), read.as_ref().is_some_and(sent));
-            self.history.note(Seen::Read { machine, version, same });
+            self.history.note(Event::Read { machine, version, same });
         }
     }
 }
@@ -313,7 +315,7 @@
     let within = Duration::from_secs(1);
     for _ in 0..5 {
         let id = mix(wild());
-        history.note(Seen::Sent { id, kind: None, tenant: Some(0), pure: true });
+        history.note(Event::Sent { id, kind: None, tenant: Some(0), pure: true });
         let sent = history.at(Instant::now().into_std());
         let (text, key) = (format!("{id:016x}"), format!("Bearer {}", TENANTS[0].key));
         let headers =
@@ -322,7 +324,7 @@
         let asked = crate::wire::call(front, "GET", &path, &headers, Bytes::new(), within);
         let status = timeout(within, asked).await.ok().flatten().map(|answer| answer.status.as_u16());
         if let Some(status @ (200 | 401 | 403 | 404)) = status {
-            history.note(Seen::Probed { version, machine, sent, status });
+            history.note(Event::Probed { version, machine, sent, status });
             return;
         }
         sleep(Duration::from_millis(50)).await;
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,6 +1,6 @@
 //! What is printed.
 
-use crate::judge::{RULES, Use, Verdict};
+use crate::judge::{QuotaUse, RULES, Verdict};
 use crate::load::Tallies;
 use crate::plan::{KINDS, TENANTS};
 use std::collections::BTreeMap;
@@ -49,7 +49,7 @@
 }
 
 /// The tables at the end.
-pub fn tables(tallies: &Tallies, spent: &[Spent], uses: &[Use]) -> String {
+pub fn tables(tallies: &Tallies, spent: &[Spent], uses: &[QuotaUse]) -> String {
     let kinds = tallies.kinds();
     let mut text = String::new();
     // Writing to a text can't fail.
@@ -125,7 +125,7 @@
         let count = verdict.counts.get(&rule).copied().unwrap_or_default();
         let _ = writeln!(text, "{count:>6}  {name}");
     }
-    for broken in verdict.breaks.iter().take(MOST_LINES) {
+    for broken in verdict.violations.iter().take(MOST_LINES) {
         let _ = writeln!(text, "        {:.3} s: {}", broken.at, broken.what);
     }
     if verdict.total() > MOST_LINES as u64 {
--- a/crates/testbed/src/trial/mod.rs
+++ b/crates/testbed/src/trial/mod.rs
@@ -11,10 +11,10 @@
 mod stage;
 
 use crate::clients::Platform;
-use crate::demo::{Program, TERMS, first_order, settle, wait_ready};
+use crate::demo::{Program, TIME_BOUNDS, first_order, settle, wait_ready};
 use crate::fault::Fault as Failure;
 use crate::fleet;
-use crate::history::{Deed, Line, Seen};
+use crate::history::{Event, ProcessEvent, Record};
 use crate::judge::{Verdict, judge};
 use crate::load::{Load, Tallies};
 use crate::site::{Site, ZONES};
@@ -137,8 +137,8 @@
         let Some(number) = names.iter().position(|name| *name == killed) else { continue };
         let (data_plane, control_planes) = (number >= stage.control_planes.len(), stage.control_planes.len());
         let machine = if data_plane { number - control_planes } else { number };
-        let deed = Deed::Wrong("did not end when told to".to_owned());
-        stage.history.note(Seen::Process { machine, data_plane, deed });
+        let process_event = ProcessEvent::Wrong("did not end when told to".to_owned());
+        stage.history.note(Event::Process { machine, data_plane, process_event });
     }
     drop(processes);
     writes.abort();
@@ -161,7 +161,7 @@
     } else {
         (!failed.is_empty()).then_some(failed)
     };
-    let verdict = judge(&lines, &TERMS, void);
+    let verdict = judge(&lines, &TIME_BOUNDS, void);
     let figures = Figures::of(&schedule, &verdict, &lines, begun_at);
     if let Some(keep) = &options.keep {
         write_down(&keep.join(schedule.folder()), folder, &schedule, &lines, &verdict, begun_at)?;
@@ -170,7 +170,7 @@
 }
 
 fn write_down(
-    keep: &Path, folder: &Path, schedule: &Schedule, lines: &[Line], verdict: &Verdict, begun: u64,
+    keep: &Path, folder: &Path, schedule: &Schedule, lines: &[Record], verdict: &Verdict, begun: u64,
 ) -> Result<(), Failure> {
     std::fs::create_dir_all(keep).map_err(Failure::file(keep))?;
     let write = |name: &str, text: String| {
--- a/crates/testbed/src/trial/page.rs
+++ b/crates/testbed/src/trial/page.rs
@@ -1,8 +1,8 @@
 //! One HTML page on a trial: faults and worth over time, latencies, further tries, who led, versions by node.
 
 use super::schedule::Schedule;
-use crate::history::{End, Line, Seen};
-use crate::judge::{BUCKET, RULES, Verdict};
+use crate::history::{End, Event, Record};
+use crate::judge::{BUCKET_US, RULES, Verdict};
 use crate::site::VOTERS;
 use fault_injection::plot::{PlotError, Series, escaped, lines as plotted};
 use fault_injection::timeline::Timeline;
@@ -18,7 +18,9 @@
 ///
 /// # Errors
 /// When a plot cannot be drawn.
-pub fn page(schedule: &Schedule, lines: &[Line], verdict: &Verdict, begun: u64) -> Result<String, PlotError> {
+pub fn page(
+    schedule: &Schedule, lines: &[Record], verdict: &Verdict, begun: u64,
+) -> Result<String, PlotError> {
     let told = match (&verdict.void, verdict.total()) {
         (Some(void), _) => format!("no verdict: {void}"),
         (None, 0) => "no rule broken".to_owned(),
@@ -44,7 +46,7 @@
         let _ = writeln!(html, "<tr><td>{count}<td>{}", escaped(name));
     }
     html.push_str("</table>\n<ul>\n");
-    for broken in &verdict.breaks {
+    for broken in &verdict.violations {
         let at = broken.at - begun as f64 / 1e6;
         let text = format!("{at:.3} s {:?}: {} [{}]", broken.rule, broken.what, broken.faults.join(", "));
         let _ = writeln!(html, "<li>{}", escaped(&text));
@@ -56,12 +58,12 @@
     Ok(html)
 }
 
-fn timeline(schedule: &Schedule, lines: &[Line], verdict: &Verdict, begun: u64, title: String) -> Timeline {
+fn timeline(schedule: &Schedule, lines: &[Record], verdict: &Verdict, begun: u64, title: String) -> Timeline {
     let (mut begins, mut ends) = (HashMap::new(), HashMap::new());
-    for Line { at, seen } in lines {
-        match seen {
-            Seen::Begins { fault, .. } => drop(begins.insert(*fault, *at)),
-            Seen::Ends { fault } => drop(ends.insert(*fault, *at)),
+    for Record { at, event } in lines {
+        match event {
+            Event::FaultBegan { fault, .. } => drop(begins.insert(*fault, *at)),
+            Event::FaultEnded { fault } => drop(ends.insert(*fault, *at)),
             _ => {}
         }
     }
@@ -72,22 +74,22 @@
         Some((seconds(*begin, begun), seconds(until, begun), fault.text.clone()))
     };
     let share = |(at, (owed, earned)): (usize, &(f64, f64))| {
-        (*owed > 0.0).then(|| (seconds(at as u64 * BUCKET + BUCKET / 2, begun).max(0.0), earned / owed))
+        (*owed > 0.0).then(|| (seconds(at as u64 * BUCKET_US + BUCKET_US / 2, begun).max(0.0), earned / owed))
     };
     Timeline {
         title,
         end: seconds(last, begun),
         worth: verdict.worth.iter().enumerate().filter_map(share).collect(),
         faults: schedule.faults.iter().enumerate().map(fault).collect(),
-        breaks: verdict.breaks.iter().map(|b| (b.at - begun as f64 / 1e6).max(0.0)).collect(),
+        breaks: verdict.violations.iter().map(|b| (b.at - begun as f64 / 1e6).max(0.0)).collect(),
     }
 }
 
 /// Medians and the worst of twenty of each second, by when requests were due.
-fn latencies(lines: &[Line], begun: u64) -> Vec<Series> {
+fn latencies(lines: &[Record], begun: u64) -> Vec<Series> {
     let mut by_second: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
-    for Line { at, seen } in lines {
-        if let Seen::Done { due, end: End::Served, .. } = seen {
+    for Record { at, event } in lines {
+        if let Event::Done { due, end: End::Served, .. } = event {
             let took = at.saturating_sub(*due) as f64 / 1000.0;
             by_second.entry(due.saturating_sub(begun) / 1_000_000).or_default().push(took);
         }
@@ -103,16 +105,16 @@
 }
 
 /// Each second's further tries of clients, and arrivals of one try beyond its first.
-fn tries(lines: &[Line], begun: u64) -> Vec<Series> {
+fn tries(lines: &[Record], begun: u64) -> Vec<Series> {
     let mut each: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
     let mut seen_once = HashSet::new();
-    for Line { at, seen } in lines {
+    for Record { at, event } in lines {
         let second = at.saturating_sub(begun) / 1_000_000;
-        match seen {
-            Seen::Done { tries, .. } => {
+        match event {
+            Event::Done { tries, .. } => {
                 each.entry(second).or_default().0 += f64::from(tries.saturating_sub(1));
             }
-            Seen::Arrived { id: Some(id), .. } if !seen_once.insert(*id) => {
+            Event::Arrived { id: Some(id), .. } if !seen_once.insert(*id) => {
                 each.entry(second).or_default().1 += 1.0;
             }
             _ => {}
@@ -127,12 +129,12 @@
 }
 
 /// Who leads, as control planes say it, and which version each knows.
-fn standing(lines: &[Line], begun: u64) -> (Vec<Series>, Vec<Series>) {
+fn standing(lines: &[Record], begun: u64) -> (Vec<Series>, Vec<Series>) {
     let mut leads: Vec<Series> = Vec::new();
     let mut versions: Vec<Series> = Vec::new();
     for control_plane in 0..VOTERS {
-        let of = lines.iter().filter_map(|line| match &line.seen {
-            Seen::Stands { machine, leads, version } if *machine == control_plane => {
+        let of = lines.iter().filter_map(|line| match &line.event {
+            Event::StatusReported { machine, leads, version } if *machine == control_plane => {
                 Some((seconds(line.at, begun), *leads, *version))
             }
             _ => None,
--- a/crates/testbed/src/trial/results.rs
+++ b/crates/testbed/src/trial/results.rs
@@ -1,8 +1,8 @@
 //! The figures of one trial, as a line of a file, and how two files of them differ.
 
 use super::schedule::Schedule;
-use crate::history::{End, Line, Seen};
-use crate::judge::{BUCKET, Verdict};
+use crate::history::{End, Event, Record};
+use crate::judge::{BUCKET_US, Verdict};
 use fault_injection::Estimate;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
@@ -36,7 +36,7 @@
 
 impl Figures {
     /// Those of a trial whose load began at this time of its history.
-    pub fn of(schedule: &Schedule, verdict: &Verdict, lines: &[Line], begun: u64) -> Self {
+    pub fn of(schedule: &Schedule, verdict: &Verdict, lines: &[Record], begun: u64) -> Self {
         let mut ends = [0.0; 3];
         let (mut requests, mut further) = (0.0, [0.0; 2]);
         let mut times = Histogram::<u64>::new_with_max(60_000_000, 3).ok();
@@ -45,13 +45,13 @@
         let mut troubled = vec![false; verdict.worth.len()];
         let mut held: HashMap<usize, u64> = HashMap::new();
         let span = |troubled: &mut Vec<bool>, from: u64, to: u64| {
-            let (from, to) = ((from / BUCKET) as usize, (to / BUCKET) as usize + 1);
+            let (from, to) = ((from / BUCKET_US) as usize, (to / BUCKET_US) as usize + 1);
             let to = to.min(troubled.len());
             troubled.iter_mut().take(to).skip(from).for_each(|held| *held = true);
         };
-        for Line { at, seen } in lines {
-            match seen {
-                Seen::Done { due, end, tries, .. } => {
+        for Record { at, event } in lines {
+            match event {
+                Event::Done { due, end, tries, .. } => {
                     requests += 1.0;
                     further[0] += f64::from(tries.saturating_sub(1));
                     let end = match end {
@@ -64,22 +64,24 @@
                         times.saturating_record(at.saturating_sub(*due));
                     }
                 }
-                Seen::Arrived { id: Some(id), .. } => {
+                Event::Arrived { id: Some(id), .. } => {
                     let count = arrivals.entry(*id).or_default();
                     further[1] += f64::from(*count > 0);
                     *count += 1;
                 }
-                Seen::Stands { machine, leads: is, .. } => {
-                    leads.insert(*machine, (*is, *at));
+                Event::StatusReported { machine, leads: is_leader, .. } => {
+                    leads.insert(*machine, (*is_leader, *at));
                     // Who has not answered for a second says nothing.
-                    let fresh = |(is, seen): &(bool, u64)| *is && at.saturating_sub(*seen) < 1_000_000;
+                    let fresh = |(is_leader, reported): &(bool, u64)| {
+                        *is_leader && at.saturating_sub(*reported) < 1_000_000
+                    };
                     if !leads.values().any(fresh) {
                         leaderless += at.saturating_sub(last);
                     }
                     last = *at;
                 }
-                Seen::Begins { fault, .. } => drop(held.insert(*fault, *at)),
-                Seen::Ends { fault } => {
+                Event::FaultBegan { fault, .. } => drop(held.insert(*fault, *at)),
+                Event::FaultEnded { fault } => {
                     if let Some(from) = held.remove(fault) {
                         span(&mut troubled, from, *at);
                     }
--- a/crates/testbed/src/trial/rude.rs
+++ b/crates/testbed/src/trial/rude.rs
@@ -2,7 +2,7 @@
 
 use crate::backend::{path_of, question};
 use crate::chance::{Chance, mix};
-use crate::history::{History, Seen};
+use crate::history::{Event, History};
 use crate::plan::{HOST, KINDS, TENANTS};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -53,7 +53,7 @@
         }
         // Whole, and gone before the answer.
         1 => {
-            history.note(Seen::Sent { id, kind: Some(3), tenant: Some(2), pure: false });
+            history.note(Event::Sent { id, kind: Some(3), tenant: Some(2), pure: false });
             stream.write_all(head("POST", id, &length).as_bytes()).await?;
             stream.write_all(&body).await?;
             sleep(Duration::from_millis(chance.below(20) as u64)).await;
@@ -79,7 +79,7 @@
             chunks.extend_from_slice(b"\r\n0\r\n\r\n");
             let longer = chunks.len() + hidden.len() + body.len();
             let more = format!("Content-Length: {longer}\r\nTransfer-Encoding: chunked\r\n");
-            history.note(Seen::Sent { id, kind: Some(3), tenant: Some(2), pure: false });
+            history.note(Event::Sent { id, kind: Some(3), tenant: Some(2), pure: false });
             stream.write_all(head("POST", id, &more).as_bytes()).await?;
             stream.write_all(&chunks).await?;
             stream.write_all(hidden.as_bytes()).await?;
--- a/crates/testbed/src/trial/several.rs
+++ b/crates/testbed/src/trial/several.rs
@@ -130,7 +130,7 @@
         faults.join(", "),
         line(figures)
     );
-    for broken in verdict.breaks.iter().take(20) {
+    for broken in verdict.violations.iter().take(20) {
         let (at, faults) = (broken.at, broken.faults.join(", "));
         // Writing to a text can't fail.
         let _ = writeln!(text, "  {:?} at {at:.3} s: {} [{faults}]", broken.rule, broken.what);
--- a/crates/testbed/src/trial/stage.rs
+++ b/crates/testbed/src/trial/stage.rs
@@ -9,7 +9,7 @@
 use crate::demo::{Program, data};
 use crate::fault::Fault as Failure;
 use crate::fleet::{GRACE, Process};
-use crate::history::{Deed, History, Seen};
+use crate::history::{Event, History, ProcessEvent};
 use crate::load::Greed;
 use crate::mood::Mood;
 use crate::operator::Operator;
@@ -157,8 +157,8 @@
         }
     }
 
-    fn deed(&self, machine: usize, data_plane: bool, deed: Deed) {
-        self.history.note(Seen::Process { machine, data_plane, deed });
+    fn record_process(&self, machine: usize, data_plane: bool, process_event: ProcessEvent) {
+        self.history.note(Event::Process { machine, data_plane, process_event });
     }
 
     /// All faults, each at its time; done when everything has been put right again.
@@ -169,12 +169,12 @@
             all.spawn_local(async move {
                 sleep_until(begun + Duration::from_secs_f64(fault.at)).await;
                 let (text, machines) = (fault.text.clone(), fault.machines());
-                stage.history.note(Seen::Begins { fault: number, text, machines });
+                stage.history.note(Event::FaultBegan { fault: number, text, machines });
                 let until = Instant::now() + Duration::from_secs_f64(fault.lasts);
                 if let Err(error) = stage.happens(number, &fault, until).await {
                     stage.failed.borrow_mut().push(format!("{}: {error}", fault.text));
                 }
-                stage.history.note(Seen::Ends { fault: number });
+                stage.history.note(Event::FaultEnded { fault: number });
             });
         }
         while all.join_next().await.is_some() {}
@@ -233,24 +233,25 @@
         let mut process = process.lock().await;
         match fault.kind {
             Kind::Stop => {
-                self.deed(machine, data_plane, Deed::Stopped);
+                self.record_process(machine, data_plane, ProcessEvent::Stopped);
                 process.signal(Signal::STOP);
                 sleep_until(until).await;
                 process.signal(Signal::CONT);
-                self.deed(machine, data_plane, Deed::Continued);
+                self.record_process(machine, data_plane, ProcessEvent::Continued);
                 return Ok(());
             }
             Kind::Kill => {
-                self.deed(machine, data_plane, Deed::Killed);
+                self.record_process(machine, data_plane, ProcessEvent::Killed);
                 self.net.set_up(party, false);
                 process.kill().await;
             }
             _ => {
-                self.deed(machine, data_plane, Deed::Told);
+                self.record_process(machine, data_plane, ProcessEvent::Told);
                 process.signal(Signal::TERM);
                 if !process.ends(GRACE).await {
-                    let deed = Deed::Wrong(format!("did not end {} s after SIGTERM", GRACE.as_secs()));
-                    self.deed(machine, data_plane, deed);
+                    let process_event =
+                        ProcessEvent::Wrong(format!("did not end {} s after SIGTERM", GRACE.as_secs()));
+                    self.record_process(machine, data_plane, process_event);
                 }
                 self.net.set_up(party, false);
             }
@@ -263,7 +264,7 @@
         sleep_until(until).await;
         process.restart()?;
         self.net.set_up(party, true);
-        self.deed(machine, data_plane, Deed::Started);
+        self.record_process(machine, data_plane, ProcessEvent::Started);
         Ok(())
     }
 
@@ -355,7 +356,7 @@
                 let Ok((machine, Some(status))) = answer else { continue };
                 let version = status["version"].as_str().and_then(|v| v.strip_prefix('r')?.parse().ok());
                 let (leads, version) = (status["log"]["leads"] == true, version.unwrap_or_default());
-                self.history.note(Seen::Stands { machine, leads, version });
+                self.history.note(Event::StatusReported { machine, leads, version });
             }
         }
     }
@@ -369,7 +370,11 @@
         for (machine, data_plane, process) in control_planes.chain(data_planes) {
             let Ok(mut process) = process.try_lock() else { continue };
             if let Some(status) = process.ended() {
-                self.deed(machine, data_plane, Deed::Wrong(format!("ended by itself: {status}")));
+                self.record_process(
+                    machine,
+                    data_plane,
+                    ProcessEvent::Wrong(format!("ended by itself: {status}")),
+                );
             }
         }
     }
--- a/crates/testbed/src/trouble.rs
+++ b/crates/testbed/src/trouble.rs
@@ -5,7 +5,7 @@
 use crate::control::Control;
 use crate::fault::Fault;
 use crate::fleet::Process;
-use crate::history::{Deed, History, Seen};
+use crate::history::{Event, History, ProcessEvent};
 use crate::operator::{ACK, Operator};
 use crate::plan::APPLY_MS;
 use crate::report::Teller;
@@ -125,8 +125,8 @@
         }
     }
 
-    fn deed(&self, machine: usize, data_plane: bool, deed: Deed) {
-        self.history.note(Seen::Process { machine, data_plane, deed });
+    fn record_process(&self, machine: usize, data_plane: bool, process_event: ProcessEvent) {
+        self.history.note(Event::Process { machine, data_plane, process_event });
     }
 
     async fn leader(&mut self, start: Instant, disk: bool) -> Result<(), Fault> {
@@ -136,7 +136,7 @@
             return Ok(());
         };
         let killed = Instant::now();
-        self.deed(leader, false, Deed::Killed);
+        self.record_process(leader, false, ProcessEvent::Killed);
         self.control_planes[leader].kill().await;
         let name = self.control_planes[leader].name().to_owned();
         if disk {
@@ -172,7 +172,7 @@
         sleep_until(killed + BACK_AFTER).await;
         let back = Instant::now();
         self.control_planes[leader].restart()?;
-        self.deed(leader, false, Deed::Started);
+        self.record_process(leader, false, ProcessEvent::Started);
         self.teller.say(format!("{name} starts again"));
         let due = format!("r{}", self.operator.version);
         loop {
@@ -213,19 +213,19 @@
         };
         data_planes().chain(control_planes()).for_each(|process| process.signal(Signal::STOP));
         let names: Vec<_> = data_planes().chain(control_planes()).map(Process::name).collect();
-        let all = |deed: Deed| {
+        let all = |process_event: ProcessEvent| {
             for machine in (0..ZONES.len()).filter(there) {
-                self.deed(machine, true, deed.clone());
+                self.record_process(machine, true, process_event.clone());
                 if machine < self.control_planes.len() {
-                    self.deed(machine, false, deed.clone());
+                    self.record_process(machine, false, process_event.clone());
                 }
             }
         };
-        all(Deed::Stopped);
+        all(ProcessEvent::Stopped);
         self.teller.say(format!("zone {zone} stops: {}", names.join(", ")));
         sleep(STOPPED).await;
         data_planes().chain(control_planes()).for_each(|process| process.signal(Signal::CONT));
-        all(Deed::Continued);
+        all(ProcessEvent::Continued);
         self.teller.say(format!("zone {zone} goes on"));
     }
 
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -1,8 +1,8 @@
 //! Each rule of the judge, against histories made by hand: a fault that is planted is found and named, and a history
 //! in order accuses nobody.
 
-use testbed::demo::TERMS;
-use testbed::history::{Deed, End, Line, Seen};
+use testbed::demo::TIME_BOUNDS;
+use testbed::history::{End, Event, ProcessEvent, Record};
 use testbed::judge::{Rule, Verdict, judge, seal};
 
 const SECOND: u64 = 1_000_000;
@@ -10,7 +10,7 @@
 /// A history that grows, a millisecond for each line unless told otherwise.
 #[derive(Default)]
 struct Tale {
-    lines: Vec<Line>,
+    lines: Vec<Record>,
     now: u64,
 }
 
@@ -19,15 +19,15 @@
     fn new() -> Self {
         let mut tale = Self::default();
         for (backend, service) in [(1, "customs"), (2, "chandler")] {
-            tale.see(Seen::Born { backend, id: format!("i-{backend}"), service: service.into() });
+            tale.see(Event::BackendStarted { backend, id: format!("i-{backend}"), service: service.into() });
         }
         tale.order(1, 0, true, Some(true));
         tale
     }
 
-    fn see(&mut self, seen: Seen) {
+    fn see(&mut self, event: Event) {
         self.now += 1000;
-        self.lines.push(Line { at: self.now, seen });
+        self.lines.push(Record { at: self.now, event });
     }
 
     fn wait(&mut self, us: u64) {
@@ -36,23 +36,23 @@
 
     /// An effectful request of the third tenant for customs.
     fn sent(&mut self, id: u64) {
-        self.see(Seen::Sent { id, kind: Some(3), tenant: Some(2), pure: false });
-        self.see(Seen::Took { id, machine: 3 });
+        self.see(Event::Sent { id, kind: Some(3), tenant: Some(2), pure: false });
+        self.see(Event::Connected { id, machine: 3 });
     }
 
     fn arrived(&mut self, id: u64, backend: u32) {
-        self.see(Seen::Arrived { id: Some(id), backend, machine: Some(3) });
+        self.see(Event::Arrived { id: Some(id), backend, machine: Some(3) });
     }
 
     fn ran(&mut self, id: u64, backend: u32) {
         self.arrived(id, backend);
         let (tenant, arrived) = (Some("cutter".into()), self.now);
-        self.see(Seen::Ran { id: Some(id), backend, arrived, tenant, key: false, unchanged: true });
+        self.see(Event::Ran { id: Some(id), backend, arrived, tenant, key: false, unchanged: true });
     }
 
     fn answered(&mut self, id: u64, status: u16, by: &str) {
         let seal = (status == 200).then(|| seal(by, id));
-        self.see(Seen::Answered { id, status, seal, echoed: true, whole: true });
+        self.see(Event::Answered { id, status, seal, echoed: true, whole: true });
     }
 
     fn served(&mut self, id: u64) {
@@ -63,36 +63,36 @@
 
     fn done(&mut self, end: End) {
         let due = self.now;
-        self.see(Seen::Done { kind: 3, owed: true, due, end, tries: 1 });
+        self.see(Event::Done { kind: 3, owed: true, due, end, tries: 1 });
     }
 
-    fn process(&mut self, machine: usize, data_plane: bool, deed: Deed) {
-        self.see(Seen::Process { machine, data_plane, deed });
+    fn process(&mut self, machine: usize, data_plane: bool, process_event: ProcessEvent) {
+        self.see(Event::Process { machine, data_plane, process_event });
     }
 
     /// A change; acknowledged, refused, or neither.
     fn order(&mut self, version: u64, base: u64, valid: bool, taken: Option<bool>) {
-        self.see(Seen::Order { version, base, valid, routes: vec![version] });
+        self.see(Event::ChangeSent { version, base, valid, routes: vec![version] });
         match taken {
-            Some(true) => self.see(Seen::Acked { version }),
-            Some(false) => self.see(Seen::Turned { version, status: 412 }),
+            Some(true) => self.see(Event::Acked { version }),
+            Some(false) => self.see(Event::ChangeRejected { version, status: 412 }),
             None => {}
         }
     }
 
     fn probed(&mut self, version: u64, status: u16) {
         let sent = self.now;
-        self.see(Seen::Probed { version, machine: 3, sent, status });
+        self.see(Event::Probed { version, machine: 3, sent, status });
     }
 
     fn read(&mut self, version: Option<u64>, same: bool) {
         for machine in 0..3 {
-            self.see(Seen::Read { machine, version, same });
+            self.see(Event::Read { machine, version, same });
         }
     }
 
     fn judged(&self) -> Verdict {
-        judge(&self.lines, &TERMS, None)
+        judge(&self.lines, &TIME_BOUNDS, None)
     }
 }
 
@@ -108,28 +108,28 @@
     // Refused and never run; a pure one that ran at two backends, whose first answer came.
     tale.sent(100);
     tale.answered(100, 503, "");
-    tale.see(Seen::Sent { id: 101, kind: Some(2), tenant: Some(2), pure: true });
+    tale.see(Event::Sent { id: 101, kind: Some(2), tenant: Some(2), pure: true });
     tale.ran(101, 1);
     tale.ran(101, 2);
     tale.answered(101, 200, "i-1");
     // A drain, and a request just before its time is over.
-    tale.see(Seen::Drained { backend: 2 });
-    tale.wait(TERMS.drain - 10_000);
-    tale.see(Seen::Sent { id: 102, kind: Some(0), tenant: None, pure: true });
+    tale.see(Event::Drained { backend: 2 });
+    tale.wait(TIME_BOUNDS.drain - 10_000);
+    tale.see(Event::Sent { id: 102, kind: Some(0), tenant: None, pure: true });
     tale.arrived(102, 2);
     // A race with one winner, an invalid one refused, a change with no clear answer.
     tale.order(3, 1, true, Some(true));
     tale.order(4, 1, true, Some(false));
     tale.order(6, 3, false, Some(false));
     tale.order(7, 3, true, None);
-    tale.wait(TERMS.apply + SECOND);
+    tale.wait(TIME_BOUNDS.apply + SECOND);
     tale.probed(3, 200);
     tale.probed(4, 404);
     tale.probed(7, 200);
     tale.probed(7, 404);
     tale.read(Some(7), true);
     let verdict = tale.judged();
-    assert_eq!((verdict.total(), verdict.breaks), (0, vec![]));
+    assert_eq!((verdict.total(), verdict.violations), (0, vec![]));
     assert!(verdict.worth.iter().all(|(owed, earned)| owed == earned));
 }
 
@@ -160,7 +160,7 @@
     tale.sent(9);
     tale.ran(9, 1);
     let seal = Some(seal("i-1", 9));
-    tale.see(Seen::Answered { id: 9, status: 200, seal, echoed: true, whole: false });
+    tale.see(Event::Answered { id: 9, status: 200, seal, echoed: true, whole: false });
 }
 
 fn unknown_id(tale: &mut Tale) {
@@ -170,19 +170,19 @@
 fn other_tenant(tale: &mut Tale) {
     tale.sent(9);
     let (tenant, arrived) = (Some("albatross".into()), tale.now);
-    tale.see(Seen::Ran { id: Some(9), backend: 1, arrived, tenant, key: false, unchanged: true });
+    tale.see(Event::Ran { id: Some(9), backend: 1, arrived, tenant, key: false, unchanged: true });
 }
 
 fn key_shown(tale: &mut Tale) {
     tale.sent(9);
     let (tenant, arrived) = (Some("cutter".into()), tale.now);
-    tale.see(Seen::Ran { id: Some(9), backend: 1, arrived, tenant, key: true, unchanged: true });
+    tale.see(Event::Ran { id: Some(9), backend: 1, arrived, tenant, key: true, unchanged: true });
 }
 
 fn changed_on_the_way(tale: &mut Tale) {
     tale.sent(9);
     let (tenant, arrived) = (Some("cutter".into()), tale.now);
-    tale.see(Seen::Ran { id: Some(9), backend: 1, arrived, tenant, key: false, unchanged: false });
+    tale.see(Event::Ran { id: Some(9), backend: 1, arrived, tenant, key: false, unchanged: false });
 }
 
 fn other_service(tale: &mut Tale) {
@@ -197,16 +197,16 @@
 }
 
 fn drained(tale: &mut Tale) {
-    tale.see(Seen::Drained { backend: 1 });
-    tale.wait(TERMS.drain + SECOND / 5);
+    tale.see(Event::Drained { backend: 1 });
+    tale.wait(TIME_BOUNDS.drain + SECOND / 5);
     tale.served(9);
 }
 
 fn cut_by_a_restart(tale: &mut Tale) {
     tale.sent(9);
     tale.arrived(9, 1);
-    tale.process(3, true, Deed::Told);
-    tale.see(Seen::Cut { id: 9 });
+    tale.process(3, true, ProcessEvent::Told);
+    tale.see(Event::Cut { id: 9 });
 }
 
 fn configuration_gone(tale: &mut Tale) {
@@ -230,30 +230,30 @@
 fn loser_in_force(tale: &mut Tale) {
     tale.order(3, 1, true, Some(true));
     tale.order(4, 1, true, Some(false));
-    tale.wait(TERMS.apply + SECOND);
+    tale.wait(TIME_BOUNDS.apply + SECOND);
     tale.probed(4, 200);
 }
 
 fn old_version_in_force(tale: &mut Tale) {
     tale.order(3, 1, true, Some(true));
-    tale.wait(TERMS.apply + SECOND);
+    tale.wait(TIME_BOUNDS.apply + SECOND);
     tale.probed(3, 404);
 }
 
 fn read_back_changed(tale: &mut Tale) {
-    tale.see(Seen::Read { machine: 0, version: Some(1), same: false });
+    tale.see(Event::Read { machine: 0, version: Some(1), same: false });
 }
 
 fn read_back_by_some_only(tale: &mut Tale) {
     tale.order(3, 1, true, Some(true));
     for (machine, version) in [(0, Some(3)), (1, None), (2, Some(3))] {
-        tale.see(Seen::Read { machine, version, same: true });
+        tale.see(Event::Read { machine, version, same: true });
     }
 }
 
 fn many_further_tries(tale: &mut Tale) {
     for id in 0..70 {
-        tale.see(Seen::Sent { id, kind: Some(2), tenant: None, pure: true });
+        tale.see(Event::Sent { id, kind: Some(2), tenant: None, pure: true });
         tale.arrived(id, 1);
         tale.arrived(id, 1);
         tale.arrived(id, 1);
@@ -271,15 +271,15 @@
 fn service_that_stays_away(tale: &mut Tale) {
     (0..40).for_each(|_| tale.done(End::Served));
     tale.wait(SECOND);
-    tale.process(3, true, Deed::Killed);
+    tale.process(3, true, ProcessEvent::Killed);
     tale.wait(SECOND);
-    tale.process(3, true, Deed::Started);
-    tale.wait(TERMS.recovery + SECOND);
+    tale.process(3, true, ProcessEvent::Started);
+    tale.wait(TIME_BOUNDS.recovery + SECOND);
     (0..40).for_each(|_| tale.done(End::Failed(None)));
 }
 
 fn process_gone(tale: &mut Tale) {
-    tale.process(0, false, Deed::Wrong("ended by itself".into()));
+    tale.process(0, false, ProcessEvent::Wrong("ended by itself".into()));
 }
 
 #[yare::parameterized(
@@ -313,8 +313,8 @@
     let mut tale = Tale::new();
     plant(&mut tale);
     let verdict = tale.judged();
-    assert_eq!(verdict.counts.into_iter().collect::<Vec<_>>(), [(rule, 1)], "{:?}", verdict.breaks);
-    assert_eq!((verdict.breaks.len(), verdict.breaks[0].rule), (1, rule));
+    assert_eq!(verdict.counts.into_iter().collect::<Vec<_>>(), [(rule, 1)], "{:?}", verdict.violations);
+    assert_eq!((verdict.violations.len(), verdict.violations[0].rule), (1, rule));
 }
 
 /// What has a time bound holds only for machines in touch, and planned work is not to blame for a kill.
@@ -328,15 +328,16 @@
     for core in [false, true] {
         let mut tale = Tale::new();
         let machine = if core { 0 } else { 3 };
-        tale.see(Seen::Begins { fault: 0, text: "cut".into(), machines: vec![machine] });
+        tale.see(Event::FaultBegan { fault: 0, text: "cut".into(), machines: vec![machine] });
         plant(&mut tale);
-        assert_eq!(tale.judged().total(), 0, "{:?}", tale.judged().breaks);
+        assert_eq!(tale.judged().total(), 0, "{:?}", tale.judged().violations);
         // Once it has ended and the time of contact is over, the same is a break.
-        tale.see(Seen::Ends { fault: 0 });
-        tale.wait(TERMS.contact);
+        tale.see(Event::FaultEnded { fault: 0 });
+        tale.wait(TIME_BOUNDS.contact);
         let mut again = Tale { lines: Vec::new(), now: tale.now };
         plant(&mut again);
-        tale.lines.extend(again.lines.into_iter().filter(|line| !matches!(line.seen, Seen::Drained { .. })));
+        tale.lines
+            .extend(again.lines.into_iter().filter(|line| !matches!(line.event, Event::Drained { .. })));
         assert!(tale.judged().counts.contains_key(&rule));
     }
 }
@@ -344,7 +345,7 @@
 #[test]
 fn breaks_name_the_faults_in_force() {
     let mut tale = Tale::new();
-    tale.see(Seen::Begins { fault: 0, text: "cut m4-m1".into(), machines: vec![3] });
+    tale.see(Event::FaultBegan { fault: 0, text: "cut m4-m1".into(), machines: vec![3] });
     runs_again(&mut tale);
-    assert_eq!(tale.judged().breaks[0].faults, ["cut m4-m1"]);
+    assert_eq!(tale.judged().violations[0].faults, ["cut m4-m1"]);
 }
