--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -60,7 +60,7 @@
     }
 
     /// Asks all gateways once a second until it is dropped.
-    pub async fn watch(&self) {
+    pub async fn poll_readiness(&self) {
         loop {
             let mut asks = tokio::task::JoinSet::new();
             for (index, address) in self.readiness.iter().copied().enumerate() {
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -286,7 +286,7 @@
             "all data planes are ready; {} requests a second for {} s",
             self.rate, self.seconds
         ));
-        let lasts = Duration::from_secs(self.seconds);
+        let duration = Duration::from_secs(self.seconds);
         let mut scene = Scene {
             control_planes,
             data: (0..VOTERS).map(|machine| data(folder, machine)).collect(),
@@ -296,19 +296,19 @@
             backends,
             history: history.clone(),
             teller,
-            lasts,
+            duration,
             seed: self.seed,
         };
         let before = [spent(&scene.control_planes), spent(&scene.data_planes)];
         let greed = Greed::new(if self.trouble == Trouble::Quota { GREED } else { 1.0 });
-        let load = Load { seed: self.seed, rate: self.rate, lasts, greed };
+        let load = Load { seed: self.seed, rate: self.rate, duration, greed };
         let tallies = Tallies::default();
         let watched = platform.clone();
-        let platform_watch = tokio::spawn(async move { watched.watch().await });
+        let platform_watch = tokio::spawn(async move { watched.poll_readiness().await });
         tokio::select! {
             done = async {
                 let ((), done) = tokio::join!(
-                    load.play(platform.clone(), history.clone(), tallies.clone()),
+                    load.run(platform.clone(), history.clone(), tallies.clone()),
                     scene.play(self.trouble)
                 );
                 done
@@ -348,7 +348,7 @@
     for (data_plane, processes) in [(false, control_planes), (true, data_planes)] {
         for (machine, process) in processes.iter_mut().enumerate() {
             if let Some(status) = process.ended() {
-                let process_event = ProcessEvent::Wrong(format!("ended by itself: {status}"));
+                let process_event = ProcessEvent::Wrong(format!("exited unexpectedly: {status}"));
                 history.note(Event::Process { machine, data_plane, process_event });
             }
         }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -68,7 +68,7 @@
     /// Requests a second.
     pub rate: f64,
     /// For how long.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// How many times its usual share the last tenant asks, at each moment.
     pub greed: Greed,
 }
@@ -149,7 +149,7 @@
 
 impl Load {
     /// Plays it; it ends once every request has ended, which their deadlines bound.
-    pub async fn play(&self, platform: Arc<Platform>, history: Arc<History>, tallies: Tallies) {
+    pub async fn run(&self, platform: Arc<Platform>, history: Arc<History>, tallies: Tallies) {
         let ids = Arc::new(Ids::new(self.seed));
         let client = |n| Arc::new(Client::new(n, self.seed, platform.clone(), history.clone(), ids.clone()));
         let clients: Vec<_> = (0..CLIENTS as u64).map(client).collect();
@@ -163,7 +163,7 @@
         loop {
             let more = keyed * small * (self.greed.get() - 1.0);
             at += Duration::from_secs_f64(chance.exponential() / (self.rate * (1.0 + more)));
-            if at >= self.lasts {
+            if at >= self.duration {
                 break;
             }
             let greedy = chance.unit() < more / (1.0 + more);
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -11,8 +11,8 @@
 use testbed::capacity::size::PLAN;
 use testbed::demo::{Program, told_to_end};
 use testbed::report::print;
-use testbed::trial::schedule::{self, SHIPPED, Schedule};
-use testbed::trial::several::several;
+use testbed::trial::schedule::{self, BUILT_IN, Schedule};
+use testbed::trial::several::run_all;
 use testbed::trial::{self, Figures, compare};
 use testbed::{Demo, Fault, Trouble, capacity, scale, up};
 
@@ -319,7 +319,7 @@
 fn trial(runtime: &tokio::runtime::Runtime, arguments: TrialArguments) -> Result<ExitCode, Fault> {
     let TrialArguments { name, seeds, side, program, against, keep, out, .. } = arguments;
     let Some(name) = name else {
-        SHIPPED.iter().for_each(|(name, _)| print(format_args!("{name}\n")));
+        BUILT_IN.iter().for_each(|(name, _)| print(format_args!("{name}\n")));
         return Ok(ExitCode::SUCCESS);
     };
     if !(1..=MOST_SIDE).contains(&side) {
@@ -335,7 +335,7 @@
         let all = all.clone();
         runtime.block_on(async {
             tokio::select! {
-                sum = several(all, &options, side, |text| print(text)) => sum,
+                sum = run_all(all, &options, side, |text| print(text)) => sum,
                 // All processes go with the threads that started them.
                 why = told_to_end() => Err(Fault::Ended(why)),
             }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -125,8 +125,8 @@
         let count = verdict.counts.get(&rule).copied().unwrap_or_default();
         let _ = writeln!(text, "{count:>6}  {name}");
     }
-    for broken in verdict.violations.iter().take(MOST_LINES) {
-        let _ = writeln!(text, "        {:.3} s: {}", broken.at, broken.what);
+    for violation in verdict.violations.iter().take(MOST_LINES) {
+        let _ = writeln!(text, "        {:.3} s: {}", violation.at, violation.what);
     }
     if verdict.total() > MOST_LINES as u64 {
         let _ = writeln!(text, "        and {} more", verdict.total() - MOST_LINES as u64);
--- a/crates/testbed/src/trial/stage.rs
+++ b/crates/testbed/src/trial/environment.rs
@@ -1,8 +1,8 @@
-//! The stage of a trial: processes, stand-ins and relays between them, and what faults do to these.
+//! The environment of a trial: processes, stand-ins and the relays between them, and how faults are injected.
 
+use super::misbehaving_client::run_rude_client;
 use super::parties::{Party, ZONES_OF_BACKENDS};
-use super::rude::rude;
-use super::schedule::{Disk, Fault, Kind, On};
+use super::schedule::{Disk, Fault, Kind, Target};
 use crate::backend::{Cradle, StandInBackend};
 use crate::chance::mix;
 use crate::control::Control;
@@ -28,49 +28,49 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-/// How often control planes are asked how they stand, and processes are looked at.
-const LOOKS: Duration = Duration::from_millis(200);
-/// The first port of backends; each life has a port of its own.
-const PORTS: u16 = 9_000;
+/// Interval at which the status of control planes and the state of processes are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// First port of backends; each backend instance uses a new port.
+const FIRST_PORT: u16 = 9_000;
 
-/// Everything of a trial while it runs.
-pub struct Stage {
-    /// What is seen.
+/// All running parts of a trial.
+pub struct Environment {
+    /// The recorded events.
     pub history: Arc<History>,
     /// Relays on all links.
     pub net: Net<Party>,
-    /// The addresses.
+    /// Addresses of all parties.
     pub site: Site,
     folder: PathBuf,
-    /// Control planes and data planes. Whoever holds one is at work on its process, and notes what becomes of it.
+    /// Control planes by machine. The lock holder controls the process and records its state changes.
     pub control_planes: Vec<Mutex<Process>>,
-    /// See there.
+    /// Data planes by machine, locked in the same way.
     pub data_planes: Vec<Mutex<Process>>,
-    /// By place.
+    /// Backends by slot.
     pub backends: Vec<Mutex<Arc<StandInBackend>>>,
     controls: Vec<Control>,
-    /// Where clients go.
+    /// Relayed client addresses of the data planes.
     pub fronts: Arc<[SocketAddr]>,
     /// The operator.
     pub operator: Mutex<Operator>,
-    /// How much the last tenant asks.
+    /// Load factor of the last tenant.
     pub greed: Greed,
     seed: u64,
-    lives: Cell<u16>,
-    /// Faults that could not be carried out.
-    pub failed: RefCell<Vec<String>>,
+    started_backends: Cell<u16>,
+    /// Faults that could not be injected.
+    pub injection_errors: RefCell<Vec<String>>,
 }
 
-fn failed(error: io::Error) -> Failure {
+fn relay_error(error: io::Error) -> Failure {
     Failure::Socket { what: "a relay", error }
 }
 
-impl Stage {
-    /// Starts everything but the load.
+impl Environment {
+    /// Starts all parties except the load.
     ///
     /// # Errors
-    /// When a process or relay cannot be started.
-    pub fn set(program: &Program, folder: &Path, site: Site, seed: u64) -> Result<Self, Failure> {
+    /// Returns an error when a process or relay cannot be started.
+    pub fn start(program: &Program, folder: &Path, site: Site, seed: u64) -> Result<Self, Failure> {
         let (history, net) = (Arc::new(History::default()), Net::default());
         let others = site.source(None);
         for from in 0..ZONES.len() {
@@ -79,13 +79,13 @@
                 let at = SocketAddr::new(site.way(from, target.ip()), target.port());
                 let (parties, source) =
                     ((Party::Machine(from), Party::ControlPlane(to)), site.source(Some(from)));
-                net.way(parties, at, source, target, true).map_err(failed)?;
+                net.way(parties, at, source, target, true).map_err(relay_error)?;
             }
         }
         let controls = |of: Party| -> Result<Control, Failure> {
             let way = |machine| {
                 let (parties, target) = ((of, Party::ControlPlane(machine)), site.control(machine));
-                net.way(parties, SocketAddr::new(others, 0), others, target, true).map_err(failed)
+                net.way(parties, SocketAddr::new(others, 0), others, target, true).map_err(relay_error)
             };
             let ways: Vec<_> = (0..VOTERS).map(way).collect::<Result<_, _>>()?;
             let own: Vec<_> = (0..VOTERS).map(|machine| site.control(machine)).collect();
@@ -93,14 +93,14 @@
         };
         let front = |machine| {
             let (parties, target) = ((Party::Clients, Party::DataPlane(machine)), site.front(machine));
-            net.way(parties, SocketAddr::new(others, 0), others, target, true).map_err(failed)
+            net.way(parties, SocketAddr::new(others, 0), others, target, true).map_err(relay_error)
         };
         let fronts: Arc<[_]> = (0..ZONES.len()).map(front).collect::<Result<_, _>>()?;
         let operator = Operator::new(controls(Party::Operator)?, fronts.to_vec(), history.clone());
         let of_backends: Vec<_> =
             (0..SLOTS).map(|slot| controls(Party::StandInBackend(slot))).collect::<Result<_, _>>()?;
         let (control_planes, data_planes) = program.start_all(folder, &site)?;
-        let mut stage = Self {
+        let mut environment = Self {
             history,
             net,
             site,
@@ -113,36 +113,36 @@
             operator: Mutex::new(operator),
             greed: Greed::new(1.0),
             seed,
-            lives: Cell::new(0),
-            failed: RefCell::default(),
+            started_backends: Cell::new(0),
+            injection_errors: RefCell::default(),
         };
         for slot in 0..SLOTS {
             let service = SERVICES[slot / ZONES_OF_BACKENDS.len()].0;
-            let backend = stage.life(slot, service, None, true)?;
-            stage.backends.push(Mutex::new(backend));
+            let backend = environment.start_backend(slot, service, None, true)?;
+            environment.backends.push(Mutex::new(backend));
         }
-        Ok(stage)
+        Ok(environment)
     }
 
-    /// A new life at a backend's place: at a port of its own, or at one that was used before.
-    fn life(
+    /// Starts a backend in a slot, at a new port or at a given one that was used before.
+    fn start_backend(
         &self, slot: usize, service: &str, port: Option<u16>, warm: bool,
     ) -> Result<Arc<StandInBackend>, Failure> {
-        let life = self.lives.replace(self.lives.get() + 1);
-        let at = SocketAddr::new(self.site.backend(slot), port.unwrap_or(PORTS + life));
+        let start_backend = self.started_backends.replace(self.started_backends.get() + 1);
+        let at = SocketAddr::new(self.site.backend(slot), port.unwrap_or(FIRST_PORT + start_backend));
         if port.is_none() {
             for machine in 0..ZONES.len() {
                 let way = SocketAddr::new(self.site.way(machine, at.ip()), at.port());
                 let (parties, source) =
                     ((Party::Machine(machine), Party::StandInBackend(slot)), self.site.source(Some(machine)));
-                self.net.way(parties, way, source, at, true).map_err(failed)?;
+                self.net.way(parties, way, source, at, true).map_err(relay_error)?;
             }
         }
         StandInBackend::start(Cradle {
             service: service.to_owned(),
             zone: ZONES_OF_BACKENDS[slot % ZONES_OF_BACKENDS.len()].to_owned(),
             at,
-            seed: mix(self.seed).wrapping_add(life.into()),
+            seed: mix(self.seed).wrapping_add(start_backend.into()),
             warm,
             control: self.controls[slot].clone(),
             history: Some(self.history.clone()),
@@ -161,75 +161,77 @@
         self.history.note(Event::Process { machine, data_plane, process_event });
     }
 
-    /// All faults, each at its time; done when everything has been put right again.
-    pub async fn troubled(self: &Rc<Self>, faults: &[Fault], begun: Instant) {
+    /// Injects each fault at its time; returns when all faults have ended and everything is restored.
+    pub async fn inject_faults(self: &Rc<Self>, faults: &[Fault], load_start: Instant) {
         let mut all = JoinSet::new();
-        for (number, fault) in faults.iter().cloned().enumerate() {
-            let stage = self.clone();
+        for (index, fault) in faults.iter().cloned().enumerate() {
+            let environment = self.clone();
             all.spawn_local(async move {
-                sleep_until(begun + Duration::from_secs_f64(fault.at)).await;
+                sleep_until(load_start + Duration::from_secs_f64(fault.at)).await;
                 let (text, machines) = (fault.text.clone(), fault.machines());
-                stage.history.note(Event::FaultBegan { fault: number, text, machines });
-                let until = Instant::now() + Duration::from_secs_f64(fault.lasts);
-                if let Err(error) = stage.happens(number, &fault, until).await {
-                    stage.failed.borrow_mut().push(format!("{}: {error}", fault.text));
+                environment.history.note(Event::FaultBegan { fault: index, text, machines });
+                let until = Instant::now() + Duration::from_secs_f64(fault.duration);
+                if let Err(error) = environment.inject(index, &fault, until).await {
+                    environment.injection_errors.borrow_mut().push(format!("{}: {error}", fault.text));
                 }
-                stage.history.note(Event::FaultEnded { fault: number });
+                environment.history.note(Event::FaultEnded { fault: index });
             });
         }
         while all.join_next().await.is_some() {}
     }
 
-    async fn happens(self: &Rc<Self>, number: usize, fault: &Fault, until: Instant) -> Result<(), Failure> {
+    async fn inject(self: &Rc<Self>, index: usize, fault: &Fault, until: Instant) -> Result<(), Failure> {
         match &fault.on {
-            On::Links(links, flow) => {
-                self.net.begin(number, links, *flow);
+            Target::Links(links, flow) => {
+                self.net.begin(index, links, *flow);
                 sleep_until(until).await;
-                self.net.end(number);
+                self.net.end(index);
                 Ok(())
             }
-            On::Processes(of) => self.to_processes(of.clone(), fault, until).await,
-            On::Leader => {
-                let control = self.operator_control().await;
+            Target::Processes(of) => self.affect_processes(of.clone(), fault, until).await,
+            Target::Leader => {
+                let control = self.direct_control().await;
                 match control.leader().await {
-                    Some(leader) => self.to_processes(vec![Party::ControlPlane(leader)], fault, until).await,
+                    Some(leader) => {
+                        self.affect_processes(vec![Party::ControlPlane(leader)], fault, until).await
+                    }
                     None => {
-                        self.history.late("nobody led when the leader was to be in trouble");
+                        self.history.late("no leader found for a fault of the leader");
                         Ok(())
                     }
                 }
             }
-            On::Backends(slots) => self.to_backends(slots, fault, until).await,
-            On::Nobody => {
-                self.to_all(fault, until).await;
+            Target::Backends(slots) => self.affect_backends(slots, fault, until).await,
+            Target::Global => {
+                self.affect_all(fault, until).await;
                 Ok(())
             }
         }
     }
 
-    /// How control planes are asked without relays: the tool's own eyes.
-    async fn operator_control(&self) -> Control {
+    /// A control client without relays, used by the testbed to observe the control planes.
+    async fn direct_control(&self) -> Control {
         let own: Vec<_> = (0..VOTERS).map(|machine| self.site.control(machine)).collect();
         Control::new(own)
     }
 
-    async fn to_processes(
+    async fn affect_processes(
         self: &Rc<Self>, of: Vec<Party>, fault: &Fault, until: Instant,
     ) -> Result<(), Failure> {
         let mut all = JoinSet::new();
         for party in of {
-            let (stage, fault) = (self.clone(), fault.clone());
-            all.spawn_local(async move { stage.to_process(party, &fault, until).await });
+            let (environment, fault) = (self.clone(), fault.clone());
+            all.spawn_local(async move { environment.affect_process(party, &fault, until).await });
         }
-        while let Some(done) = all.join_next().await {
-            done.unwrap_or(Ok(()))?;
+        while let Some(result) = all.join_next().await {
+            result.unwrap_or(Ok(()))?;
         }
         Ok(())
     }
 
-    async fn to_process(&self, party: Party, fault: &Fault, until: Instant) -> Result<(), Failure> {
+    async fn affect_process(&self, party: Party, fault: &Fault, until: Instant) -> Result<(), Failure> {
         let Some((machine, data_plane, process)) = self.process(party) else { return Ok(()) };
-        // Another fault may be at work on it: then this one waits for its turn.
+        // If another fault holds the process, wait until that fault ends.
         let mut process = process.lock().await;
         match fault.kind {
             Kind::Stop => {
@@ -250,7 +252,7 @@
                 process.signal(Signal::TERM);
                 if !process.ends(GRACE).await {
                     let process_event =
-                        ProcessEvent::Wrong(format!("did not end {} s after SIGTERM", GRACE.as_secs()));
+                        ProcessEvent::Wrong(format!("did not exit within {} s of SIGTERM", GRACE.as_secs()));
                     self.record_process(machine, data_plane, process_event);
                 }
                 self.net.set_up(party, false);
@@ -268,7 +270,7 @@
         Ok(())
     }
 
-    async fn to_backends(&self, slots: &[usize], fault: &Fault, until: Instant) -> Result<(), Failure> {
+    async fn affect_backends(&self, slots: &[usize], fault: &Fault, until: Instant) -> Result<(), Failure> {
         let mood = match fault.kind {
             Kind::Slow => Some(Mood::Slow(fault.factor)),
             Kind::Silent => Some(Mood::Silent),
@@ -289,36 +291,36 @@
         }
         if fault.kind == Kind::Release {
             for (slot, backend) in &mut places {
-                let new = self.life(*slot, &backend.service, None, false)?;
+                let new = self.start_backend(*slot, &backend.service, None, false)?;
                 let old = std::mem::replace(&mut **backend, new);
                 if !old.leave().await {
-                    self.history.late(format!("the leave of {} was not acknowledged", old.id));
+                    self.history.late(format!("the drain or departure of {} was not acknowledged", old.id));
                 }
             }
             return Ok(());
         }
-        let mut learners = Vec::new();
+        let mut substitutes = Vec::new();
         for (slot, backend) in &mut places {
             backend.end();
             if fault.kind == Kind::Reuse {
-                // The address is free once the last task of the old life is gone.
+                // The address is free only after the last task of the old backend has ended.
                 sleep(Duration::from_millis(30)).await;
                 let other = SERVICES.iter().find(|(label, _)| *label != backend.service);
                 let service = other.map_or("", |(label, _)| *label);
-                learners.push(self.life(*slot, service, Some(backend.address.port()), true)?);
+                substitutes.push(self.start_backend(*slot, service, Some(backend.address.port()), true)?);
             }
         }
         sleep_until(until).await;
-        for learner in learners {
-            learner.leave().await;
+        for substitute in substitutes {
+            substitute.leave().await;
         }
         for (slot, backend) in &mut places {
-            **backend = self.life(*slot, &backend.service, None, false)?;
+            **backend = self.start_backend(*slot, &backend.service, None, false)?;
         }
         Ok(())
     }
 
-    async fn to_all(&self, fault: &Fault, until: Instant) {
+    async fn affect_all(&self, fault: &Fault, until: Instant) {
         match fault.kind {
             Kind::Changes => {
                 let mut operator = self.operator.lock().await;
@@ -331,29 +333,36 @@
             }
             _ => {
                 let mut all = JoinSet::new();
-                for number in 0..fault.count as u64 {
-                    all.spawn(rude(number, self.seed, self.fronts.clone(), self.history.clone(), until));
+                for index in 0..fault.count as u64 {
+                    all.spawn(run_rude_client(
+                        index,
+                        self.seed,
+                        self.fronts.clone(),
+                        self.history.clone(),
+                        until,
+                    ));
                 }
                 while all.join_next().await.is_some() {}
             }
         }
     }
 
-    /// Looks at all processes until it is dropped.
-    pub async fn looked_at(&self) {
-        let control = self.operator_control().await;
+    /// Records the status of all processes periodically; never returns.
+    pub async fn observe(&self) {
+        let control = self.direct_control().await;
         loop {
-            sleep(LOOKS).await;
-            self.look_for_ends();
-            let mut asked = JoinSet::new();
+            sleep(POLL_INTERVAL).await;
+            self.record_exits();
+            let mut status_calls = JoinSet::new();
             for machine in 0..VOTERS {
                 let control = control.clone();
-                asked.spawn(async move { (machine, control.status(control.addresses()[machine]).await) });
+                status_calls
+                    .spawn(async move { (machine, control.status(control.addresses()[machine]).await) });
             }
-            // One that is stopped keeps nobody waiting: its answer is left for the next look.
-            let until = Instant::now() + LOOKS;
-            while let Ok(Some(answer)) = timeout_at(until, asked.join_next()).await {
-                let Ok((machine, Some(status))) = answer else { continue };
+            // A suspended process must not delay the others, so its answer is dropped after one interval.
+            let until = Instant::now() + POLL_INTERVAL;
+            while let Ok(Some(result)) = timeout_at(until, status_calls.join_next()).await {
+                let Ok((machine, Some(status))) = result else { continue };
                 let version = status["version"].as_str().and_then(|v| v.strip_prefix('r')?.parse().ok());
                 let (leads, version) = (status["log"]["leads"] == true, version.unwrap_or_default());
                 self.history.note(Event::StatusReported { machine, leads, version });
@@ -361,8 +370,8 @@
         }
     }
 
-    /// Notes which processes have ended by themselves.
-    pub fn look_for_ends(&self) {
+    /// Records processes that exited unexpectedly.
+    pub fn record_exits(&self) {
         let control_planes =
             self.control_planes.iter().enumerate().map(|(machine, process)| (machine, false, process));
         let data_planes =
@@ -373,7 +382,7 @@
                 self.record_process(
                     machine,
                     data_plane,
-                    ProcessEvent::Wrong(format!("ended by itself: {status}")),
+                    ProcessEvent::Wrong(format!("exited unexpectedly: {status}")),
                 );
             }
         }
--- a/crates/testbed/src/trial/rude.rs
+++ b/crates/testbed/src/trial/misbehaving_client.rs
@@ -1,4 +1,4 @@
-//! Clients that are slow, break off, talk nonsense or smuggle.
+//! Misbehaving clients: they send slowly, disconnect, send invalid HTTP or attempt request smuggling.
 
 use crate::backend::{path_of, question};
 use crate::chance::{Chance, mix};
@@ -11,24 +11,28 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// The longest that one connection is played with.
-const LONGEST: Duration = Duration::from_secs(2);
+/// Maximum duration of one connection.
+const MAX_CONNECTION_TIME: Duration = Duration::from_secs(2);
 
-/// One rude client, until a moment. What it sends whole is noted; what it smuggles is not, and must never run.
-pub async fn rude(number: u64, seed: u64, fronts: Arc<[SocketAddr]>, history: Arc<History>, until: Instant) {
+/// Runs one misbehaving client until a deadline. Complete requests are recorded; smuggled ones are not, since they must
+/// never run.
+pub async fn run_rude_client(
+    number: u64, seed: u64, fronts: Arc<[SocketAddr]>, history: Arc<History>, until: Instant,
+) {
     let mut chance = Chance::new(seed, 5000 + number);
     while Instant::now() < until {
         let front = fronts[chance.below(fronts.len())];
-        let manner = chance.below(5);
+        let behavior = chance.below(5);
         let id = mix(seed ^ mix(number) ^ (chance.unit() * 1e15) as u64);
-        let played = play(manner, id, front, &history, &mut chance);
-        let _ = timeout(LONGEST.min(until.saturating_duration_since(Instant::now())), played).await;
+        let connection = misbehave(behavior, id, front, &history, &mut chance);
+        let _ = timeout(MAX_CONNECTION_TIME.min(until.saturating_duration_since(Instant::now())), connection)
+            .await;
         sleep(Duration::from_millis(20 + chance.below(200) as u64)).await;
     }
 }
 
 fn head(method: &str, id: u64, more: &str) -> String {
-    // The effectful kind of the third tenant.
+    // Kind 3 is the effectful kind; tenant 2 is the third tenant.
     let path = path_of(KINDS[3].prefix, id);
     let key = TENANTS[2].key;
     format!(
@@ -37,21 +41,21 @@
     )
 }
 
-async fn play(
-    manner: usize, id: u64, front: SocketAddr, history: &History, chance: &mut Chance,
+async fn misbehave(
+    behavior: usize, id: u64, front: SocketAddr, history: &History, chance: &mut Chance,
 ) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(front).await?;
     let body = question(id);
     let length = format!("Content-Length: {}\r\n", body.len());
-    match manner {
-        // Byte by byte, never to its end.
+    match behavior {
+        // Sends the head byte by byte and never completes the request.
         0 => {
             for byte in head("POST", id, &length).bytes() {
                 stream.write_all(&[byte]).await?;
                 sleep(Duration::from_millis(5)).await;
             }
         }
-        // Whole, and gone before the answer.
+        // Sends a complete request and resets the connection before the answer.
         1 => {
             history.note(Event::Sent { id, kind: Some(3), tenant: Some(2), pure: false });
             stream.write_all(head("POST", id, &length).as_bytes()).await?;
@@ -59,19 +63,19 @@
             sleep(Duration::from_millis(chance.below(20) as u64)).await;
             stream.set_zero_linger()?;
         }
-        // A body that is shorter than it says.
+        // Sends a body that is shorter than its Content-Length.
         2 => {
             stream.write_all(head("POST", id, "Content-Length: 100000\r\n").as_bytes()).await?;
             stream.write_all(&body).await?;
         }
-        // No HTTP at all.
+        // Sends random bytes instead of HTTP.
         3 => {
             let noise: Vec<u8> = (0..400).map(|_| chance.below(256) as u8).collect();
             stream.write_all(&noise).await?;
             let mut answer = Vec::new();
             stream.take(10_000).read_to_end(&mut answer).await?;
         }
-        // A length beside chunks, and behind the last chunk what must not be taken for a request.
+        // Sends both Content-Length and chunked encoding. The bytes after the last chunk must not run as a request.
         _ => {
             let hidden = head("POST", mix(id), &length);
             let mut chunks = format!("{:x}\r\n", body.len()).into_bytes();
--- a/crates/testbed/src/trial/mod.rs
+++ b/crates/testbed/src/trial/mod.rs
@@ -1,14 +1,14 @@
-//! Trials: the real processes among stand-ins, with a relay on every link between them, faults, and a judge of what
-//! clients, backends and the operator saw.
+//! Trials: real processes with stand-in clients, backends and operator, a relay on every link, injected faults, and an
+//! evaluation of what clients, backends and the operator observed.
 
 mod draw;
+mod environment;
+mod misbehaving_client;
 mod page;
 mod parties;
 mod results;
-mod rude;
 pub mod schedule;
 pub mod several;
-mod stage;
 
 use crate::clients::Platform;
 use crate::demo::{Program, TIME_BOUNDS, first_order, settle, wait_ready};
@@ -18,10 +18,10 @@
 use crate::judge::{Verdict, judge};
 use crate::load::{Load, Tallies};
 use crate::site::{Site, ZONES};
+use environment::Environment;
 use fault_injection::clock::{MOST_LATE, MOST_STUCK, keeps_disk, keeps_time};
 pub use results::{Figures, compare};
 use schedule::Schedule;
-use stage::Stage;
 use std::net::{Ipv4Addr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -30,147 +30,152 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How trials are played.
+/// Options of a trial run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// What starts the processes.
+    /// The program that runs the processes under test.
     pub program: Program,
-    /// Where history, logs and page go; nowhere, and they are not kept.
+    /// Folder for histories, logs and pages; without it, they are not kept.
     pub keep: Option<PathBuf>,
 }
 
-/// A trial that was played.
+/// A completed trial.
 #[derive(Debug)]
-pub struct Played {
-    /// What was played.
+pub struct CompletedTrial {
+    /// The schedule that was run.
     pub schedule: Schedule,
-    /// The judge's word.
+    /// The judge's verdict.
     pub verdict: Verdict,
-    /// Its figures.
+    /// The trial's figures.
     pub figures: Figures,
 }
 
-/// The port whose owner has the addresses of a trial to itself.
-const CLAIM: u16 = 18_390;
-/// So many lots of addresses there are.
-const LOTS: u32 = 128 * 32;
+/// Listening on this port claims an address block for one trial.
+const CLAIM_PORT: u16 = 18_390;
+/// Number of address blocks.
+const ADDRESS_BLOCKS: u32 = 128 * 32;
 
-/// A site on addresses that no other trial of this machine has, as long as the listener is held.
+/// Finds a site in an address block that no other trial on this machine uses while the returned listener is held.
 fn site() -> Result<(Site, TcpListener), Failure> {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let first = std::process::id().wrapping_mul(64).wrapping_add(NUMBER.fetch_add(1, Ordering::Relaxed));
-    for number in (0..LOTS).map(|more| first.wrapping_add(more)) {
-        // Eight neighbours each: the machines' own addresses, and one for what each of them reaches by ways.
-        let (a, b) = (64 + (number / 32 % 128) as u8, (number % 32) as u8 * 8);
-        if let Ok(claim) = TcpListener::bind((Ipv4Addr::new(127, a, b, 250), CLAIM)) {
-            return Ok((Site::find(a, b, u64::from(number) * 7)?.with_ways(), claim));
+    for index in (0..ADDRESS_BLOCKS).map(|more| first.wrapping_add(more)) {
+        // Eight /24 networks per block: one for the machines' own addresses, and one per machine for its relayed links.
+        let (a, b) = (64 + (index / 32 % 128) as u8, (index % 32) as u8 * 8);
+        if let Ok(claim) = TcpListener::bind((Ipv4Addr::new(127, a, b, 250), CLAIM_PORT)) {
+            return Ok((Site::find(a, b, u64::from(index) * 7)?.with_ways(), claim));
         }
     }
     Err(Failure::Ports("127.64.0.0 to 127.191.255.255".to_owned()))
 }
 
-/// Plays a trial to its end, on a local set of the thread that starts the processes.
+/// Runs a trial to completion. Must run on a `LocalSet` of the thread that starts the processes.
 ///
 /// # Errors
-/// When something cannot be started or written.
-pub async fn play(schedule: Schedule, options: &Options) -> Result<Played, Failure> {
-    match whole(schedule.clone(), options).await {
-        // A fleet that does not come up says more about the machine than about the fleet: demos look after that.
+/// Returns an error when something cannot be started or written.
+pub async fn run(schedule: Schedule, options: &Options) -> Result<CompletedTrial, Failure> {
+    match run_schedule(schedule.clone(), options).await {
+        // A fleet that fails to start hints at an overloaded machine, so the trial is void; demos check startup.
         Err(Failure::Late { what, within, .. }) => {
-            let void = Some(format!("not played: after {} s {what}", within.as_secs()));
+            let void = Some(format!("not run: after {} s {what}", within.as_secs()));
             let verdict = Verdict { void, ..Verdict::default() };
             let figures = Figures::of(&schedule, &verdict, &[], 0);
-            Ok(Played { schedule, verdict, figures })
+            Ok(CompletedTrial { schedule, verdict, figures })
         }
-        played => played,
+        result => result,
     }
 }
 
-async fn whole(schedule: Schedule, options: &Options) -> Result<Played, Failure> {
-    let place = tempfile::Builder::new().prefix("testbed-trial-").tempdir();
-    let place = place.map_err(Failure::file(std::env::temp_dir()))?;
-    let folder = place.path();
+async fn run_schedule(schedule: Schedule, options: &Options) -> Result<CompletedTrial, Failure> {
+    let temp_dir = tempfile::Builder::new().prefix("testbed-trial-").tempdir();
+    let temp_dir = temp_dir.map_err(Failure::file(std::env::temp_dir()))?;
+    let folder = temp_dir.path();
     let (site, _claim) = site()?;
-    let stage = Rc::new(Stage::set(&options.program, folder, site, schedule.seed)?);
-    first_order(&*stage.operator.lock().await, folder).await?;
-    let readiness = (0..ZONES.len()).map(|machine| stage.site.readiness(machine)).collect();
-    let platform = Arc::new(Platform::new(stage.fronts.to_vec(), readiness));
+    let environment = Rc::new(Environment::start(&options.program, folder, site, schedule.seed)?);
+    first_order(&*environment.operator.lock().await, folder).await?;
+    let readiness = (0..ZONES.len()).map(|machine| environment.site.readiness(machine)).collect();
+    let platform = Arc::new(Platform::new(environment.fronts.to_vec(), readiness));
     {
-        let mut held = Vec::new();
-        for process in stage.control_planes.iter().chain(&stage.data_planes) {
-            held.push(process.lock().await);
+        let mut guards = Vec::new();
+        for process in environment.control_planes.iter().chain(&environment.data_planes) {
+            guards.push(process.lock().await);
         }
-        let mut all: Vec<_> = held.iter_mut().map(|process| &mut **process).collect();
+        let mut all: Vec<_> = guards.iter_mut().map(|process| &mut **process).collect();
         wait_ready(&platform, &mut all, folder).await?;
     }
-    settle(&options.program, &stage.site, folder)?;
+    settle(&options.program, &environment.site, folder)?;
     let late = Arc::new(AtomicU64::new(0));
-    let punctual = tokio::spawn(keeps_time(late.clone()));
-    let stuck = Arc::new(AtomicU64::new(0));
-    let writes = tokio::spawn(keeps_disk(folder.join("heartbeat"), stuck.clone()));
-    let watched = platform.clone();
-    let watch = tokio::spawn(async move { watched.watch().await });
-    let lasts = Duration::from_secs_f64(schedule.seconds);
-    let load = Load { seed: schedule.seed, rate: schedule.rate, lasts, greed: stage.greed.clone() };
-    let (begun, begun_at) = (Instant::now(), stage.history.at(std::time::Instant::now()));
-    let played = async {
+    let clock_check = tokio::spawn(keeps_time(late.clone()));
+    let disk_delay = Arc::new(AtomicU64::new(0));
+    let disk_check = tokio::spawn(keeps_disk(folder.join("heartbeat"), disk_delay.clone()));
+    let polled = platform.clone();
+    let poll = tokio::spawn(async move { polled.poll_readiness().await });
+    let duration = Duration::from_secs_f64(schedule.seconds);
+    let load = Load { seed: schedule.seed, rate: schedule.rate, duration, greed: environment.greed.clone() };
+    let (load_start, started_at) = (Instant::now(), environment.history.at(std::time::Instant::now()));
+    let result = async {
         tokio::join!(
-            load.play(platform.clone(), stage.history.clone(), Tallies::default()),
-            stage.troubled(&schedule.faults, begun)
+            load.run(platform.clone(), environment.history.clone(), Tallies::default()),
+            environment.inject_faults(&schedule.faults, load_start)
         );
     };
     tokio::select! {
-        () = played => {}
-        () = stage.looked_at() => {}
+        () = result => {}
+        () = environment.observe() => {}
     }
-    watch.abort();
-    punctual.abort();
-    stage.look_for_ends();
-    stage.operator.lock().await.read_back().await;
+    poll.abort();
+    clock_check.abort();
+    environment.record_exits();
+    environment.operator.lock().await.read_back().await;
     let mut processes = Vec::new();
-    for process in stage.control_planes.iter().chain(&stage.data_planes) {
+    for process in environment.control_planes.iter().chain(&environment.data_planes) {
         processes.push(process.lock().await);
     }
     let mut all: Vec<_> = processes.iter_mut().map(|process| &mut **process).collect();
     let names: Vec<_> = all.iter().map(|process| process.name().to_owned()).collect();
-    for killed in fleet::end(&mut all).await {
-        let Some(number) = names.iter().position(|name| *name == killed) else { continue };
-        let (data_plane, control_planes) = (number >= stage.control_planes.len(), stage.control_planes.len());
-        let machine = if data_plane { number - control_planes } else { number };
-        let process_event = ProcessEvent::Wrong("did not end when told to".to_owned());
-        stage.history.note(Event::Process { machine, data_plane, process_event });
+    for killed_name in fleet::end(&mut all).await {
+        let Some(index) = names.iter().position(|name| *name == killed_name) else { continue };
+        let (data_plane, control_planes) =
+            (index >= environment.control_planes.len(), environment.control_planes.len());
+        let machine = if data_plane { index - control_planes } else { index };
+        let process_event = ProcessEvent::Wrong("did not exit after SIGTERM".to_owned());
+        environment.history.note(Event::Process { machine, data_plane, process_event });
     }
     drop(processes);
-    writes.abort();
-    for backend in &stage.backends {
+    disk_check.abort();
+    for backend in &environment.backends {
         backend.lock().await.end();
     }
-    let (lines, full) = stage.history.take();
+    let (lines, history_full) = environment.history.take();
     let late = Duration::from_micros(late.load(Ordering::Relaxed));
-    let stuck = Duration::from_micros(stuck.load(Ordering::Relaxed));
-    let failed = stage.failed.borrow().join("; ");
-    let void = if full {
+    let disk_delay = Duration::from_micros(disk_delay.load(Ordering::Relaxed));
+    let failed = environment.injection_errors.borrow().join("; ");
+    let void = if history_full {
         Some("the history is full".to_owned())
     } else if late > MOST_LATE {
-        Some(format!("the tool itself was {} ms late", late.as_millis()))
-    } else if stuck > MOST_STUCK {
-        // Votes, changes and ends of control planes wait for it.
-        Some(format!("the disk took {} ms for a few bytes of the tool", stuck.as_millis()))
-    } else if stage.net.failed() > 0 {
-        Some(format!("the tool's own relays failed {} times: {}", stage.net.failed(), stage.net.failure()))
+        Some(format!("the testbed itself was delayed by {} ms", late.as_millis()))
+    } else if disk_delay > MOST_STUCK {
+        // Elections, changes and shutdowns of control planes wait for the disk.
+        Some(format!("a small disk write of the testbed took {} ms", disk_delay.as_millis()))
+    } else if environment.net.failed() > 0 {
+        Some(format!(
+            "the testbed's own relays failed {} times: {}",
+            environment.net.failed(),
+            environment.net.failure()
+        ))
     } else {
         (!failed.is_empty()).then_some(failed)
     };
     let verdict = judge(&lines, &TIME_BOUNDS, void);
-    let figures = Figures::of(&schedule, &verdict, &lines, begun_at);
+    let figures = Figures::of(&schedule, &verdict, &lines, started_at);
     if let Some(keep) = &options.keep {
-        write_down(&keep.join(schedule.folder()), folder, &schedule, &lines, &verdict, begun_at)?;
+        write_results(&keep.join(schedule.folder()), folder, &schedule, &lines, &verdict, started_at)?;
     }
-    Ok(Played { schedule, verdict, figures })
+    Ok(CompletedTrial { schedule, verdict, figures })
 }
 
-fn write_down(
-    keep: &Path, folder: &Path, schedule: &Schedule, lines: &[Record], verdict: &Verdict, begun: u64,
+fn write_results(
+    keep: &Path, folder: &Path, schedule: &Schedule, lines: &[Record], verdict: &Verdict, load_start: u64,
 ) -> Result<(), Failure> {
     std::fs::create_dir_all(keep).map_err(Failure::file(keep))?;
     let write = |name: &str, text: String| {
@@ -186,7 +191,7 @@
     write("verdict.json", serde_json::to_string_pretty(verdict).unwrap_or_default())?;
     write(
         "page.html",
-        page::page(schedule, lines, verdict, begun).unwrap_or_else(|error| error.to_string()),
+        page::page(schedule, lines, verdict, load_start).unwrap_or_else(|error| error.to_string()),
     )?;
     let logs = folder.join("logs");
     for log in std::fs::read_dir(&logs).map_err(Failure::file(&logs))?.flatten() {
@@ -200,10 +205,10 @@
     use super::*;
 
     #[test]
-    fn no_two_trials_have_the_same_addresses() {
-        let sites: Vec<_> = (0..4).map(|_| site().expect("there are many")).collect();
+    fn concurrent_trials_use_different_addresses() {
+        let sites: Vec<_> = (0..4).map(|_| site().expect("a free address block")).collect();
         let mut ips: Vec<_> = sites.iter().map(|(site, _)| site.backend(0)).collect();
-        // Another run that begins at the same number.
+        // Simulates a concurrent run that tries the same block first.
         let (_, claim) = &sites[0];
         assert!(TcpListener::bind(claim.local_addr().expect("bound")).is_err());
         ips.sort_unstable();
--- a/crates/testbed/src/trial/parties.rs
+++ b/crates/testbed/src/trial/parties.rs
@@ -1,30 +1,30 @@
-//! Who is connected in a trial, and how schedules name them.
+//! The communicating parties of a trial, and their names in schedules.
 
 use crate::site::{SLOTS, VOTERS, ZONES};
 use std::fmt;
 
-/// Zones of backends, by slot: one backend of each service in each.
+/// Zones of the backend slots: one backend of each service per zone.
 pub const ZONES_OF_BACKENDS: [&str; 3] = ["north", "south", "east"];
 
-/// Somebody with connections. A machine is who connects, its processes are who is connected to.
+/// A party with connections. A machine opens connections; its processes accept them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Party {
     /// All clients.
     Clients,
     /// The operator.
     Operator,
-    /// A machine, as it connects to others.
+    /// A machine as the source of connections.
     Machine(usize),
-    /// Its data plane, as clients find it.
+    /// A machine's data plane, as clients reach it.
     DataPlane(usize),
-    /// Its control plane, as all others find it.
+    /// A machine's control plane, as all other parties reach it.
     ControlPlane(usize),
-    /// A backend's place.
+    /// A backend slot.
     StandInBackend(usize),
 }
 
 impl Party {
-    /// Its zone; clients and the operator come from outside.
+    /// The party's zone; clients and the operator are outside of all zones.
     pub fn zone(self) -> Option<&'static str> {
         match self {
             Self::Machine(machine) | Self::DataPlane(machine) | Self::ControlPlane(machine) => {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The machine that it is on, if it is ours.
+    /// The machine of the party, unless the party is a stand-in.
     pub fn machine(self) -> Option<usize> {
         match self {
             Self::Machine(machine) | Self::DataPlane(machine) | Self::ControlPlane(machine) => Some(machine),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Everybody.
+    /// All parties.
     pub fn all() -> Vec<Self> {
         let machines =
             (0..ZONES.len()).flat_map(|machine| [Self::Machine(machine), Self::DataPlane(machine)]);
@@ -52,8 +52,8 @@
         machines.chain(control_planes).chain(backends).chain([Self::Clients, Self::Operator]).collect()
     }
 
-    /// Whether the one connects to the other.
-    pub fn talks(self, to: Self) -> bool {
+    /// Whether `self` opens connections to `to`.
+    pub fn connects_to(self, to: Self) -> bool {
         match (self, to) {
             (Self::Machine(from), Self::ControlPlane(to)) => from != to,
             (Self::Clients, Self::DataPlane(_))
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Whom a text names: `*`, `zone:NAME`, `backends`, `clients`, `operator`, `m1` (a machine with all its
-    /// processes), `q1`, `h1`, `b1`, or several with commas.
-    pub fn named(text: &str) -> Option<Vec<Self>> {
-        let mut found = Vec::new();
+    /// Parses a list of parties separated by commas: `*`, `zone:NAME`, `backends`, `clients`, `operator`, `machines`,
+    /// `m1` (a machine with all its processes), `q1` (data plane), `h1` (control plane) or `b1` (backend).
+    pub fn parse(text: &str) -> Option<Vec<Self>> {
+        let mut parties = Vec::new();
         for name in text.split(',').map(str::trim) {
             let number = |prefix| name.strip_prefix(prefix)?.parse::<usize>().ok()?.checked_sub(1);
-            let fits = |party: &Self| match (name, *party) {
+            let matches = |party: &Self| match (name, *party) {
                 ("*", _) => true,
                 ("clients", party) => party == Self::Clients,
                 ("operator", party) => party == Self::Operator,
@@ -81,13 +81,13 @@
                 (_, party) if party.machine().is_some() && number("m") == party.machine() => true,
                 (_, party) => name.strip_prefix("zone:").is_some_and(|zone| party.zone() == Some(zone)),
             };
-            let before = found.len();
-            found.extend(Self::all().into_iter().filter(fits));
-            if found.len() == before {
+            let count_before = parties.len();
+            parties.extend(Self::all().into_iter().filter(matches));
+            if parties.len() == count_before {
                 return None;
             }
         }
-        Some(found)
+        Some(parties)
     }
 }
 
--- a/crates/testbed/src/trial/results.rs
+++ b/crates/testbed/src/trial/results.rs
@@ -1,4 +1,4 @@
-//! The figures of one trial, as a line of a file, and how two files of them differ.
+//! The figures of one trial, stored as a JSON line, and the comparison of two such files.
 
 use super::schedule::Schedule;
 use crate::history::{End, Event, Record};
@@ -12,48 +12,48 @@
 /// Figures of a trial.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Figures {
-    /// The trial's name.
+    /// Name of the trial.
     pub name: String,
-    /// Its seed.
+    /// Seed of the trial.
     pub seed: u64,
-    /// Why there is no verdict, if there is none.
+    /// Reason why the trial has no verdict, if any.
     pub void: Option<String>,
-    /// How often rules were broken.
+    /// Number of rule violations.
     pub broken: u64,
-    /// Share of all worth that was earned.
+    /// Share of the owed worth that was earned.
     pub worth: f64,
-    /// The same while faults held.
+    /// Share of the owed worth that was earned while faults were active.
     pub troubled: Option<f64>,
-    /// Shares of requests that were served, refused at the last, and failed.
+    /// Shares of requests that were served, refused at the last attempt, and failed.
     pub ends: [f64; 3],
-    /// Time of those that were served, in ms: the median, and for one in a hundred.
+    /// Latency of served requests in ms: median and 99th percentile.
     pub took: [f64; 2],
-    /// Tries of clients beyond the first, and arrivals at backends beyond the first, for each request.
+    /// Per request: attempts of clients beyond the first, and arrivals at backends beyond the first.
     pub tries: [f64; 2],
-    /// Seconds in which no control plane said that it leads.
+    /// Seconds in which no control plane reported to be the leader.
     pub leaderless: f64,
 }
 
 impl Figures {
-    /// Those of a trial whose load began at this time of its history.
-    pub fn of(schedule: &Schedule, verdict: &Verdict, lines: &[Record], begun: u64) -> Self {
+    /// Computes the figures of a trial whose load started at `begun` on the history's clock.
+    pub fn of(schedule: &Schedule, verdict: &Verdict, records: &[Record], load_start: u64) -> Self {
         let mut ends = [0.0; 3];
-        let (mut requests, mut further) = (0.0, [0.0; 2]);
+        let (mut requests, mut extra) = (0.0, [0.0; 2]);
         let mut times = Histogram::<u64>::new_with_max(60_000_000, 3).ok();
         let mut arrivals: HashMap<u64, u32> = HashMap::new();
-        let (mut leads, mut last, mut leaderless) = (BTreeMap::new(), begun, 0);
+        let (mut leads, mut last, mut leaderless) = (BTreeMap::new(), load_start, 0);
         let mut troubled = vec![false; verdict.worth.len()];
-        let mut held: HashMap<usize, u64> = HashMap::new();
-        let span = |troubled: &mut Vec<bool>, from: u64, to: u64| {
+        let mut active_faults: HashMap<usize, u64> = HashMap::new();
+        let mark = |troubled: &mut Vec<bool>, from: u64, to: u64| {
             let (from, to) = ((from / BUCKET_US) as usize, (to / BUCKET_US) as usize + 1);
             let to = to.min(troubled.len());
-            troubled.iter_mut().take(to).skip(from).for_each(|held| *held = true);
+            troubled.iter_mut().take(to).skip(from).for_each(|active_faults| *active_faults = true);
         };
-        for Record { at, event } in lines {
+        for Record { at, event } in records {
             match event {
                 Event::Done { due, end, tries, .. } => {
                     requests += 1.0;
-                    further[0] += f64::from(tries.saturating_sub(1));
+                    extra[0] += f64::from(tries.saturating_sub(1));
                     let end = match end {
                         End::Served => 0,
                         End::Refused => 1,
@@ -66,12 +66,12 @@
                 }
                 Event::Arrived { id: Some(id), .. } => {
                     let count = arrivals.entry(*id).or_default();
-                    further[1] += f64::from(*count > 0);
+                    extra[1] += f64::from(*count > 0);
                     *count += 1;
                 }
                 Event::StatusReported { machine, leads: is_leader, .. } => {
                     leads.insert(*machine, (*is_leader, *at));
-                    // Who has not answered for a second says nothing.
+                    // A status older than one second does not count.
                     let fresh = |(is_leader, reported): &(bool, u64)| {
                         *is_leader && at.saturating_sub(*reported) < 1_000_000
                     };
@@ -80,16 +80,21 @@
                     }
                     last = *at;
                 }
-                Event::FaultBegan { fault, .. } => drop(held.insert(*fault, *at)),
+                Event::FaultBegan { fault, .. } => drop(active_faults.insert(*fault, *at)),
                 Event::FaultEnded { fault } => {
-                    if let Some(from) = held.remove(fault) {
-                        span(&mut troubled, from, *at);
+                    if let Some(from) = active_faults.remove(fault) {
+                        mark(&mut troubled, from, *at);
                     }
                 }
                 _ => {}
             }
         }
-        let during = verdict.worth.iter().zip(&troubled).filter(|(_, held)| **held).map(|(worth, _)| worth);
+        let during = verdict
+            .worth
+            .iter()
+            .zip(&troubled)
+            .filter(|(_, active_faults)| **active_faults)
+            .map(|(worth, _)| worth);
         let (owed, earned) = during.fold((0.0, 0.0), |sum, (owed, earned)| (sum.0 + owed, sum.1 + earned));
         let requests = f64::max(requests, 1.0);
         let at = |share| times.as_ref().map_or(0.0, |t| t.value_at_quantile(share) as f64 / 1000.0);
@@ -102,13 +107,13 @@
             troubled: (owed > 0.0).then(|| earned / owed),
             ends: ends.map(|count| count / requests),
             took: [at(0.5), at(0.99)],
-            tries: further.map(|count| count / requests),
+            tries: extra.map(|count| count / requests),
             leaderless: leaderless as f64 / 1e6,
         }
     }
 
-    /// Each figure with its name; what is better is told by its sign: higher for worth and served, lower for others.
-    fn named(&self) -> [(&'static str, f64); 9] {
+    /// All compared figures with their names. Worth and served are better when higher, all others when lower.
+    fn named_figures(&self) -> [(&'static str, f64); 9] {
         let [served, refused, failed] = self.ends;
         [
             ("worth", self.worth),
@@ -124,8 +129,8 @@
     }
 }
 
-/// How the second of two lots of figures differs from the first, in pairs of one name and seed. Trials that only one
-/// has, or that have no verdict in either, are left out and counted.
+/// Compares two sets of figures in pairs of equal name and seed. Trials that occur in only one set, or that have no
+/// verdict in one of them, are left out and counted.
 pub fn compare(old: &[Figures], new: &[Figures]) -> String {
     let key = |figures: &Figures| (figures.name.clone(), figures.seed);
     let usable = |figures: &&Figures| figures.void.is_none();
@@ -136,7 +141,7 @@
     let mut text = format!("{} pairs, {left_out} left out\n", pairs.len());
     let (broken_old, broken_new) =
         pairs.iter().fold((0, 0), |sum, (old, new)| (sum.0 + old.broken, sum.1 + new.broken));
-    // Writing to a text can't fail.
+    // Writing to a String cannot fail.
     let _ = writeln!(text, "rules broken: {broken_old}, then {broken_new}");
     let mut names: Vec<&str> = pairs.iter().map(|(_, new)| &*new.name).collect();
     names.sort_unstable();
@@ -144,11 +149,11 @@
     for name in names {
         let of: Vec<_> = pairs.iter().filter(|(_, new)| new.name == name).collect();
         let _ = writeln!(text, "\n{name}: {} pairs", of.len());
-        for (row, (figure, _)) in of[0].1.named().into_iter().enumerate() {
-            let moves: Vec<f64> =
-                of.iter().map(|(old, new)| new.named()[row].1 - old.named()[row].1).collect();
-            let mean = of.iter().map(|(old, _)| old.named()[row].1).sum::<f64>() / of.len() as f64;
-            let Estimate { mean: moved, within, .. } = Estimate::of(&moves);
+        for (row, (figure, _)) in of[0].1.named_figures().into_iter().enumerate() {
+            let changes: Vec<f64> =
+                of.iter().map(|(old, new)| new.named_figures()[row].1 - old.named_figures()[row].1).collect();
+            let mean = of.iter().map(|(old, _)| old.named_figures()[row].1).sum::<f64>() / of.len() as f64;
+            let Estimate { mean: moved, within, .. } = Estimate::of(&changes);
             let within = within.map_or("-".to_owned(), |within| format!("{within:.3}"));
             let _ = writeln!(text, "  {figure:<18} {mean:>9.3}  moved {moved:>+9.3} +- {within}");
         }
@@ -160,8 +165,8 @@
     text
 }
 
-/// A short line on a trial's figures.
-pub fn line(figures: &Figures) -> String {
+/// Formats the figures of a trial as one line.
+pub fn summary_line(figures: &Figures) -> String {
     let [served, refused, failed] = figures.ends.map(|share| share * 100.0);
     let troubled = figures.troubled.map_or("-".to_owned(), |share| format!("{share:.2}"));
     format!(
--- a/crates/testbed/src/trial/schedule.rs
+++ b/crates/testbed/src/trial/schedule.rs
@@ -1,7 +1,7 @@
-//! What a trial is: its load and its faults, written in TOML or drawn by a seed. A file is checked whole before
-//! anything starts; what is wrong with it is one line with its place.
+//! Trial schedules: load and faults, read from TOML or drawn from a seed. A file is validated completely before the
+//! trial starts; an error is one line with its position.
 
-use super::draw::{Shape, draw};
+use super::draw::{FaultPattern, draw};
 use super::parties::Party;
 use fault_injection::relay::{Flow, Harm, links_between};
 use serde::Deserialize;
@@ -9,8 +9,8 @@
 use thiserror::Error;
 use toml::Spanned;
 
-/// The trials that come with the program.
-pub const SHIPPED: [(&str, &str); 9] = [
+/// The trials that are built into the program.
+pub const BUILT_IN: [(&str, &str); 9] = [
     ("calm", include_str!("../../trials/calm.toml")),
     ("zone-cut", include_str!("../../trials/zone-cut.toml")),
     ("leader-disk", include_str!("../../trials/leader-disk.toml")),
@@ -22,61 +22,61 @@
     ("drawn", include_str!("../../trials/drawn.toml")),
 ];
 
-/// The longest trial, in seconds.
-const MOST_SECONDS: f64 = 300.0;
-/// The most requests a second.
-const MOST_RATE: f64 = 2000.0;
-/// The most rude clients at once.
-const MOST_RUDE: usize = 500;
+/// Maximum length of a trial in seconds.
+const MAX_SECONDS: f64 = 300.0;
+/// Maximum request rate per second.
+const MAX_RATE: f64 = 2000.0;
+/// Maximum number of misbehaving clients at the same time.
+const MAX_RUDE_CLIENTS: usize = 500;
 
-/// A trial that cannot be played: one line, with the place.
+/// An invalid schedule: one line with the position of the error.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("{0}")]
 pub struct ScheduleError(String);
 
-/// The kinds of faults.
+/// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Links fall silent, as if the machines behind them had vanished.
+    /// Links drop all traffic silently, as if the machines behind them had vanished.
     Cut,
-    /// Links are reset, and new connections refused.
+    /// Links are reset, and new connections are refused.
     Reset,
-    /// What is written on links vanishes, though connections come up.
+    /// Connections are established, but data written to them is lost.
     Mute,
-    /// Links pass each piece after a drawn time (`ms`).
+    /// Links delay each piece of data by a random time (`ms`).
     Delay,
-    /// Links pass so many bytes a second (`bytes`).
+    /// Links pass a limited number of bytes per second (`bytes`).
     Throttle,
-    /// Connections on links are reset after so many bytes (`bytes`).
+    /// Connections on links are reset after a number of bytes (`bytes`).
     CutAfter,
-    /// Processes are killed and, afterwards, started again (`disk`).
+    /// Processes are killed and started again at the end of the fault (`disk`).
     Kill,
-    /// Processes are stopped and, afterwards, continued.
+    /// Processes are suspended and resumed at the end of the fault.
     Stop,
-    /// Processes are told to end (SIGTERM) and, when they have, started again (`disk`).
+    /// Processes receive SIGTERM and are started again after they exit (`disk`).
     Restart,
-    /// Backends are gone and, afterwards, others come at their addresses, cold.
+    /// Backends vanish; at the end of the fault, cold ones replace them at the same addresses.
     Crash,
-    /// Backends are gone, and meanwhile others of another service listen at their addresses.
+    /// Backends vanish; until the end of the fault, backends of another service listen at their addresses.
     Reuse,
-    /// Backends leave in order, and others take over elsewhere.
+    /// Backends drain and leave, and others replace them at other addresses.
     Release,
-    /// Backends work so many times longer (`factor`).
+    /// Backends take longer by a factor (`factor`).
     Slow,
-    /// Backends take requests and say nothing.
+    /// Backends accept requests and never answer.
     Silent,
-    /// Backends break answers off, and talk what is no HTTP.
+    /// Backends break off answers and send invalid HTTP.
     Garble,
-    /// Backends run this share of their requests and answer 500 (`share`).
+    /// Backends run a share of their requests and answer 500 (`share`).
     Fail,
-    /// Backends run this share of their requests and close without an answer (`share`).
+    /// Backends run a share of their requests and close the connection without an answer (`share`).
     Lose,
-    /// The operator changes the configuration all the time: races and invalid ones too.
+    /// The operator changes the configuration continuously, with racing and invalid changes.
     Changes,
-    /// A tenant asks so many times its share (`factor`).
+    /// A tenant sends a multiple of its share of the load (`factor`).
     Hot,
-    /// So many clients are slow, break off, talk nonsense or smuggle (`count`).
+    /// A number of clients are slow, disconnect, send invalid HTTP or smuggle requests (`count`).
     Rude,
 }
 
@@ -93,33 +93,33 @@
         })
     }
 
-    fn is_of_processes(self) -> bool {
+    fn affects_processes(self) -> bool {
         matches!(self, Self::Kill | Self::Stop | Self::Restart)
     }
 
-    fn is_of_nobody(self) -> bool {
+    fn is_global(self) -> bool {
         matches!(self, Self::Changes | Self::Hot | Self::Rude)
     }
 }
 
-/// What a process finds on its disk when it starts again.
+/// Contents of a process's disk when the process starts again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Disk {
-    /// What its last life left.
+    /// The disk is unchanged.
     #[default]
     Old,
-    /// Nothing.
+    /// The disk is empty.
     Empty,
 }
 
-/// A fault as it is written.
+/// A fault as written in a schedule file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub(super) struct Row {
     pub(super) at: f64,
     #[serde(rename = "for", default)]
-    pub(super) lasts: f64,
+    pub(super) duration: f64,
     pub(super) fault: Kind,
     pub(super) from: Option<String>,
     pub(super) to: Option<String>,
@@ -135,7 +135,7 @@
     pub(super) disk: Disk,
 }
 
-/// A trial as it is written.
+/// A schedule file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 struct File {
@@ -143,59 +143,59 @@
     rate: Spanned<f64>,
     #[serde(default)]
     fault: Vec<Spanned<Row>>,
-    /// Shapes of faults, of which each seed draws one or two.
+    /// Fault patterns that the seed draws from.
     #[serde(default)]
-    nemesis: Vec<Shape>,
-    /// How many shapes, at the least.
+    nemesis: Vec<FaultPattern>,
+    /// Minimum number of drawn patterns.
     shapes: Option<usize>,
 }
 
-/// Whom a fault is about.
+/// Targets of a fault.
 #[derive(Clone, Debug, PartialEq)]
-pub enum On {
-    /// Nobody in particular.
-    Nobody,
-    /// Links, by who writes and who reads, and what they do.
+pub enum Target {
+    /// No particular target.
+    Global,
+    /// Links as pairs of writer and reader, with the effect on their traffic.
     Links(Vec<(Party, Party)>, Flow),
     /// Processes.
     Processes(Vec<Party>),
-    /// Whoever leads when it begins.
+    /// The control plane that is the leader when the fault begins.
     Leader,
-    /// Places of backends.
+    /// Backend slots.
     Backends(Vec<usize>),
 }
 
-/// One fault of a schedule.
+/// A fault of a schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// When it begins, in seconds from the load's begin.
+    /// Start, in seconds since the start of the load.
     pub at: f64,
-    /// For how long.
-    pub lasts: f64,
-    /// What.
+    /// Duration in seconds.
+    pub duration: f64,
+    /// Kind of the fault.
     pub kind: Kind,
-    /// Whom it is about.
-    pub on: On,
-    /// A share of requests.
+    /// Targets of the fault.
+    pub on: Target,
+    /// Share of requests that the fault affects.
     pub share: f64,
-    /// How many times.
+    /// Factor of the slowdown or of the additional load.
     pub factor: f64,
-    /// How many.
+    /// Number of misbehaving clients.
     pub count: usize,
-    /// What a process finds when it starts again.
+    /// Contents of the disk when a process starts again.
     pub disk: Disk,
-    /// All of it in words.
+    /// Description of the fault.
     pub text: String,
 }
 
 impl Fault {
-    /// The machines whose links or processes it harms.
+    /// Machines whose links or processes the fault affects.
     pub fn machines(&self) -> Vec<usize> {
         let mut machines: Vec<_> = match &self.on {
-            On::Links(links, _) => {
+            Target::Links(links, _) => {
                 links.iter().flat_map(|(a, b)| [a.machine(), b.machine()]).flatten().collect()
             }
-            On::Processes(of) => of.iter().filter_map(|party| party.machine()).collect(),
+            Target::Processes(of) => of.iter().filter_map(|party| party.machine()).collect(),
             _ => Vec::new(),
         };
         machines.sort_unstable();
@@ -204,48 +204,52 @@
     }
 }
 
-/// A trial, ready to be played.
+/// A validated trial schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Schedule {
-    /// Its name.
+    /// Name of the trial.
     pub name: String,
-    /// For how long there is load, in seconds.
+    /// Duration of the load in seconds.
     pub seconds: f64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// The seed.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// The faults, by time.
+    /// Faults ordered by start time.
     pub faults: Vec<Fault>,
 }
 
-/// The text of a shipped trial, or of a file.
+/// Returns the text of a built-in trial or of a file.
 ///
 /// # Errors
-/// When there is neither.
+/// Returns an error when neither exists.
 pub fn text(name: &str) -> Result<String, ScheduleError> {
-    match SHIPPED.iter().find(|(shipped, _)| *shipped == name) {
+    match BUILT_IN.iter().find(|(shipped, _)| *shipped == name) {
         Some((_, text)) => Ok((*text).to_owned()),
-        None => std::fs::read_to_string(Path::new(name))
-            .map_err(|error| ScheduleError(format!("{name}: no trial of this name, and as a file: {error}"))),
+        None => std::fs::read_to_string(Path::new(name)).map_err(|error| {
+            ScheduleError(format!("{name}: neither a built-in trial nor a readable file: {error}"))
+        }),
     }
 }
 
 impl Schedule {
-    /// Reads a trial and draws what is left to the seed.
+    /// Parses a schedule and draws its random faults from the seed.
     ///
     /// # Errors
-    /// When it cannot be played: one line with the place.
+    /// Returns one line with the position when the schedule is invalid.
     pub fn read(name: &str, text: &str, seed: u64) -> Result<Self, ScheduleError> {
         let place = |at: usize, what: &str| ScheduleError(fault_injection::place(name, text, at, what));
         let file: File = toml::from_str(text)
             .map_err(|error| place(error.span().map_or(0, |span| span.start), error.message()))?;
         let (seconds, rate) = (*file.seconds.get_ref(), *file.rate.get_ref());
-        if !(1.0..=MOST_SECONDS).contains(&seconds) {
-            return Err(place(file.seconds.span().start, &format!("1 to {MOST_SECONDS} seconds")));
+        if !(1.0..=MAX_SECONDS).contains(&seconds) {
+            return Err(place(file.seconds.span().start, &format!("seconds must be 1 to {MAX_SECONDS}")));
         }
-        if !(1.0..=MOST_RATE).contains(&rate) {
-            return Err(place(file.rate.span().start, &format!("1 to {MOST_RATE} requests a second")));
+        if !(1.0..=MAX_RATE).contains(&rate) {
+            return Err(place(
+                file.rate.span().start,
+                &format!("rate must be 1 to {MAX_RATE} requests per second"),
+            ));
         }
         let mut faults = Vec::new();
         for row in &file.fault {
@@ -254,15 +258,15 @@
         }
         if !file.nemesis.is_empty() {
             for row in draw(&file.nemesis, file.shapes, seconds, seed) {
-                // What is drawn is read as if it had been written.
-                faults.push(fault(&row, seconds).map_err(|what| place(0, &format!("drawn: {what}")))?);
+                // Drawn faults pass the same validation as written ones.
+                faults.push(fault(&row, seconds).map_err(|what| place(0, &format!("drawn fault: {what}")))?);
             }
         }
         faults.sort_by(|a, b| a.at.total_cmp(&b.at));
         Ok(Self { name: name.into(), seconds, rate, seed, faults })
     }
 
-    /// Its name as a folder's.
+    /// Folder name of the trial.
     pub fn folder(&self) -> String {
         let stem = Path::new(&self.name).file_stem().unwrap_or_default().to_string_lossy();
         let plain: String =
@@ -271,61 +275,61 @@
     }
 }
 
-/// Checks one fault.
+/// Validates one fault.
 fn fault(row: &Row, seconds: f64) -> Result<Fault, String> {
-    let Row { at, lasts, fault: kind, one_way, disk, .. } = *row;
-    if !(at.is_finite() && at >= 0.0 && lasts.is_finite() && lasts >= 0.0 && at + lasts <= seconds) {
-        return Err(format!("a fault lies within the {seconds} seconds of the trial"));
+    let Row { at, duration, fault: kind, one_way, disk, .. } = *row;
+    if !(at.is_finite() && at >= 0.0 && duration.is_finite() && duration >= 0.0 && at + duration <= seconds) {
+        return Err(format!("a fault must lie within the {seconds} seconds of the trial"));
     }
-    let whom = |text: &Option<String>, key: &str| match text {
-        Some(text) => Party::named(text).ok_or_else(|| format!("{key}: nobody is named {text}")),
+    let find_parties = |text: &Option<String>, key: &str| match text {
+        Some(text) => Party::parse(text).ok_or_else(|| format!("{key}: unknown party {text}")),
         None => Err(format!("{key} is missing")),
     };
     let share = row.share.unwrap_or(0.5);
     if !(0.0..=1.0).contains(&share) {
-        return Err("share is 0 to 1".into());
+        return Err("share must be 0 to 1".into());
     }
     let factor = row.factor.unwrap_or(5.0);
     if !(1.0..=50.0).contains(&factor) {
-        return Err("factor is 1 to 50".into());
+        return Err("factor must be 1 to 50".into());
     }
     let count = row.count.unwrap_or(20);
-    if !(1..=MOST_RUDE).contains(&count) {
-        return Err(format!("count is 1 to {MOST_RUDE}"));
+    if !(1..=MAX_RUDE_CLIENTS).contains(&count) {
+        return Err(format!("count must be 1 to {MAX_RUDE_CLIENTS}"));
     }
     let name = format!("{kind:?}").to_lowercase();
     let (on, of) = if let Some(harm) = kind.harm() {
-        let (from, to) = (whom(&row.from, "from")?, whom(&row.to, "to")?);
-        let whole = from.len() == Party::all().len();
-        let links = links_between(&from, &to, one_way, whole, Party::talks);
+        let (from, to) = (find_parties(&row.from, "from")?, find_parties(&row.to, "to")?);
+        let includes_all = from.len() == Party::all().len();
+        let links = links_between(&from, &to, one_way, includes_all, Party::connects_to);
         if links.is_empty() {
-            return Err("nobody in from talks with anybody in to".into());
+            return Err("no party in from connects to a party in to".into());
         }
         let flow = harm.flow(row.ms, row.bytes)?;
         let arrow = if one_way { ">" } else { "-" };
-        let between =
+        let link_names =
             format!("{}{arrow}{}", row.from.as_deref().unwrap_or(""), row.to.as_deref().unwrap_or(""));
-        (On::Links(links, flow), between)
-    } else if kind.is_of_nobody() {
-        (On::Nobody, String::new())
-    } else if kind.is_of_processes() && row.on.as_deref() == Some("leader") {
-        (On::Leader, "leader".to_owned())
+        (Target::Links(links, flow), link_names)
+    } else if kind.is_global() {
+        (Target::Global, String::new())
+    } else if kind.affects_processes() && row.on.as_deref() == Some("leader") {
+        (Target::Leader, "leader".to_owned())
     } else {
-        let found = whom(&row.on, "on")?;
-        let on = if kind.is_of_processes() {
+        let found = find_parties(&row.on, "on")?;
+        let on = if kind.affects_processes() {
             let process = |party: &Party| matches!(party, Party::DataPlane(_) | Party::ControlPlane(_));
-            On::Processes(found.into_iter().filter(process).collect())
+            Target::Processes(found.into_iter().filter(process).collect())
         } else {
             let slot = |party| if let Party::StandInBackend(slot) = party { Some(slot) } else { None };
-            On::Backends(found.into_iter().filter_map(slot).collect())
+            Target::Backends(found.into_iter().filter_map(slot).collect())
         };
-        let empty = matches!(&on, On::Processes(of) if of.is_empty())
-            || matches!(&on, On::Backends(of) if of.is_empty());
+        let empty = matches!(&on, Target::Processes(of) if of.is_empty())
+            || matches!(&on, Target::Backends(of) if of.is_empty());
         if empty {
-            return Err("on: this fault is not one of theirs".into());
+            return Err("on: this fault does not apply to these parties".into());
         }
         (on, row.on.clone().unwrap_or_default())
     };
     let text = format!("{name} {of}").trim_end().to_owned();
-    Ok(Fault { at, lasts, kind, on, share, factor, count, disk, text })
+    Ok(Fault { at, duration, kind, on, share, factor, count, disk, text })
 }
--- a/crates/testbed/src/trial/several.rs
+++ b/crates/testbed/src/trial/several.rs
@@ -1,8 +1,8 @@
-//! Several trials, some at once, and what they came to together.
+//! Runs several trials, some of them in parallel, and summarizes them.
 
-use super::results::line;
+use super::results::summary_line;
 use super::schedule::Schedule;
-use super::{Figures, Options, Played, play};
+use super::{CompletedTrial, Figures, Options, run};
 use crate::fault::Fault;
 use std::fmt::Write as _;
 use std::thread;
@@ -10,28 +10,28 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::LocalSet;
 
-/// Threads of one trial, beside its own.
+/// Worker threads of one trial, in addition to its own thread.
 const WORKERS: usize = 2;
 
-/// What several trials came to.
+/// Results of several trials.
 #[derive(Debug, Default)]
-pub struct Sum {
-    /// Figures of each, in the order in which they ended.
+pub struct Summary {
+    /// Figures of each trial, in order of completion.
     pub figures: Vec<Figures>,
 }
 
-impl Sum {
-    /// How often rules were broken, in trials with a verdict.
+impl Summary {
+    /// Number of rule violations in trials with a verdict.
     pub fn broken(&self) -> u64 {
         self.figures.iter().filter(|figures| figures.void.is_none()).map(|figures| figures.broken).sum()
     }
 
-    /// How many trials have no verdict.
+    /// Number of trials without a verdict.
     pub fn void(&self) -> usize {
         self.figures.iter().filter(|figures| figures.void.is_some()).count()
     }
 
-    /// All of it in one line.
+    /// One line that summarizes all trials.
     pub fn text(&self) -> String {
         let mut worth: Vec<f64> = self.figures.iter().map(|figures| figures.worth).collect();
         worth.sort_by(f64::total_cmp);
@@ -50,90 +50,91 @@
     }
 }
 
-/// Threads of trials, which end with this: they take down their processes and folders first.
+/// Joins the trial threads on drop, so that they can stop their processes and remove their folders first.
 struct Threads {
-    /// Whoever waits no longer for the trials drops this, and they end.
-    wanted: Option<watch::Sender<()>>,
+    /// Dropping the sender cancels all running trials.
+    cancel: Option<watch::Sender<()>>,
     all: Vec<thread::JoinHandle<()>>,
 }
 
 impl Drop for Threads {
     fn drop(&mut self) {
-        self.wanted = None;
+        self.cancel = None;
         for thread in self.all.drain(..) {
             let _ = thread.join();
         }
     }
 }
 
-/// Plays trials, so many at once; `tell` gets some lines on each as it ends.
+/// Runs trials, up to `side` in parallel; `tell` receives the report of each completed trial.
 ///
 /// # Errors
-/// When one cannot be played: the others are given up.
-pub async fn several(
-    trials: Vec<Schedule>, options: &Options, side: usize, mut tell: impl FnMut(&str),
-) -> Result<Sum, Fault> {
-    let (ended, mut ends) = mpsc::unbounded_channel();
-    let (wanted, every) = watch::channel(());
-    let mut left = trials.into_iter();
-    let mut sum = Sum::default();
-    let begin = |schedule: Schedule| {
-        let (options, ended, mut wanted) = (options.clone(), ended.clone(), every.clone());
-        // A runtime of its own: with it go the trial's listeners, relays and all that waits on them; and a thread of
-        // its own, since processes end with the thread that started them.
+/// Returns an error when a trial cannot be run; the others are cancelled.
+pub async fn run_all(
+    trials: Vec<Schedule>, options: &Options, parallel: usize, mut report: impl FnMut(&str),
+) -> Result<Summary, Fault> {
+    let (result_sender, mut results) = mpsc::unbounded_channel();
+    let (cancel, cancelled) = watch::channel(());
+    let mut remaining = trials.into_iter();
+    let mut sum = Summary::default();
+    let start_trial = |schedule: Schedule| {
+        let (options, result_sender, mut cancel) =
+            (options.clone(), result_sender.clone(), cancelled.clone());
+        // Each trial has its own runtime, so that its listeners, relays and tasks end with it, and its own thread,
+        // since processes are killed when the thread that started them exits.
         thread::spawn(move || {
             let runtime = Builder::new_multi_thread().worker_threads(WORKERS).enable_all().build();
-            let played = match runtime {
+            let trial = match runtime {
                 Ok(runtime) => LocalSet::new().block_on(&runtime, async {
                     tokio::select! {
-                        played = play(schedule, &options) => played,
-                        _ = wanted.changed() => Err(Fault::Ended("another trial's end")),
+                        trial = run(schedule, &options) => trial,
+                        _ = cancel.changed() => Err(Fault::Ended("the failure of another trial")),
                     }
                 }),
                 Err(error) => Err(Fault::Socket { what: "the runtime", error }),
             };
-            let _ = ended.send(played);
+            let _ = result_sender.send(trial);
         })
     };
-    let all: Vec<_> = left.by_ref().take(side.max(1)).map(begin).collect();
-    let mut threads = Threads { wanted: Some(wanted), all };
+    let all: Vec<_> = remaining.by_ref().take(parallel.max(1)).map(start_trial).collect();
+    let mut threads = Threads { cancel: Some(cancel), all };
     let mut running = threads.all.len();
     while running > 0 {
-        let Some(played) = ends.recv().await else { break };
+        let Some(trial) = results.recv().await else { break };
         running -= 1;
-        let played = played?;
-        tell(&lines(&played));
-        sum.figures.push(played.figures);
+        let trial = trial?;
+        report(&describe(&trial));
+        sum.figures.push(trial.figures);
         threads.all.retain(|thread| !thread.is_finished());
-        if let Some(next) = left.next() {
-            threads.all.push(begin(next));
+        if let Some(next) = remaining.next() {
+            threads.all.push(start_trial(next));
             running += 1;
         }
     }
     Ok(sum)
 }
 
-/// One trial in a few lines: the verdict, its figures, and each break.
-pub fn lines(played: &Played) -> String {
-    let Played { schedule, verdict, figures } = played;
+/// Formats one trial: the verdict, its figures, and each violation.
+pub fn describe(trial: &CompletedTrial) -> String {
+    let CompletedTrial { schedule, verdict, figures } = trial;
     let faults: Vec<_> =
-        schedule.faults.iter().map(|f| format!("{:.1}+{:.1} {}", f.at, f.lasts, f.text)).collect();
-    let told = match (&verdict.void, verdict.total()) {
+        schedule.faults.iter().map(|f| format!("{:.1}+{:.1} {}", f.at, f.duration, f.text)).collect();
+    let outcome = match (&verdict.void, verdict.total()) {
         (Some(void), _) => format!("no verdict ({void})"),
         (None, 0) => "ok".to_owned(),
-        (None, broken) => format!("rules broken {broken} times"),
+        (None, count) => format!("rules broken {count} times"),
     };
     let mut text = format!(
-        "{} {}: {told}; faults: {}\n{}\n",
+        "{} {}: {outcome}; faults: {}\n{}\n",
         schedule.name,
         schedule.seed,
         faults.join(", "),
-        line(figures)
+        summary_line(figures)
     );
-    for broken in verdict.violations.iter().take(20) {
-        let (at, faults) = (broken.at, broken.faults.join(", "));
-        // Writing to a text can't fail.
-        let _ = writeln!(text, "  {:?} at {at:.3} s: {} [{faults}]", broken.rule, broken.what);
+    for violation in verdict.violations.iter().take(20) {
+        let (at, faults) = (violation.at, violation.faults.join(", "));
+        // Writing to a String cannot fail.
+        let _ = writeln!(text, "  {:?} at {at:.3} s: {} [{faults}]", violation.rule, violation.what);
     }
     for late in &verdict.late {
         let _ = writeln!(text, "  late: {late}");
--- a/crates/testbed/src/trouble.rs
+++ b/crates/testbed/src/trouble.rs
@@ -92,7 +92,7 @@
     /// Prints.
     pub teller: Teller,
     /// For how long there is load.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// The demo's seed.
     pub seed: u64,
 }
@@ -114,9 +114,9 @@
             }
             Trouble::Release => self.release(start).await,
             Trouble::Config => {
-                let begin = start + self.lasts.div_f64(8.0).min(Duration::from_secs(1));
+                let begin = start + self.duration.div_f64(8.0).min(Duration::from_secs(1));
                 // What the last one changes has to be in force before the end.
-                let until = start + self.lasts.saturating_sub(Duration::from_millis(APPLY_MS));
+                let until = start + self.duration.saturating_sub(Duration::from_millis(APPLY_MS));
                 let told = self.operator.changes(begin, until, self.seed).await;
                 self.teller.say(told);
                 self.teller.say(self.operator.take_away().await);
@@ -130,7 +130,7 @@
     }
 
     async fn leader(&mut self, start: Instant, disk: bool) -> Result<(), Fault> {
-        sleep_until(start + self.lasts.div_f64(4.0).min(Duration::from_secs(3))).await;
+        sleep_until(start + self.duration.div_f64(4.0).min(Duration::from_secs(3))).await;
         let Some(leader) = self.control.leader().await else {
             self.history.late("no control plane says that it leads".to_owned());
             return Ok(());
@@ -198,7 +198,7 @@
     }
 
     async fn zone(&mut self, start: Instant) {
-        sleep_until(start + self.lasts.div_f64(4.0).min(Duration::from_secs(3))).await;
+        sleep_until(start + self.duration.div_f64(4.0).min(Duration::from_secs(3))).await;
         let zone = ZONES[0];
         let there = |machine: &usize| ZONES[*machine] == zone;
         let data_planes = || {
@@ -230,9 +230,9 @@
     }
 
     async fn release(&mut self, start: Instant) -> Result<(), Fault> {
-        let begin = self.lasts.div_f64(8.0).min(Duration::from_secs(2));
+        let begin = self.duration.div_f64(8.0).min(Duration::from_secs(2));
         // A drain takes its time after the last replacement.
-        let room = self.lasts.saturating_sub(begin + Duration::from_secs(3)).max(Duration::from_secs(1));
+        let room = self.duration.saturating_sub(begin + Duration::from_secs(3)).max(Duration::from_secs(1));
         let pace = (room / self.backends.len() as u32).min(Duration::from_secs(2));
         let mut leaving = JoinSet::new();
         for index in 0..self.backends.len() {
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -139,7 +139,7 @@
     let told = Command::new(env!("CARGO_BIN_EXE_testbed")).arg("trial").arg(&file).output().expect("it runs");
     let words = String::from_utf8_lossy(&told.stderr).into_owned();
     assert_eq!((told.status.code(), words.lines().count()), (Some(2), 1), "{words}");
-    assert!(words.contains("bad.toml:3:1: on: nobody is named h9"), "{words}");
+    assert!(words.contains("bad.toml:3:1: on: unknown party h9"), "{words}");
 }
 
 #[test]
--- a/crates/testbed/tests/schedule.rs
+++ b/crates/testbed/tests/schedule.rs
@@ -1,6 +1,6 @@
 //! Schedules: what is read, what is refused and where, and what seeds draw.
 
-use testbed::trial::schedule::{Kind, On, SHIPPED, Schedule};
+use testbed::trial::schedule::{BUILT_IN, Kind, Schedule, Target};
 use testbed::trial::{Figures, compare};
 
 fn with(fault: &str) -> String {
@@ -10,14 +10,14 @@
 #[yare::parameterized(
     unknown = { "at = 1.0\nfault = \"burn\"", "t:5:9: unknown variant `burn`" },
     key = { "at = 1.0\nfault = \"hot\"\ntimes = 3", "t:6:1: unknown field `times`" },
-    late = { "at = 7.0\nfor = 2.0\nfault = \"hot\"", "t:3:1: a fault lies within the 8 seconds" },
-    never = { "at = nan\nfault = \"hot\"", "t:3:1: a fault lies within the 8 seconds" },
+    late = { "at = 7.0\nfor = 2.0\nfault = \"hot\"", "t:3:1: a fault must lie within the 8 seconds" },
+    never = { "at = nan\nfault = \"hot\"", "t:3:1: a fault must lie within the 8 seconds" },
     nobody = { "at = 1.0\nfault = \"kill\"", "t:3:1: on is missing" },
-    learner = { "at = 1.0\nfault = \"kill\"\non = \"q5\"", "t:3:1: on: nobody is named q5" },
-    wrong = { "at = 1.0\nfault = \"kill\"\non = \"b1\"", "t:3:1: on: this fault is not one of theirs" },
-    silent = { "at = 1.0\nfault = \"cut\"\nfrom = \"q1\"\nto = \"q2\"", "t:3:1: nobody in from talks" },
+    learner = { "at = 1.0\nfault = \"kill\"\non = \"q5\"", "t:3:1: on: unknown party q5" },
+    wrong = { "at = 1.0\nfault = \"kill\"\non = \"b1\"", "t:3:1: on: this fault does not apply to these parties" },
+    silent = { "at = 1.0\nfault = \"cut\"\nfrom = \"q1\"\nto = \"q2\"", "t:3:1: no party in from connects to a party in to" },
     figure = { "at = 1.0\nfault = \"throttle\"\nfrom = \"m1\"\nto = \"*\"", "t:3:1: bytes, above 0, is missing" },
-    share = { "at = 1.0\nfault = \"lose\"\non = \"b1\"\nshare = 2.0", "t:3:1: share is 0 to 1" },
+    share = { "at = 1.0\nfault = \"lose\"\non = \"b1\"\nshare = 2.0", "t:3:1: share must be 0 to 1" },
 )]
 fn a_bad_line_is_told_with_its_place(fault: &str, told: &str) {
     let error = Schedule::read("t", &with(fault), 1).expect_err("refused").to_string();
@@ -28,7 +28,7 @@
 fn a_zone_is_cut_from_all_others_and_whole_inside() {
     let text = with("at = 1.0\nfor = 2.0\nfault = \"cut\"\nfrom = \"zone:north\"\nto = \"*\"");
     let schedule = Schedule::read("t", &text, 1).expect("it is read");
-    let On::Links(links, _) = &schedule.faults[0].on else { panic!("{:?}", schedule.faults) };
+    let Target::Links(links, _) = &schedule.faults[0].on else { panic!("{:?}", schedule.faults) };
     let has = |from: &str, to: &str| links.iter().any(|(a, b)| a.to_string() == from && b.to_string() == to);
     assert!(has("m1", "h2") && has("h2", "m1") && has("m1", "b2") && has("clients", "q4"));
     // Machines 1 and 4 and the first and fourth backend are in this zone.
@@ -36,16 +36,16 @@
     assert_eq!(schedule.faults[0].machines(), [0, 1, 2, 3]);
     let one = "at = 1.0\nfault = \"mute\"\nfrom = \"m2\"\nto = \"h1\"\none-way = true";
     let schedule = Schedule::read("t", &with(one), 1).expect("it is read");
-    let On::Links(links, _) = &schedule.faults[0].on else { panic!("{:?}", schedule.faults) };
+    let Target::Links(links, _) = &schedule.faults[0].on else { panic!("{:?}", schedule.faults) };
     assert_eq!(links.iter().map(|(a, b)| format!("{a}>{b}")).collect::<Vec<_>>(), ["m2>h1"]);
 }
 
 #[test]
 fn seeds_draw_what_can_be_played_and_the_same_each_time() {
-    for (name, text) in SHIPPED {
+    for (name, text) in BUILT_IN {
         Schedule::read(name, text, 1).unwrap_or_else(|error| panic!("{error}"));
     }
-    let (_, text) = SHIPPED.into_iter().find(|(name, _)| *name == "drawn").expect("it is shipped");
+    let (_, text) = BUILT_IN.into_iter().find(|(name, _)| *name == "drawn").expect("it is shipped");
     let read = |seed| Schedule::read("drawn", text, seed).unwrap_or_else(|error| panic!("{seed}: {error}"));
     let mut kinds = std::collections::HashSet::new();
     for seed in 0..2000 {
