--- a/crates/testbed/examples/state_memory.rs
+++ b/crates/testbed/examples/state_memory.rs
@@ -1,5 +1,5 @@
-//! Prints what the state of a process takes in memory at the sizes of `docs/CAPACITY.md`: bytes that were asked of the
-//! allocator and not given back, and the most at one time while it was built.
+//! Prints the memory that the state of a process takes at the sizes of `docs/CAPACITY.md`: bytes allocated and not
+//! freed, and the peak while the state is built.
 
 #![forbid(unsafe_code)]
 
--- a/crates/testbed/src/backend.rs
+++ b/crates/testbed/src/backend.rs
@@ -1,4 +1,5 @@
-//! A backend's stand-in: so many slots, a bounded queue, its own pace, and the answers that the protocol wants.
+//! A stand-in backend with a fixed number of slots, a bounded queue, random service times and the answers that the
+//! protocol requires.
 
 use crate::beats::{About, Voice};
 use crate::chance::{Chance, mix};
@@ -25,55 +26,55 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, timeout};
 
-/// What it works on at once.
+/// Number of requests processed concurrently.
 const SLOTS: usize = 6;
-/// What may wait.
+/// Maximum number of queued requests.
 const LINE: usize = 12;
-/// Connections that it takes; the configuration says the same.
+/// Maximum number of connections; equals `max_conns` in the configuration.
 const CONNECTIONS: usize = 130;
-/// The longest body that it reads.
+/// Maximum length of a request body in bytes.
 const LONGEST: usize = 1 << 20;
-/// How long a newcomer is slow, and by how much at first.
+/// Duration of the warm-up, and the initial slowdown factor of a cold backend.
 const WARMUP: Duration = Duration::from_secs(2);
 const COLD: f64 = 2.0;
-/// It serves on for this long after it should be left alone, so that whoever still comes is seen.
+/// Time for which a drained backend keeps serving after the drain deadline, so that late requests are detected.
 const BEYOND: Duration = Duration::from_millis(700);
 
-/// What a client sends as body, by the id of its try.
+/// Request body that a client sends for an attempt id.
 pub fn question(id: u64) -> Bytes {
     Bytes::from(format!("{:016x}", mix(id)).repeat(1 + (id % 8) as usize))
 }
 
-/// What a backend answers, by the id of the try.
+/// Answer body that a backend sends for an attempt id.
 pub fn answer_to(id: u64) -> Bytes {
     Bytes::from(format!("{:016x}", mix(!id)).repeat(4 + (id % 60) as usize))
 }
 
-/// The path of a try, below the prefix of its route.
+/// Request path for an attempt id, below the prefix of its route.
 pub fn path_of(prefix: &str, id: u64) -> String {
     format!("{prefix}{:08x}?of={}", mix(id) >> 32, id % 97)
 }
 
-/// The seal that an instance puts on its answer.
+/// Seal by which an instance proves that it answered an attempt.
 pub fn seal(instance: &str, id: u64) -> String {
     let sum = instance.bytes().fold(id, |sum, byte| mix(sum ^ u64::from(byte)));
     format!("{instance}.{sum:016x}")
 }
 
-/// Whether a seal is an instance's own for this try.
+/// Whether a seal was made by the instance that it names, for this attempt.
 pub fn sealed(text: &str, id: u64) -> bool {
     text.rsplit_once('.').is_some_and(|(instance, _)| seal(instance, id) == text)
 }
 
-/// One life of a backend.
+/// A running stand-in backend.
 pub struct StandInBackend {
     /// Its service.
     pub service: String,
     /// Its zone.
     pub zone: String,
-    /// Its id.
+    /// Its instance id.
     pub id: String,
-    /// Where it listens.
+    /// Its listening address.
     pub address: SocketAddr,
     mean: Duration,
     born: Instant,
@@ -89,30 +90,30 @@
     tasks: Mutex<Vec<AbortHandle>>,
 }
 
-/// What a life begins with.
+/// Start options of a backend.
 #[derive(Clone)]
 pub struct Cradle {
     /// Its service.
     pub service: String,
     /// Its zone.
     pub zone: String,
-    /// Where it listens; port 0 is any free one.
+    /// Listening address; port 0 selects a free port.
     pub at: SocketAddr,
-    /// What its pace is drawn from.
+    /// Seed of its service times.
     pub seed: u64,
-    /// Whether it is warm from the beginning.
+    /// Whether it skips the warm-up.
     pub warm: bool,
-    /// Whom it tells of itself.
+    /// Client for the control planes that receive its heartbeats.
     pub control: Control,
-    /// Where it notes what it sees.
+    /// History that its events are recorded in.
     pub history: Option<Arc<History>>,
 }
 
 impl StandInBackend {
-    /// Starts one, which beats at once.
+    /// Starts a backend, which sends heartbeats immediately.
     ///
     /// # Errors
-    /// When there is no address for it.
+    /// Returns an error when the address cannot be bound.
     pub fn start(cradle: Cradle) -> Result<Arc<Self>, Fault> {
         static NUMBERS: AtomicU32 = AtomicU32::new(0);
         let Cradle { service, zone, at, seed, warm, control, history } = cradle;
@@ -166,7 +167,7 @@
         self.tasks.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How it behaves from now on.
+    /// Changes the backend's behavior.
     pub fn feels(&self, mood: Mood) {
         *self.mood.lock().unwrap_or_else(PoisonError::into_inner) = mood;
     }
@@ -187,7 +188,7 @@
             let accepted = listener.accept().await;
             while connections.try_join_next().is_some() {}
             match accepted {
-                // Beyond its bound it resets, as backends do: closing with a linger of zero.
+                // Above the connection limit the backend resets connections, as real ones do: linger of zero.
                 Ok((stream, _)) if connections.len() >= CONNECTIONS => drop(stream.set_zero_linger()),
                 Ok((stream, _)) if self.mood() == Mood::Garbles => {
                     connections.spawn(crate::mood::babble(stream));
@@ -198,7 +199,7 @@
                     connections.spawn(async move {
                         let service = service_fn(|request| of.clone().answer(request, machine));
                         let connection = hyper::server::conn::http1::Builder::new();
-                        // A connection that breaks is its caller's affair; the request on it is dropped.
+                        // A connection error is handled by the client; the request on the connection is dropped.
                         let _ = connection.serve_connection(TokioIo::new(stream), service).await;
                     });
                 }
@@ -207,7 +208,8 @@
         }
     }
 
-    /// It leaves in order: says so, serves on, departs and ends. False when nobody acknowledged the drain.
+    /// Leaves gracefully: announces the drain, serves until the drain deadline, announces the departure and stops.
+    /// Returns false when the drain or the departure was not acknowledged.
     pub async fn leave(&self) -> bool {
         let told = self.voice.drains().await;
         if told.is_some() {
@@ -222,7 +224,7 @@
         told.is_some() && departed
     }
 
-    /// It ends at once, as in a crash.
+    /// Stops immediately, as in a crash.
     pub fn end(&self) {
         for task in self.tasks().drain(..) {
             task.abort();
@@ -305,7 +307,7 @@
         }
         let answer = match (number, &self.history) {
             (Some(id), Some(_)) => answer_to(id),
-            // Nobody checks it: a person may read it.
+            // Without a history the answer is not checked, so it is readable text.
             _ => Bytes::from(format!("done by {} of {} in {}\n", self.id, self.service, self.zone)),
         };
         let breaks = mood == Mood::Garbles;
@@ -340,18 +342,18 @@
         response
     }
 
-    /// How long it works on the next one: drawn, longer while it is cold or nearly full.
+    /// Random service time of the next request; longer while the backend is cold or all slots are in use.
     fn takes(&self) -> Duration {
         let drawn = self.chance.lock().unwrap_or_else(PoisonError::into_inner).exponential();
         let warm = (self.born.elapsed().as_secs_f64() / WARMUP.as_secs_f64()).min(1.0);
         let cold = COLD - (COLD - 1.0) * warm;
         let full = if self.slots.available_permits() == 0 { 1.3 } else { 1.0 };
-        // Very long ones would say more about the draw than about the fleet.
+        // Limit the draw: extreme service times would say more about the random numbers than about the fleet.
         self.mean.mul_f64((0.3 + 0.7 * drawn).min(6.0) * cold * full)
     }
 }
 
-/// A place in the queue, given back also when whoever holds it is dropped: its connection may break while it waits.
+/// A place in the queue. Dropping it frees the place, also when the connection of a waiting request breaks.
 struct Place<'a>(&'a AtomicUsize);
 
 impl<'a> Place<'a> {
@@ -367,7 +369,7 @@
     }
 }
 
-/// A listener whose port is free again as soon as it is gone.
+/// Binds a listener whose port is reusable as soon as the listener is closed.
 fn listen(at: SocketAddr) -> io::Result<TcpListener> {
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
--- a/crates/testbed/src/beats.rs
+++ b/crates/testbed/src/beats.rs
@@ -1,4 +1,4 @@
-//! What a backend says of itself to control.
+//! Heartbeats of stand-in backends to the control planes.
 
 use crate::chance::{Chance, wild};
 use crate::control::Control;
@@ -11,30 +11,30 @@
 use tokio::sync::Mutex;
 use tokio::time::sleep;
 
-/// How often it beats, roughly.
+/// Mean heartbeat interval.
 pub const INTERVAL: Duration = Duration::from_millis(500);
-/// If nobody acknowledges the drain, it ends all the same after this.
+/// Time after which a drain without acknowledgement is abandoned and the backend stops.
 const UNHEARD: Duration = Duration::from_secs(6);
 
-/// What stays the same in all beats of a life.
+/// Heartbeat contents that do not change during the life of a backend.
 pub struct About {
-    /// Its id.
+    /// Instance id.
     pub id: String,
-    /// Its service.
+    /// Service.
     pub service: String,
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// What it works on at once.
+    /// Number of requests processed concurrently.
     pub capacity: usize,
-    /// When it started, and for how long it is slow from then on.
+    /// Start time.
     pub born: Instant,
-    /// See there.
+    /// Duration of the warm-up after the start.
     pub warmup: Duration,
 }
 
-/// One life's voice.
+/// Sends the heartbeats of one backend.
 pub struct Voice {
     about: About,
     control: Control,
@@ -48,13 +48,13 @@
 }
 
 impl Voice {
-    /// Nothing is said yet.
+    /// Creates a sender that has not sent anything.
     pub fn new(about: About, control: Control) -> Arc<Self> {
         let said = Said { calls: 0, draining: false, target: None };
         Arc::new(Self { about, control, said: Mutex::new(said) })
     }
 
-    /// Beats until it is dropped.
+    /// Sends heartbeats periodically; never returns.
     pub async fn beat(self: Arc<Self>) {
         let mut chance = Chance::new(wild(), 0);
         loop {
@@ -63,9 +63,9 @@
         }
     }
 
-    /// One beat; true when it was acknowledged.
+    /// Sends one heartbeat; returns whether it was acknowledged.
     async fn say(&self) -> bool {
-        // One at a time, so that the counts rise in the order in which they are sent.
+        // Send one at a time, so that call counts arrive in increasing order.
         let mut said = self.said.lock().await;
         said.calls += 1;
         let About { id, service, address, zone, capacity, born, warmup } = &self.about;
@@ -83,7 +83,7 @@
         answer.is_some()
     }
 
-    /// Says that it drains. The moment from which it has to be left alone, or nothing when nobody heard it.
+    /// Announces the drain. Returns the drain deadline, or `None` when no control plane acknowledged the drain.
     pub async fn drains(&self) -> Option<Instant> {
         self.said.lock().await.draining = true;
         let until = Instant::now() + UNHEARD;
@@ -96,7 +96,7 @@
         None
     }
 
-    /// Says that it ends.
+    /// Announces the departure; returns whether it was acknowledged.
     pub async fn departs(&self) -> bool {
         let path = format!("/Backends.Departure/{}", self.about.id);
         self.control.tell(None, &path, Bytes::from_static(b"{}")).await.is_some()
--- a/crates/testbed/src/capacity/costs.rs
+++ b/crates/testbed/src/capacity/costs.rs
@@ -1,4 +1,4 @@
-//! What single steps cost, in processor time of one thread.
+//! Processor time of single steps on one thread.
 
 use super::messages::{changed, lease_request};
 use super::samples::{backend, backend_id, backends, configuration_bytes, gateway_name, quotas, tenant_name};
@@ -11,17 +11,17 @@
 use registry::{Fleet, Register};
 use transport::config_snapshots::{ConfigEncoder, held, rebuild};
 
-/// Turns of steps that are short.
+/// Repetitions of short steps.
 const SHORT_TURNS: usize = 2_000;
-/// Turns of steps that go over all tenants or backends.
+/// Repetitions of steps that go over all tenants or backends.
 const LONG_TURNS: usize = 50;
-/// Turns of steps that take milliseconds.
+/// Repetitions of steps that take milliseconds.
 const FEW_TURNS: usize = 2;
-/// Backends send a heartbeat this often, in ms.
+/// Heartbeat interval of backends, in ms.
 const HEARTBEAT_MS: u64 = 780;
-/// How long a lease is in these worlds, in ms: they last for less.
+/// Lease duration in ms; longer than any measurement.
 const LEASE_MS: f64 = 1e12;
-/// The holder of all counts.
+/// Address of the only quota holder.
 const HOLDER: &str = "10.12.0.1:7400";
 
 /// The steps, as tables name them.
@@ -44,12 +44,12 @@
     pub const NUMBER: &str = "find a data plane's number, once a status message";
 }
 
-/// One step and its cost.
+/// One step with its cost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StepCost {
     /// The step.
     pub step: &'static str,
-    /// Its cost, in µs.
+    /// Its cost in µs.
     pub cost: Spread,
 }
 
@@ -143,7 +143,7 @@
 }
 
 fn quota_costs(size: &Size) -> Vec<StepCost> {
-    // What a holder does for each lease request: answer, then look over the floors as the control plane has it do.
+    // A holder answers each lease request, then checks all floors, as the control plane makes it do.
     let answered = measure(
         LONG_TURNS,
         || holder(size),
@@ -160,7 +160,7 @@
             let _ = quota_service.needs_lower_floor();
         },
     );
-    // What a data plane does for each request that has no unit: ask, look what is to be sent, look when it is due.
+    // For each request without a unit, a data plane queries the cache, collects lease requests and checks deadlines.
     let asked = measure(
         LONG_TURNS,
         || lease_cache(size),
--- a/crates/testbed/src/capacity/fit.rs
+++ b/crates/testbed/src/capacity/fit.rs
@@ -1,26 +1,26 @@
-//! Straight lines through measured points, and how far the points lie from them.
+//! Linear fits through measured points.
 
 /// A line `base + slope x`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// The value at 0.
+    /// Value at 0.
     pub base: f64,
-    /// What one more of `x` adds.
+    /// Increase per unit of `x`.
     pub slope: f64,
-    /// The largest distance of a point from the line, as a share of the point's value.
+    /// Largest relative distance of a point from the line.
     pub spread: f64,
 }
 
 impl Line {
-    /// The value at `x`.
+    /// Value at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.base + self.slope * x
     }
 }
 
-/// The line with the least squared relative distances from points `(x, y)`; none through fewer than two different `x`,
-/// and points with `y` of 0 or below are left out. Relative, because sizes differ a hundredfold: with plain squares the
-/// largest alone would decide.
+/// Fits a line to points `(x, y)` with the least squared relative errors. Points with `y` of 0 or below are ignored.
+/// Returns `None` for fewer than two different `x`. Errors are relative because sizes differ a hundredfold: with
+/// absolute errors the largest size alone would determine the line.
 pub fn line(points: &[(f64, f64)]) -> Option<Line> {
     let used: Vec<(f64, f64)> = points.iter().copied().filter(|(_, y)| *y > 0.0).collect();
     let sum = |of: fn(f64, f64) -> f64| used.iter().map(|(x, y)| of(*x, *y) / (y * y)).sum::<f64>();
--- a/crates/testbed/src/capacity/memory.rs
+++ b/crates/testbed/src/capacity/memory.rs
@@ -1,4 +1,4 @@
-//! What a process takes of memory, and the items of state that it keeps.
+//! Memory of a process, and the items of state that it holds.
 
 use super::messages::changed;
 use super::samples::{backends, configuration_bytes, gateway_name, quotas};
@@ -10,14 +10,14 @@
 use registry::Register;
 use std::any::Any;
 
-/// The unit of the resident size in `/proc/PID/statm`, in bytes.
+/// Unit of the resident size in `/proc/PID/statm`, in bytes.
 const PAGE: usize = 4096;
-/// Backends send a heartbeat this often, in ms.
+/// Heartbeat interval of backends, in ms.
 const HEARTBEAT_MS: u64 = 780;
-/// The holder of all counts.
+/// Address of the only quota holder.
 const HOLDER: &str = "10.12.0.1:7400";
 
-/// What items are built from, made before they are measured.
+/// Inputs of the items, prepared before the measurement.
 pub struct Inputs {
     size: Size,
     body: Vec<u8>,
@@ -27,7 +27,7 @@
 }
 
 impl Inputs {
-    /// Those of a size.
+    /// Inputs for a size.
     pub fn of(size: &Size) -> Self {
         Self {
             size: *size,
@@ -39,10 +39,10 @@
     }
 }
 
-/// Builds an item of state; whoever has it keeps its memory.
+/// Builds an item of state, which holds its memory until it is dropped.
 pub type Build = fn(&Inputs) -> Box<dyn Any>;
 
-/// All items of state, with their names in tables.
+/// All items of state with their names in tables.
 pub const ITEMS: [(&str, Build); 6] = [
     ("body of a configuration", |inputs| Box::new(inputs.body.clone())),
     ("checked configuration with its tables", |inputs| Box::new(Config::parse(&inputs.body).ok())),
@@ -52,7 +52,7 @@
     ("counts at their holder", |inputs| Box::new(counts(inputs))),
 ];
 
-/// Resident bytes of a process.
+/// Resident memory of a process in bytes.
 pub fn resident(pid: u32) -> Option<usize> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/statm")).ok()?;
     let pages: usize = text.split_whitespace().nth(1)?.parse().ok()?;
--- a/crates/testbed/src/capacity/messages.rs
+++ b/crates/testbed/src/capacity/messages.rs
@@ -1,4 +1,4 @@
-//! How long each message between processes is, at a size.
+//! Length of each message between processes at a size.
 
 use super::samples::{backend, backend_id, backends, configuration_bytes, gateway_name, tenant_name};
 use super::size::Size;
@@ -7,11 +7,11 @@
 use raft::{Entry, Message as LogMessage, Payload};
 use transport::config_snapshots::{ConfigEncoder, held};
 
-/// The largest body that the control plane's HTTP interface takes, in bytes, and the log as well.
+/// Maximum configuration body that the control plane's HTTP interface and the log accept, in bytes.
 pub const LARGEST_CONFIGURATION: usize = 6 << 20;
-/// Control planes tell each other every so many ms whose heartbeats they have had.
+/// Interval at which control planes exchange received heartbeats, in ms.
 pub const ROUND_MS: f64 = 400.0;
-/// Backends send a heartbeat every so many ms.
+/// Heartbeat interval of backends, in ms.
 pub const HEARTBEAT_MS: f64 = 780.0;
 
 /// The kinds of messages, as tables name them.
@@ -40,10 +40,10 @@
     pub const ALL_BACKENDS: &str = "all backends";
 }
 
-/// One kind of message and its bytes on the wire, its frame included.
+/// One kind of message with its length on the wire, including its frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MessageLength {
-    /// The message, and what is in it.
+    /// The message and its contents.
     pub kind: &'static str,
     /// Its length in bytes.
     pub bytes: usize,
@@ -65,7 +65,7 @@
     }
 }
 
-/// The state of things that followers are told.
+/// The heartbeat that a control plane sends to its followers.
 pub fn status(size: &Size) -> Heartbeat {
     Heartbeat {
         leader: Some(address(1)),
@@ -79,7 +79,7 @@
     }
 }
 
-/// A request for units of `count` tenants.
+/// A lease request for one unit of each tenant.
 pub fn lease_request(number: u64, tenants: impl Iterator<Item = usize>) -> LeaseRequest {
     let want = |n| TenantDemand { tenant: tenant_name(n), needed: 1, requested: 1, returned: 0 };
     LeaseRequest { number, epoch: Epoch::first(12), demands: tenants.map(want).collect() }
@@ -111,7 +111,7 @@
     (0..size.control_planes).map(card).collect()
 }
 
-/// Heartbeats that one control plane has had in one round.
+/// Heartbeats that one control plane receives in one round.
 fn heard_in_a_round(size: &Size) -> Vec<(String, u64)> {
     let count = size.backends as f64 / size.control_planes as f64 * ROUND_MS / HEARTBEAT_MS;
     (0..count.ceil() as usize).map(|n| (backend_id(n), 1_000 + n as u64)).collect()
@@ -122,7 +122,7 @@
     (0..count).map(|n| (gateway_name(n), u64::MAX / (n as u64 + 2))).collect()
 }
 
-/// A heartbeat of a backend as HTTP/1.1, and its answer.
+/// Lengths of a backend's HTTP/1.1 heartbeat and of its answer.
 fn heartbeat() -> (usize, usize) {
     let about = backend(7);
     let body = serde_json::json!({
@@ -144,7 +144,7 @@
     (head.len() + body.len(), answer.len())
 }
 
-/// A configuration on its way: what a follower is sent with nothing to build on, and with the version before.
+/// Lengths of the configuration sent to a follower without a configuration, and to one with the previous version.
 pub fn configuration_frames(size: &Size) -> (usize, usize) {
     let (before, after) = (configuration_bytes(size, 1), changed(size));
     let whole = ConfigEncoder::new(2, &after).frame(Held::default(), None, &after).len();
@@ -153,14 +153,14 @@
     (whole, difference)
 }
 
-/// The second version of a configuration: one tenant's quota is another one.
+/// The second version of the configuration, in which one tenant's quota differs.
 pub fn changed(size: &Size) -> Vec<u8> {
     let mut document = super::samples::configuration(size, 2);
     document["tenant_table"][tenant_name(size.tenants / 2)]["rate_per_s"] = serde_json::json!(7.5);
     document.to_string().into_bytes()
 }
 
-/// The lengths of all messages at a size, in the order of the tables.
+/// Lengths of all messages at a size, in the order of the tables.
 pub fn lengths(size: &Size) -> Vec<MessageLength> {
     let body = configuration_bytes(size, 1);
     let (whole, difference) = configuration_frames(size);
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -1,4 +1,4 @@
-//! What state, messages and steps cost at the sizes that the system is designed for: the tables of `docs/CAPACITY.md`.
+//! Costs of state, messages and steps at the sizes that the system is designed for: the tables of `docs/CAPACITY.md`.
 
 pub mod costs;
 pub mod fit;
@@ -17,18 +17,18 @@
 use size::{GATEWAYS, Size, columns};
 use std::fmt::Write as _;
 
-/// One row of a table: a figure at each size.
+/// One row of a table, with a figure for each size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// What it is a figure of.
+    /// Name of the figures.
     pub name: String,
     /// The figures, in the order of the columns.
     pub figures: Vec<f64>,
-    /// The widest range of runs that a figure comes from, as a share of it; 0 for counts.
+    /// Widest range of the runs behind a figure, relative to the figure; 0 for counts.
     pub runs: f64,
 }
 
-/// A table with one column a size and the line through its figures over the number of gateways.
+/// Formats a table with one column per size and the linear fit over the number of gateways.
 pub fn table(title: &str, rows: &[Row]) -> String {
     let mut text = format!("\n| {title} |");
     for gateways in GATEWAYS {
@@ -63,7 +63,7 @@
     text
 }
 
-/// A figure with three digits that count.
+/// Formats a figure with about three significant digits.
 pub fn short(figure: f64) -> String {
     match figure.abs() {
         0.0 => "0".to_owned(),
@@ -75,7 +75,7 @@
     }
 }
 
-/// What was measured at each size.
+/// Measurements at each size.
 struct Measured {
     sizes: [Size; GATEWAYS.len()],
     lengths: [Vec<MessageLength>; GATEWAYS.len()],
@@ -113,14 +113,14 @@
         (0..self.costs[0].len()).map(row).collect()
     }
 
-    /// Bytes a second of a role by kind, and their sum.
+    /// Bytes per second of a role by kind of message, and their sum.
     fn byte_rows(&self, role: Role) -> Vec<Row> {
         let flows = self.sizes.map(|size| model::messages(role, &size, size.keeps_the_body_before()));
         let figure = |at: usize, place: usize| model::bytes_per_s(&flows[at][place], &self.lengths[at]);
         rows_of(&flows, figure)
     }
 
-    /// Shares of a core of a role by step in percent, and their sum.
+    /// Processor use of a role by step in percent of a core, and the sum.
     fn processor_rows(&self, role: Role) -> Vec<Row> {
         let flows = self.sizes.map(|size| model::steps(role, &size, size.keeps_the_body_before()));
         let figure =
@@ -129,7 +129,7 @@
     }
 }
 
-/// One row a flow, named as at the largest size and with its rate there, and one with the sums.
+/// One row per flow, named after the largest size and its rate there, and a row with the sums.
 fn rows_of(flows: &[Vec<Flow>; GATEWAYS.len()], figure: impl Fn(usize, usize) -> f64) -> Vec<Row> {
     let largest = &flows[GATEWAYS.len() - 1];
     let figures = |place: usize| (0..GATEWAYS.len()).map(|at| figure(at, place)).collect();
@@ -145,7 +145,7 @@
     rows
 }
 
-/// Measures and prints all tables but that of memory, which `examples/state_memory.rs` prints.
+/// Measures and prints all tables except that of memory, which `examples/state_memory.rs` prints.
 pub fn tables() {
     let measured = Measured::now();
     print(table("message, bytes on the wire", &measured.message_rows()));
--- a/crates/testbed/src/capacity/model.rs
+++ b/crates/testbed/src/capacity/model.rs
@@ -1,34 +1,34 @@
-//! What each role sends, receives and spends at a size: lengths and costs of single messages and steps, times how often
-//! they come. Rates follow from constants of the protocol and from the plan; nothing here is measured.
+//! Traffic and processor use of each role at a size: lengths and costs of messages and steps, multiplied by their
+//! rates. The rates follow from constants of the protocol and from the capacity plan; nothing here is measured.
 
 use super::costs::{StepCost, step};
 use super::messages::{HEARTBEAT_MS, MessageLength, ROUND_MS, kind};
 use super::size::Size;
 
-/// Followers are sent the state of things this often, a second.
+/// Heartbeats per second from a control plane to each follower.
 const STATUS_PER_S: f64 = 1000.0 / 350.0;
-/// Data planes send a sign of life this often, a second, to whom they follow and to each holder.
+/// Keep-alives per second from a data plane to its control plane and to each quota holder.
 const SIGNS_PER_S: f64 = 1000.0 / 800.0;
-/// The leader of the log sends heartbeats to each voter this often, a second.
+/// Heartbeats per second from the log leader to each voter.
 const LOG_HEARTBEATS_PER_S: f64 = 1000.0 / 60.0;
-/// Lease requests for each request of a client where tenants are small: `docs/leases.md`.
+/// Lease requests per client request when tenants are small: see `docs/leases.md`.
 const LEASES_A_REQUEST: f64 = 1.13;
-/// Changes of the configuration, a second: 3,000 a day.
+/// Configuration changes per second: 3,000 per day.
 const CHANGES_PER_S: f64 = 3_000.0 / 86_400.0;
-/// Words about backends, a second: 5,500 restarts a day, each with a drain, an end and a start.
+/// Backend updates per second: 5,500 restarts per day, each with a drain, a departure and a start.
 const BACKEND_WORDS_PER_S: f64 = 3.0 * 5_500.0 / 86_400.0;
 const SECONDS_PER_MICROSECOND: f64 = 1e-6;
 
-/// A part of the system whose load is told apart.
+/// A role whose load is computed separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Carries requests.
     DataPlane,
-    /// Serves control, with or without a disk: its part of data planes and of heartbeats.
+    /// Serves control, with or without a disk: the share of one control plane of data planes and heartbeats.
     ControlPlane,
-    /// What leading the log adds.
+    /// Additional load of the log leader.
     Leader,
-    /// What holding the counts adds; the leader holds them as long as they are not shared out.
+    /// Additional load of the quota holder; the leader is the only holder as long as quotas are not spread.
     QuotaHolder,
 }
 
@@ -40,12 +40,12 @@
     (Role::QuotaHolder, "holder of counts, on top"),
 ];
 
-/// Something that comes again and again: a message or a step.
+/// A recurring message or step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Flow {
     /// The kind of message, or the step.
     pub name: &'static str,
-    /// How often, a second.
+    /// Rate per second.
     pub per_s: f64,
 }
 
@@ -58,18 +58,18 @@
     size.gateways as f64 / size.control_planes as f64
 }
 
-/// Other control planes.
+/// Number of other control planes.
 fn others(size: &Size) -> f64 {
     size.control_planes as f64 - 1.0
 }
 
-/// Heartbeats of backends that one control plane takes, a second.
+/// Heartbeats of backends that one control plane receives, per second.
 fn heartbeats(size: &Size) -> f64 {
     size.backends as f64 / size.control_planes as f64 * 1000.0 / HEARTBEAT_MS
 }
 
-/// The messages of a role in both directions, as the system stands. `kept` says whether the body before the newest one
-/// is kept, so that a configuration goes as a difference.
+/// The messages of a role in both directions. `kept` says whether control planes keep the previous configuration body,
+/// so that configurations are sent as differences.
 pub fn messages(role: Role, size: &Size, kept: bool) -> Vec<Flow> {
     let leases = LEASES_A_REQUEST * size.requests_per_s;
     let configuration = if kept { kind::DIFFERENCE } else { kind::WHOLE };
@@ -135,7 +135,7 @@
             flow(step::NUMBER, followers(size) * STATUS_PER_S),
         ],
         Role::Leader => vec![
-            // Judged here once more, before it goes into the log.
+            // The leader validates the configuration again before it appends the log entry.
             flow(step::PARSE, CHANGES_PER_S),
             flow(step::ENCODE, others * LOG_HEARTBEATS_PER_S),
             flow(step::DECODE, others * LOG_HEARTBEATS_PER_S),
@@ -149,13 +149,13 @@
     }
 }
 
-/// Bytes a second of a flow of messages.
+/// Bytes per second of a flow of messages.
 pub fn bytes_per_s(flow: &Flow, lengths: &[MessageLength]) -> f64 {
     let length = lengths.iter().find(|length| length.kind == flow.name);
     length.map_or(0.0, |length| length.bytes as f64 * flow.per_s)
 }
 
-/// The share of a core that a flow of steps takes.
+/// Share of a core that a flow of steps uses.
 pub fn share_of_a_core(flow: &Flow, costs: &[StepCost]) -> f64 {
     let cost = costs.iter().find(|cost| cost.step == flow.name);
     cost.map_or(0.0, |cost| cost.cost.median * flow.per_s * SECONDS_PER_MICROSECOND)
--- a/crates/testbed/src/capacity/samples.rs
+++ b/crates/testbed/src/capacity/samples.rs
@@ -1,25 +1,25 @@
-//! Configurations, backends and names of a given size, with texts as long as they are in use.
+//! Sample configurations, backends and names of a given size, with texts of realistic length.
 
 use super::size::Size;
 use protocol::{Backend, Phase};
 use quota::Quota;
 use serde_json::{Map, Value, json};
 
-/// A tenant's requests a second, and what may come on top at once: the plan's peak over its tenants, with some room.
+/// Quota rate of a tenant in requests per second: the plan's peak divided by its tenants, with some margin.
 pub const TENANT_RATE: f64 = 5.0;
-/// See there.
+/// Quota burst of a tenant in requests.
 pub const TENANT_BURST: f64 = 10.0;
-/// Times in a configuration.
+/// Durations in a configuration.
 const DEADLINE_MS: u64 = 2_000;
 const GOAL_MS: u64 = 300;
 const IDLE_TIMEOUT_MS: u64 = 15_000;
 
-/// The name of a tenant.
+/// Name of a tenant.
 pub fn tenant_name(number: usize) -> String {
     format!("tenant-{number:05}")
 }
 
-/// The name of a data plane.
+/// Name of a data plane.
 pub fn gateway_name(number: usize) -> String {
     format!("gateway-{number:04}")
 }
@@ -44,7 +44,7 @@
     })
 }
 
-/// The bytes of a configuration as the operator sends them.
+/// The configuration as the operator sends it.
 pub fn configuration_bytes(size: &Size, generation: u64) -> Vec<u8> {
     configuration(size, generation).to_string().into_bytes()
 }
@@ -64,7 +64,7 @@
 }
 
 fn tenant(number: usize) -> Value {
-    // A key is 128 bits in hexadecimal that no text repeats, so that it is as hard to compress as a real one.
+    // A key is 128 random-looking bits in hexadecimal, so that it compresses as badly as a real one.
     let key = scramble(number as u64);
     json!({
         "api_keys": [format!("{key:016x}{:016x}", scramble(key))],
@@ -82,13 +82,13 @@
     mixed ^ (mixed >> 31)
 }
 
-/// The quotas of all tenants.
+/// Quotas of all tenants.
 pub fn quotas(size: &Size) -> Vec<Quota> {
     let quota = |n| Quota { tenant: tenant_name(n), rate_per_s: TENANT_RATE, burst: TENANT_BURST };
     (0..size.tenants).map(quota).collect()
 }
 
-/// The id of a backend.
+/// Id of a backend.
 pub fn backend_id(number: usize) -> String {
     format!("service-{:03}-{:08x}", number % 330, scramble(number as u64) as u32)
 }
--- a/crates/testbed/src/capacity/size.rs
+++ b/crates/testbed/src/capacity/size.rs
@@ -1,23 +1,23 @@
-//! The sizes that capacity is worked out for.
+//! Deployment sizes that capacity is computed for.
 
 use control_plane::{Change, ConfigHistory, LogPosition};
 
-/// How large a deployment is, at its peak.
+/// Size of a deployment at its peak.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Size {
-    /// Data planes.
+    /// Number of data planes.
     pub gateways: usize,
-    /// Control planes, those without a disk among them.
+    /// Number of control planes, including those without a disk.
     pub control_planes: usize,
-    /// Backends.
+    /// Number of backends.
     pub backends: usize,
-    /// Services that the backends belong to.
+    /// Number of services.
     pub services: usize,
-    /// Routes of the configuration.
+    /// Number of routes.
     pub routes: usize,
-    /// Tenants with a quota.
+    /// Number of tenants with a quota.
     pub tenants: usize,
-    /// Requests of clients a second.
+    /// Client requests per second.
     pub requests_per_s: f64,
 }
 
@@ -32,11 +32,11 @@
     requests_per_s: 93_000.0,
 };
 
-/// Fewer control planes bear no two losses.
+/// Minimum number of control planes: fewer do not tolerate two failures.
 const FEWEST_CONTROL_PLANES: usize = 5;
 
 impl Size {
-    /// The plan's proportions with another number of gateways.
+    /// Scales the plan to another number of gateways.
     pub fn of(gateways: usize) -> Self {
         let part = |whole: usize| (whole * gateways).div_ceil(PLAN.gateways).max(1);
         Self {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether the history keeps the body before the newest one, so that a configuration goes as a difference.
+    /// Whether the history keeps the previous configuration body, so that configurations are sent as differences.
     pub fn keeps_the_body_before(&self) -> bool {
         let length = super::samples::configuration_bytes(self, 1).len();
         let mut history = ConfigHistory::default();
@@ -63,10 +63,10 @@
     }
 }
 
-/// Numbers of gateways that tables have a column for.
+/// Numbers of gateways with a column in the tables.
 pub const GATEWAYS: [usize; 4] = [13, 85, 300, PLAN.gateways];
 
-/// One size a column.
+/// The size of each column.
 pub fn columns() -> [Size; GATEWAYS.len()] {
     GATEWAYS.map(Size::of)
 }
--- a/crates/testbed/src/capacity/timing.rs
+++ b/crates/testbed/src/capacity/timing.rs
@@ -1,44 +1,44 @@
-//! Processor time of one thread, as medians of several runs: other work on the machine takes wall-clock time, but hardly
-//! any of this.
+//! Processor time of one thread, as the median of several runs. Unlike wall-clock time, it is hardly affected by other
+//! work on the machine.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-/// Runs that a figure comes from.
+/// Number of runs per figure.
 const RUNS: usize = 9;
 
-/// A median with the least and the greatest of the runs, in µs.
+/// Median, minimum and maximum of the runs, in µs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spread {
     /// The median.
     pub median: f64,
-    /// The least.
+    /// The minimum.
     pub least: f64,
-    /// The greatest.
+    /// The maximum.
     pub greatest: f64,
 }
 
 impl Spread {
-    /// Of some runs' figures; all 0 of none.
+    /// Statistics of the figures; all 0 without figures.
     pub fn of(mut figures: Vec<f64>) -> Self {
         figures.sort_by(f64::total_cmp);
         let at = |place: usize| figures.get(place).copied().unwrap_or_default();
         Self { median: at(figures.len() / 2), least: at(0), greatest: at(figures.len().saturating_sub(1)) }
     }
 
-    /// From the least to the greatest, as a share of the median.
+    /// Difference between maximum and minimum, relative to the median.
     pub fn range(&self) -> f64 {
         (self.greatest - self.least) / self.median.max(f64::MIN_POSITIVE)
     }
 }
 
-/// Processor time that this thread has had.
+/// Processor time used by this thread.
 fn processor_time() -> Duration {
     let spent = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(spent.tv_sec.max(0) as u64, spent.tv_nsec.max(0) as u32)
 }
 
-/// The processor time of `count` turns of some work, each run on a state of its own, in µs a turn.
+/// Measures the processor time of `count` repetitions in µs per repetition; each run starts from a new state.
 pub fn measure<S>(count: usize, mut make: impl FnMut() -> S, mut work: impl FnMut(&mut S, usize)) -> Spread {
     let mut run = || {
         let mut state = make();
--- a/crates/testbed/src/chance.rs
+++ b/crates/testbed/src/chance.rs
@@ -1,9 +1,9 @@
-//! Chance by seed: a stream for each use, so that what is drawn for one thing does not move with another.
+//! Random numbers from seeds, with a separate stream per use, so that one use does not change the numbers of another.
 
 use fault_injection::Random;
 use std::ops::{Deref, DerefMut};
 
-/// A stream of chance.
+/// A stream of random numbers.
 #[derive(Clone, Debug)]
 pub struct Chance(Random);
 
@@ -22,12 +22,12 @@
 }
 
 impl Chance {
-    /// The stream of this use under this seed.
+    /// Creates the stream of a use under a seed.
     pub fn new(seed: u64, stream: u64) -> Self {
         Self(Random::new(seed, "testbed", stream))
     }
 
-    /// An index by shares.
+    /// Draws an index with probabilities proportional to `shares`.
     pub fn by_share(&mut self, shares: impl Iterator<Item = f64> + Clone) -> usize {
         let mut left = self.unit() * shares.clone().sum::<f64>();
         let last = shares.clone().count().saturating_sub(1);
@@ -41,7 +41,7 @@
     }
 }
 
-/// A number that looks like chance and is another one for each number (the finalizer of splitmix64).
+/// Scrambles a number without collisions (the finalizer of splitmix64).
 pub fn mix(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -49,7 +49,7 @@
     mixed ^ (mixed >> 31)
 }
 
-/// Waits are drawn by the time of day where no seed is needed.
+/// Returns a random seed, for delays that need not be reproducible.
 pub fn wild() -> u64 {
     use std::hash::{BuildHasher as _, Hasher as _};
     std::collections::hash_map::RandomState::new().build_hasher().finish()
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they keep connections, and try again as the protocol's clients do.
+//! Stand-in clients with persistent connections; they retry according to the protocol.
 
 use crate::backend::{answer_to, path_of, question, sealed};
 use crate::chance::{Chance, mix};
@@ -15,22 +15,22 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
-/// A new connection is given this long to come up.
+/// Connect timeout.
 const COMES_UP: Duration = Duration::from_secs(1);
-/// Tries of one request.
+/// Maximum number of attempts of one request.
 const MOST_TRIES: u32 = 4;
-/// Misses after which a gateway gets no new connections.
+/// Failed readiness checks after which a gateway gets no new connections.
 const MISSES: u32 = 2;
-/// How often the platform asks.
+/// Interval and timeout of readiness checks.
 const ASKS: Duration = Duration::from_secs(1);
-/// Connections that one client keeps.
+/// Maximum number of idle connections per client.
 const KEPT: usize = 8;
-/// Without a word from the gateway, a kept connection is used for this long.
+/// Idle timeout of a connection whose gateway did not state one.
 const KEEP: Duration = Duration::from_secs(10);
-/// Less time than this is not worth another try.
+/// Minimum remaining time for another attempt.
 const WORTH: Duration = Duration::from_millis(20);
 
-/// The platform: it knows which gateways are ready, and gives new connections to those.
+/// Stand-in for the load balancer: checks the readiness of gateways and assigns new connections to ready ones.
 pub struct Platform {
     fronts: Vec<SocketAddr>,
     readiness: Vec<SocketAddr>,
@@ -38,19 +38,19 @@
 }
 
 impl Platform {
-    /// All gateways count as ready at first.
+    /// All gateways are considered ready initially.
     pub fn new(fronts: Vec<SocketAddr>, readiness: Vec<SocketAddr>) -> Self {
         let missed = fronts.iter().map(|_| AtomicU32::new(0)).collect();
         Self { fronts, readiness, missed }
     }
 
-    /// Asks one gateway whether it is ready.
+    /// Checks the readiness of one gateway.
     pub async fn ready(address: SocketAddr) -> bool {
         let answer = crate::wire::call(address, "GET", "/readiness", &[], Bytes::new(), ASKS).await;
         answer.is_some_and(|answer| answer.status.as_u16() == 200)
     }
 
-    /// How many are ready just now.
+    /// Number of gateways that are ready now.
     pub async fn count_ready(&self) -> usize {
         let mut count = 0;
         for address in &self.readiness {
@@ -59,7 +59,7 @@
         count
     }
 
-    /// Asks all gateways once a second until it is dropped.
+    /// Checks the readiness of all gateways periodically; never returns.
     pub async fn poll_readiness(&self) {
         loop {
             let mut asks = tokio::task::JoinSet::new();
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The gateway for a new connection. Where fewer than half are ready, all are used.
+    /// Selects the gateway of a new connection. If fewer than half are ready, all gateways are candidates.
     fn pick(&self, lot: u64) -> usize {
         let is_in = |index: &usize| self.missed[*index].load(Ordering::Relaxed) < MISSES;
         let all = 0..self.fronts.len();
@@ -89,33 +89,33 @@
     }
 }
 
-/// A request that a client has.
+/// A request that a client has to send.
 pub struct Wish {
-    /// Its kind.
+    /// Index of its kind.
     pub kind: usize,
-    /// Its tenant.
+    /// Index of its tenant.
     pub tenant: Option<usize>,
-    /// Whether it may run more than once.
+    /// Whether the request is pure, so that it may run more than once.
     pub pure: bool,
     /// Prefix of its path.
     pub prefix: Arc<str>,
-    /// The key.
+    /// API key.
     pub key: Option<&'static str>,
-    /// How long the client waits.
+    /// Timeout of the client.
     pub deadline: Duration,
-    /// When it was due: time is counted from there, also when we are late ourselves, because whoever waits behind a
-    /// slow answer waits for it too.
+    /// When the request was due. Latency counts from this time, even if the testbed sends late: a user who waits behind
+    /// a slow answer also waits for the next one.
     pub due: Instant,
 }
 
-/// How a try ended.
+/// Result of an attempt.
 enum Tried {
     Served,
     Refused {
         after: Option<Duration>,
     },
     Final(u16),
-    /// An answer that makes no promise, or none; it may have run unless it was surely not read.
+    /// An error answer or none. The request may have run, unless `unread` says that it was certainly not sent.
     Failed {
         status: Option<u16>,
         unread: bool,
@@ -138,13 +138,13 @@
     chance: Mutex<Chance>,
 }
 
-/// Ids of tries: no two are the same.
+/// Generator of unique attempt ids.
 pub struct Ids {
     next: AtomicU64,
 }
 
 impl Ids {
-    /// A sequence by seed.
+    /// Starts a sequence from a seed.
     pub fn new(seed: u64) -> Self {
         Self { next: AtomicU64::new(mix(seed)) }
     }
@@ -155,7 +155,7 @@
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new(
         number: u64, seed: u64, platform: Arc<Platform>, history: Arc<History>, ids: Arc<Ids>,
     ) -> Self {
@@ -182,13 +182,14 @@
             .and_then(|v| v.split(',').find_map(|word| word.trim().strip_prefix("timeout=")?.parse().ok()));
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         if !closes && idle.len() < KEPT {
-            // A second early, so that we don't write while the gateway closes.
+            // End one second early, to avoid writing while the gateway closes the connection.
             let keep = stated.map_or(KEEP, |s: u64| Duration::from_secs(s.saturating_sub(1)));
             idle.push(Kept { machine, connection, until: Instant::now() + keep });
         }
     }
 
-    /// Asks until it is served, may not ask again, or has no time left. How it ended, and after how many tries.
+    /// Sends attempts until the request is served, may not be retried, or runs out of time. Returns the outcome and the
+    /// number of attempts.
     pub async fn ask(&self, wish: &Wish) -> (End, u32) {
         let (mut end, mut tries) = (End::Failed(None), 0);
         for turn in 0..MOST_TRIES {
@@ -202,7 +203,7 @@
                 break;
             }
             tries += 1;
-            // A repeatable request that is not taken up is abandoned for another gateway.
+            // A pure request that gets no answer is abandoned early, to retry it at another gateway.
             let patience = if wish.pure && turn + 1 < MOST_TRIES { (left / 3).max(WORTH) } else { left };
             let tried = timeout(patience, self.attempt(wish, id, left, turn)).await;
             let tried = tried.unwrap_or(Tried::Failed { status: None, unread: false });
@@ -230,7 +231,7 @@
         let kept = if turn == 0 { self.kept() } else { None };
         let connection = match kept {
             Some(kept) => Some(kept),
-            // The first goes where the client's hash says, further ones elsewhere.
+            // The first attempt goes to the gateway given by the client's hash, retries to the following ones.
             None => {
                 let machine = self.platform.pick(mix(self.number) + u64::from(turn));
                 let connection = connect(self.platform.fronts[machine], COMES_UP).await;
@@ -243,7 +244,7 @@
         self.history.note(Event::Connected { id, machine });
         let answer = match connection.sender.send_request(request).await {
             Ok(answer) => answer,
-            // Only this one says that nothing was written.
+            // Only `is_canceled` guarantees that nothing was written.
             Err(error) => {
                 if !error.is_canceled() {
                     self.history.note(Event::Cut { id });
@@ -279,7 +280,7 @@
 }
 
 fn request(wish: &Wish, id: u64, left: Duration) -> Option<Request<Full<Bytes>>> {
-    // Some clients claim a tenant's name themselves, which must not reach a backend.
+    // Some clients send an X-Tenant header, which must not reach a backend.
     let claims = wish.key.is_some() && id.is_multiple_of(16);
     let method = if wish.pure { Method::GET } else { Method::POST };
     let body = if wish.pure { Bytes::new() } else { question(id) };
--- a/crates/testbed/src/control.rs
+++ b/crates/testbed/src/control.rs
@@ -1,4 +1,4 @@
-//! Callers of control: backends and the operator go from one control plane to the next until one answers.
+//! HTTP client of backends and the operator for the control planes; it fails over between their addresses.
 
 use crate::wire::{Answer, call};
 use bytes::Bytes;
@@ -9,33 +9,33 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Silence after which a caller moves on.
+/// Timeout of a call.
 const SILENCE: Duration = Duration::from_secs(1);
-/// A change may be large, and its answer waits for disks.
+/// Timeout of a configuration change, which may be large and waits for disks.
 const CHANGE: Duration = Duration::from_secs(3);
-/// The first pause after a failure; it grows.
+/// Initial retry backoff, which doubles with each failure.
 const PAUSE: Duration = Duration::from_millis(50);
 const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// Redirects that are followed.
+/// Maximum number of redirects per call.
 const REDIRECTS: usize = 2;
 
-/// The addresses of control, and whose turn it is.
+/// Control plane addresses, used in rotation.
 #[derive(Clone)]
 pub struct Control {
     addresses: Arc<[SocketAddr]>,
-    /// What these call themselves, in the same order.
+    /// Addresses that the control planes announce, in the same order as `addresses`.
     own: Arc<[SocketAddr]>,
     turn: Arc<AtomicUsize>,
 }
 
 impl Control {
-    /// Calls go to these.
+    /// Creates a client that calls the addresses directly.
     pub fn new(addresses: impl Into<Arc<[SocketAddr]>>) -> Self {
         let addresses = addresses.into();
         Self { own: addresses.clone(), addresses, turn: Arc::default() }
     }
 
-    /// Calls go to these, which lead to others: a redirect to one of those goes the same way.
+    /// Creates a client that calls relays at `addresses`; redirects to an address in `own` also go through its relay.
     pub fn by_ways(addresses: impl Into<Arc<[SocketAddr]>>, own: impl Into<Arc<[SocketAddr]>>) -> Self {
         Self { own: own.into(), ..Self::new(addresses) }
     }
@@ -54,7 +54,7 @@
         self.addresses[self.turn.fetch_add(1, Ordering::Relaxed) % self.addresses.len()]
     }
 
-    /// One call to an address, or to the next one; redirects are followed.
+    /// Makes one call to `at` or to the next address, and follows redirects.
     pub async fn once(
         &self, at: Option<SocketAddr>, method: &str, path: &str, headers: &[(&str, &str)], body: Bytes,
         within: Duration,
@@ -72,7 +72,7 @@
         None
     }
 
-    /// A call of a backend: any address, a second each. Nothing when none acknowledged it.
+    /// Sends a backend's message, trying all addresses with a timeout each. Returns `None` when none acknowledged it.
     pub async fn tell(&self, at: Option<SocketAddr>, path: &str, body: Bytes) -> Option<Answer> {
         for turn in 0..=self.addresses.len() {
             let at = at.filter(|_| turn == 0);
@@ -84,7 +84,7 @@
         None
     }
 
-    /// Sends a change unchanged until the answer is clear. Nothing when it was not by then.
+    /// Sends a change repeatedly until the answer is definite. Returns `None` when there is none by `until`.
     pub async fn replace(
         &self, first: Option<SocketAddr>, base: u64, body: &Bytes, until: Instant,
     ) -> Option<Answer> {
@@ -107,7 +107,7 @@
         None
     }
 
-    /// Reads the configuration, by asking until it comes.
+    /// Reads the configuration, with retries until `until`.
     pub async fn read(&self, until: Instant) -> Option<Value> {
         while Instant::now() < until {
             let answer = self.once(None, "GET", "/Config.Read", &[], Bytes::new(), SILENCE).await;
@@ -119,13 +119,13 @@
         None
     }
 
-    /// How one control plane stands.
+    /// Reads the status of one control plane.
     pub async fn status(&self, at: SocketAddr) -> Option<Value> {
         let answer = self.once(Some(at), "GET", "/Harbour.Status", &[], Bytes::new(), SILENCE).await?;
         serde_json::from_slice(&answer.body).ok()
     }
 
-    /// Which of the addresses is the leader's, if any says so.
+    /// Index of the address whose control plane reports to be the leader.
     pub async fn leader(&self) -> Option<usize> {
         for (index, address) in self.addresses.iter().enumerate() {
             let status = self.status(*address).await;
@@ -137,7 +137,7 @@
     }
 }
 
-/// Statuses that say that a change is not to be sent again.
+/// Statuses after which a change must not be sent again.
 fn ends(status: u16) -> bool {
     matches!(status, 400 | 409 | 412 | 413 | 422)
 }
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: a fleet that is built, loaded, put in trouble, judged and taken down again.
+//! The demo: starts a fleet, puts load and a disruption on it, checks what was observed and stops it.
 
 use crate::backend::{Cradle, StandInBackend};
 use crate::clients::Platform;
@@ -19,18 +19,18 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// A fleet has this long to come up.
+/// Timeout for the start of a fleet.
 const COMES_UP: Duration = Duration::from_secs(30);
-/// How often it is looked at until then.
+/// Polling interval during the start.
 const LOOKS: Duration = Duration::from_millis(20);
-/// How often the demo says how it goes.
+/// Interval of progress messages.
 const TELLS: Duration = Duration::from_secs(3);
-/// Backends of a service in each zone but the fourth machine's, which is the first one's.
+/// Zones with backends: one backend of each service per zone.
 const ZONES_OF_BACKENDS: [&str; 3] = ["north", "south", "east"];
 
 const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
-/// What the judge goes by; the settings files say the same of the first two and of the grace.
+/// Time bounds of the judge; the settings files contain the same values of `drain`, `apply` and `grace`.
 pub const TIME_BOUNDS: TimeBounds = TimeBounds {
     drain: DRAIN_MS * 1000,
     apply: APPLY_MS * 1000,
@@ -39,14 +39,14 @@
     recovery: 5_000_000,
 };
 
-/// What starts the processes.
+/// The program that runs the processes.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The file.
+    /// The executable.
     pub file: PathBuf,
-    /// What comes before the name of the plane.
+    /// Arguments before the name of the plane.
     pub before: Vec<String>,
-    /// What comes after it.
+    /// Arguments after the name of the plane.
     pub after: Vec<String>,
 }
 
@@ -57,17 +57,17 @@
         Backend { name, program: self.file.clone(), arguments, settings, log }
     }
 
-    /// A control plane's place in a folder.
+    /// Start options of a control plane, with files below `folder`.
     pub fn control_plane(&self, folder: &Path, machine: usize) -> Backend {
         let name = format!("machine-{}-control-plane", machine + 1);
         let (settings, log) = files(folder, &name);
         self.backend(name, "control-plane", settings, log)
     }
 
-    /// Writes all settings and starts all processes of a new fleet: the control planes, and the data planes.
+    /// Writes all settings files and starts the control planes and data planes of a new fleet.
     ///
     /// # Errors
-    /// When a file can't be written or a process started.
+    /// Returns an error when a file cannot be written or a process cannot be started.
     pub fn start_all(&self, folder: &Path, site: &Site) -> Result<(Vec<Process>, Vec<Process>), Fault> {
         make_folders(folder)?;
         let mut control_planes = Vec::new();
@@ -87,14 +87,14 @@
         Ok((control_planes, data_planes))
     }
 
-    /// The place of a process of hollow data planes in a folder.
+    /// Start options of a process of hollow data planes, with files below `folder`.
     pub fn hollow(&self, folder: &Path, number: usize, settings: PathBuf) -> Backend {
         let name = format!("hollow-{number}");
         let (_, log) = files(folder, &name);
         self.backend(name, "hollow", settings, log)
     }
 
-    /// A data plane's place in a folder.
+    /// Start options of a data plane, with files below `folder`.
     pub fn data_plane(&self, folder: &Path, machine: usize) -> Backend {
         let name = format!("machine-{}-data-plane", machine + 1);
         let (settings, log) = files(folder, &name);
@@ -106,15 +106,15 @@
     (folder.join("settings").join(format!("{name}.toml")), folder.join("logs").join(format!("{name}.log")))
 }
 
-/// Where a control plane keeps what outlives it.
+/// Data folder of a control plane.
 pub fn data(folder: &Path, machine: usize) -> PathBuf {
     folder.join("data").join(format!("machine-{}", machine + 1))
 }
 
-/// The folders of a fleet.
+/// Creates the folders of a fleet.
 ///
 /// # Errors
-/// When one can't be made.
+/// Returns an error when a folder cannot be created.
 pub fn make_folders(folder: &Path) -> Result<(), Fault> {
     let inner = ["settings", "logs"].map(|name| folder.join(name));
     for folder in inner.into_iter().chain((0..VOTERS).map(|machine| data(folder, machine))) {
@@ -123,10 +123,10 @@
     Ok(())
 }
 
-/// One backend of each service in each zone.
+/// Starts one backend of each service in each zone.
 ///
 /// # Errors
-/// When there is no address for one.
+/// Returns an error when an address cannot be bound.
 pub fn backends(
     services: &[&str], at: impl Fn(usize) -> IpAddr, control: impl Fn(usize) -> Control, seed: u64,
     history: Option<&Arc<History>>,
@@ -148,10 +148,10 @@
     Ok(backends)
 }
 
-/// Waits until all data planes are ready, and gives up when a process ends.
+/// Waits until all data planes are ready.
 ///
 /// # Errors
-/// When one does, or when time is over.
+/// Returns an error when a process exits or on timeout.
 pub async fn wait_ready(
     platform: &Platform, processes: &mut [&mut Process], folder: &Path,
 ) -> Result<(), Fault> {
@@ -179,10 +179,10 @@
     }
 }
 
-/// Has the operator send the first configuration.
+/// Sends the first configuration.
 ///
 /// # Errors
-/// When it is not taken, or not in time.
+/// Returns an error when the configuration is rejected or not acknowledged in time.
 pub async fn first_order(operator: &Operator, folder: &Path) -> Result<(), Fault> {
     match operator.first(Instant::now() + COMES_UP).await {
         Some(answer) if answer.status.is_success() => Ok(()),
@@ -197,10 +197,10 @@
     }
 }
 
-/// Once the fleet stands, a control plane that starts again is none of the first start's.
+/// Rewrites the settings of the control planes without `bootstrap`, since a restarted one must join the existing fleet.
 ///
 /// # Errors
-/// When a settings file can't be written.
+/// Returns an error when a settings file cannot be written.
 pub fn settle(program: &Program, site: &Site, folder: &Path) -> Result<(), Fault> {
     for machine in 0..VOTERS {
         let settings = program.control_plane(folder, machine).settings;
@@ -210,7 +210,7 @@
     Ok(())
 }
 
-/// Waits for a signal that wants the program's end.
+/// Waits for a signal that asks the program to terminate, and returns the signal's name.
 pub async fn told_to_end() -> &'static str {
     use tokio::signal::unix::{SignalKind, signal};
     let Ok(mut term) = signal(SignalKind::terminate()) else { return std::future::pending().await };
@@ -225,30 +225,30 @@
 /// A demo.
 #[derive(Clone, Debug)]
 pub struct Demo {
-    /// What starts the processes.
+    /// The program that runs the processes.
     pub program: Program,
-    /// For how long there is load.
+    /// Duration of the load in seconds.
     pub seconds: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// What happens.
+    /// The disruption.
     pub trouble: Trouble,
-    /// Of all that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Whether the folder with settings and logs stays behind.
+    /// Whether to keep the folder with settings and logs.
     pub keep: bool,
 }
 
 impl Demo {
-    /// Runs it. True when the judge found nothing.
+    /// Runs the demo. Returns true when no rule was broken.
     ///
     /// # Errors
-    /// When the fleet can't be built, or is told to end.
+    /// Returns an error when the fleet cannot be started or the demo is terminated.
     pub async fn run(&self) -> Result<bool, Fault> {
         fault_injection::running::end_with_panics();
         tokio::select! {
             done = self.play() => done,
-            // All processes go with the future that owns them.
+            // Child processes are killed when the future that owns them is dropped.
             why = told_to_end() => Err(Fault::Ended(why)),
         }
     }
@@ -258,7 +258,7 @@
         let place = place.map_err(Fault::file(std::env::temp_dir()))?;
         let folder = place.path();
         let teller = Teller::default();
-        // Another fleet on this machine has other addresses, whatever its ports.
+        // Derive the addresses from the process id, so that fleets of other processes on this machine use other ones.
         let pid = std::process::id();
         let site = Site::find(64 + (pid >> 8) as u8 % 128, pid as u8, u64::from(pid))?;
         let (mut control_planes, mut data_planes) = self.program.start_all(folder, &site)?;
@@ -343,7 +343,7 @@
     }
 }
 
-/// Notes which processes have ended by themselves.
+/// Records processes that exited unexpectedly.
 pub fn look_for_ends(control_planes: &mut [Process], data_planes: &mut [Process], history: &History) {
     for (data_plane, processes) in [(false, control_planes), (true, data_planes)] {
         for (machine, process) in processes.iter_mut().enumerate() {
@@ -359,7 +359,7 @@
     processes.iter().map(Process::spent).sum()
 }
 
-/// Says how it goes, for ever.
+/// Prints progress periodically; never returns.
 async fn tell(teller: Teller, tallies: Tallies) {
     let mut before = (0, 0, 0);
     loop {
--- a/crates/testbed/src/fault.rs
+++ b/crates/testbed/src/fault.rs
@@ -1,4 +1,4 @@
-//! What can keep a fleet from being built.
+//! Errors of the testbed.
 
 use miette::Diagnostic;
 use std::io;
@@ -6,120 +6,120 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why there is no fleet, or none any more.
+/// An error of the testbed.
 #[derive(Debug, Error, Diagnostic)]
 pub enum Fault {
-    /// A file or folder.
+    /// A file or folder cannot be accessed.
     #[error("{}: {error}", path.display())]
     #[diagnostic(code(testbed::file))]
     File {
-        /// Which.
+        /// The path.
         path: PathBuf,
-        /// What the system said.
+        /// The system error.
         #[source]
         error: io::Error,
     },
-    /// A process could not be started.
+    /// A process cannot be started.
     #[error("{name} cannot be started: {error}")]
     #[diagnostic(code(testbed::start))]
     Start {
-        /// What was to be started.
+        /// Name of the process.
         name: String,
-        /// What the system said.
+        /// The system error.
         #[source]
         error: io::Error,
     },
-    /// No addresses.
+    /// No free ports.
     #[error("no free ports on the loopback addresses {0}")]
     #[diagnostic(
         code(testbed::ports),
         help("each machine of the fleet needs the same ports on an address of its own")
     )]
     Ports(String),
-    /// A socket.
+    /// A socket error.
     #[error("{what}: {error}")]
     #[diagnostic(code(testbed::socket))]
     Socket {
-        /// What it is for.
+        /// Purpose of the socket.
         what: &'static str,
-        /// What the system said.
+        /// The system error.
         #[source]
         error: io::Error,
     },
-    /// Something did not come to pass in time.
+    /// A timeout.
     #[error("after {} s: {what}", within.as_secs_f64())]
     #[diagnostic(code(testbed::late), help("the logs of the processes are in {}", logs.display()))]
     Late {
-        /// What was waited for.
+        /// State at the timeout.
         what: String,
-        /// For how long.
+        /// The timeout.
         within: Duration,
-        /// Where the processes write.
+        /// Folder of the process logs.
         logs: PathBuf,
     },
-    /// A process ended before the fleet stood.
-    #[error("{name} ended by itself ({status}): {words}")]
+    /// A process exited while the fleet was starting.
+    #[error("{name} exited unexpectedly ({status}): {words}")]
     #[diagnostic(code(testbed::died), help("its log is {}", log.display()))]
     Died {
-        /// Which.
+        /// Name of the process.
         name: String,
-        /// How.
+        /// Exit status.
         status: std::process::ExitStatus,
-        /// Its last words.
+        /// Last line of its log.
         words: String,
-        /// Where it wrote.
+        /// The log file.
         log: PathBuf,
     },
-    /// Settings that cannot be used.
+    /// Invalid settings.
     #[error("{}: {wrong}", path.display())]
     #[diagnostic(code(testbed::settings), help("mend the file, or remove it to have it written anew"))]
     Settings {
-        /// Where.
+        /// The file.
         path: PathBuf,
         /// What is wrong.
         wrong: String,
     },
-    /// Another fleet is up in this folder.
-    #[error("a fleet is up in {} already (process {pid})", dir.display())]
+    /// Another fleet is running in this folder.
+    #[error("a fleet is already running in {} (process {pid})", dir.display())]
     #[diagnostic(code(testbed::up), help("`testbed down --dir {}` ends it", dir.display()))]
     Already {
         /// The folder.
         dir: PathBuf,
-        /// Whose it is.
+        /// Id of the process that runs the fleet.
         pid: u32,
     },
-    /// The operator's call was turned away.
-    #[error("the configuration was not taken: {status} {body}")]
+    /// The operator's configuration was rejected.
+    #[error("the configuration was rejected: {status} {body}")]
     #[diagnostic(code(testbed::order))]
     Order {
-        /// The answer's status.
+        /// HTTP status of the answer.
         status: u16,
-        /// Its body.
+        /// Body of the answer.
         body: String,
     },
-    /// A trial that cannot be played.
+    /// An invalid trial schedule.
     #[error(transparent)]
     #[diagnostic(code(testbed::schedule))]
     Schedule(#[from] crate::trial::schedule::ScheduleError),
-    /// Results that are none.
+    /// An invalid results file.
     #[error("{}:{line}: {wrong}", path.display())]
     #[diagnostic(code(testbed::results))]
     Results {
         /// The file.
         path: PathBuf,
-        /// The line.
+        /// The line number.
         line: usize,
         /// What is wrong.
         wrong: String,
     },
-    /// Someone wants it to end.
-    #[error("ended by {0}")]
+    /// A signal or another failure cancelled the run.
+    #[error("terminated by {0}")]
     #[diagnostic(code(testbed::ended))]
     Ended(&'static str),
 }
 
 impl Fault {
-    /// A fault of a file.
+    /// Returns a function that converts an I/O error of `path`.
     pub fn file(path: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> Self {
         let path = path.into();
         move |error| Self::File { path, error }
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The processes. Every one that is started here is ended here: when its owner goes, when the program panics
-//! ([`fault_injection::running`]), and, by the system itself, when this program is killed.
+//! Child processes. Each one is ended when its owner is dropped, when the testbed panics
+//! ([`fault_injection::running`]), and by the kernel when the testbed is killed.
 
 use crate::fault::Fault;
 use fault_injection::running::{self, signal};
@@ -11,25 +11,25 @@
 use tokio::process::{Child, Command};
 use tokio::time::timeout;
 
-/// Time from SIGTERM to SIGKILL: what the settings say, and a little more for a busy machine.
+/// Time from SIGTERM to SIGKILL: the processes' own grace period of 6 s, plus a margin for a busy machine.
 pub const GRACE: Duration = Duration::from_secs(8);
 
-/// What starts a process: the program that has both planes, and where it finds its settings and writes its log.
+/// How to start a process: its program, settings file and log file.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Its name.
+    /// Name of the process.
     pub name: String,
-    /// The program, and its arguments.
+    /// The program, which contains both planes.
     pub program: PathBuf,
     /// Its arguments.
     pub arguments: Vec<String>,
     /// Its settings file.
     pub settings: PathBuf,
-    /// What it writes.
+    /// Its log file.
     pub log: PathBuf,
 }
 
-/// A process at its backend, or the empty backend.
+/// A process that is running or stopped, with its start options.
 pub struct Process {
     backend: Backend,
     child: Option<Child>,
@@ -38,20 +38,20 @@
 }
 
 impl Process {
-    /// Starts it. It has to be called on the main thread, whose end the child follows.
+    /// Starts a process. Must be called on the main thread, since the child is killed when the starting thread exits.
     ///
     /// # Errors
-    /// When it cannot be started.
+    /// Returns an error when the process cannot be started.
     pub fn start(backend: Backend) -> Result<Self, Fault> {
         let mut process = Self { backend, child: None, pid: 0, spent: Duration::ZERO };
         process.restart()?;
         Ok(process)
     }
 
-    /// Starts it again at the same backend, with the settings in effect now.
+    /// Starts the process again with its current settings file.
     ///
     /// # Errors
-    /// When it cannot be started.
+    /// Returns an error when the process cannot be started.
     pub fn restart(&mut self) -> Result<(), Fault> {
         let log = OpenOptions::new().create(true).append(true).open(&self.backend.log);
         let log = log.map_err(Fault::file(&self.backend.log))?;
@@ -62,7 +62,7 @@
             .stdin(Stdio::null())
             .stdout(log.try_clone().map_err(failed)?)
             .stderr(log)
-            // A Ctrl-C is for us alone: we end them in order.
+            // Own process group, so that Ctrl-C reaches only the testbed, which then stops its children in order.
             .process_group(0)
             .kill_on_drop(true)
             .spawn()
@@ -73,12 +73,12 @@
         Ok(())
     }
 
-    /// Its name.
+    /// Name of the process.
     pub fn name(&self) -> &str {
         &self.backend.name
     }
 
-    /// Its number with the system.
+    /// Process id.
     pub fn pid(&self) -> u32 {
         self.pid
     }
@@ -88,7 +88,7 @@
         &self.backend.settings
     }
 
-    /// How it ended, if it has without being told to.
+    /// Exit status, if the process has exited by itself.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok().flatten();
         if status.is_some() {
@@ -102,22 +102,22 @@
         self.child = None;
     }
 
-    /// Stops it, or lets it go on.
+    /// Sends a signal.
     pub fn signal(&self, which: Signal) {
         if self.child.is_some() {
             signal(self.pid, which);
         }
     }
 
-    /// Processor time of all its lives so far.
+    /// Processor time of all runs of this process so far.
     pub fn spent(&self) -> Duration {
         let alive = self.child.as_ref().and_then(|_| processor_time(self.pid)).unwrap_or_default();
         self.spent + alive
     }
 
-    /// Kills it and waits for its end, also when it is stopped.
+    /// Kills the process, even if it is suspended, and waits until it has exited.
     pub async fn kill(&mut self) {
-        // Before the end, since the account goes with the process.
+        // Read the processor time first: it vanishes with the process.
         self.spent = self.spent();
         if let Some(mut child) = self.child.take() {
             signal(self.pid, Signal::KILL);
@@ -126,7 +126,7 @@
         self.left();
     }
 
-    /// Waits until it ends, and kills it if it has not by then. True if it ended by itself.
+    /// Waits until the process exits, and kills it after `within`. Returns whether it exited in time.
     pub async fn ends(&mut self, within: Duration) -> bool {
         self.spent = self.spent();
         let Some(child) = self.child.as_mut() else { return true };
@@ -148,11 +148,11 @@
     }
 }
 
-/// Tells all to end, and waits for that together. The names of those that had to be killed.
+/// Sends SIGTERM to all processes and waits for them together. Returns the names of those that had to be killed.
 pub async fn end(processes: &mut [&mut Process]) -> Vec<String> {
     for process in &*processes {
         process.signal(Signal::TERM);
-        // A stopped one would hear of it only when it goes on.
+        // A suspended process handles SIGTERM only after it is resumed.
         process.signal(Signal::CONT);
     }
     let deadline = tokio::time::Instant::now() + GRACE;
@@ -165,26 +165,26 @@
     killed
 }
 
-/// The fields of `/proc/PID/stat` behind the name, which may hold anything.
+/// Fields of `/proc/PID/stat` after the process name, which may contain any character.
 fn account(pid: u32) -> Option<Vec<u64>> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let (_, rest) = text.rsplit_once(')')?;
-    // Ended, and only not asked after yet.
+    // A zombie has exited and only waits to be reaped.
     if rest.trim_start().starts_with('Z') {
         return None;
     }
-    // The first field is the state, a letter; some of the others are negative.
+    // The first field is the state, a letter; some other fields are negative. Both are read as 0.
     Some(rest.split_whitespace().map(|field| field.parse().unwrap_or(0)).collect())
 }
 
-/// User and system time.
+/// User and system time of a process.
 fn processor_time(pid: u32) -> Option<Duration> {
     let fields = account(pid)?;
     let ticks = fields.get(11)? + fields.get(12)?;
     Some(Duration::from_secs_f64(ticks as f64 / rustix::param::clock_ticks_per_second() as f64))
 }
 
-/// When it was started, in ticks since the machine's start: with the id it names one process and no later one.
+/// Start time in clock ticks since boot. Together with the process id it identifies a process uniquely.
 pub fn started(pid: u32) -> Option<u64> {
     account(pid)?.get(19).copied()
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,9 +1,9 @@
-//! A small fleet on one machine, for whoever has no platform: the real programs as processes of their own, and
-//! stand-ins for all that they meet (backends, the operator, clients). It can be looked at ([`up`]) or shown at work
-//! under load and trouble, with a judge that knows what was sent, what ran and what was answered ([`demo`]).
+//! Runs a small fleet on one machine: the real programs as separate processes, and stand-ins for backends, the operator
+//! and clients. The fleet can be kept running for inspection ([`up`]), or run under load and disruptions with an
+//! evaluation of what was sent, run and answered ([`demo`], [`trial`]).
 //!
-//! Everything listens on loopback addresses and is bounded in time and count. Every process that is started here is
-//! ended here, by its id.
+//! All listeners use loopback addresses; all runs are bounded in time and size. Every child process that the testbed
+//! starts is also ended by the testbed, by its process id.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,4 +1,4 @@
-//! Requests that come when they come, whatever became of those before them (an open loop).
+//! Open-loop load: requests arrive at random times, independent of earlier answers.
 
 use crate::chance::Chance;
 use crate::clients::{Client, Ids, Platform, Wish};
@@ -12,29 +12,29 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep_until;
 
-/// Clients.
+/// Number of clients.
 const CLIENTS: usize = 64;
-/// Requests that are out at once; beyond that they count as failed, so that a fleet that hangs can't fill memory.
+/// Maximum number of outstanding requests. Further ones count as failed, to bound memory if the fleet hangs.
 const MOST_OUT: usize = 4096;
-/// The longest time that is told apart, in microseconds.
+/// Upper limit of the latency histograms, in microseconds.
 const LONGEST_US: u64 = 60_000_000;
 
-/// What became of one kind of request.
+/// Results of one kind of request.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    /// How many there were.
+    /// Number of requests.
     pub asked: u64,
-    /// Served at all.
+    /// Requests that were served.
     pub served: u64,
-    /// Served within the aim.
+    /// Requests that were served within the latency goal.
     pub in_aim: u64,
-    /// Refused at the last.
+    /// Requests whose last attempt was refused.
     pub refused: u64,
-    /// Anything else.
+    /// Requests that failed otherwise.
     pub failed: u64,
-    /// With which status, or none.
+    /// Failures by status; `None` for no answer.
     pub failures: BTreeMap<Option<u16>, u64>,
-    /// How long those that were served took, from when they were due, in microseconds.
+    /// Latency of served requests from their due time, in microseconds.
     pub times: Histogram<u64>,
 }
 
@@ -63,27 +63,27 @@
 
 /// A load.
 pub struct Load {
-    /// Its seed.
+    /// Seed of the load.
     pub seed: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// For how long.
+    /// Duration of the load.
     pub duration: Duration,
-    /// How many times its usual share the last tenant asks, at each moment.
+    /// Load factor of the last tenant.
     pub greed: Greed,
 }
 
-/// How greedy the last tenant is: a factor that may change while the load plays.
+/// Load factor of the last tenant, which may change while the load runs.
 #[derive(Clone)]
 pub struct Greed(Arc<AtomicU64>);
 
 impl Greed {
-    /// So many times its usual share.
+    /// Starts with `factor` times the tenant's usual share.
     pub fn new(factor: f64) -> Self {
         Self(Arc::new(AtomicU64::new(factor.to_bits())))
     }
 
-    /// From now on.
+    /// Changes the factor.
     pub fn set(&self, factor: f64) {
         self.0.store(factor.to_bits(), Ordering::Relaxed);
     }
@@ -93,13 +93,13 @@
     }
 }
 
-/// What became of each kind so far, and how late we were ourselves.
+/// Results by kind, and the delay of the testbed itself.
 #[derive(Clone)]
 pub struct Tallies(Arc<Mutex<Inner>>);
 
 struct Inner {
     kinds: Vec<Tally>,
-    /// From when a request was due until its client was told to send it.
+    /// Delay from a request's due time until its client was started.
     late: Option<Histogram<u64>>,
 }
 
@@ -116,18 +116,18 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// By kind, as they stand.
+    /// Current results by kind.
     pub fn kinds(&self) -> Vec<Tally> {
         self.inner().kinds.clone()
     }
 
-    /// How late we were for one request in a hundred, at least.
+    /// 99th percentile of the testbed's own delay.
     pub fn late(&self) -> Duration {
         let late = self.inner().late.as_ref().map_or(0, |late| late.value_at_quantile(0.99));
         Duration::from_micros(late)
     }
 
-    /// Asked, served and served in aim, of all kinds.
+    /// Numbers of requests, served requests and requests served within the goal, over all kinds.
     pub fn counts(&self) -> (u64, u64, u64) {
         let counts = (0, 0, 0);
         self.inner().kinds.iter().fold(counts, |(a, s, i), t| (a + t.asked, s + t.served, i + t.in_aim))
@@ -148,14 +148,14 @@
 }
 
 impl Load {
-    /// Plays it; it ends once every request has ended, which their deadlines bound.
+    /// Runs the load; returns when all requests have ended, which their deadlines bound.
     pub async fn run(&self, platform: Arc<Platform>, history: Arc<History>, tallies: Tallies) {
         let ids = Arc::new(Ids::new(self.seed));
         let client = |n| Arc::new(Client::new(n, self.seed, platform.clone(), history.clone(), ids.clone()));
         let clients: Vec<_> = (0..CLIENTS as u64).map(client).collect();
         let out = Arc::new(Semaphore::new(MOST_OUT));
         let mut chance = Chance::new(self.seed, 0);
-        // Greed comes on top of the usual load.
+        // The excess of the last tenant is added to the usual load.
         let keyed: f64 = KINDS.iter().filter(|kind| !kind.public).map(|kind| kind.share).sum();
         let small = TENANTS[TENANTS.len() - 1].share;
         let start = Instant::now();
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `testbed`: shows a small fleet at work on one machine, or keeps it up to look at.
+//! `testbed`: runs a small fleet on one machine for demos, trials and measurements.
 
 #![forbid(unsafe_code)]
 
@@ -16,20 +16,20 @@
 use testbed::trial::{self, Figures, compare};
 use testbed::{Demo, Fault, Trouble, capacity, scale, up};
 
-/// Faults were found.
+/// Exit status: rules were broken.
 const FAULTS: u8 = 1;
-/// The arguments, or a file, can't be used, or the fleet can't be built.
+/// Exit status: invalid arguments or files, or the fleet cannot be started.
 const UNUSABLE: u8 = 2;
-/// Some trial has no verdict, and no other one found a fault.
+/// Exit status: a trial has no verdict, and no other trial broke a rule.
 const NO_VERDICT: u8 = 3;
-/// Seeds of one call.
+/// Maximum number of seeds per call.
 const MOST_SEEDS: u64 = 100_000;
-/// Trials at once: each has seven processes.
+/// Maximum number of parallel trials; each has seven processes.
 const MOST_SIDE: usize = 16;
-/// The longest demo, in seconds, and the highest rate.
+/// Maximum duration of a demo in seconds, and maximum request rate per second.
 const LONGEST: u64 = 600;
 const FASTEST: f64 = 5000.0;
-/// Hollow data planes of one measurement.
+/// Maximum number of hollow data planes of one measurement.
 const MOST_HOLLOW: usize = 2000;
 
 /// testbed: a small fleet on one machine.
@@ -43,19 +43,19 @@
 
 #[derive(Debug, Options)]
 enum Command {
-    /// build a fleet, load it, put it in trouble, judge it and take it down
+    /// run a fleet under load, with an optional disruption, and check what was observed
     Demo(DemoArguments),
-    /// play trials: a relay on every link, faults, and a judge of what was seen from outside
+    /// run trials: a relay on every link, injected faults, and a check of what was observed
     Trial(TrialArguments),
-    /// how the second of two files of trials' figures differs from the first
+    /// compare two files of trial figures
     Compare(CompareArguments),
-    /// build a fleet and keep it up until Ctrl-C or `testbed down`
+    /// start a fleet and keep it running until Ctrl-C or `testbed down`
     Up(UpArguments),
-    /// measure what state, messages and steps cost at the sizes to design for
+    /// measure the cost of state, messages and steps at the design sizes
     Capacity(CapacityArguments),
     /// measure real processes among hollow data planes at several sizes
     Scale(ScaleArguments),
-    /// end the fleet that `testbed up` keeps up
+    /// stop the fleet of `testbed up`
     Down(DownArguments),
 }
 
@@ -63,22 +63,22 @@
 struct DemoArguments {
     /// print this help
     help: bool,
-    /// for how long there is load
+    /// duration of the load
     #[options(meta = "N", default = "12")]
     seconds: u64,
     /// none, leader, disk, zone, release, config or quota
     #[options(meta = "NAME", default = "none")]
     trouble: Trouble,
-    /// seed of the load and of the backends' pace
+    /// seed of the load and of the backends' service times
     #[options(meta = "N", default = "1", no_short)]
     seed: u64,
-    /// requests a second
+    /// requests per second
     #[options(meta = "N", default = "400")]
     rate: f64,
-    /// a `reachlb` to try, instead of what is built into this program
+    /// a `reachlb` program to run instead of the built-in one
     #[options(meta = "FILE")]
     program: Option<PathBuf>,
-    /// leave settings and logs where they are
+    /// keep settings and logs
     keep: bool,
 }
 
@@ -86,25 +86,25 @@
 struct TrialArguments {
     /// print this help
     help: bool,
-    /// a shipped trial by name, or a file; without it, the shipped ones are listed
+    /// a built-in trial or a file; without a name, the built-in trials are listed
     #[options(free)]
     name: Option<String>,
-    /// seeds, both ends included
+    /// first and last seed
     #[options(meta = "A..B", default = "1..1")]
     seeds: Seeds,
-    /// so many trials at once
+    /// number of parallel trials
     #[options(meta = "N", default = "1", no_short)]
     side: usize,
-    /// a `reachlb` to try, instead of what is built into this program
+    /// a `reachlb` program to run instead of the built-in one
     #[options(meta = "FILE")]
     program: Option<PathBuf>,
-    /// play each trial with this `reachlb` as well, and say how the other one differs
+    /// run each trial with this `reachlb` program as well, and compare the figures
     #[options(meta = "FILE", no_short)]
     against: Option<PathBuf>,
-    /// history, verdict, logs and a page of each trial go into a folder in this one
+    /// folder for history, verdict, logs and page of each trial
     #[options(meta = "DIR")]
     keep: Option<PathBuf>,
-    /// figures of each trial, one JSON object a line
+    /// file for the figures of each trial, one JSON object per line
     #[options(meta = "FILE")]
     out: Option<PathBuf>,
 }
@@ -113,12 +113,12 @@
 struct CompareArguments {
     /// print this help
     help: bool,
-    /// the first file, and the second
+    /// the two files
     #[options(free)]
     files: Vec<PathBuf>,
 }
 
-/// Seeds from a first to a last one.
+/// An inclusive range of seeds.
 #[derive(Clone, Copy, Debug, Default)]
 struct Seeds(u64, u64);
 
@@ -138,10 +138,10 @@
 struct UpArguments {
     /// print this help
     help: bool,
-    /// where its files are, kept and used again when they are there
+    /// folder of the fleet's files, created or reused
     #[options(meta = "DIR", default = ".testbed")]
     dir: PathBuf,
-    /// a `reachlb` to try, instead of what is built into this program
+    /// a `reachlb` program to run instead of the built-in one
     #[options(meta = "FILE")]
     program: Option<PathBuf>,
 }
@@ -156,30 +156,30 @@
 struct ScaleArguments {
     /// print this help
     help: bool,
-    /// numbers of hollow data planes, with commas
+    /// numbers of hollow data planes, separated by commas
     #[options(meta = "N,..", default = "13,85,300")]
     gateways: Counts,
-    /// a further number, which the lines are checked at
+    /// an additional size that is left out of the fit and checked against it
     #[options(meta = "N", no_short)]
     check: Option<usize>,
-    /// for how long each size is measured
+    /// duration of each measurement
     #[options(meta = "N", default = "30")]
     seconds: u64,
-    /// lease requests of one data plane a second; by default the plan's requests
+    /// lease requests per second and data plane; by default as in the capacity plan
     #[options(meta = "N", no_short)]
     requests: Option<f64>,
-    /// hollow backends for each data plane; by default the plan's
+    /// hollow backends per data plane; by default as in the capacity plan
     #[options(meta = "N", no_short)]
     backends: Option<f64>,
-    /// hollow data planes share so many processes
+    /// number of processes for the hollow data planes
     #[options(meta = "N", default = "3", no_short)]
     processes: usize,
-    /// a `reachlb` to try, instead of what is built into this program
+    /// a `reachlb` program to run instead of the built-in one
     #[options(meta = "FILE", no_short)]
     program: Option<PathBuf>,
 }
 
-/// Numbers with commas between them.
+/// Numbers separated by commas.
 #[derive(Clone, Debug, Default)]
 struct Counts(Vec<usize>);
 
@@ -196,14 +196,14 @@
 struct DownArguments {
     /// print this help
     help: bool,
-    /// where its files are
+    /// folder of the fleet's files
     #[options(meta = "DIR", default = ".testbed")]
     dir: PathBuf,
 }
 
 fn main() -> ExitCode {
     let words: Vec<String> = std::env::args().collect();
-    // Not among the commands, since it is for ourselves alone.
+    // Internal command, so it is not listed in the help.
     if let [_, process, plane, parent] = &words[..]
         && process == "process"
     {
@@ -233,7 +233,7 @@
 fn run(command: Command) -> Result<ExitCode, Fault> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build();
     let runtime = runtime.map_err(|error| Fault::Socket { what: "the runtime", error })?;
-    // The main thread starts all processes: they end when it does.
+    // The main thread starts all processes, since they are killed when the starting thread exits.
     match command {
         Command::Demo(DemoArguments { seconds, trouble, seed, rate, program, keep, .. }) => {
             let usable = (1..=LONGEST).contains(&seconds) && (1.0..=FASTEST).contains(&rate);
@@ -305,7 +305,7 @@
             let plan = plan(gateways);
             let outcome = tokio::select! {
                 outcome = plan.run() => outcome?,
-                // All processes go with the threads that started them.
+                // Child processes are killed when the threads that started them exit.
                 why = told_to_end() => return Err(Fault::Ended(why)),
             };
             outcomes.push(outcome);
@@ -336,7 +336,7 @@
         runtime.block_on(async {
             tokio::select! {
                 sum = run_all(all, &options, side, |text| print(text)) => sum,
-                // All processes go with the threads that started them.
+                // Child processes are killed when the threads that started them exit.
                 why = told_to_end() => Err(Fault::Ended(why)),
             }
         })
@@ -378,7 +378,7 @@
     text.lines().enumerate().map(read).collect()
 }
 
-/// What is built in, unless another one is named.
+/// Returns the given program, or the built-in one.
 fn program_or(named: Option<PathBuf>) -> Result<Program, Fault> {
     if let Some(file) = named {
         let file = file.canonicalize().map_err(Fault::file(&file))?;
@@ -389,10 +389,10 @@
     Ok(Program { file, before: vec!["process".to_owned()], after: vec![parent] })
 }
 
-/// One of the programs, which ends with whoever started it.
+/// Runs a plane, which is killed when its parent exits.
 fn serve(plane: &str, parent: &str) -> ExitCode {
     let parent = parent.parse().ok().and_then(Pid::from_raw);
-    // A parent that was gone before the signal was asked for would not be noticed otherwise.
+    // Check the parent after requesting the signal: an earlier exit of the parent sends no signal.
     if set_parent_process_death_signal(Some(Signal::KILL)).is_err() || getppid() != parent {
         eprintln!("is started by testbed only");
         return ExitCode::from(UNUSABLE);
@@ -409,7 +409,7 @@
     reachlb::serve(program, None, reachlb::Switches::default())
 }
 
-/// Hollow data planes, by the settings file that the environment names as for the programs.
+/// Runs hollow data planes with the settings file named by the environment variable.
 fn hollow() -> ExitCode {
     let Some(path) = std::env::var_os(reachlb::SETTINGS) else { return ExitCode::from(UNUSABLE) };
     match scale::hollow::serve(Path::new(&path)) {
--- a/crates/testbed/src/mood.rs
+++ b/crates/testbed/src/mood.rs
@@ -1,4 +1,4 @@
-//! How a backend behaves when it is not well.
+//! Behavior of stand-in backends, including failures.
 
 use bytes::Bytes;
 use hyper::body::{Frame, SizeHint};
@@ -8,25 +8,25 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
 
-/// A behaviour.
+/// Behavior of a backend.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Mood {
-    /// As it should.
+    /// Serves normally.
     #[default]
     Well,
-    /// It takes requests and says nothing.
+    /// Accepts requests and never answers.
     Silent,
-    /// It works so many times longer.
+    /// Takes longer by a factor.
     Slow(f64),
-    /// It breaks answers off, and on new connections it talks what is no HTTP.
+    /// Breaks off answers, and sends invalid HTTP on new connections.
     Garbles,
-    /// It runs this share of its requests and answers 500.
+    /// Runs this share of its requests and answers 500.
     Fails(f64),
-    /// It runs this share of its requests and closes the connection without an answer.
+    /// Runs this share of its requests and closes the connection without an answer.
     Loses(f64),
 }
 
-/// Reads what comes first and answers what is no HTTP.
+/// Reads the first bytes of a connection and answers with invalid HTTP.
 pub async fn babble(mut stream: TcpStream) {
     let mut first = [0; 1024];
     if stream.read(&mut first).await.is_ok_and(|read| read > 0) {
@@ -34,7 +34,7 @@
     }
 }
 
-/// The body of an answer: whole, or broken off in its midst.
+/// Body of an answer, complete or truncated.
 #[derive(Default)]
 pub struct Body {
     left: Option<Bytes>,
@@ -43,7 +43,7 @@
 }
 
 impl Body {
-    /// One that tells its length, and breaks off after the half of it if it is to.
+    /// Creates a body that announces its full length, and that is cut after half of it if `breaks` is set.
     pub fn new(bytes: Bytes, breaks: bool) -> Self {
         let (length, half) = (bytes.len() as u64, bytes.len() / 2);
         Self { left: Some(if breaks { bytes.slice(..half) } else { bytes }), length, breaks }
--- a/crates/testbed/src/operator.rs
+++ b/crates/testbed/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: changes one after another, races of two, invalid ones, and what holds at the end.
+//! Stand-in operator: sends configuration changes, races of two changes and invalid changes, and reads the result.
 
 use crate::backend::path_of;
 use crate::chance::{Chance, mix, wild};
@@ -14,56 +14,56 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// A change has to be acknowledged within this.
+/// Timeout for the acknowledgement of a change.
 pub const ACK: Duration = Duration::from_secs(5);
-/// At the end each control plane has this long to say what it holds.
+/// Timeout per control plane for reading the final configuration.
 const READ: Duration = Duration::from_secs(20);
-/// Time between two changes.
+/// Interval between changes.
 const PACE: Duration = Duration::from_millis(350);
 
-/// The operator, who is alone: nobody else changes the configuration.
+/// The operator. No other party changes the configuration.
 pub struct Operator {
-    /// Whom it calls.
+    /// Client for the control planes.
     pub control: Control,
-    /// Where clients go, on each machine.
+    /// Client address of each machine.
     pub fronts: Vec<SocketAddr>,
-    /// Where it notes what it sees.
+    /// History that events are recorded in.
     pub history: Arc<History>,
-    /// The newest configuration that was acknowledged.
+    /// The newest acknowledged configuration.
     pub newest: Value,
-    /// Its number.
+    /// Version of the newest acknowledged configuration.
     pub version: u64,
-    /// The highest number that was ever sent: none is used twice, so that each names one body.
+    /// The highest version sent so far. No version is reused, so each one identifies one body.
     highest: u64,
-    /// Bodies without a clear answer: they may be in force.
+    /// Configurations without a definite answer, which may be in force.
     open: Vec<(u64, Value)>,
 }
 
-/// The changes whose own routes a configuration has.
+/// Versions of the changes whose own routes a configuration contains.
 fn routes(of: &Value) -> Vec<u64> {
     let labels = of["route_table"].as_object().into_iter().flat_map(|table| table.keys());
     labels.filter_map(|label| label.strip_prefix("more-")?.parse().ok()).collect()
 }
 
-/// The number of a configuration.
+/// Version of a configuration.
 fn number(of: &Value) -> Option<u64> {
     of["generation"].as_str()?.strip_prefix('r')?.parse().ok()
 }
 
 impl Operator {
-    /// One whose first configuration is not sent yet.
+    /// Creates an operator that has not sent the first configuration.
     pub fn new(control: Control, fronts: Vec<SocketAddr>, history: Arc<History>) -> Self {
         let newest = configuration(FIRST);
         Self { control, fronts, history, newest, version: FIRST, highest: FIRST, open: Vec::new() }
     }
 
-    /// Sends the first configuration; nothing when there is no clear answer by then.
+    /// Sends the first configuration. Returns `None` without a definite answer by `until`.
     pub async fn first(&self, until: Instant) -> Option<Answer> {
         let body = Bytes::from(self.newest.to_string());
         self.send(None, FIRST, 0, &body, Vec::new(), until).await
     }
 
-    /// Sends a change until the answer is clear, and notes all of it. An invalid one has no routes.
+    /// Sends a change until the answer is definite, and records the exchange. Invalid changes have no routes.
     async fn send(
         &self, first: Option<SocketAddr>, version: u64, base: u64, body: &Bytes, routes: Vec<u64>,
         until: Instant,
@@ -81,7 +81,7 @@
         answer
     }
 
-    /// The newest configuration with another number and a route of its own.
+    /// Copies the newest configuration with a new version and a route of its own.
     fn make(&self, version: u64) -> Value {
         let mut next = self.newest.clone();
         next["generation"] = json!(format!("r{version}"));
@@ -89,13 +89,13 @@
         next
     }
 
-    /// Numbers rise by uneven steps.
+    /// Allocates a version; versions increase in uneven steps.
     fn next(&mut self) -> u64 {
         self.highest += 1 + self.highest % 3;
         self.highest
     }
 
-    /// Sends the next change: a further route. True when it was acknowledged.
+    /// Sends a change with one more route. Returns whether the change was acknowledged.
     pub async fn change(&mut self, first: Option<SocketAddr>, more: impl FnOnce(&mut Value)) -> bool {
         let version = self.next();
         let mut next = self.make(version);
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Without a clear answer a change may be in force or not; what can be read is what holds.
+    /// After a change without a definite answer, reads the configuration to learn whether the change is in force.
     async fn look(&mut self) {
         let Some(read) = self.control.read(Instant::now() + ACK).await else { return };
         if let Some(version) = number(&read).filter(|version| *version > self.version)
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Changes of all sorts, each at its time. What came of them, in words.
+    /// Sends valid, racing and invalid changes in turn until `until`. Returns a summary.
     pub async fn changes(&mut self, begin: Instant, until: Instant, seed: u64) -> String {
         let mut chance = Chance::new(seed, 3);
         let mut checks = JoinSet::new();
@@ -166,7 +166,7 @@
         )
     }
 
-    /// All added routes go again. In words.
+    /// Removes all added routes. Returns a summary.
     pub async fn take_away(&mut self) -> String {
         let old = routes(&self.newest);
         let before = self.version;
@@ -182,7 +182,7 @@
         format!("r{} takes the routes up to r{before} away again", self.version)
     }
 
-    /// Two changes on top of one version: exactly one may win. The winner and the loser.
+    /// Sends two changes to the same base, of which only one may win. Returns the winner and the loser.
     async fn race(&mut self, chance: &mut Chance) -> Option<(u64, u64)> {
         let base = self.version;
         let (low, high) = (self.next(), self.next());
@@ -217,7 +217,7 @@
         }
     }
 
-    /// An invalid change has to be refused.
+    /// Sends an invalid change, which must be rejected.
     async fn invalid(&mut self, turn: usize) -> bool {
         let version = self.next();
         let mut next = self.newest.clone();
@@ -228,7 +228,7 @@
             body.truncate(body.len() / 2);
         }
         let (body, until) = (Bytes::from(body), Instant::now() + ACK);
-        // One that claims the number of the version in force is noted under a number of its own.
+        // An invalid change that reuses the current version in its body is still recorded under a new version.
         match self.send(None, version, self.version, &body, Vec::new(), until).await {
             Some(answer) => answer.status.is_client_error(),
             None => {
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Once a configuration has to be in force, asks every data plane for its own route.
+    /// Waits until a configuration must be in force, then requests its route from every data plane.
     fn check(&self, version: u64) -> impl Future<Output = ()> + Send + 'static {
         let (fronts, history) = (self.fronts.clone(), self.history.clone());
         async move {
@@ -249,7 +249,7 @@
         }
     }
 
-    /// At the end: notes what each control plane says that holds.
+    /// Records the final configuration of each control plane.
     pub async fn read_back(&self) {
         for (machine, address) in self.control.addresses().iter().enumerate() {
             let read = Control::new([*address]).read(Instant::now() + READ).await;
@@ -262,7 +262,7 @@
 
 const CUT: &str = "a configuration that breaks off";
 
-/// Makes a valid configuration invalid in one of several ways.
+/// Makes a valid configuration invalid in one of eight ways.
 fn spoil(next: &mut Value, turn: usize, current: u64) -> &'static str {
     let route = KINDS[0].label;
     let route = &mut next["route_table"][route];
@@ -302,7 +302,7 @@
     }
 }
 
-/// Every change adds a route of its own, by which it is known whether it is in force.
+/// Adds a route that identifies the change, so that probes can tell whether the change is in force.
 fn add_route(next: &mut Value, version: u64) {
     let service = SERVICES[version as usize % SERVICES.len()].0;
     next["route_table"][format!("more-{version}")] = json!({ "authority": HOST,
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -1,37 +1,37 @@
-//! What the demo's operator wants: services, routes, tenants, and the configurations made of them.
+//! The demo's services, routes and tenants, and the configuration that contains them.
 
 use serde_json::{Map, Value, json};
 
 /// Host of all routes.
 pub const HOST: &str = "testbed.example";
-/// Time in which a drained backend has to be left alone, in ms; it goes into the settings files as well.
+/// Time after which a drained backend receives no more requests, in ms; also written to the settings files.
 pub const DRAIN_MS: u64 = 2000;
-/// Time in which an acknowledged configuration has to be in force, in ms.
+/// Time after which an acknowledged configuration is in force, in ms.
 pub const APPLY_MS: u64 = 2000;
 
-/// The services, and how long their backends work on a request in the mean, in ms.
+/// The services with the mean service time of their backends in ms.
 pub const SERVICES: [(&str, f64); 2] = [("chandler", 9.0), ("customs", 14.0)];
 
-/// A kind of request: a route of the first configuration and its part of the load.
+/// A kind of request: a route of the first configuration and its share of the load.
 #[derive(Debug)]
 pub struct Kind {
     /// Label of the route.
     pub label: &'static str,
-    /// Its prefix.
+    /// Path prefix.
     pub prefix: &'static str,
-    /// Whether it may run more than once.
+    /// Whether requests are pure, so that they may run more than once.
     pub pure: bool,
-    /// How long a client waits, in ms.
+    /// Timeout of the client, in ms.
     pub deadline_ms: u64,
-    /// The aim, in ms.
+    /// Latency goal, in ms.
     pub goal_ms: u64,
-    /// Its rank.
+    /// Rank.
     pub rank: u32,
-    /// Services and shares.
+    /// Target services with their shares.
     pub targets: &'static [(&'static str, u32)],
-    /// Whether it needs no key.
+    /// Whether requests need no API key.
     pub public: bool,
-    /// Its part of the load.
+    /// Share of the load.
     pub share: f64,
 }
 
@@ -83,32 +83,32 @@
     },
 ];
 
-/// A tenant, its quota and its part of the load that needs a key.
+/// A tenant, its quota and its share of the load that needs an API key.
 #[derive(Debug)]
 pub struct Tenant {
-    /// Its label.
+    /// Label.
     pub label: &'static str,
-    /// Its key.
+    /// API key.
     pub key: &'static str,
-    /// Requests a second.
+    /// Quota rate in requests per second.
     pub rate: f64,
-    /// What may come on top.
+    /// Quota burst in requests.
     pub burst: f64,
-    /// Its part of the load.
+    /// Share of the load.
     pub share: f64,
 }
 
-/// All tenants. The last one is the small one that may ask too much.
+/// All tenants. The last one is small and may exceed its quota in a demo or trial.
 pub const TENANTS: [Tenant; 3] = [
     Tenant { label: "albatross", key: "key-of-albatross", rate: 1500.0, burst: 1500.0, share: 0.6 },
     Tenant { label: "brigantine", key: "key-of-brigantine", rate: 900.0, burst: 900.0, share: 0.36 },
     Tenant { label: "cutter", key: "key-of-cutter", rate: 30.0, burst: 30.0, share: 0.04 },
 ];
 
-/// Number of the first configuration.
+/// Version of the first configuration.
 pub const FIRST: u64 = 1;
 
-/// A configuration: the first one, under any number.
+/// Returns the first configuration under a given version.
 pub fn configuration(version: u64) -> Value {
     let routes: Map<_, _> = KINDS.iter().map(|kind| (kind.label.to_owned(), route(kind))).collect();
     let service = json!({ "health_path": "/health", "max_conns": 130, "protocol": "h1", "tls_mode": false });
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! What is printed.
+//! Printed output.
 
 use crate::judge::{QuotaUse, RULES, Verdict};
 use crate::load::Tallies;
@@ -8,51 +8,51 @@
 use std::io::Write as _;
 use std::time::{Duration, Instant};
 
-/// Lines about faults that are printed.
+/// Maximum number of printed violations and delays.
 const MOST_LINES: usize = 12;
 
-/// Lateness of our own clients from which on times are not to be trusted.
+/// 99th percentile of the testbed's own delay, above which latencies are not reliable.
 const BUSY_MS: f64 = 20.0;
 
-/// Prints. Whoever reads may have gone away, as `head` does, which is no reason to end in the midst.
+/// Prints to standard output. Write errors are ignored: the reader may have closed the pipe, as `head` does.
 pub fn print(text: impl std::fmt::Display) {
     let mut out = std::io::stdout().lock();
     let _ = write!(out, "{text}").and_then(|()| out.flush());
 }
 
-/// Prints what happens, with its time.
+/// Prints progress messages with the elapsed time.
 #[derive(Clone, Copy)]
 pub struct Teller(Instant);
 
 impl Default for Teller {
-    /// Time starts now.
+    /// Starts the clock.
     fn default() -> Self {
         Self(Instant::now())
     }
 }
 
 impl Teller {
-    /// Something happened.
+    /// Prints a message.
     pub fn say(&self, what: impl std::fmt::Display) {
         print(format_args!("{:6.1} s  {what}\n", self.0.elapsed().as_secs_f64()));
     }
 }
 
-/// What the processes of one kind spent.
+/// Processor time of the processes of one role.
 pub struct Spent {
-    /// Their name.
+    /// Name of the role.
     pub name: &'static str,
-    /// How many they are.
+    /// Number of processes.
     pub count: usize,
-    /// Processor time.
+    /// Total processor time.
     pub time: Duration,
 }
 
-/// The tables at the end.
+/// The tables printed at the end of a demo.
 pub fn tables(tallies: &Tallies, spent: &[Spent], uses: &[QuotaUse]) -> String {
     let kinds = tallies.kinds();
     let mut text = String::new();
-    // Writing to a text can't fail.
+    // Writing to a String cannot fail.
     let _ = writeln!(
         text,
         "\n{:<10} {:<9} {:>7} {:>7} {:>7} {:>8} {:>7} {:>8} {:>8}",
@@ -118,7 +118,7 @@
     text
 }
 
-/// The judge's lines.
+/// Formats the judge's verdict.
 pub fn judgement(verdict: &Verdict) -> String {
     let mut text = String::from("\nmust be 0:\n");
     for (rule, name) in RULES {
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -1,5 +1,5 @@
-//! Hollow data planes, many in a process: each has the connections, the protocol and the lease requests of a real one,
-//! but neither clients nor tables. Backends that only send heartbeats run beside them.
+//! Hollow data planes, many per process. Each has the connections, protocol and lease requests of a real one, but
+//! neither clients nor tables. Hollow backends, which only send heartbeats, run beside them.
 
 use super::report::{Report, steady_seconds};
 use crate::beats::{About, Voice};
@@ -21,33 +21,33 @@
 use tokio::time::sleep;
 use transport::{ControlFollower, FollowerSettings, Update};
 
-/// The report is written this often.
+/// Interval between reports.
 const REPORTS: Duration = Duration::from_secs(1);
-/// All connections of a process come up spread over this: no fleet starts in one moment.
+/// Period over which connections are opened, since a real fleet does not start all at once.
 const STARTS_OVER: Duration = Duration::from_secs(3);
 
-/// What a process of hollow data planes is told.
+/// Settings of a process of hollow data planes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HollowSettings {
-    /// The number of the first of them.
+    /// Number of the first data plane.
     pub first: usize,
-    /// How many.
+    /// How many data planes to run.
     pub gateways: usize,
-    /// The number of the first backend, and how many.
+    /// Number of the first backend.
     pub first_backend: usize,
-    /// See there.
+    /// How many backends to run.
     pub backends: usize,
-    /// Where control planes take the connections of data planes.
+    /// Addresses at which control planes accept data planes.
     pub seeds: Vec<SocketAddr>,
-    /// Where they take heartbeats.
+    /// Addresses at which control planes accept heartbeats of backends.
     pub control: Vec<SocketAddr>,
-    /// Zones, dealt out in turn.
+    /// Zones, assigned in rotation.
     pub zones: Vec<String>,
-    /// Tenants of the configuration.
+    /// Number of tenants in the configuration.
     pub tenants: usize,
-    /// Lease requests of one data plane a second.
+    /// Lease requests per second and data plane.
     pub requests_per_s: f64,
-    /// Where the report goes.
+    /// The report file.
     pub report: PathBuf,
 }
 
@@ -55,7 +55,7 @@
 struct Hollow {
     follower: RefCell<Option<ControlFollower>>,
     leader: RefCell<Option<String>>,
-    /// Lease requests under way, and when they were sent.
+    /// Send times of outstanding lease requests.
     sent: RefCell<HashMap<u64, Instant>>,
     report: Rc<RefCell<Report>>,
 }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Asks for one unit of a tenant.
+    /// Sends a lease request for one unit of a tenant's quota.
     fn request(&self, number: u64, tenant: usize) {
         let Some(leader) = self.leader.borrow().clone() else { return };
         let request = lease_request(number, std::iter::once(tenant));
@@ -171,10 +171,10 @@
     }
 }
 
-/// Runs hollow data planes by a settings file until the process is ended.
+/// Runs hollow data planes with a settings file until the process is terminated.
 ///
 /// # Errors
-/// When a file can't be read or written.
+/// Returns an error when a file cannot be read or written.
 pub fn serve(path: &Path) -> Result<(), Fault> {
     let text = std::fs::read(path).map_err(Fault::file(path))?;
     let settings = serde_json::from_slice(&text)
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! A scale run: real control planes and a few real data planes among hollow ones, at several sizes; a line through the
-//! figures of some sizes is checked at one that it was not made from.
+//! Scale measurements: real control planes and a few real data planes among hollow ones, at several sizes. A linear fit
+//! over some sizes is checked at a size that was left out.
 
 pub mod hollow;
 pub mod report;
@@ -10,22 +10,22 @@
 use run::{Outcome, ROLES};
 use std::fmt::Write as _;
 
-/// A checked figure may be off by this share.
+/// Maximum relative error of the fit at the checked size.
 const ALLOWED: f64 = 1.0 / 3.0;
 
 /// One quantity at each size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Quantity {
-    /// What it is.
+    /// Name of the quantity.
     pub name: String,
-    /// Numbers of gateways with their figures: the sizes that the line is made from.
+    /// Numbers of gateways with the measured figures that the fit uses.
     pub fitted: Vec<(f64, f64)>,
-    /// The size that is left out.
+    /// The number of gateways that is left out of the fit, with its figure.
     pub check: Option<(f64, f64)>,
 }
 
 impl Quantity {
-    /// How far the line through the fitted sizes is off at the one left out, as a share of the measured figure.
+    /// Relative error of the fit at the size left out.
     pub fn off(&self) -> Option<f64> {
         let (x, measured) = self.check?;
         let line = line(&self.fitted)?;
@@ -33,7 +33,7 @@
     }
 }
 
-/// All quantities of some outcomes; `check` is the number of gateways of the one left out of the lines.
+/// All quantities of the outcomes; `check` is the number of gateways that is left out of the fit.
 pub fn quantities(outcomes: &[Outcome], check: Option<usize>) -> Vec<Quantity> {
     let Some(first) = outcomes.first() else { return Vec::new() };
     let names: Vec<String> = figures(first).into_iter().map(|(name, _)| name).collect();
@@ -50,7 +50,7 @@
     names.into_iter().map(quantity).collect()
 }
 
-/// The figures of one outcome, by name.
+/// The figures of one outcome with their names.
 fn figures(outcome: &Outcome) -> Vec<(String, f64)> {
     let mut all = Vec::new();
     for (role, figures) in ROLES.iter().zip(&outcome.roles) {
@@ -82,7 +82,7 @@
     figures.iter().copied().fold(0.0, f64::max)
 }
 
-/// The table of all quantities.
+/// Formats all quantities as a table.
 pub fn table(quantities: &[Quantity]) -> String {
     let Some(first) = quantities.first() else { return String::new() };
     let mut text = "\n| quantity |".to_owned();
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! What the process of hollow data planes tells the one that measures: a file that is written anew each second.
+//! Counts of a process of hollow data planes, written to a file every second for the measuring process.
 
 use crate::fault::Fault;
 use rustix::time::{ClockId, clock_gettime};
@@ -9,50 +9,50 @@
 /// Messages of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Traffic {
-    /// How many.
+    /// Number of messages.
     pub messages: u64,
-    /// Their bytes, frames included.
+    /// Number of bytes, including frames.
     pub bytes: u64,
 }
 
-/// When one version of the configuration came to the data planes of a process, in seconds of the machine's steady clock.
+/// Arrival of one configuration version at the data planes of a process, in seconds of the monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Arrival {
-    /// To the first of them.
+    /// Arrival at the first data plane.
     pub first: f64,
-    /// To the last one so far.
+    /// Arrival at the last data plane so far.
     pub last: f64,
-    /// To how many.
+    /// Number of data planes that received the version.
     pub count: usize,
 }
 
-/// All that is counted since the start of a process.
+/// Counts since the start of a process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// When it was written, in seconds of the machine's steady clock.
+    /// Time of writing, in seconds of the monotonic clock.
     pub at: f64,
-    /// By kind.
+    /// Traffic by kind of message.
     pub traffic: BTreeMap<String, Traffic>,
-    /// By version.
+    /// Arrivals by configuration version.
     pub arrivals: BTreeMap<u64, Arrival>,
-    /// Lease requests that got no answer.
+    /// Lease requests without an answer.
     pub unanswered: u64,
-    /// Times from lease requests to their answers, in µs, as counts of powers of two.
+    /// Latency of lease requests: counts per power of two of microseconds.
     pub waits: Vec<u64>,
 }
 
-/// Powers of two that waits are counted in: up to a minute.
+/// Number of latency classes; the last one starts at about 34 s.
 const WAIT_CLASSES: usize = 27;
 
 impl Report {
-    /// A message of a kind.
+    /// Counts a message.
     pub fn count(&mut self, kind: &str, bytes: usize) {
         let traffic = self.traffic.entry(kind.to_owned()).or_default();
         traffic.messages += 1;
         traffic.bytes += bytes as u64;
     }
 
-    /// A lease request was answered after so many µs.
+    /// Records the latency of an answered lease request.
     pub fn waited(&mut self, micros: u64) {
         self.waits.resize(WAIT_CLASSES, 0);
         let class = (64 - micros.leading_zeros() as usize).min(WAIT_CLASSES - 1);
@@ -61,14 +61,14 @@
         }
     }
 
-    /// A version came to one more data plane.
+    /// Records the arrival of a version at one more data plane.
     pub fn arrived(&mut self, version: u64, now: f64) {
         let arrival = self.arrivals.entry(version).or_insert(Arrival { first: now, last: now, count: 0 });
         arrival.last = arrival.last.max(now);
         arrival.count += 1;
     }
 
-    /// What was counted after an earlier report; arrivals are those of all times.
+    /// Subtracts an earlier report. Arrivals are not subtracted.
     pub fn since(&self, before: &Self) -> Self {
         let mut after = self.clone();
         for (kind, traffic) in &mut after.traffic {
@@ -83,7 +83,7 @@
         after
     }
 
-    /// Adds another process's report.
+    /// Adds the report of another process.
     pub fn add(&mut self, other: &Self) {
         for (kind, traffic) in &other.traffic {
             let sum = self.traffic.entry(kind.clone()).or_default();
@@ -101,7 +101,7 @@
         self.unanswered += other.unanswered;
     }
 
-    /// The time within which a share of the lease requests had their answer, in ms: the upper end of its class.
+    /// Latency quantile of lease requests in ms, as the upper end of its class.
     pub fn wait_ms(&self, share: f64) -> f64 {
         let all: u64 = self.waits.iter().sum();
         let mut seen = 0;
@@ -114,10 +114,10 @@
         0.0
     }
 
-    /// Writes it aside and puts it in place, so that nobody reads half of one.
+    /// Writes to a temporary file and renames it, so that readers never see a partial file.
     ///
     /// # Errors
-    /// When the file can't be written.
+    /// Returns an error when the file cannot be written.
     pub fn write(&self, path: &Path) -> Result<(), Fault> {
         let aside = path.with_extension("part");
         let text = serde_json::to_vec(self).unwrap_or_default();
@@ -125,13 +125,13 @@
         std::fs::rename(&aside, path).map_err(Fault::file(path))
     }
 
-    /// Reads one; nothing before the first was written.
+    /// Reads a report; returns `None` before the first one is written.
     pub fn read(path: &Path) -> Option<Self> {
         serde_json::from_slice(&std::fs::read(path).ok()?).ok()
     }
 }
 
-/// Seconds of the machine's steady clock, the same in all its processes.
+/// Seconds of the system's monotonic clock, which all processes share.
 pub fn steady_seconds() -> f64 {
     let now = clock_gettime(ClockId::Monotonic);
     now.tv_sec as f64 + now.tv_nsec as f64 / 1e9
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -1,4 +1,4 @@
-//! One measurement: a real control plane and a few real data planes, with hollow data planes and backends around them.
+//! One measurement: real control planes and a few real data planes, with hollow data planes and backends around them.
 
 use super::hollow::HollowSettings;
 use super::report::{Report, steady_seconds};
@@ -16,73 +16,73 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Everything has to be up within this.
+/// Timeout for the start.
 const COMES_UP: Duration = Duration::from_secs(40);
-/// From then on it rests before it is measured: tables of young processes are told twice.
+/// Pause before the measurement: newly started processes send their tables twice.
 const RESTS: Duration = Duration::from_secs(6);
-/// A change of the configuration is made this often.
+/// Interval between configuration changes.
 const CHANGES: Duration = Duration::from_secs(5);
-/// A change has to be acknowledged within this.
+/// Timeout for the acknowledgement of a change.
 const ACKNOWLEDGED: Duration = Duration::from_secs(8);
-/// How often it is looked whether something is so.
+/// Polling interval.
 const LOOKS: Duration = Duration::from_millis(100);
-/// Machines of the site that serve control: the last of them has no disk.
+/// Machines with a control plane; the last one has no disk.
 const CONTROL_PLANES: usize = ZONES.len();
 
-/// What is measured.
+/// Parameters of a measurement.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// What starts the real processes.
+    /// The program of the real processes.
     pub program: Program,
-    /// What starts the hollow ones: this program.
+    /// The program of the hollow processes: this executable.
     pub own: Program,
-    /// How many hollow data planes there are.
+    /// Number of hollow data planes.
     pub gateways: usize,
-    /// In how many processes.
+    /// Number of processes for the hollow data planes.
     pub processes: usize,
-    /// For how long it is measured.
+    /// Duration of the measurement in seconds.
     pub seconds: u64,
-    /// Lease requests of one data plane a second.
+    /// Lease requests per second and data plane.
     pub requests_per_s: f64,
-    /// Hollow backends that send heartbeats, for each data plane.
+    /// Hollow backends with heartbeats, per data plane.
     pub backends_each: f64,
 }
 
-/// What processes of one role spent, each on average.
+/// Average resource use of the processes of one role.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RoleFigures {
     /// Processor time, as a share of one core.
     pub processor: f64,
     /// Resident memory at the end, in bytes.
     pub memory: f64,
-    /// Open descriptors at the end.
+    /// Open file descriptors at the end.
     pub descriptors: f64,
-    /// Messages of other processes a second.
+    /// Messages received from other processes, per second.
     pub messages: f64,
 }
 
-/// The roles of control planes and data planes, in the order of the tables.
+/// Roles of the measured processes, in the order of the tables.
 pub const ROLES: [&str; 4] =
     ["leader", "control plane with a disk", "control plane without", "data plane, real, no requests"];
 
-/// What came out.
+/// Result of a measurement.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Hollow data planes.
+    /// Number of hollow data planes.
     pub gateways: usize,
-    /// For how long it was measured, in seconds.
+    /// Duration of the measurement in seconds.
     pub seconds: f64,
-    /// By role.
+    /// Resource use by role.
     pub roles: [RoleFigures; ROLES.len()],
-    /// What the hollow data planes counted.
+    /// Counts of the hollow data planes.
     pub report: Report,
-    /// From the sending of each change to its acknowledgement, in seconds.
+    /// Time from sending each change to its acknowledgement, in seconds.
     pub acknowledged: Vec<f64>,
-    /// From its sending until every hollow data plane had it; fewer than the changes if one never did.
+    /// Time from sending each change until all hollow data planes received it; shorter if a change did not reach all.
     pub everywhere: Vec<f64>,
 }
 
-/// All real processes, and how each stood at one moment.
+/// All child processes of a measurement, with the control client.
 struct Running {
     control: Vec<Process>,
     data: Vec<Process>,
@@ -94,15 +94,15 @@
 #[derive(Clone, Copy, Default)]
 struct Moment {
     spent: Duration,
-    /// Of other processes since the start; none when it did not say in time.
+    /// Messages received from other processes since the start; `None` if the status was not available in time.
     messages: Option<f64>,
 }
 
 impl Plan {
-    /// Measures.
+    /// Runs the measurement.
     ///
     /// # Errors
-    /// When the processes can't be started or don't come up.
+    /// Returns an error when the processes cannot be started or do not become ready.
     pub async fn run(&self) -> Result<Outcome, Fault> {
         let place = tempfile::Builder::new().prefix("testbed-scale-").tempdir();
         let place = place.map_err(Fault::file(std::env::temp_dir()))?;
@@ -223,7 +223,7 @@
         }
     }
 
-    /// All reports in one.
+    /// The sum of all reports.
     fn report(&self) -> Report {
         let mut sum = Report::default();
         self.reports.iter().filter_map(|path| Report::read(path)).for_each(|report| sum.add(&report));
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Control planes first, then real data planes.
+    /// Takes a snapshot of all control planes, followed by the real data planes.
     async fn moments(&self) -> Vec<Moment> {
         let mut moments = Vec::new();
         for (process, address) in self.control.iter().zip(self.caller.addresses()) {
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -1,4 +1,4 @@
-//! The machines of the fleet: loopback addresses with the same ports on each, and a settings file for each process.
+//! The machines of the fleet: loopback addresses with the same ports on each, and a settings file per process.
 
 use crate::fault::Fault;
 use crate::plan::{APPLY_MS, DRAIN_MS};
@@ -6,24 +6,24 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 
-/// Zones of the machines: two in the first one. Each has a data plane, the first three a control plane as well.
+/// Zone of each machine. Each machine has a data plane, the first three also a control plane.
 pub const ZONES: [&str; 4] = ["north", "south", "east", "north"];
-/// Backends that there are at once, each with an address of its own where there are ways.
+/// Number of backend slots. In trials each slot has its own address.
 pub const SLOTS: usize = 6;
-/// Last parts of addresses: of the first backend, of the first machine's connections, and of those of others.
+/// Last octets of addresses: first backend; first machine as a relayed source; clients and the operator.
 const BACKENDS: u8 = 20;
 const SENDERS: u8 = 100;
 const OTHERS: u8 = 200;
-/// How many machines have a control plane.
+/// Number of machines with a control plane that votes.
 pub const VOTERS: usize = 3;
-/// Ports that one machine needs: front, readiness, control, and one for the other processes.
+/// Ports per machine: front, readiness, control and peers.
 const PORTS: u16 = 4;
-/// Candidates for the first port, below those that systems give to outgoing connections.
+/// Candidates for the first port, below the range that systems use for outgoing connections.
 const LOWEST: u16 = 18_400;
 const STEP: u16 = 10;
 const CANDIDATES: u16 = 1_200;
 
-/// Where everything is.
+/// Addresses of the fleet.
 #[derive(Clone, Debug)]
 pub struct Site {
     ips: Vec<Ipv4Addr>,
@@ -31,7 +31,7 @@
     ways: bool,
 }
 
-/// Whose machine's connections come from this address, where they were passed on.
+/// Returns the machine whose relayed connections come from this address.
 pub fn sender(from: IpAddr) -> Option<usize> {
     let IpAddr::V4(from) = from else { return None };
     let last = from.octets()[3];
@@ -39,10 +39,10 @@
 }
 
 impl Site {
-    /// Finds ports that nothing uses on these addresses: `127.A.B.1` and on.
+    /// Finds free ports on the addresses `127.A.B.1` and following.
     ///
     /// # Errors
-    /// When there are none.
+    /// Returns an error when no candidate is free.
     pub fn find(a: u8, b: u8, from: u64) -> Result<Self, Fault> {
         let ips: Vec<_> = (1..=ZONES.len() as u8).map(|n| Ipv4Addr::new(127, a, b, n)).collect();
         let candidate = |n: u16| LOWEST + (n % CANDIDATES) * STEP;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The same site with something on every link: each machine reaches the others, and backends, by ways of its own.
+    /// Puts a relay on every link: each machine reaches other machines and backends at relay addresses.
     pub fn with_ways(mut self) -> Self {
         self.ways = true;
         self
@@ -64,17 +64,17 @@
         SocketAddr::new(IpAddr::V4(self.ips[machine]), self.base + offset)
     }
 
-    /// Where processes take each other's connections.
+    /// Address at which processes accept connections of each other.
     pub fn peers(&self, machine: usize) -> SocketAddr {
         self.at(machine, 3)
     }
 
-    /// The address that a backend of a slot has to itself.
+    /// Address of a backend slot.
     pub fn backend(&self, slot: usize) -> IpAddr {
         self.ip(BACKENDS + slot as u8)
     }
 
-    /// Where connections of a machine come from when they are passed on; without a machine, those of others.
+    /// Source address of a machine's relayed connections; without a machine, that of clients and the operator.
     pub fn source(&self, machine: Option<usize>) -> IpAddr {
         self.ip(machine.map_or(OTHERS, |machine| SENDERS + machine as u8))
     }
@@ -84,14 +84,14 @@
         IpAddr::V4(Ipv4Addr::new(a, b, c, last))
     }
 
-    /// Where a machine finds another address that has something before it.
+    /// Address of the relay through which a machine reaches another address.
     pub fn way(&self, machine: usize, to: IpAddr) -> IpAddr {
         let IpAddr::V4(ip) = to else { return to };
         let [a, b, c, last] = ip.octets();
         IpAddr::V4(Ipv4Addr::new(a, b, c + 1 + machine as u8, last))
     }
 
-    /// All that a machine reaches by ways of its own.
+    /// Setting that lists the relays of a machine.
     fn ways(&self, machine: usize) -> String {
         if !self.ways {
             return String::new();
@@ -102,29 +102,29 @@
         format!("ways = [{}]\n", ways.join(", "))
     }
 
-    /// Where clients are served.
+    /// Address for clients.
     pub fn front(&self, machine: usize) -> SocketAddr {
         self.at(machine, 0)
     }
 
-    /// Where the platform asks.
+    /// Address for readiness checks.
     pub fn readiness(&self, machine: usize) -> SocketAddr {
         self.at(machine, 1)
     }
 
-    /// Where backends and the operator call.
+    /// Address for backends and the operator.
     pub fn control(&self, machine: usize) -> SocketAddr {
         self.at(machine, 2)
     }
 
-    /// The settings file of a data plane.
+    /// Settings file of a data plane.
     pub fn data_plane_settings(&self, machine: usize) -> String {
         let bind =
             format!("front = \"{}\"\nreadiness = \"{}\"\n", self.front(machine), self.readiness(machine));
         self.settings(machine, "data-plane", "edge", "", &bind)
     }
 
-    /// The settings file of a control plane.
+    /// Settings file of a control plane.
     pub fn control_plane_settings(&self, machine: usize, data: &Path, bootstrap: bool) -> String {
         let own = format!(
             "# true at the first start of the whole fleet only, when no disk holds anything\nbootstrap = {bootstrap}\n\
@@ -135,7 +135,7 @@
         self.settings(machine, "control-plane", "control", &own, &bind)
     }
 
-    /// The settings file of a control plane without a disk.
+    /// Settings file of a control plane without a disk.
     pub fn diskless_control_settings(&self, machine: usize) -> String {
         let bind = format!("control = \"{}\"\n", self.control(machine));
         self.settings(machine, "control-plane", "control", "bootstrap = false\nin_quorum = false\n", &bind)
@@ -166,10 +166,10 @@
         )
     }
 
-    /// Reads back from settings files where everything is; a person may have changed them.
+    /// Reads the addresses from settings files, which may have been edited.
     ///
     /// # Errors
-    /// When a file lacks something that the fleet needs, or the files do not fit together.
+    /// Returns an error when a file is invalid or lacks an address.
     pub fn read(control_planes: &[PathBuf], data_planes: &[PathBuf]) -> Result<Addresses, Fault> {
         let wrong =
             |path: &Path, wrong: &str| Fault::Settings { path: path.to_owned(), wrong: wrong.to_owned() };
@@ -190,18 +190,18 @@
     }
 }
 
-/// Where callers find the processes.
+/// Addresses of all processes.
 #[derive(Clone, Debug, Default)]
 pub struct Addresses {
-    /// Control of each control plane.
+    /// Control address of each control plane.
     pub control: Vec<SocketAddr>,
-    /// Front of each data plane.
+    /// Client address of each data plane.
     pub fronts: Vec<SocketAddr>,
-    /// Readiness of each data plane.
+    /// Readiness address of each data plane.
     pub readiness: Vec<SocketAddr>,
 }
 
-/// All are held until the last was had, so that none is counted twice.
+/// Binds all ports at the same time, so that a port is not counted twice.
 fn free(ips: &[Ipv4Addr], base: u16) -> bool {
     let every = ips.iter().flat_map(|ip| (0..STEP).map(move |offset| (*ip, base + offset)));
     let held: Result<Vec<_>, _> = every.map(TcpListener::bind).collect();
--- a/crates/testbed/src/trouble.rs
+++ b/crates/testbed/src/trouble.rs
@@ -1,4 +1,4 @@
-//! What happens in the midst of a demo, and is over before its end.
+//! Scenarios of the demo: disruptions that start and end while there is load.
 
 use crate::backend::{Cradle, StandInBackend};
 use crate::chance::mix;
@@ -19,38 +19,38 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How often it is looked whether something has come to pass.
+/// Polling interval.
 const LOOKS: Duration = Duration::from_millis(20);
-/// A killed control plane comes back after this.
+/// Downtime of a killed control plane.
 const BACK_AFTER: Duration = Duration::from_secs(2);
-/// Zones stop for this long.
+/// Duration for which a zone is suspended.
 const STOPPED: Duration = Duration::from_secs(3);
-/// By how much the small tenant's load grows.
+/// Load factor of the small tenant.
 pub const GREED: f64 = 5.0;
-/// A process that has come back has to have caught up by then.
+/// Time within which a restarted process must have caught up.
 const CATCH_UP: Duration = Duration::from_secs(8);
 
-/// A trouble.
+/// A disruption of the demo.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Trouble {
-    /// Everything is calm.
+    /// No disruption.
     #[default]
     None,
-    /// The leading control plane is killed and comes back.
+    /// The leading control plane is killed and restarted.
     Leader,
-    /// The same, and its disk is lost.
+    /// The leading control plane is killed, loses its disk and is restarted.
     Disk,
-    /// All processes of one zone stop for a while.
+    /// All processes of one zone are suspended for a while.
     Zone,
     /// The backends are replaced one by one.
     Release,
-    /// The operator changes the configuration all the time.
+    /// The operator changes the configuration continuously.
     Config,
-    /// A tenant asks far more than its quota.
+    /// A tenant sends far more than its quota.
     Quota,
 }
 
-/// The troubles, by name.
+/// All disruptions with their names.
 pub const TROUBLES: [(&str, Trouble); 7] = [
     ("none", Trouble::None),
     ("leader", Trouble::Leader),
@@ -73,35 +73,35 @@
     }
 }
 
-/// Everything that a trouble can get at.
+/// The parts of a demo that a disruption acts on.
 pub struct Scene {
     /// The control planes.
     pub control_planes: Vec<Process>,
-    /// Their folders.
+    /// Data folders of the control planes.
     pub data: Vec<PathBuf>,
     /// The data planes, one on each machine.
     pub data_planes: Vec<Process>,
-    /// Whom backends and the operator call.
+    /// Client for the control planes.
     pub control: Control,
     /// The operator.
     pub operator: Operator,
-    /// The backends of the moment.
+    /// The current backends.
     pub backends: Vec<Arc<StandInBackend>>,
-    /// What is seen.
+    /// The recorded events.
     pub history: Arc<History>,
-    /// Prints.
+    /// Prints the progress.
     pub teller: Teller,
-    /// For how long there is load.
+    /// Duration of the load.
     pub duration: Duration,
-    /// The demo's seed.
+    /// Seed of the demo.
     pub seed: u64,
 }
 
 impl Scene {
-    /// Plays a trouble; returns when everything has been put right again.
+    /// Runs a disruption; returns when everything is restored.
     ///
     /// # Errors
-    /// When a process cannot be started again.
+    /// Returns an error when a process cannot be restarted.
     pub async fn play(&mut self, trouble: Trouble) -> Result<(), Fault> {
         let start = Instant::now();
         match trouble {
@@ -115,7 +115,7 @@
             Trouble::Release => self.release(start).await,
             Trouble::Config => {
                 let begin = start + self.duration.div_f64(8.0).min(Duration::from_secs(1));
-                // What the last one changes has to be in force before the end.
+                // The last change must be in force before the end of the load.
                 let until = start + self.duration.saturating_sub(Duration::from_millis(APPLY_MS));
                 let told = self.operator.changes(begin, until, self.seed).await;
                 self.teller.say(told);
@@ -146,7 +146,7 @@
         }
         self.teller.say(format!("{name} leads: killed{}", if disk { ", and its disk is lost" } else { "" }));
         let (control, teller) = (self.control.clone(), self.teller);
-        // The operator does not wait until there is a leader again.
+        // The operator sends its change without waiting for a new leader.
         let change = self.operator.change(None, |_| ());
         let elected = async move {
             while killed.elapsed() < ACK {
@@ -231,7 +231,7 @@
 
     async fn release(&mut self, start: Instant) -> Result<(), Fault> {
         let begin = self.duration.div_f64(8.0).min(Duration::from_secs(2));
-        // A drain takes its time after the last replacement.
+        // Leave time for a drain after the last replacement.
         let room = self.duration.saturating_sub(begin + Duration::from_secs(3)).max(Duration::from_secs(1));
         let pace = (room / self.backends.len() as u32).min(Duration::from_secs(2));
         let mut leaving = JoinSet::new();
--- a/crates/testbed/src/up.rs
+++ b/crates/testbed/src/up.rs
@@ -1,4 +1,4 @@
-//! A fleet to look at: it stays up until it is told to end, and its files can be changed by hand.
+//! A fleet that runs until it is terminated, with settings files that can be edited by hand.
 
 use crate::backend::StandInBackend;
 use crate::clients::Platform;
@@ -18,35 +18,35 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// The configuration has to be acknowledged within this.
+/// Timeout for the acknowledgement of the configuration.
 const ACK: Duration = Duration::from_secs(30);
-/// A process that ended starts again after this.
+/// Delay before an exited process is restarted.
 const AGAIN: Duration = Duration::from_millis(500);
-/// How often it is looked whether something has ended.
+/// Polling interval.
 const LOOKS: Duration = Duration::from_millis(50);
-/// Whoever was told to end has this long.
+/// Timeout for the termination of a running `testbed up`.
 const ENDS: Duration = Duration::from_secs(20);
-/// The file with the ids of all processes.
+/// File with the ids of all processes.
 const IDS: &str = "processes.json";
 
 /// A fleet that stays up.
 #[derive(Clone, Debug)]
 pub struct Up {
-    /// What starts the processes.
+    /// The program that runs the processes.
     pub program: Program,
-    /// Where its files are.
+    /// Folder of the fleet's files.
     pub dir: PathBuf,
 }
 
 impl Up {
-    /// Runs it until it is told to end.
+    /// Runs the fleet until it is terminated.
     ///
     /// # Errors
-    /// When the fleet can't be built.
+    /// Returns an error when the fleet cannot be started.
     pub async fn run(&self) -> Result<(), Fault> {
         fault_injection::running::end_with_panics();
         std::fs::create_dir_all(&self.dir).map_err(Fault::file(&self.dir))?;
-        // A process finds its files by their whole path, wherever it runs.
+        // Processes need absolute paths.
         let dir = self.dir.canonicalize().map_err(Fault::file(&self.dir))?;
         if let Some((_, pid, _)) = recorded(&dir).into_iter().find(|(_, pid, at)| started(*pid) == Some(*at))
         {
@@ -89,7 +89,7 @@
             (0..ZONES.len()).map(|machine| self.program.data_plane(dir, machine)).collect();
         let missing = control_planes.iter().chain(&data_planes).any(|backend| !backend.settings.exists());
         if missing {
-            // Files that are there already name addresses of their own: all are written anew, or none.
+            // Existing files contain the addresses of another site, so either all files are written or none.
             let site = Site::find(0, 1, 0)?;
             let first = (0..VOTERS).all(|machine| empty(&data(dir, machine)));
             for (machine, backend) in control_planes.iter().enumerate() {
@@ -132,7 +132,7 @@
         let mut all: Vec<_> = processes.iter_mut().collect();
         wait_ready(&platform, &mut all, dir).await?;
         for file in &control_plane_files {
-            // From now on the disks hold something.
+            // From now on the disks hold data, so restarted processes must not bootstrap.
             let text = std::fs::read_to_string(file).map_err(Fault::file(file))?;
             write(file, &text.replace("bootstrap = true", "bootstrap = false"))?;
         }
@@ -170,7 +170,7 @@
     }
 }
 
-/// Starts processes again that end, as a platform does, until it is dropped or can't.
+/// Restarts exited processes, as a supervisor does. Returns only when a restart fails.
 async fn tend(dir: &Path, processes: &mut [Process]) -> Fault {
     let teller = Teller::default();
     loop {
@@ -186,7 +186,7 @@
     }
 }
 
-/// Gives the fleet the configuration of the file, unless it holds a newer one.
+/// Sends the configuration file to the fleet, unless the fleet has a newer configuration.
 async fn put(control: &Control, body: &[u8], version: u64, file: &Path, teller: Teller) -> Result<(), Fault> {
     let until = Instant::now() + ACK;
     let body = Bytes::copy_from_slice(body);
@@ -233,7 +233,7 @@
     std::fs::read_dir(folder).map_or(true, |mut entries| entries.next().is_none())
 }
 
-/// Notes who has to be ended: ourselves first, since we end the others in order.
+/// Records the ids of all processes. The testbed comes first, since it stops the others in order.
 fn record(dir: &Path, processes: &[Process]) -> Result<(), Fault> {
     let me = std::process::id();
     let own = std::iter::once(("testbed", me));
@@ -254,13 +254,13 @@
     entries.iter().filter_map(entry).collect()
 }
 
-/// Ends the fleet of a folder. The number of processes that were still there.
+/// Stops the fleet of a folder. Returns the number of processes that were still running.
 ///
 /// # Errors
-/// When the list of processes can't be removed.
+/// Returns an error when the list of processes cannot be removed.
 pub async fn down(dir: &Path) -> Result<usize, Fault> {
     let all = recorded(dir);
-    // An id may be another process's by now; with the time of its start it is not.
+    // A process id may have been reused; id and start time together are unique.
     let alive = || all.iter().filter(|(_, pid, at)| started(*pid) == Some(*at));
     let count = alive().count();
     let until = Instant::now() + ENDS;
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,4 +1,4 @@
-//! One HTTP call on a connection of its own, as callers of control make them.
+//! Single HTTP calls, each on its own connection.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt as _, Full, Limited};
@@ -11,12 +11,12 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// The longest answer that is read.
+/// Maximum length of an answer in bytes.
 pub const LONGEST: usize = 8 << 20;
 
-/// A connection, which ends with its owner.
+/// A connection that is closed when dropped.
 pub struct Connection {
-    /// Sends on it.
+    /// Sends requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
 }
@@ -27,29 +27,29 @@
     }
 }
 
-/// Opens one, in time.
+/// Opens a connection with a timeout.
 pub async fn connect(address: SocketAddr, within: Duration) -> Option<Connection> {
     let stream = timeout(within, TcpStream::connect(address)).await.ok()?.ok()?;
     let _ = stream.set_nodelay(true);
     let (sender, driver) = handshake(TokioIo::new(stream)).await.ok()?;
     let driver = tokio::spawn(async move {
-        // How it ends is told to whoever waits for an answer on it.
+        // Connection errors are reported through the pending request.
         let _ = driver.await;
     });
     Some(Connection { sender, driver: driver.abort_handle() })
 }
 
-/// An answer that was read whole.
+/// A complete answer.
 pub struct Answer {
-    /// Its status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// Where else to go.
+    /// Value of the Location header.
     pub location: Option<String>,
 }
 
-/// Makes a call; nothing when there was no whole answer in time.
+/// Makes a call; returns `None` without a complete answer within the timeout.
 pub async fn call(
     address: SocketAddr, method: &str, path: &str, headers: &[(&str, &str)], body: Bytes, within: Duration,
 ) -> Option<Answer> {
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The arithmetic of the capacity tables and of the scale run.
+//! Computations of the capacity tables and of the scale measurements.
 
 use std::collections::BTreeMap;
 use testbed::capacity::costs::StepCost;
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -1,5 +1,5 @@
-//! Each rule of the judge, against histories made by hand: a fault that is planted is found and named, and a history
-//! in order accuses nobody.
+//! Checks each rule of the judge against handmade histories: a planted violation is found and attributed to its rule,
+//! and a correct history has no violations.
 
 use testbed::demo::TIME_BOUNDS;
 use testbed::history::{End, Event, ProcessEvent, Record};
@@ -7,7 +7,7 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// A history that grows, a millisecond for each line unless told otherwise.
+/// A history under construction; each record advances the clock by one millisecond.
 #[derive(Default)]
 struct Tale {
     lines: Vec<Record>,
@@ -15,7 +15,7 @@
 }
 
 impl Tale {
-    /// One with a backend of customs (1) and one of the chandler (2), and a first configuration.
+    /// Starts a history with a backend of `customs` (1), one of `chandler` (2), and a first configuration.
     fn new() -> Self {
         let mut tale = Self::default();
         for (backend, service) in [(1, "customs"), (2, "chandler")] {
@@ -34,7 +34,7 @@
         self.now += us;
     }
 
-    /// An effectful request of the third tenant for customs.
+    /// Sends an effectful request of the third tenant for `customs`.
     fn sent(&mut self, id: u64) {
         self.see(Event::Sent { id, kind: Some(3), tenant: Some(2), pure: false });
         self.see(Event::Connected { id, machine: 3 });
@@ -70,7 +70,7 @@
         self.see(Event::Process { machine, data_plane, process_event });
     }
 
-    /// A change; acknowledged, refused, or neither.
+    /// Sends a change that is acknowledged (`Some(true)`), rejected (`Some(false)`) or not answered (`None`).
     fn order(&mut self, version: u64, base: u64, valid: bool, taken: Option<bool>) {
         self.see(Event::ChangeSent { version, base, valid, routes: vec![version] });
         match taken {
@@ -96,7 +96,7 @@
     }
 }
 
-/// A day on which much happens and all is in order.
+/// Guards against false accusations: many kinds of events occur, and none of them breaks a rule.
 #[test]
 fn what_is_in_order_is_no_fault() {
     let mut tale = Tale::new();
@@ -105,19 +105,19 @@
         tale.done(End::Served);
         tale.wait(SECOND / 20);
     }
-    // Refused and never run; a pure one that ran at two backends, whose first answer came.
+    // A request is refused and never runs. A pure request runs at two backends, and the first answer arrives.
     tale.sent(100);
     tale.answered(100, 503, "");
     tale.see(Event::Sent { id: 101, kind: Some(2), tenant: Some(2), pure: true });
     tale.ran(101, 1);
     tale.ran(101, 2);
     tale.answered(101, 200, "i-1");
-    // A drain, and a request just before its time is over.
+    // A backend is drained, and a request arrives just before the drain deadline.
     tale.see(Event::Drained { backend: 2 });
     tale.wait(TIME_BOUNDS.drain - 10_000);
     tale.see(Event::Sent { id: 102, kind: Some(0), tenant: None, pure: true });
     tale.arrived(102, 2);
-    // A race with one winner, an invalid one refused, a change with no clear answer.
+    // A race with one winner, a rejected invalid change, and a change without a definite answer.
     tale.order(3, 1, true, Some(true));
     tale.order(4, 1, true, Some(false));
     tale.order(6, 3, false, Some(false));
@@ -317,7 +317,7 @@
     assert_eq!((verdict.violations.len(), verdict.violations[0].rule), (1, rule));
 }
 
-/// What has a time bound holds only for machines in touch, and planned work is not to blame for a kill.
+/// Rules with a time bound apply only to undisturbed machines, and a kill is not counted as planned work.
 #[yare::parameterized(
     drain = { drained, Rule::Drain },
     denied = { turned_down, Rule::Denied },
@@ -331,7 +331,7 @@
         tale.see(Event::FaultBegan { fault: 0, text: "cut".into(), machines: vec![machine] });
         plant(&mut tale);
         assert_eq!(tale.judged().total(), 0, "{:?}", tale.judged().violations);
-        // Once it has ended and the time of contact is over, the same is a break.
+        // After the fault has ended and the contact time has passed, the same events are a violation.
         tale.see(Event::FaultEnded { fault: 0 });
         tale.wait(TIME_BOUNDS.contact);
         let mut again = Tale { lines: Vec::new(), now: tale.now };
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The program as a newcomer runs it.
+//! Runs the `testbed` program end to end.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::HashSet;
@@ -8,7 +8,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Far more than anything takes, for a machine that has much else to do.
+/// Timeout that is far longer than any step takes, for busy machines.
 const LONG: Duration = Duration::from_secs(180);
 const LOOKS: Duration = Duration::from_millis(20);
 
@@ -22,7 +22,7 @@
     (child, said)
 }
 
-/// Reads until a line that holds these words.
+/// Reads lines until one contains `words`.
 fn read_until(said: &mut BufReader<std::process::ChildStdout>, words: &str) {
     let mut all = String::new();
     while !all.contains(words) {
@@ -45,14 +45,14 @@
     }
 }
 
-/// The fields of an account behind the name, unless the process has ended.
+/// Fields of `/proc/PID/stat` after the process name; `None` if the process has exited.
 fn account(pid: u32) -> Option<Vec<String>> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<_> = text.rsplit_once(')')?.1.split_whitespace().map(str::to_owned).collect();
     (fields.first()? != "Z").then_some(fields)
 }
 
-/// Processes that this one started, with the time of their start.
+/// Child processes of `parent` with their start times.
 fn children(parent: u32) -> HashSet<(u32, String)> {
     let pids = Path::new("/proc").read_dir().expect("there is one");
     let pids = pids.filter_map(|entry| entry.ok()?.file_name().to_str()?.parse().ok());
@@ -106,7 +106,7 @@
     let (mut child, said) = start(&["trial", "calm", "--keep", keep]);
     let all: Vec<_> = said.lines().map(|line| line.expect("text")).collect();
     let status = wait(&mut child).code();
-    // Status 3 is no verdict: the machine was too busy for one.
+    // Status 3 means no verdict: the machine was too busy.
     assert!(matches!(status, Some(0 | 3)), "{status:?}\n{}", all.join("\n"));
     if status == Some(0) {
         let page = std::fs::read_to_string(place.path().join("calm-1/page.html")).expect("a page");
@@ -167,7 +167,7 @@
     let (mut child, mut said) = start(&[&["scale", "--gateways", "3"], &few[..]].concat());
     read_until(&mut said, "3 hollow data planes have r1");
     let children = children(child.id());
-    // Four control planes, four data planes and the hollow ones.
+    // Four control planes, four data planes and one process of hollow data planes.
     assert_eq!(children.len(), 9);
     read_until(&mut said, "| change: came to all gateways | 1.0 |");
     assert!(wait(&mut child).success());
--- a/crates/testbed/tests/schedule.rs
+++ b/crates/testbed/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules: what is read, what is refused and where, and what seeds draw.
+//! Schedules: accepted files, error messages with their positions, and faults drawn from seeds.
 
 use testbed::trial::schedule::{BUILT_IN, Kind, Schedule, Target};
 use testbed::trial::{Figures, compare};
@@ -55,7 +55,7 @@
     }
     assert_eq!(read(7), read(7));
     assert_ne!(read(7).faults, read(8).faults);
-    // All of them but none that is made up.
+    // All 20 kinds of faults are drawn.
     assert_eq!(kinds.len(), 20, "{kinds:?}");
     assert!(kinds.contains(&format!("{:?}", Kind::CutAfter)));
 }
@@ -82,7 +82,7 @@
         [figures(1, 0.8, false), figures(2, 0.9, false), figures(3, 0.4, false), figures(4, 0.9, false)];
     let told = compare(&old, &new);
     assert!(told.starts_with("3 pairs, 2 left out\n"), "{told}");
-    // -0.1, +0.1 and -0.3: a mean of -0.1, and 4.303 x 0.2 / sqrt(3) to either side.
+    // The differences -0.1, +0.1 and -0.3 have a mean of -0.1 and a half-width of 4.303 x 0.2 / sqrt(3).
     assert!(told.contains("worth                  0.800  moved    -0.100 +- 0.497"), "{told}");
     assert!(told.contains("worst seed 3: worth -0.300"), "{told}");
 }
