--- a/crates/testbed/examples/state_memory.rs
+++ b/crates/testbed/examples/state_memory.rs
@@ -1,5 +1,5 @@
-//! Prints what the state of a process takes in memory at the sizes of `docs/CAPACITY.md`: bytes that were asked of the
-//! allocator and not given back, and the most at one time while it was built.
+//! Prints the memory that the state of a process takes at the sizes of `docs/CAPACITY.md`: bytes allocated and not
+//! freed, and the peak while the state is built.
 
 #![forbid(unsafe_code)]
 
@@ -18,8 +18,8 @@
         });
         let row = |name: String, figures: Vec<f64>| Row { name, figures, runs: 0.0 };
         rows.push(row(name.to_owned(), measured.iter().map(|info| info.bytes_current as f64).collect()));
-        let most = measured.iter().map(|info| info.bytes_max as f64).collect();
-        rows.push(row(format!("{name}, the most while it is built"), most));
+        let peak = measured.iter().map(|info| info.bytes_max as f64).collect();
+        rows.push(row(format!("{name}, peak while built"), peak));
     }
     print!("{}", table("state, bytes in memory", &rows));
 }
--- a/crates/testbed/src/backend.rs
+++ b/crates/testbed/src/backend.rs
@@ -1,13 +1,14 @@
-//! A backend's stand-in: so many slots, a bounded queue, its own pace, and the answers that the protocol wants.
+//! A stand-in backend with a fixed number of slots, a bounded queue, random service times and the answers that the
+//! protocol requires.
 
-use crate::beats::{About, Voice};
-use crate::chance::{Chance, mix};
+use crate::behavior::{Behavior, Body};
 use crate::control::Control;
-use crate::fault::Fault;
-use crate::history::{History, Seen};
-use crate::mood::{Body, Mood};
+use crate::error::TestbedError;
+use crate::heartbeats::{BackendInfo, HeartbeatSender};
+use crate::history::{Event, History};
 use crate::plan::SERVICES;
-use crate::site::sender;
+use crate::random::{SeededRandom, mix};
+use crate::site::source_machine;
 use bytes::Bytes;
 use http_body_util::{BodyExt as _, Limited};
 use hyper::body::Incoming;
@@ -25,140 +26,148 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, timeout};
 
-/// What it works on at once.
+/// Number of requests processed concurrently.
 const SLOTS: usize = 6;
-/// What may wait.
-const LINE: usize = 12;
-/// Connections that it takes; the configuration says the same.
-const CONNECTIONS: usize = 130;
-/// The longest body that it reads.
-const LONGEST: usize = 1 << 20;
-/// How long a newcomer is slow, and by how much at first.
+/// Maximum number of queued requests.
+const QUEUE_CAPACITY: usize = 12;
+/// Maximum number of connections; equals `max_conns` in the configuration.
+const MAX_CONNECTIONS: usize = 130;
+/// Maximum length of a request body in bytes.
+const MAX_BODY_LEN: usize = 1 << 20;
+/// Duration of the warm-up, and the initial slowdown factor of a cold backend.
 const WARMUP: Duration = Duration::from_secs(2);
-const COLD: f64 = 2.0;
-/// It serves on for this long after it should be left alone, so that whoever still comes is seen.
-const BEYOND: Duration = Duration::from_millis(700);
+const COLD_FACTOR: f64 = 2.0;
+/// Time for which a drained backend keeps serving after the drain deadline, so that late requests are detected.
+const POST_DRAIN_SERVICE: Duration = Duration::from_millis(700);
 
-/// What a client sends as body, by the id of its try.
-pub fn question(id: u64) -> Bytes {
+/// Request body that a client sends for an attempt id.
+pub fn request_body(id: u64) -> Bytes {
     Bytes::from(format!("{:016x}", mix(id)).repeat(1 + (id % 8) as usize))
 }
 
-/// What a backend answers, by the id of the try.
-pub fn answer_to(id: u64) -> Bytes {
+/// Answer body that a backend sends for an attempt id.
+pub fn answer_body(id: u64) -> Bytes {
     Bytes::from(format!("{:016x}", mix(!id)).repeat(4 + (id % 60) as usize))
 }
 
-/// The path of a try, below the prefix of its route.
-pub fn path_of(prefix: &str, id: u64) -> String {
+/// Request path for an attempt id, below the prefix of its route.
+pub fn request_path(prefix: &str, id: u64) -> String {
     format!("{prefix}{:08x}?of={}", mix(id) >> 32, id % 97)
 }
 
-/// The seal that an instance puts on its answer.
+/// Seal by which an instance proves that it answered an attempt.
 pub fn seal(instance: &str, id: u64) -> String {
     let sum = instance.bytes().fold(id, |sum, byte| mix(sum ^ u64::from(byte)));
     format!("{instance}.{sum:016x}")
 }
 
-/// Whether a seal is an instance's own for this try.
-pub fn sealed(text: &str, id: u64) -> bool {
+/// Whether a seal was made by the instance that it names, for this attempt.
+pub fn is_valid_seal(text: &str, id: u64) -> bool {
     text.rsplit_once('.').is_some_and(|(instance, _)| seal(instance, id) == text)
 }
 
-/// One life of a backend.
+/// A running stand-in backend.
 pub struct StandInBackend {
-    /// Its service.
+    /// Service of the backend.
     pub service: String,
-    /// Its zone.
+    /// Zone of the backend.
     pub zone: String,
-    /// Its id.
+    /// Instance id of the backend.
     pub id: String,
-    /// Where it listens.
+    /// Listening address of the backend.
     pub address: SocketAddr,
-    mean: Duration,
-    born: Instant,
+    mean_service_time: Duration,
+    started: Instant,
     slots: Semaphore,
     waiting: AtomicUsize,
     leaving: AtomicBool,
-    chance: Mutex<Chance>,
-    /// Its number in the history.
+    random: Mutex<SeededRandom>,
+    /// Number of the backend in the history.
     pub number: u32,
     history: Option<Arc<History>>,
-    mood: Mutex<Mood>,
-    voice: Arc<Voice>,
+    behavior: Mutex<Behavior>,
+    heartbeats: Arc<HeartbeatSender>,
     tasks: Mutex<Vec<AbortHandle>>,
 }
 
-/// What a life begins with.
+/// Start options of a backend.
 #[derive(Clone)]
-pub struct Cradle {
-    /// Its service.
+pub struct BackendOptions {
+    /// Service of the backend.
     pub service: String,
-    /// Its zone.
+    /// Zone of the backend.
     pub zone: String,
-    /// Where it listens; port 0 is any free one.
+    /// Listening address; port 0 selects a free port.
     pub at: SocketAddr,
-    /// What its pace is drawn from.
+    /// Seed of the random service times.
     pub seed: u64,
-    /// Whether it is warm from the beginning.
+    /// Whether the backend starts without a warm-up.
     pub warm: bool,
-    /// Whom it tells of itself.
+    /// Client for the control planes that receive the backend's heartbeats.
     pub control: Control,
-    /// Where it notes what it sees.
+    /// History that the backend's events are recorded in.
     pub history: Option<Arc<History>>,
 }
 
 impl StandInBackend {
-    /// Starts one, which beats at once.
+    /// Starts a backend, which sends heartbeats immediately.
     ///
     /// # Errors
-    /// When there is no address for it.
-    pub fn start(cradle: Cradle) -> Result<Arc<Self>, Fault> {
+    /// Returns an error when the address cannot be bound.
+    pub fn start(options: BackendOptions) -> Result<Arc<Self>, TestbedError> {
         static NUMBERS: AtomicU32 = AtomicU32::new(0);
-        let Cradle { service, zone, at, seed, warm, control, history } = cradle;
-        let failed = |error| Fault::Socket { what: "a backend's address", error };
+        let BackendOptions { service, zone, at, seed, warm, control, history } = options;
+        let failed = |error| TestbedError::Socket { what: "a backend's address", error };
         let listener = listen(at).map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?;
-        let mut chance = Chance::new(seed, 7);
-        let mean = SERVICES.iter().find(|(label, _)| *label == service).map_or(10.0, |(_, mean)| *mean);
+        let mut random = SeededRandom::new(seed, 7);
+        let mean_service_time = SERVICES
+            .iter()
+            .find(|(label, _)| *label == service)
+            .map_or(10.0, |(_, mean_service_time)| *mean_service_time);
         // Backends of one service differ in speed.
-        let mean = Duration::from_secs_f64(mean / 1000.0 * (0.8 + 0.5 * chance.unit()));
+        let mean_service_time =
+            Duration::from_secs_f64(mean_service_time / 1000.0 * (0.8 + 0.5 * random.unit()));
         let id = format!("i-{:08x}", mix(mix(seed) ^ u64::from(std::process::id())) as u32);
         let now = Instant::now();
         let warmup = if warm { Duration::ZERO } else { WARMUP };
-        let about = About {
+        let info = BackendInfo {
             id: id.clone(),
             service: service.clone(),
             address,
             zone: zone.clone(),
             capacity: SLOTS,
-            born: now,
+            started: now,
             warmup,
         };
         let number = NUMBERS.fetch_add(1, Ordering::Relaxed);
         if let Some(history) = &history {
-            history.note(Seen::Born { backend: number, id: id.clone(), service: service.clone() });
+            history.record(Event::BackendStarted {
+                backend: number,
+                id: id.clone(),
+                service: service.clone(),
+            });
         }
         let backend = Arc::new(Self {
             service,
             zone,
             id,
             address,
-            mean,
-            born: now - (WARMUP - warmup).min(WARMUP),
+            mean_service_time,
+            started: now - (WARMUP - warmup).min(WARMUP),
             slots: Semaphore::new(SLOTS),
             waiting: AtomicUsize::new(0),
             leaving: AtomicBool::new(false),
-            chance: Mutex::new(chance),
+            random: Mutex::new(random),
             number,
             history,
-            mood: Mutex::default(),
-            voice: Voice::new(about, control),
+            behavior: Mutex::default(),
+            heartbeats: HeartbeatSender::new(info, control),
             tasks: Mutex::default(),
         });
         let serves = tokio::spawn(backend.clone().serve(listener)).abort_handle();
-        let beats = tokio::spawn(backend.voice.clone().beat()).abort_handle();
-        backend.tasks().extend([serves, beats]);
+        let heartbeats = tokio::spawn(backend.heartbeats.clone().run()).abort_handle();
+        backend.tasks().extend([serves, heartbeats]);
         Ok(backend)
     }
 
@@ -166,18 +175,18 @@
         self.tasks.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How it behaves from now on.
-    pub fn feels(&self, mood: Mood) {
-        *self.mood.lock().unwrap_or_else(PoisonError::into_inner) = mood;
+    /// Changes the backend's behavior.
+    pub fn set_behavior(&self, behavior: Behavior) {
+        *self.behavior.lock().unwrap_or_else(PoisonError::into_inner) = behavior;
     }
 
-    fn mood(&self) -> Mood {
-        *self.mood.lock().unwrap_or_else(PoisonError::into_inner)
+    fn behavior(&self) -> Behavior {
+        *self.behavior.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note(&self, seen: Seen) {
+    fn record(&self, event: Event) {
         if let Some(history) = &self.history {
-            history.note(seen);
+            history.record(event);
         }
     }
 
@@ -187,18 +196,18 @@
             let accepted = listener.accept().await;
             while connections.try_join_next().is_some() {}
             match accepted {
-                // Beyond its bound it resets, as backends do: closing with a linger of zero.
-                Ok((stream, _)) if connections.len() >= CONNECTIONS => drop(stream.set_zero_linger()),
-                Ok((stream, _)) if self.mood() == Mood::Garbles => {
-                    connections.spawn(crate::mood::babble(stream));
+                // Above the connection limit the backend resets connections, as real ones do: linger of zero.
+                Ok((stream, _)) if connections.len() >= MAX_CONNECTIONS => drop(stream.set_zero_linger()),
+                Ok((stream, _)) if self.behavior() == Behavior::SendsGarbage => {
+                    connections.spawn(crate::behavior::send_invalid_http(stream));
                 }
                 Ok((stream, from)) => {
                     let _ = stream.set_nodelay(true);
-                    let (of, machine) = (self.clone(), sender(from.ip()));
+                    let (backend, machine) = (self.clone(), source_machine(from.ip()));
                     connections.spawn(async move {
-                        let service = service_fn(|request| of.clone().answer(request, machine));
+                        let service = service_fn(|request| backend.clone().answer(request, machine));
                         let connection = hyper::server::conn::http1::Builder::new();
-                        // A connection that breaks is its caller's affair; the request on it is dropped.
+                        // A connection error is handled by the client; the request on the connection is dropped.
                         let _ = connection.serve_connection(TokioIo::new(stream), service).await;
                     });
                 }
@@ -207,22 +216,23 @@
         }
     }
 
-    /// It leaves in order: says so, serves on, departs and ends. False when nobody acknowledged the drain.
+    /// Leaves gracefully: announces the drain, serves until the drain deadline, announces the departure and stops.
+    /// Returns false when the drain or the departure was not acknowledged.
     pub async fn leave(&self) -> bool {
-        let told = self.voice.drains().await;
-        if told.is_some() {
-            self.note(Seen::Drained { backend: self.number });
+        let drain_deadline = self.heartbeats.announce_drain().await;
+        if drain_deadline.is_some() {
+            self.record(Event::Drained { backend: self.number });
         }
         self.leaving.store(true, Ordering::Relaxed);
-        if let Some(moment) = told {
-            sleep(moment.saturating_duration_since(Instant::now()) + BEYOND).await;
+        if let Some(moment) = drain_deadline {
+            sleep(moment.saturating_duration_since(Instant::now()) + POST_DRAIN_SERVICE).await;
         }
-        let departed = self.voice.departs().await;
+        let departed = self.heartbeats.announce_departure().await;
         self.end();
-        told.is_some() && departed
+        drain_deadline.is_some() && departed
     }
 
-    /// It ends at once, as in a crash.
+    /// Stops immediately, as in a crash.
     pub fn end(&self) {
         for task in self.tasks().drain(..) {
             task.abort();
@@ -249,68 +259,73 @@
             return Ok(self.health().await);
         }
         if text("X-Target-Instance").is_some_and(|target| target != self.id) {
-            return Ok(not_run(StatusCode::MISDIRECTED_REQUEST));
+            return Ok(not_executed(StatusCode::MISDIRECTED_REQUEST));
         }
-        let Some(id) = text("X-Attempt-Id") else { return Ok(not_run(StatusCode::BAD_REQUEST)) };
+        let Some(id) = text("X-Attempt-Id") else { return Ok(not_executed(StatusCode::BAD_REQUEST)) };
         let number = u64::from_str_radix(id, 16).ok();
         let backend = self.number;
-        self.note(Seen::Arrived { id: number, backend, machine });
-        let mood = self.mood();
-        if mood == Mood::Silent {
-            self.note(Seen::Broke { id: number.unwrap_or_default() });
+        self.record(Event::Arrived { id: number, backend, machine });
+        let behavior = self.behavior();
+        if behavior == Behavior::Silent {
+            self.record(Event::AnswerWithheld { id: number.unwrap_or_default() });
             std::future::pending::<()>().await;
         }
-        let Ok(body) = Limited::new(body, LONGEST).collect().await else {
-            return Ok(not_run(StatusCode::BAD_REQUEST));
+        let Ok(body) = Limited::new(body, MAX_BODY_LEN).collect().await else {
+            return Ok(not_executed(StatusCode::BAD_REQUEST));
         };
         let body = body.to_bytes();
         let path = head.uri.path_and_query().map_or("", |path| path.as_str());
         let unchanged = number.is_some_and(|id| {
-            let due = if head.method == Method::GET { Bytes::new() } else { question(id) };
-            body == due && path.ends_with(path_of("/", id).as_str())
+            let due = if head.method == Method::GET { Bytes::new() } else { request_body(id) };
+            body == due && path.ends_with(request_path("/", id).as_str())
         });
-        let left = text("X-Deadline-Left").and_then(|left| left.parse().ok()).map(Duration::from_millis);
-        let left = |longest: Duration| left.unwrap_or(longest).saturating_sub(arrived.elapsed());
-        let Some(place) = Place::take(&self.waiting) else {
-            return Ok(not_run(StatusCode::SERVICE_UNAVAILABLE));
+        let remaining =
+            text("X-Deadline-Left").and_then(|remaining| remaining.parse().ok()).map(Duration::from_millis);
+        let remaining = |max_wait: Duration| remaining.unwrap_or(max_wait).saturating_sub(arrived.elapsed());
+        let Some(queue_place) = QueuePlace::take(&self.waiting) else {
+            return Ok(not_executed(StatusCode::SERVICE_UNAVAILABLE));
         };
-        let longest = Duration::from_secs(30);
-        let Ok(Ok(slot)) = timeout(left(longest), self.slots.acquire()).await else {
-            return Ok(not_run(StatusCode::SERVICE_UNAVAILABLE));
+        let max_wait = Duration::from_secs(30);
+        let Ok(Ok(slot)) = timeout(remaining(max_wait), self.slots.acquire()).await else {
+            return Ok(not_executed(StatusCode::SERVICE_UNAVAILABLE));
         };
-        drop(place);
-        if left(longest).is_zero() {
-            return Ok(not_run(StatusCode::SERVICE_UNAVAILABLE));
+        drop(queue_place);
+        if remaining(max_wait).is_zero() {
+            return Ok(not_executed(StatusCode::SERVICE_UNAVAILABLE));
         }
         if let Some(history) = &self.history {
             let (tenant, arrived) = (text("X-Tenant").map(str::to_owned), history.at(arrived));
             let key = head.headers.contains_key("Authorization");
-            history.note(Seen::Ran { id: number, backend, arrived, tenant, key, unchanged });
+            history.record(Event::Ran { id: number, backend, arrived, tenant, key, unchanged });
         }
-        let takes = if let Mood::Slow(factor) = mood { self.takes().mul_f64(factor) } else { self.takes() };
-        let done = timeout(left(longest), sleep(takes)).await.is_ok();
+        let service_time = if let Behavior::Slow(factor) = behavior {
+            self.service_time().mul_f64(factor)
+        } else {
+            self.service_time()
+        };
+        let done = timeout(remaining(max_wait), sleep(service_time)).await.is_ok();
         drop(slot);
         if !done {
             return Ok(plain(StatusCode::GATEWAY_TIMEOUT));
         }
-        match mood {
-            Mood::Fails(share) if self.unit() < share => {
+        match behavior {
+            Behavior::Fails(share) if self.unit() < share => {
                 return Ok(plain(StatusCode::INTERNAL_SERVER_ERROR));
             }
-            Mood::Loses(share) if self.unit() < share => {
-                self.note(Seen::Broke { id: number.unwrap_or_default() });
+            Behavior::Loses(share) if self.unit() < share => {
+                self.record(Event::AnswerWithheld { id: number.unwrap_or_default() });
                 return Err(io::ErrorKind::ConnectionAborted.into());
             }
             _ => {}
         }
         let answer = match (number, &self.history) {
-            (Some(id), Some(_)) => answer_to(id),
-            // Nobody checks it: a person may read it.
+            (Some(id), Some(_)) => answer_body(id),
+            // Without a history the answer is not checked, so it is readable text.
             _ => Bytes::from(format!("done by {} of {} in {}\n", self.id, self.service, self.zone)),
         };
-        let breaks = mood == Mood::Garbles;
+        let breaks = behavior == Behavior::SendsGarbage;
         if breaks {
-            self.note(Seen::Broke { id: number.unwrap_or_default() });
+            self.record(Event::AnswerWithheld { id: number.unwrap_or_default() });
         }
         let mut response = Response::new(Body::new(answer, breaks));
         let headers = response.headers_mut();
@@ -324,14 +339,16 @@
     }
 
     fn unit(&self) -> f64 {
-        self.chance.lock().unwrap_or_else(PoisonError::into_inner).unit()
+        self.random.lock().unwrap_or_else(PoisonError::into_inner).unit()
     }
 
     async fn health(&self) -> Response<Body> {
-        let Some(_place) = Place::take(&self.waiting) else {
-            return not_run(StatusCode::SERVICE_UNAVAILABLE);
+        let Some(_place) = QueuePlace::take(&self.waiting) else {
+            return not_executed(StatusCode::SERVICE_UNAVAILABLE);
+        };
+        let Ok(_slot) = self.slots.acquire().await else {
+            return not_executed(StatusCode::SERVICE_UNAVAILABLE);
         };
-        let Ok(_slot) = self.slots.acquire().await else { return not_run(StatusCode::SERVICE_UNAVAILABLE) };
         let leaving = self.leaving.load(Ordering::Relaxed);
         let mut response = plain(if leaving { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::OK });
         if let Ok(id) = HeaderValue::from_str(&self.id) {
@@ -340,34 +357,35 @@
         response
     }
 
-    /// How long it works on the next one: drawn, longer while it is cold or nearly full.
-    fn takes(&self) -> Duration {
-        let drawn = self.chance.lock().unwrap_or_else(PoisonError::into_inner).exponential();
-        let warm = (self.born.elapsed().as_secs_f64() / WARMUP.as_secs_f64()).min(1.0);
-        let cold = COLD - (COLD - 1.0) * warm;
+    /// Random service time of the next request; longer while the backend is cold or all slots are in use.
+    fn service_time(&self) -> Duration {
+        let drawn = self.random.lock().unwrap_or_else(PoisonError::into_inner).exponential();
+        let warm = (self.started.elapsed().as_secs_f64() / WARMUP.as_secs_f64()).min(1.0);
+        let cold = COLD_FACTOR - (COLD_FACTOR - 1.0) * warm;
         let full = if self.slots.available_permits() == 0 { 1.3 } else { 1.0 };
-        // Very long ones would say more about the draw than about the fleet.
-        self.mean.mul_f64((0.3 + 0.7 * drawn).min(6.0) * cold * full)
+        // Limit the draw: extreme service times would say more about the random numbers than about the fleet.
+        self.mean_service_time.mul_f64((0.3 + 0.7 * drawn).min(6.0) * cold * full)
     }
 }
 
-/// A place in the queue, given back also when whoever holds it is dropped: its connection may break while it waits.
-struct Place<'a>(&'a AtomicUsize);
+/// A place in the queue. Dropping it frees the place, also when the connection of a waiting request breaks.
+struct QueuePlace<'a>(&'a AtomicUsize);
 
-impl<'a> Place<'a> {
-    fn take(line: &'a AtomicUsize) -> Option<Self> {
-        let room = line.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |n| (n < LINE).then_some(n + 1));
-        room.ok().map(|_| Self(line))
+impl<'a> QueuePlace<'a> {
+    fn take(waiting: &'a AtomicUsize) -> Option<Self> {
+        let place = waiting
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |n| (n < QUEUE_CAPACITY).then_some(n + 1));
+        place.ok().map(|_| Self(waiting))
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueuePlace<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// A listener whose port is free again as soon as it is gone.
+/// Binds a listener whose port is reusable as soon as the listener is closed.
 fn listen(at: SocketAddr) -> io::Result<TcpListener> {
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -381,7 +399,7 @@
     response
 }
 
-fn not_run(status: StatusCode) -> Response<Body> {
+fn not_executed(status: StatusCode) -> Response<Body> {
     let mut response = plain(status);
     response.headers_mut().insert("X-Not-Executed", HeaderValue::from_static("1"));
     response
@@ -392,11 +410,11 @@
     use super::*;
 
     #[test]
-    fn a_seal_is_of_one_instance_and_one_try() {
-        let mine = seal("i-1", 5);
-        assert!(sealed(&mine, 5));
-        assert!(!sealed(&mine, 6));
-        assert!(!sealed(&mine.replace("i-1", "i-2"), 5));
-        assert!(!sealed("", 5));
+    fn seal_is_valid_for_one_instance_and_attempt() {
+        let valid = seal("i-1", 5);
+        assert!(is_valid_seal(&valid, 5));
+        assert!(!is_valid_seal(&valid, 6));
+        assert!(!is_valid_seal(&valid.replace("i-1", "i-2"), 5));
+        assert!(!is_valid_seal("", 5));
     }
 }
--- a/crates/testbed/src/capacity/messages.rs
+++ b/crates/testbed/src/capacity/messages.rs
@@ -1,4 +1,4 @@
-//! How long each message between processes is, at a size.
+//! Length of each message between processes at a size.
 
 use super::samples::{backend, backend_id, backends, configuration_bytes, gateway_name, tenant_name};
 use super::size::Size;
@@ -7,11 +7,11 @@
 use raft::{Entry, Message as LogMessage, Payload};
 use transport::config_snapshots::{ConfigEncoder, config_id};
 
-/// The largest body that the control plane's HTTP interface takes, in bytes, and the log as well.
-pub const LARGEST_CONFIGURATION: usize = 6 << 20;
-/// Control planes tell each other every so many ms whose heartbeats they have had.
+/// Maximum configuration body that the control plane's HTTP interface and the log accept, in bytes.
+pub const MAX_CONFIGURATION: usize = 6 << 20;
+/// Interval at which control planes exchange received heartbeats, in ms.
 pub const ROUND_MS: f64 = 400.0;
-/// Backends send a heartbeat every so many ms.
+/// Heartbeat interval of backends, in ms.
 pub const HEARTBEAT_MS: f64 = 780.0;
 
 /// The kinds of messages, as tables name them.
@@ -20,11 +20,11 @@
     pub const WHOLE: &str = "configuration to a follower that has none";
     pub const DIFFERENCE: &str = "configuration as a difference, one quota changed";
     pub const LOG_ENTRY: &str = "log entry with a configuration, to one voter";
-    pub const ORDER: &str = "order passed on to the leader";
+    pub const ORDER: &str = "order forwarded to the leader";
     pub const HELLO: &str = "hello";
-    pub const STATUS: &str = "state of things, to a follower";
-    pub const FOLLOW: &str = "follow, a data plane's sign of life";
-    pub const HERE: &str = "here, its sign of life to a holder of counts";
+    pub const STATUS: &str = "heartbeat to a follower";
+    pub const FOLLOW: &str = "follow, a data plane's keep-alive";
+    pub const HERE: &str = "here, a data plane's keep-alive to a quota holder";
     pub const LEASE_REQUEST: &str = "lease request of one tenant";
     pub const GRANT: &str = "grant to one tenant";
     pub const LEASE_REQUEST_OF_TEN: &str = "lease request of ten tenants";
@@ -32,20 +32,20 @@
     pub const LOG_HEARTBEAT: &str = "log heartbeat";
     pub const LOG_HEARTBEAT_ANSWER: &str = "answer to a log heartbeat";
     pub const CONTROL_PLANES: &str = "control planes, to each other and to followers";
-    pub const DATA_PLANES: &str = "data planes heard by one control plane";
-    pub const HEARD: &str = "heartbeats heard by one control plane in a round";
+    pub const DATA_PLANES: &str = "data planes of one control plane";
+    pub const HEARD: &str = "heartbeats received by one control plane in a round";
     pub const HTTP_HEARTBEAT: &str = "heartbeat of a backend, HTTP";
-    pub const HTTP_ANSWER: &str = "its answer, HTTP";
+    pub const HTTP_ANSWER: &str = "answer to a backend's heartbeat, HTTP";
     pub const BACKEND: &str = "one backend that changed";
     pub const ALL_BACKENDS: &str = "all backends";
 }
 
-/// One kind of message and its bytes on the wire, its frame included.
+/// One kind of message with its length on the wire, including its frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MessageLength {
-    /// The message, and what is in it.
+    /// The message and its contents.
     pub kind: &'static str,
-    /// Its length in bytes.
+    /// Length in bytes.
     pub bytes: usize,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// The state of things that followers are told.
+/// The heartbeat that a control plane sends to its followers.
 pub fn status(size: &Size) -> Heartbeat {
     Heartbeat {
         leader: Some(address(1)),
@@ -79,10 +79,10 @@
     }
 }
 
-/// A request for units of `count` tenants.
+/// A lease request for one unit of each tenant.
 pub fn lease_request(number: u64, tenants: impl Iterator<Item = usize>) -> LeaseRequest {
-    let want = |n| TenantDemand { tenant: tenant_name(n), needed: 1, requested: 1, returned: 0 };
-    LeaseRequest { number, epoch: Epoch::first(12), demands: tenants.map(want).collect() }
+    let demand = |n| TenantDemand { tenant: tenant_name(n), needed: 1, requested: 1, returned: 0 };
+    LeaseRequest { number, epoch: Epoch::first(12), demands: tenants.map(demand).collect() }
 }
 
 fn grant(tenants: impl Iterator<Item = usize>) -> Grant {
@@ -106,23 +106,23 @@
     LogMessage::Append { term: 12, prev_index: 89_999, prev_term: 12, entries: vec![entry], commit: 89_999 }
 }
 
-fn member_cards(size: &Size) -> Vec<ControlPlaneAddress> {
+fn control_plane_addresses(size: &Size) -> Vec<ControlPlaneAddress> {
     let card = |n| ControlPlaneAddress { address: address(n), zone: format!("zone-{}", n % 4) };
     (0..size.control_planes).map(card).collect()
 }
 
-/// Heartbeats that one control plane has had in one round.
-fn heard_in_a_round(size: &Size) -> Vec<(String, u64)> {
+/// Heartbeats that one control plane receives in one round.
+fn heartbeats_of_round(size: &Size) -> Vec<(String, u64)> {
     let count = size.backends as f64 / size.control_planes as f64 * ROUND_MS / HEARTBEAT_MS;
     (0..count.ceil() as usize).map(|n| (backend_id(n), 1_000 + n as u64)).collect()
 }
 
-fn gateways_of_one(size: &Size) -> Vec<(String, u64)> {
+fn data_planes_of_one(size: &Size) -> Vec<(String, u64)> {
     let count = size.gateways.div_ceil(size.control_planes);
     (0..count).map(|n| (gateway_name(n), u64::MAX / (n as u64 + 2))).collect()
 }
 
-/// A heartbeat of a backend as HTTP/1.1, and its answer.
+/// Lengths of a backend's HTTP/1.1 heartbeat and of its answer.
 fn heartbeat() -> (usize, usize) {
     let about = backend(7);
     let body = serde_json::json!({
@@ -144,7 +144,7 @@
     (head.len() + body.len(), answer.len())
 }
 
-/// A configuration on its way: what a follower is sent with nothing to build on, and with the version before.
+/// Lengths of the configuration sent to a follower without a configuration, and to one with the previous version.
 pub fn configuration_frames(size: &Size) -> (usize, usize) {
     let (before, after) = (configuration_bytes(size, 1), changed(size));
     let whole = ConfigEncoder::new(2, &after).frame(ConfigId::default(), None, &after).len();
@@ -153,14 +153,14 @@
     (whole, difference)
 }
 
-/// The second version of a configuration: one tenant's quota is another one.
+/// The second version of the configuration, in which one tenant's quota differs.
 pub fn changed(size: &Size) -> Vec<u8> {
     let mut document = super::samples::configuration(size, 2);
     document["tenant_table"][tenant_name(size.tenants / 2)]["rate_per_s"] = serde_json::json!(7.5);
     document.to_string().into_bytes()
 }
 
-/// The lengths of all messages at a size, in the order of the tables.
+/// Lengths of all messages at a size, in the order of the tables.
 pub fn lengths(size: &Size) -> Vec<MessageLength> {
     let body = configuration_bytes(size, 1);
     let (whole, difference) = configuration_frames(size);
@@ -187,9 +187,9 @@
             kind::LOG_HEARTBEAT_ANSWER,
             log(&LogMessage::HeartbeatAnswer { term: 12, echo: 4_000_000, matched: 90_000 }),
         ),
-        of(kind::CONTROL_PLANES, Message::ControlPlanes(member_cards(size))),
-        of(kind::DATA_PLANES, Message::DataPlanes(gateways_of_one(size))),
-        of(kind::HEARD, Message::BackendHeartbeats(heard_in_a_round(size))),
+        of(kind::CONTROL_PLANES, Message::ControlPlanes(control_plane_addresses(size))),
+        of(kind::DATA_PLANES, Message::DataPlanes(data_planes_of_one(size))),
+        of(kind::HEARD, Message::BackendHeartbeats(heartbeats_of_round(size))),
         raw(kind::HTTP_HEARTBEAT, beat),
         raw(kind::HTTP_ANSWER, answer),
         of(kind::BACKEND, Message::Backends { is_complete: false, backends: vec![backend(7)] }),
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -1,4 +1,4 @@
-//! What state, messages and steps cost at the sizes that the system is designed for: the tables of `docs/CAPACITY.md`.
+//! Costs of state, messages and steps at the sizes that the system is designed for: the tables of `docs/CAPACITY.md`.
 
 pub mod costs;
 pub mod fit;
@@ -17,18 +17,18 @@
 use size::{GATEWAYS, Size, columns};
 use std::fmt::Write as _;
 
-/// One row of a table: a figure at each size.
+/// One row of a table, with a figure for each size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// What it is a figure of.
+    /// Name of the figures.
     pub name: String,
     /// The figures, in the order of the columns.
     pub figures: Vec<f64>,
-    /// The widest range of runs that a figure comes from, as a share of it; 0 for counts.
+    /// Widest range of the runs behind a figure, relative to the figure; 0 for counts.
     pub runs: f64,
 }
 
-/// A table with one column a size and the line through its figures over the number of gateways.
+/// Formats a table with one column per size and the linear fit over the number of gateways.
 pub fn table(title: &str, rows: &[Row]) -> String {
     let mut text = format!("\n| {title} |");
     for gateways in GATEWAYS {
@@ -63,7 +63,7 @@
     text
 }
 
-/// A figure with three digits that count.
+/// Formats a figure with about three significant digits.
 pub fn short(figure: f64) -> String {
     match figure.abs() {
         0.0 => "0".to_owned(),
@@ -75,7 +75,7 @@
     }
 }
 
-/// What was measured at each size.
+/// Measurements at each size.
 struct Measured {
     sizes: [Size; GATEWAYS.len()],
     lengths: [Vec<MessageLength>; GATEWAYS.len()],
@@ -93,19 +93,19 @@
     }
 
     fn message_rows(&self) -> Vec<Row> {
-        let row = |place: usize| Row {
-            name: self.lengths[0][place].kind.to_owned(),
-            figures: self.lengths.iter().map(|lengths| lengths[place].bytes as f64).collect(),
+        let row = |index: usize| Row {
+            name: self.lengths[0][index].kind.to_owned(),
+            figures: self.lengths.iter().map(|lengths| lengths[index].bytes as f64).collect(),
             runs: 0.0,
         };
         (0..self.lengths[0].len()).map(row).collect()
     }
 
     fn cost_rows(&self) -> Vec<Row> {
-        let row = |place: usize| {
-            let spreads = self.costs.iter().map(|costs| costs[place].cost);
+        let row = |index: usize| {
+            let spreads = self.costs.iter().map(|costs| costs[index].cost);
             Row {
-                name: self.costs[0][place].step.to_owned(),
+                name: self.costs[0][index].step.to_owned(),
                 figures: spreads.clone().map(|spread| spread.median).collect(),
                 runs: spreads.map(|spread| spread.range()).fold(0.0, f64::max),
             }
@@ -113,30 +113,29 @@
         (0..self.costs[0].len()).map(row).collect()
     }
 
-    /// Bytes a second of a role by kind, and their sum.
+    /// Bytes per second of a role by kind of message, and their sum.
     fn byte_rows(&self, role: Role) -> Vec<Row> {
-        let flows = self.sizes.map(|size| model::messages(role, &size, size.keeps_the_body_before()));
-        let figure = |at: usize, place: usize| model::bytes_per_s(&flows[at][place], &self.lengths[at]);
+        let flows = self.sizes.map(|size| model::messages(role, &size, size.keeps_previous_body()));
+        let figure = |at: usize, index: usize| model::bytes_per_s(&flows[at][index], &self.lengths[at]);
         rows_of(&flows, figure)
     }
 
-    /// Shares of a core of a role by step in percent, and their sum.
+    /// Processor use of a role by step in percent of a core, and the sum.
     fn processor_rows(&self, role: Role) -> Vec<Row> {
-        let flows = self.sizes.map(|size| model::steps(role, &size, size.keeps_the_body_before()));
-        let figure =
-            |at: usize, place: usize| model::share_of_a_core(&flows[at][place], &self.costs[at]) * 100.0;
+        let flows = self.sizes.map(|size| model::steps(role, &size, size.keeps_previous_body()));
+        let figure = |at: usize, index: usize| model::core_share(&flows[at][index], &self.costs[at]) * 100.0;
         rows_of(&flows, figure)
     }
 }
 
-/// One row a flow, named as at the largest size and with its rate there, and one with the sums.
+/// One row per flow, named after the largest size and its rate there, and a row with the sums.
 fn rows_of(flows: &[Vec<Flow>; GATEWAYS.len()], figure: impl Fn(usize, usize) -> f64) -> Vec<Row> {
     let largest = &flows[GATEWAYS.len() - 1];
-    let figures = |place: usize| (0..GATEWAYS.len()).map(|at| figure(at, place)).collect();
+    let figures = |index: usize| (0..GATEWAYS.len()).map(|at| figure(at, index)).collect();
     let mut rows: Vec<_> = (0..largest.len())
-        .map(|place| {
-            let name = format!("{} ({} a second)", largest[place].name, short(largest[place].per_s));
-            Row { name, figures: figures(place), runs: 0.0 }
+        .map(|index| {
+            let name = format!("{} ({} per second)", largest[index].name, short(largest[index].per_s));
+            Row { name, figures: figures(index), runs: 0.0 }
         })
         .collect();
     let sum = |at: usize| rows.iter().map(|row: &Row| row.figures[at]).sum();
@@ -145,14 +144,14 @@
     rows
 }
 
-/// Measures and prints all tables but that of memory, which `examples/state_memory.rs` prints.
+/// Measures and prints all tables except that of memory, which `examples/state_memory.rs` prints.
 pub fn tables() {
     let measured = Measured::now();
     print(table("message, bytes on the wire", &measured.message_rows()));
     print(table("step, µs of processor time", &measured.cost_rows()));
     for (role, name) in model::ROLES {
         print(table(
-            &format!("{name}: messages, bytes a second (rates at the plan)"),
+            &format!("{name}: messages, bytes per second (rates at the plan)"),
             &measured.byte_rows(role),
         ));
         print(table(
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,9 +1,9 @@
-//! Requests that come when they come, whatever became of those before them (an open loop).
+//! Open-loop load: requests arrive at random times, independent of earlier answers.
 
-use crate::chance::Chance;
-use crate::clients::{Client, Ids, Platform, Wish};
-use crate::history::{End, History, Seen};
+use crate::clients::{Client, ClientRequest, Ids, Platform};
+use crate::history::{End, Event, History};
 use crate::plan::{KINDS, TENANTS};
+use crate::random::SeededRandom;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,45 +12,53 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep_until;
 
-/// Clients.
+/// Number of clients.
 const CLIENTS: usize = 64;
-/// Requests that are out at once; beyond that they count as failed, so that a fleet that hangs can't fill memory.
-const MOST_OUT: usize = 4096;
-/// The longest time that is told apart, in microseconds.
-const LONGEST_US: u64 = 60_000_000;
+/// Maximum number of outstanding requests. Further ones count as failed, to bound memory if the fleet hangs.
+const MAX_OUTSTANDING: usize = 4096;
+/// Upper limit of the latency histograms, in microseconds.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// What became of one kind of request.
+/// Results of one kind of request.
 #[derive(Clone, Debug)]
-pub struct Tally {
-    /// How many there were.
-    pub asked: u64,
-    /// Served at all.
+pub struct KindTally {
+    /// Number of requests.
+    pub requests: u64,
+    /// Requests that were served.
     pub served: u64,
-    /// Served within the aim.
-    pub in_aim: u64,
-    /// Refused at the last.
+    /// Requests that were served within the latency goal.
+    pub within_goal: u64,
+    /// Requests whose last attempt was refused.
     pub refused: u64,
-    /// Anything else.
+    /// Requests that failed otherwise.
     pub failed: u64,
-    /// With which status, or none.
+    /// Failures by status; `None` for no answer.
     pub failures: BTreeMap<Option<u16>, u64>,
-    /// How long those that were served took, from when they were due, in microseconds.
+    /// Latency of served requests from their due time, in microseconds.
     pub times: Histogram<u64>,
 }
 
-impl Tally {
+impl KindTally {
     fn new() -> Option<Self> {
-        let times = Histogram::new_with_max(LONGEST_US, 3).ok()?;
-        Some(Self { asked: 0, served: 0, in_aim: 0, refused: 0, failed: 0, failures: BTreeMap::new(), times })
+        let times = Histogram::new_with_max(MAX_LATENCY_US, 3).ok()?;
+        Some(Self {
+            requests: 0,
+            served: 0,
+            within_goal: 0,
+            refused: 0,
+            failed: 0,
+            failures: BTreeMap::new(),
+            times,
+        })
     }
 
-    fn add(&mut self, end: End, took: Duration, goal: Duration) {
-        self.asked += 1;
+    fn add(&mut self, end: End, latency: Duration, goal: Duration) {
+        self.requests += 1;
         match end {
             End::Served => {
                 self.served += 1;
-                self.in_aim += u64::from(took <= goal);
-                self.times.saturating_record(took.as_micros() as u64);
+                self.within_goal += u64::from(latency <= goal);
+                self.times.saturating_record(latency.as_micros() as u64);
             }
             End::Refused => self.refused += 1,
             End::Failed(status) => {
@@ -63,27 +71,27 @@
 
 /// A load.
 pub struct Load {
-    /// Its seed.
+    /// Seed of the load.
     pub seed: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// For how long.
-    pub lasts: Duration,
-    /// How many times its usual share the last tenant asks, at each moment.
-    pub greed: Greed,
+    /// Duration of the load.
+    pub duration: Duration,
+    /// Load factor of the last tenant.
+    pub last_tenant_factor: LoadFactor,
 }
 
-/// How greedy the last tenant is: a factor that may change while the load plays.
+/// Load factor of the last tenant, which may change while the load runs.
 #[derive(Clone)]
-pub struct Greed(Arc<AtomicU64>);
+pub struct LoadFactor(Arc<AtomicU64>);
 
-impl Greed {
-    /// So many times its usual share.
+impl LoadFactor {
+    /// Starts with `factor` times the tenant's usual share.
     pub fn new(factor: f64) -> Self {
         Self(Arc::new(AtomicU64::new(factor.to_bits())))
     }
 
-    /// From now on.
+    /// Changes the factor.
     pub fn set(&self, factor: f64) {
         self.0.store(factor.to_bits(), Ordering::Relaxed);
     }
@@ -93,20 +101,20 @@
     }
 }
 
-/// What became of each kind so far, and how late we were ourselves.
+/// Results by kind, and the delay of the testbed itself.
 #[derive(Clone)]
 pub struct Tallies(Arc<Mutex<Inner>>);
 
 struct Inner {
-    kinds: Vec<Tally>,
-    /// From when a request was due until its client was told to send it.
+    kinds: Vec<KindTally>,
+    /// Delay from a request's due time until its client was started.
     late: Option<Histogram<u64>>,
 }
 
 impl Default for Tallies {
     fn default() -> Self {
-        let kinds = KINDS.iter().filter_map(|_| Tally::new()).collect();
-        let late = Histogram::new_with_max(LONGEST_US, 3).ok();
+        let kinds = KINDS.iter().filter_map(|_| KindTally::new()).collect();
+        let late = Histogram::new_with_max(MAX_LATENCY_US, 3).ok();
         Self(Arc::new(Mutex::new(Inner { kinds, late })))
     }
 }
@@ -116,24 +124,27 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// By kind, as they stand.
-    pub fn kinds(&self) -> Vec<Tally> {
+    /// Current results by kind.
+    pub fn kinds(&self) -> Vec<KindTally> {
         self.inner().kinds.clone()
     }
 
-    /// How late we were for one request in a hundred, at least.
+    /// 99th percentile of the testbed's own delay.
     pub fn late(&self) -> Duration {
         let late = self.inner().late.as_ref().map_or(0, |late| late.value_at_quantile(0.99));
         Duration::from_micros(late)
     }
 
-    /// Asked, served and served in aim, of all kinds.
+    /// Numbers of requests, served requests and requests served within the goal, over all kinds.
     pub fn counts(&self) -> (u64, u64, u64) {
         let counts = (0, 0, 0);
-        self.inner().kinds.iter().fold(counts, |(a, s, i), t| (a + t.asked, s + t.served, i + t.in_aim))
+        self.inner()
+            .kinds
+            .iter()
+            .fold(counts, |(a, s, i), t| (a + t.requests, s + t.served, i + t.within_goal))
     }
 
-    fn begins(&self, due: Instant) {
+    fn record_start_delay(&self, due: Instant) {
         if let Some(late) = &mut self.inner().late {
             late.saturating_record(due.elapsed().as_micros() as u64);
         }
@@ -148,45 +159,45 @@
 }
 
 impl Load {
-    /// Plays it; it ends once every request has ended, which their deadlines bound.
-    pub async fn play(&self, platform: Arc<Platform>, history: Arc<History>, tallies: Tallies) {
+    /// Runs the load; returns when all requests have ended, which their deadlines bound.
+    pub async fn run(&self, platform: Arc<Platform>, history: Arc<History>, tallies: Tallies) {
         let ids = Arc::new(Ids::new(self.seed));
         let client = |n| Arc::new(Client::new(n, self.seed, platform.clone(), history.clone(), ids.clone()));
         let clients: Vec<_> = (0..CLIENTS as u64).map(client).collect();
-        let out = Arc::new(Semaphore::new(MOST_OUT));
-        let mut chance = Chance::new(self.seed, 0);
-        // Greed comes on top of the usual load.
-        let keyed: f64 = KINDS.iter().filter(|kind| !kind.public).map(|kind| kind.share).sum();
-        let small = TENANTS[TENANTS.len() - 1].share;
+        let outstanding = Arc::new(Semaphore::new(MAX_OUTSTANDING));
+        let mut random = SeededRandom::new(self.seed, 0);
+        // The excess of the last tenant is added to the usual load.
+        let keyed_share: f64 = KINDS.iter().filter(|kind| !kind.public).map(|kind| kind.share).sum();
+        let small_share = TENANTS[TENANTS.len() - 1].share;
         let start = Instant::now();
         let mut at = Duration::ZERO;
         loop {
-            let more = keyed * small * (self.greed.get() - 1.0);
-            at += Duration::from_secs_f64(chance.exponential() / (self.rate * (1.0 + more)));
-            if at >= self.lasts {
+            let more = keyed_share * small_share * (self.last_tenant_factor.get() - 1.0);
+            at += Duration::from_secs_f64(random.exponential() / (self.rate * (1.0 + more)));
+            if at >= self.duration {
                 break;
             }
-            let greedy = chance.unit() < more / (1.0 + more);
-            let (kind, tenant) = if greedy {
+            let excess = random.unit() < more / (1.0 + more);
+            let (kind, tenant) = if excess {
                 let share = |kind: &crate::plan::Kind| if kind.public { 0.0 } else { kind.share };
-                (chance.by_share(KINDS.iter().map(share)), Some(TENANTS.len() - 1))
+                (random.weighted_index(KINDS.iter().map(share)), Some(TENANTS.len() - 1))
             } else {
-                let kind = chance.by_share(KINDS.iter().map(|kind| kind.share));
-                let tenant = chance.by_share(TENANTS.iter().map(|tenant| tenant.share));
+                let kind = random.weighted_index(KINDS.iter().map(|kind| kind.share));
+                let tenant = random.weighted_index(TENANTS.iter().map(|tenant| tenant.share));
                 (kind, (!KINDS[kind].public).then_some(tenant))
             };
-            let client = clients[chance.below(CLIENTS)].clone();
+            let client = clients[random.below(CLIENTS)].clone();
             let due = start + at;
             sleep_until(due.into()).await;
-            tallies.begins(due);
+            tallies.record_start_delay(due);
             if let Some(tenant) = tenant {
-                history.note(Seen::Asked { tenant });
+                history.record(Event::Requested { tenant });
             }
-            let Ok(place) = out.clone().try_acquire_owned() else {
+            let Ok(permit) = outstanding.clone().try_acquire_owned() else {
                 tallies.add(kind, End::Failed(None), due);
                 continue;
             };
-            let wish = Wish {
+            let client_request = ClientRequest {
                 kind,
                 tenant,
                 pure: KINDS[kind].pure,
@@ -197,13 +208,13 @@
             };
             let (tallies, history) = (tallies.clone(), history.clone());
             tokio::spawn(async move {
-                let (end, tries) = client.ask(&wish).await;
+                let (end, tries) = client.execute(&client_request).await;
                 tallies.add(kind, end, due);
                 let due = history.at(due);
-                history.note(Seen::Done { kind, owed: !greedy, due, end, tries });
-                drop(place);
+                history.record(Event::Done { kind, owed: !excess, due, end, tries });
+                drop(permit);
             });
         }
-        let _ = out.acquire_many(MOST_OUT as u32).await;
+        let _ = outstanding.acquire_many(MAX_OUTSTANDING as u32).await;
     }
 }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,6 +1,6 @@
-//! What is printed.
+//! Printed output.
 
-use crate::judge::{RULES, Use, Verdict};
+use crate::judge::{QuotaUse, RULES, Verdict};
 use crate::load::Tallies;
 use crate::plan::{KINDS, TENANTS};
 use std::collections::BTreeMap;
@@ -8,55 +8,55 @@
 use std::io::Write as _;
 use std::time::{Duration, Instant};
 
-/// Lines about faults that are printed.
-const MOST_LINES: usize = 12;
+/// Maximum number of printed violations and delays.
+const MAX_LINES: usize = 12;
 
-/// Lateness of our own clients from which on times are not to be trusted.
-const BUSY_MS: f64 = 20.0;
+/// 99th percentile of the testbed's own delay, above which latencies are not reliable.
+const MAX_OWN_DELAY_MS: f64 = 20.0;
 
-/// Prints. Whoever reads may have gone away, as `head` does, which is no reason to end in the midst.
+/// Prints to standard output. Write errors are ignored: the reader may have closed the pipe, as `head` does.
 pub fn print(text: impl std::fmt::Display) {
     let mut out = std::io::stdout().lock();
     let _ = write!(out, "{text}").and_then(|()| out.flush());
 }
 
-/// Prints what happens, with its time.
+/// Prints progress messages with the elapsed time.
 #[derive(Clone, Copy)]
-pub struct Teller(Instant);
+pub struct Progress(Instant);
 
-impl Default for Teller {
-    /// Time starts now.
+impl Default for Progress {
+    /// Starts the clock.
     fn default() -> Self {
         Self(Instant::now())
     }
 }
 
-impl Teller {
-    /// Something happened.
-    pub fn say(&self, what: impl std::fmt::Display) {
+impl Progress {
+    /// Prints a message.
+    pub fn report(&self, what: impl std::fmt::Display) {
         print(format_args!("{:6.1} s  {what}\n", self.0.elapsed().as_secs_f64()));
     }
 }
 
-/// What the processes of one kind spent.
-pub struct Spent {
-    /// Their name.
+/// Processor time of the processes of one role.
+pub struct CpuUse {
+    /// Name of the role.
     pub name: &'static str,
-    /// How many they are.
+    /// Number of processes.
     pub count: usize,
-    /// Processor time.
+    /// Total processor time.
     pub time: Duration,
 }
 
-/// The tables at the end.
-pub fn tables(tallies: &Tallies, spent: &[Spent], uses: &[Use]) -> String {
+/// The tables printed at the end of a demo.
+pub fn tables(tallies: &Tallies, spent: &[CpuUse], uses: &[QuotaUse]) -> String {
     let kinds = tallies.kinds();
     let mut text = String::new();
-    // Writing to a text can't fail.
+    // Writing to a String cannot fail.
     let _ = writeln!(
         text,
         "\n{:<10} {:<9} {:>7} {:>7} {:>7} {:>8} {:>7} {:>8} {:>8}",
-        "kind", "may run", "asked", "served", "in aim", "refused", "failed", "p50 ms", "p99 ms"
+        "kind", "variant", "total", "served", "in goal", "refused", "failed", "p50 ms", "p99 ms"
     );
     for (kind, tally) in KINDS.iter().zip(&kinds) {
         let variant = if kind.pure { "pure" } else { "effectful" };
@@ -65,16 +65,16 @@
             text,
             "{:<10} {variant:<9} {:>7} {:>7} {:>7} {:>8} {:>7} {:>8.1} {:>8.1}",
             kind.label,
-            tally.asked,
+            tally.requests,
             tally.served,
-            tally.in_aim,
+            tally.within_goal,
             tally.refused,
             tally.failed,
             at(0.5),
             at(0.99)
         );
     }
-    let asked: u64 = kinds.iter().map(|tally| tally.asked).sum();
+    let total: u64 = kinds.iter().map(|tally| tally.requests).sum();
     let mut failures = BTreeMap::<_, u64>::new();
     for (status, count) in kinds.iter().flat_map(|tally| &tally.failures) {
         *failures.entry(*status).or_default() += count;
@@ -85,21 +85,19 @@
         let _ = writeln!(text, "failed with: {}", each.join(", "));
     }
     let late = tallies.late().as_secs_f64() * 1000.0;
-    let note = if late > BUSY_MS {
-        ": the machine is busy, and times say more about it than about the fleet"
-    } else {
-        ""
-    };
-    let _ = writeln!(text, "our own clients were late by {late:.1} ms at p99{note}");
-    let _ = writeln!(text, "\nprocessor time, {asked} requests:");
-    for Spent { name, count, time } in spent {
-        let each = time.as_secs_f64() * 1e6 / asked.max(1) as f64;
-        let _ = writeln!(text, "{name:<16} x{count} {:>8.2} s {each:>7.0} us a request", time.as_secs_f64());
+    let note =
+        if late > MAX_OWN_DELAY_MS { ": the machine is busy, so latencies are not reliable" } else { "" };
+    let _ = writeln!(text, "the testbed's own clients were delayed by {late:.1} ms at p99{note}");
+    let _ = writeln!(text, "\nprocessor time, {total} requests:");
+    for CpuUse { name, count, time } in spent {
+        let each = time.as_secs_f64() * 1e6 / total.max(1) as f64;
+        let _ =
+            writeln!(text, "{name:<16} x{count} {:>8.2} s {each:>7.0} us per request", time.as_secs_f64());
     }
     let _ = writeln!(
         text,
         "\n{:<12} {:>7} {:>7} {:>8} {:>8} {:>14} {:>8} {:>18}",
-        "tenant", "asked", "ran", "rate/s", "burst", "most in 5 s", "allowed", "beyond rate+burst"
+        "tenant", "total", "ran", "rate/s", "burst", "max in 5 s", "allowed", "beyond rate+burst"
     );
     for (tenant, used) in TENANTS.iter().zip(uses) {
         let _ = writeln!(
@@ -118,26 +116,26 @@
     text
 }
 
-/// The judge's lines.
-pub fn judgement(verdict: &Verdict) -> String {
+/// Formats the judge's verdict.
+pub fn format_verdict(verdict: &Verdict) -> String {
     let mut text = String::from("\nmust be 0:\n");
     for (rule, name) in RULES {
         let count = verdict.counts.get(&rule).copied().unwrap_or_default();
         let _ = writeln!(text, "{count:>6}  {name}");
     }
-    for broken in verdict.breaks.iter().take(MOST_LINES) {
-        let _ = writeln!(text, "        {:.3} s: {}", broken.at, broken.what);
+    for violation in verdict.violations.iter().take(MAX_LINES) {
+        let _ = writeln!(text, "        {:.3} s: {}", violation.at, violation.what);
     }
-    if verdict.total() > MOST_LINES as u64 {
-        let _ = writeln!(text, "        and {} more", verdict.total() - MOST_LINES as u64);
+    if verdict.total() > MAX_LINES as u64 {
+        let _ = writeln!(text, "        and {} more", verdict.total() - MAX_LINES as u64);
     }
     if let Some(void) = &verdict.void {
         let _ = writeln!(text, "no verdict: {void}");
     }
     if !verdict.late.is_empty() {
-        let _ = writeln!(text, "\nlate, which may be the machine's fault:");
+        let _ = writeln!(text, "\ndelays, possibly caused by the machine:");
     }
-    for line in verdict.late.iter().take(MOST_LINES) {
+    for line in verdict.late.iter().take(MAX_LINES) {
         let _ = writeln!(text, "        {line}");
     }
     text
