--- a/crates/fault-injection/src/mutate.rs
+++ b/crates/fault-injection/src/mutate.rs
@@ -69,12 +69,12 @@
             let (begin, end) = self.random_range(bytes.len());
             match self.random.below(8) {
                 0 if !bytes.is_empty() => {
-                    let at = begin.min(bytes.len() - 1);
-                    bytes[at] ^= 1 << self.random.below(8);
+                    let position = begin.min(bytes.len() - 1);
+                    bytes[position] ^= 1 << self.random.below(8);
                 }
                 1 if !bytes.is_empty() => {
-                    let at = begin.min(bytes.len() - 1);
-                    bytes[at] = self.random.next_u64() as u8;
+                    let position = begin.min(bytes.len() - 1);
+                    bytes[position] = self.random.next_u64() as u8;
                 }
                 2 => drop(bytes.drain(begin..end)),
                 3 => {
@@ -90,9 +90,9 @@
                 }
                 // Replaces a run of digits, that is, a number.
                 6 => {
-                    let digit = |at: &usize| bytes.get(*at).is_some_and(u8::is_ascii_digit);
-                    let first = (begin..bytes.len()).find(digit).unwrap_or(begin);
-                    let last = (first..bytes.len()).find(|at| !digit(at)).unwrap_or(first);
+                    let is_digit_at = |index: &usize| bytes.get(*index).is_some_and(u8::is_ascii_digit);
+                    let first = (begin..bytes.len()).find(is_digit_at).unwrap_or(begin);
+                    let last = (first..bytes.len()).find(|index| !is_digit_at(index)).unwrap_or(first);
                     bytes.splice(first..last, self.random.one_of(&TOKENS).to_vec());
                 }
                 _ => drop(bytes.splice(begin..begin, self.random.one_of(&TOKENS).to_vec())),
--- a/crates/reachlb/src/operator/config.rs
+++ b/crates/reachlb/src/operator/config.rs
@@ -50,7 +50,7 @@
     /// control socket addresses, separated by commas; the first that responds is used
     #[options(required, meta = "CONTROL")]
     at: String,
-    /// print the answer as it is
+    /// print the response unchanged
     json: bool,
 }
 
@@ -64,7 +64,7 @@
     /// version that the file builds on (default: the version in force)
     #[options(meta = "rN")]
     base: Option<Version>,
-    /// print the answer as JSON
+    /// print the result as JSON
     json: bool,
     #[options(free, required)]
     file: PathBuf,
--- a/crates/reachlb/src/operator/state.rs
+++ b/crates/reachlb/src/operator/state.rs
@@ -22,13 +22,13 @@
 #[derive(Debug, Options)]
 enum Kind {
     /// print the content of the log store
-    Inspect(Folder),
+    Inspect(DirectoryOptions),
     /// check whether the log store is intact
-    Verify(Folder),
+    Verify(DirectoryOptions),
 }
 
 #[derive(Debug, Options)]
-struct Folder {
+struct DirectoryOptions {
     /// print this help
     help: bool,
     /// print JSON
@@ -39,18 +39,18 @@
 
 /// Runs the `state` command.
 pub fn state(command: StateCommand) -> Result<String, CommandError> {
-    let (folder, with_content) = match command.call {
-        Some(Kind::Inspect(folder)) => (folder, true),
-        Some(Kind::Verify(folder)) => (folder, false),
+    let (options, with_content) = match command.call {
+        Some(Kind::Inspect(options)) => (options, true),
+        Some(Kind::Verify(options)) => (options, false),
         None => {
             let reason = "expected one of the subcommands inspect, verify".into();
             return Err(CommandError::InvalidInput { step: "read", subject: "arguments".into(), reason });
         }
     };
-    let path = folder.folder.join("log.redb");
+    let path = options.folder.join("log.redb");
     let content = read_store(&path)?.map(|saved| describe(&saved, &path)).transpose()?;
     let name = path.display();
-    Ok(match (folder.json, content) {
+    Ok(match (options.json, content) {
         (true, content) => {
             json!({ "file": path, "whole": true, "state": content.filter(|_| with_content) }).to_string()
                 + "\n"
@@ -181,14 +181,14 @@
     use super::*;
     use raft::{Save, Snapshot, VoterId};
 
-    fn run(folder: &Path, kind: fn(Folder) -> Kind) -> Result<String, u8> {
-        let folder = Folder { help: false, json: false, folder: folder.to_path_buf() };
-        state(StateCommand { help: false, call: Some(kind(folder)) }).map_err(|error| error.exit_status())
+    fn run(directory: &Path, kind: fn(DirectoryOptions) -> Kind) -> Result<String, u8> {
+        let options = DirectoryOptions { help: false, json: false, folder: directory.to_path_buf() };
+        state(StateCommand { help: false, call: Some(kind(options)) }).map_err(|error| error.exit_status())
     }
 
     fn directory_with_store() -> (tempfile::TempDir, PathBuf) {
-        let folder = tempfile::tempdir().expect("cannot create the directory");
-        let path = folder.path().join("log.redb");
+        let directory = tempfile::tempdir().expect("cannot create the directory");
+        let path = directory.path().join("log.redb");
         let (store, _) = Store::open(&path).expect("cannot create the store");
         let me = VoterId { address: "10.0.0.1:7".into(), incarnation: 0 };
         store.create(me.clone(), vec![me.clone()]).expect("cannot store the voter identity");
@@ -201,14 +201,14 @@
         let entries = vec![Entry { index: 3, term: 3, payload }];
         let save = Save { ticket: 1, term: 3, vote: None, truncate: None, entries, snapshot: Some(snapshot) };
         store.save(&save).expect("cannot save");
-        (folder, path)
+        (directory, path)
     }
 
     #[test]
     fn inspect_prints_the_content_and_leaves_the_file_unchanged() {
-        let (folder, path) = directory_with_store();
+        let (directory, path) = directory_with_store();
         let before = std::fs::read(&path).expect("cannot read the file");
-        let text = run(folder.path(), Kind::Inspect).expect("the store counts as damaged");
+        let text = run(directory.path(), Kind::Inspect).expect("the store counts as damaged");
         for part in ["10.0.0.1:7#0", "entry 2 of term 3: configuration r5", "change r6 on r5, 11 bytes"] {
             assert!(text.contains(part), "{part} is missing in {text}");
         }
@@ -217,19 +217,19 @@
 
     #[test]
     fn exit_statuses_distinguish_damaged_files_from_unusable_files() {
-        let (folder, path) = directory_with_store();
-        assert!(run(folder.path(), Kind::Verify).is_ok());
+        let (directory, path) = directory_with_store();
+        assert!(run(directory.path(), Kind::Verify).is_ok());
         let open_store = Store::open(&path).expect("cannot open the store");
-        assert_eq!(run(folder.path(), Kind::Verify), Err(2), "file in use");
+        assert_eq!(run(directory.path(), Kind::Verify), Err(2), "file in use");
         drop(open_store);
         let mut bytes = std::fs::read(&path).expect("cannot read the file");
         let offsets: Vec<_> =
             bytes.windows(6).enumerate().filter(|(_, w)| w == b"marked").map(|(offset, _)| offset).collect();
         offsets.into_iter().for_each(|offset| bytes[offset] ^= 1);
         std::fs::write(&path, &bytes).expect("cannot write the file");
-        assert_eq!(run(folder.path(), Kind::Verify), Err(3), "flipped bit");
+        assert_eq!(run(directory.path(), Kind::Verify), Err(3), "flipped bit");
         std::fs::write(&path, [7; 5000]).expect("cannot write the file");
-        assert_eq!(run(folder.path(), Kind::Verify), Err(3), "not a store");
-        assert_eq!(run(&folder.path().join("none"), Kind::Verify), Err(2));
+        assert_eq!(run(directory.path(), Kind::Verify), Err(3), "not a store");
+        assert_eq!(run(&directory.path().join("none"), Kind::Verify), Err(2));
     }
 }
--- a/crates/reachlb/src/operator/status.rs
+++ b/crates/reachlb/src/operator/status.rs
@@ -15,7 +15,7 @@
     /// control socket addresses, separated by commas; the first that responds is used
     #[options(required, meta = "CONTROL")]
     at: String,
-    /// print the answer as it is
+    /// print the response unchanged
     json: bool,
 }
 
--- a/crates/reachlb/src/operator/voter.rs
+++ b/crates/reachlb/src/operator/voter.rs
@@ -36,7 +36,7 @@
     /// control socket addresses, separated by commas; the first that responds is used
     #[options(required, meta = "CONTROL")]
     at: String,
-    /// print the answer as JSON
+    /// print the result as JSON
     json: bool,
     #[options(free, required)]
     address: String,
--- a/crates/reachlb/tests/founder.rs
+++ b/crates/reachlb/tests/founder.rs
@@ -30,7 +30,7 @@
         Ipv4Addr::new(127, high | 128, low, machine)
     }
 
-    fn start(machine: u8, folder: &Path) -> Self {
+    fn start(machine: u8, directory: &Path) -> Self {
         let ip = Self::ip(machine);
         let seeds: Vec<String> =
             (1..=FOUNDERS).map(|seed| format!("\"{}:{CONTROL_PORT}\"", Self::ip(seed))).collect();
@@ -40,9 +40,9 @@
              control = \"{ip}:{CONTROL_PORT}\"\n",
             PEER_PORT + 9,
             seeds.join(","),
-            folder.join(machine.to_string()),
+            directory.join(machine.to_string()),
         );
-        let path = folder.join(format!("{machine}.toml"));
+        let path = directory.join(format!("{machine}.toml"));
         std::fs::write(&path, settings).expect("cannot write the settings file");
         let child = Command::new(env!("CARGO_BIN_EXE_reachlb"))
             .args(["--settings", &path.display().to_string(), "control-plane"])
@@ -104,8 +104,9 @@
 /// the status), and the voter list loses the old identity.
 #[test]
 fn founder_with_an_emptied_data_directory_joins_as_a_new_voter() {
-    let folder = tempfile::tempdir().expect("cannot create the directory");
-    let mut founders: Vec<_> = (1..=FOUNDERS).map(|machine| Founder::start(machine, folder.path())).collect();
+    let directory = tempfile::tempdir().expect("cannot create the directory");
+    let mut founders: Vec<_> =
+        (1..=FOUNDERS).map(|machine| Founder::start(machine, directory.path())).collect();
     for founder in &founders {
         let log = wait_for(|| founder.log_status());
         assert!(log["birth"] == 0, "not a founder at the first start: {log}");
@@ -115,8 +116,8 @@
         wait_for(|| founders[0].call(&head, &config(version)).filter(|(status, _)| *status == 200));
     }
     drop(founders.remove(2));
-    std::fs::remove_dir_all(folder.path().join("3")).expect("cannot remove the data directory");
-    let restarted = Founder::start(3, folder.path());
+    std::fs::remove_dir_all(directory.path().join("3")).expect("cannot remove the data directory");
+    let restarted = Founder::start(3, directory.path());
     let log = wait_for(|| restarted.log_status().filter(|log| log["voter"] == true));
     assert!(log["birth"] != 0, "the restarted process kept its old identity: {log}");
     assert_eq!(log["members"].as_array().map(Vec::len), Some(3), "the old identity is still a voter: {log}");
