--- a/crates/testbed/examples/state_memory.rs
+++ b/crates/testbed/examples/state_memory.rs
@@ -18,8 +18,8 @@
         });
         let row = |name: String, figures: Vec<f64>| Row { name, figures, runs: 0.0 };
         rows.push(row(name.to_owned(), measured.iter().map(|info| info.bytes_current as f64).collect()));
-        let most = measured.iter().map(|info| info.bytes_max as f64).collect();
-        rows.push(row(format!("{name}, peak while built"), most));
+        let peak = measured.iter().map(|info| info.bytes_max as f64).collect();
+        rows.push(row(format!("{name}, peak while built"), peak));
     }
     print!("{}", table("state, bytes in memory", &rows));
 }
--- a/crates/testbed/src/backend.rs
+++ b/crates/testbed/src/backend.rs
@@ -131,7 +131,7 @@
         let id = format!("i-{:08x}", mix(mix(seed) ^ u64::from(std::process::id())) as u32);
         let now = Instant::now();
         let warmup = if warm { Duration::ZERO } else { WARMUP };
-        let about = BackendInfo {
+        let info = BackendInfo {
             id: id.clone(),
             service: service.clone(),
             address,
@@ -162,7 +162,7 @@
             number,
             history,
             behavior: Mutex::default(),
-            heartbeats: HeartbeatSender::new(about, control),
+            heartbeats: HeartbeatSender::new(info, control),
             tasks: Mutex::default(),
         });
         let serves = tokio::spawn(backend.clone().serve(listener)).abort_handle();
@@ -203,9 +203,9 @@
                 }
                 Ok((stream, from)) => {
                     let _ = stream.set_nodelay(true);
-                    let (of, machine) = (self.clone(), source_machine(from.ip()));
+                    let (backend, machine) = (self.clone(), source_machine(from.ip()));
                     connections.spawn(async move {
-                        let service = service_fn(|request| of.clone().answer(request, machine));
+                        let service = service_fn(|request| backend.clone().answer(request, machine));
                         let connection = hyper::server::conn::http1::Builder::new();
                         // A connection error is handled by the client; the request on the connection is dropped.
                         let _ = connection.serve_connection(TokioIo::new(stream), service).await;
@@ -279,17 +279,18 @@
             let due = if head.method == Method::GET { Bytes::new() } else { request_body(id) };
             body == due && path.ends_with(request_path("/", id).as_str())
         });
-        let left = text("X-Deadline-Left").and_then(|left| left.parse().ok()).map(Duration::from_millis);
-        let left = |longest: Duration| left.unwrap_or(longest).saturating_sub(arrived.elapsed());
+        let remaining =
+            text("X-Deadline-Left").and_then(|remaining| remaining.parse().ok()).map(Duration::from_millis);
+        let remaining = |max_wait: Duration| remaining.unwrap_or(max_wait).saturating_sub(arrived.elapsed());
         let Some(queue_place) = QueuePlace::take(&self.waiting) else {
             return Ok(not_executed(StatusCode::SERVICE_UNAVAILABLE));
         };
-        let longest = Duration::from_secs(30);
-        let Ok(Ok(slot)) = timeout(left(longest), self.slots.acquire()).await else {
+        let max_wait = Duration::from_secs(30);
+        let Ok(Ok(slot)) = timeout(remaining(max_wait), self.slots.acquire()).await else {
             return Ok(not_executed(StatusCode::SERVICE_UNAVAILABLE));
         };
         drop(queue_place);
-        if left(longest).is_zero() {
+        if remaining(max_wait).is_zero() {
             return Ok(not_executed(StatusCode::SERVICE_UNAVAILABLE));
         }
         if let Some(history) = &self.history {
@@ -302,7 +303,7 @@
         } else {
             self.service_time()
         };
-        let done = timeout(left(longest), sleep(service_time)).await.is_ok();
+        let done = timeout(remaining(max_wait), sleep(service_time)).await.is_ok();
         drop(slot);
         if !done {
             return Ok(plain(StatusCode::GATEWAY_TIMEOUT));
@@ -371,10 +372,10 @@
 struct QueuePlace<'a>(&'a AtomicUsize);
 
 impl<'a> QueuePlace<'a> {
-    fn take(line: &'a AtomicUsize) -> Option<Self> {
-        let room = line
+    fn take(waiting: &'a AtomicUsize) -> Option<Self> {
+        let place = waiting
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |n| (n < QUEUE_CAPACITY).then_some(n + 1));
-        room.ok().map(|_| Self(line))
+        place.ok().map(|_| Self(waiting))
     }
 }
 
@@ -410,10 +411,10 @@
 
     #[test]
     fn seal_is_valid_for_one_instance_and_attempt() {
-        let mine = seal("i-1", 5);
-        assert!(is_valid_seal(&mine, 5));
-        assert!(!is_valid_seal(&mine, 6));
-        assert!(!is_valid_seal(&mine.replace("i-1", "i-2"), 5));
+        let valid = seal("i-1", 5);
+        assert!(is_valid_seal(&valid, 5));
+        assert!(!is_valid_seal(&valid, 6));
+        assert!(!is_valid_seal(&valid.replace("i-1", "i-2"), 5));
         assert!(!is_valid_seal("", 5));
     }
 }
--- a/crates/testbed/src/behavior.rs
+++ b/crates/testbed/src/behavior.rs
@@ -37,16 +37,16 @@
 /// Body of an answer, complete or truncated.
 #[derive(Default)]
 pub struct Body {
-    left: Option<Bytes>,
+    remaining: Option<Bytes>,
     length: u64,
-    breaks: bool,
+    truncated: bool,
 }
 
 impl Body {
-    /// Creates a body that announces its full length, and that is cut after half of it if `breaks` is set.
-    pub fn new(bytes: Bytes, breaks: bool) -> Self {
+    /// Creates a body that announces its full length, and that is cut after half of it if `truncated` is set.
+    pub fn new(bytes: Bytes, truncated: bool) -> Self {
         let (length, half) = (bytes.len() as u64, bytes.len() / 2);
-        Self { left: Some(if breaks { bytes.slice(..half) } else { bytes }), length, breaks }
+        Self { remaining: Some(if truncated { bytes.slice(..half) } else { bytes }), length, truncated }
     }
 }
 
@@ -57,13 +57,17 @@
     fn poll_frame(
         mut self: Pin<&mut Self>, _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let next = self.left.take().filter(|left| !left.is_empty()).map(|left| Ok(Frame::data(left)));
+        let next = self
+            .remaining
+            .take()
+            .filter(|remaining| !remaining.is_empty())
+            .map(|remaining| Ok(Frame::data(remaining)));
         let broken = || Err(io::ErrorKind::ConnectionAborted.into());
-        Poll::Ready(next.or_else(|| self.breaks.then(broken)))
+        Poll::Ready(next.or_else(|| self.truncated.then(broken)))
     }
 
     fn is_end_stream(&self) -> bool {
-        !self.breaks && self.left.as_ref().is_none_or(Bytes::is_empty)
+        !self.truncated && self.remaining.as_ref().is_none_or(Bytes::is_empty)
     }
 
     fn size_hint(&self) -> SizeHint {
--- a/crates/testbed/src/capacity/costs.rs
+++ b/crates/testbed/src/capacity/costs.rs
@@ -39,7 +39,7 @@
     pub const ENCODE: &str = "encode a message";
     pub const DECODE: &str = "decode a message";
     pub const HEARTBEAT: &str = "registry: apply a heartbeat";
-    pub const HEARD: &str = "registry: apply a heartbeat that another control plane received";
+    pub const REPORTED_HEARTBEAT: &str = "registry: apply a heartbeat that another control plane received";
     pub const ROUND: &str = "registry: a round over all backends";
     pub const FIND_NUMBER: &str = "find a data plane's number, once per heartbeat";
 }
@@ -67,7 +67,7 @@
 
 fn configuration_costs(size: &Size) -> Vec<StepCost> {
     let (before, after) = (configuration_bytes(size, 1), changed(size));
-    let has = held(1, &before);
+    let base = held(1, &before);
     let parse = measure(FEW_TURNS, || (), |(), _| drop(std::hint::black_box(Config::parse(&after))));
     let whole = measure(
         FEW_TURNS,
@@ -77,9 +77,9 @@
     let difference = measure(
         FEW_TURNS,
         || (),
-        |(), _| drop(ConfigEncoder::new(2, &after).frame(has, Some(&before), &after)),
+        |(), _| drop(ConfigEncoder::new(2, &after).frame(base, Some(&before), &after)),
     );
-    let sent = ConfigEncoder::new(2, &after).frame(has, Some(&before), &after);
+    let sent = ConfigEncoder::new(2, &after).frame(base, Some(&before), &after);
     let rebuilding = measure(
         FEW_TURNS,
         || (),
@@ -166,7 +166,7 @@
         },
     );
     // For each request without a unit, a data plane queries the cache, collects lease requests and checks deadlines.
-    let asked = measure(
+    let admitted = measure(
         LONG_TURNS,
         || lease_cache(size),
         |cache, repetition| {
@@ -174,7 +174,7 @@
             cache.admit(now, repetition as u64, &tenant_name(repetition % size.tenants), 36.0);
         },
     );
-    let looked = measure(
+    let collected = measure(
         LONG_TURNS,
         || lease_cache(size),
         |cache, repetition| {
@@ -201,8 +201,8 @@
     vec![
         cost_of(step::ANSWER, answered),
         cost_of(step::FLOORS, floors),
-        cost_of(step::ADMIT, asked),
-        cost_of(step::COLLECT_REQUESTS, looked),
+        cost_of(step::ADMIT, admitted),
+        cost_of(step::COLLECT_REQUESTS, collected),
         cost_of(step::CHECK_DEADLINES, due),
         cost_of(step::ENCODE, sent),
         cost_of(step::DECODE, read),
@@ -218,11 +218,11 @@
         register
     };
     let beat = measure(SHORT_TURNS, full, |register, repetition| {
-        let mut word = backend(repetition % size.backends);
-        word.call_count += 1_000_000 + repetition as u64;
-        register.beat(repetition as u64, word);
+        let mut heartbeat = backend(repetition % size.backends);
+        heartbeat.call_count += 1_000_000 + repetition as u64;
+        register.beat(repetition as u64, heartbeat);
     });
-    let heard = measure(SHORT_TURNS, full, |register, repetition| {
+    let reported = measure(SHORT_TURNS, full, |register, repetition| {
         let id = backend_id(repetition % size.backends);
         let _ = register.alive(repetition as u64, &[(id, 1_000_000 + repetition as u64)]);
     });
@@ -240,7 +240,7 @@
     });
     vec![
         cost_of(step::HEARTBEAT, beat),
-        cost_of(step::HEARD, heard),
+        cost_of(step::REPORTED_HEARTBEAT, reported),
         cost_of(step::ROUND, round),
         cost_of(step::FIND_NUMBER, number),
     ]
--- a/crates/testbed/src/capacity/messages.rs
+++ b/crates/testbed/src/capacity/messages.rs
@@ -81,8 +81,8 @@
 
 /// A lease request for one unit of each tenant.
 pub fn lease_request(number: u64, tenants: impl Iterator<Item = usize>) -> LeaseRequest {
-    let want = |n| TenantDemand { tenant: tenant_name(n), needed: 1, requested: 1, returned: 0 };
-    LeaseRequest { number, epoch: Epoch::first(12), demands: tenants.map(want).collect() }
+    let demand = |n| TenantDemand { tenant: tenant_name(n), needed: 1, requested: 1, returned: 0 };
+    LeaseRequest { number, epoch: Epoch::first(12), demands: tenants.map(demand).collect() }
 }
 
 fn grant(tenants: impl Iterator<Item = usize>) -> Grant {
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -93,19 +93,19 @@
     }
 
     fn message_rows(&self) -> Vec<Row> {
-        let row = |place: usize| Row {
-            name: self.lengths[0][place].kind.to_owned(),
-            figures: self.lengths.iter().map(|lengths| lengths[place].bytes as f64).collect(),
+        let row = |index: usize| Row {
+            name: self.lengths[0][index].kind.to_owned(),
+            figures: self.lengths.iter().map(|lengths| lengths[index].bytes as f64).collect(),
             runs: 0.0,
         };
         (0..self.lengths[0].len()).map(row).collect()
     }
 
     fn cost_rows(&self) -> Vec<Row> {
-        let row = |place: usize| {
-            let spreads = self.costs.iter().map(|costs| costs[place].cost);
+        let row = |index: usize| {
+            let spreads = self.costs.iter().map(|costs| costs[index].cost);
             Row {
-                name: self.costs[0][place].step.to_owned(),
+                name: self.costs[0][index].step.to_owned(),
                 figures: spreads.clone().map(|spread| spread.median).collect(),
                 runs: spreads.map(|spread| spread.range()).fold(0.0, f64::max),
             }
@@ -116,14 +116,14 @@
     /// Bytes per second of a role by kind of message, and their sum.
     fn byte_rows(&self, role: Role) -> Vec<Row> {
         let flows = self.sizes.map(|size| model::messages(role, &size, size.keeps_previous_body()));
-        let figure = |at: usize, place: usize| model::bytes_per_s(&flows[at][place], &self.lengths[at]);
+        let figure = |at: usize, index: usize| model::bytes_per_s(&flows[at][index], &self.lengths[at]);
         rows_of(&flows, figure)
     }
 
     /// Processor use of a role by step in percent of a core, and the sum.
     fn processor_rows(&self, role: Role) -> Vec<Row> {
         let flows = self.sizes.map(|size| model::steps(role, &size, size.keeps_previous_body()));
-        let figure = |at: usize, place: usize| model::core_share(&flows[at][place], &self.costs[at]) * 100.0;
+        let figure = |at: usize, index: usize| model::core_share(&flows[at][index], &self.costs[at]) * 100.0;
         rows_of(&flows, figure)
     }
 }
@@ -131,11 +131,11 @@
 /// One row per flow, named after the largest size and its rate there, and a row with the sums.
 fn rows_of(flows: &[Vec<Flow>; GATEWAYS.len()], figure: impl Fn(usize, usize) -> f64) -> Vec<Row> {
     let largest = &flows[GATEWAYS.len() - 1];
-    let figures = |place: usize| (0..GATEWAYS.len()).map(|at| figure(at, place)).collect();
+    let figures = |index: usize| (0..GATEWAYS.len()).map(|at| figure(at, index)).collect();
     let mut rows: Vec<_> = (0..largest.len())
-        .map(|place| {
-            let name = format!("{} ({} per second)", largest[place].name, short(largest[place].per_s));
-            Row { name, figures: figures(place), runs: 0.0 }
+        .map(|index| {
+            let name = format!("{} ({} per second)", largest[index].name, short(largest[index].per_s));
+            Row { name, figures: figures(index), runs: 0.0 }
         })
         .collect();
     let sum = |at: usize| rows.iter().map(|row: &Row| row.figures[at]).sum();
--- a/crates/testbed/src/capacity/model.rs
+++ b/crates/testbed/src/capacity/model.rs
@@ -130,7 +130,7 @@
             flow(compress, CHANGES_PER_S),
             flow(step::APPLY, CHANGES_PER_S),
             flow(step::HEARTBEAT, heartbeats(size)),
-            flow(step::HEARD, others * heartbeats(size)),
+            flow(step::REPORTED_HEARTBEAT, others * heartbeats(size)),
             flow(step::ROUND, 1000.0 / ROUND_MS),
             flow(step::FIND_NUMBER, followers(size) * STATUS_PER_S),
         ],
--- a/crates/testbed/src/capacity/timing.rs
+++ b/crates/testbed/src/capacity/timing.rs
@@ -22,7 +22,7 @@
     /// Statistics of the figures; all 0 without figures.
     pub fn of(mut figures: Vec<f64>) -> Self {
         figures.sort_by(f64::total_cmp);
-        let at = |place: usize| figures.get(place).copied().unwrap_or_default();
+        let at = |index: usize| figures.get(index).copied().unwrap_or_default();
         Self { median: at(figures.len() / 2), min: at(0), max: at(figures.len().saturating_sub(1)) }
     }
 
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -116,7 +116,7 @@
         after: Option<Duration>,
     },
     Final(u16),
-    /// An error answer or none. The request may have run, unless `unread` says that it was certainly not sent.
+    /// An error answer or none. The request may have run, unless `unsent` says that nothing was sent.
     Failed {
         status: Option<u16>,
         unsent: bool,
@@ -197,8 +197,8 @@
     pub async fn execute(&self, client_request: &ClientRequest) -> (End, u32) {
         let (mut end, mut tries) = (End::Failed(None), 0);
         for attempt_index in 0..MAX_ATTEMPTS {
-            let left = client_request.deadline.saturating_sub(client_request.due.elapsed());
-            if left < MIN_ATTEMPT_TIME {
+            let remaining = client_request.deadline.saturating_sub(client_request.due.elapsed());
+            if remaining < MIN_ATTEMPT_TIME {
                 break;
             }
             let id = self.ids.next_id();
@@ -210,19 +210,19 @@
             tries += 1;
             // A pure request that gets no answer is abandoned early, to retry it at another gateway.
             let attempt_timeout = if client_request.pure && attempt_index + 1 < MAX_ATTEMPTS {
-                (left / 3).max(MIN_ATTEMPT_TIME)
+                (remaining / 3).max(MIN_ATTEMPT_TIME)
             } else {
-                left
+                remaining
             };
             let result =
-                timeout(attempt_timeout, self.attempt(client_request, id, left, attempt_index)).await;
+                timeout(attempt_timeout, self.attempt(client_request, id, remaining, attempt_index)).await;
             let result = result.unwrap_or(AttemptResult::Failed { status: None, unsent: false });
             let pause = match result {
                 AttemptResult::Served => return (End::Served, tries),
                 AttemptResult::Final(status) => return (End::Failed(Some(status)), tries),
                 AttemptResult::Refused { after } => {
                     end = End::Refused;
-                    after.map(|after| after.min(left / 3))
+                    after.map(|after| after.min(remaining / 3))
                 }
                 AttemptResult::Failed { status, unsent } => {
                     end = End::Failed(status);
@@ -238,7 +238,7 @@
     }
 
     async fn attempt(
-        &self, client_request: &ClientRequest, id: u64, left: Duration, attempt_index: u32,
+        &self, client_request: &ClientRequest, id: u64, remaining: Duration, attempt_index: u32,
     ) -> AttemptResult {
         let idle_connection = if attempt_index == 0 { self.idle_connection() } else { None };
         let connection = match idle_connection {
@@ -252,7 +252,7 @@
         };
         let unsent = AttemptResult::Failed { status: None, unsent: true };
         let Some((machine, mut connection)) = connection else { return unsent };
-        let Some(request) = request(client_request, id, left) else { return unsent };
+        let Some(request) = request(client_request, id, remaining) else { return unsent };
         self.history.record(Event::Connected { id, machine });
         let answer = match connection.sender.send_request(request).await {
             Ok(answer) => answer,
@@ -293,7 +293,7 @@
     }
 }
 
-fn request(client_request: &ClientRequest, id: u64, left: Duration) -> Option<Request<Full<Bytes>>> {
+fn request(client_request: &ClientRequest, id: u64, remaining: Duration) -> Option<Request<Full<Bytes>>> {
     // Some clients send an X-Tenant header, which must not reach a backend.
     let spoofs_tenant = client_request.key.is_some() && id.is_multiple_of(16);
     let method = if client_request.pure { Method::GET } else { Method::POST };
@@ -303,7 +303,7 @@
         .uri(request_path(&client_request.prefix, id))
         .header("Host", HOST)
         .header("X-Attempt-Id", format!("{id:016x}"))
-        .header("X-Deadline-Left", left.as_millis().to_string());
+        .header("X-Deadline-Left", remaining.as_millis().to_string());
     if let Some(key) = client_request.key {
         request = request.header("Authorization", format!("Bearer {key}"));
     }
--- a/crates/testbed/src/control.rs
+++ b/crates/testbed/src/control.rs
@@ -35,7 +35,7 @@
         Self { announced: addresses.clone(), addresses, next_index: Arc::default() }
     }
 
-    /// Creates a client that calls relays at `addresses`; redirects to an address in `own` also go through its relay.
+    /// Creates a client that calls relays at `addresses`; redirects to an address in `announced` also go through its relay.
     pub fn via_relays(
         addresses: impl Into<Arc<[SocketAddr]>>, announced: impl Into<Arc<[SocketAddr]>>,
     ) -> Self {
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -373,8 +373,8 @@
     loop {
         sleep(PROGRESS_INTERVAL).await;
         let now = tallies.counts();
-        let (asked, served, within_goal) = (now.0 - before.0, now.1 - before.1, now.2 - before.2);
-        progress.report(format!("{asked} requests ended, {served} served, {within_goal} within goal"));
+        let (total, served, within_goal) = (now.0 - before.0, now.1 - before.1, now.2 - before.2);
+        progress.report(format!("{total} requests ended, {served} served, {within_goal} within goal"));
         before = now;
     }
 }
--- a/crates/testbed/src/heartbeats.rs
+++ b/crates/testbed/src/heartbeats.rs
@@ -70,14 +70,14 @@
         state.calls += 1;
         let BackendInfo { id, service, address, zone, capacity, started, warmup } = &self.info;
         let phase = if state.draining { "draining" } else { "serving" };
-        let left = warmup.saturating_sub(started.elapsed()).as_millis() as u64;
-        let run = json!({
+        let warmup_left = warmup.saturating_sub(started.elapsed()).as_millis() as u64;
+        let heartbeat = json!({
             "address": address.to_string(),
             "summary": { "target": service, "generation": "v1", "zone": zone, "capacity": capacity },
-            "condition": { "phase": phase, "call_count": state.calls, "warmup_left_ms": left },
+            "condition": { "phase": phase, "call_count": state.calls, "warmup_left_ms": warmup_left },
         });
         let path = format!("/Backends.Heartbeat/{id}");
-        let answer = self.control.send(state.target, &path, Bytes::from(run.to_string())).await;
+        let answer = self.control.send(state.target, &path, Bytes::from(heartbeat.to_string())).await;
         let reply = answer.as_ref().and_then(|answer| serde_json::from_slice::<Value>(&answer.body).ok());
         state.target = reply.and_then(|reply| reply["beat_target"].as_str()?.parse().ok());
         answer.is_some()
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -220,9 +220,9 @@
     };
     match run(command) {
         Ok(status) => status,
-        Err(fault) => {
-            eprintln!("testbed: {fault}");
-            if let Some(help) = fault.help() {
+        Err(error) => {
+            eprintln!("testbed: {error}");
+            if let Some(help) = error.help() {
                 eprintln!("{help}");
             }
             ExitCode::from(UNUSABLE)
@@ -416,8 +416,8 @@
     let Some(path) = std::env::var_os(reachlb::SETTINGS) else { return ExitCode::from(UNUSABLE) };
     match scale::hollow::serve(Path::new(&path)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/testbed/src/operator.rs
+++ b/crates/testbed/src/operator.rs
@@ -46,7 +46,7 @@
 }
 
 /// Version of a configuration.
-fn number(of: &Value) -> Option<u64> {
+fn version_of(of: &Value) -> Option<u64> {
     of["generation"].as_str()?.strip_prefix('r')?.parse().ok()
 }
 
@@ -130,7 +130,7 @@
     /// After a change without a definite answer, reads the configuration to learn whether the change is in force.
     async fn resolve_unanswered(&mut self) {
         let Some(read) = self.control.read(Instant::now() + ACK_TIMEOUT).await else { return };
-        if let Some(version) = number(&read).filter(|version| *version > self.version)
+        if let Some(version) = version_of(&read).filter(|version| *version > self.version)
             && self.unresolved.iter().any(|(_, body)| *body == read)
         {
             (self.newest, self.version) = (read, version);
@@ -199,11 +199,11 @@
         let (body_one, body_two) = (Bytes::from(one.to_string()), Bytes::from(two.to_string()));
         let addresses = self.control.addresses();
         let first = random.below(addresses.len());
-        let (here, there) = (addresses[first], addresses[(first + 1) % addresses.len()]);
+        let (first_address, second_address) = (addresses[first], addresses[(first + 1) % addresses.len()]);
         let until = Instant::now() + ACK_TIMEOUT;
         let (a, b) = tokio::join!(
-            self.send(Some(here), low, base, &body_one, routes(&one), until),
-            self.send(Some(there), high, base, &body_two, routes(&two), until)
+            self.send(Some(first_address), low, base, &body_one, routes(&one), until),
+            self.send(Some(second_address), high, base, &body_two, routes(&two), until)
         );
         let won = |answer: &Option<Answer>| answer.as_ref().is_some_and(|a| a.status.is_success());
         let (won_one, won_two) = (won(&a), won(&b));
@@ -230,11 +230,11 @@
     }
 
     /// Sends an invalid change, which must be rejected.
-    async fn send_invalid_change(&mut self, turn: usize) -> bool {
+    async fn send_invalid_change(&mut self, variant: usize) -> bool {
         let version = self.allocate_version();
         let mut next = self.newest.clone();
         next["generation"] = json!(format!("r{version}"));
-        let what = invalidate(&mut next, turn, self.version);
+        let what = invalidate(&mut next, variant, self.version);
         let mut body = next.to_string();
         if what == TRUNCATED {
             body.truncate(body.len() / 2);
@@ -267,7 +267,7 @@
             let read = Control::new([*address]).read(Instant::now() + READ_TIMEOUT).await;
             let sent =
                 |read: &Value| *read == self.newest || self.unresolved.iter().any(|(_, body)| body == read);
-            let (version, same) = (read.as_ref().and_then(number), read.as_ref().is_some_and(sent));
+            let (version, same) = (read.as_ref().and_then(version_of), read.as_ref().is_some_and(sent));
             self.history.record(Event::Read { machine, version, same });
         }
     }
@@ -276,10 +276,10 @@
 const TRUNCATED: &str = "a truncated configuration";
 
 /// Makes a valid configuration invalid in one of eight ways.
-fn invalidate(next: &mut Value, turn: usize, current: u64) -> &'static str {
+fn invalidate(next: &mut Value, variant: usize, current: u64) -> &'static str {
     let route = KINDS[0].label;
     let route = &mut next["route_table"][route];
-    match turn % 8 {
+    match variant % 8 {
         0 => {
             route["target"] = json!("nobody");
             "a route to an unknown service"
@@ -353,9 +353,9 @@
         let mut next = configuration(4);
         add_route(&mut next, 4);
         assert!(config::Config::parse(next.to_string().as_bytes()).is_ok());
-        for turn in (0..8).filter(|turn| ![2, 5].contains(turn)) {
+        for variant in (0..8).filter(|variant| ![2, 5].contains(variant)) {
             let mut invalid_configuration = next.clone();
-            let what = invalidate(&mut invalid_configuration, turn, 3);
+            let what = invalidate(&mut invalid_configuration, variant, 3);
             assert!(config::Config::parse(invalid_configuration.to_string().as_bytes()).is_err(), "{what}");
         }
     }
--- a/crates/testbed/src/random.rs
+++ b/crates/testbed/src/random.rs
@@ -29,11 +29,11 @@
 
     /// Draws an index with probabilities proportional to `shares`.
     pub fn weighted_index(&mut self, shares: impl Iterator<Item = f64> + Clone) -> usize {
-        let mut left = self.unit() * shares.clone().sum::<f64>();
+        let mut remaining = self.unit() * shares.clone().sum::<f64>();
         let last = shares.clone().count().saturating_sub(1);
         for (index, share) in shares.enumerate() {
-            left -= share;
-            if left < 0.0 {
+            remaining -= share;
+            if remaining < 0.0 {
                 return index;
             }
         }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -56,7 +56,7 @@
     let _ = writeln!(
         text,
         "\n{:<10} {:<9} {:>7} {:>7} {:>7} {:>8} {:>7} {:>8} {:>8}",
-        "kind", "variant", "asked", "served", "in goal", "refused", "failed", "p50 ms", "p99 ms"
+        "kind", "variant", "total", "served", "in goal", "refused", "failed", "p50 ms", "p99 ms"
     );
     for (kind, tally) in KINDS.iter().zip(&kinds) {
         let variant = if kind.pure { "pure" } else { "effectful" };
@@ -74,7 +74,7 @@
             at(0.99)
         );
     }
-    let asked: u64 = kinds.iter().map(|tally| tally.requests).sum();
+    let total: u64 = kinds.iter().map(|tally| tally.requests).sum();
     let mut failures = BTreeMap::<_, u64>::new();
     for (status, count) in kinds.iter().flat_map(|tally| &tally.failures) {
         *failures.entry(*status).or_default() += count;
@@ -88,16 +88,16 @@
     let note =
         if late > MAX_OWN_DELAY_MS { ": the machine is busy, so latencies are not reliable" } else { "" };
     let _ = writeln!(text, "the testbed's own clients were delayed by {late:.1} ms at p99{note}");
-    let _ = writeln!(text, "\nprocessor time, {asked} requests:");
+    let _ = writeln!(text, "\nprocessor time, {total} requests:");
     for CpuUse { name, count, time } in spent {
-        let each = time.as_secs_f64() * 1e6 / asked.max(1) as f64;
+        let each = time.as_secs_f64() * 1e6 / total.max(1) as f64;
         let _ =
             writeln!(text, "{name:<16} x{count} {:>8.2} s {each:>7.0} us per request", time.as_secs_f64());
     }
     let _ = writeln!(
         text,
         "\n{:<12} {:>7} {:>7} {:>8} {:>8} {:>14} {:>8} {:>18}",
-        "tenant", "asked", "ran", "rate/s", "burst", "max in 5 s", "allowed", "beyond rate+burst"
+        "tenant", "total", "ran", "rate/s", "burst", "max in 5 s", "allowed", "beyond rate+burst"
     );
     for (tenant, used) in TENANTS.iter().zip(uses) {
         let _ = writeln!(
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -39,12 +39,12 @@
     let names: Vec<String> = figures(first).into_iter().map(|(name, _)| name).collect();
     let all: Vec<_> = outcomes.iter().map(|outcome| (outcome.gateways, figures(outcome))).collect();
     let quantity = |name: String| {
-        let of = |(gateways, figures): &(usize, Vec<(String, f64)>)| {
+        let figure_at = |(gateways, figures): &(usize, Vec<(String, f64)>)| {
             let found = figures.iter().find(|(other, _)| *other == name).map_or(0.0, |(_, figure)| *figure);
             (*gateways as f64, found)
         };
-        let fitted = all.iter().filter(|(gateways, _)| Some(*gateways) != check).map(of).collect();
-        let check = all.iter().find(|(gateways, _)| Some(*gateways) == check).map(of);
+        let fitted = all.iter().filter(|(gateways, _)| Some(*gateways) != check).map(figure_at).collect();
+        let check = all.iter().find(|(gateways, _)| Some(*gateways) == check).map(figure_at);
         Quantity { name, fitted, check }
     };
     names.into_iter().map(quantity).collect()
@@ -112,7 +112,7 @@
         None => write!(text, " | |"),
     };
     if let Some((x, measured)) = quantity.check {
-        let told = line.map_or(String::new(), |line| short(line.at(x)));
+        let predicted = line.map_or(String::new(), |line| short(line.at(x)));
         let verdict = match quantity.relative_error() {
             Some(relative_error) if relative_error <= MAX_ERROR => {
                 format!("within ({:.0}%)", relative_error * 100.0)
@@ -120,7 +120,7 @@
             Some(relative_error) => format!("OFF by {:.0}%", relative_error * 100.0),
             None => String::new(),
         };
-        let _ = write!(text, " {} | {told} | {verdict} |", short(measured));
+        let _ = write!(text, " {} | {predicted} | {verdict} |", short(measured));
     }
     text.push('\n');
 }
--- a/crates/testbed/src/scale/report.rs
+++ b/crates/testbed/src/scale/report.rs
@@ -104,10 +104,10 @@
     /// Latency quantile of lease requests in ms, as the upper end of its class.
     pub fn wait_ms(&self, share: f64) -> f64 {
         let all: u64 = self.waits.iter().sum();
-        let mut seen = 0;
+        let mut counted = 0;
         for (class, count) in self.waits.iter().enumerate() {
-            seen += count;
-            if all > 0 && seen as f64 >= all as f64 * share {
+            counted += count;
+            if all > 0 && counted as f64 >= all as f64 * share {
                 return (1u64 << class) as f64 / 1000.0;
             }
         }
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -104,14 +104,14 @@
     /// # Errors
     /// Returns an error when the processes cannot be started or do not become ready.
     pub async fn run(&self) -> Result<Outcome, TestbedError> {
-        let index = tempfile::Builder::new().prefix("testbed-scale-").tempdir();
-        let index = index.map_err(TestbedError::file(std::env::temp_dir()))?;
+        let temp_dir = tempfile::Builder::new().prefix("testbed-scale-").tempdir();
+        let temp_dir = temp_dir.map_err(TestbedError::file(std::env::temp_dir()))?;
         let progress = Progress::default();
         let size = Size::of(self.gateways);
-        let mut processes = self.start(index.path(), &size)?;
-        processes.first_configuration(&size, index.path()).await?;
-        self.start_hollow(index.path(), &mut processes)?;
-        processes.wait_for(1, self.gateways, index.path()).await?;
+        let mut processes = self.start(temp_dir.path(), &size)?;
+        processes.first_configuration(&size, temp_dir.path()).await?;
+        self.start_hollow(temp_dir.path(), &mut processes)?;
+        processes.wait_for(1, self.gateways, temp_dir.path()).await?;
         progress.report(format!("{} hollow data planes have r1", self.gateways));
         sleep(SETTLE_TIME).await;
         let outcome = self.measure(&size, &processes).await;
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -106,13 +106,13 @@
         let start = Instant::now();
         match scenario {
             Scenario::None | Scenario::Quota => Ok(()),
-            Scenario::Leader => self.leader(start, false).await,
-            Scenario::Disk => self.leader(start, true).await,
+            Scenario::Leader => self.kill_leader(start, false).await,
+            Scenario::Disk => self.kill_leader(start, true).await,
             Scenario::Zone => {
-                self.zone(start).await;
+                self.suspend_zone(start).await;
                 Ok(())
             }
-            Scenario::Release => self.release(start).await,
+            Scenario::Release => self.replace_backends(start).await,
             Scenario::Config => {
                 let begin = start + self.duration.div_f64(8.0).min(Duration::from_secs(1));
                 // The last change must be in force before the end of the load.
@@ -129,7 +129,7 @@
         self.history.record(Event::Process { machine, data_plane, process_event });
     }
 
-    async fn leader(&mut self, start: Instant, disk: bool) -> Result<(), TestbedError> {
+    async fn kill_leader(&mut self, start: Instant, disk: bool) -> Result<(), TestbedError> {
         sleep_until(start + self.duration.div_f64(4.0).min(Duration::from_secs(3))).await;
         let Some(leader) = self.control.leader().await else {
             self.history.late("no control plane reported to be the leader".to_owned());
@@ -199,7 +199,7 @@
         }
     }
 
-    async fn zone(&mut self, start: Instant) {
+    async fn suspend_zone(&mut self, start: Instant) {
         sleep_until(start + self.duration.div_f64(4.0).min(Duration::from_secs(3))).await;
         let zone = ZONES[0];
         let in_zone = |machine: &usize| ZONES[*machine] == zone;
@@ -231,11 +231,12 @@
         self.progress.report(format!("zone {zone} resumes"));
     }
 
-    async fn release(&mut self, start: Instant) -> Result<(), TestbedError> {
+    async fn replace_backends(&mut self, start: Instant) -> Result<(), TestbedError> {
         let begin = self.duration.div_f64(8.0).min(Duration::from_secs(2));
         // Leave time for a drain after the last replacement.
-        let room = self.duration.saturating_sub(begin + Duration::from_secs(3)).max(Duration::from_secs(1));
-        let interval = (room / self.backends.len() as u32).min(Duration::from_secs(2));
+        let available =
+            self.duration.saturating_sub(begin + Duration::from_secs(3)).max(Duration::from_secs(1));
+        let interval = (available / self.backends.len() as u32).min(Duration::from_secs(2));
         let mut leaving = JoinSet::new();
         for index in 0..self.backends.len() {
             sleep_until(start + begin + interval * index as u32).await;
@@ -254,8 +255,8 @@
             self.backends[index] = new;
             leaving.spawn(async move { old.leave().await });
         }
-        while let Some(left) = leaving.join_next().await {
-            if !left.unwrap_or(false) {
+        while let Some(departed) = leaving.join_next().await {
+            if !departed.unwrap_or(false) {
                 self.history.late("the drain or departure of a backend was not acknowledged".to_owned());
             }
         }
--- a/crates/testbed/src/trial/draw.rs
+++ b/crates/testbed/src/trial/draw.rs
@@ -48,15 +48,15 @@
 }
 
 /// Draws `number` patterns (default one) plus up to two more.
-pub(super) fn draw(shapes: &[FaultPattern], number: Option<usize>, seconds: f64, seed: u64) -> Vec<Row> {
+pub(super) fn draw(patterns: &[FaultPattern], number: Option<usize>, seconds: f64, seed: u64) -> Vec<Row> {
     let mut random = Random::new(seed, "nemesis", 0);
     let extra = usize::from(random.happens(0.6)) + usize::from(random.happens(0.2));
     let count = number.unwrap_or(1) + extra;
     let mut rows = Vec::new();
-    let mut remaining = shapes.to_vec();
-    for _ in 0..count.min(shapes.len()) {
-        let shape = remaining.remove(random.below(remaining.len()));
-        rows.extend(shape.draw(seconds, &mut random));
+    let mut remaining = patterns.to_vec();
+    for _ in 0..count.min(patterns.len()) {
+        let pattern = remaining.remove(random.below(remaining.len()));
+        rows.extend(pattern.draw(seconds, &mut random));
     }
     rows
 }
@@ -179,10 +179,10 @@
             Self::Rolling => {
                 let data_planes = random.happens(0.6);
                 let number = if data_planes { ZONES.len() } else { VOTERS };
-                let each = (seconds * 0.8 - earliest) / number as f64;
+                let interval = (seconds * 0.8 - earliest) / number as f64;
                 let name = if data_planes { "q" } else { "h" };
                 let draw_one = |n: usize| {
-                    on(earliest + each * n as f64, 0.0, Kind::Restart, &format!("{name}{}", n + 1))
+                    on(earliest + interval * n as f64, 0.0, Kind::Restart, &format!("{name}{}", n + 1))
                 };
                 (0..number).map(draw_one).collect()
             }
--- a/crates/testbed/src/trial/environment.rs
+++ b/crates/testbed/src/trial/environment.rs
@@ -128,8 +128,8 @@
     fn start_backend(
         &self, slot: usize, service: &str, port: Option<u16>, warm: bool,
     ) -> Result<Arc<StandInBackend>, Error> {
-        let start_backend = self.started_backends.replace(self.started_backends.get() + 1);
-        let at = SocketAddr::new(self.site.backend(slot), port.unwrap_or(FIRST_PORT + start_backend));
+        let instance = self.started_backends.replace(self.started_backends.get() + 1);
+        let at = SocketAddr::new(self.site.backend(slot), port.unwrap_or(FIRST_PORT + instance));
         if port.is_none() {
             for machine in 0..ZONES.len() {
                 let way = SocketAddr::new(self.site.relay_address(machine, at.ip()), at.port());
@@ -142,7 +142,7 @@
             service: service.to_owned(),
             zone: ZONES_OF_BACKENDS[slot % ZONES_OF_BACKENDS.len()].to_owned(),
             at,
-            seed: mix(self.seed).wrapping_add(start_backend.into()),
+            seed: mix(self.seed).wrapping_add(instance.into()),
             warm,
             control: self.controls[slot].clone(),
             history: Some(self.history.clone()),
--- a/crates/testbed/src/trial/results.rs
+++ b/crates/testbed/src/trial/results.rs
@@ -35,7 +35,7 @@
 }
 
 impl Figures {
-    /// Computes the figures of a trial whose load started at `begun` on the history's clock.
+    /// Computes the figures of a trial whose load started at `load_start` on the history's clock.
     pub fn of(schedule: &Schedule, verdict: &Verdict, records: &[Record], load_start: u64) -> Self {
         let mut ends = [0.0; 3];
         let (mut requests, mut extra) = (0.0, [0.0; 2]);
--- a/crates/testbed/src/trial/schedule.rs
+++ b/crates/testbed/src/trial/schedule.rs
@@ -238,15 +238,15 @@
     /// # Errors
     /// Returns one line with the position when the schedule is invalid.
     pub fn read(name: &str, text: &str, seed: u64) -> Result<Self, ScheduleError> {
-        let place = |at: usize, what: &str| ScheduleError(fault_injection::place(name, text, at, what));
+        let error_at = |at: usize, what: &str| ScheduleError(fault_injection::place(name, text, at, what));
         let file: File = toml::from_str(text)
-            .map_err(|error| place(error.span().map_or(0, |span| span.start), error.message()))?;
+            .map_err(|error| error_at(error.span().map_or(0, |span| span.start), error.message()))?;
         let (seconds, rate) = (*file.seconds.get_ref(), *file.rate.get_ref());
         if !(1.0..=MAX_SECONDS).contains(&seconds) {
-            return Err(place(file.seconds.span().start, &format!("seconds must be 1 to {MAX_SECONDS}")));
+            return Err(error_at(file.seconds.span().start, &format!("seconds must be 1 to {MAX_SECONDS}")));
         }
         if !(1.0..=MAX_RATE).contains(&rate) {
-            return Err(place(
+            return Err(error_at(
                 file.rate.span().start,
                 &format!("rate must be 1 to {MAX_RATE} requests per second"),
             ));
@@ -254,12 +254,13 @@
         let mut faults = Vec::new();
         for row in &file.fault {
             let read = fault(row.get_ref(), seconds);
-            faults.push(read.map_err(|what| place(row.span().start, &what))?);
+            faults.push(read.map_err(|what| error_at(row.span().start, &what))?);
         }
         if !file.nemesis.is_empty() {
             for row in draw(&file.nemesis, file.shapes, seconds, seed) {
                 // Drawn faults pass the same validation as written ones.
-                faults.push(fault(&row, seconds).map_err(|what| place(0, &format!("drawn fault: {what}")))?);
+                faults
+                    .push(fault(&row, seconds).map_err(|what| error_at(0, &format!("drawn fault: {what}")))?);
             }
         }
         faults.sort_by(|a, b| a.at.total_cmp(&b.at));
--- a/crates/testbed/src/trial/several.rs
+++ b/crates/testbed/src/trial/several.rs
@@ -36,8 +36,8 @@
         let mut worth: Vec<f64> = self.figures.iter().map(|figures| figures.worth).collect();
         worth.sort_by(f64::total_cmp);
         let at = |share: f64| {
-            let place = (worth.len().saturating_sub(1) as f64 * share) as usize;
-            worth.get(place).copied().unwrap_or_default()
+            let index = (worth.len().saturating_sub(1) as f64 * share) as usize;
+            worth.get(index).copied().unwrap_or_default()
         };
         format!(
             "{} trials: rules broken {} times, {} without a verdict; worth {:.3} at the median, {:.3} at the worst\n",
@@ -66,7 +66,7 @@
     }
 }
 
-/// Runs trials, up to `side` in parallel; `tell` receives the report of each completed trial.
+/// Runs trials, up to `parallel` at the same time; `report` receives the report of each completed trial.
 ///
 /// # Errors
 /// Returns an error when a trial cannot be run; the others are cancelled.
--- a/crates/testbed/src/up.rs
+++ b/crates/testbed/src/up.rs
@@ -54,17 +54,17 @@
             return Err(TestbedError::AlreadyRunning { dir: self.dir.clone(), pid });
         }
         let mut processes = Vec::new();
-        let exit_status = tokio::select! {
+        let outcome = tokio::select! {
             built = self.build(&dir, &mut processes) => match built {
                 Ok(_backends) => {
                     let why = tokio::select! {
                         why = termination_signal() => why,
-                        fault = supervise(&dir, &mut processes) => return Err(fault),
+                        error = supervise(&dir, &mut processes) => return Err(error),
                     };
                     print(format_args!("{why}: stopping\n"));
                     Ok(())
                 }
-                Err(fault) => Err(fault),
+                Err(error) => Err(error),
             },
             why = termination_signal() => Err(TestbedError::Terminated(why)),
         };
@@ -72,11 +72,11 @@
         if !killed.is_empty() {
             print(format_args!("killed: {}\n", killed.join(", ")));
         }
-        let ids = dir.join(PROCESS_LIST);
-        if ids.exists() {
-            std::fs::remove_file(&ids).map_err(TestbedError::file(&ids))?;
+        let list_path = dir.join(PROCESS_LIST);
+        if list_path.exists() {
+            std::fs::remove_file(&list_path).map_err(TestbedError::file(&list_path))?;
         }
-        exit_status
+        outcome
     }
 
     async fn build(
@@ -110,12 +110,12 @@
             write(&configuration_file, &text)?;
         }
         let body = std::fs::read(&configuration_file).map_err(TestbedError::file(&configuration_file))?;
-        let config = config::Config::parse(&body).map_err(|fault| TestbedError::Settings {
+        let config = config::Config::parse(&body).map_err(|error| TestbedError::Settings {
             path: configuration_file.clone(),
-            wrong: fault.to_string(),
+            wrong: error.to_string(),
         })?;
-        let paths = |backends: &[crate::fleet::ProcessOptions]| -> Vec<_> {
-            backends.iter().map(|b| b.settings.clone()).collect()
+        let paths = |all_options: &[crate::fleet::ProcessOptions]| -> Vec<_> {
+            all_options.iter().map(|options| options.settings.clone()).collect()
         };
         let control_plane_files = paths(&control_planes);
         let Addresses { control, fronts, readiness } =
@@ -124,16 +124,16 @@
             processes.push(Process::start(options)?);
         }
         write_process_list(dir, processes)?;
-        let caller = Control::new(control.clone());
+        let client = Control::new(control.clone());
         let services: Vec<_> = config.services.keys().map(|label| &**label).collect();
         let backends = backends(
             &services,
             |_| IpAddr::V4(Ipv4Addr::LOCALHOST),
-            |_| caller.clone(),
+            |_| client.clone(),
             std::process::id().into(),
             None,
         )?;
-        send_configuration(&caller, &body, config.version.0, &configuration_file, progress).await?;
+        send_configuration(&client, &body, config.version.0, &configuration_file, progress).await?;
         let platform = Platform::new(fronts.clone(), readiness);
         let mut all: Vec<_> = processes.iter_mut().collect();
         wait_ready(&platform, &mut all, dir).await?;
@@ -187,8 +187,8 @@
             let Some(status) = processes[index].exit_status() else { continue };
             progress.report(format!("{} exited ({status}) and is restarted", processes[index].name()));
             sleep(RESTART_DELAY).await;
-            if let Err(fault) = processes[index].restart().and_then(|()| write_process_list(dir, processes)) {
-                return fault;
+            if let Err(error) = processes[index].restart().and_then(|()| write_process_list(dir, processes)) {
+                return error;
             }
         }
     }
@@ -249,8 +249,8 @@
 
 /// Records the ids of all processes. The testbed comes first, since it stops the others in order.
 fn write_process_list(dir: &Path, processes: &[Process]) -> Result<(), TestbedError> {
-    let me = std::process::id();
-    let own = std::iter::once(("testbed", me));
+    let own_pid = std::process::id();
+    let own = std::iter::once(("testbed", own_pid));
     let all = own.chain(processes.iter().map(|process| (process.name(), process.pid())));
     let entries: Value = all
         .filter_map(|(name, pid)| Some(json!({ "name": name, "pid": pid, "started": start_ticks(pid)? })))
@@ -294,9 +294,9 @@
             sleep(POLL_INTERVAL).await;
         }
     }
-    let ids = dir.join(PROCESS_LIST);
-    if ids.exists() {
-        std::fs::remove_file(&ids).map_err(TestbedError::file(&ids))?;
+    let list_path = dir.join(PROCESS_LIST);
+    if list_path.exists() {
+        std::fs::remove_file(&list_path).map_err(TestbedError::file(&list_path))?;
     }
     Ok(count)
 }
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -66,8 +66,8 @@
 fn assert_all_exited(children: &HashSet<(u32, String)>) {
     let until = Instant::now() + TIMEOUT;
     let is_running = |(pid, at): &&(u32, String)| proc_stat(*pid).is_some_and(|fields| fields[19] == *at);
-    while let Some(left) = children.iter().find(is_running) {
-        assert!(Instant::now() < until, "process {left:?} is still running");
+    while let Some(child_process) = children.iter().find(is_running) {
+        assert!(Instant::now() < until, "process {child_process:?} is still running");
         sleep(POLL_INTERVAL);
     }
 }
@@ -149,11 +149,11 @@
 fn fleet_can_be_stopped_and_started_again() {
     let temp_dir = tempfile::tempdir().expect("temporary folder");
     let dir = temp_dir.path().to_str().expect("UTF-8 path");
-    for turn in 0..2 {
+    for round in 0..2 {
         let (mut child, mut stdout) = start(&["up", "--dir", dir]);
         read_until(&mut stdout, "testbed down");
         let children = children(child.id());
-        assert_eq!(children.len(), 7, "{turn}: {children:?}");
+        assert_eq!(children.len(), 7, "{round}: {children:?}");
         let (mut down, _) = start(&["down", "--dir", dir]);
         assert!(wait(&mut down).success());
         assert!(wait(&mut child).success());
--- a/crates/testbed/tests/schedule.rs
+++ b/crates/testbed/tests/schedule.rs
@@ -29,10 +29,13 @@
     let text = schedule_with("at = 1.0\nfor = 2.0\nfault = \"cut\"\nfrom = \"zone:north\"\nto = \"*\"");
     let schedule = Schedule::read("t", &text, 1).expect("valid schedule");
     let Target::Links(links, _) = &schedule.faults[0].on else { panic!("{:?}", schedule.faults) };
-    let has = |from: &str, to: &str| links.iter().any(|(a, b)| a.to_string() == from && b.to_string() == to);
-    assert!(has("m1", "h2") && has("h2", "m1") && has("m1", "b2") && has("clients", "q4"));
+    let has_link =
+        |from: &str, to: &str| links.iter().any(|(a, b)| a.to_string() == from && b.to_string() == to);
+    assert!(
+        has_link("m1", "h2") && has_link("h2", "m1") && has_link("m1", "b2") && has_link("clients", "q4")
+    );
     // Machines 1 and 4 and the first and fourth backend are in this zone.
-    assert!(!has("m4", "h1") && !has("m1", "b1") && !has("m2", "h3") && !has("b2", "h2"));
+    assert!(!has_link("m4", "h1") && !has_link("m1", "b1") && !has_link("m2", "h3") && !has_link("b2", "h2"));
     assert_eq!(schedule.faults[0].machines(), [0, 1, 2, 3]);
     let one = "at = 1.0\nfault = \"mute\"\nfrom = \"m2\"\nto = \"h1\"\none-way = true";
     let schedule = Schedule::read("t", &schedule_with(one), 1).expect("valid schedule");
