--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -49,7 +49,7 @@
     Budget,
     /// A tenant exceeded its quota within 5 s.
     Quota,
-    /// Less than a quarter of the worth is earned after all faults ended.
+    /// Less than a quarter of the worth is earned after all faults, although at least a quarter was earned before.
     Recover,
     /// A process exited unexpectedly, or did not exit after SIGTERM.
     Ended,
@@ -256,7 +256,7 @@
     /// The backend that ran the attempt last.
     ran_by: Option<u32>,
     refused: bool,
-    broke: bool,
+    answer_withheld: bool,
 }
 
 /// State of the evaluation of a history.
@@ -323,7 +323,7 @@
                     runs: 0,
                     ran_by: None,
                     refused: false,
-                    broke: false,
+                    answer_withheld: false,
                 };
                 self.attempts.insert(*id, new);
             }
@@ -337,7 +337,7 @@
             Event::Arrived { id, backend, machine } => self.arrived(at, *id, *backend, *machine),
             Event::Ran { .. } => self.ran(at, event),
             Event::AnswerWithheld { id } => {
-                self.attempts.get_mut(id).into_iter().for_each(|t| t.broke = true)
+                self.attempts.get_mut(id).into_iter().for_each(|t| t.answer_withheld = true)
             }
             Event::Answered { id, status, seal, echoed, whole } => {
                 self.answered(at, *id, *status, seal.as_deref(), *echoed && *whole);
@@ -454,7 +454,7 @@
         };
         let planned = at <= sigterm_at + self.bounds.grace + 1_000_000;
         // The data plane has certainly read the whole request only if the request has reached a backend.
-        if planned && attempt.arrivals > 0 && !attempt.broke {
+        if planned && attempt.arrivals > 0 && !attempt.answer_withheld {
             if !self.violations.disruptions.only_planned(attempt.sent, at) {
                 return;
             }
--- a/crates/testbed/src/trial/page.rs
+++ b/crates/testbed/src/trial/page.rs
@@ -109,7 +109,7 @@
         };
         by_second.iter().map(point).collect()
     };
-    vec![("median".to_owned(), at(0.5)), ("one in twenty".to_owned(), at(0.95))]
+    vec![("median".to_owned(), at(0.5)), ("p95".to_owned(), at(0.95))]
 }
 
 /// Per second: retries by clients, and further arrivals of attempts that had arrived before.
--- a/crates/testbed/src/trial/results.rs
+++ b/crates/testbed/src/trial/results.rs
@@ -117,13 +117,13 @@
         let [served, refused, failed] = self.ends;
         [
             ("worth", self.worth),
-            ("worth in trouble", self.troubled.unwrap_or(self.worth)),
+            ("worth in faults", self.troubled.unwrap_or(self.worth)),
             ("served", served),
             ("refused", refused),
             ("failed", failed),
             ("p50 ms", self.took[0]),
             ("p99 ms", self.took[1]),
-            ("further arrivals", self.tries[1]),
+            ("repeated arrivals", self.tries[1]),
             ("leaderless s", self.leaderless),
         ]
     }
@@ -170,8 +170,8 @@
     let [served, refused, failed] = figures.ends.map(|share| share * 100.0);
     let troubled = figures.troubled.map_or("-".to_owned(), |share| format!("{share:.2}"));
     format!(
-        "  worth {:.3} ({troubled} in trouble), served {served:.1}%, refused {refused:.1}%, failed {failed:.1}%, \
-         p50 {:.0} ms, p99 {:.0} ms, further tries {:.3} by clients and {:.3} by us, {:.1} s without a leader",
+        "  worth {:.3} ({troubled} during faults), served {served:.1}%, refused {refused:.1}%, failed {failed:.1}%, \
+         p50 {:.0} ms, p99 {:.0} ms, retries {:.3} by clients and {:.3} by gateways, {:.1} s without a leader",
         figures.worth,
         figures.took[0],
         figures.took[1],
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -218,7 +218,7 @@
     history.read(Some(1), true);
 }
 
-fn two_winners(history: &mut HistoryBuilder) {
+fn two_changes_win(history: &mut HistoryBuilder) {
     history.change(3, 1, true, Some(true));
     history.change(4, 1, true, Some(true));
 }
@@ -301,7 +301,7 @@
     drain = { request_after_drain, Rule::Drain },
     lost_request = { request_cut_by_restart, Rule::Lost },
     lost_configuration = { acknowledged_configuration_lost, Rule::Lost },
-    config_two = { two_winners, Rule::Config },
+    config_two = { two_changes_win, Rule::Config },
     config_invalid = { invalid_change_acknowledged, Rule::Config },
     config_none = { valid_change_rejected, Rule::Config },
     config_loser = { rejected_change_in_force, Rule::Config },
