--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -129,7 +129,8 @@
     pub uses: Vec<QuotaUse>,
     /// Delays that the machine may have caused; they do not count as violations.
     pub late: Vec<String>,
-    /// Worth owed and worth earned per time bucket, by the time at which requests were due.
+    /// Worth owed and worth earned per time bucket, by the due time of requests. A request served within its goal earns 1,
+    /// one served later 0.5.
     pub worth: Vec<(f64, f64)>,
 }
 
@@ -213,7 +214,7 @@
         self.all.iter().filter(move |t| t.begin <= to && t.end.saturating_add(contact) > from)
     }
 
-    /// Whether neither `machine` (without one: no machine at all) nor a machine with a control plane was disrupted.
+    /// Whether `machine` and all machines with a control plane were undisturbed; without `machine`, all machines count.
     pub(crate) fn undisturbed(&self, machine: Option<usize>, from: u64, to: u64) -> bool {
         let affected = |m: &usize| *m < VOTERS || machine.is_none_or(|machine| machine == *m);
         !self.active_within(from, to).any(|disruption| disruption.machines.iter().any(affected))
@@ -271,7 +272,7 @@
     requested: [u64; TENANTS.len()],
     /// Send time and arrival time of each tenant's requests that ran.
     runs: [Vec<(u64, u64)>; TENANTS.len()],
-    /// Times at which an attempt arrived at a service retries, per service.
+    /// Times at which an attempt arrived at a service after its first arrival, per service.
     retries: [Vec<u64>; SERVICES.len()],
     worth: Vec<(f64, f64)>,
     late: Vec<String>,
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -65,8 +65,8 @@
         all.push((format!("a gateway: {kind}, messages per second"), traffic.messages as f64 / each));
         all.push((format!("a gateway: {kind}, bytes per second"), traffic.bytes as f64 / each));
     }
-    all.push(("lease request: p50 latency, ms".to_owned(), outcome.report.wait_ms(0.5)));
-    all.push(("lease request: p99 latency, ms".to_owned(), outcome.report.wait_ms(0.99)));
+    all.push(("lease request: p50 latency at most, ms".to_owned(), outcome.report.wait_ms(0.5)));
+    all.push(("lease request: p99 latency at most, ms".to_owned(), outcome.report.wait_ms(0.99)));
     all.push((
         "a gateway: unanswered lease requests per second".to_owned(),
         outcome.report.unanswered as f64 / each,
