--- a/crates/testbed/src/capacity/timing.rs
+++ b/crates/testbed/src/capacity/timing.rs
@@ -13,9 +13,9 @@
     /// The median.
     pub median: f64,
     /// The minimum.
-    pub min: f64,
+    pub minimum: f64,
     /// The maximum.
-    pub max: f64,
+    pub maximum: f64,
 }
 
 impl Spread {
@@ -23,12 +23,12 @@
     pub fn of(mut figures: Vec<f64>) -> Self {
         figures.sort_by(f64::total_cmp);
         let at = |index: usize| figures.get(index).copied().unwrap_or_default();
-        Self { median: at(figures.len() / 2), min: at(0), max: at(figures.len().saturating_sub(1)) }
+        Self { median: at(figures.len() / 2), minimum: at(0), maximum: at(figures.len().saturating_sub(1)) }
     }
 
     /// Difference between maximum and minimum, relative to the median.
     pub fn range(&self) -> f64 {
-        (self.max - self.min) / self.median.max(f64::MIN_POSITIVE)
+        (self.maximum - self.minimum) / self.median.max(f64::MIN_POSITIVE)
     }
 }
 
--- a/crates/testbed/src/trial/parties.rs
+++ b/crates/testbed/src/trial/parties.rs
@@ -69,7 +69,7 @@
         let mut parties = Vec::new();
         for name in text.split(',').map(str::trim) {
             let number = |prefix| name.strip_prefix(prefix)?.parse::<usize>().ok()?.checked_sub(1);
-            let matches = |party: &Self| match (name, *party) {
+            let selected = |party: &Self| match (name, *party) {
                 ("*", _) => true,
                 ("clients", party) => party == Self::Clients,
                 ("operator", party) => party == Self::Operator,
@@ -82,7 +82,7 @@
                 (_, party) => name.strip_prefix("zone:").is_some_and(|zone| party.zone() == Some(zone)),
             };
             let count_before = parties.len();
-            parties.extend(Self::all().into_iter().filter(matches));
+            parties.extend(Self::all().into_iter().filter(selected));
             if parties.len() == count_before {
                 return None;
             }
--- a/crates/testbed/src/windows.rs
+++ b/crates/testbed/src/windows.rs
@@ -12,13 +12,13 @@
 /// Maximum number of requests both sent and run within one window, from pairs `(sent, arrived)` in any order.
 pub fn max_sent_and_run_within(pairs: &mut [(u64, u64)], window: u64) -> u64 {
     pairs.sort_unstable();
-    let mut max = 0;
+    let mut maximum = 0;
     for (first, (begin, _)) in pairs.iter().enumerate() {
         let until = begin + window;
         let sent = pairs[first..].iter().take_while(|(sent, _)| *sent < until);
-        max = max.max(sent.filter(|(_, arrived)| *arrived < until).count());
+        maximum = maximum.max(sent.filter(|(_, arrived)| *arrived < until).count());
     }
-    max as u64
+    maximum as u64
 }
 
 /// Maximum number of runs that the quota check allows in one window.
@@ -29,26 +29,26 @@
 /// Maximum number of the sorted times that lie within one window.
 pub fn max_within(times: &[u64], window: u64) -> u64 {
     let mut begin = 0;
-    let mut max = 0;
+    let mut maximum = 0;
     for (end, time) in times.iter().enumerate() {
         while *time - times[begin] >= window {
             begin += 1;
         }
-        max = max.max(end - begin + 1);
+        maximum = maximum.max(end - begin + 1);
     }
-    max as u64
+    maximum as u64
 }
 
 /// Largest excess over `rate * length + burst` of any span of the sorted times; negative if no span exceeds the bound.
 pub fn excess(times: &[u64], rate: f64, burst: f64) -> f64 {
     let Some(first) = times.first() else { return -burst };
-    let mut min = f64::INFINITY;
+    let mut minimum = f64::INFINITY;
     let mut worst = f64::NEG_INFINITY;
     for (index, time) in times.iter().enumerate() {
         // A span from i to j holds j - i + 1 times, so each end contributes one independent figure.
         let figure = index as f64 - rate * (*time - *first) as f64 / 1e6;
-        min = min.min(figure);
-        worst = worst.max(figure - min + 1.0 - burst);
+        minimum = minimum.min(figure);
+        worst = worst.max(figure - minimum + 1.0 - burst);
     }
     worst
 }
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -31,7 +31,7 @@
 
 #[test]
 fn spread_has_median_minimum_and_maximum() {
-    assert_eq!(Spread::of(vec![3.0, 1.0, 2.0]), Spread { median: 2.0, min: 1.0, max: 3.0 });
+    assert_eq!(Spread::of(vec![3.0, 1.0, 2.0]), Spread { median: 2.0, minimum: 1.0, maximum: 3.0 });
     assert_eq!(Spread::of(Vec::new()).median, 0.0);
 }
 
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -19,7 +19,7 @@
     fn new() -> Self {
         let mut history = Self::default();
         for (backend, service) in [(1, "customs"), (2, "chandler")] {
-            history.push(Event::BackendStarted {
+            history.add_event(Event::BackendStarted {
                 backend,
                 id: format!("i-{backend}"),
                 service: service.into(),
@@ -29,7 +29,7 @@
         history
     }
 
-    fn push(&mut self, event: Event) {
+    fn add_event(&mut self, event: Event) {
         self.now += 1000;
         self.lines.push(Record { at: self.now, event });
     }
@@ -40,23 +40,23 @@
 
     /// Sends an effectful request of the third tenant for `customs`.
     fn sent(&mut self, id: u64) {
-        self.push(Event::Sent { id, kind: Some(3), tenant: Some(2), pure: false });
-        self.push(Event::Connected { id, machine: 3 });
+        self.add_event(Event::Sent { id, kind: Some(3), tenant: Some(2), pure: false });
+        self.add_event(Event::Connected { id, machine: 3 });
     }
 
     fn arrived(&mut self, id: u64, backend: u32) {
-        self.push(Event::Arrived { id: Some(id), backend, machine: Some(3) });
+        self.add_event(Event::Arrived { id: Some(id), backend, machine: Some(3) });
     }
 
     fn ran(&mut self, id: u64, backend: u32) {
         self.arrived(id, backend);
         let (tenant, arrived) = (Some("cutter".into()), self.now);
-        self.push(Event::Ran { id: Some(id), backend, arrived, tenant, key: false, unchanged: true });
+        self.add_event(Event::Ran { id: Some(id), backend, arrived, tenant, key: false, unchanged: true });
     }
 
     fn answered(&mut self, id: u64, status: u16, by: &str) {
         let seal = (status == 200).then(|| seal(by, id));
-        self.push(Event::Answered { id, status, seal, echoed: true, whole: true });
+        self.add_event(Event::Answered { id, status, seal, echoed: true, whole: true });
     }
 
     fn served(&mut self, id: u64) {
@@ -67,31 +67,31 @@
 
     fn done(&mut self, end: End) {
         let due = self.now;
-        self.push(Event::Done { kind: 3, owed: true, due, end, tries: 1 });
+        self.add_event(Event::Done { kind: 3, owed: true, due, end, tries: 1 });
     }
 
     fn process(&mut self, machine: usize, data_plane: bool, process_event: ProcessEvent) {
-        self.push(Event::Process { machine, data_plane, process_event });
+        self.add_event(Event::Process { machine, data_plane, process_event });
     }
 
     /// Sends a change that is acknowledged (`Some(true)`), rejected (`Some(false)`) or not answered (`None`).
     fn change(&mut self, version: u64, base: u64, valid: bool, acknowledged: Option<bool>) {
-        self.push(Event::ChangeSent { version, base, valid, routes: vec![version] });
+        self.add_event(Event::ChangeSent { version, base, valid, routes: vec![version] });
         match acknowledged {
-            Some(true) => self.push(Event::Acked { version }),
-            Some(false) => self.push(Event::ChangeRejected { version, status: 412 }),
+            Some(true) => self.add_event(Event::Acked { version }),
+            Some(false) => self.add_event(Event::ChangeRejected { version, status: 412 }),
             None => {}
         }
     }
 
     fn probed(&mut self, version: u64, status: u16) {
         let sent = self.now;
-        self.push(Event::Probed { version, machine: 3, sent, status });
+        self.add_event(Event::Probed { version, machine: 3, sent, status });
     }
 
     fn read(&mut self, version: Option<u64>, same: bool) {
         for machine in 0..3 {
-            self.push(Event::Read { machine, version, same });
+            self.add_event(Event::Read { machine, version, same });
         }
     }
 
@@ -112,14 +112,14 @@
     // A request is refused and never runs. A pure request runs at two backends, and the first answer arrives.
     history.sent(100);
     history.answered(100, 503, "");
-    history.push(Event::Sent { id: 101, kind: Some(2), tenant: Some(2), pure: true });
+    history.add_event(Event::Sent { id: 101, kind: Some(2), tenant: Some(2), pure: true });
     history.ran(101, 1);
     history.ran(101, 2);
     history.answered(101, 200, "i-1");
     // A backend is drained, and a request arrives just before the drain deadline.
-    history.push(Event::Drained { backend: 2 });
+    history.add_event(Event::Drained { backend: 2 });
     history.wait(TIME_BOUNDS.drain - 10_000);
-    history.push(Event::Sent { id: 102, kind: Some(0), tenant: None, pure: true });
+    history.add_event(Event::Sent { id: 102, kind: Some(0), tenant: None, pure: true });
     history.arrived(102, 2);
     // A race with one winner, a rejected invalid change, and a change without a definite answer.
     history.change(3, 1, true, Some(true));
@@ -164,7 +164,7 @@
     history.sent(9);
     history.ran(9, 1);
     let seal = Some(seal("i-1", 9));
-    history.push(Event::Answered { id: 9, status: 200, seal, echoed: true, whole: false });
+    history.add_event(Event::Answered { id: 9, status: 200, seal, echoed: true, whole: false });
 }
 
 fn unknown_id(history: &mut HistoryBuilder) {
@@ -174,19 +174,19 @@
 fn other_tenant(history: &mut HistoryBuilder) {
     history.sent(9);
     let (tenant, arrived) = (Some("albatross".into()), history.now);
-    history.push(Event::Ran { id: Some(9), backend: 1, arrived, tenant, key: false, unchanged: true });
+    history.add_event(Event::Ran { id: Some(9), backend: 1, arrived, tenant, key: false, unchanged: true });
 }
 
 fn key_forwarded(history: &mut HistoryBuilder) {
     history.sent(9);
     let (tenant, arrived) = (Some("cutter".into()), history.now);
-    history.push(Event::Ran { id: Some(9), backend: 1, arrived, tenant, key: true, unchanged: true });
+    history.add_event(Event::Ran { id: Some(9), backend: 1, arrived, tenant, key: true, unchanged: true });
 }
 
 fn request_altered(history: &mut HistoryBuilder) {
     history.sent(9);
     let (tenant, arrived) = (Some("cutter".into()), history.now);
-    history.push(Event::Ran { id: Some(9), backend: 1, arrived, tenant, key: false, unchanged: false });
+    history.add_event(Event::Ran { id: Some(9), backend: 1, arrived, tenant, key: false, unchanged: false });
 }
 
 fn runs_at_another_service(history: &mut HistoryBuilder) {
@@ -201,7 +201,7 @@
 }
 
 fn request_after_drain(history: &mut HistoryBuilder) {
-    history.push(Event::Drained { backend: 1 });
+    history.add_event(Event::Drained { backend: 1 });
     history.wait(TIME_BOUNDS.drain + SECOND / 5);
     history.served(9);
 }
@@ -210,7 +210,7 @@
     history.sent(9);
     history.arrived(9, 1);
     history.process(3, true, ProcessEvent::Told);
-    history.push(Event::Cut { id: 9 });
+    history.add_event(Event::Cut { id: 9 });
 }
 
 fn acknowledged_configuration_lost(history: &mut HistoryBuilder) {
@@ -245,19 +245,19 @@
 }
 
 fn read_back_altered(history: &mut HistoryBuilder) {
-    history.push(Event::Read { machine: 0, version: Some(1), same: false });
+    history.add_event(Event::Read { machine: 0, version: Some(1), same: false });
 }
 
 fn read_back_by_some_only(history: &mut HistoryBuilder) {
     history.change(3, 1, true, Some(true));
     for (machine, version) in [(0, Some(3)), (1, None), (2, Some(3))] {
-        history.push(Event::Read { machine, version, same: true });
+        history.add_event(Event::Read { machine, version, same: true });
     }
 }
 
 fn too_many_retries(history: &mut HistoryBuilder) {
     for id in 0..70 {
-        history.push(Event::Sent { id, kind: Some(2), tenant: None, pure: true });
+        history.add_event(Event::Sent { id, kind: Some(2), tenant: None, pure: true });
         history.arrived(id, 1);
         history.arrived(id, 1);
         history.arrived(id, 1);
@@ -332,11 +332,11 @@
     for core in [false, true] {
         let mut history = HistoryBuilder::new();
         let machine = if core { 0 } else { 3 };
-        history.push(Event::FaultBegan { fault: 0, text: "cut".into(), machines: vec![machine] });
+        history.add_event(Event::FaultBegan { fault: 0, text: "cut".into(), machines: vec![machine] });
         plant(&mut history);
         assert_eq!(history.evaluate().total(), 0, "{:?}", history.evaluate().violations);
         // After the fault has ended and the contact time has passed, the same events are a violation.
-        history.push(Event::FaultEnded { fault: 0 });
+        history.add_event(Event::FaultEnded { fault: 0 });
         history.wait(TIME_BOUNDS.contact);
         let mut second = HistoryBuilder { lines: Vec::new(), now: history.now };
         plant(&mut second);
@@ -350,7 +350,7 @@
 #[test]
 fn violations_name_the_active_faults() {
     let mut history = HistoryBuilder::new();
-    history.push(Event::FaultBegan { fault: 0, text: "cut m4-m1".into(), machines: vec![3] });
+    history.add_event(Event::FaultBegan { fault: 0, text: "cut m4-m1".into(), machines: vec![3] });
     effectful_request_runs_twice(&mut history);
     assert_eq!(history.evaluate().violations[0].faults, ["cut m4-m1"]);
 }
