--- a/.ci/packages_test.py
+++ b/.ci/packages_test.py
@@ -1,4 +1,4 @@
-"""What .ci/packages finds."""
+"""Tests of .ci/packages."""
 
 import importlib.machinery
 import importlib.util
@@ -14,23 +14,23 @@
 
 
 class Packages(unittest.TestCase):
-    def test_a_package_that_is_not_listed_is_named_with_what_it_brings(self):
+    def test_an_unlisted_package_is_reported_with_a_file_that_it_provides(self):
         needed = {"gcc": "/usr/bin/cc", "bash": "/bin/bash", "cmake": "/usr/bin/cmake"}
-        found = ci_packages.missing(needed, ["gcc"], essential=lambda package: package == "bash")
-        self.assertEqual(found, ["cmake is not listed under `packages`, and brings /usr/bin/cmake"])
-
-    def test_programs_belong_to_packages_also_through_links(self):
-        self.assertEqual(ci_packages.owner("/usr/bin/cc"), "gcc")
-        self.assertEqual(ci_packages.owner("/usr/bin/ld"), "binutils")
-        with self.assertRaises(ci_packages.Unmapped):
-            ci_packages.owner("/nowhere/at/all")
-
-    def test_what_a_build_starts_is_recorded(self):
-        with tempfile.TemporaryDirectory() as place:
-            _, programs = ci_packages.clean_build("as --version >/dev/null", Path(place))
+        found = ci_packages.missing_packages(needed, ["gcc"], essential=lambda package: package == "bash")
+        self.assertEqual(found, ["cmake provides /usr/bin/cmake but is not listed under `packages`"])
+
+    def test_the_owning_package_is_found_through_symbolic_links(self):
+        self.assertEqual(ci_packages.owning_package("/usr/bin/cc"), "gcc")
+        self.assertEqual(ci_packages.owning_package("/usr/bin/ld"), "binutils")
+        with self.assertRaises(ci_packages.UnownedFile):
+            ci_packages.owning_package("/nowhere/at/all")
+
+    def test_programs_that_a_build_starts_are_recorded(self):
+        with tempfile.TemporaryDirectory() as scratch_dir:
+            _, programs = ci_packages.clean_build("as --version >/dev/null", Path(scratch_dir))
         self.assertEqual(programs, {"/usr/bin/as"})
 
-    def test_the_libraries_of_a_program_are_found(self):
+    def test_shared_libraries_of_a_program_are_found(self):
         self.assertTrue(any("libc.so" in path for path in ci_packages.libraries(Path("/bin/sh"))))
 
 
--- a/.ci/tests_test.py
+++ b/.ci/tests_test.py
@@ -1,4 +1,4 @@
-"""What .ci/tests passes over and what it does not."""
+"""Tests of .ci/tests: which failures the script tolerates and which fail the run."""
 
 import contextlib
 import importlib.machinery
@@ -34,46 +34,46 @@
 """.splitlines()
 
 
-class Tests(unittest.TestCase):
-    def test_failures_are_found_by_result_and_by_list(self):
+class KnownRedList(unittest.TestCase):
+    def test_failed_tests_are_read_from_result_lines_and_failure_lists(self):
         self.assertEqual(ci_tests.failed_tests(OUTPUT), {"b::fails", "c::prints"})
 
-    def test_only_listed_tests_are_passed_over(self):
-        listed = ci_tests.known_red("# a comment\n\nb::fails | cargo test b, seed 3 | the disk is slow, it timed out | issue 7\n")
+    def test_only_failures_of_listed_tests_are_tolerated(self):
+        listed = ci_tests.parse_known_red("# a comment\n\nb::fails | cargo test b, seed 3 | slow disk | issue 7\n")
         failed = ci_tests.failed_tests(OUTPUT)
-        self.assertEqual(ci_tests.verdict(101, failed, listed), ["c::prints failed"])
-        self.assertEqual(ci_tests.verdict(101, {"b::fails"}, listed), [])
+        self.assertEqual(ci_tests.failure_reasons(101, failed, listed), ["c::prints failed"])
+        self.assertEqual(ci_tests.failure_reasons(101, {"b::fails"}, listed), [])
 
     def test_a_listed_test_that_passes_fails_the_run(self):
-        listed = ci_tests.known_red("b::fails | command | seen | issue")
-        self.assertEqual(len(ci_tests.verdict(0, set(), listed)), 1)
+        listed = ci_tests.parse_known_red("b::fails | command | seen | issue")
+        self.assertEqual(len(ci_tests.failure_reasons(0, set(), listed)), 1)
 
-    def test_a_command_that_ends_badly_without_a_failed_test_fails_the_run(self):
-        self.assertEqual(len(ci_tests.verdict(101, set(), [])), 1)
-        self.assertEqual(ci_tests.verdict(0, set(), []), [])
+    def test_a_non_zero_exit_status_without_a_failed_test_fails_the_run(self):
+        self.assertEqual(len(ci_tests.failure_reasons(101, set(), [])), 1)
+        self.assertEqual(ci_tests.failure_reasons(0, set(), []), [])
 
     def test_entries_have_four_parts_in_order(self):
-        listed = ci_tests.known_red("b::fails | cargo test b, seed 3 | the disk is slow, it timed out | issue 7\n")
-        expected = ci_tests.KnownRed("b::fails", "cargo test b, seed 3", "the disk is slow, it timed out", "issue 7")
+        listed = ci_tests.parse_known_red("b::fails | cargo test b, seed 3 | timed out, slow disk | issue 7\n")
+        expected = ci_tests.KnownRed("b::fails", "cargo test b, seed 3", "timed out, slow disk", "issue 7")
         self.assertEqual(listed, [expected])
         self.assertEqual((listed[0].test, listed[0].command), ("b::fails", "cargo test b, seed 3"))
-        self.assertEqual((listed[0].seen, listed[0].issue), ("the disk is slow, it timed out", "issue 7"))
+        self.assertEqual((listed[0].seen, listed[0].issue), ("timed out, slow disk", "issue 7"))
 
     def test_unreadable_entries_are_rejected(self):
         unreadable = ["a", "a, b, c", "a, b, c, d", "a | b", "a | b | c", "a | b | c | d | e"]
         unreadable += ["a | | c | d", "| b | c | d", "a | b | c |", "a || c | d"]
         for text in unreadable:
             for lines in (text, f"z | b | c | d\n{text}\n"):
-                with self.subTest(lines), self.assertRaisesRegex(ci_tests.Unreadable, "is not"):
-                    ci_tests.known_red(lines)
+                with self.subTest(lines), self.assertRaisesRegex(ci_tests.InvalidKnownRed, "is not"):
+                    ci_tests.parse_known_red(lines)
 
     def test_at_most_three_tests_are_listed(self):
-        self.assertEqual(len(ci_tests.known_red("a | b | c | d\n" * 3)), 3)
-        with self.assertRaisesRegex(ci_tests.Unreadable, "3 at most"):
-            ci_tests.known_red("a | b | c | d\n" * 4)
+        self.assertEqual(len(ci_tests.parse_known_red("a | b | c | d\n" * 3)), 3)
+        with self.assertRaisesRegex(ci_tests.InvalidKnownRed, "the limit is 3"):
+            ci_tests.parse_known_red("a | b | c | d\n" * 4)
 
 
-class Runs(unittest.TestCase):
+class CompleteRun(unittest.TestCase):
     """The whole script, with a shell command in place of cargo."""
 
     def run_with(self, listed: str | None, output: list[str], status: int) -> tuple[int, str]:
@@ -83,18 +83,18 @@
                 known_red.write_text(listed)
             command = ["sh", "-c", f"cat <<'END'\n{chr(10).join(output)}\nEND\nexit {status}"]
             with (
-                mock.patch.object(ci_tests, "KNOWN_RED", known_red),
+                mock.patch.object(ci_tests, "KNOWN_RED_FILE", known_red),
                 mock.patch.object(sys, "argv", ["tests", *command]),
                 contextlib.redirect_stdout(io.StringIO()) as printed,
             ):
                 return ci_tests.main(), printed.getvalue()
 
     def test_each_listed_failure_is_printed_and_passes(self):
-        listed = "b::fails | cargo test b, seed 3 | it timed out | issue 7\nc::prints | cargo test c | it hung | issue 8\n"
+        listed = "b::fails | cargo test b, seed 3 | timed out | issue 7\nc::prints | cargo test c | hung | issue 8\n"
         status, printed = self.run_with(listed, OUTPUT, 101)
         self.assertEqual(status, 0)
-        self.assertIn("known red: b::fails: it timed out (issue 7); run: cargo test b, seed 3\n", printed)
-        self.assertIn("known red: c::prints: it hung (issue 8); run: cargo test c\n", printed)
+        self.assertIn("known red: b::fails: timed out (issue 7); run: cargo test b, seed 3\n", printed)
+        self.assertIn("known red: c::prints: hung (issue 8); run: cargo test c\n", printed)
 
     def test_an_unlisted_failure_fails_the_run(self):
         self.assertEqual(self.run_with(None, OUTPUT, 101)[0], 1)
