--- a/deploy/days/play_test.py
+++ b/deploy/days/play_test.py
@@ -7,20 +7,20 @@
 import unittest
 from pathlib import Path
 
-FOLDER = Path(__file__).resolve().parent
+DAYS_DIRECTORY = Path(__file__).resolve().parent
 
 
-def loaded_play():
-    """The script as a module; its name has no ending, so that the import system needs to be told."""
+def load_play():
+    """Loads the script as a module; the explicit loader is needed because its file name has no `.py` suffix."""
     sys.dont_write_bytecode = True
-    loader = importlib.machinery.SourceFileLoader("play", str(FOLDER / "play"))
+    loader = importlib.machinery.SourceFileLoader("play", str(DAYS_DIRECTORY / "play"))
     module = importlib.util.module_from_spec(importlib.util.spec_from_loader("play", loader))
     sys.modules["play"] = module
     loader.exec_module(module)
     return module
 
 
-play = loaded_play()
+play = load_play()
 
 
 def day_text(kinds: list[str], closing: str) -> str:
@@ -29,12 +29,12 @@
 
 
 class Coverage(unittest.TestCase):
-    """The check finds what the days lack."""
+    """The check reports kinds, closing faults and descriptions that are missing."""
 
     def setUp(self):
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.root = Path(folder.name)
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.root = Path(directory.name)
 
     def write(self, name: str, kinds: list[str], closing: str) -> None:
         file = self.root / name
@@ -42,70 +42,71 @@
         file.write_text(day_text(kinds, closing))
 
     def write_all_closings(self) -> None:
-        for closing in play.CLOSINGS:
+        for closing in play.CLOSING_FAULTS:
             self.write(f"every/{closing}.toml", ["hup", "hup"], closing)
 
-    def test_a_kind_that_comes_twice_on_one_day_is_covered(self):
+    def test_a_kind_that_occurs_twice_on_one_day_is_covered(self):
         self.write_all_closings()
-        self.assertEqual(play.faults_of_coverage(self.root, {"here": ["hup"]}), [])
+        self.assertEqual(play.coverage_gaps(self.root, {"here": ["hup"]}), [])
 
-    def test_a_kind_that_comes_once_on_two_days_is_missed(self):
+    def test_a_kind_that_occurs_once_on_each_of_two_days_is_reported(self):
         self.write_all_closings()
         self.write("every/first.toml", ["core_cut"], "kill_all")
         self.write("every/second.toml", ["core_cut"], "kill_all")
-        missing = play.faults_of_coverage(self.root, {"here": ["hup", "core_cut"]})
-        self.assertEqual(missing, ["here: no day brings core_cut 2 times"])
+        missing = play.coverage_gaps(self.root, {"here": ["hup", "core_cut"]})
+        self.assertEqual(missing, ["here: no day contains core_cut at least 2 times"])
 
     def test_days_of_another_deployment_do_not_count(self):
         self.write_all_closings()
         self.write("small/there/own.toml", ["core_cut", "core_cut"], "kill_all")
-        missing = play.faults_of_coverage(self.root, {"there": ["core_cut"], "here": ["core_cut"], "there-grown": ["core_cut"]})
+        listed = {name: ["core_cut"] for name in ("there", "here", "there-grown")}
+        missing = play.coverage_gaps(self.root, listed)
         self.assertEqual(len(missing), 2)
         self.assertFalse(any(line.startswith("there:") for line in missing))
 
-    def test_a_closing_fault_that_no_day_ends_with_is_missed(self):
+    def test_a_closing_fault_that_no_day_ends_with_is_reported(self):
         self.write("every/first.toml", ["hup", "hup"], "kill_all")
-        missing = play.faults_of_coverage(self.root, {"here": ["hup"]})
+        missing = play.coverage_gaps(self.root, {"here": ["hup"]})
         self.assertEqual(missing, ["here: no day ends with power_off_all", "here: no day ends with wipe_after_ack"])
 
-    def test_a_day_that_the_readme_does_not_name_is_missed(self):
+    def test_a_day_that_the_readme_does_not_describe_is_reported(self):
         self.write("every/first.toml", ["hup"], "kill_all")
-        self.assertEqual(play.undescribed(self.root, "`second`"), ["README.md does not say what first is for"])
-        self.assertEqual(play.undescribed(self.root, "`first`"), [])
+        self.assertEqual(play.undocumented_days(self.root, "`second`"), ["README.md does not describe the day first"])
+        self.assertEqual(play.undocumented_days(self.root, "`first`"), [])
 
 
 class Outcomes(unittest.TestCase):
-    """What a journal's entry tells is read as it stands there."""
+    """Outcomes are read from journal entries and fail unless the day passed every check."""
 
     def day(self, **changed) -> dict:
         return {"seed": 1, "G": 0.8, "served": 0.9, "rules": {}, "fault": None, "short": [], "gate": True} | changed
 
     def read(self, **changed):
-        return play.outcome("d", {"id": "0a", "days": [self.day(**changed)]}, [], "-")
+        return play.parse_outcome("d", {"id": "0a", "days": [self.day(**changed)]}, [], "-")
 
     def test_a_clean_day_passes(self):
         self.assertTrue(self.read().passed())
 
-    def test_a_broken_rule_fails_the_day_and_is_shown(self):
-        broken = self.read(rules={"TWICE": 2}, gate=False)
-        self.assertFalse(broken.passed())
-        self.assertIn("TWICE", broken.line())
+    def test_a_broken_rule_fails_the_day_and_is_printed(self):
+        outcome = self.read(rules={"TWICE": 2}, gate=False)
+        self.assertFalse(outcome.passed())
+        self.assertIn("TWICE", outcome.summary())
 
     def test_a_missed_gate_or_a_fault_fails_the_day(self):
         self.assertFalse(self.read(gate=False).passed())
         self.assertFalse(self.read(fault="no program").passed())
 
-    def test_no_result_is_no_pass(self):
-        self.assertFalse(play.outcome("d", None, [], "-").passed())
-        self.assertFalse(play.outcome("d", {"id": "0a", "days": []}, [], "-").passed())
+    def test_a_day_without_a_result_does_not_pass(self):
+        self.assertFalse(play.parse_outcome("d", None, [], "-").passed())
+        self.assertFalse(play.parse_outcome("d", {"id": "0a", "days": []}, [], "-").passed())
 
-    def test_an_entry_that_the_bench_left_out_is_named(self):
+    def test_an_event_that_the_bench_skipped_is_printed(self):
         day = {"plan": [{"kind": "hup"}], "faults": [{"kind": "core_cut"}, {"kind": "core_cut"}]}
         events = [{"kind": "hup "}, {"kind": "core_cut (leader)"}, {"kind": "scale_in"}]
-        self.assertEqual(play.not_played(day, events), ["core_cut 1"])
-        shown = play.outcome("d", {"id": "0a", "days": [self.day()]}, ["core_cut 1"], "-")
-        self.assertTrue(shown.passed())
-        self.assertIn("not played: core_cut 1", shown.line())
+        self.assertEqual(play.skipped_kinds(day, events), ["core_cut 1"])
+        outcome = play.parse_outcome("d", {"id": "0a", "days": [self.day()]}, ["core_cut 1"], "-")
+        self.assertTrue(outcome.passed())
+        self.assertIn("not played: core_cut 1", outcome.summary())
 
 
 if __name__ == "__main__":
