--- a/crates/reachlb/src/main.rs
+++ b/crates/reachlb/src/main.rs
@@ -1,18 +1,18 @@
-//! `reachlb`: one binary, a program for each plane.
+//! `reachlb`: one binary with the programs of both planes and the operators' commands.
 
 #![forbid(unsafe_code)]
 
 use gumdrop::Options;
-use reachlb::{Program, Switches, UNUSABLE, check, operate, serve};
+use reachlb::{EXIT_INVALID_INPUT, Overrides, Program, check, operator, serve};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// reachlb: an API gateway that needs nobody else's services.
+/// reachlb: an API gateway without external dependencies.
 #[derive(Debug, Options)]
 struct Arguments {
     /// print this help
     help: bool,
-    /// the settings file; without it, the one that REACHLB_BOOT names
+    /// settings file (default: the file that REACHLB_BOOT names)
     #[options(meta = "FILE")]
     settings: Option<PathBuf>,
     #[options(command)]
@@ -21,22 +21,22 @@
 
 #[derive(Debug, Options)]
 enum Command {
-    /// carry requests from clients to backends
+    /// run a data plane: proxy requests from clients to backends
     DataPlane(Plane),
-    /// serve control: backends' beats, the operator's calls, the log, the counts
+    /// run a control plane: backend heartbeats, operator calls, replicated log, quotas
     ControlPlane(Plane),
-    /// check a settings file (TOML) or a configuration (JSON), every fault on a line of its own
+    /// check a settings file (TOML) or a configuration (JSON) and print each error on a line
     Check(Check),
-    /// how a fleet stands, as one of its processes knows it
-    Status(operate::Status),
-    /// the configuration: in force, former ones, what changed, another one
-    Config(operate::ConfigCalls),
-    /// what became of a node, a backend, a version (r12) or a request, and why
-    Explain(operate::Explain),
-    /// what lies in the data folder of a process that does not run
-    State(operate::StateCalls),
-    /// the list of voters, changed by hand
-    Voter(operate::VoterCalls),
+    /// show the state of the fleet as one of its control planes knows it
+    Status(operator::Status),
+    /// show, compare or replace the configuration
+    Config(operator::ConfigCommand),
+    /// show what happened to a node, a backend, a configuration version (r12) or a request, and why
+    Explain(operator::Explain),
+    /// inspect the data directory of a stopped process
+    State(operator::StateCommand),
+    /// change the voter list by hand
+    Voter(operator::VoterCommand),
 }
 
 #[derive(Debug, Options)]
@@ -51,7 +51,7 @@
 struct Plane {
     /// print this help
     help: bool,
-    /// watch a few other processes, and be watched by them
+    /// take part in the failure detector: probe a few other processes and answer their probes
     watching: bool,
 }
 
@@ -59,18 +59,18 @@
     let arguments = Arguments::parse_args_default_or_exit();
     let Some(command) = arguments.command else {
         eprintln!("no command\n\n{}", Arguments::usage());
-        return ExitCode::from(UNUSABLE);
+        return ExitCode::from(EXIT_INVALID_INPUT);
     };
     let (program, plane) = match command {
         Command::Check(Check { file, .. }) => return check::run(&file),
-        Command::Status(call) => return operate::run(operate::status(call)),
-        Command::Config(call) => return operate::run(operate::config(call)),
-        Command::Explain(call) => return operate::run(operate::explain(call)),
-        Command::State(call) => return operate::told(operate::state(call)),
-        Command::Voter(call) => return operate::run(operate::voter(call)),
+        Command::Status(call) => return operator::run(operator::status(call)),
+        Command::Config(call) => return operator::run(operator::config(call)),
+        Command::Explain(call) => return operator::run(operator::explain(call)),
+        Command::State(call) => return operator::print_result(operator::state(call)),
+        Command::Voter(call) => return operator::run(operator::voter(call)),
         Command::DataPlane(plane) => (Program::DataPlane, plane),
         Command::ControlPlane(plane) => (Program::ControlPlane, plane),
     };
     let Plane { watching, .. } = plane;
-    serve(program, arguments.settings, Switches { watching })
+    serve(program, arguments.settings, Overrides { watching })
 }
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,7 +1,7 @@
-//! The processes. Every one that is started here is ended here: when its owner goes, when the program panics
-//! ([`fault_injection::running`]), and, by the system itself, when this program is killed.
+//! Child processes. Each one is ended when its owner is dropped, when the testbed panics
+//! ([`fault_injection::running`]), and by the kernel when the testbed is killed.
 
-use crate::fault::Fault;
+use crate::error::TestbedError;
 use fault_injection::running::{self, signal};
 use rustix::process::Signal;
 use std::fs::OpenOptions;
@@ -11,58 +11,58 @@
 use tokio::process::{Child, Command};
 use tokio::time::timeout;
 
-/// Time from SIGTERM to SIGKILL: what the settings say, and a little more for a busy machine.
+/// Time from SIGTERM to SIGKILL: the processes' own grace period of 6 s, plus a margin for a busy machine.
 pub const GRACE: Duration = Duration::from_secs(8);
 
-/// What starts a process: the program that has both planes, and where it finds its settings and writes its log.
+/// How to start a process: its program, settings file and log file.
 #[derive(Clone, Debug)]
-pub struct Backend {
-    /// Its name.
+pub struct ProcessOptions {
+    /// Name of the process.
     pub name: String,
-    /// The program, and its arguments.
+    /// The program, which contains both planes.
     pub program: PathBuf,
-    /// Its arguments.
+    /// Command-line arguments.
     pub arguments: Vec<String>,
-    /// Its settings file.
+    /// Settings file of the process.
     pub settings: PathBuf,
-    /// What it writes.
+    /// Log file of the process.
     pub log: PathBuf,
 }
 
-/// A process at its backend, or the empty backend.
+/// A process that is running or stopped, with its start options.
 pub struct Process {
-    backend: Backend,
+    options: ProcessOptions,
     child: Option<Child>,
     pid: u32,
-    spent: Duration,
+    cpu_time: Duration,
 }
 
 impl Process {
-    /// Starts it. It has to be called on the main thread, whose end the child follows.
+    /// Starts a process. Must be called on the main thread, since the child is killed when the starting thread exits.
     ///
     /// # Errors
-    /// When it cannot be started.
-    pub fn start(backend: Backend) -> Result<Self, Fault> {
-        let mut process = Self { backend, child: None, pid: 0, spent: Duration::ZERO };
+    /// Returns an error when the process cannot be started.
+    pub fn start(options: ProcessOptions) -> Result<Self, TestbedError> {
+        let mut process = Self { options, child: None, pid: 0, cpu_time: Duration::ZERO };
         process.restart()?;
         Ok(process)
     }
 
-    /// Starts it again at the same backend, with the settings in effect now.
+    /// Starts the process again with its current settings file.
     ///
     /// # Errors
-    /// When it cannot be started.
-    pub fn restart(&mut self) -> Result<(), Fault> {
-        let log = OpenOptions::new().create(true).append(true).open(&self.backend.log);
-        let log = log.map_err(Fault::file(&self.backend.log))?;
-        let failed = |error| Fault::Start { name: self.backend.name.clone(), error };
-        let child = Command::new(&self.backend.program)
-            .args(&self.backend.arguments)
-            .env(reachlb::SETTINGS, &self.backend.settings)
+    /// Returns an error when the process cannot be started.
+    pub fn restart(&mut self) -> Result<(), TestbedError> {
+        let log = OpenOptions::new().create(true).append(true).open(&self.options.log);
+        let log = log.map_err(TestbedError::file(&self.options.log))?;
+        let failed = |error| TestbedError::Start { name: self.options.name.clone(), error };
+        let child = Command::new(&self.options.program)
+            .args(&self.options.arguments)
+            .env(reachlb::SETTINGS_VARIABLE, &self.options.settings)
             .stdin(Stdio::null())
             .stdout(log.try_clone().map_err(failed)?)
             .stderr(log)
-            // A Ctrl-C is for us alone: we end them in order.
+            // Own process group, so that Ctrl-C reaches only the testbed, which then stops its children in order.
             .process_group(0)
             .kill_on_drop(true)
             .spawn()
@@ -73,65 +73,65 @@
         Ok(())
     }
 
-    /// Its name.
+    /// Name of the process.
     pub fn name(&self) -> &str {
-        &self.backend.name
+        &self.options.name
     }
 
-    /// Its number with the system.
+    /// Process id.
     pub fn pid(&self) -> u32 {
         self.pid
     }
 
-    /// Its settings file.
+    /// Settings file of the process.
     pub fn settings(&self) -> &Path {
-        &self.backend.settings
+        &self.options.settings
     }
 
-    /// How it ended, if it has without being told to.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// Exit status, if the process has exited by itself.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok().flatten();
         if status.is_some() {
-            self.left();
+            self.mark_exited();
         }
         status
     }
 
-    fn left(&mut self) {
+    fn mark_exited(&mut self) {
         running::remove(self.pid);
         self.child = None;
     }
 
-    /// Stops it, or lets it go on.
+    /// Sends a signal.
     pub fn signal(&self, which: Signal) {
         if self.child.is_some() {
             signal(self.pid, which);
         }
     }
 
-    /// Processor time of all its lives so far.
-    pub fn spent(&self) -> Duration {
+    /// Processor time of all runs of this process so far.
+    pub fn cpu_time(&self) -> Duration {
         let alive = self.child.as_ref().and_then(|_| processor_time(self.pid)).unwrap_or_default();
-        self.spent + alive
+        self.cpu_time + alive
     }
 
-    /// Kills it and waits for its end, also when it is stopped.
+    /// Kills the process, even if it is suspended, and waits until it has exited.
     pub async fn kill(&mut self) {
-        // Before the end, since the account goes with the process.
-        self.spent = self.spent();
+        // Read the processor time first: it vanishes with the process.
+        self.cpu_time = self.cpu_time();
         if let Some(mut child) = self.child.take() {
             signal(self.pid, Signal::KILL);
             let _ = child.wait().await;
         }
-        self.left();
+        self.mark_exited();
     }
 
-    /// Waits until it ends, and kills it if it has not by then. True if it ended by itself.
-    pub async fn ends(&mut self, within: Duration) -> bool {
-        self.spent = self.spent();
+    /// Waits until the process exits, and kills it after `within`. Returns whether it exited in time.
+    pub async fn wait_exit(&mut self, within: Duration) -> bool {
+        self.cpu_time = self.cpu_time();
         let Some(child) = self.child.as_mut() else { return true };
         if timeout(within, child.wait()).await.is_ok() {
-            self.left();
+            self.mark_exited();
             return true;
         }
         self.kill().await;
@@ -141,50 +141,50 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        if self.child.is_some() && self.ended().is_none() {
+        if self.child.is_some() && self.exit_status().is_none() {
             signal(self.pid, Signal::KILL);
             running::remove(self.pid);
         }
     }
 }
 
-/// Tells all to end, and waits for that together. The names of those that had to be killed.
-pub async fn end(processes: &mut [&mut Process]) -> Vec<String> {
+/// Sends SIGTERM to all processes and waits for them together. Returns the names of those that had to be killed.
+pub async fn stop_all(processes: &mut [&mut Process]) -> Vec<String> {
     for process in &*processes {
         process.signal(Signal::TERM);
-        // A stopped one would hear of it only when it goes on.
+        // A suspended process handles SIGTERM only after it is resumed.
         process.signal(Signal::CONT);
     }
     let deadline = tokio::time::Instant::now() + GRACE;
     let mut killed = Vec::new();
     for process in processes {
-        if !process.ends(deadline.saturating_duration_since(tokio::time::Instant::now())).await {
+        if !process.wait_exit(deadline.saturating_duration_since(tokio::time::Instant::now())).await {
             killed.push(process.name().to_owned());
         }
     }
     killed
 }
 
-/// The fields of `/proc/PID/stat` behind the name, which may hold anything.
-fn account(pid: u32) -> Option<Vec<u64>> {
+/// Fields of `/proc/PID/stat` after the process name, which may contain any character.
+fn proc_stat(pid: u32) -> Option<Vec<u64>> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let (_, rest) = text.rsplit_once(')')?;
-    // Ended, and only not asked after yet.
+    // A zombie has exited and only waits to be reaped.
     if rest.trim_start().starts_with('Z') {
         return None;
     }
-    // The first field is the state, a letter; some of the others are negative.
+    // The first field is the state, a letter; some other fields are negative. Both are read as 0.
     Some(rest.split_whitespace().map(|field| field.parse().unwrap_or(0)).collect())
 }
 
-/// User and system time.
+/// User and system time of a process.
 fn processor_time(pid: u32) -> Option<Duration> {
-    let fields = account(pid)?;
+    let fields = proc_stat(pid)?;
     let ticks = fields.get(11)? + fields.get(12)?;
     Some(Duration::from_secs_f64(ticks as f64 / rustix::param::clock_ticks_per_second() as f64))
 }
 
-/// When it was started, in ticks since the machine's start: with the id it names one process and no later one.
-pub fn started(pid: u32) -> Option<u64> {
-    account(pid)?.get(19).copied()
+/// Start time in clock ticks since boot. Together with the process id it identifies a process uniquely.
+pub fn start_ticks(pid: u32) -> Option<u64> {
+    proc_stat(pid)?.get(19).copied()
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `testbed`: shows a small fleet at work on one machine, or keeps it up to look at.
+//! `testbed`: runs a small fleet on one machine for demos, trials and measurements.
 
 #![forbid(unsafe_code)]
 
@@ -9,28 +9,28 @@
 use std::process::ExitCode;
 use std::str::FromStr;
 use testbed::capacity::size::PLAN;
-use testbed::demo::{Program, told_to_end};
+use testbed::demo::{Program, termination_signal};
 use testbed::report::print;
-use testbed::trial::schedule::{self, SHIPPED, Schedule};
-use testbed::trial::several::several;
+use testbed::trial::schedule::{self, BUILT_IN, Schedule};
+use testbed::trial::several::run_all;
 use testbed::trial::{self, Figures, compare};
-use testbed::{Demo, Fault, Trouble, capacity, scale, up};
+use testbed::{Demo, Scenario, TestbedError, capacity, scale, up};
 
-/// Faults were found.
-const FAULTS: u8 = 1;
-/// The arguments, or a file, can't be used, or the fleet can't be built.
+/// Exit status: rules were broken.
+const RULES_BROKEN: u8 = 1;
+/// Exit status: invalid arguments or files, or the fleet cannot be started.
 const UNUSABLE: u8 = 2;
-/// Some trial has no verdict, and no other one found a fault.
+/// Exit status: a trial has no verdict, and no other trial broke a rule.
 const NO_VERDICT: u8 = 3;
-/// Seeds of one call.
-const MOST_SEEDS: u64 = 100_000;
-/// Trials at once: each has seven processes.
-const MOST_SIDE: usize = 16;
-/// The longest demo, in seconds, and the highest rate.
-const LONGEST: u64 = 600;
-const FASTEST: f64 = 5000.0;
-/// Hollow data planes of one measurement.
-const MOST_HOLLOW: usize = 2000;
+/// Maximum number of seeds per call.
+const MAX_SEEDS: u64 = 100_000;
+/// Maximum number of parallel trials; each has seven processes.
+const MAX_PARALLEL: usize = 16;
+/// Maximum duration of a demo in seconds, and maximum request rate per second.
+const MAX_SECONDS: u64 = 600;
+const MAX_RATE: f64 = 5000.0;
+/// Maximum number of hollow data planes of one measurement.
+const MAX_HOLLOW: usize = 2000;
 
 /// testbed: a small fleet on one machine.
 #[derive(Debug, Options)]
@@ -43,19 +43,19 @@
 
 #[derive(Debug, Options)]
 enum Command {
-    /// build a fleet, load it, put it in trouble, judge it and take it down
+    /// run a fleet under load, with an optional disruption, and check what was observed
     Demo(DemoArguments),
-    /// play trials: a relay on every link, faults, and a judge of what was seen from outside
+    /// run trials: a relay on every link, injected faults, and a check of what was observed
     Trial(TrialArguments),
-    /// how the second of two files of trials' figures differs from the first
+    /// compare two files of trial figures
     Compare(CompareArguments),
-    /// build a fleet and keep it up until Ctrl-C or `testbed down`
+    /// start a fleet and keep it running until Ctrl-C or `testbed down`
     Up(UpArguments),
-    /// measure what state, messages and steps cost at the sizes to design for
+    /// measure the cost of state, messages and steps at the design sizes
     Capacity(CapacityArguments),
     /// measure real processes among hollow data planes at several sizes
     Scale(ScaleArguments),
-    /// end the fleet that `testbed up` keeps up
+    /// stop the fleet of `testbed up`
     Down(DownArguments),
 }
 
@@ -63,22 +63,22 @@
 struct DemoArguments {
     /// print this help
     help: bool,
-    /// for how long there is load
+    /// duration of the load
     #[options(meta = "N", default = "12")]
     seconds: u64,
     /// none, leader, disk, zone, release, config or quota
     #[options(meta = "NAME", default = "none")]
-    trouble: Trouble,
-    /// seed of the load and of the backends' pace
+    trouble: Scenario,
+    /// seed of the load and of the backends' service times
     #[options(meta = "N", default = "1", no_short)]
     seed: u64,
-    /// requests a second
+    /// requests per second
     #[options(meta = "N", default = "400")]
     rate: f64,
-    /// a `reachlb` to try, instead of what is built into this program
+    /// a `reachlb` program to run instead of the built-in one
     #[options(meta = "FILE")]
     program: Option<PathBuf>,
-    /// leave settings and logs where they are
+    /// keep settings and logs
     keep: bool,
 }
 
@@ -86,25 +86,25 @@
 struct TrialArguments {
     /// print this help
     help: bool,
-    /// a shipped trial by name, or a file; without it, the shipped ones are listed
+    /// a built-in trial or a file; without a name, the built-in trials are listed
     #[options(free)]
     name: Option<String>,
-    /// seeds, both ends included
+    /// first and last seed
     #[options(meta = "A..B", default = "1..1")]
     seeds: Seeds,
-    /// so many trials at once
+    /// number of parallel trials
     #[options(meta = "N", default = "1", no_short)]
     side: usize,
-    /// a `reachlb` to try, instead of what is built into this program
+    /// a `reachlb` program to run instead of the built-in one
     #[options(meta = "FILE")]
     program: Option<PathBuf>,
-    /// play each trial with this `reachlb` as well, and say how the other one differs
+    /// run each trial with this `reachlb` program as well, and compare the figures
     #[options(meta = "FILE", no_short)]
     against: Option<PathBuf>,
-    /// history, verdict, logs and a page of each trial go into a folder in this one
+    /// folder for history, verdict, logs and page of each trial
     #[options(meta = "DIR")]
     keep: Option<PathBuf>,
-    /// figures of each trial, one JSON object a line
+    /// file for the figures of each trial, one JSON object per line
     #[options(meta = "FILE")]
     out: Option<PathBuf>,
 }
@@ -113,12 +113,12 @@
 struct CompareArguments {
     /// print this help
     help: bool,
-    /// the first file, and the second
+    /// the two files
     #[options(free)]
     files: Vec<PathBuf>,
 }
 
-/// Seeds from a first to a last one.
+/// An inclusive range of seeds.
 #[derive(Clone, Copy, Debug, Default)]
 struct Seeds(u64, u64);
 
@@ -128,8 +128,8 @@
     fn from_str(text: &str) -> Result<Self, String> {
         let (first, last) = text.split_once("..").unwrap_or((text, text));
         match (first.parse(), last.trim_start_matches('=').parse()) {
-            (Ok(first), Ok(last)) if first <= last && last - first < MOST_SEEDS => Ok(Self(first, last)),
-            _ => Err(format!("{text:?} is not A..B with at most {MOST_SEEDS} seeds")),
+            (Ok(first), Ok(last)) if first <= last && last - first < MAX_SEEDS => Ok(Self(first, last)),
+            _ => Err(format!("{text:?} is not A..B with at most {MAX_SEEDS} seeds")),
         }
     }
 }
@@ -138,10 +138,10 @@
 struct UpArguments {
     /// print this help
     help: bool,
-    /// where its files are, kept and used again when they are there
+    /// folder of the fleet's files, created or reused
     #[options(meta = "DIR", default = ".testbed")]
     dir: PathBuf,
-    /// a `reachlb` to try, instead of what is built into this program
+    /// a `reachlb` program to run instead of the built-in one
     #[options(meta = "FILE")]
     program: Option<PathBuf>,
 }
@@ -156,30 +156,30 @@
 struct ScaleArguments {
     /// print this help
     help: bool,
-    /// numbers of hollow data planes, with commas
+    /// numbers of hollow data planes, separated by commas
     #[options(meta = "N,..", default = "13,85,300")]
     gateways: Counts,
-    /// a further number, which the lines are checked at
+    /// an additional size that is left out of the fit and checked against it
     #[options(meta = "N", no_short)]
     check: Option<usize>,
-    /// for how long each size is measured
+    /// duration of each measurement
     #[options(meta = "N", default = "30")]
     seconds: u64,
-    /// lease requests of one data plane a second; by default the plan's requests
+    /// lease requests per second and data plane; by default as in the capacity plan
     #[options(meta = "N", no_short)]
     requests: Option<f64>,
-    /// hollow backends for each data plane; by default the plan's
+    /// hollow backends per data plane; by default as in the capacity plan
     #[options(meta = "N", no_short)]
     backends: Option<f64>,
-    /// hollow data planes share so many processes
+    /// number of processes for the hollow data planes
     #[options(meta = "N", default = "3", no_short)]
     processes: usize,
-    /// a `reachlb` to try, instead of what is built into this program
+    /// a `reachlb` program to run instead of the built-in one
     #[options(meta = "FILE", no_short)]
     program: Option<PathBuf>,
 }
 
-/// Numbers with commas between them.
+/// Numbers separated by commas.
 #[derive(Clone, Debug, Default)]
 struct Counts(Vec<usize>);
 
@@ -188,7 +188,7 @@
 
     fn from_str(text: &str) -> Result<Self, String> {
         let numbers: Result<Vec<_>, _> = text.split(',').map(|number| number.trim().parse()).collect();
-        numbers.map(Self).map_err(|_| format!("{text:?} is no list of numbers"))
+        numbers.map(Self).map_err(|_| format!("{text:?} is not a list of numbers"))
     }
 }
 
@@ -196,15 +196,15 @@
 struct DownArguments {
     /// print this help
     help: bool,
-    /// where its files are
+    /// folder of the fleet's files
     #[options(meta = "DIR", default = ".testbed")]
     dir: PathBuf,
 }
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().collect();
-    // Not among the commands, since it is for ourselves alone.
-    if let [_, process, plane, parent] = &words[..]
+    let raw_arguments: Vec<String> = std::env::args().collect();
+    // Internal command, so it is not listed in the help.
+    if let [_, process, plane, parent] = &raw_arguments[..]
         && process == "process"
     {
         return serve(plane, parent);
@@ -220,9 +220,9 @@
     };
     match run(command) {
         Ok(status) => status,
-        Err(fault) => {
-            eprintln!("testbed: {fault}");
-            if let Some(help) = fault.help() {
+        Err(error) => {
+            eprintln!("testbed: {error}");
+            if let Some(help) = error.help() {
                 eprintln!("{help}");
             }
             ExitCode::from(UNUSABLE)
@@ -230,20 +230,20 @@
     }
 }
 
-fn run(command: Command) -> Result<ExitCode, Fault> {
+fn run(command: Command) -> Result<ExitCode, TestbedError> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build();
-    let runtime = runtime.map_err(|error| Fault::Socket { what: "the runtime", error })?;
-    // The main thread starts all processes: they end when it does.
+    let runtime = runtime.map_err(|error| TestbedError::Socket { what: "the runtime", error })?;
+    // The main thread starts all processes, since they are killed when the starting thread exits.
     match command {
         Command::Demo(DemoArguments { seconds, trouble, seed, rate, program, keep, .. }) => {
-            let usable = (1..=LONGEST).contains(&seconds) && (1.0..=FASTEST).contains(&rate);
+            let usable = (1..=MAX_SECONDS).contains(&seconds) && (1.0..=MAX_RATE).contains(&rate);
             if !usable {
-                eprintln!("--seconds wants 1 to {LONGEST}, --rate 1 to {FASTEST}");
+                eprintln!("--seconds must be 1 to {MAX_SECONDS}, --rate 1 to {MAX_RATE}");
                 return Ok(ExitCode::from(UNUSABLE));
             }
-            let demo = Demo { program: program_or(program)?, seconds, rate, trouble, seed, keep };
+            let demo = Demo { program: program_or(program)?, seconds, rate, scenario: trouble, seed, keep };
             let good = runtime.block_on(demo.run())?;
-            Ok(if good { ExitCode::SUCCESS } else { ExitCode::from(FAULTS) })
+            Ok(if good { ExitCode::SUCCESS } else { ExitCode::from(RULES_BROKEN) })
         }
         Command::Trial(arguments) => trial(&runtime, arguments),
         Command::Compare(CompareArguments { files, .. }) => match &files[..] {
@@ -252,7 +252,7 @@
                 Ok(ExitCode::SUCCESS)
             }
             _ => {
-                eprintln!("two files are wanted");
+                eprintln!("compare needs two files");
                 Ok(ExitCode::from(UNUSABLE))
             }
         },
@@ -265,16 +265,16 @@
             capacity::tables();
             Ok(ExitCode::SUCCESS)
         }
-        Command::Scale(arguments) => scaled(&runtime, arguments),
+        Command::Scale(arguments) => run_scale(&runtime, arguments),
         Command::Down(DownArguments { dir, .. }) => {
             let count = runtime.block_on(up::down(Path::new(&dir)))?;
-            print(format_args!("{count} processes ended\n"));
+            print(format_args!("{count} processes stopped\n"));
             Ok(ExitCode::SUCCESS)
         }
     }
 }
 
-fn scaled(runtime: &tokio::runtime::Runtime, arguments: ScaleArguments) -> Result<ExitCode, Fault> {
+fn run_scale(runtime: &tokio::runtime::Runtime, arguments: ScaleArguments) -> Result<ExitCode, TestbedError> {
     let ScaleArguments {
         gateways: Counts(sizes),
         check,
@@ -286,9 +286,11 @@
         ..
     } = arguments;
     let all: Vec<_> = sizes.into_iter().chain(check).collect();
-    let usable = all.iter().all(|gateways| (1..=MOST_HOLLOW).contains(gateways));
-    if !usable || !(1..=LONGEST).contains(&seconds) || !(1..=MOST_SIDE).contains(&processes) {
-        eprintln!("sizes are 1 to {MOST_HOLLOW}, --seconds 1 to {LONGEST}, --processes 1 to {MOST_SIDE}");
+    let usable = all.iter().all(|gateways| (1..=MAX_HOLLOW).contains(gateways));
+    if !usable || !(1..=MAX_SECONDS).contains(&seconds) || !(1..=MAX_PARALLEL).contains(&processes) {
+        eprintln!(
+            "sizes must be 1 to {MAX_HOLLOW}, --seconds 1 to {MAX_SECONDS}, --processes 1 to {MAX_PARALLEL}"
+        );
         return Ok(ExitCode::from(UNUSABLE));
     }
     let requests_per_s = requests.unwrap_or(PLAN.requests_per_s / PLAN.gateways as f64);
@@ -298,15 +300,15 @@
         let (program, own) = (program.clone(), own.clone());
         scale::run::Plan { program, own, gateways, processes, seconds, requests_per_s, backends_each }
     };
-    fault_injection::running::end_with_panics();
+    fault_injection::running::kill_all_on_panic();
     let measured = runtime.block_on(async {
         let mut outcomes = Vec::new();
         for gateways in all {
             let plan = plan(gateways);
             let outcome = tokio::select! {
                 outcome = plan.run() => outcome?,
-                // All processes go with the threads that started them.
-                why = told_to_end() => return Err(Fault::Ended(why)),
+                // Child processes are killed when the threads that started them exit.
+                why = termination_signal() => return Err(TestbedError::Terminated(why)),
             };
             outcomes.push(outcome);
         }
@@ -316,28 +318,28 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn trial(runtime: &tokio::runtime::Runtime, arguments: TrialArguments) -> Result<ExitCode, Fault> {
+fn trial(runtime: &tokio::runtime::Runtime, arguments: TrialArguments) -> Result<ExitCode, TestbedError> {
     let TrialArguments { name, seeds, side, program, against, keep, out, .. } = arguments;
     let Some(name) = name else {
-        SHIPPED.iter().for_each(|(name, _)| print(format_args!("{name}\n")));
+        BUILT_IN.iter().for_each(|(name, _)| print(format_args!("{name}\n")));
         return Ok(ExitCode::SUCCESS);
     };
-    if !(1..=MOST_SIDE).contains(&side) {
-        eprintln!("--side wants 1 to {MOST_SIDE}");
+    if !(1..=MAX_PARALLEL).contains(&side) {
+        eprintln!("--side must be 1 to {MAX_PARALLEL}");
         return Ok(ExitCode::from(UNUSABLE));
     }
     let text = schedule::text(&name)?;
     let all: Result<Vec<_>, _> = (seeds.0..=seeds.1).map(|seed| Schedule::read(&name, &text, seed)).collect();
     let all = all?;
-    fault_injection::running::end_with_panics();
+    fault_injection::running::kill_all_on_panic();
     let play = |program, keep| {
         let options = trial::Options { program, keep };
         let all = all.clone();
         runtime.block_on(async {
             tokio::select! {
-                sum = several(all, &options, side, |text| print(text)) => sum,
-                // All processes go with the threads that started them.
-                why = told_to_end() => Err(Fault::Ended(why)),
+                sum = run_all(all, &options, side, |text| print(text)) => sum,
+                // Child processes are killed when the threads that started them exit.
+                why = termination_signal() => Err(TestbedError::Terminated(why)),
             }
         })
     };
@@ -357,19 +359,19 @@
     if let Some(out) = out {
         let line = |figures| serde_json::to_string(figures).unwrap_or_default() + "\n";
         let text: String = sum.figures.iter().map(line).collect();
-        std::fs::write(&out, text).map_err(Fault::file(&out))?;
+        std::fs::write(&out, text).map_err(TestbedError::file(&out))?;
     }
     Ok(match (sum.broken(), sum.void()) {
         (0, 0) => ExitCode::SUCCESS,
         (0, _) => ExitCode::from(NO_VERDICT),
-        _ => ExitCode::from(FAULTS),
+        _ => ExitCode::from(RULES_BROKEN),
     })
 }
 
-fn read_figures(path: &Path) -> Result<Vec<Figures>, Fault> {
-    let text = std::fs::read_to_string(path).map_err(Fault::file(path))?;
+fn read_figures(path: &Path) -> Result<Vec<Figures>, TestbedError> {
+    let text = std::fs::read_to_string(path).map_err(TestbedError::file(path))?;
     let read = |(number, line): (usize, &str)| {
-        serde_json::from_str(line).map_err(|error| Fault::Results {
+        serde_json::from_str(line).map_err(|error| TestbedError::InvalidResults {
             path: path.to_owned(),
             line: number + 1,
             wrong: error.to_string(),
@@ -378,23 +380,23 @@
     text.lines().enumerate().map(read).collect()
 }
 
-/// What is built in, unless another one is named.
-fn program_or(named: Option<PathBuf>) -> Result<Program, Fault> {
+/// Returns the given program, or the built-in one.
+fn program_or(named: Option<PathBuf>) -> Result<Program, TestbedError> {
     if let Some(file) = named {
-        let file = file.canonicalize().map_err(Fault::file(&file))?;
+        let file = file.canonicalize().map_err(TestbedError::file(&file))?;
         return Ok(Program { file, before: Vec::new(), after: Vec::new() });
     }
-    let file = std::env::current_exe().map_err(Fault::file("this program"))?;
+    let file = std::env::current_exe().map_err(TestbedError::file("this program"))?;
     let parent = std::process::id().to_string();
     Ok(Program { file, before: vec!["process".to_owned()], after: vec![parent] })
 }
 
-/// One of the programs, which ends with whoever started it.
+/// Runs a plane, which is killed when its parent exits.
 fn serve(plane: &str, parent: &str) -> ExitCode {
     let parent = parent.parse().ok().and_then(Pid::from_raw);
-    // A parent that was gone before the signal was asked for would not be noticed otherwise.
+    // Check the parent after requesting the signal: an earlier exit of the parent sends no signal.
     if set_parent_process_death_signal(Some(Signal::KILL)).is_err() || getppid() != parent {
-        eprintln!("is started by testbed only");
+        eprintln!("this command is for internal use by testbed");
         return ExitCode::from(UNUSABLE);
     }
     let program = match plane {
@@ -402,20 +404,20 @@
         "data-plane" => reachlb::Program::DataPlane,
         "control-plane" => reachlb::Program::ControlPlane,
         other => {
-            eprintln!("{other:?} is neither data plane nor control plane");
+            eprintln!("{other:?} is not a plane: expected \"data-plane\" or \"control-plane\"");
             return ExitCode::from(UNUSABLE);
         }
     };
-    reachlb::serve(program, None, reachlb::Switches::default())
+    reachlb::serve(program, None, reachlb::Overrides::default())
 }
 
-/// Hollow data planes, by the settings file that the environment names as for the programs.
+/// Runs hollow data planes with the settings file named by the environment variable.
 fn hollow() -> ExitCode {
-    let Some(path) = std::env::var_os(reachlb::SETTINGS) else { return ExitCode::from(UNUSABLE) };
+    let Some(path) = std::env::var_os(reachlb::SETTINGS_VARIABLE) else { return ExitCode::from(UNUSABLE) };
     match scale::hollow::serve(Path::new(&path)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! A scale run: real control planes and a few real data planes among hollow ones, at several sizes; a line through the
-//! figures of some sizes is checked at one that it was not made from.
+//! Scale measurements: real control planes and a few real data planes among hollow ones, at several sizes. A linear fit
+//! over some sizes is checked at a size that was left out.
 
 pub mod hollow;
 pub mod report;
@@ -10,79 +10,79 @@
 use run::{Outcome, ROLES};
 use std::fmt::Write as _;
 
-/// A checked figure may be off by this share.
-const ALLOWED: f64 = 1.0 / 3.0;
+/// Maximum relative error of the fit at the checked size.
+const MAX_ERROR: f64 = 1.0 / 3.0;
 
 /// One quantity at each size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Quantity {
-    /// What it is.
+    /// Name of the quantity.
     pub name: String,
-    /// Numbers of gateways with their figures: the sizes that the line is made from.
+    /// Numbers of gateways with the measured figures that the fit uses.
     pub fitted: Vec<(f64, f64)>,
-    /// The size that is left out.
+    /// The number of gateways that is left out of the fit, with its figure.
     pub check: Option<(f64, f64)>,
 }
 
 impl Quantity {
-    /// How far the line through the fitted sizes is off at the one left out, as a share of the measured figure.
-    pub fn off(&self) -> Option<f64> {
+    /// Relative error of the fit at the size left out.
+    pub fn relative_error(&self) -> Option<f64> {
         let (x, measured) = self.check?;
         let line = line(&self.fitted)?;
         (measured > 0.0).then(|| (line.at(x) - measured).abs() / measured)
     }
 }
 
-/// All quantities of some outcomes; `check` is the number of gateways of the one left out of the lines.
+/// All quantities of the outcomes; `check` is the number of gateways that is left out of the fit.
 pub fn quantities(outcomes: &[Outcome], check: Option<usize>) -> Vec<Quantity> {
     let Some(first) = outcomes.first() else { return Vec::new() };
     let names: Vec<String> = figures(first).into_iter().map(|(name, _)| name).collect();
     let all: Vec<_> = outcomes.iter().map(|outcome| (outcome.gateways, figures(outcome))).collect();
     let quantity = |name: String| {
-        let of = |(gateways, figures): &(usize, Vec<(String, f64)>)| {
+        let figure_at = |(gateways, figures): &(usize, Vec<(String, f64)>)| {
             let found = figures.iter().find(|(other, _)| *other == name).map_or(0.0, |(_, figure)| *figure);
             (*gateways as f64, found)
         };
-        let fitted = all.iter().filter(|(gateways, _)| Some(*gateways) != check).map(of).collect();
-        let check = all.iter().find(|(gateways, _)| Some(*gateways) == check).map(of);
+        let fitted = all.iter().filter(|(gateways, _)| Some(*gateways) != check).map(figure_at).collect();
+        let check = all.iter().find(|(gateways, _)| Some(*gateways) == check).map(figure_at);
         Quantity { name, fitted, check }
     };
     names.into_iter().map(quantity).collect()
 }
 
-/// The figures of one outcome, by name.
+/// The figures of one outcome with their names.
 fn figures(outcome: &Outcome) -> Vec<(String, f64)> {
     let mut all = Vec::new();
     for (role, figures) in ROLES.iter().zip(&outcome.roles) {
         all.push((format!("{role}: processor, % of a core"), figures.processor * 100.0));
         all.push((format!("{role}: memory, MB"), figures.memory / 1e6));
         all.push((format!("{role}: descriptors"), figures.descriptors));
-        all.push((format!("{role}: messages in, a second"), figures.messages));
+        all.push((format!("{role}: messages received per second"), figures.messages));
     }
     let each = outcome.seconds.max(1e-9) * outcome.gateways.max(1) as f64;
-    for kind in ["state of things", "backends that changed", "all backends", "lease request", "grant"] {
+    for kind in ["heartbeat", "backends that changed", "all backends", "lease request", "grant"] {
         let traffic = outcome.report.traffic.get(kind).copied().unwrap_or_default();
-        all.push((format!("a gateway: {kind}, messages a second"), traffic.messages as f64 / each));
-        all.push((format!("a gateway: {kind}, bytes a second"), traffic.bytes as f64 / each));
+        all.push((format!("a gateway: {kind}, messages per second"), traffic.messages as f64 / each));
+        all.push((format!("a gateway: {kind}, bytes per second"), traffic.bytes as f64 / each));
     }
-    all.push(("lease request: 50 of 100 answered within, ms".to_owned(), outcome.report.wait_ms(0.5)));
-    all.push(("lease request: 99 of 100 answered within, ms".to_owned(), outcome.report.wait_ms(0.99)));
+    all.push(("lease request: p50 latency at most, ms".to_owned(), outcome.report.wait_ms(0.5)));
+    all.push(("lease request: p99 latency at most, ms".to_owned(), outcome.report.wait_ms(0.99)));
     all.push((
-        "a gateway: lease requests without an answer, a second".to_owned(),
+        "a gateway: unanswered lease requests per second".to_owned(),
         outcome.report.unanswered as f64 / each,
     ));
-    all.push(("change: slowest acknowledgement, s".to_owned(), greatest(&outcome.acknowledged)));
-    all.push(("change: at the last gateway after, slowest, s".to_owned(), greatest(&outcome.everywhere)));
+    all.push(("change: slowest acknowledgement, s".to_owned(), maximum(&outcome.acknowledged)));
+    all.push(("change: slowest arrival at the last gateway, s".to_owned(), maximum(&outcome.reached_all)));
     all.push(("change: acknowledged".to_owned(), outcome.acknowledged.len() as f64));
-    all.push(("change: came to all gateways".to_owned(), outcome.everywhere.len() as f64));
+    all.push(("change: reached all gateways".to_owned(), outcome.reached_all.len() as f64));
     all
 }
 
-fn greatest(figures: &[f64]) -> f64 {
+fn maximum(figures: &[f64]) -> f64 {
     figures.iter().copied().fold(0.0, f64::max)
 }
 
-/// The table of all quantities.
+/// Formats all quantities as a table.
 pub fn table(quantities: &[Quantity]) -> String {
     let Some(first) = quantities.first() else { return String::new() };
     let mut text = "\n| quantity |".to_owned();
@@ -112,13 +112,15 @@
         None => write!(text, " | |"),
     };
     if let Some((x, measured)) = quantity.check {
-        let told = line.map_or(String::new(), |line| short(line.at(x)));
-        let verdict = match quantity.off() {
-            Some(off) if off <= ALLOWED => format!("within ({:.0}%)", off * 100.0),
-            Some(off) => format!("OFF by {:.0}%", off * 100.0),
+        let predicted = line.map_or(String::new(), |line| short(line.at(x)));
+        let verdict = match quantity.relative_error() {
+            Some(relative_error) if relative_error <= MAX_ERROR => {
+                format!("within ({:.0}%)", relative_error * 100.0)
+            }
+            Some(relative_error) => format!("OFF by {:.0}%", relative_error * 100.0),
             None => String::new(),
         };
-        let _ = write!(text, " {} | {told} | {verdict} |", short(measured));
+        let _ = write!(text, " {} | {predicted} | {verdict} |", short(measured));
     }
     text.push('\n');
 }
--- a/group/src/wire.rs
+++ b/group/src/wire.rs
@@ -1,6 +1,7 @@
-//! What the processes of a group say to each other: HTTP/1.1, bodies in `postcard`. Each call names the form, the
-//! group and, for consensus, the voter it is meant for; anything else is answered 4xx and closed. Bounded in bytes,
-//! connections and time.
+//! The protocol between the processes of a group: HTTP/1.1 with bodies encoded by `postcard`. Each call names the
+//! protocol version, the group and the target voter. Raft calls must name a target; other calls may address any voter.
+//! A mismatch is answered with a 4xx status and closes the connection. Body size, number of connections and waiting
+//! time are bounded.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt as _, Full, Limited};
@@ -23,52 +24,56 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-/// The form of the calls.
-const FORM: &str = "2";
+/// The protocol version; both sides must use the same one.
+const PROTOCOL_VERSION: &str = "2";
 const HEADERS: [&str; 3] = ["group-form", "group-name", "group-target"];
-/// The longest body.
-const LONGEST: usize = 4 << 20;
-/// Connections held at once: every member's two, and the other voters'.
-const CONNECTIONS: usize = 1024;
-/// A connection without a request for this long is closed.
-const IDLE: Duration = Duration::from_secs(30);
-/// Free connections kept to one address.
-const KEPT: usize = 4;
-
-/// What a call is for.
+/// Maximum size of a request or response body.
+const MAX_BODY_BYTES: usize = 4 << 20;
+/// Maximum number of open incoming connections: two from each member plus those of the other voters.
+const MAX_CONNECTIONS: usize = 1024;
+/// An incoming connection without a request is closed after this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum number of idle connections kept per address.
+const MAX_IDLE_CONNECTIONS: usize = 4;
+
+/// The kind of a call, which determines its path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// Messages of the log, of one voter to another. They are answered by others, not by this call.
-    Log,
-    /// A member's question, or another voter's on its behalf.
-    Ask,
-    /// Waiting for news.
+pub enum CallKind {
+    /// Raft messages from one voter to another. Raft replies are sent in separate calls, so the response is empty.
+    Raft,
+    /// A request of a member, sent directly or forwarded by another voter.
+    Request,
+    /// A long poll for a newer view of the group.
     Watch,
-    /// Who a voter is.
-    Who,
+    /// A query for the identity of a voter.
+    Info,
 }
 
-const PATHS: [(Kind, &str); 4] =
-    [(Kind::Log, "/log"), (Kind::Ask, "/ask"), (Kind::Watch, "/watch"), (Kind::Who, "/who")];
+const PATHS: [(CallKind, &str); 4] = [
+    (CallKind::Raft, "/log"),
+    (CallKind::Request, "/ask"),
+    (CallKind::Watch, "/watch"),
+    (CallKind::Info, "/who"),
+];
 
-/// A call without a usable answer.
+/// The reason why a call has no usable response.
 #[derive(Debug)]
 pub enum CallError {
-    /// No connection, or it broke: the call may have arrived or not.
-    Broken(String),
-    /// No answer in time: it may have arrived or not.
-    Late,
-    /// It was refused.
+    /// The connection could not be opened or broke. The call may or may not have arrived.
+    Connection(String),
+    /// No response arrived in time. The call may or may not have arrived.
+    TimedOut,
+    /// The voter answered with an error status.
     Refused(StatusCode),
-    /// The answer cannot be read.
+    /// The request cannot be encoded or the response cannot be decoded.
     Malformed,
 }
 
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Broken(what) => f.write_str(what),
-            Self::Late => f.write_str("no answer in time"),
+            Self::Connection(reason) => f.write_str(reason),
+            Self::TimedOut => f.write_str("no answer in time"),
             Self::Refused(status) => write!(f, "refused: {status}"),
             Self::Malformed => f.write_str("an answer that cannot be read"),
         }
@@ -77,140 +82,146 @@
 
 impl std::error::Error for CallError {}
 
-/// The way to one address.
-pub struct Way {
+/// An HTTP client for one address, with a pool of idle connections.
+pub struct VoterClient {
     address: SocketAddr,
     group: Rc<str>,
-    free: RefCell<Vec<SendRequest<Full<Bytes>>>>,
+    idle: RefCell<Vec<SendRequest<Full<Bytes>>>>,
 }
 
-impl Way {
-    /// A way without a connection yet.
+impl VoterClient {
+    /// Creates a client without connecting.
     pub fn new(address: SocketAddr, group: Rc<str>) -> Self {
-        Self { address, group, free: RefCell::default() }
+        Self { address, group, idle: RefCell::default() }
     }
 
-    /// Calls, and waits for the answer. `target` is the voter meant, 0 for whoever is there.
+    /// Sends a request and waits for the response. `target` is the incarnation of the intended voter; 0 means any
+    /// voter at the address.
     ///
     /// # Errors
-    /// When there is no usable answer in time.
-    pub async fn call<Q: Serialize, A: DeserializeOwned>(
-        &self, kind: Kind, target: u64, question: &Q, within: Duration,
-    ) -> Result<A, CallError> {
-        let body = postcard::to_stdvec(question).map_err(|_| CallError::Malformed)?;
-        timeout(within, self.exchange(kind, target, body))
+    /// If no usable response arrives within `time_limit`.
+    pub async fn call<Req: Serialize, Resp: DeserializeOwned>(
+        &self, kind: CallKind, target: u64, request: &Req, time_limit: Duration,
+    ) -> Result<Resp, CallError> {
+        let body = postcard::to_stdvec(request).map_err(|_| CallError::Malformed)?;
+        timeout(time_limit, self.exchange(kind, target, body))
             .await
-            .unwrap_or(Err(CallError::Late))
+            .unwrap_or(Err(CallError::TimedOut))
             .and_then(|bytes| postcard::from_bytes(&bytes).map_err(|_| CallError::Malformed))
     }
 
-    async fn exchange(&self, kind: Kind, target: u64, body: Vec<u8>) -> Result<Bytes, CallError> {
-        let broken = |error: &dyn fmt::Display| CallError::Broken(error.to_string());
-        let free = {
-            let mut free = self.free.borrow_mut();
-            free.retain(SendRequest::is_ready);
-            free.pop()
+    async fn exchange(&self, kind: CallKind, target: u64, body: Vec<u8>) -> Result<Bytes, CallError> {
+        let connection_error = |error: &dyn fmt::Display| CallError::Connection(error.to_string());
+        let pooled = {
+            let mut idle = self.idle.borrow_mut();
+            idle.retain(SendRequest::is_ready);
+            idle.pop()
         };
-        let mut connection = match free {
-            Some(free) => free,
+        let mut connection = match pooled {
+            Some(connection) => connection,
             None => {
-                let stream = TcpStream::connect(self.address).await.map_err(|e| broken(&e))?;
-                stream.set_nodelay(true).map_err(|e| broken(&e))?;
+                let stream = TcpStream::connect(self.address).await.map_err(|e| connection_error(&e))?;
+                stream.set_nodelay(true).map_err(|e| connection_error(&e))?;
                 let io = TokioIo::new(stream);
                 let (sender, connection) =
-                    hyper::client::conn::http1::handshake(io).await.map_err(|e| broken(&e))?;
+                    hyper::client::conn::http1::handshake(io).await.map_err(|e| connection_error(&e))?;
                 tokio::task::spawn_local(async move {
-                    // Whoever waits for its answer hears of the end.
+                    // The pending request receives the connection error.
                     let _ = connection.await;
                 });
                 sender
             }
         };
-        let path = PATHS.iter().find(|(of, _)| *of == kind).map_or("/", |(_, path)| path);
-        let [form, name, to] = HEADERS;
+        let path = PATHS.iter().find(|(entry, _)| *entry == kind).map_or("/", |(_, path)| path);
+        let [version_header, group_header, target_header] = HEADERS;
         let request = Request::post(path)
             .header("Host", self.address.to_string())
-            .header(form, FORM)
-            .header(name, &*self.group)
-            .header(to, target)
+            .header(version_header, PROTOCOL_VERSION)
+            .header(group_header, &*self.group)
+            .header(target_header, target)
             .body(Full::new(Bytes::from(body)))
-            .map_err(|e| broken(&e))?;
-        let answer = connection.send_request(request).await.map_err(|e| broken(&e))?;
-        let status = answer.status();
-        let body = Limited::new(answer.into_body(), LONGEST).collect().await.map_err(|e| broken(&e))?;
-        let mut free = self.free.borrow_mut();
-        if free.len() < KEPT {
-            free.push(connection);
+            .map_err(|e| connection_error(&e))?;
+        let response = connection.send_request(request).await.map_err(|e| connection_error(&e))?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
+            .collect()
+            .await
+            .map_err(|e| connection_error(&e))?;
+        let mut idle = self.idle.borrow_mut();
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(connection);
         }
         if status == StatusCode::OK { Ok(body.to_bytes()) } else { Err(CallError::Refused(status)) }
     }
 }
 
-/// What a call is answered: bytes, or a status.
-pub type Answered = Pin<Box<dyn Future<Output = Result<Vec<u8>, StatusCode>>>>;
+/// The response to a call: an encoded body or an error status.
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Result<Vec<u8>, StatusCode>>>>;
 
-/// Who answers calls.
-pub trait Answers: 'static {
-    /// The group's name.
+/// Handles incoming calls.
+pub trait CallHandler: 'static {
+    /// Returns the group name.
     fn group(&self) -> &str;
-    /// The number of this voter.
-    fn id(&self) -> u64;
-    /// The answer to one call.
-    fn answer(self: Rc<Self>, kind: Kind, body: Bytes) -> Answered;
+    /// Returns the incarnation of this voter.
+    fn incarnation(&self) -> u64;
+    /// Handles one call.
+    fn handle(self: Rc<Self>, kind: CallKind, body: Bytes) -> ResponseFuture;
 }
 
-/// Reads a question.
+/// Decodes a request body.
 ///
 /// # Errors
-/// A status that says so, when it cannot be read.
-pub fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, StatusCode> {
+/// Returns status 400 if the body cannot be decoded.
+pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, StatusCode> {
     postcard::from_bytes(body).map_err(|_| StatusCode::BAD_REQUEST)
 }
 
-/// Writes an answer.
+/// Encodes a response body.
 ///
 /// # Errors
-/// A status that says so, when it cannot be written.
-pub fn written<T: Serialize>(value: &T) -> Result<Vec<u8>, StatusCode> {
+/// Returns status 500 if the value cannot be encoded.
+pub fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, StatusCode> {
     postcard::to_stdvec(value).map_err(|_| StatusCode::INTERNAL_SERVER_ERROR)
 }
 
-/// Answers calls at a listener, for ever.
-pub async fn serve(listener: TcpListener, by: Rc<impl Answers>) {
-    let free = Arc::new(Semaphore::new(CONNECTIONS));
+/// Accepts connections on `listener` and serves calls indefinitely.
+pub async fn serve(listener: TcpListener, handler: Rc<impl CallHandler>) {
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok(place) = free.clone().acquire_owned().await else { return };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let by = by.clone();
+        let handler = handler.clone();
         tokio::task::spawn_local(async move {
-            let service = service_fn(move |request| one(by.clone(), request));
+            let service = service_fn(move |request| serve_request(handler.clone(), request));
             let mut http = hyper::server::conn::http1::Builder::new();
-            http.timer(TokioTimer::new()).header_read_timeout(IDLE);
-            // A connection that breaks is its caller's affair.
+            http.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT);
+            // The caller notices a broken connection and handles it.
             let _ = http.serve_connection(TokioIo::new(stream), service).await;
-            drop(place);
+            drop(permit);
         });
     }
 }
 
-async fn one(by: Rc<impl Answers>, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
-    let answered = match admitted(&*by, &request) {
+async fn serve_request(
+    handler: Rc<impl CallHandler>, request: Request<Incoming>,
+) -> Result<Response<Full<Bytes>>, Infallible> {
+    let result = match validate_request(&*handler, &request) {
         Err(status) => Err(status),
-        Ok(kind) => match Limited::new(request.into_body(), LONGEST).collect().await {
+        Ok(kind) => match Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await {
             Err(_) => Err(StatusCode::PAYLOAD_TOO_LARGE),
-            Ok(body) => by.answer(kind, body.to_bytes()).await,
+            Ok(body) => handler.handle(kind, body.to_bytes()).await,
         },
     };
     let mut response = Response::new(Full::default());
-    match answered {
+    match result {
         Ok(bytes) => *response.body_mut() = Full::new(Bytes::from(bytes)),
         Err(status) => {
             *response.status_mut() = status;
-            // Who says what is not understood is not listened to any longer.
+            // Close the connection: the client may speak another protocol or belong to another group.
             if status.is_client_error() {
                 let close = hyper::header::HeaderValue::from_static("close");
                 response.headers_mut().insert(hyper::header::CONNECTION, close);
@@ -220,20 +231,21 @@
     Ok(response)
 }
 
-/// What a call is for, if it is one of this group's and meant for this voter.
-fn admitted(by: &impl Answers, request: &Request<Incoming>) -> Result<Kind, StatusCode> {
-    let header = |at: usize| request.headers().get(HEADERS[at]).and_then(|value| value.to_str().ok());
+/// Checks method, path and headers of a call and returns its kind.
+fn validate_request(handler: &impl CallHandler, request: &Request<Incoming>) -> Result<CallKind, StatusCode> {
+    let header = |index: usize| request.headers().get(HEADERS[index]).and_then(|value| value.to_str().ok());
     let kind = PATHS.iter().find(|(_, path)| *path == request.uri().path());
     let (kind, _) = kind.ok_or(StatusCode::NOT_FOUND)?;
     if request.method() != hyper::Method::POST {
         return Err(StatusCode::METHOD_NOT_ALLOWED);
     }
-    if header(0) != Some(FORM) || header(1) != Some(by.group()) {
+    if header(0) != Some(PROTOCOL_VERSION) || header(1) != Some(handler.group()) {
         return Err(StatusCode::FORBIDDEN);
     }
     let target: u64 = header(2).and_then(|id| id.parse().ok()).ok_or(StatusCode::BAD_REQUEST)?;
-    // A voter that lost its disk is not the one that was elected or that has the log.
-    if (*kind == Kind::Log || target != 0) && target != by.id() {
+    // A voter that lost its disk has a new incarnation: it neither is the elected leader nor has the log that the
+    // caller expects.
+    if (*kind == CallKind::Raft || target != 0) && target != handler.incarnation() {
         return Err(StatusCode::CONFLICT);
     }
     Ok(*kind)
--- a/http-proxy/src/lib.rs
+++ b/http-proxy/src/lib.rs
@@ -1,14 +1,15 @@
-//! What ties a gateway to sockets and time, for the program in service and for the system.
+//! HTTP/1.1 proxying on sockets and timers around the `doorcourse` decision engine, shared by the quota gateway
+//! (`fennelscale`) and the data plane of reachlb.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod clients;
 pub mod engine;
-pub mod guest;
+#[doc(hidden)]
+pub mod fault_injection;
 mod message;
 pub mod observe;
-#[doc(hidden)]
-pub mod planted;
 pub mod pool;
 pub mod time;
 pub mod wire;
