--- a/emulator/src/decider.rs
+++ b/emulator/src/decider.rs
@@ -1,5 +1,6 @@
-//! What decides in a gateway of the world: the library's decisions, or a policy to hold them against. All get the
-//! same events and give the same actions. Only the seeing policies look at the sight; honest ones must not.
+//! The decision makers of simulated gateways: the library's decisions, and baseline policies to compare them with.
+//! Every decision maker receives the same events and returns the same kinds of action. Only the policies with
+//! access to the true state read the [`TrueStateView`]; all others must ignore it.
 
 use crate::draw::{Customer, Micros};
 use doorcourse::{
@@ -9,151 +10,153 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// The true state of the world, which no real gateway sees.
+/// The true state of the simulated world, which no real gateway can observe.
 #[derive(Clone, Debug, Default)]
-pub struct Truth {
-    /// The customers' stores.
-    pub stores: Vec<SeenStore>,
-    /// What each backend holds for each unit of capacity; infinite where it cannot serve.
+pub struct TrueState {
+    /// The true quota store of each customer, by customer number.
+    pub stores: Vec<TrueQuota>,
+    /// Requests held by each backend per unit of its capacity; infinite for a backend that cannot serve.
     pub loads: Vec<f64>,
 }
 
-/// What is true of one customer.
+/// The true state of one customer's quota.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SeenStore {
-    /// What its store holds.
+pub struct TrueQuota {
+    /// Units left in the customer's token bucket.
     pub held: f64,
-    /// Attempts out for it.
+    /// Attempts in flight for the customer.
     pub out: u32,
-    /// Units asked for in the last second.
-    pub asked: f64,
+    /// Units requested in the last second.
+    pub requested: f64,
 }
 
-/// What a decider may look at beside its events.
-pub struct Sight<'a> {
-    /// The truth, at once or late.
-    pub truth: &'a Truth,
-    /// Numbers of customers by name.
+/// The data that a decision maker may read besides its events.
+pub struct TrueStateView<'a> {
+    /// The true state, current or delayed according to the policy's [`StateView`].
+    pub state: &'a TrueState,
+    /// Customer numbers by name.
     pub customers: &'a HashMap<Name, usize>,
-    /// Numbers of backends by name.
+    /// Backend numbers by name.
     pub backends: &'a HashMap<Name, usize>,
 }
 
-/// One gateway's decisions.
+/// The decisions of one gateway.
 pub trait Decider: Send {
-    /// Takes one event and appends what is to be done.
-    fn handle(&mut self, now: Millis, event: Event, sight: &Sight<'_>, out: &mut Vec<Action>);
+    /// Handles one event and appends the resulting actions to `out`.
+    fn handle(&mut self, now: Millis, event: Event, view: &TrueStateView<'_>, out: &mut Vec<Action>);
 }
 
-/// How late the truth is for who sees it late, in microseconds: as late as load reports are at the plant.
-pub const SEES_LATE: Micros = 300_000;
+/// Delay of the true state for [`StateView::Delayed`], in microseconds. It equals the delay of load reports at the plant
+/// site.
+pub const DELAYED_VIEW_AGE: Micros = 300_000;
 
-/// How late a policy sees the truth.
+/// How a policy sees the true state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seeing {
-    /// It sees nothing that its events do not tell.
-    Nothing,
-    /// It sees the present.
-    Now,
-    /// It sees what was true [`SEES_LATE`] ago.
-    Late,
+pub enum StateView {
+    /// The policy knows only what its events contain.
+    None,
+    /// The policy sees the current state.
+    Current,
+    /// The policy sees the state of [`DELAYED_VIEW_AGE`] ago.
+    Delayed,
 }
 
-/// How gateways decide.
+/// A way for gateways to decide.
 pub trait Policy: Sync {
-    /// Its name in results.
+    /// The policy's name in results.
     fn name(&self) -> &str;
-    /// What its gateways see.
-    fn seeing(&self) -> Seeing {
-        Seeing::Nothing
+    /// Which view of the true state the policy's gateways get.
+    fn state_view(&self) -> StateView {
+        StateView::None
     }
-    /// A gateway that has just started.
+    /// Creates the decision maker of a gateway that has just started.
     ///
     /// # Errors
-    /// When the settings cannot be used.
+    /// When the settings are invalid.
     fn start(&self, settings: Settings, seed: u64) -> Result<Box<dyn Decider>, SettingsError>;
 }
 
-/// The library's decisions.
-pub struct Honest;
+/// The library's decisions, without access to the true state.
+pub struct Library;
 
-struct Linked(Gateway);
+struct LibraryDecider(Gateway);
 
-impl Decider for Linked {
-    fn handle(&mut self, now: Millis, event: Event, _: &Sight<'_>, out: &mut Vec<Action>) {
+impl Decider for LibraryDecider {
+    fn handle(&mut self, now: Millis, event: Event, _: &TrueStateView<'_>, out: &mut Vec<Action>) {
         self.0.handle(now, event, out);
     }
 }
 
-impl Policy for Honest {
+impl Policy for Library {
     fn name(&self) -> &str {
         "module"
     }
 
     fn start(&self, settings: Settings, seed: u64) -> Result<Box<dyn Decider>, SettingsError> {
-        Ok(Box::new(Linked(Gateway::new(settings, seed)?)))
+        Ok(Box::new(LibraryDecider(Gateway::new(settings, seed)?)))
     }
 }
 
-/// How a plain policy lets requests in.
+/// How a baseline policy admits requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gate {
-    /// All.
+pub enum Admission {
+    /// Admits every request.
     All,
-    /// What fits an even part of the quota for each gateway of the set.
+    /// Admits requests within an equal share of the quota for each gateway of the customer's set.
     EvenSplit,
-    /// What a call to the counter for each try says is inside the window; all, without an answer.
+    /// Calls the counter for every try and admits the try if the window's total is within the burst. Without an
+    /// answer it admits the try.
     CountEach,
-    /// What the true store holds.
-    Seeing(Seeing),
+    /// Admits requests that the customer's true quota store covers.
+    TrueState(StateView),
 }
 
-/// A policy to hold the decisions against.
-pub struct Plain {
+/// A baseline policy to compare the library's decisions with.
+pub struct Baseline {
     name: &'static str,
-    gate: Gate,
+    admission: Admission,
 }
 
-/// The baselines: let all in, even split, a call for each try, seeing now, seeing late.
-pub const BASELINES: [Plain; 5] = [
-    Plain { name: "all-in", gate: Gate::All },
-    Plain { name: "even-split", gate: Gate::EvenSplit },
-    Plain { name: "count-each", gate: Gate::CountEach },
-    Plain { name: "sees-now", gate: Gate::Seeing(Seeing::Now) },
-    Plain { name: "sees-late", gate: Gate::Seeing(Seeing::Late) },
+/// The baselines: admit all, even split, one counter call per try, current true state, delayed true state.
+pub const BASELINES: [Baseline; 5] = [
+    Baseline { name: "all-in", admission: Admission::All },
+    Baseline { name: "even-split", admission: Admission::EvenSplit },
+    Baseline { name: "count-each", admission: Admission::CountEach },
+    Baseline { name: "sees-now", admission: Admission::TrueState(StateView::Current) },
+    Baseline { name: "sees-late", admission: Admission::TrueState(StateView::Delayed) },
 ];
 
-impl Policy for Plain {
+impl Policy for Baseline {
     fn name(&self) -> &str {
         self.name
     }
 
-    fn seeing(&self) -> Seeing {
-        if let Gate::Seeing(seeing) = self.gate { seeing } else { Seeing::Nothing }
+    fn state_view(&self) -> StateView {
+        if let Admission::TrueState(state_view) = self.admission { state_view } else { StateView::None }
     }
 
     fn start(&self, settings: Settings, seed: u64) -> Result<Box<dyn Decider>, SettingsError> {
-        let sees = matches!(self.gate, Gate::Seeing(_));
-        Ok(Box::new(Door {
-            gate: self.gate,
-            sees,
+        let sees_true_state = matches!(self.admission, Admission::TrueState(_));
+        Ok(Box::new(BaselineDecider {
+            admission: self.admission,
+            sees_true_state,
             settings: Arc::new(settings),
             random: seed | 1,
             backends: BTreeMap::new(),
             requests: BTreeMap::new(),
             stores: HashMap::new(),
-            asked: HashMap::new(),
+            pending_counts: HashMap::new(),
         }))
     }
 }
 
-struct Known {
+struct BackendView {
     ready: bool,
     out: u32,
-    sour_until: Millis,
+    avoid_until: Millis,
 }
 
-struct Held {
+struct PendingRequest {
     arrival: doorcourse::Arrival,
     class: usize,
     plan: usize,
@@ -161,67 +164,74 @@
     may_have_run: bool,
 }
 
-/// A plain gateway: its gate, then the least loaded backend, and one further try where that is safe.
-struct Door {
-    gate: Gate,
-    sees: bool,
+/// A baseline gateway: admission, then the least loaded backend, and one retry where a retry is safe.
+struct BaselineDecider {
+    admission: Admission,
+    sees_true_state: bool,
     settings: Arc<Settings>,
     random: u64,
-    backends: BTreeMap<Name, Known>,
-    requests: BTreeMap<RequestId, Held>,
+    backends: BTreeMap<Name, BackendView>,
+    requests: BTreeMap<RequestId, PendingRequest>,
     stores: HashMap<Name, (f64, Millis)>,
-    /// Tries that wait for the count of this name, in the order of the calls.
-    asked: HashMap<u64, Vec<(RequestId, f64)>>,
+    /// Tries that wait for the counter's answer under this name, in the order of the calls.
+    pending_counts: HashMap<u64, Vec<(RequestId, f64)>>,
 }
 
-/// Requests held for each core of a backend beyond which a seeing policy sends nothing more, for the worthiest.
-const SEEN_LOAD: f64 = 6.0;
+/// Requests held per unit of backend capacity above which a policy that sees the true state sends no more requests
+/// of the highest worth. The limit is lower for requests of lower worth.
+const MAX_SEEN_LOAD: f64 = 6.0;
 
-impl Door {
-    fn chance(&mut self) -> f64 {
+impl BaselineDecider {
+    fn random_unit(&mut self) -> f64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
         (crate::draw::mix(self.random) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn admit(&mut self, now: Millis, id: RequestId, sight: &Sight<'_>, out: &mut Vec<Action>) {
-        let chance = self.chance();
-        let held = &self.requests[&id];
-        let plan = &self.settings.plans[held.plan];
-        let pays = plan.over_worth > plan.over_cost;
-        let fits = match self.gate {
-            Gate::All => true,
-            Gate::EvenSplit => {
-                let part = f64::from(held.arrival.spread.max(1));
-                let most = (plan.burst / part).max(1.0);
-                let (left, at) = self.stores.get(&held.arrival.customer).copied().unwrap_or((most, now));
-                let left = (left + plan.rate / part * (now - at) / 1000.0).min(most);
+    fn admit(&mut self, now: Millis, id: RequestId, view: &TrueStateView<'_>, out: &mut Vec<Action>) {
+        let chance = self.random_unit();
+        let request = &self.requests[&id];
+        let plan = &self.settings.plans[request.plan];
+        let worth_serving = plan.over_worth > plan.over_cost;
+        let fits = match self.admission {
+            Admission::All => true,
+            Admission::EvenSplit => {
+                let gateways = f64::from(request.arrival.spread.max(1));
+                let burst = (plan.burst / gateways).max(1.0);
+                let (left, at) = self.stores.get(&request.arrival.customer).copied().unwrap_or((burst, now));
+                let left = (left + plan.rate / gateways * (now - at) / 1000.0).min(burst);
                 let fits = left >= 1.0;
-                self.stores.insert(held.arrival.customer.clone(), (left - f64::from(u8::from(fits)), now));
+                self.stores.insert(request.arrival.customer.clone(), (left - f64::from(u8::from(fits)), now));
                 fits
             }
-            Gate::CountEach => {
-                let turn = plan.burst / plan.rate * 1000.0;
-                let window = (now / turn) as u64;
-                let name: &str = &held.arrival.customer;
+            Admission::CountEach => {
+                let window_length = plan.burst / plan.rate * 1000.0;
+                let window = (now / window_length) as u64;
+                let name: &str = &request.arrival.customer;
                 let salt = name.bytes().fold(window, |h, b| crate::draw::mix(h ^ u64::from(b)));
                 let granted = plan.burst;
-                self.asked.entry(salt >> 1).or_default().push((id, granted));
-                out.push(Action::AddToCounter { name: salt >> 1, amount: 1.0, ttl: turn });
+                self.pending_counts.entry(salt >> 1).or_default().push((id, granted));
+                out.push(Action::AddToCounter { name: salt >> 1, amount: 1.0, ttl: window_length });
                 return;
             }
-            Gate::Seeing(seeing) => {
-                let number = sight.customers.get(&held.arrival.customer).copied();
-                let unknown = SeenStore { held: plan.burst, ..SeenStore::default() };
-                let seen = number.and_then(|n| sight.truth.stores.get(n)).copied().unwrap_or(unknown);
+            Admission::TrueState(state_view) => {
+                let number = view.customers.get(&request.arrival.customer).copied();
+                let unknown = TrueQuota { held: plan.burst, ..TrueQuota::default() };
+                let seen = number.and_then(|n| view.state.stores.get(n)).copied().unwrap_or(unknown);
                 let open = plan.open == 0 || seen.out < plan.open;
-                // Who sees late lets in by chance what fits until it will see the present.
-                let span = SEES_LATE as f64 / 1e6;
-                let fitting = (seen.held - 0.5 + plan.rate * span) / (seen.asked * span).max(1e-9);
-                let fits = if seeing == Seeing::Now { seen.held >= 1.0 } else { chance < fitting };
+                // With a delayed state, admits a random share of the requests: the share that the store can cover
+                // until the state is up to date.
+                let span = DELAYED_VIEW_AGE as f64 / 1e6;
+                let admit_share = (seen.held - 0.5 + plan.rate * span) / (seen.requested * span).max(1e-9);
+                let fits =
+                    if state_view == StateView::Current { seen.held >= 1.0 } else { chance < admit_share };
                 fits && open
             }
         };
-        if fits || pays && self.sees { self.send(now, id, sight, out) } else { self.refuse(id, out) }
+        if fits || worth_serving && self.sees_true_state {
+            self.send(now, id, view, out)
+        } else {
+            self.refuse(id, out)
+        }
     }
 
     fn refuse(&mut self, id: RequestId, out: &mut Vec<Action>) {
@@ -229,23 +239,24 @@
         out.push(Action::Refuse { id, retry_after: self.settings.max_retry_after });
     }
 
-    fn send(&mut self, now: Millis, id: RequestId, sight: &Sight<'_>, out: &mut Vec<Action>) {
+    fn send(&mut self, now: Millis, id: RequestId, view: &TrueStateView<'_>, out: &mut Vec<Action>) {
         let mut best: Option<(f64, Name)> = None;
-        let luck = self.chance();
+        let random = self.random_unit();
         let count = self.backends.len().max(1);
-        let start = (luck * count as f64) as usize;
-        // Who sees late looks at two only: all would follow the same stale order.
-        let looked = if self.gate == Gate::Seeing(Seeing::Late) { 2 } else { count };
-        let usable = |(_, k): &(&Name, &Known)| k.ready && now >= k.sour_until;
-        let step = 1 + (luck * 7919.0) as usize % 17;
-        let ring = self.backends.iter().cycle().skip(start).take(count * 2).step_by(if looked == 2 {
+        let start = (random * count as f64) as usize;
+        // With a delayed state, compares two backends only: otherwise every gateway would pick the same backends from
+        // the same stale order.
+        let candidates = if self.admission == Admission::TrueState(StateView::Delayed) { 2 } else { count };
+        let usable = |(_, k): &(&Name, &BackendView)| k.ready && now >= k.avoid_until;
+        let step = 1 + (random * 7919.0) as usize % 17;
+        let ring = self.backends.iter().cycle().skip(start).take(count * 2).step_by(if candidates == 2 {
             step
         } else {
             1
         });
-        for (name, known) in ring.filter(usable).take(looked) {
-            let seen = sight.backends.get(name).and_then(|n| sight.truth.loads.get(*n));
-            let load = match (self.sees, seen) {
+        for (name, known) in ring.filter(usable).take(candidates) {
+            let seen = view.backends.get(name).and_then(|n| view.state.loads.get(*n));
+            let load = match (self.sees_true_state, seen) {
                 (true, Some(load)) => *load + f64::from(known.out) * 0.5,
                 _ => f64::from(known.out),
             };
@@ -253,42 +264,45 @@
                 best = Some((load, name.clone()));
             }
         }
-        let held = self.requests.get_mut(&id).filter(|held| held.attempts < self.settings.max_attempts);
-        let (Some((load, name)), Some(held)) = (best, held) else { return self.refuse(id, out) };
-        let top = self.settings.classes.iter().map(|c| c.worth).fold(0.0, f64::max);
-        let prices = self.settings.plans.iter().map(|p| p.price).fold(0.0, f64::max);
-        let worth = self.settings.classes[held.class].worth * self.settings.plans[held.plan].price;
-        let bound = SEEN_LOAD * (0.3 + 0.7 * worth / (top * prices).max(1e-9));
-        if self.sees && held.attempts == 0 && load > bound {
+        let request =
+            self.requests.get_mut(&id).filter(|request| request.attempts < self.settings.max_attempts);
+        let (Some((load, name)), Some(request)) = (best, request) else { return self.refuse(id, out) };
+        let max_worth = self.settings.classes.iter().map(|c| c.worth).fold(0.0, f64::max);
+        let max_price = self.settings.plans.iter().map(|p| p.price).fold(0.0, f64::max);
+        let worth = self.settings.classes[request.class].worth * self.settings.plans[request.plan].price;
+        let max_load = MAX_SEEN_LOAD * (0.3 + 0.7 * worth / (max_worth * max_price).max(1e-9));
+        if self.sees_true_state && request.attempts == 0 && load > max_load {
             return self.refuse(id, out);
         }
-        held.attempts += 1;
-        let timeout = held.arrival.deadline - 2.0 * self.settings.tick - now;
+        request.attempts += 1;
+        let timeout = request.arrival.deadline - 2.0 * self.settings.tick - now;
         if let Some(known) = self.backends.get_mut(&name) {
             known.out += 1;
         }
         out.push(Action::Send { id, backend: name, timeout, quota_wait: 0.0 });
     }
 
-    fn ended(&mut self, now: Millis, end: AttemptEnd, sight: &Sight<'_>, out: &mut Vec<Action>) {
+    fn attempt_ended(
+        &mut self, now: Millis, end: AttemptEnd, view: &TrueStateView<'_>, out: &mut Vec<Action>,
+    ) {
         if let Some(known) = self.backends.get_mut(&end.backend) {
             known.out = known.out.saturating_sub(1);
             if end.outcome != Outcome::Served {
-                known.sour_until = now + 300.0;
+                known.avoid_until = now + 300.0;
             }
         }
-        let Some(held) = self.requests.get_mut(&end.id) else { return };
+        let Some(request) = self.requests.get_mut(&end.id) else { return };
         if end.finished {
             self.requests.remove(&end.id);
             return;
         }
-        let never = matches!(end.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent);
-        held.may_have_run |= !never;
-        let safe = self.settings.classes[held.class].idempotency == Idempotency::Safe;
-        let time_left = held.arrival.deadline - now > 4.0 * self.settings.tick;
-        if time_left && held.attempts < 2 && (safe || !held.may_have_run) {
-            self.send(now, end.id, sight, out);
-        } else if held.may_have_run && !safe {
+        let never_ran = matches!(end.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent);
+        request.may_have_run |= !never_ran;
+        let safe = self.settings.classes[request.class].idempotency == Idempotency::Safe;
+        let time_left = request.arrival.deadline - now > 4.0 * self.settings.tick;
+        if time_left && request.attempts < 2 && (safe || !request.may_have_run) {
+            self.send(now, end.id, view, out);
+        } else if request.may_have_run && !safe {
             self.requests.remove(&end.id);
             out.push(Action::Fail { id: end.id });
         } else {
@@ -296,23 +310,23 @@
         }
     }
 
-    fn list(&mut self, list: Vec<BackendEntry>, whole: bool) {
+    fn update_list(&mut self, list: Vec<BackendEntry>, whole: bool) {
         if whole {
             self.backends.values_mut().for_each(|known| known.ready = false);
         }
         for entry in list {
-            let new = Known { ready: false, out: 0, sour_until: 0.0 };
+            let new = BackendView { ready: false, out: 0, avoid_until: 0.0 };
             let known = self.backends.entry(entry.name).or_insert(new);
             known.ready = entry.state == BackendState::Ready;
         }
     }
 }
 
-impl Decider for Door {
-    fn handle(&mut self, now: Millis, event: Event, sight: &Sight<'_>, out: &mut Vec<Action>) {
+impl Decider for BaselineDecider {
+    fn handle(&mut self, now: Millis, event: Event, view: &TrueStateView<'_>, out: &mut Vec<Action>) {
         match event {
-            Event::BackendList(list) => self.list(list, true),
-            Event::BackendChanges(list) => self.list(list, false),
+            Event::BackendList(list) => self.update_list(list, true),
+            Event::BackendChanges(list) => self.update_list(list, false),
             Event::Request(arrival) => {
                 let class = self.settings.classes.iter().position(|c| c.name == arrival.class);
                 let plan = self.settings.plans.iter().position(|p| p.name == arrival.plan);
@@ -320,27 +334,29 @@
                 let (Some(class), Some(plan)) = (class, plan) else {
                     return out.push(Action::Refuse { id, retry_after: 0.0 });
                 };
-                let held = Held { arrival, class, plan, attempts: 0, may_have_run: false };
-                self.requests.insert(id, held);
-                self.admit(now, id, sight, out);
+                let request = PendingRequest { arrival, class, plan, attempts: 0, may_have_run: false };
+                self.requests.insert(id, request);
+                self.admit(now, id, view, out);
             }
-            Event::AttemptEnded(end) => self.ended(now, end, sight, out),
+            Event::AttemptEnded(end) => self.attempt_ended(now, end, view, out),
             Event::ClientLeft { id } => drop(self.requests.remove(&id)),
             Event::Counted { name, outcome, .. } => {
                 if matches!(outcome, doorcourse::CountOutcome::Late { .. }) {
                     return;
                 }
-                let Some(waiting) = self.asked.get_mut(&name).filter(|w| !w.is_empty()) else { return };
+                let Some(waiting) = self.pending_counts.get_mut(&name).filter(|w| !w.is_empty()) else {
+                    return;
+                };
                 let (id, granted) = waiting.remove(0);
                 if waiting.is_empty() {
-                    self.asked.remove(&name);
+                    self.pending_counts.remove(&name);
                 }
                 if !self.requests.contains_key(&id) {
                     return;
                 }
                 match outcome {
                     doorcourse::CountOutcome::Total(total) if total > granted => self.refuse(id, out),
-                    _ => self.send(now, id, sight, out),
+                    _ => self.send(now, id, view, out),
                 }
             }
             _ => {}
@@ -348,7 +364,7 @@
     }
 }
 
-/// The numbers of customers by name, of which several may share one: the first counts.
+/// Maps customer names to numbers. For customers that share a name, the first number is used.
 pub fn numbers(customers: &[Customer]) -> HashMap<Name, usize> {
     let mut by_name = HashMap::new();
     for (number, customer) in customers.iter().enumerate() {
--- a/emulator/src/experiment.rs
+++ b/emulator/src/experiment.rs
@@ -1,7 +1,7 @@
 //! Experiments: days of scenarios and seeds, played side by side on all cores, and compared in pairs.
 
 use crate::books::Books;
-use crate::decider::{BASELINES, Honest, Policy};
+use crate::decider::{BASELINES, Library, Policy};
 use crate::draw::Day;
 use crate::judge::Rule;
 use crate::results::{Head, Marks, Results, ResultsError, Row, Writer};
@@ -34,8 +34,8 @@
 pub fn play(day: &Day, policy: &dyn Policy) -> Row {
     let record = World::new(day, policy).run();
     let books = Books::close(day, &record);
-    let looks = record.looks.iter().map(|look| {
-        (look.at as f64 / 1e6, look.held, look.waiting, look.gateways, look.backends, look.calls)
+    let looks = record.samples.iter().map(|sample| {
+        (sample.at as f64 / 1e6, sample.held, sample.waiting, sample.gateways, sample.backends, sample.calls)
     });
     Row {
         scenario: day.scenario.clone(),
@@ -86,7 +86,7 @@
             return;
         }
         let day = Day::draw(scenario, *seed);
-        let mut rows = vec![play(&day, &Honest)];
+        let mut rows = vec![play(&day, &Library)];
         if plan.score || plan.baselines {
             let (marks, others) = marks(&day);
             let range = (marks.top - marks.floor).max(0.1);
--- a/emulator/src/judge.rs
+++ b/emulator/src/judge.rs
@@ -1,5 +1,5 @@
-//! The judge: the five rules and the protocol's, checked at every event. It keeps books of its own and believes
-//! neither the gateways nor the world's own flags; a break names time, gateway, request and rule.
+//! The judge checks the five rules and the interface's protocol at every event. It keeps its own records and relies
+//! neither on the gateways' state nor on the world's flags. Each breach names time, gateway, request and rule.
 
 use crate::draw::{Micros, Store, millis};
 use crate::scenario::Rules;
@@ -7,46 +7,46 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// Breaks kept word for word; more are only counted.
-const KEPT: usize = 200;
+/// Breaches that are stored in full; further ones are only counted.
+const MAX_STORED_BREACHES: usize = 200;
 
-/// What can be broken.
+/// The rules that a gateway can break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// A request that a live gateway took got no final answer in time, or more than one.
+    /// A request that a live gateway accepted got no final answer in time, or more than one.
     Lost,
-    /// A request that must not run twice was sent or refused though it may have run.
+    /// A non-idempotent request was sent again or refused although it may have run.
     Duplicate,
-    /// New work went to a backend that drains or is gone, longer than the grace after that was told.
+    /// New work went to a draining or removed backend after the grace period that follows the notification.
     Drain,
-    /// A cold backend was sent more than it bears, by gateways that had been told of its start.
+    /// A cold backend was sent more than it can bear, by gateways that had been notified of its start.
     Fall,
-    /// A customer's ceiling was passed.
+    /// The usage of a customer exceeded its ceiling.
     Ceiling,
-    /// An action that the interface does not allow.
+    /// An action violates the interface's protocol.
     Protocol,
 }
 
-/// One break of a rule.
+/// One breach of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Breach {
-    /// When, in ms since the day began.
+    /// Time in ms since the day began.
     pub at: f64,
-    /// At which gateway.
+    /// The gateway that broke the rule.
     pub gateway: usize,
-    /// On which request, where it is one's.
+    /// The request concerned, if the breach concerns a single request.
     pub request: Option<u64>,
-    /// Which rule.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// What was seen.
+    /// What was observed.
     pub what: String,
 }
 
-/// A try under the judge's eye.
-struct Case {
+/// The judge's record of one try.
+struct TryRecord {
     gateway: usize,
-    /// The latest time at which a final answer counts.
+    /// The latest time at which a final answer is accepted.
     due: Micros,
     once: bool,
     attempts: u32,
@@ -55,50 +55,50 @@
     over: bool,
 }
 
-/// The budget of a backend that started a while ago.
+/// The load budget of a backend that has started recently.
 #[derive(Default)]
-struct Cold {
+struct ColdStartBudget {
     sent: VecDeque<(Micros, f64, bool, usize)>,
     sum: f64,
-    /// Work that it could do since its start, as running integral, and the samples of it in the window.
-    could: VecDeque<(Micros, f64)>,
+    /// Samples of the backend's capacity within the window, with their times.
+    capacities: VecDeque<(Micros, f64)>,
 }
 
 /// Work that reached a backend.
-pub struct Reached {
-    /// Which backend.
+pub struct BackendLoad {
+    /// The backend's number.
     pub backend: usize,
     /// The work, in core microseconds.
     pub work: f64,
-    /// What the backend can do now, in core microseconds a microsecond.
+    /// The backend's current capacity, in core microseconds per microsecond.
     pub capacity: f64,
-    /// Whether the gateway's list names this start of it.
-    pub told: bool,
+    /// Whether the backend list of the gateway contains this start of the backend.
+    pub start_known: bool,
 }
 
-/// The judge of one day.
+/// The judge of one simulated day.
 pub struct Judge {
     rules: Rules,
-    cases: HashMap<u64, Case>,
-    /// By gateway and backend: since when it is told to be unusable.
+    tries: HashMap<u64, TryRecord>,
+    /// By gateway and backend: the time from which the gateway has known the backend to be unusable.
     unusable: HashMap<(usize, usize), Micros>,
     known: HashSet<(usize, usize)>,
-    cold: HashMap<usize, Cold>,
+    cold: HashMap<usize, ColdStartBudget>,
     ceilings: HashMap<usize, Store>,
-    /// How near any ceiling came to its break: 1 is at the rule.
+    /// The highest usage of any ceiling; 1 is the limit.
     pub nearest_to_ceiling: f64,
-    /// The breaks, by time.
+    /// The breaches, ordered by time.
     pub breaches: Vec<Breach>,
-    /// All of them.
+    /// The number of all breaches, including those that are not stored.
     pub count: u64,
 }
 
 impl Judge {
-    /// A judge by these rules.
+    /// Creates a judge with these rules.
     pub fn new(rules: Rules) -> Self {
         Self {
             rules,
-            cases: HashMap::new(),
+            tries: HashMap::new(),
             unusable: HashMap::new(),
             known: HashSet::new(),
             cold: HashMap::new(),
@@ -109,39 +109,41 @@
         }
     }
 
-    /// Notes a break.
-    pub fn broke(&mut self, at: Micros, gateway: usize, request: Option<u64>, rule: Rule, what: String) {
+    /// Records a breach.
+    pub fn record_breach(
+        &mut self, at: Micros, gateway: usize, request: Option<u64>, rule: Rule, what: String,
+    ) {
         self.count += 1;
-        if self.breaches.len() < KEPT {
+        if self.breaches.len() < MAX_STORED_BREACHES {
             self.breaches.push(Breach { at: millis(at), gateway, request, rule, what });
         }
     }
 
-    /// A live gateway took a request, for which its client waits until `deadline`. Gives the time at which to ask
-    /// whether it is overdue.
-    pub fn taken(&mut self, gateway: usize, request: u64, once: bool, deadline: Micros) -> Micros {
+    /// Records that a live gateway accepted a request whose client waits until `deadline`. Returns the time at
+    /// which the caller must check whether the answer is overdue.
+    pub fn request_accepted(&mut self, gateway: usize, request: u64, once: bool, deadline: Micros) -> Micros {
         let due = deadline + crate::draw::micros(self.rules.answer_slack_ms);
-        let case = Case { gateway, due, once, attempts: 0, out: 0, may_have_run: false, over: false };
-        self.cases.insert(request, case);
+        let record = TryRecord { gateway, due, once, attempts: 0, out: 0, may_have_run: false, over: false };
+        self.tries.insert(request, record);
         due + 1
     }
 
-    /// A gateway's process is gone: what it held is void, and it knows nothing.
-    pub fn died(&mut self, gateway: usize) {
-        self.cases.retain(|_, case| case.gateway != gateway);
+    /// Records that a gateway's process has ended. Its open requests are dropped, and its backend list is forgotten.
+    pub fn gateway_died(&mut self, gateway: usize) {
+        self.tries.retain(|_, record| record.gateway != gateway);
         self.unusable.retain(|(at, _), _| *at != gateway);
         self.known.retain(|(at, _)| *at != gateway);
     }
 
-    /// The client has left: nothing is owed to it.
-    pub fn left(&mut self, request: u64) {
-        if let Some(case) = self.cases.get_mut(&request) {
-            case.over = true;
+    /// Records that the client has left: the gateway no longer owes an answer.
+    pub fn client_left(&mut self, request: u64) {
+        if let Some(record) = self.tries.get_mut(&request) {
+            record.over = true;
         }
     }
 
-    /// A list told a gateway of a backend.
-    pub fn told(&mut self, at: Micros, gateway: usize, backend: usize, usable: bool) {
+    /// Records that a list notified a gateway of a backend's state.
+    pub fn backend_listed(&mut self, at: Micros, gateway: usize, backend: usize, usable: bool) {
         self.known.insert((gateway, backend));
         if usable {
             self.unusable.remove(&(gateway, backend));
@@ -150,86 +152,106 @@
         }
     }
 
-    /// A whole list does not name a backend: if the gateway knew it, it is gone.
-    pub fn missing(&mut self, at: Micros, gateway: usize, backend: usize) {
+    /// Records that a full list does not contain a backend. A backend that the gateway knew before counts as removed.
+    pub fn backend_unlisted(&mut self, at: Micros, gateway: usize, backend: usize) {
         if self.known.contains(&(gateway, backend)) {
             self.unusable.entry((gateway, backend)).or_insert(at);
         }
     }
 
-    /// A gateway sends an attempt. False where the interface does not allow it: nothing is to be carried out.
-    pub fn sent(&mut self, at: Micros, gateway: usize, request: u64, backend: Option<usize>) -> bool {
+    /// Checks an attempt that a gateway sends. Returns false if the attempt must not be carried out.
+    pub fn attempt_sent(&mut self, at: Micros, gateway: usize, request: u64, backend: Option<usize>) -> bool {
         let Some(backend) = backend.filter(|b| self.known.contains(&(gateway, *b))) else {
-            self.broke(at, gateway, Some(request), Rule::Protocol, "sent to a backend of no list".into());
+            self.record_breach(
+                at,
+                gateway,
+                Some(request),
+                Rule::Protocol,
+                "sent to a backend that is in no list".into(),
+            );
             return false;
         };
-        let Some(case) = self.cases.get_mut(&request).filter(|case| case.gateway == gateway) else {
-            self.broke(at, gateway, Some(request), Rule::Protocol, "sent a request it was not given".into());
+        let Some(record) = self.tries.get_mut(&request).filter(|record| record.gateway == gateway) else {
+            self.record_breach(
+                at,
+                gateway,
+                Some(request),
+                Rule::Protocol,
+                "sent a request it was not given".into(),
+            );
             return false;
         };
-        if case.over {
-            self.broke(at, gateway, Some(request), Rule::Lost, "sent a request that it had ended".into());
+        if record.over {
+            self.record_breach(
+                at,
+                gateway,
+                Some(request),
+                Rule::Lost,
+                "sent a request that it had already ended".into(),
+            );
             return false;
         }
-        case.attempts += 1;
-        if case.attempts > self.rules.most_attempts {
+        record.attempts += 1;
+        if record.attempts > self.rules.most_attempts {
             return false;
         }
-        let twice = case.once && (case.may_have_run || case.out > 0);
-        case.out += 1;
+        let twice = record.once && (record.may_have_run || record.out > 0);
+        record.out += 1;
         if twice {
-            let what = format!("attempt {} of a request that may have run", case.attempts - 1);
-            self.broke(at, gateway, Some(request), Rule::Duplicate, what);
+            let what = format!("attempt {} of a request that may have run", record.attempts - 1);
+            self.record_breach(at, gateway, Some(request), Rule::Duplicate, what);
         }
         let grace = crate::draw::micros(self.rules.drain_grace_ms);
         if let Some(since) = self.unusable.get(&(gateway, backend)).filter(|since| at > **since + grace) {
-            let what = format!("sent to backend {backend} {} ms after it was told", millis(at - since));
-            self.broke(at, gateway, Some(request), Rule::Drain, what);
+            let what =
+                format!("sent to backend {backend} {} ms after the gateway was notified", millis(at - since));
+            self.record_breach(at, gateway, Some(request), Rule::Drain, what);
         }
         true
     }
 
-    /// An attempt ended, as the gateway is told.
+    /// Records the end of an attempt, as reported to the gateway.
     pub fn attempt_ended(&mut self, request: u64, outcome: Outcome) {
-        let Some(case) = self.cases.get_mut(&request) else { return };
-        case.out = case.out.saturating_sub(1);
-        let never = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent);
-        case.may_have_run |= !never;
+        let Some(record) = self.tries.get_mut(&request) else { return };
+        record.out = record.out.saturating_sub(1);
+        let never_ran = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent);
+        record.may_have_run |= !never_ran;
     }
 
-    /// A final answer. False where the request was over or not the gateway's: it is to be passed over.
-    pub fn answered(&mut self, at: Micros, gateway: usize, request: u64, refused: bool) -> bool {
-        let Some(case) = self.cases.get_mut(&request).filter(|case| case.gateway == gateway) else {
+    /// Checks a final answer. Returns false if the request is already over or does not belong to the gateway; the
+    /// caller then ignores the answer.
+    pub fn final_answer(&mut self, at: Micros, gateway: usize, request: u64, refused: bool) -> bool {
+        let Some(record) = self.tries.get_mut(&request).filter(|record| record.gateway == gateway) else {
             let what = "ended a request it was not given".into();
-            self.broke(at, gateway, Some(request), Rule::Protocol, what);
+            self.record_breach(at, gateway, Some(request), Rule::Protocol, what);
             return false;
         };
-        if std::mem::replace(&mut case.over, true) {
+        if std::mem::replace(&mut record.over, true) {
             return false;
         }
-        let (due, twice) = (case.due, refused && case.once && (case.may_have_run || case.out > 0));
+        let (due, twice) = (record.due, refused && record.once && (record.may_have_run || record.out > 0));
         if at > due {
             let what = format!("answered {} ms too late", millis(at - due));
-            self.broke(at, gateway, Some(request), Rule::Lost, what);
+            self.record_breach(at, gateway, Some(request), Rule::Lost, what);
         }
         if twice {
             let what = "refused a request that may have run".into();
-            self.broke(at, gateway, Some(request), Rule::Duplicate, what);
+            self.record_breach(at, gateway, Some(request), Rule::Duplicate, what);
         }
         true
     }
 
-    /// The last moment for an answer has passed. True when there was none: the client is gone.
-    pub fn overdue(&mut self, at: Micros, request: u64) -> bool {
-        let Some(case) = self.cases.get_mut(&request).filter(|case| !case.over) else { return false };
-        case.over = true;
-        let gateway = case.gateway;
-        self.broke(at, gateway, Some(request), Rule::Lost, "no final answer".into());
+    /// Called when the latest time for a final answer has passed. Returns true if there was no answer.
+    pub fn answer_overdue(&mut self, at: Micros, request: u64) -> bool {
+        let Some(record) = self.tries.get_mut(&request).filter(|record| !record.over) else { return false };
+        record.over = true;
+        let gateway = record.gateway;
+        self.record_breach(at, gateway, Some(request), Rule::Lost, "no final answer".into());
         true
     }
 
-    /// A try that is sent on first draws from its customer's ceiling, whatever the quota says.
-    pub fn draws(
+    /// Draws one unit from the customer's ceiling when a try is first sent, regardless of the quota.
+    pub fn draw_from_ceiling(
         &mut self, at: Micros, gateway: usize, request: u64, customer: usize, plan: &doorcourse::Plan,
     ) {
         if plan.ceiling_rate <= 0.0 {
@@ -241,56 +263,62 @@
         store.held -= 1.0;
         let slack = plan.ceiling_slack + plan.ceiling_rate * self.rules.ceiling_grace_ms / 1000.0;
         let held = store.held;
-        let near = (plan.ceiling_burst - held) / (plan.ceiling_burst + slack);
-        self.nearest_to_ceiling = self.nearest_to_ceiling.max(near);
+        let usage = (plan.ceiling_burst - held) / (plan.ceiling_burst + slack);
+        self.nearest_to_ceiling = self.nearest_to_ceiling.max(usage);
         if held < -slack - 1e-9 {
             let what = format!("customer {customer}'s ceiling store at {held:.2}, {:.2} allowed", -slack);
-            self.broke(at, gateway, Some(request), Rule::Ceiling, what);
+            self.record_breach(at, gateway, Some(request), Rule::Ceiling, what);
         }
     }
 
-    /// A backend has started or come back: it is cold, and what it bears is a budget.
-    pub fn starts(&mut self, backend: usize) {
-        self.cold.insert(backend, Cold::default());
+    /// Starts the load budget of a backend that has started or returned and is therefore cold.
+    pub fn backend_started(&mut self, backend: usize) {
+        self.cold.insert(backend, ColdStartBudget::default());
     }
 
-    /// It is warm, or gone: no budget any more.
-    pub fn no_longer_cold(&mut self, backend: usize) {
+    /// Ends the load budget of a backend that is warm or has stopped.
+    pub fn end_cold_start(&mut self, backend: usize) {
         self.cold.remove(&backend);
     }
 
-    /// Work reached a backend, turned away or not. True when a cold one has been sent more within the window than
-    /// it bears: it falls over.
-    pub fn reached(&mut self, at: Micros, gateway: usize, request: u64, load: &Reached) -> bool {
+    /// Records work that reached a backend, whether accepted or rejected. Returns true if a cold backend was sent
+    /// more within the window than it can bear: the backend then fails.
+    pub fn work_arrived(&mut self, at: Micros, gateway: usize, request: u64, load: &BackendLoad) -> bool {
         let (span, multiple) = (crate::draw::micros(self.rules.fall_ms), self.rules.fall_multiple);
-        let Reached { backend, work, capacity, told } = *load;
+        let BackendLoad { backend, work, capacity, start_known } = *load;
         let Some(cold) = self.cold.get_mut(&backend) else { return false };
-        cold.could.push_back((at, capacity));
-        cold.sent.push_back((at, work, told, gateway));
+        cold.capacities.push_back((at, capacity));
+        cold.sent.push_back((at, work, start_known, gateway));
         cold.sum += work;
         while cold.sent.front().is_some_and(|(then, ..)| *then + span < at) {
             cold.sum -= cold.sent.pop_front().map_or(0.0, |(_, work, ..)| work);
         }
-        while cold.could.len() > 1 && cold.could.front().is_some_and(|(then, _)| *then + span < at) {
-            cold.could.pop_front();
+        while cold.capacities.len() > 1 && cold.capacities.front().is_some_and(|(then, _)| *then + span < at)
+        {
+            cold.capacities.pop_front();
         }
-        let mean = cold.could.iter().map(|(_, c)| c).sum::<f64>() / cold.could.len() as f64;
-        // Slack for chance: three deviations of a sum of so many exponential works.
+        let mean = cold.capacities.iter().map(|(_, c)| c).sum::<f64>() / cold.capacities.len() as f64;
+        // Tolerance for random variation: three standard deviations of a sum of this many exponential works.
         let number = cold.sent.len() as f64;
         let budget = multiple * mean * span as f64 + 3.0 * cold.sum / number * number.sqrt();
         if cold.sum <= budget {
             return false;
         }
-        let by_told = cold.sent.iter().filter(|(_, _, told, _)| *told).map(|(_, work, ..)| work).sum::<f64>();
-        let (sum, guilty) = (cold.sum, by_told * 3.0 >= cold.sum * 2.0);
+        let notified_work = cold
+            .sent
+            .iter()
+            .filter(|(_, _, start_known, _)| *start_known)
+            .map(|(_, work, ..)| work)
+            .sum::<f64>();
+        let (sum, gateways_notified) = (cold.sum, notified_work * 3.0 >= cold.sum * 2.0);
         self.cold.remove(&backend);
-        if guilty {
+        if gateways_notified {
             let what = format!(
                 "cold backend {backend} was sent {:.0} ms of work in its window, {:.0} allowed",
                 sum / 1000.0,
                 budget / 1000.0
             );
-            self.broke(at, gateway, Some(request), Rule::Fall, what);
+            self.record_breach(at, gateway, Some(request), Rule::Fall, what);
         }
         true
     }
--- a/emulator/src/world/counter.rs
+++ b/emulator/src/world/counter.rs
@@ -1,67 +1,67 @@
-//! The shared counter: parts that serve calls in turn, so many a second, and turn calls away when their line is
-//! long. A call that nobody waits for any more is worked on all the same, and counts.
+//! The shared counter. Its partitions serve calls in turn at a fixed rate and reject calls when their queue is too
+//! long. A call whose caller has given up is still served and still adds its amount.
 
 use crate::draw::{Counting, Micros, mix};
 use std::collections::HashMap;
 
-/// Where a call stands after it arrived.
+/// The counter's response to an arriving call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
-    /// It is served at this time.
+pub enum CallAdmission {
+    /// The call will be served at this time.
     At(Micros),
-    /// The line is too long: nothing is added.
-    Away,
+    /// The queue is too long: the call is rejected and nothing is added.
+    Rejected,
 }
 
-/// The counter.
+/// The shared counter.
 #[derive(Debug)]
 pub struct Counter {
     parts: Vec<f64>,
-    numbers: HashMap<u64, (f64, Micros)>,
-    /// Raised when all numbers are lost: calls that were under way then are answered no more.
-    pub life: u32,
-    /// Whether it answers.
+    values: HashMap<u64, (f64, Micros)>,
+    /// Incremented when all values are lost: calls in flight from before the loss get no answer.
+    pub incarnation: u32,
+    /// Whether the counter answers.
     pub up: bool,
-    /// Its zone.
+    /// The zone in which the counter runs.
     pub zone: usize,
 }
 
 impl Counter {
-    /// An empty counter.
-    pub fn new(figures: &Counting) -> Self {
+    /// Creates an empty counter.
+    pub fn new(model: &Counting) -> Self {
         Self {
-            parts: vec![0.0; figures.parts],
-            numbers: HashMap::new(),
-            life: 0,
+            parts: vec![0.0; model.parts],
+            values: HashMap::new(),
+            incarnation: 0,
             up: true,
-            zone: figures.zone,
+            zone: model.zone,
         }
     }
 
-    /// A call arrives and takes its place in the line of its part.
-    pub fn arrive(&mut self, now: Micros, name: u64, figures: &Counting) -> Turn {
-        let part = &mut self.parts[(mix(name) % figures.parts as u64) as usize];
-        let begins = part.max(now as f64);
-        if begins - now as f64 > figures.line {
-            return Turn::Away;
+    /// Enqueues an arriving call at its partition.
+    pub fn enqueue(&mut self, now: Micros, name: u64, model: &Counting) -> CallAdmission {
+        let busy_until = &mut self.parts[(mix(name) % model.parts as u64) as usize];
+        let starts_at = busy_until.max(now as f64);
+        if starts_at - now as f64 > model.line {
+            return CallAdmission::Rejected;
         }
-        *part = begins + figures.turn;
-        Turn::At((begins + figures.turn + figures.base).round() as Micros)
+        *busy_until = starts_at + model.turn;
+        CallAdmission::At((starts_at + model.turn + model.base).round() as Micros)
     }
 
-    /// A call's turn has come.
-    pub fn add(&mut self, now: Micros, name: u64, amount: f64, keep: Micros) -> f64 {
-        let (value, until) = self.numbers.entry(name).or_insert((0.0, now + keep));
-        if *until <= now {
-            (*value, *until) = (0.0, now + keep);
+    /// Serves a call: adds its amount and returns the new total.
+    pub fn add(&mut self, now: Micros, name: u64, amount: f64, ttl: Micros) -> f64 {
+        let (value, expires_at) = self.values.entry(name).or_insert((0.0, now + ttl));
+        if *expires_at <= now {
+            (*value, *expires_at) = (0.0, now + ttl);
         }
         *value += amount;
         *value
     }
 
-    /// All numbers are lost.
-    pub fn lose_all(&mut self) {
-        self.numbers.clear();
-        self.life += 1;
+    /// Drops all values.
+    pub fn drop_all(&mut self) {
+        self.values.clear();
+        self.incarnation += 1;
     }
 }
--- a/emulator/src/world/event.rs
+++ b/emulator/src/world/event.rs
@@ -1,120 +1,122 @@
-//! What happens, and in which order what happens at the same instant does: by rank, then in the order in which it
-//! was foreseen. So each day has one defined course.
+//! The events of the simulation and their order. Events at the same time are ordered by rank, then by the order in
+//! which they were scheduled, so each day has one deterministic course.
 
 use crate::draw::Micros;
 use doorcourse::Outcome;
 use std::cmp::Ordering;
 
-/// Something that happens at a time.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Happens {
-    /// A trouble begins (true) or ends.
+pub enum SimEvent {
+    /// A trouble begins (true) or ends (false).
     Trouble(usize, bool),
-    /// A backend begins to drain, is stopped, starts.
-    Drains(usize),
-    /// Its process ends.
-    Stops(usize),
-    /// Its process starts.
-    Starts(usize),
-    /// It takes so long to be noticed: the list changes.
-    Listed(usize),
-    /// The counter is back.
+    /// A backend begins to drain.
+    BackendDrains(usize),
+    /// A backend's process ends.
+    BackendStops(usize),
+    /// A backend's process starts.
+    BackendStarts(usize),
+    /// Discovery has noticed a change of a backend's state: the list changes.
+    StateNoticed(usize),
+    /// The counter is back, if no newer failure has occurred since.
     CounterBack(u32),
     /// A gateway's process dies.
-    Dies(usize),
-    /// It is told to end by a time.
-    Ending(usize, Micros),
-    /// It starts.
-    Boots(usize),
-    /// Changes of the list go out.
-    Publish,
-    /// Changes up to a number reach a gateway in this life of it.
-    List(usize, u32, usize),
-    /// A whole list reaches it.
-    WholeList(usize, u32),
-    /// A gateway's call for the whole list.
-    AskList(usize, u32),
-    /// Something at a backend is done, if nothing changed since.
-    Completes(usize, u64),
-    /// An attempt arrives whole at its backend.
-    Reaches(u32, u32),
-    /// An attempt that nobody waits for is dropped there.
-    Dropped(u32, u32),
-    /// A call reaches the counter; its turn has come; its answer is back.
-    CallReaches(u32),
-    /// The call's turn.
+    GatewayDies(usize),
+    /// A gateway is notified that it must end by this time.
+    GatewayShutsDown(usize, Micros),
+    /// A gateway starts.
+    GatewayStarts(usize),
+    /// Discovery publishes the changes of the list.
+    PublishChanges,
+    /// Changes up to this number reach a gateway, if its process is still this incarnation.
+    ListChanges(usize, u32, usize),
+    /// A full list reaches a gateway.
+    FullList(usize, u32),
+    /// A gateway requests the full list.
+    RequestFullList(usize, u32),
+    /// A backend completes work, if the backend has not changed since the event was scheduled.
+    BackendProgress(usize, u64),
+    /// An attempt arrives at its backend completely.
+    AttemptArrives(u32, u32),
+    /// A backend learns that an attempt was cancelled.
+    CancelArrives(u32, u32),
+    /// A call reaches the counter.
+    CallArrives(u32),
+    /// The counter serves a call.
     CallServed(u32, u32),
-    /// The call's answer.
+    /// The counter's answer reaches the caller.
     CallAnswered(u32),
-    /// The caller gives it up.
-    CallGivenUp(u32),
-    /// An attempt's end is known at its gateway.
-    Ends(u32, u32, Outcome),
-    /// A probe's end.
-    Probed(usize, u32, usize, bool),
-    /// A client sends a try, its n-th: it reaches the gateway.
-    Asks(u32),
-    /// Another gateway's word of a backend reaches a gateway in this life of it.
-    Word(usize, u32, usize, bool),
-    /// A gateway's timer.
+    /// The caller gives up a call.
+    CallTimesOut(u32),
+    /// The end of an attempt is known at its gateway.
+    AttemptEnds(u32, u32, Outcome),
+    /// A probe ends.
+    ProbeEnds(usize, u32, usize, bool),
+    /// A client's try reaches the gateway.
+    TryArrives(u32),
+    /// A health report of another gateway about a backend reaches a gateway, if its process is still this incarnation.
+    PeerReport(usize, u32, usize, bool),
+    /// A timer of a gateway fires.
     Timer(usize, u32, u64),
-    /// An attempt's time is up.
-    Limit(u32, u32),
+    /// The timeout of an attempt expires.
+    AttemptTimesOut(u32, u32),
     /// A client leaves early.
-    Leaves(u32),
+    ClientLeaves(u32),
     /// The client's patience with a try is over.
-    GivesUp(u32),
-    /// The last moment for its final answer has passed.
-    Overdue(u32),
-    /// The client hears the final answer of a try.
-    Hears(u32),
-    /// The client comes again.
-    Again(u32),
-    /// The truth is looked at.
-    Look,
+    ClientTimesOut(u32),
+    /// The latest time for the final answer of a try has passed.
+    AnswerOverdue(u32),
+    /// The final answer of a try reaches the client.
+    AnswerArrives(u32),
+    /// The client retries.
+    ClientRetries(u32),
+    /// The simulation samples the true state.
+    SampleState,
 }
 
-impl Happens {
-    /// What comes first at one instant: the world, then what reaches machines, then what comes of waiting.
+impl SimEvent {
+    /// The rank among events at the same time: the environment first, then what reaches machines, then timeouts.
     fn rank(&self) -> u8 {
         match self {
-            Self::Trouble(..) | Self::Drains(_) | Self::Stops(_) | Self::Starts(_) | Self::CounterBack(_) => {
-                0
-            }
-            Self::Dies(_) | Self::Ending(..) | Self::Boots(_) => 1,
-            Self::Listed(_) | Self::Publish => 2,
-            Self::Completes(..)
-            | Self::Reaches(..)
-            | Self::Dropped(..)
-            | Self::CallReaches(_)
+            Self::Trouble(..)
+            | Self::BackendDrains(_)
+            | Self::BackendStops(_)
+            | Self::BackendStarts(_)
+            | Self::CounterBack(_) => 0,
+            Self::GatewayDies(_) | Self::GatewayShutsDown(..) | Self::GatewayStarts(_) => 1,
+            Self::StateNoticed(_) | Self::PublishChanges => 2,
+            Self::BackendProgress(..)
+            | Self::AttemptArrives(..)
+            | Self::CancelArrives(..)
+            | Self::CallArrives(_)
             | Self::CallServed(..) => 3,
-            Self::List(..) | Self::WholeList(..) | Self::AskList(..) => 4,
-            Self::Word(..) | Self::Ends(..) | Self::CallAnswered(_) | Self::Probed(..) => 5,
-            Self::Asks(_) | Self::Leaves(_) => 6,
+            Self::ListChanges(..) | Self::FullList(..) | Self::RequestFullList(..) => 4,
+            Self::PeerReport(..) | Self::AttemptEnds(..) | Self::CallAnswered(_) | Self::ProbeEnds(..) => 5,
+            Self::TryArrives(_) | Self::ClientLeaves(_) => 6,
             Self::Timer(..) => 7,
-            Self::Limit(..) | Self::CallGivenUp(_) => 8,
-            Self::GivesUp(_) | Self::Hears(_) | Self::Again(_) => 9,
-            Self::Overdue(_) => 10,
-            Self::Look => 11,
+            Self::AttemptTimesOut(..) | Self::CallTimesOut(_) => 8,
+            Self::ClientTimesOut(_) | Self::AnswerArrives(_) | Self::ClientRetries(_) => 9,
+            Self::AnswerOverdue(_) => 10,
+            Self::SampleState => 11,
         }
     }
 }
 
-/// An event with its place in the order of all.
+/// A scheduled event with its place in the total order.
 #[derive(Clone, Copy, Debug)]
-pub struct Due {
-    /// When.
+pub struct Scheduled {
+    /// The time of the event.
     pub at: Micros,
     rank: u8,
     number: u64,
-    /// What.
-    pub what: Happens,
+    /// The event.
+    pub event: SimEvent,
 }
 
-impl Due {
-    /// The event foreseen as this number.
-    pub fn new(at: Micros, number: u64, what: Happens) -> Self {
-        Self { at, rank: what.rank(), number, what }
+impl Scheduled {
+    /// Creates the event that was scheduled with this sequence number.
+    pub fn new(at: Micros, number: u64, event: SimEvent) -> Self {
+        Self { at, rank: event.rank(), number, event }
     }
 
     fn key(&self) -> (Micros, u8, u64) {
@@ -122,22 +124,22 @@
     }
 }
 
-impl PartialEq for Due {
+impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
         self.key() == other.key()
     }
 }
 
-impl Eq for Due {}
+impl Eq for Scheduled {}
 
-impl PartialOrd for Due {
+impl PartialOrd for Scheduled {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
-    /// The next event is the greatest: heaps give that first.
+impl Ord for Scheduled {
+    /// Reverses the order so that a max-heap returns the earliest event first.
     fn cmp(&self, other: &Self) -> Ordering {
         other.key().cmp(&self.key())
     }
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -1,79 +1,81 @@
-//! The world in simulated time: clients, network, gateways, backends, discovery, counter and what goes wrong. It
-//! feeds gateways the library's events and carries out their actions; what happens is wholly determined by the
-//! day and the policy. It makes no decision and passes no judgment.
+//! The simulated world: clients, network, gateways, backends, discovery, counter and troubles. The world passes
+//! events to the gateways and carries out their actions. The day and the policy determine the course completely.
+//! Decisions are made by [`crate::decider`], and breaches are detected by [`crate::judge`].
 
 pub mod backend;
 pub mod counter;
 mod event;
 
-use crate::decider::{Decider, Policy, SEES_LATE, Seeing, SeenStore, Sight, Truth, numbers};
+use crate::decider::{
+    DELAYED_VIEW_AGE, Decider, Policy, StateView, TrueQuota, TrueState, TrueStateView, numbers,
+};
 use crate::draw::{Day, EPOCH, Micros, Store, micros, millis, mix};
-use crate::judge::{Judge, Reached, Rule};
+use crate::judge::{BackendLoad, Judge, Rule};
 use crate::scenario::Kind;
-use backend::{Life, Server, Taken};
-use counter::{Counter, Turn};
+use backend::{Acceptance, ProcessState, Server};
+use counter::{CallAdmission, Counter};
 use doorcourse::{
     Action, Arrival, AttemptEnd, BackendEntry, BackendState, CountOutcome, Event, LoadReport, Name, Outcome,
     Settings,
 };
-use event::{Due, Happens};
+use event::{Scheduled, SimEvent};
 use fault_injection::Random;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
-/// A gateway that does nothing else for so many rounds in one instant is held to have gone wild.
-const MOST_ROUNDS: usize = 10_000;
-/// A part of the truth is looked at this often by policies that see it.
-const LOOK_EVERY: Micros = 20_000;
-/// The day runs on for so long after the last first try.
-const TAIL: Micros = 8_000_000;
-/// A client that is refused comes again only with so much of its time left.
-const LEAST_LEFT: Micros = 20_000;
+/// A gateway that handles this many events at one instant without coming to rest is stopped.
+const MAX_ROUNDS: usize = 10_000;
+/// Interval at which the true state is sampled.
+const SAMPLE_INTERVAL: Micros = 20_000;
+/// The simulation continues for this long after the last first try.
+const TAIL_TIME: Micros = 8_000_000;
+/// A client retries after a refusal only if at least this much of its deadline remains.
+const MIN_TIME_LEFT_FOR_RETRY: Micros = 20_000;
 
-/// What a gateway was told just before it ended a request.
+/// The last event that a gateway received before it sent or ended a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Trigger {
     /// The request itself.
     #[default]
     Arrival,
-    /// A total, or that there is none.
+    /// A counter total, or the failure of a counter call.
     Counted,
     /// A timer.
     Timer,
     /// The end of an attempt.
     Attempt,
-    /// Anything else.
+    /// Any other event.
     Other,
 }
 
-/// How a try ended, as its client knows.
+/// How a try ended, as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ended {
-    /// Nothing yet.
+    /// The try has not ended.
     Open,
-    /// Served, at this time at the client.
+    /// The try was served; the answer reached the client at this time.
     Served(Micros),
-    /// Refused.
+    /// The gateway refused the try.
     Refused,
-    /// Failed.
+    /// The try failed.
     Failed,
-    /// Its gateway could not be reached.
+    /// The gateway could not be reached.
     Unreachable,
-    /// Its gateway died with it.
+    /// The gateway died while it held the try.
     Died,
-    /// The client gave up, or left early.
+    /// The client gave up or left early.
     Left,
 }
 
-/// One attempt.
+/// One attempt of a try.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Which backend.
+    /// The backend's number.
     pub backend: usize,
-    /// When it was sent.
+    /// When the gateway sent the attempt.
     pub sent: Micros,
-    /// The work of its answer.
+    /// The work of the attempt, in core microseconds.
     pub work: f64,
-    /// Its end, once known at the gateway.
+    /// The end of the attempt, once the gateway knows it.
     pub end: Option<(Micros, Outcome)>,
     reached: bool,
     at_backend: bool,
@@ -82,44 +84,44 @@
 /// One try of a client.
 #[derive(Clone, Debug)]
 pub struct Try {
-    /// The first try that it repeats, or is.
+    /// The number of the first try that this one repeats, or of itself.
     pub root: u32,
-    /// Which of the tries it is, from 0.
+    /// The number of retries before this try.
     pub number: u32,
-    /// Its gateway, and that one's life.
+    /// The gateway that receives the try.
     pub gateway: usize,
-    life: u32,
-    /// When its client sent it, and gives it up.
+    incarnation: u32,
+    /// When the client sent the try.
     pub sent: Micros,
-    /// The end of the client's patience.
+    /// When the client's patience ends.
     pub gives_up: Micros,
-    /// When its gateway took it.
+    /// When the gateway accepted the try.
     pub taken: Option<Micros>,
-    /// When it was ended there, and what came just before.
+    /// When the gateway ended the try, and the event that triggered the end.
     pub closed: Option<(Micros, Trigger)>,
-    /// Whether it was inside the quota when it was first sent on.
+    /// Whether the try was inside the quota when it was first sent to a backend.
     pub inside: Option<bool>,
-    /// What its gateway was told just before that.
+    /// The event that triggered the first send.
     pub sent_on: Trigger,
-    /// What its customer's store held, and whether its open quota had room, when it was ended unsent.
+    /// For a try that was ended unsent: the customer's quota store, and whether its limit of open attempts had room.
     pub store: Option<(f64, bool)>,
-    /// How long its gateway told the client to wait.
+    /// The retry delay that the gateway advised.
     pub advice: Micros,
-    /// Its attempts.
+    /// The attempts of this try.
     pub attempts: Vec<Attempt>,
-    /// How it ended.
+    /// How the try ended.
     pub ended: Ended,
-    told: bool,
+    retry_decided: bool,
 }
 
 struct Call {
     gateway: usize,
-    life: u32,
-    counter_life: u32,
+    incarnation: u32,
+    counter_incarnation: u32,
     name: u64,
     amount: f64,
-    keep: Micros,
-    made: Micros,
+    ttl: Micros,
+    started: Micros,
     answer: Option<CountOutcome>,
     given_up: bool,
 }
@@ -129,28 +131,28 @@
     idle: Vec<Micros>,
 }
 
-struct Gate {
+struct GatewayState {
     zone: usize,
-    life: u32,
-    /// Absent while it is asked, and while the process is down.
+    incarnation: u32,
+    /// Absent while it handles an event, and while the process is down.
     decider: Option<Box<dyn Decider>>,
     up: bool,
-    /// Ends at this time; takes no new connections then.
+    /// Whether the gateway shuts down and receives no new connections.
     ending: bool,
     down_since: Option<Micros>,
-    /// How much of the log of changes has reached it.
+    /// The number of entries of the change log that the gateway has received.
     seen: usize,
     pools: Vec<Pool>,
 }
 
-/// Counts of a whole day.
+/// Totals of a whole day.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Totals {
-    /// Events that gateways were told.
+    /// Events that gateways handled.
     pub events: u64,
     /// Attempts that reached a backend.
     pub attempts: u64,
-    /// Those in another zone.
+    /// Attempts that went to another zone.
     pub crossings: u64,
     /// New connections.
     pub handshakes: u64,
@@ -160,100 +162,102 @@
     pub calls: u64,
     /// Calls that got no answer in time.
     pub calls_unanswered: u64,
-    /// Calls turned away.
-    pub calls_away: u64,
-    /// Work that backends did for nothing, in core microseconds.
+    /// Calls that the counter rejected.
+    pub calls_rejected: u64,
+    /// Work that backends did in vain, in core microseconds.
     pub wasted: f64,
-    /// Backends that fell over.
-    pub fallen: u64,
+    /// Backends that failed under a cold start.
+    pub cold_failures: u64,
     /// Lines written to the log.
     pub log_lines: u64,
-    /// Connections begun to backends that cannot be reached.
+    /// Connections that were started to backends that cannot be reached.
     pub vain: u64,
 }
 
-/// A look at the backends, for plots.
+/// A sample of the fleet, for plots.
 #[derive(Clone, Copy, Debug)]
-pub struct Look {
-    /// When.
+pub struct Sample {
+    /// The time of the sample.
     pub at: Micros,
     /// Requests held by all backends.
     pub held: usize,
-    /// Requests that wait there.
+    /// Requests in the backends' wait queues.
     pub waiting: usize,
     /// Gateways that run.
     pub gateways: usize,
     /// Backends that serve.
     pub backends: usize,
-    /// Calls made so far.
+    /// Counter calls made so far.
     pub calls: u64,
 }
 
-/// All that a day left behind.
+/// The complete record of a simulated day.
 pub struct Record {
     /// All tries, in the order in which clients sent them.
     pub tries: Vec<Try>,
-    /// For each first try the answer in time: when, and whether that try was inside the quota.
+    /// For each first try: when the answer in time arrived, and whether the served try was inside the quota.
     pub served: Vec<Option<(Micros, bool)>>,
-    /// The counts.
+    /// The totals.
     pub totals: Totals,
-    /// Looks at the backends, twice a second.
-    pub looks: Vec<Look>,
+    /// Samples of the fleet, two per second.
+    pub samples: Vec<Sample>,
     /// The judge with its breaches.
     pub judge: Judge,
 }
 
-/// A recorder of what one gateway is told and does: for tests that a gateway knows nothing but its events.
+/// A callback that records the events and actions of a gateway. Tests use it to check that a gateway depends only
+/// on its events.
 pub type Tap<'a> = &'a mut dyn FnMut(usize, u32, f64, &Event, &[Action]);
 
-/// The world of one day.
+/// The simulated world of one day.
 pub struct World<'a> {
     day: &'a Day,
     policy: &'a dyn Policy,
     now: Micros,
-    due: BinaryHeap<Due>,
-    foreseen: u64,
+    due: BinaryHeap<Scheduled>,
+    scheduled: u64,
     net: Random,
     client: Random,
     work: Random,
     words: Random,
     next_root: usize,
-    gates: Vec<Gate>,
+    gateways: Vec<GatewayState>,
     servers: Vec<Server>,
     counter: Counter,
     calls: Vec<Call>,
     tries: Vec<Try>,
     roots: Vec<Option<(Micros, bool)>>,
     stores: Vec<(Store, u32)>,
-    /// Units each customer asked for in the last second, fading: for policies that see it.
-    asked: Vec<f64>,
+    /// Units that each customer requested in the last second, with exponential decay; read by policies that see the
+    /// true state.
+    requested: Vec<f64>,
     log: Vec<(usize, BackendState, Option<Micros>)>,
     published: usize,
     publishing: bool,
     discovery_free: f64,
     judge: Judge,
     totals: Totals,
-    looks: Vec<Look>,
-    truths: VecDeque<Truth>,
-    truth_now: Truth,
+    samples: Vec<Sample>,
+    past_states: VecDeque<TrueState>,
+    current_state: TrueState,
     customers: HashMap<Name, usize>,
     backends: HashMap<Name, usize>,
     tap: Option<Tap<'a>>,
 }
 
 impl<'a> World<'a> {
-    /// The world of a day in which gateways decide by this policy.
+    /// Creates the world of a day whose gateways decide by this policy.
     pub fn new(day: &'a Day, policy: &'a dyn Policy) -> Self {
         let servers = day.backends.iter().map(|b| {
             let mut server = Server::new(b.speed);
             if b.starts.is_some() {
-                server.life = Life::Down;
+                server.state = ProcessState::Down;
             }
             server
         });
-        let gates = day.gateways.iter().map(|zone| Gate {
+        let gateways = day.gateways.iter().map(|zone| GatewayState {
             zone: *zone,
-            life: 0,
+            incarnation: 0,
             decider: None,
             up: false,
             ending: false,
@@ -273,73 +277,73 @@
             policy,
             now: 0,
             due: BinaryHeap::new(),
-            foreseen: 0,
+            scheduled: 0,
             net: Random::new(day.seed, "net", 0),
             client: Random::new(day.seed, "client", 0),
             work: Random::new(day.seed, "work", 0),
             words: Random::new(day.seed, "words", 0),
             next_root: 0,
-            gates: gates.collect(),
+            gateways: gateways.collect(),
             servers: servers.collect(),
             counter: Counter::new(&day.counter),
             calls: Vec::new(),
             tries: Vec::with_capacity(day.roots.len() * 2),
             roots: vec![None; day.roots.len()],
             stores: day.customers.iter().map(full).collect(),
-            asked: vec![0.0; day.customers.len()],
+            requested: vec![0.0; day.customers.len()],
             published: log.len(),
             log,
             publishing: false,
             discovery_free: 0.0,
             judge: Judge::new(day.scenario_of.site.rules.clone()),
             totals: Totals::default(),
-            looks: Vec::new(),
-            truths: VecDeque::new(),
-            truth_now: Truth::default(),
+            samples: Vec::new(),
+            past_states: VecDeque::new(),
+            current_state: TrueState::default(),
             customers: numbers(&day.customers),
             backends: day.backends.iter().enumerate().map(|(n, b)| (b.name.clone(), n)).collect(),
             tap: None,
         };
-        world.gates.iter_mut().for_each(|gate| gate.seen = world.published);
-        for number in 0..world.gates.len() {
-            world.expect(0, Happens::Boots(number));
+        world.gateways.iter_mut().for_each(|state| state.seen = world.published);
+        for number in 0..world.gateways.len() {
+            world.schedule(0, SimEvent::GatewayStarts(number));
         }
-        world.foresee();
+        world.schedule_day();
         world
     }
 
-    /// Has every event and its actions told to a recorder.
-    pub fn tapped(mut self, tap: Tap<'a>) -> Self {
+    /// Installs a callback that receives every event and its actions.
+    pub fn with_tap(mut self, tap: Tap<'a>) -> Self {
         self.tap = Some(tap);
         self
     }
 
-    /// What the day brings by itself.
-    fn foresee(&mut self) {
+    /// Schedules the events that the day itself contains.
+    fn schedule_day(&mut self) {
         for (number, backend) in self.day.backends.iter().enumerate() {
             if let Some(at) = backend.starts {
-                self.expect(at, Happens::Starts(number));
+                self.schedule(at, SimEvent::BackendStarts(number));
             }
             if let Some((drains, stops)) = backend.drains {
-                self.expect(drains, Happens::Drains(number));
-                self.expect(stops, Happens::Stops(number));
+                self.schedule(drains, SimEvent::BackendDrains(number));
+                self.schedule(stops, SimEvent::BackendStops(number));
             }
         }
         for (number, trouble) in self.day.troubles.iter().enumerate() {
-            self.expect(trouble.from, Happens::Trouble(number, true));
-            self.expect(trouble.until, Happens::Trouble(number, false));
+            self.schedule(trouble.from, SimEvent::Trouble(number, true));
+            self.schedule(trouble.until, SimEvent::Trouble(number, false));
         }
-        self.expect(LOOK_EVERY, Happens::Look);
+        self.schedule(SAMPLE_INTERVAL, SimEvent::SampleState);
     }
 
-    fn expect(&mut self, at: Micros, what: Happens) {
-        self.foreseen += 1;
-        self.due.push(Due::new(at.max(self.now), self.foreseen, what));
+    fn schedule(&mut self, at: Micros, event: SimEvent) {
+        self.scheduled += 1;
+        self.due.push(Scheduled::new(at.max(self.now), self.scheduled, event));
     }
 
-    /// Plays the day to its end.
+    /// Simulates the day to its end.
     pub fn run(mut self) -> Record {
-        let end = self.day.length + TAIL;
+        let end = self.day.length + TAIL_TIME;
         loop {
             let next_root = self.day.roots.get(self.next_root).map(|root| root.at);
             let next = self.due.peek().map(|due| due.at);
@@ -348,12 +352,12 @@
                     self.now = at;
                     let root = self.next_root as u32;
                     self.next_root += 1;
-                    self.ask(root, 0, None);
+                    self.send_try(root, 0, None);
                 }
                 (_, Some(at)) if at <= end => {
                     self.now = at;
                     if let Some(due) = self.due.pop() {
-                        self.happens(due.what);
+                        self.handle(due.event);
                     }
                 }
                 _ => break,
@@ -364,146 +368,150 @@
             tries: self.tries,
             served: self.roots,
             totals: self.totals,
-            looks: self.looks,
+            samples: self.samples,
             judge: self.judge,
         }
     }
 
-    fn happens(&mut self, what: Happens) {
-        match what {
-            Happens::Trouble(number, begins) => self.trouble(number, begins),
-            Happens::Drains(backend) => {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Trouble(number, begins) => self.apply_trouble(number, begins),
+            SimEvent::BackendDrains(backend) => {
                 self.servers[backend].draining = true;
-                self.list(backend, self.day.discovery.notice);
+                self.schedule_notice(backend, self.day.discovery.notice);
             }
-            Happens::Stops(backend) => self.stop(backend, Life::Down),
-            Happens::Starts(backend) => self.start_server(backend),
-            Happens::Listed(backend) => self.listed(backend),
-            Happens::CounterBack(life) => {
-                if self.counter.life == life {
+            SimEvent::BackendStops(backend) => self.stop_backend(backend, ProcessState::Down),
+            SimEvent::BackendStarts(backend) => self.start_backend(backend),
+            SimEvent::StateNoticed(backend) => self.state_noticed(backend),
+            SimEvent::CounterBack(incarnation) => {
+                if self.counter.incarnation == incarnation {
                     self.counter.up = true;
                     self.counter.zone = (self.counter.zone + 1) % self.zones();
                 }
             }
-            Happens::Dies(gateway) => self.die(gateway),
-            Happens::Ending(gateway, by) => {
-                if self.gates[gateway].up {
-                    self.gates[gateway].ending = true;
-                    self.gates[gateway].down_since = Some(self.now);
-                    self.tell(gateway, Event::ShuttingDown { deadline: EPOCH + millis(by) });
+            SimEvent::GatewayDies(gateway) => self.kill_gateway(gateway),
+            SimEvent::GatewayShutsDown(gateway, by) => {
+                if self.gateways[gateway].up {
+                    self.gateways[gateway].ending = true;
+                    self.gateways[gateway].down_since = Some(self.now);
+                    self.deliver(gateway, Event::ShuttingDown { deadline: EPOCH + millis(by) });
                 }
             }
-            Happens::Boots(gateway) => self.boot(gateway),
-            Happens::Publish => self.publish(),
-            Happens::List(gateway, life, upto) => self.give_list(gateway, life, upto),
-            Happens::WholeList(gateway, life) => {
-                if self.lives(gateway, life) {
-                    let (upto, lines) = (self.published, self.whole_list(self.published));
-                    self.gates[gateway].seen = upto;
-                    self.tell_list(gateway, lines, true);
+            SimEvent::GatewayStarts(gateway) => self.start_gateway(gateway),
+            SimEvent::PublishChanges => self.publish(),
+            SimEvent::ListChanges(gateway, incarnation, upto) => {
+                self.deliver_changes(gateway, incarnation, upto)
+            }
+            SimEvent::FullList(gateway, incarnation) => {
+                if self.is_alive(gateway, incarnation) {
+                    let (upto, lines) = (self.published, self.full_list(self.published));
+                    self.gateways[gateway].seen = upto;
+                    self.deliver_list(gateway, lines, true);
                 }
             }
-            Happens::AskList(gateway, life) => self.ask_list(gateway, life),
-            Happens::Completes(backend, epoch) => {
+            SimEvent::RequestFullList(gateway, incarnation) => self.request_full_list(gateway, incarnation),
+            SimEvent::BackendProgress(backend, epoch) => {
                 if self.servers[backend].epoch == epoch {
-                    self.settle(backend);
+                    self.update_backend(backend);
                 }
             }
-            Happens::Reaches(id, number) => self.reaches(id, number),
-            Happens::Dropped(id, number) => self.dropped(id, number),
-            Happens::CallReaches(call) => self.call_reaches(call),
-            Happens::CallServed(call, life) => self.call_served(call, life),
-            Happens::CallAnswered(call) => self.call_answered(call),
-            Happens::CallGivenUp(call) => self.call_given_up(call),
-            Happens::Ends(id, number, outcome) => self.end(id, number, outcome),
-            Happens::Word(gateway, life, backend, down) if self.gates[gateway].life == life => {
+            SimEvent::AttemptArrives(id, number) => self.attempt_arrives(id, number),
+            SimEvent::CancelArrives(id, number) => self.cancel_arrives(id, number),
+            SimEvent::CallArrives(call) => self.call_arrives(call),
+            SimEvent::CallServed(call, incarnation) => self.call_served(call, incarnation),
+            SimEvent::CallAnswered(call) => self.call_answered(call),
+            SimEvent::CallTimesOut(call) => self.call_times_out(call),
+            SimEvent::AttemptEnds(id, number, outcome) => self.end_attempt(id, number, outcome),
+            SimEvent::PeerReport(gateway, incarnation, backend, down)
+                if self.gateways[gateway].incarnation == incarnation =>
+            {
                 let backend = self.day.backends[backend].name.clone();
-                self.tell(gateway, Event::HealthReport { backend, down });
+                self.deliver(gateway, Event::HealthReport { backend, down });
             }
-            Happens::Word(..) => {}
-            Happens::Probed(gateway, life, backend, up) => {
-                if self.lives(gateway, life) {
+            SimEvent::PeerReport(..) => {}
+            SimEvent::ProbeEnds(gateway, incarnation, backend, up) => {
+                if self.is_alive(gateway, incarnation) {
                     let outcome = if up { Outcome::Served } else { Outcome::ConnectFailed };
                     let backend = self.day.backends[backend].name.clone();
-                    self.tell(gateway, Event::ProbeEnded { backend, outcome, latency: 1.0, load: None });
+                    self.deliver(gateway, Event::ProbeEnded { backend, outcome, latency: 1.0, load: None });
                 }
             }
-            Happens::Asks(id) => self.asks(id),
-            Happens::Timer(gateway, life, token) => {
-                if self.lives(gateway, life) {
-                    self.tell(gateway, Event::Timer { token });
+            SimEvent::TryArrives(id) => self.try_arrives(id),
+            SimEvent::Timer(gateway, incarnation, token) => {
+                if self.is_alive(gateway, incarnation) {
+                    self.deliver(gateway, Event::Timer { token });
                 }
             }
-            Happens::Limit(id, number) => {
+            SimEvent::AttemptTimesOut(id, number) => {
                 let attempt = &self.tries[id as usize].attempts[number as usize];
                 if attempt.end.is_none() {
                     let outcome = if attempt.reached { Outcome::TimedOut } else { Outcome::ConnectFailed };
-                    self.end(id, number, outcome);
+                    self.end_attempt(id, number, outcome);
                 }
             }
-            Happens::Leaves(id) => self.leave(id),
-            Happens::GivesUp(id) => {
+            SimEvent::ClientLeaves(id) => self.client_leaves(id),
+            SimEvent::ClientTimesOut(id) => {
                 let tried = &mut self.tries[id as usize];
                 if tried.ended == Ended::Open {
                     tried.ended = Ended::Left;
-                    self.come_again(id, 0);
+                    self.schedule_retry(id, 0);
                 }
             }
-            Happens::Overdue(id) => {
-                if self.judge.overdue(self.now, u64::from(id)) {
-                    self.leave(id);
+            SimEvent::AnswerOverdue(id) => {
+                if self.judge.answer_overdue(self.now, u64::from(id)) {
+                    self.client_leaves(id);
                 }
             }
-            Happens::Hears(id) => self.hears(id),
-            Happens::Again(id) => {
+            SimEvent::AnswerArrives(id) => self.answer_arrives(id),
+            SimEvent::ClientRetries(id) => {
                 let (root, number) = (self.tries[id as usize].root, self.tries[id as usize].number + 1);
-                self.ask(root, number, Some(id));
+                self.send_try(root, number, Some(id));
             }
-            Happens::Look => self.look(),
+            SimEvent::SampleState => self.sample_state(),
         }
     }
 
-    // ---- The network ----
+    // ---- Network ----
 
     fn zones(&self) -> usize {
         self.day.scenario_of.site.net.zones.len()
     }
 
-    fn troubled(&self, kind: Kind) -> impl Iterator<Item = &'a crate::draw::Trouble> {
+    fn active_troubles(&self, kind: Kind) -> impl Iterator<Item = &'a crate::draw::Trouble> {
         let now = self.now;
         self.day.troubles.iter().filter(move |t| t.kind == kind && t.on(now))
     }
 
-    /// Whether nothing passes between two zones.
-    fn cut(&self, a: usize, b: usize) -> bool {
-        a != b && self.troubled(Kind::ZoneCut).any(|t| t.zone == a || t.zone == b)
+    /// Whether a partition separates two zones.
+    fn partitioned(&self, a: usize, b: usize) -> bool {
+        a != b && self.active_troubles(Kind::ZoneCut).any(|t| t.zone == a || t.zone == b)
     }
 
-    /// The time of one way, in microseconds.
-    fn way(&mut self, a: usize, b: usize) -> Micros {
+    /// The one-way latency between two zones, in microseconds.
+    fn latency(&mut self, a: usize, b: usize) -> Micros {
         let net = &self.day.net;
         let base = if a == b { net.same_zone } else { net.cross_zone };
         (base * (1.0 + net.jitter * self.net.unit())) as Micros
     }
 
-    fn client_way(&mut self) -> Micros {
+    fn client_latency(&mut self) -> Micros {
         (self.day.net.client * (1.0 + self.day.net.jitter * self.net.unit())) as Micros
     }
 
     // ---- Troubles ----
 
-    fn trouble(&mut self, number: usize, begins: bool) {
+    fn apply_trouble(&mut self, number: usize, begins: bool) {
         let trouble = &self.day.troubles[number];
         let targets = trouble.targets.clone();
         match trouble.kind {
             Kind::GatewayCrash => {
                 for gateway in targets {
                     if begins {
-                        self.die(gateway);
+                        self.kill_gateway(gateway);
                     } else {
-                        // Machines do not come back in the same instant.
+                        // Machines do not come back at the same instant.
                         let at = self.now + (self.net.unit() * 500_000.0) as Micros;
-                        self.expect(at, Happens::Boots(gateway));
+                        self.schedule(at, SimEvent::GatewayStarts(gateway));
                     }
                 }
             }
@@ -513,9 +521,9 @@
                 let rest = longest.max(3_000_000).min(longest + 700_000);
                 for (place, gateway) in targets.iter().enumerate() {
                     let at = trouble.from + length * (place * 10 / targets.len()) as u64;
-                    self.expect(at, Happens::Ending(*gateway, at + rest));
-                    self.expect(at + rest, Happens::Dies(*gateway));
-                    self.expect(at + rest + 300_000, Happens::Boots(*gateway));
+                    self.schedule(at, SimEvent::GatewayShutsDown(*gateway, at + rest));
+                    self.schedule(at + rest, SimEvent::GatewayDies(*gateway));
+                    self.schedule(at + rest + 300_000, SimEvent::GatewayStarts(*gateway));
                 }
             }
             Kind::FastErrors => {
@@ -526,12 +534,16 @@
                 for backend in targets {
                     self.servers[backend].advance(self.now, &self.day.machine);
                     self.servers[backend].slowness = if begins { trouble.size.max(1.0) } else { 1.0 };
-                    self.settle(backend);
+                    self.update_backend(backend);
                 }
             }
             Kind::Silent => {
                 for backend in targets {
-                    if begins { self.stop(backend, Life::Silent) } else { self.start_server(backend) }
+                    if begins {
+                        self.stop_backend(backend, ProcessState::Silent)
+                    } else {
+                        self.start_backend(backend)
+                    }
                 }
             }
             Kind::ZoneLoss => {
@@ -540,94 +552,94 @@
                     if self.day.backends[backend].zone != zone {
                         continue;
                     }
-                    if begins && self.servers[backend].life == Life::Up {
-                        self.stop(backend, Life::Silent);
-                    } else if !begins && self.servers[backend].life == Life::Silent {
-                        self.start_server(backend);
+                    if begins && self.servers[backend].state == ProcessState::Up {
+                        self.stop_backend(backend, ProcessState::Silent);
+                    } else if !begins && self.servers[backend].state == ProcessState::Silent {
+                        self.start_backend(backend);
                     }
                 }
-                for gateway in 0..self.gates.len() {
-                    if self.gates[gateway].zone == zone {
+                for gateway in 0..self.gateways.len() {
+                    if self.gateways[gateway].zone == zone {
                         if begins {
-                            self.die(gateway)
+                            self.kill_gateway(gateway)
                         } else {
-                            self.expect(self.now, Happens::Boots(gateway))
+                            self.schedule(self.now, SimEvent::GatewayStarts(gateway))
                         }
                     }
                 }
                 if begins && self.counter.zone == zone {
-                    self.counter_lost();
+                    self.fail_counter();
                 }
             }
             Kind::CounterDown if begins => {
-                self.counter_lost();
-                let (life, at) = (self.counter.life, trouble.until);
-                self.expect(at, Happens::CounterBack(life));
+                self.fail_counter();
+                let (incarnation, at) = (self.counter.incarnation, trouble.until);
+                self.schedule(at, SimEvent::CounterBack(incarnation));
             }
             _ => {}
         }
     }
 
-    fn counter_lost(&mut self) {
-        self.counter.lose_all();
+    fn fail_counter(&mut self) {
+        self.counter.drop_all();
         self.counter.up = false;
-        self.expect(self.now + self.day.counter.back, Happens::CounterBack(self.counter.life));
+        self.schedule(self.now + self.day.counter.back, SimEvent::CounterBack(self.counter.incarnation));
     }
 
-    // ---- Backends and their list ----
+    // ---- Backends and discovery ----
 
-    fn stop(&mut self, backend: usize, life: Life) {
+    fn stop_backend(&mut self, backend: usize, state: ProcessState) {
         let server = &mut self.servers[backend];
-        if server.life != Life::Up {
+        if server.state != ProcessState::Up {
             return;
         }
         server.advance(self.now, &self.day.machine);
-        (server.life, server.epoch) = (life, server.epoch + 1);
-        let held = server.lose_all();
-        self.judge.no_longer_cold(backend);
-        if life == Life::Down {
-            // Its connections are reset, at both ends.
+        (server.state, server.epoch) = (state, server.epoch + 1);
+        let held = server.drop_all();
+        self.judge.end_cold_start(backend);
+        if state == ProcessState::Down {
+            // The connections to the backend are reset at both ends.
             for (id, number) in held {
                 let gateway = self.tries[id as usize].gateway;
-                let way = self.way(self.day.backends[backend].zone, self.gates[gateway].zone);
-                self.expect(self.now + way, Happens::Ends(id, number, Outcome::Broken));
+                let delay = self.latency(self.day.backends[backend].zone, self.gateways[gateway].zone);
+                self.schedule(self.now + delay, SimEvent::AttemptEnds(id, number, Outcome::Broken));
             }
-            self.reset_free(backend);
+            self.drop_idle_connections(backend);
         }
         let discovery = &self.day.discovery;
-        let notice = if life == Life::Down { discovery.notice } else { discovery.silent_notice };
-        self.list(backend, notice);
+        let notice = if state == ProcessState::Down { discovery.notice } else { discovery.silent_notice };
+        self.schedule_notice(backend, notice);
     }
 
-    /// All free connections to a backend are gone.
-    fn reset_free(&mut self, backend: usize) {
-        let pools = self.gates.iter_mut().filter_map(|gate| gate.pools.get_mut(backend));
+    /// Drops all idle connections to a backend.
+    fn drop_idle_connections(&mut self, backend: usize) {
+        let pools = self.gateways.iter_mut().filter_map(|state| state.pools.get_mut(backend));
         pools.for_each(|pool| pool.idle.clear());
     }
 
-    fn start_server(&mut self, backend: usize) {
+    fn start_backend(&mut self, backend: usize) {
         let server = &mut self.servers[backend];
-        if server.life == Life::Up {
+        if server.state == ProcessState::Up {
             return;
         }
         let (epoch, speed) = (server.epoch + 1, self.day.backends[backend].speed);
         *server = Server::restarted(speed, self.now, epoch);
-        self.reset_free(backend);
-        self.judge.starts(backend);
-        self.list(backend, self.day.discovery.add);
+        self.drop_idle_connections(backend);
+        self.judge.backend_started(backend);
+        self.schedule_notice(backend, self.day.discovery.add);
     }
 
-    /// Discovery notices how a backend is after a while, and tells at its next round.
-    fn list(&mut self, backend: usize, after: Micros) {
-        let late: f64 = self.troubled(Kind::ListsLate).map(|t| t.size * 1e6).sum();
-        self.expect(self.now + after + late as Micros, Happens::Listed(backend));
+    /// Schedules the time at which discovery notices a change of the backend; the next publication contains it.
+    fn schedule_notice(&mut self, backend: usize, after: Micros) {
+        let late: f64 = self.active_troubles(Kind::ListsLate).map(|t| t.size * 1e6).sum();
+        self.schedule(self.now + after + late as Micros, SimEvent::StateNoticed(backend));
     }
 
-    fn listed(&mut self, backend: usize) {
+    fn state_noticed(&mut self, backend: usize) {
         let server = &self.servers[backend];
-        let state = match (server.life, server.draining) {
-            (Life::Up, false) => BackendState::Ready,
-            (Life::Up, true) => BackendState::Draining,
+        let state = match (server.state, server.draining) {
+            (ProcessState::Up, false) => BackendState::Ready,
+            (ProcessState::Up, true) => BackendState::Draining,
             _ => BackendState::Gone,
         };
         let line = (backend, state, server.started);
@@ -638,17 +650,17 @@
         self.log.push(line);
         if !std::mem::replace(&mut self.publishing, true) {
             let period = self.day.discovery.period.max(1);
-            self.expect((self.now / period + 1) * period, Happens::Publish);
+            self.schedule((self.now / period + 1) * period, SimEvent::PublishChanges);
         }
     }
 
     fn publish(&mut self) {
         (self.published, self.publishing) = (self.log.len(), false);
-        for gateway in 0..self.gates.len() {
-            if self.gates[gateway].up {
+        for gateway in 0..self.gateways.len() {
+            if self.gateways[gateway].up {
                 let wait = (self.net.unit() * self.day.discovery.spread as f64) as Micros;
-                let life = self.gates[gateway].life;
-                self.expect(self.now + wait, Happens::List(gateway, life, self.published));
+                let incarnation = self.gateways[gateway].incarnation;
+                self.schedule(self.now + wait, SimEvent::ListChanges(gateway, incarnation, self.published));
             }
         }
     }
@@ -665,41 +677,44 @@
         }
     }
 
-    /// The list as it stands after so many changes.
-    fn whole_list(&self, upto: usize) -> Vec<(usize, BackendState, Option<Micros>)> {
+    /// The full list after the first `upto` changes.
+    fn full_list(&self, upto: usize) -> Vec<(usize, BackendState, Option<Micros>)> {
         let mut last: Vec<Option<(usize, BackendState, Option<Micros>)>> = vec![None; self.servers.len()];
         self.log[..upto].iter().for_each(|line| last[line.0] = Some(*line));
         last.into_iter().flatten().filter(|line| line.1 != BackendState::Gone).collect()
     }
 
-    fn give_list(&mut self, gateway: usize, life: u32, upto: usize) {
-        if !self.lives(gateway, life) || self.gates[gateway].seen >= upto {
+    fn deliver_changes(&mut self, gateway: usize, incarnation: u32, upto: usize) {
+        if !self.is_alive(gateway, incarnation) || self.gateways[gateway].seen >= upto {
             return;
         }
-        let lines = self.log[self.gates[gateway].seen..upto].to_vec();
-        self.gates[gateway].seen = upto;
-        self.tell_list(gateway, lines, false);
+        let lines = self.log[self.gateways[gateway].seen..upto].to_vec();
+        self.gateways[gateway].seen = upto;
+        self.deliver_list(gateway, lines, false);
     }
 
-    fn tell_list(&mut self, gateway: usize, lines: Vec<(usize, BackendState, Option<Micros>)>, whole: bool) {
+    fn deliver_list(
+        &mut self, gateway: usize, lines: Vec<(usize, BackendState, Option<Micros>)>, whole: bool,
+    ) {
         if whole {
             for backend in 0..self.servers.len() {
                 if !lines.iter().any(|line| line.0 == backend) {
-                    self.judge.missing(self.now, gateway, backend);
+                    self.judge.backend_unlisted(self.now, gateway, backend);
                 }
             }
         }
         for (backend, state, _) in &lines {
-            self.judge.told(self.now, gateway, *backend, *state == BackendState::Ready);
+            self.judge.backend_listed(self.now, gateway, *backend, *state == BackendState::Ready);
         }
         let entries = lines.iter().map(|line| self.entry(line)).collect();
         let event = if whole { Event::BackendList(entries) } else { Event::BackendChanges(entries) };
-        self.tell(gateway, event);
+        self.deliver(gateway, event);
     }
 
-    /// Whole lists are written out in turn, so many lines a second; who waits too long asks again later.
-    fn ask_list(&mut self, gateway: usize, life: u32) {
-        if !self.lives(gateway, life) {
+    /// Discovery writes full lists one after another at a limited rate. A gateway that would wait too long retries
+    /// later.
+    fn request_full_list(&mut self, gateway: usize, incarnation: u32) {
+        if !self.is_alive(gateway, incarnation) {
             return;
         }
         let now = self.now as f64;
@@ -707,86 +722,88 @@
         let takes = self.day.discovery.line * self.servers.len() as f64;
         if begins + takes - now > self.day.discovery.timeout as f64 {
             let again = 500_000.0 + 1_500_000.0 * self.net.unit();
-            return self.expect(self.now + again as Micros, Happens::AskList(gateway, life));
+            return self
+                .schedule(self.now + again as Micros, SimEvent::RequestFullList(gateway, incarnation));
         }
         self.discovery_free = begins + takes;
-        self.expect(self.discovery_free as Micros, Happens::WholeList(gateway, life));
+        self.schedule(self.discovery_free as Micros, SimEvent::FullList(gateway, incarnation));
     }
 
     // ---- Gateways ----
 
-    fn lives(&self, gateway: usize, life: u32) -> bool {
-        self.gates[gateway].life == life && self.gates[gateway].up
+    fn is_alive(&self, gateway: usize, incarnation: u32) -> bool {
+        self.gateways[gateway].incarnation == incarnation && self.gateways[gateway].up
     }
 
-    fn boot(&mut self, gateway: usize) {
-        if self.gates[gateway].up {
+    fn start_gateway(&mut self, gateway: usize) {
+        if self.gateways[gateway].up {
             return;
         }
         let zones = &self.day.scenario_of.site.net.zones;
         let settings = Settings {
             gateway_index: gateway as u32,
-            zone: zones[self.gates[gateway].zone].as_str().into(),
+            zone: zones[self.gateways[gateway].zone].as_str().into(),
             ..self.day.settings.clone()
         };
-        let life = self.gates[gateway].life + 1;
-        let seed = mix(self.day.seed ^ mix(gateway as u64 ^ (u64::from(life) << 32)));
+        let incarnation = self.gateways[gateway].incarnation + 1;
+        let seed = mix(self.day.seed ^ mix(gateway as u64 ^ (u64::from(incarnation) << 32)));
         let decider = match self.policy.start(settings, seed) {
             Ok(decider) => decider,
             Err(error) => {
                 let what = format!("did not start: {error}");
-                return self.judge.broke(self.now, gateway, None, Rule::Protocol, what);
+                return self.judge.record_breach(self.now, gateway, None, Rule::Protocol, what);
             }
         };
         let backends = self.servers.len();
-        let gate = &mut self.gates[gateway];
-        (gate.life, gate.decider, gate.ending, gate.down_since) = (life, Some(decider), false, None);
-        gate.up = true;
-        gate.pools = (0..backends).map(|_| Pool::default()).collect();
-        let remembered = self.whole_list(self.gates[gateway].seen);
-        self.tell_list(gateway, remembered, true);
-        if life > 1 {
-            self.ask_list(gateway, life);
+        let state = &mut self.gateways[gateway];
+        (state.incarnation, state.decider, state.ending, state.down_since) =
+            (incarnation, Some(decider), false, None);
+        state.up = true;
+        state.pools = (0..backends).map(|_| Pool::default()).collect();
+        let remembered = self.full_list(self.gateways[gateway].seen);
+        self.deliver_list(gateway, remembered, true);
+        if incarnation > 1 {
+            self.request_full_list(gateway, incarnation);
         }
     }
 
-    fn die(&mut self, gateway: usize) {
-        let gate = &mut self.gates[gateway];
-        if !std::mem::replace(&mut gate.up, false) {
+    fn kill_gateway(&mut self, gateway: usize) {
+        let state = &mut self.gateways[gateway];
+        if !std::mem::replace(&mut state.up, false) {
             return;
         }
-        gate.decider = None;
-        gate.down_since.get_or_insert(self.now);
-        let life = gate.life;
-        let open: Vec<usize> = gate.pools.drain(..).map(|pool| pool.idle.len()).collect();
+        state.decider = None;
+        state.down_since.get_or_insert(self.now);
+        let incarnation = state.incarnation;
+        let open: Vec<usize> = state.pools.drain(..).map(|pool| pool.idle.len()).collect();
         for (backend, count) in open.into_iter().enumerate() {
             self.servers[backend].connections = self.servers[backend].connections.saturating_sub(count);
         }
-        self.judge.died(gateway);
+        self.judge.gateway_died(gateway);
         let longest = self.day.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let recent = self.tries.partition_point(|t| t.sent + longest + 1_000_000 < self.now);
         for id in recent as u32..self.tries.len() as u32 {
             let tried = &self.tries[id as usize];
-            if tried.gateway != gateway || tried.life != life || tried.taken.is_none() {
+            if tried.gateway != gateway || tried.incarnation != incarnation || tried.taken.is_none() {
                 continue;
             }
             for number in 0..tried.attempts.len() as u32 {
-                self.abandon(id, number);
+                self.abandon_attempt(id, number);
             }
             let tried = &mut self.tries[id as usize];
             if tried.closed.is_none() {
                 tried.closed = Some((self.now, Trigger::Other));
                 if tried.ended == Ended::Open {
                     tried.ended = Ended::Died;
-                    let way = self.client_way();
-                    self.expect(self.now + way, Happens::Hears(id));
+                    let delay = self.client_latency();
+                    self.schedule(self.now + delay, SimEvent::AnswerArrives(id));
                 }
             }
         }
     }
 
-    /// An attempt's connection ends without a word to a gateway that is gone.
-    fn abandon(&mut self, id: u32, number: u32) {
+    /// Ends the connection of an attempt whose gateway has died.
+    fn abandon_attempt(&mut self, id: u32, number: u32) {
         let now = self.now;
         let attempt = &mut self.tries[id as usize].attempts[number as usize];
         if attempt.end.is_some() {
@@ -794,12 +811,12 @@
         }
         attempt.end = Some((now, Outcome::CalledOff));
         let backend = attempt.backend;
-        self.close_one(backend);
+        self.close_connection(backend);
         self.attempt_over(id);
         self.drop_at_backend(id, number);
     }
 
-    fn close_one(&mut self, backend: usize) {
+    fn close_connection(&mut self, backend: usize) {
         let server = &mut self.servers[backend];
         server.connections = server.connections.saturating_sub(1);
     }
@@ -807,7 +824,7 @@
     fn attempt_over(&mut self, id: u32) {
         let customer = self.day.roots[self.tries[id as usize].root as usize].customer as usize;
         self.stores[customer].1 = self.stores[customer].1.saturating_sub(1);
-        if let Some(store) = self.truth_now.stores.get_mut(customer) {
+        if let Some(store) = self.current_state.stores.get_mut(customer) {
             store.out = store.out.saturating_sub(1);
         }
     }
@@ -816,14 +833,14 @@
         let tried = &self.tries[id as usize];
         let (gateway, attempt) = (tried.gateway, tried.attempts[number as usize]);
         let zone = self.day.backends[attempt.backend].zone;
-        if !self.cut(self.gates[gateway].zone, zone) {
-            let way = self.way(self.gates[gateway].zone, zone);
-            self.expect(self.now + way, Happens::Dropped(id, number));
+        if !self.partitioned(self.gateways[gateway].zone, zone) {
+            let delay = self.latency(self.gateways[gateway].zone, zone);
+            self.schedule(self.now + delay, SimEvent::CancelArrives(id, number));
         }
     }
 
-    /// Tells a gateway of something, and carries out what it does. What that leads to at once waits in line.
-    fn tell(&mut self, gateway: usize, event: Event) {
+    /// Passes an event to a gateway and carries out its actions. Events that follow at once are queued.
+    fn deliver(&mut self, gateway: usize, event: Event) {
         let trigger = match &event {
             Event::Request(_) => Trigger::Arrival,
             Event::Counted { .. } => Trigger::Counted,
@@ -831,55 +848,55 @@
             Event::AttemptEnded(_) => Trigger::Attempt,
             _ => Trigger::Other,
         };
-        let Some(mut decider) = self.gates[gateway].decider.take() else { return };
+        let Some(mut decider) = self.gateways[gateway].decider.take() else { return };
         let mut line = VecDeque::from([event]);
         let mut actions = Vec::new();
         let mut rounds = 0;
         while let Some(event) = line.pop_front() {
             self.totals.events += 1;
             let now = EPOCH + millis(self.now);
-            let taped = self.tap.is_some().then(|| event.clone());
-            let truth = match self.policy.seeing() {
-                Seeing::Late => self.truths.front().unwrap_or(&self.truth_now),
-                _ => &self.truth_now,
+            let recorded = self.tap.is_some().then(|| event.clone());
+            let state = match self.policy.state_view() {
+                StateView::Delayed => self.past_states.front().unwrap_or(&self.current_state),
+                _ => &self.current_state,
             };
-            let sight = Sight { truth, customers: &self.customers, backends: &self.backends };
-            decider.handle(now, event, &sight, &mut actions);
-            if let (Some(tap), Some(event)) = (&mut self.tap, taped) {
-                tap(gateway, self.gates[gateway].life, now, &event, &actions);
+            let view = TrueStateView { state, customers: &self.customers, backends: &self.backends };
+            decider.handle(now, event, &view, &mut actions);
+            if let (Some(tap), Some(event)) = (&mut self.tap, recorded) {
+                tap(gateway, self.gateways[gateway].incarnation, now, &event, &actions);
             }
             for action in actions.drain(..) {
-                self.perform(gateway, action, trigger, &mut line);
+                self.carry_out(gateway, action, trigger, &mut line);
             }
             rounds += 1;
-            if rounds == MOST_ROUNDS {
+            if rounds == MAX_ROUNDS {
                 let what = "never came to rest".into();
-                self.judge.broke(self.now, gateway, None, Rule::Protocol, what);
+                self.judge.record_breach(self.now, gateway, None, Rule::Protocol, what);
                 break;
             }
         }
-        self.gates[gateway].decider = Some(decider);
+        self.gateways[gateway].decider = Some(decider);
     }
 
-    fn perform(&mut self, gateway: usize, action: Action, trigger: Trigger, line: &mut VecDeque<Event>) {
-        let (now, life) = (self.now, self.gates[gateway].life);
+    fn carry_out(&mut self, gateway: usize, action: Action, trigger: Trigger, line: &mut VecDeque<Event>) {
+        let (now, incarnation) = (self.now, self.gateways[gateway].incarnation);
         match action {
             Action::Send { id, backend, timeout, .. } => {
                 if let Some(unsent) = self.send(gateway, id, &backend, timeout, trigger) {
                     line.push_back(unsent);
                 }
             }
-            Action::Refuse { id, retry_after } => self.answer(gateway, id, true, retry_after, trigger),
-            Action::Fail { id } => self.answer(gateway, id, false, 0.0, trigger),
+            Action::Refuse { id, retry_after } => self.final_answer(gateway, id, true, retry_after, trigger),
+            Action::Fail { id } => self.final_answer(gateway, id, false, 0.0, trigger),
             Action::CallOff { id, attempt } => {
                 let known = self.tries.get(id as usize).filter(|t| t.gateway == gateway);
                 match known.and_then(|t| t.attempts.get(attempt as usize)) {
                     None => {
-                        let what = "called off an attempt that was never made".into();
-                        self.judge.broke(now, gateway, Some(id), Rule::Protocol, what);
+                        let what = "cancelled an attempt that was never made".into();
+                        self.judge.record_breach(now, gateway, Some(id), Rule::Protocol, what);
                     }
                     Some(attempt_of) if attempt_of.end.is_none() => {
-                        line.extend(self.finish(id as u32, attempt, Outcome::CalledOff));
+                        line.extend(self.finish_attempt(id as u32, attempt, Outcome::CalledOff));
                     }
                     Some(_) => {}
                 }
@@ -887,54 +904,58 @@
             Action::SetTimer { after, token } => {
                 if !after.is_finite() {
                     let what = "set a timer that never ends".into();
-                    return self.judge.broke(now, gateway, None, Rule::Protocol, what);
+                    return self.judge.record_breach(now, gateway, None, Rule::Protocol, what);
                 }
-                // At its time or after it, never before: the gateway's clock is finer than the world's.
+                // The timer fires at its time or later, never earlier: the gateway's clock is finer than the world's.
                 let wait = (after.max(0.0) * 1000.0).ceil() as Micros;
-                self.expect(now + wait.max(1), Happens::Timer(gateway, life, token));
+                self.schedule(now + wait.max(1), SimEvent::Timer(gateway, incarnation, token));
             }
             Action::Probe { backend } => {
                 self.totals.probes += 1;
                 let Some(number) = self.backends.get(&backend).copied() else { return };
                 let zone = self.day.backends[number].zone;
-                let up = self.servers[number].life == Life::Up && !self.cut(self.gates[gateway].zone, zone);
-                let way = 2 * self.way(self.gates[gateway].zone, zone);
+                let up = self.servers[number].state == ProcessState::Up
+                    && !self.partitioned(self.gateways[gateway].zone, zone);
+                let delay = 2 * self.latency(self.gateways[gateway].zone, zone);
                 if up {
                     self.servers[number].advance(now, &self.day.machine);
-                    self.servers[number].burden(self.day.machine.probe_work);
-                    self.settle(number);
+                    self.servers[number].add_load(self.day.machine.probe_work);
+                    self.update_backend(number);
                 }
-                self.expect(now + way, Happens::Probed(gateway, life, number, up));
+                self.schedule(now + delay, SimEvent::ProbeEnds(gateway, incarnation, number, up));
             }
-            Action::AddToCounter { name, amount, ttl } => self.count(gateway, name, amount, ttl),
+            Action::AddToCounter { name, amount, ttl } => self.call_counter(gateway, name, amount, ttl),
             Action::Log(_) => self.totals.log_lines += 1,
-            Action::HealthObserved { backend, down, .. } => self.word(gateway, &backend, down),
+            Action::HealthObserved { backend, down, .. } => self.report_to_peers(gateway, &backend, down),
             Action::Broadcast { .. } | Action::WatchBackends => {}
         }
     }
 
-    /// A gateway has found something out of a backend, and a group passes it on: to each gateway that a cut does not
-    /// part from this one, after a drawn time of its own for report, record and watch. A group that has lost its
-    /// majority, and the bounds on reports, are not modelled.
-    fn word(&mut self, gateway: usize, backend: &Name, down: bool) {
+    /// Broadcasts a gateway's observation of a backend in the group. The report reaches each gateway that no
+    /// partition separates from the sender, after a random delay of its own for report, log entry and watch. The
+    /// loss of the group's majority and the rate limits of reports are not modelled.
+    fn report_to_peers(&mut self, gateway: usize, backend: &Name, down: bool) {
         let Some(delay) = self.day.scenario_of.words_ms else { return };
         let Some(number) = self.backends.get(backend).copied() else { return };
-        for other in (0..self.gates.len()).filter(|other| *other != gateway) {
-            let parted = self.cut(self.gates[gateway].zone, self.gates[other].zone);
-            if self.gates[other].up && !parted {
+        for other in (0..self.gateways.len()).filter(|other| *other != gateway) {
+            let partitioned = self.partitioned(self.gateways[gateway].zone, self.gateways[other].zone);
+            if self.gateways[other].up && !partitioned {
                 let at = self.now + (self.words.within(delay) * 1000.0) as Micros;
-                self.expect(at, Happens::Word(other, self.gates[other].life, number, down));
+                self.schedule(
+                    at,
+                    SimEvent::PeerReport(other, self.gateways[other].incarnation, number, down),
+                );
             }
         }
     }
 
     // ---- Requests ----
 
-    /// A client sends its first try, or comes again.
-    fn ask(&mut self, root: u32, number: u32, before: Option<u32>) {
+    /// Sends a client's first try or a retry.
+    fn send_try(&mut self, root: u32, number: u32, before: Option<u32>) {
         let first = &self.day.roots[root as usize];
         let class = &self.day.classes[usize::from(first.class)];
-        let give_up: f64 = self.troubled(Kind::GiveUp).map(|t| t.size).product();
+        let give_up: f64 = self.active_troubles(Kind::GiveUp).map(|t| t.size).product();
         let last = before.map(|id| &self.tries[id as usize]);
         let deadline = first.at + class.deadline;
         let patience = (class.deadline as f64 * self.day.clients.patience * give_up) as Micros;
@@ -944,33 +965,35 @@
         let mut gateway = match last {
             Some(last) if !elsewhere => last.gateway,
             _ => {
-                let lot = self.client.unit();
-                self.day.gateway_of(customer, self.now, lot)
+                let random = self.client.unit();
+                self.day.gateway_of(customer, self.now, random)
             }
         };
-        // The front sends past gateways that it knows to be down, and past a zone that traffic shifts from.
+        // The front skips gateways that it knows to be down, and moves traffic away from a zone as a trouble requires.
         for _ in 0..8 {
-            let down = self.gates[gateway].down_since;
+            let down = self.gateways[gateway].down_since;
             let noticed = down.is_some_and(|since| {
-                let notice = if self.gates[gateway].ending { 300_000 } else { self.day.clients.front_notice };
+                let notice =
+                    if self.gateways[gateway].ending { 300_000 } else { self.day.clients.front_notice };
                 self.now > since + notice
             });
-            let zone = self.gates[gateway].zone;
-            let shifted = self.troubled(Kind::ZoneShift).map(|t| if t.zone == zone { t.size } else { 0.0 });
+            let zone = self.gateways[gateway].zone;
+            let shifted =
+                self.active_troubles(Kind::ZoneShift).map(|t| if t.zone == zone { t.size } else { 0.0 });
             let chance = shifted.fold(0.0, f64::max);
             let passed = noticed || chance > 0.0 && self.client.happens(chance);
             if !passed {
                 break;
             }
-            let lot = self.client.unit();
-            gateway = self.day.gateway_of(customer, self.now, lot);
+            let random = self.client.unit();
+            gateway = self.day.gateway_of(customer, self.now, random);
         }
         let id = self.tries.len() as u32;
         self.tries.push(Try {
             root,
             number,
             gateway,
-            life: 0,
+            incarnation: 0,
             sent: self.now,
             gives_up,
             taken: None,
@@ -981,36 +1004,36 @@
             advice: 0,
             attempts: Vec::new(),
             ended: Ended::Open,
-            told: false,
+            retry_decided: false,
         });
-        let way = self.client_way();
-        self.expect(self.now + way, Happens::Asks(id));
+        let delay = self.client_latency();
+        self.schedule(self.now + delay, SimEvent::TryArrives(id));
         if self.client.happens(self.day.clients.impatient) {
             let wait = (gives_up - self.now) as f64 * self.client.unit();
-            self.expect(self.now + wait as Micros, Happens::Leaves(id));
+            self.schedule(self.now + wait as Micros, SimEvent::ClientLeaves(id));
         }
     }
 
-    fn asks(&mut self, id: u32) {
+    fn try_arrives(&mut self, id: u32) {
         let (gateway, root) = (self.tries[id as usize].gateway, self.tries[id as usize].root as usize);
-        if !self.gates[gateway].up {
+        if !self.gateways[gateway].up {
             self.tries[id as usize].ended = Ended::Unreachable;
-            let way = self.client_way();
-            return self.expect(self.now + way, Happens::Hears(id));
+            let delay = self.client_latency();
+            return self.schedule(self.now + delay, SimEvent::AnswerArrives(id));
         }
         let first = &self.day.roots[root];
         let customer = &self.day.customers[first.customer as usize];
         let class = &self.day.classes[usize::from(first.class)];
-        self.asked[first.customer as usize] += 1.0;
+        self.requested[first.customer as usize] += 1.0;
         let tried = &mut self.tries[id as usize];
         if tried.ended != Ended::Open {
             return;
         }
-        (tried.life, tried.taken) = (self.gates[gateway].life, Some(self.now));
+        (tried.incarnation, tried.taken) = (self.gateways[gateway].incarnation, Some(self.now));
         let (gives_up, number) = (tried.gives_up, tried.number);
-        let overdue = self.judge.taken(gateway, u64::from(id), class.once, gives_up);
-        self.expect(gives_up, Happens::GivesUp(id));
-        self.expect(overdue, Happens::Overdue(id));
+        let overdue = self.judge.request_accepted(gateway, u64::from(id), class.once, gives_up);
+        self.schedule(gives_up, SimEvent::ClientTimesOut(id));
+        self.schedule(overdue, SimEvent::AnswerOverdue(id));
         let arrival = Arrival {
             id: u64::from(id),
             customer: customer.name.clone(),
@@ -1022,36 +1045,36 @@
             first_gateway: customer.first as u32,
             spread: customer.spread as u32,
         };
-        self.tell(gateway, Event::Request(arrival));
+        self.deliver(gateway, Event::Request(arrival));
     }
 
-    /// The client is gone: its attempts are called off, and its gateway is told.
-    fn leave(&mut self, id: u32) {
+    /// Handles a client that has left: notifies its gateway and cancels its attempts.
+    fn client_leaves(&mut self, id: u32) {
         let tried = &mut self.tries[id as usize];
         if tried.ended == Ended::Open {
             tried.ended = Ended::Left;
         }
-        let (gateway, life) = (tried.gateway, tried.life);
-        if tried.taken.is_none() || tried.closed.is_some() || !self.lives(gateway, life) {
+        let (gateway, incarnation) = (tried.gateway, tried.incarnation);
+        if tried.taken.is_none() || tried.closed.is_some() || !self.is_alive(gateway, incarnation) {
             return;
         }
         self.tries[id as usize].closed = Some((self.now, Trigger::Other));
-        self.judge.left(u64::from(id));
-        self.tell(gateway, Event::ClientLeft { id: u64::from(id) });
+        self.judge.client_left(u64::from(id));
+        self.deliver(gateway, Event::ClientLeft { id: u64::from(id) });
         for number in 0..self.tries[id as usize].attempts.len() as u32 {
             if self.tries[id as usize].attempts[number as usize].end.is_none() {
-                self.end(id, number, Outcome::CalledOff);
+                self.end_attempt(id, number, Outcome::CalledOff);
             }
         }
     }
 
-    /// A gateway gives a final answer without a backend's.
-    fn answer(&mut self, gateway: usize, id: u64, refused: bool, advice: f64, trigger: Trigger) {
-        if !self.judge.answered(self.now, gateway, id, refused) {
+    /// Carries out a final answer that does not come from a backend.
+    fn final_answer(&mut self, gateway: usize, id: u64, refused: bool, advice: f64, trigger: Trigger) {
+        if !self.judge.final_answer(self.now, gateway, id, refused) {
             return;
         }
         let root = self.tries[id as usize].root as usize;
-        let (plan, held) = self.quota(root);
+        let (plan, held) = self.quota_store(root);
         let tried = &mut self.tries[id as usize];
         tried.closed = Some((self.now, trigger));
         if tried.attempts.is_empty() {
@@ -1063,19 +1086,19 @@
         tried.advice = if advice.is_finite() { micros(advice) } else { 0 };
         if tried.ended == Ended::Open {
             tried.ended = if refused { Ended::Refused } else { Ended::Failed };
-            let way = self.client_way();
-            self.expect(self.now + way, Happens::Hears(id as u32));
+            let delay = self.client_latency();
+            self.schedule(self.now + delay, SimEvent::AnswerArrives(id as u32));
         }
     }
 
-    /// The true store of a first try's customer, filled up to now.
-    fn quota(&mut self, root: usize) -> (&'a doorcourse::Plan, f64) {
+    /// The plan and the true quota store of a first try's customer, refilled up to now.
+    fn quota_store(&mut self, root: usize) -> (&'a doorcourse::Plan, f64) {
         let customer = self.day.roots[root].customer as usize;
         let plan = &self.day.settings.plans[self.day.customers[customer].plan];
         (plan, self.stores[customer].0.fill(self.now, plan.rate, plan.burst))
     }
 
-    fn hears(&mut self, id: u32) {
+    fn answer_arrives(&mut self, id: u32) {
         let tried = &self.tries[id as usize];
         if let Ended::Served(at) = tried.ended {
             let (root, inside) = (tried.root as usize, tried.inside == Some(true));
@@ -1086,19 +1109,19 @@
             return;
         }
         let advice = tried.advice;
-        self.come_again(id, advice);
+        self.schedule_retry(id, advice);
     }
 
-    fn come_again(&mut self, id: u32, advice: Micros) {
+    fn schedule_retry(&mut self, id: u32, advice: Micros) {
         let tried = &mut self.tries[id as usize];
-        if std::mem::replace(&mut tried.told, true) {
+        if std::mem::replace(&mut tried.retry_decided, true) {
             return;
         }
         let (number, ended, root) = (tried.number, tried.ended, tried.root as usize);
         let first = &self.day.roots[root];
         let class = &self.day.classes[usize::from(first.class)];
         let harmless = matches!(ended, Ended::Refused | Ended::Unreachable);
-        let more: f64 = self.troubled(Kind::ComeAgain).map(|t| t.size).sum();
+        let more: f64 = self.active_troubles(Kind::ComeAgain).map(|t| t.size).sum();
         let clients = &self.day.clients;
         let allowed = harmless || !class.once;
         if !allowed || number >= clients.retries + more as u32 {
@@ -1110,55 +1133,55 @@
         let advice = if follows { advice.min(clients.longest_advice) } else { 0 };
         let wait = if more > 0.0 { 0 } else { wait.max(advice) };
         let at = self.now + wait;
-        if at + LEAST_LEFT < first.at + class.deadline {
-            self.expect(at, Happens::Again(id));
+        if at + MIN_TIME_LEFT_FOR_RETRY < first.at + class.deadline {
+            self.schedule(at, SimEvent::ClientRetries(id));
         }
     }
 
     // ---- Attempts ----
 
-    /// Sends an attempt. Gives the end of one that is never sent.
+    /// Sends an attempt. Returns its end if the attempt cannot be sent.
     fn send(
         &mut self, gateway: usize, id: u64, name: &Name, timeout: f64, trigger: Trigger,
     ) -> Option<Event> {
         let backend = self.backends.get(name).copied();
         let known = self.tries.get(id as usize).filter(|t| t.gateway == gateway && t.taken.is_some());
         let known = known.is_some();
-        let allowed = self.judge.sent(self.now, gateway, id, backend) && known;
+        let allowed = self.judge.attempt_sent(self.now, gateway, id, backend) && known;
         let (Some(backend), true) = (backend, allowed) else {
             let finished = self.tries.get(id as usize).is_none_or(|t| t.closed.is_some());
-            return Some(unsent(id, name.clone(), finished));
+            return Some(unsent_end(id, name.clone(), finished));
         };
         let id = id as u32;
         let root = self.tries[id as usize].root as usize;
         let customer = self.day.roots[root].customer as usize;
         if self.tries[id as usize].inside.is_none() {
-            let (plan, held) = self.quota(root);
+            let (plan, held) = self.quota_store(root);
             let inside = held >= 1.0 && (plan.open == 0 || self.stores[customer].1 < plan.open);
             if inside {
                 self.stores[customer].0.held -= 1.0;
-                if let Some(store) = self.truth_now.stores.get_mut(customer) {
+                if let Some(store) = self.current_state.stores.get_mut(customer) {
                     store.held -= 1.0;
                 }
             }
             let tried = &mut self.tries[id as usize];
             (tried.inside, tried.sent_on) = (Some(inside), trigger);
-            self.judge.draws(self.now, gateway, u64::from(id), customer, plan);
+            self.judge.draw_from_ceiling(self.now, gateway, u64::from(id), customer, plan);
         }
         self.stores[customer].1 += 1;
-        if let Some(store) = self.truth_now.stores.get_mut(customer) {
+        if let Some(store) = self.current_state.stores.get_mut(customer) {
             store.out += 1;
         }
-        if let Some(load) = self.truth_now.loads.get_mut(backend) {
+        if let Some(load) = self.current_state.loads.get_mut(backend) {
             *load += 0.5;
         }
 
-        let (here, there) = (self.gates[gateway].zone, self.day.backends[backend].zone);
+        let (here, there) = (self.gateways[gateway].zone, self.day.backends[backend].zone);
         if here != there {
             self.totals.crossings += 1;
         }
         let machine = &self.day.machine;
-        let idle = &mut self.gates[gateway].pools[backend].idle;
+        let idle = &mut self.gateways[gateway].pools[backend].idle;
         let oldest = self.now.saturating_sub(machine.idle);
         let before = idle.len();
         idle.retain(|used| *used >= oldest);
@@ -1167,24 +1190,25 @@
         self.servers[backend].connections = self.servers[backend].connections.saturating_sub(expired);
         let noise = self.day.classes[usize::from(self.day.roots[root].class)].attempt_noise;
         let work = self.day.roots[root].work * self.work.lognormal(noise);
-        let way = self.way(here, there);
-        let cut = self.cut(here, there);
+        let delay = self.latency(here, there);
+        let partitioned = self.partitioned(here, there);
         let mut fails = None;
-        let mut arrives = self.now + way;
+        let mut arrives = self.now + delay;
         if !pooled {
             self.totals.handshakes += 1;
-            let rtt = way + self.way(there, here);
-            let life = self.servers[backend].life;
-            self.totals.vain += u64::from(cut || life != Life::Up);
-            if cut || life == Life::Silent {
+            let rtt = delay + self.latency(there, here);
+            let state = self.servers[backend].state;
+            self.totals.vain += u64::from(partitioned || state != ProcessState::Up);
+            if partitioned || state == ProcessState::Silent {
                 fails = Some(self.now + machine.connect_timeout);
-            } else if life == Life::Down || self.servers[backend].connections >= machine.connections {
+            } else if state == ProcessState::Down || self.servers[backend].connections >= machine.connections
+            {
                 fails = Some(self.now + rtt);
             } else {
                 let server = &mut self.servers[backend];
                 server.advance(self.now, machine);
-                server.burden(machine.handshake_work);
-                self.settle(backend);
+                server.add_load(machine.handshake_work);
+                self.update_backend(backend);
                 arrives += (rtt as f64 * machine.handshake_rtts) as Micros;
             }
             self.servers[backend].connections += 1;
@@ -1194,17 +1218,17 @@
             Attempt { backend, sent: self.now, work, end: None, reached: pooled, at_backend: false };
         self.tries[id as usize].attempts.push(attempt);
         match fails {
-            Some(at) => self.expect(at, Happens::Ends(id, number, Outcome::ConnectFailed)),
-            None if !cut => self.expect(arrives, Happens::Reaches(id, number)),
+            Some(at) => self.schedule(at, SimEvent::AttemptEnds(id, number, Outcome::ConnectFailed)),
+            None if !partitioned => self.schedule(arrives, SimEvent::AttemptArrives(id, number)),
             None => {}
         }
         let gives_up = self.tries[id as usize].gives_up;
         let limit = if timeout.is_finite() { self.now + micros(timeout) } else { gives_up };
-        self.expect(limit.min(gives_up).max(self.now + 1), Happens::Limit(id, number));
+        self.schedule(limit.min(gives_up).max(self.now + 1), SimEvent::AttemptTimesOut(id, number));
         None
     }
 
-    fn reaches(&mut self, id: u32, number: u32) {
+    fn attempt_arrives(&mut self, id: u32, number: u32) {
         let tried = &mut self.tries[id as usize];
         let (gateway, root) = (tried.gateway, tried.root as usize);
         let attempt = &mut tried.attempts[number as usize];
@@ -1213,69 +1237,71 @@
         }
         attempt.reached = true;
         let (backend, work) = (attempt.backend, attempt.work);
-        let (here, there) = (self.gates[gateway].zone, self.day.backends[backend].zone);
-        if self.servers[backend].life == Life::Silent || self.cut(here, there) {
+        let (here, there) = (self.gateways[gateway].zone, self.day.backends[backend].zone);
+        if self.servers[backend].state == ProcessState::Silent || self.partitioned(here, there) {
             return;
         }
         self.totals.attempts += 1;
-        let way = self.way(here, there);
+        let delay = self.latency(here, there);
         let server = &self.servers[backend];
-        if server.life == Life::Down {
-            return self.expect(self.now + way, Happens::Ends(id, number, Outcome::Broken));
+        if server.state == ProcessState::Down {
+            return self.schedule(self.now + delay, SimEvent::AttemptEnds(id, number, Outcome::Broken));
         }
-        let reset: f64 = self.troubled(Kind::Resets).map(|t| t.size).sum();
+        let reset: f64 = self.active_troubles(Kind::Resets).map(|t| t.size).sum();
         if reset > 0.0 && self.net.happens(reset) {
-            return self.expect(self.now + way, Happens::Ends(id, number, Outcome::Broken));
+            return self.schedule(self.now + delay, SimEvent::AttemptEnds(id, number, Outcome::Broken));
         }
         let machine = &self.day.machine;
         let server = &self.servers[backend];
-        let warm = server.warmth(self.now, machine) >= 1.0;
+        let warm = server.warm_share(self.now, machine) >= 1.0;
         let capacity = server.capacity(self.now, machine);
         if warm {
-            self.judge.no_longer_cold(backend);
+            self.judge.end_cold_start(backend);
         } else {
-            let told = self.told_of_start(gateway, backend);
-            let load = Reached { backend, work: self.day.roots[root].work, capacity, told };
-            if self.judge.reached(self.now, gateway, u64::from(id), &load) {
-                self.totals.fallen += 1;
-                self.stop(backend, Life::Down);
-                return self.expect(self.now + way, Happens::Ends(id, number, Outcome::Broken));
+            let start_known = self.knows_start(gateway, backend);
+            let load = BackendLoad { backend, work: self.day.roots[root].work, capacity, start_known };
+            if self.judge.work_arrived(self.now, gateway, u64::from(id), &load) {
+                self.totals.cold_failures += 1;
+                self.stop_backend(backend, ProcessState::Down);
+                return self.schedule(self.now + delay, SimEvent::AttemptEnds(id, number, Outcome::Broken));
             }
         }
         let server = &self.servers[backend];
         if server.draining {
-            return self.expect(self.now + way, Happens::Ends(id, number, Outcome::Full));
+            return self.schedule(self.now + delay, SimEvent::AttemptEnds(id, number, Outcome::Full));
         }
         let failing = server.failing.max(machine.error_share);
         if failing > 0.0 && self.work.happens(failing) {
-            return self.expect(self.now + way + 1000, Happens::Ends(id, number, Outcome::Error));
+            return self.schedule(self.now + delay + 1000, SimEvent::AttemptEnds(id, number, Outcome::Error));
         }
         let server = &mut self.servers[backend];
         server.advance(self.now, machine);
-        match server.take((id, number), work, machine) {
-            Taken::In => {
+        match server.accept((id, number), work, machine) {
+            Acceptance::Accepted => {
                 self.tries[id as usize].attempts[number as usize].at_backend = true;
-                self.settle(backend);
+                self.update_backend(backend);
+            }
+            Acceptance::QueueFull => {
+                self.schedule(self.now + delay, SimEvent::AttemptEnds(id, number, Outcome::Full))
             }
-            Taken::Full => self.expect(self.now + way, Happens::Ends(id, number, Outcome::Full)),
         }
     }
 
-    /// Whether the list that a gateway has names a backend's last start.
-    fn told_of_start(&self, gateway: usize, backend: usize) -> bool {
+    /// Whether the gateway's backend list contains the backend's last start.
+    fn knows_start(&self, gateway: usize, backend: usize) -> bool {
         let started = self.servers[backend].started;
-        let seen = &self.log[..self.gates[gateway].seen];
+        let seen = &self.log[..self.gateways[gateway].seen];
         seen.iter().rev().find(|line| line.0 == backend).is_some_and(|line| line.2 == started)
     }
 
-    /// Brings a backend up to now: answers leave, and the next moment to look is foreseen.
-    fn settle(&mut self, backend: usize) {
+    /// Updates a backend to the current time: sends its answers and schedules the next update.
+    fn update_backend(&mut self, backend: usize) {
         let machine = &self.day.machine;
-        if self.servers[backend].life != Life::Up {
+        if self.servers[backend].state != ProcessState::Up {
             return;
         }
         self.servers[backend].advance(self.now, machine);
-        while let Some(((id, number), work)) = self.servers[backend].finished(machine) {
+        while let Some(((id, number), work)) = self.servers[backend].take_completed(machine) {
             let tried = &mut self.tries[id as usize];
             let (gateway, attempt) = (tried.gateway, &mut tried.attempts[number as usize]);
             attempt.at_backend = false;
@@ -1283,27 +1309,27 @@
                 self.totals.wasted += work;
                 continue;
             }
-            let (there, here) = (self.day.backends[backend].zone, self.gates[gateway].zone);
-            let lost: f64 = self.troubled(Kind::AnswersLost).map(|t| t.size).sum();
-            if self.cut(here, there) || lost > 0.0 && self.net.happens(lost) {
+            let (there, here) = (self.day.backends[backend].zone, self.gateways[gateway].zone);
+            let lost: f64 = self.active_troubles(Kind::AnswersLost).map(|t| t.size).sum();
+            if self.partitioned(here, there) || lost > 0.0 && self.net.happens(lost) {
                 self.totals.wasted += work;
                 continue;
             }
-            let way = self.way(there, here);
-            self.expect(self.now + way, Happens::Ends(id, number, Outcome::Served));
+            let delay = self.latency(there, here);
+            self.schedule(self.now + delay, SimEvent::AttemptEnds(id, number, Outcome::Served));
         }
         let server = &mut self.servers[backend];
         server.epoch += 1;
-        if let Some(at) = server.next(self.now, machine) {
+        if let Some(at) = server.next_update(self.now, machine) {
             let epoch = server.epoch;
-            self.expect(at, Happens::Completes(backend, epoch));
+            self.schedule(at, SimEvent::BackendProgress(backend, epoch));
         }
     }
 
-    fn dropped(&mut self, id: u32, number: u32) {
+    fn cancel_arrives(&mut self, id: u32, number: u32) {
         let attempt = &self.tries[id as usize].attempts[number as usize];
         let backend = attempt.backend;
-        if !attempt.at_backend || self.servers[backend].life != Life::Up {
+        if !attempt.at_backend || self.servers[backend].state != ProcessState::Up {
             return;
         }
         let machine = &self.day.machine;
@@ -1311,22 +1337,22 @@
         if let Some(done) = self.servers[backend].cancel((id, number), machine) {
             self.totals.wasted += done;
             self.tries[id as usize].attempts[number as usize].at_backend = false;
-            self.settle(backend);
+            self.update_backend(backend);
         }
     }
 
-    /// An attempt's end is known at its gateway.
-    fn end(&mut self, id: u32, number: u32, outcome: Outcome) {
-        if let Some(event) = self.finish(id, number, outcome) {
+    /// Handles the end of an attempt at its gateway.
+    fn end_attempt(&mut self, id: u32, number: u32, outcome: Outcome) {
+        if let Some(event) = self.finish_attempt(id, number, outcome) {
             let gateway = self.tries[id as usize].gateway;
-            self.tell(gateway, event);
+            self.deliver(gateway, event);
         }
     }
 
-    fn finish(&mut self, id: u32, number: u32, outcome: Outcome) -> Option<Event> {
+    fn finish_attempt(&mut self, id: u32, number: u32, outcome: Outcome) -> Option<Event> {
         let now = self.now;
         let tried = &mut self.tries[id as usize];
-        let (gateway, life) = (tried.gateway, tried.life);
+        let (gateway, incarnation) = (tried.gateway, tried.incarnation);
         let attempt = &mut tried.attempts[number as usize];
         if attempt.end.is_some() {
             return None;
@@ -1334,28 +1360,30 @@
         attempt.end = Some((now, outcome));
         let (backend, latency, work) = (attempt.backend, millis(now - attempt.sent), attempt.work);
         self.attempt_over(id);
-        if matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Full) && self.lives(gateway, life) {
-            self.gates[gateway].pools[backend].idle.push(now);
+        if matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Full)
+            && self.is_alive(gateway, incarnation)
+        {
+            self.gateways[gateway].pools[backend].idle.push(now);
         } else {
-            self.close_one(backend);
+            self.close_connection(backend);
         }
         if matches!(outcome, Outcome::TimedOut | Outcome::CalledOff) {
             self.drop_at_backend(id, number);
         }
         self.judge.attempt_ended(u64::from(id), outcome);
-        if !self.lives(gateway, life) {
+        if !self.is_alive(gateway, incarnation) {
             return None;
         }
         let tried = &mut self.tries[id as usize];
         if outcome == Outcome::Served {
             if tried.closed.is_none() {
                 tried.closed = Some((now, Trigger::Attempt));
-                self.judge.answered(now, gateway, u64::from(id), false);
-                let way = self.client_way();
+                self.judge.final_answer(now, gateway, u64::from(id), false);
+                let delay = self.client_latency();
                 let tried = &mut self.tries[id as usize];
                 if tried.ended == Ended::Open {
-                    tried.ended = Ended::Served(now + way);
-                    self.expect(now + way, Happens::Hears(id));
+                    tried.ended = Ended::Served(now + delay);
+                    self.schedule(now + delay, SimEvent::AnswerArrives(id));
                 }
             } else {
                 self.totals.wasted += work;
@@ -1377,154 +1405,157 @@
         }))
     }
 
-    /// A backend's report of its load: late by the rhythm of its refreshing, and noisy.
+    /// The backend's load report, with noise.
     fn report(&mut self, backend: usize) -> LoadReport {
         let noise = 1.0 + self.day.machine.report_noise * (self.net.unit() * 2.0 - 1.0);
         let server = &self.servers[backend];
         LoadReport {
             inflight: Some(server.held() as f64 * noise),
-            queue: Some(server.line() as f64 * noise),
+            queue: Some(server.queue_len() as f64 * noise),
             service_time: None,
         }
     }
 
-    // ---- The counter ----
+    // ---- Counter ----
 
-    fn count(&mut self, gateway: usize, name: u64, amount: f64, keep: f64) {
-        if name >= 1 << 63 || !amount.is_finite() || amount.abs() > 1e9 || keep.is_nan() || keep < 1.0 {
-            let what = format!("asked the counter for {name} {amount} {keep}");
-            return self.judge.broke(self.now, gateway, None, Rule::Protocol, what);
+    fn call_counter(&mut self, gateway: usize, name: u64, amount: f64, ttl: f64) {
+        if name >= 1 << 63 || !amount.is_finite() || amount.abs() > 1e9 || ttl.is_nan() || ttl < 1.0 {
+            let what = format!("invalid counter call: name {name}, amount {amount}, ttl {ttl}");
+            return self.judge.record_breach(self.now, gateway, None, Rule::Protocol, what);
         }
         self.totals.calls += 1;
         let number = self.calls.len() as u32;
-        let keep = micros(keep.min(60_000.0));
-        let (life, counter_life) = (self.gates[gateway].life, self.counter.life);
+        let ttl = micros(ttl.min(60_000.0));
+        let (incarnation, counter_incarnation) =
+            (self.gateways[gateway].incarnation, self.counter.incarnation);
         let call = Call {
             gateway,
-            life,
-            counter_life,
+            incarnation,
+            counter_incarnation,
             name,
             amount,
-            keep,
-            made: self.now,
+            ttl,
+            started: self.now,
             answer: None,
             given_up: false,
         };
         self.calls.push(call);
-        let way = self.way(self.gates[gateway].zone, self.counter.zone);
-        self.expect(self.now + self.day.counter.timeout, Happens::CallGivenUp(number));
-        if !self.cut(self.gates[gateway].zone, self.counter.zone) {
-            self.expect(self.now + way, Happens::CallReaches(number));
+        let delay = self.latency(self.gateways[gateway].zone, self.counter.zone);
+        self.schedule(self.now + self.day.counter.timeout, SimEvent::CallTimesOut(number));
+        if !self.partitioned(self.gateways[gateway].zone, self.counter.zone) {
+            self.schedule(self.now + delay, SimEvent::CallArrives(number));
         }
     }
 
-    fn call_reaches(&mut self, number: u32) {
+    fn call_arrives(&mut self, number: u32) {
         let call = &mut self.calls[number as usize];
         let (name, gateway) = (call.name, call.gateway);
-        call.counter_life = self.counter.life;
+        call.counter_incarnation = self.counter.incarnation;
         if !self.counter.up {
             call.answer = Some(CountOutcome::NotAdded);
         } else {
-            match self.counter.arrive(self.now, name, &self.day.counter) {
-                Turn::At(at) => return self.expect(at, Happens::CallServed(number, self.counter.life)),
-                Turn::Away => {
-                    self.totals.calls_away += 1;
+            match self.counter.enqueue(self.now, name, &self.day.counter) {
+                CallAdmission::At(at) => {
+                    return self.schedule(at, SimEvent::CallServed(number, self.counter.incarnation));
+                }
+                CallAdmission::Rejected => {
+                    self.totals.calls_rejected += 1;
                     call.answer = Some(CountOutcome::NotAdded);
                 }
             }
         }
-        let way = self.way(self.counter.zone, self.gates[gateway].zone);
-        self.expect(self.now + way, Happens::CallAnswered(number));
+        let delay = self.latency(self.counter.zone, self.gateways[gateway].zone);
+        self.schedule(self.now + delay, SimEvent::CallAnswered(number));
     }
 
-    fn call_served(&mut self, number: u32, life: u32) {
-        if self.counter.life != life || !self.counter.up {
+    fn call_served(&mut self, number: u32, incarnation: u32) {
+        if self.counter.incarnation != incarnation || !self.counter.up {
             return;
         }
         let call = &mut self.calls[number as usize];
-        let total = self.counter.add(self.now, call.name, call.amount, call.keep);
+        let total = self.counter.add(self.now, call.name, call.amount, call.ttl);
         call.answer = Some(CountOutcome::Total(total));
         let gateway = call.gateway;
-        if !self.cut(self.gates[gateway].zone, self.counter.zone) {
-            let way = self.way(self.counter.zone, self.gates[gateway].zone);
-            self.expect(self.now + way, Happens::CallAnswered(number));
+        if !self.partitioned(self.gateways[gateway].zone, self.counter.zone) {
+            let delay = self.latency(self.counter.zone, self.gateways[gateway].zone);
+            self.schedule(self.now + delay, SimEvent::CallAnswered(number));
         }
     }
 
     fn call_answered(&mut self, number: u32) {
         let call = &mut self.calls[number as usize];
-        let (gateway, life, name, amount) = (call.gateway, call.life, call.name, call.amount);
-        let latency = millis(self.now - call.made);
+        let (gateway, incarnation, name, amount) = (call.gateway, call.incarnation, call.name, call.amount);
+        let latency = millis(self.now - call.started);
         let outcome = match (call.answer, call.given_up) {
             (Some(CountOutcome::Total(total)), true) => CountOutcome::Late { total, amount },
             (Some(outcome), false) => outcome,
             _ => return,
         };
         call.given_up = true;
-        if self.lives(gateway, life) {
-            self.tell(gateway, Event::Counted { name, outcome, latency });
+        if self.is_alive(gateway, incarnation) {
+            self.deliver(gateway, Event::Counted { name, outcome, latency });
         }
     }
 
-    fn call_given_up(&mut self, number: u32) {
+    fn call_times_out(&mut self, number: u32) {
         let call = &mut self.calls[number as usize];
         if std::mem::replace(&mut call.given_up, true) {
             return;
         }
         self.totals.calls_unanswered += 1;
-        let (gateway, life, name) = (call.gateway, call.life, call.name);
-        if self.lives(gateway, life) {
+        let (gateway, incarnation, name) = (call.gateway, call.incarnation, call.name);
+        if self.is_alive(gateway, incarnation) {
             let latency = millis(self.day.counter.timeout);
-            self.tell(gateway, Event::Counted { name, outcome: CountOutcome::Unknown, latency });
+            self.deliver(gateway, Event::Counted { name, outcome: CountOutcome::Unknown, latency });
         }
     }
 
-    // ---- Looks ----
+    // ---- Samples ----
 
-    fn look(&mut self) {
-        if self.policy.seeing() != Seeing::Nothing {
+    fn sample_state(&mut self) {
+        if self.policy.state_view() != StateView::None {
             let plans = &self.day.settings.plans;
             let customers = &self.day.customers;
-            let asked = &mut self.asked;
-            let fade = (-(LOOK_EVERY as f64) / 1e6).exp();
-            asked.iter_mut().for_each(|asked| *asked *= fade);
-            let rows = self.stores.iter_mut().zip(customers).zip(asked);
-            let stores = rows.map(|(((store, out), customer), asked)| {
+            let requested = &mut self.requested;
+            let fade = (-(SAMPLE_INTERVAL as f64) / 1e6).exp();
+            requested.iter_mut().for_each(|requested| *requested *= fade);
+            let rows = self.stores.iter_mut().zip(customers).zip(requested);
+            let stores = rows.map(|(((store, out), customer), requested)| {
                 let plan = &plans[customer.plan];
                 let held = store.fill(self.now, plan.rate, plan.burst);
-                SeenStore { held, out: *out, asked: *asked }
+                TrueQuota { held, out: *out, requested: *requested }
             });
             let machine = &self.day.machine;
             let now = self.now;
             let loads = self.servers.iter().map(|server| {
-                let usable = server.life == Life::Up && !server.draining && server.failing == 0.0;
+                let usable = server.state == ProcessState::Up && !server.draining && server.failing == 0.0;
                 let capacity = server.capacity(now, machine) / server.slowness;
                 if usable { server.held() as f64 / capacity.max(1e-9) } else { f64::INFINITY }
             });
-            let truth = Truth { stores: stores.collect(), loads: loads.collect() };
-            self.truths.push_back(std::mem::replace(&mut self.truth_now, truth));
-            if self.truths.len() > (SEES_LATE / LOOK_EVERY) as usize {
-                self.truths.pop_front();
+            let state = TrueState { stores: stores.collect(), loads: loads.collect() };
+            self.past_states.push_back(std::mem::replace(&mut self.current_state, state));
+            if self.past_states.len() > (DELAYED_VIEW_AGE / SAMPLE_INTERVAL) as usize {
+                self.past_states.pop_front();
             }
         }
         if self.now.is_multiple_of(500_000) {
-            self.looks.push(Look {
+            self.samples.push(Sample {
                 at: self.now,
                 held: self.servers.iter().map(Server::held).sum(),
-                waiting: self.servers.iter().map(Server::line).sum(),
-                gateways: self.gates.iter().filter(|gate| gate.up).count(),
-                backends: self.servers.iter().filter(|s| s.life == Life::Up && !s.draining).count(),
+                waiting: self.servers.iter().map(Server::queue_len).sum(),
+                gateways: self.gateways.iter().filter(|state| state.up).count(),
+                backends: self.servers.iter().filter(|s| s.state == ProcessState::Up && !s.draining).count(),
                 calls: self.totals.calls,
             });
         }
-        if self.now < self.day.length + TAIL {
-            self.expect(self.now + LOOK_EVERY, Happens::Look);
+        if self.now < self.day.length + TAIL_TIME {
+            self.schedule(self.now + SAMPLE_INTERVAL, SimEvent::SampleState);
         }
     }
 }
 
-/// The end of an attempt that is never sent.
-fn unsent(id: u64, backend: Name, finished: bool) -> Event {
+/// The end of an attempt that was never sent.
+fn unsent_end(id: u64, backend: Name, finished: bool) -> Event {
     Event::AttemptEnded(AttemptEnd {
         id,
         attempt: 0,
--- a/emulator/tests/helper/mod.rs
+++ b/emulator/tests/helper/mod.rs
@@ -3,7 +3,7 @@
 
 use doorcourse::{Action, Event, Millis, Settings, SettingsError};
 use fennelscale_lab::books::Books;
-use fennelscale_lab::decider::{Decider, Policy, Sight};
+use fennelscale_lab::decider::{Decider, Policy, TrueStateView};
 use fennelscale_lab::draw::Day;
 use fennelscale_lab::scenario::Scenario;
 use fennelscale_lab::world::{Record, World};
@@ -36,7 +36,7 @@
 struct TwistedGateway(doorcourse::Gateway, Twist);
 
 impl Decider for TwistedGateway {
-    fn handle(&mut self, now: Millis, event: Event, _: &Sight<'_>, out: &mut Vec<Action>) {
+    fn handle(&mut self, now: Millis, event: Event, _: &TrueStateView<'_>, out: &mut Vec<Action>) {
         self.0.handle(now, event.clone(), out);
         (self.1)(now, &event, out);
     }
--- a/emulator/tests/judge.rs
+++ b/emulator/tests/judge.rs
@@ -2,7 +2,7 @@
 
 mod helper;
 use doorcourse::{Action, Event, Millis, Outcome};
-use fennelscale_lab::decider::{BASELINES, Decider, Honest, Policy, Sight};
+use fennelscale_lab::decider::{BASELINES, Decider, Library, Policy, TrueStateView};
 use fennelscale_lab::draw::Day;
 use fennelscale_lab::judge::{Breach, Rule};
 use helper::*;
@@ -36,7 +36,7 @@
     let accused: Vec<String> = (0..200u64)
         .into_par_iter()
         .flat_map_iter(|seed| {
-            let (record, _) = play(&Day::draw(&scenario, seed), &Honest);
+            let (record, _) = play(&Day::draw(&scenario, seed), &Library);
             assert!(record.totals.attempts > 50, "seed {seed} sent nothing");
             record.judge.breaches.into_iter().map(move |breach| format!("seed {seed}: {breach:?}"))
         })
@@ -88,7 +88,7 @@
 struct DeafGateway(Vec<doorcourse::Name>);
 
 impl Decider for DeafGateway {
-    fn handle(&mut self, _: Millis, event: Event, _: &Sight<'_>, out: &mut Vec<Action>) {
+    fn handle(&mut self, _: Millis, event: Event, _: &TrueStateView<'_>, out: &mut Vec<Action>) {
         match event {
             Event::BackendList(list) => self.0.extend(list.into_iter().map(|entry| entry.name)),
             Event::Request(arrival) => {
@@ -151,7 +151,7 @@
 struct CrushGateway(Vec<doorcourse::Name>, Option<doorcourse::Name>);
 
 impl Decider for CrushGateway {
-    fn handle(&mut self, _: Millis, event: Event, _: &Sight<'_>, out: &mut Vec<Action>) {
+    fn handle(&mut self, _: Millis, event: Event, _: &TrueStateView<'_>, out: &mut Vec<Action>) {
         match event {
             Event::BackendList(list) | Event::BackendChanges(list) => {
                 for entry in list {
@@ -188,7 +188,7 @@
     let (record, _) = play(&day, &Crush);
     let falls: Vec<_> = record.judge.breaches.iter().filter(|b| b.rule == Rule::Fall).collect();
     assert!(!falls.is_empty());
-    assert_eq!(record.totals.fallen, falls.len() as u64);
+    assert_eq!(record.totals.cold_failures, falls.len() as u64);
     for breach in falls {
         let tried = &record.tries[breach.request.expect("a request") as usize];
         let backend = tried.attempts.last().expect("an attempt").backend;
--- a/emulator/tests/report.rs
+++ b/emulator/tests/report.rs
@@ -1,7 +1,7 @@
 //! The page about results shows every scenario with its plots, and what is missing.
 
 mod helper;
-use fennelscale_lab::decider::Honest;
+use fennelscale_lab::decider::Library;
 use fennelscale_lab::draw::Day;
 use fennelscale_lab::experiment::play;
 use fennelscale_lab::report::page;
@@ -9,7 +9,7 @@
 use helper::*;
 
 fn results(names: &[&str], planned: usize) -> Results {
-    let mut row = play(&Day::draw(&small(""), 1), &Honest);
+    let mut row = play(&Day::draw(&small(""), 1), &Library);
     row.books.plans.insert("<dear & odd>".into(), Default::default());
     let rows = names.iter().map(|name| {
         row.scenario = name.to_string();
--- a/emulator/tests/world.rs
+++ b/emulator/tests/world.rs
@@ -3,7 +3,7 @@
 mod helper;
 use doorcourse::{Action, CountOutcome, Event, Gateway, Outcome, Settings};
 use fennelscale_lab::books::Gate;
-use fennelscale_lab::decider::{BASELINES, Decider, Honest, Policy};
+use fennelscale_lab::decider::{BASELINES, Decider, Library, Policy};
 use fennelscale_lab::draw::{Day, mix};
 use fennelscale_lab::experiment::{Plan, play as play_row, run};
 use fennelscale_lab::world::{Ended, World};
@@ -42,7 +42,7 @@
 #[test]
 fn the_books_sum_to_what_was_lost() {
     let policies: Vec<&dyn Policy> =
-        std::iter::once(&Honest as &dyn Policy).chain(BASELINES.iter().map(|p| p as &dyn Policy)).collect();
+        std::iter::once(&Library as &dyn Policy).chain(BASELINES.iter().map(|p| p as &dyn Policy)).collect();
     for seed in 0..3 {
         let day = Day::draw(&small(ROUGH), seed);
         for policy in &policies {
@@ -77,7 +77,7 @@
         let line = (now, event.clone(), actions.to_vec());
         told.borrow_mut().entry((gateway, life)).or_default().push(line);
     };
-    World::new(&day, &Honest).tapped(&mut tap).run();
+    World::new(&day, &Library).with_tap(&mut tap).run();
     let told = told.into_inner();
     assert!(told.keys().any(|(_, life)| *life == 2), "one was to come back");
     // Each is fed alone, in another order of gateways: it does the same.
@@ -119,7 +119,7 @@
             _ => {}
         }
     };
-    World::new(&day, &Honest).tapped(&mut tap).run();
+    World::new(&day, &Library).with_tap(&mut tap).run();
     let (unknown, late, _) = seen.into_inner();
     assert!(late > 0 && late <= unknown, "{late} of {unknown}");
 }
@@ -138,7 +138,7 @@
             _ => {}
         }
     };
-    let record = World::new(&day, &Honest).tapped(&mut tap).run();
+    let record = World::new(&day, &Library).with_tap(&mut tap).run();
     assert_eq!(known.into_inner().len(), 6, "three gateways, two lives each");
     assert_eq!(record.judge.count, 0, "{:?}", record.judge.breaches);
 }
@@ -163,7 +163,7 @@
         }
         _ => {}
     };
-    World::new(&day, &Honest).tapped(&mut tap).run();
+    World::new(&day, &Library).with_tap(&mut tap).run();
     assert_eq!(starts.into_inner(), BTreeSet::from([1_000_000_000 + 3_000_000]));
     assert!(silent.into_inner() > 0, "it was silent for a second");
 }
@@ -183,7 +183,8 @@
     struct Wild;
     impl Decider for Wild {
         fn handle(
-            &mut self, _: f64, event: Event, _: &fennelscale_lab::decider::Sight<'_>, out: &mut Vec<Action>,
+            &mut self, _: f64, event: Event, _: &fennelscale_lab::decider::TrueStateView<'_>,
+            out: &mut Vec<Action>,
         ) {
             // Every end of a send to nobody leads to the next.
             if let Event::Request(_) | Event::AttemptEnded(_) = event {
