--- a/emulator/src/books.rs
+++ b/emulator/src/books.rs
@@ -1,79 +1,80 @@
-//! Service and its price: what a day was worth, and to which cause each unit of worth that was not earned is
-//! booked. Each first try that earned less than it was offered has exactly one cause, so the books sum to 1 - G.
+//! The books of a day: the worth that was earned, the prices, and the cause of each unit of worth that was lost.
+//! Each first try that earned less than its offered worth is booked under exactly one cause, so all losses sum to 1
+//! - G, where G is the result of the day.
 
-use crate::draw::{Day, Micros, Root, millis};
+use crate::draw::{Day, FirstTry, Micros, millis};
 use crate::world::{Ended, Record, Trigger, Try};
 use doorcourse::Outcome;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Why worth that was asked for was not earned.
+/// Why offered worth was not earned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// Refused, and the quota was spent: by repeats, by others' first tries, by sends beyond it.
+    /// Refused while the quota was spent by retries, other first tries, or tries sent beyond the quota.
     QuotaSpent,
-    /// Refused at once though the quota had room: without a total.
+    /// Refused on arrival, before the gateway had a counter total, although the quota had room.
     BlindShed,
-    /// Refused though the quota had room, when a total or its absence was told.
+    /// Refused after a counter total or the failure of a counter call, although the quota had room.
     NoBlock,
-    /// Refused after it had waited for a block, an open slot or a backend.
+    /// Refused or answered late after a wait for a block of quota, an open slot or a backend.
     HeldTooLong,
-    /// Answered too late although it had hardly been held: the backend was slow.
+    /// Answered too late although the gateway hardly delayed the request: the backend was slow.
     BackendSlow,
-    /// A backend failed it.
+    /// A backend failed the request.
     BackendFailed,
-    /// Backends had no room for it.
+    /// The backends had no room for the request.
     BackendFull,
-    /// Its backend was gone or could not be reached.
+    /// The backend was gone or could not be reached.
     BackendGone,
-    /// Nothing came back.
+    /// The backend did not answer.
     AttemptLost,
-    /// Its gateway died or could not be reached.
+    /// The gateway died or could not be reached.
     GatewayDead,
-    /// Its client gave up.
+    /// The client gave up.
     ClientGaveUp,
-    /// It was served, but beyond the quota.
+    /// The request was served, but beyond the quota.
     SentBeyond,
-    /// A later try came too late to be worth its answer, the one before it having been refused.
+    /// The try before was refused, and the retry came too late for a timely answer.
     CameTooLate,
-    /// Something else ended it.
+    /// Any other cause.
     Other,
 }
 
-/// What is taken off.
+/// The items that are subtracted from the result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Price {
-    /// Tries sent on beyond quotas.
+    /// Tries sent beyond quotas.
     OverQuota,
     /// Attempts in another zone.
     CrossZone,
-    /// Work for nothing.
+    /// Wasted work.
     Waste,
     /// Probes.
     Probe,
-    /// Failing only after the aim.
+    /// Requests that failed only after the target latency.
     LateFail,
-    /// Calls to the counter.
+    /// Counter calls.
     Counter,
     /// New connections.
     Handshake,
-    /// Answered unsent after half of the time.
+    /// Tries answered unsent after more than half of their time.
     HeldBack,
 }
 
-/// What a part of the day came to.
+/// The worth offered and earned in a part of the day.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Part {
-    /// The worth asked for inside quotas, and what lies beyond at its price.
+pub struct Worth {
+    /// The worth requested within the quotas; requests beyond the quotas count with their reduced worth.
     pub offered: f64,
     /// The worth earned.
     pub earned: f64,
 }
 
-impl Part {
-    /// The share earned, 1 at most and 1 where nothing was asked.
+impl Worth {
+    /// The share of the offered worth that was earned, at most 1; 1 if nothing was offered.
     pub fn share(&self) -> f64 {
         if self.offered > 0.0 { (self.earned / self.offered).min(1.0) } else { 1.0 }
     }
@@ -84,51 +85,51 @@
     }
 }
 
-/// Figures of behaviour, as the bench's pages name them.
+/// Behavioural metrics of a day.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Figures {
-    /// Tries for each first try.
+    /// Tries per first try.
     pub tries: f64,
-    /// Tries refused, of all.
+    /// The share of tries that were refused.
     pub refused: f64,
-    /// Tries refused though half of the quota was unused, of all.
+    /// The share of tries that were refused although at least half of the quota was unused.
     pub refused_with_room: f64,
-    /// Units sent on beyond a quota, of all.
+    /// The share of sent tries that were beyond their quota.
     pub beyond: f64,
-    /// Counter calls a try.
+    /// Counter calls per try.
     pub calls: f64,
-    /// Calls unanswered in time, of all.
+    /// The share of counter calls without an answer in time.
     pub calls_unanswered: f64,
-    /// Attempts a try.
+    /// Attempts per try.
     pub attempts: f64,
-    /// Connections begun to backends that cannot be reached, a second over the fleet.
+    /// Connections per second, over the fleet, that were started to unreachable backends.
     #[serde(default)]
     pub vain: f64,
-    /// Attempts in the gateway's own zone, of all.
+    /// The share of attempts in the gateway's own zone.
     pub same_zone: f64,
-    /// Tries refused of those with room, of the dearest plan and of the cheapest.
+    /// The refused share of the tries that had room in the quota, for the plan with the highest price.
     pub shed_dear: f64,
-    /// The cheapest.
+    /// The same share for the plan with the lowest price.
     pub shed_cheap: f64,
-    /// How near a ceiling came to its break.
+    /// The highest usage of any ceiling; 1 is the limit.
     pub nearest_to_ceiling: f64,
-    /// The median of the time of answers, in ms.
+    /// The median answer time, in ms.
     pub median_ms: f64,
-    /// The 99th percentile.
+    /// The 99th percentile of the answer times, in ms.
     pub p99_ms: f64,
 }
 
-/// How the quota's gate decided on tries of one kind: of a plan, fresh or repeated, with what its gateway was told
-/// just before.
+/// Quota decisions on one kind of tries: those of a plan, first or repeated, whose decision was triggered by the same
+/// kind of event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Gate {
-    /// First sent on inside the quota.
+    /// First sent within the quota.
     pub inside: u64,
-    /// First sent on beyond it.
+    /// First sent beyond the quota.
     pub beyond: u64,
     /// Refused unsent although the quota had room.
     pub refused_with_room: u64,
-    /// Refused unsent, and rightly.
+    /// Refused unsent because the quota had no room.
     pub refused: u64,
 }
 
@@ -136,7 +137,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
     /// Worth offered and earned, by the time of the first try.
-    pub part: Part,
+    pub part: Worth,
     /// Tries sent.
     pub tries: u32,
     /// Tries refused.
@@ -146,96 +147,96 @@
 /// The books of one day.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Books {
-    /// The result.
+    /// The result G.
     pub g: f64,
     /// The whole day.
-    pub whole: Part,
-    /// The worst window's share, and when it began, in ms.
+    pub whole: Worth,
+    /// The share earned in the worst window, and the window's start in ms.
     pub worst_window: (f64, f64),
-    /// The worst-served plan's share.
+    /// The share earned by the worst plan.
     pub worst_plan: f64,
-    /// What each plan came to, inside its quotas.
-    pub plans: BTreeMap<String, Part>,
-    /// What each class came to.
-    pub classes: BTreeMap<String, Part>,
-    /// What each zone's gateways came to.
-    pub zones: BTreeMap<String, Part>,
-    /// Points lost by cause, of the whole day's weight.
+    /// Offered and earned worth of each plan, within its quotas.
+    pub plans: BTreeMap<String, Worth>,
+    /// Offered and earned worth of each request class.
+    pub classes: BTreeMap<String, Worth>,
+    /// Offered and earned worth of each zone's gateways.
+    pub zones: BTreeMap<String, Worth>,
+    /// Points lost by cause, with the weight of the whole day.
     pub losses: BTreeMap<Cause, f64>,
-    /// Points that more than the offer would have earned: part of no cause, below 0.
+    /// Points earned beyond the offer, as a negative loss without a cause.
     pub beyond_offer: f64,
-    /// Points lost as the worst window is worse than the day.
+    /// Points lost because the worst window is worse than the whole day.
     pub uneven_time: f64,
-    /// Points lost as the worst plan is worse than the day.
+    /// Points lost because the worst plan is worse than the whole day.
     pub uneven_plans: f64,
-    /// Points taken off.
+    /// Points subtracted by price item.
     pub prices: BTreeMap<Price, f64>,
-    /// Behaviour.
+    /// Behavioural metrics.
     pub figures: Figures,
-    /// Decisions of the quota's gate by plan, first try or repeat, and what came just before.
+    /// Quota decisions by plan, first try or repeat, and trigger.
     #[serde(default)]
     pub gate: BTreeMap<String, Gate>,
-    /// Refusals by what came just before, in tries.
+    /// Refused tries by the event that triggered the refusal.
     pub refusals: BTreeMap<String, u64>,
-    /// The day by seconds.
+    /// The seconds of the day.
     pub seconds: Vec<Second>,
 }
 
 impl Books {
-    /// All that was lost: 1 - G.
+    /// All lost points: 1 - G.
     pub fn lost(&self) -> f64 {
         let losses: f64 = self.losses.values().sum();
         let prices: f64 = self.prices.values().sum();
         losses + self.beyond_offer + self.uneven_time + self.uneven_plans + prices
     }
 
-    /// Draws up the books of a day.
+    /// Closes the books of a day.
     pub fn close(day: &Day, record: &Record) -> Self {
-        let goal = &day.scenario_of.site.goal;
-        let site = &day.scenario_of.site;
-        let mut by_root: Vec<Vec<u32>> = vec![Vec::new(); day.roots.len()];
+        let goal = &day.source.site.goal;
+        let site = &day.source.site;
+        let mut by_first_try: Vec<Vec<u32>> = vec![Vec::new(); day.first_tries.len()];
         for (id, tried) in record.tries.iter().enumerate() {
-            by_root[tried.root as usize].push(id as u32);
+            by_first_try[tried.first_try as usize].push(id as u32);
         }
         let window = (goal.window_s * 1e6) as Micros;
         let second = 1_000_000;
         let seconds = (day.length / second + 1) as usize;
         let mut by_second = vec![Second::default(); seconds];
-        let mut whole = Part::default();
-        let mut plans = vec![Part::default(); day.settings.plans.len()];
-        let mut classes = vec![Part::default(); day.classes.len()];
-        let mut zones = vec![Part::default(); site.net.zones.len()];
+        let mut whole = Worth::default();
+        let mut plans = vec![Worth::default(); day.settings.plans.len()];
+        let mut classes = vec![Worth::default(); day.classes.len()];
+        let mut zones = vec![Worth::default(); site.net.zones.len()];
         let mut lost: BTreeMap<Cause, f64> = BTreeMap::new();
         let (mut over_cost, mut late_fail, mut held_back) = (0.0, 0.0, 0.0);
-        for (number, root) in day.roots.iter().enumerate() {
-            let customer = &day.customers[root.customer as usize];
+        for (number, first_try) in day.first_tries.iter().enumerate() {
+            let customer = &day.customers[first_try.customer as usize];
             let plan = &day.settings.plans[customer.plan];
-            let tries = &by_root[number];
-            let offered = root.worth * if root.inside { 1.0 } else { plan.over_worth };
+            let tries = &by_first_try[number];
+            let offered = first_try.worth * if first_try.inside { 1.0 } else { plan.over_worth };
             let served = record.served[number];
-            let earned =
-                served.map_or(0.0, |(_, inside)| root.worth * if inside { 1.0 } else { plan.over_worth });
+            let earned = served
+                .map_or(0.0, |(_, inside)| first_try.worth * if inside { 1.0 } else { plan.over_worth });
             for id in tries {
                 let tried = &record.tries[*id as usize];
-                over_cost += if tried.inside == Some(false) { plan.over_cost * root.worth } else { 0.0 };
-                held_back += root.worth * f64::from(u8::from(was_held_back(tried)));
+                over_cost += if tried.inside == Some(false) { plan.over_cost * first_try.worth } else { 0.0 };
+                held_back += first_try.worth * f64::from(u8::from(was_held_back(tried)));
             }
-            let class = &day.classes[usize::from(root.class)];
+            let class = &day.classes[usize::from(first_try.class)];
             let ended = tries.last().map(|id| &record.tries[*id as usize]);
-            let too_late = ended.and_then(|t| t.closed).is_some_and(|(at, _)| at > root.at + class.aim);
+            let too_late = ended.and_then(|t| t.closed).is_some_and(|(at, _)| at > first_try.at + class.aim);
             late_fail += if served.is_none() && too_late { offered } else { 0.0 };
             whole.add(offered, earned);
-            if root.inside {
-                // Inside the quotas a plan's part has no more than was offered.
+            if first_try.inside {
+                // Within the quotas, a plan earns at most the worth that was offered.
                 plans[customer.plan].add(offered, earned.min(offered));
             }
-            classes[usize::from(root.class)].add(offered, earned);
+            classes[usize::from(first_try.class)].add(offered, earned);
             if let Some(id) = tries.first() {
                 zones[day.gateways[record.tries[*id as usize].gateway]].add(offered, earned);
             }
-            by_second[(root.at / second) as usize].part.add(offered, earned);
+            by_second[(first_try.at / second) as usize].part.add(offered, earned);
             if earned < offered {
-                let cause = cause_of(day, root, tries, record, served.is_some());
+                let cause = cause_of(day, first_try, tries, record, served.is_some());
                 *lost.entry(cause).or_default() += offered - earned;
             }
         }
@@ -247,8 +248,8 @@
         }
 
         let offered = whole.offered.max(1e-9);
-        let first = day.roots.len().max(1) as f64;
-        let work: f64 = day.roots.iter().map(|root| root.work).sum::<f64>().max(1e-9);
+        let first = day.first_tries.len().max(1) as f64;
+        let work: f64 = day.first_tries.iter().map(|first_try| first_try.work).sum::<f64>().max(1e-9);
         let totals = &record.totals;
         let prices = BTreeMap::from([
             (Price::OverQuota, over_cost / offered),
@@ -262,14 +263,14 @@
         ]);
         let share = whole.share();
         let worst_window = worst_window(&by_second, (window / second) as usize);
-        let worst_plan = plans.iter().map(Part::share).fold(share, f64::min);
+        let worst_plan = plans.iter().map(Worth::share).fold(share, f64::min);
         let all = goal.whole + goal.worst_window + goal.worst_plan;
         let gross = goal.whole * share + goal.worst_window * worst_window.0 + goal.worst_plan * worst_plan;
         let taken: f64 = prices.values().sum();
         let losses: BTreeMap<Cause, f64> =
             lost.iter().map(|(cause, worth)| (*cause, all * worth / offered)).collect();
         let booked: f64 = losses.values().sum();
-        let named = |parts: Vec<Part>, names: Vec<String>| names.into_iter().zip(parts).collect();
+        let named = |parts: Vec<Worth>, names: Vec<String>| names.into_iter().zip(parts).collect();
         let plan_names = day.settings.plans.iter().map(|p| p.name.to_string()).collect();
         let class_names = day.classes.iter().map(|c| c.name.to_string()).collect();
         let mut refusals = BTreeMap::new();
@@ -309,7 +310,7 @@
     let mut worst = (f64::INFINITY, 0.0);
     let most = seconds.len().saturating_sub(length);
     for from in 0..=most {
-        let mut part = Part::default();
+        let mut part = Worth::default();
         seconds[from..].iter().take(length).for_each(|s| part.add(s.part.offered, s.part.earned));
         if part.share() < worst.0 {
             worst = (part.share(), from as f64 * 1000.0);
@@ -318,19 +319,18 @@
     worst
 }
 
-/// The one cause of a first try that earned less than it was offered: how the last try ended that could still
-/// have earned it.
-fn cause_of(day: &Day, root: &Root, tries: &[u32], record: &Record, served: bool) -> Cause {
+/// The cause of the loss of a first try, taken from the end of the last try that could still have earned its worth.
+fn cause_of(day: &Day, first_try: &FirstTry, tries: &[u32], record: &Record, served: bool) -> Cause {
     if served {
         return Cause::SentBeyond;
     }
-    let aim = root.at + day.classes[usize::from(root.class)].aim;
+    let aim = first_try.at + day.classes[usize::from(first_try.class)].aim;
     let timely = |tried: &&Try| tried.closed.map_or(tried.sent, |(at, _)| at) <= aim;
     let of = |id: &u32| &record.tries[*id as usize];
     let last = tries.iter().map(of).rev().find(|tried| tried.sent <= aim);
     let Some(last) = last else { return Cause::Other };
     if last.number > 0 && !timely(&last) && last.closed.is_some() {
-        // It came again, and too late: what ended the one before is at fault, if that was no backend's.
+        // The retry came too late: the cause is the end of the try before, unless a backend ended it.
         let before = tries.iter().map(of).rev().find(|tried| tried.number + 1 == last.number);
         if matches!(last.ended, Ended::Served(_)) && before.is_some_and(|t| t.attempts.is_empty()) {
             return Cause::CameTooLate;
@@ -353,7 +353,7 @@
             }
         }
         Ended::Refused => {
-            let (held, open) = last.store.unwrap_or((0.0, true));
+            let (held, open) = last.bucket.unwrap_or((0.0, true));
             match last.closed.map(|(_, trigger)| trigger) {
                 _ if held < 1.0 || !open => Cause::QuotaSpent,
                 Some(Trigger::Arrival) => Cause::BlindShed,
@@ -366,7 +366,7 @@
     }
 }
 
-/// What the first attempt that went wrong died of.
+/// The cause of the first attempt that failed.
 fn attempt_cause(tried: &Try) -> Cause {
     let ends = tried.attempts.iter().filter_map(|attempt| attempt.end);
     match ends.map(|(_, outcome)| outcome).find(|outcome| *outcome != Outcome::Served) {
@@ -383,12 +383,12 @@
 fn gate(day: &Day, record: &Record) -> BTreeMap<String, Gate> {
     let mut all: BTreeMap<String, Gate> = BTreeMap::new();
     for tried in &record.tries {
-        let plan = day.customers[day.roots[tried.root as usize].customer as usize].plan;
+        let plan = day.customers[day.first_tries[tried.first_try as usize].customer as usize].plan;
         let order = if tried.number == 0 { "first" } else { "repeat" };
         let (_, closed_on) = tried.closed.unwrap_or_default();
         let trigger = if tried.inside.is_some() { tried.sent_on } else { closed_on };
         let name = || format!("{} {order} {trigger:?}", day.settings.plans[plan].name);
-        match (tried.inside, tried.ended, tried.store) {
+        match (tried.inside, tried.ended, tried.bucket) {
             (Some(true), ..) => all.entry(name()).or_default().inside += 1,
             (Some(false), ..) => all.entry(name()).or_default().beyond += 1,
             (None, Ended::Refused, Some((held, open))) if held >= 1.0 && open => {
@@ -404,10 +404,11 @@
 fn figures(day: &Day, record: &Record) -> Figures {
     let tries = record.tries.len().max(1) as f64;
     let refused = record.tries.iter().filter(|t| t.ended == Ended::Refused);
-    let plan_of = |tried: &Try| day.customers[day.roots[tried.root as usize].customer as usize].plan;
+    let plan_of =
+        |tried: &Try| day.customers[day.first_tries[tried.first_try as usize].customer as usize].plan;
     let half = |tried: &Try| {
         let plan = &day.settings.plans[plan_of(tried)];
-        tried.store.is_some_and(|(held, open)| held >= plan.burst / 2.0 && open)
+        tried.bucket.is_some_and(|(held, open)| held >= plan.burst / 2.0 && open)
     };
     let sent = record.tries.iter().filter(|t| t.inside.is_some()).count();
     let beyond = record.tries.iter().filter(|t| t.inside == Some(false)).count();
@@ -434,7 +435,7 @@
     let attempts = record.tries.iter().map(|t| t.attempts.len()).sum::<usize>();
     let length = (day.length as f64 / 1e6).max(1e-6);
     Figures {
-        tries: tries / day.roots.len().max(1) as f64,
+        tries: tries / day.first_tries.len().max(1) as f64,
         refused: refused.count() as f64 / tries,
         refused_with_room: record.tries.iter().filter(|t| half(t)).count() as f64 / tries,
         beyond: beyond as f64 / sent.max(1) as f64,
--- a/emulator/src/decider.rs
+++ b/emulator/src/decider.rs
@@ -13,8 +13,8 @@
 /// The true state of the simulated world, which no real gateway can observe.
 #[derive(Clone, Debug, Default)]
 pub struct TrueState {
-    /// The true quota store of each customer, by customer number.
-    pub stores: Vec<TrueQuota>,
+    /// The true token bucket of each customer, by customer number.
+    pub buckets: Vec<TrueQuota>,
     /// Requests held by each backend per unit of its capacity; infinite for a backend that cannot serve.
     pub loads: Vec<f64>,
 }
@@ -107,7 +107,7 @@
     /// Calls the counter for every try and admits the try if the window's total is within the burst. Without an
     /// answer it admits the try.
     CountEach,
-    /// Admits requests that the customer's true quota store covers.
+    /// Admits requests that the customer's true token bucket covers.
     TrueState(StateView),
 }
 
@@ -144,7 +144,7 @@
             random: seed | 1,
             backends: BTreeMap::new(),
             requests: BTreeMap::new(),
-            stores: HashMap::new(),
+            buckets: HashMap::new(),
             pending_counts: HashMap::new(),
         }))
     }
@@ -172,7 +172,7 @@
     random: u64,
     backends: BTreeMap<Name, BackendView>,
     requests: BTreeMap<RequestId, PendingRequest>,
-    stores: HashMap<Name, (f64, Millis)>,
+    buckets: HashMap<Name, (f64, Millis)>,
     /// Tries that wait for the counter's answer under this name, in the order of the calls.
     pending_counts: HashMap<u64, Vec<(RequestId, f64)>>,
 }
@@ -197,10 +197,11 @@
             Admission::EvenSplit => {
                 let gateways = f64::from(request.arrival.spread.max(1));
                 let burst = (plan.burst / gateways).max(1.0);
-                let (left, at) = self.stores.get(&request.arrival.customer).copied().unwrap_or((burst, now));
+                let (left, at) = self.buckets.get(&request.arrival.customer).copied().unwrap_or((burst, now));
                 let left = (left + plan.rate / gateways * (now - at) / 1000.0).min(burst);
                 let fits = left >= 1.0;
-                self.stores.insert(request.arrival.customer.clone(), (left - f64::from(u8::from(fits)), now));
+                self.buckets
+                    .insert(request.arrival.customer.clone(), (left - f64::from(u8::from(fits)), now));
                 fits
             }
             Admission::CountEach => {
@@ -216,9 +217,9 @@
             Admission::TrueState(state_view) => {
                 let number = view.customers.get(&request.arrival.customer).copied();
                 let unknown = TrueQuota { held: plan.burst, ..TrueQuota::default() };
-                let seen = number.and_then(|n| view.state.stores.get(n)).copied().unwrap_or(unknown);
+                let seen = number.and_then(|n| view.state.buckets.get(n)).copied().unwrap_or(unknown);
                 let open = plan.open == 0 || seen.out < plan.open;
-                // With a delayed state, admits a random share of the requests: the share that the store can cover
+                // With a delayed state, admits a random share of the requests: the share that the token bucket can cover
                 // until the state is up to date.
                 let span = DELAYED_VIEW_AGE as f64 / 1e6;
                 let admit_share = (seen.held - 0.5 + plan.rate * span) / (seen.requested * span).max(1e-9);
--- a/emulator/src/draw.rs
+++ b/emulator/src/draw.rs
@@ -1,5 +1,5 @@
-//! A day: one draw from a scenario, wholly determined by scenario and seed. All that does not answer to what
-//! gateways do is drawn here, ahead of the day.
+//! A simulated day, determined completely by scenario and seed. Everything that does not depend on the gateways'
+//! behaviour is drawn here, before the simulation starts.
 
 use crate::scenario::{Backoff, Effect, Kind, Scenario, Shape, Span};
 use doorcourse::{DedupScope, Name, Reports, Settings};
@@ -10,12 +10,12 @@
 /// Time in whole microseconds since the day began.
 pub type Micros = u64;
 
-/// Microseconds of a time in ms.
+/// Converts milliseconds to whole microseconds.
 pub fn micros(ms: f64) -> Micros {
     (ms * 1000.0).round().max(0.0) as Micros
 }
 
-/// A time in ms.
+/// Converts microseconds to milliseconds.
 pub fn millis(at: Micros) -> f64 {
     at as f64 / 1000.0
 }
@@ -24,207 +24,207 @@
     micros(span * 1000.0)
 }
 
-/// The settings' clock shows this when the day begins, in ms: no special value.
+/// The gateways' clock at the start of the day, in ms. The value has no special meaning.
 pub const EPOCH: f64 = 1_000_000.0;
 
-/// Ways and their times, in microseconds.
+/// Latencies of the network, one way, in microseconds.
 #[derive(Clone, Debug, Serialize)]
 pub struct Net {
-    /// Inside a zone.
+    /// Latency within a zone.
     pub same_zone: f64,
-    /// Between zones.
+    /// Latency between zones.
     pub cross_zone: f64,
-    /// Between clients and gateways.
+    /// Latency between clients and gateways.
     pub client: f64,
-    /// Each way takes up to this share longer.
+    /// Each latency is increased by a random share of up to this value.
     pub jitter: f64,
 }
 
-/// The clients of the day.
+/// The behaviour of the clients on this day.
 #[derive(Clone, Debug, Serialize)]
 pub struct Clients {
-    /// Further tries at most.
+    /// The maximum number of retries.
     pub retries: u32,
-    /// The part of the deadline that one try gets.
+    /// The share of the deadline that a client waits for one try.
     pub patience: f64,
-    /// The first wait; the factor by which it grows with each try.
+    /// The first backoff delay, and the factor by which the delay grows with each retry.
     pub backoff: (Micros, f64),
-    /// The share that follows advice, and the longest that is followed.
+    /// The share of retries that follow the gateway's retry advice.
     pub honour: f64,
-    /// The longest advice followed.
+    /// The maximum advised delay that clients follow.
     pub longest_advice: Micros,
-    /// The share that leaves early.
+    /// The share of tries whose client leaves early.
     pub impatient: f64,
-    /// The share of repeats that come through another gateway.
+    /// The share of retries that go to another gateway.
     pub elsewhere: f64,
-    /// How long a dead gateway still gets requests.
+    /// How long a dead gateway still receives requests from the front.
     pub front_notice: Micros,
 }
 
-/// Discovery on this day.
+/// The behaviour of discovery on this day.
 #[derive(Clone, Debug, Serialize)]
 pub struct Discovery {
-    /// When a stop is noticed.
+    /// Delay until discovery notices that a process has stopped.
     pub notice: Micros,
-    /// When silence is noticed.
+    /// Delay until discovery notices that a machine does not respond.
     pub silent_notice: Micros,
-    /// When a start is noticed.
+    /// Delay until discovery lists a started backend.
     pub add: Micros,
-    /// How often changes go out.
+    /// Interval at which changes are published.
     pub period: Micros,
-    /// The longest way of a change to a gateway.
+    /// The maximum delay of a change on the way to a gateway.
     pub spread: Micros,
-    /// The time that one line of a list takes.
+    /// The time to write one line of a full list, in microseconds.
     pub line: f64,
-    /// A call that waited this long fails.
+    /// A request for the full list fails if it would take longer than this.
     pub timeout: Micros,
 }
 
-/// The counter on this day.
+/// The model of the counter on this day.
 #[derive(Clone, Debug, Serialize)]
 pub struct Counting {
-    /// Parts.
+    /// The number of partitions.
     pub parts: usize,
-    /// What a call takes of a part's time.
+    /// The time for which a call occupies its partition, in microseconds.
     pub turn: f64,
-    /// What it takes beside.
+    /// The additional processing time of a call, in microseconds.
     pub base: f64,
-    /// The longest line of a part, as time.
+    /// The maximum queueing time at a partition, in microseconds.
     pub line: f64,
-    /// Callers give up after this.
+    /// The timeout of callers.
     pub timeout: Micros,
-    /// Lost, it is back after this.
+    /// Time until a lost counter is available again, without its values.
     pub back: Micros,
-    /// Its zone.
+    /// The counter's zone.
     pub zone: usize,
 }
 
 /// One backend.
 #[derive(Clone, Debug, Serialize)]
 pub struct Backend {
-    /// Its name.
+    /// The backend's name.
     pub name: Name,
-    /// Its zone.
+    /// The backend's zone.
     pub zone: usize,
-    /// Its cell.
+    /// The backend's cell.
     pub cell: u64,
-    /// Cores times speed, in core milliseconds of work a millisecond.
+    /// Cores times speed, in core milliseconds of work per millisecond.
     pub speed: f64,
-    /// When it starts; `None`: before the day.
+    /// When the backend starts; `None` if it started before the day.
     pub starts: Option<Micros>,
-    /// When it drains, and is stopped thereafter.
+    /// When the backend starts to drain, and when it is stopped.
     pub drains: Option<(Micros, Micros)>,
 }
 
-/// What all backends have in common on this day.
+/// The properties that all backends share on this day.
 #[derive(Clone, Debug, Serialize)]
 pub struct Machine {
-    /// Cores.
+    /// The number of cores.
     pub cores: f64,
-    /// Requests in work at once.
+    /// The maximum number of running requests.
     pub slots: usize,
-    /// Requests that wait at most.
+    /// The maximum length of the wait queue.
     pub line: usize,
-    /// What each request held beyond the knee takes of the capacity.
+    /// The loss of capacity per request held above `knee`.
     pub thrash: f64,
-    /// The requests held before that.
+    /// The number of held requests up to which the capacity is not reduced.
     pub knee: f64,
-    /// The share of its capacity that a backend starts with.
+    /// The share of its capacity with which a backend starts.
     pub cold_share: f64,
-    /// When it is warm.
+    /// The duration of the warm-up.
     pub cold: Micros,
     /// The share of requests that fail.
     pub error_share: f64,
-    /// Whether called-off work stops though it runs.
+    /// Whether a cancellation also stops work that is already running.
     pub stops_running_work: bool,
-    /// Round trips of a new connection.
+    /// The round trips of a new connection.
     pub handshake_rtts: f64,
-    /// Work of a new connection, in core microseconds.
+    /// The backend's work for a new connection, in core microseconds.
     pub handshake_work: f64,
-    /// Connections at most.
+    /// The maximum number of connections.
     pub connections: usize,
-    /// What a full table takes of the capacity.
+    /// The share of the capacity that a full connection table costs.
     pub full_table_tax: f64,
-    /// A connection not made by then is given up.
+    /// The connect timeout.
     pub connect_timeout: Micros,
-    /// An idle connection is closed after this.
+    /// The idle timeout of connections.
     pub idle: Micros,
     /// How often the load report is refreshed.
     pub report_period: Micros,
-    /// How late it is.
+    /// The delay of the load report.
     pub report_delay: Micros,
-    /// How noisy it is.
+    /// The relative noise of the load report.
     pub report_noise: f64,
     /// The work of a probe, in core microseconds.
     pub probe_work: f64,
 }
 
-/// What customers of a kind do.
+/// The demand pattern of a customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Habit {
-    /// Use a part of the rate.
+    /// Uses a part of its rate.
     Calm,
-    /// Use nearly all.
+    /// Uses nearly its whole rate.
     Full,
-    /// Ask far more for long.
+    /// Exceeds its rate by far for long periods.
     Heavy,
-    /// Ask far more now and then.
+    /// Exceeds its rate by far in short spikes.
     Spiky,
-    /// Ask far beyond the quota for the length of a trouble.
+    /// Exceeds its quota by far for the duration of a trouble.
     Hot,
-    /// Ask once.
+    /// Sends a single request.
     Once,
 }
 
 /// One customer.
 #[derive(Clone, Debug, Serialize)]
 pub struct Customer {
-    /// Its name.
+    /// The customer's name.
     pub name: Name,
-    /// Its plan.
+    /// The number of the customer's plan.
     pub plan: usize,
-    /// What it does.
+    /// The customer's demand pattern.
     pub habit: Habit,
-    /// The first gateway of its set.
+    /// The first gateway of the customer's set.
     pub first: usize,
-    /// How many there are.
+    /// The number of gateways in the set.
     pub spread: usize,
-    /// What it asks of its rate, beside spells.
+    /// The share of its rate that the customer requests outside of its peaks.
     pub base: f64,
 }
 
-/// A first try, as its client will send it.
+/// The first try of a client's request.
 #[derive(Clone, Debug, Serialize)]
-pub struct Root {
-    /// When.
+pub struct FirstTry {
+    /// When the client sends the try.
     pub at: Micros,
-    /// Whose.
+    /// The number of the customer.
     pub customer: u32,
-    /// Its class.
+    /// The number of the request class.
     pub class: u8,
-    /// The work of its answer, in core microseconds.
+    /// The work of the request, in core microseconds.
     pub work: f64,
-    /// Whether one gateway that saw all first tries would have let it in.
+    /// Whether a single gateway that received all first tries would have admitted this one within the quota.
     pub inside: bool,
-    /// What its answer is worth at most.
+    /// The maximum worth of the answer.
     pub worth: f64,
 }
 
 /// A trouble with its time and its targets.
 #[derive(Clone, Debug, Serialize)]
 pub struct Trouble {
-    /// What.
+    /// The kind of the trouble.
     #[serde(serialize_with = "kind_name")]
     pub kind: Kind,
-    /// From when.
+    /// When the trouble begins.
     pub from: Micros,
-    /// Until when.
+    /// When the trouble ends.
     pub until: Micros,
-    /// Which machines, by number.
+    /// The numbers of the affected machines.
     pub targets: Vec<usize>,
-    /// Which zone.
+    /// The number of the affected zone.
     pub zone: usize,
-    /// How bad.
+    /// The severity; its meaning depends on the kind.
     pub size: f64,
 }
 
@@ -233,39 +233,39 @@
 }
 
 impl Trouble {
-    /// Whether it is on.
+    /// Whether the trouble is active at this time.
     pub fn on(&self, at: Micros) -> bool {
         (self.from..self.until).contains(&at)
     }
 }
 
-/// A class as the world needs it.
+/// A request class.
 #[derive(Clone, Debug, Serialize)]
 pub struct Class {
-    /// Its name.
+    /// The name of the class.
     pub name: Name,
-    /// Answers are wanted within this.
+    /// The target latency: only answers within this time earn their worth.
     pub aim: Micros,
-    /// The client's whole wait.
+    /// The deadline of the client's request, from the first try.
     pub deadline: Micros,
     /// The worth of an answer.
     pub worth: f64,
-    /// Whether it must never run twice.
+    /// Whether requests of the class must never run twice.
     pub once: bool,
-    /// How much an attempt's work differs.
+    /// The spread of the work among attempts of one request.
     pub attempt_noise: f64,
 }
 
-/// A day.
+/// A simulated day.
 #[derive(Clone, Debug)]
 pub struct Day {
     /// The scenario's name.
     pub scenario: String,
     /// The scenario's digest.
     pub digest: String,
-    /// What it was drawn with.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// How long requests come.
+    /// The time over which clients send first tries.
     pub length: Micros,
     /// The network.
     pub net: Net,
@@ -275,58 +275,58 @@
     pub discovery: Discovery,
     /// The counter.
     pub counter: Counting,
-    /// What backends have in common.
+    /// The properties that all backends share.
     pub machine: Machine,
     /// The backends.
     pub backends: Vec<Backend>,
     /// The zone of each gateway.
     pub gateways: Vec<usize>,
-    /// The classes.
+    /// The request classes.
     pub classes: Vec<Class>,
     /// The customers.
     pub customers: Vec<Customer>,
-    /// How uneven sets are, and how often that changes.
+    /// The exponent of the uneven distribution of requests over a customer's gateways.
     pub skew: f64,
-    /// How often the weights of sets change.
+    /// Interval at which the busiest gateways of a set change.
     pub shift: Micros,
-    /// First tries, by time.
-    pub roots: Vec<Root>,
-    /// What goes wrong.
+    /// First tries, ordered by time.
+    pub first_tries: Vec<FirstTry>,
+    /// The troubles of the day.
     pub troubles: Vec<Trouble>,
-    /// What gateways are told; number, zone aside.
+    /// The settings that gateways receive, except their number and zone.
     pub settings: Settings,
-    /// What the judge goes by.
-    pub scenario_of: Arc<Scenario>,
+    /// The scenario from which the day was drawn; the judge reads its rules from here.
+    pub source: Arc<Scenario>,
 }
 
-/// How one customer's demand moves: spells in which it asks so many times its base.
+/// The demand of one customer over time: peaks with a multiple of the rate, and a base between them.
 struct Demand {
     base: f64,
-    spells: Vec<(Micros, Micros, f64)>,
+    peaks: Vec<(Micros, Micros, f64)>,
 }
 
 impl Demand {
     fn at(&self, at: Micros) -> f64 {
-        let spell = self.spells.iter().find(|(from, until, _)| (*from..*until).contains(&at));
-        spell.map_or(self.base, |(_, _, times)| *times)
+        let peak = self.peaks.iter().find(|(from, until, _)| (*from..*until).contains(&at));
+        peak.map_or(self.base, |(_, _, times)| *times)
     }
 
-    fn most(&self) -> f64 {
-        self.spells.iter().map(|(_, _, times)| *times).fold(self.base, f64::max)
+    fn max(&self) -> f64 {
+        self.peaks.iter().map(|(_, _, times)| *times).fold(self.base, f64::max)
     }
 }
 
-/// The store of a quota, as the one who sees everything keeps it.
+/// The true token bucket of a customer's quota.
 #[derive(Clone, Debug, Default)]
-pub struct Store {
-    /// What it holds.
+pub struct TokenBucket {
+    /// The units in the bucket.
     pub held: f64,
-    /// When that was.
+    /// The time at which `held` was computed.
     pub at: Micros,
 }
 
-impl Store {
-    /// Fills the store up to now.
+impl TokenBucket {
+    /// Refills the bucket up to `at` and returns its content.
     pub fn fill(&mut self, at: Micros, rate: f64, burst: f64) -> f64 {
         let span = at.saturating_sub(self.at) as f64 / 1e6;
         self.held = (self.held + rate * span).min(burst);
@@ -419,7 +419,7 @@
         };
         let mut backends: Vec<_> =
             (0..random.whole(scenario.backends)).map(|n| new_backend(&mut random, n)).collect();
-        // Zones are about even: their number goes round in an order that the seed gives.
+        // Zones are about even: backends are assigned round-robin, with an offset that depends on the seed.
         let offset = random.below(zones);
         backends.iter_mut().enumerate().for_each(|(n, b)| b.zone = (n + offset) % zones);
         let gateways: Vec<usize> =
@@ -516,7 +516,7 @@
             })
             .collect();
 
-        // The customers, until their use inside the quotas makes up the load.
+        // Adds customers until their use within the quotas makes up the intended load.
         let ranges = &site.customers;
         let (full, heavy, spiky) =
             (random.within(ranges.full.0), random.within(ranges.heavy.0), random.within(ranges.spiky.0));
@@ -526,12 +526,12 @@
         let count = gateways.len();
         let set_of = |random: &mut Random, plan: usize| {
             let wanted = random.within(site.plan[plan].set.0) * count as f64;
-            let most = if plans[plan].ceiling_rate > 0.0 {
+            let max = if plans[plan].ceiling_rate > 0.0 {
                 (plans[plan].ceiling_burst / 2.0).floor()
             } else {
                 count as f64
             };
-            let spread = wanted.min(most).round().max(2.0).min(count as f64) as usize;
+            let spread = wanted.min(max).round().max(2.0).min(count as f64) as usize;
             (random.below(count), spread)
         };
         for (number, plan) in plans.iter().enumerate() {
@@ -540,22 +540,22 @@
             let mut use_inside = 0.0;
             while use_inside < wanted {
                 let (first, spread) = set_of(&mut random, number);
-                let lot = random.unit();
-                let habit = match lot {
-                    _ if lot < full => Habit::Full,
-                    _ if lot < full + heavy => Habit::Heavy,
-                    _ if lot < full + heavy + spiky => Habit::Spiky,
+                let draw = random.unit();
+                let habit = match draw {
+                    _ if draw < full => Habit::Full,
+                    _ if draw < full + heavy => Habit::Heavy,
+                    _ if draw < full + heavy + spiky => Habit::Spiky,
                     _ => Habit::Calm,
                 };
                 let base = match habit {
                     Habit::Full => 0.85 + 0.15 * random.unit(),
                     _ => random.within(ranges.calm_use.0),
                 };
-                let mut spells = Vec::new();
+                let mut peaks = Vec::new();
                 let mut at = seconds(every * random.unit());
-                let mut spell = |at: Micros, lasts: f64, times: f64| {
+                let mut peak = |at: Micros, lasts: f64, times: f64| {
                     let until = at + seconds(lasts);
-                    spells.push((at, until, times));
+                    peaks.push((at, until, times));
                     until
                 };
                 match habit {
@@ -563,7 +563,7 @@
                         let times = random.within(ranges.heavy_times);
                         at = 0;
                         while at < length {
-                            let end = spell(at, 8.0 + 12.0 * random.unit(), times);
+                            let end = peak(at, 8.0 + 12.0 * random.unit(), times);
                             at = end + seconds(1.0 + 3.0 * random.unit());
                         }
                         use_inside += plan.rate;
@@ -573,7 +573,7 @@
                         let lasts = random.within(ranges.spike_s.0);
                         let times = random.within(ranges.spike_times);
                         while at < length {
-                            let end = spell(at, lasts, times);
+                            let end = peak(at, lasts, times);
                             at = end + seconds(every * (0.5 + random.unit()));
                         }
                         let share = lasts / (lasts + every);
@@ -585,20 +585,20 @@
                 }
                 let name = format!("{:016x}", random.number() % (1 << 33)).into();
                 customers.push(Customer { name, plan: number, habit, first, spread, base });
-                demands.push(Demand { base, spells });
+                demands.push(Demand { base, peaks });
             }
         }
-        // What is asked beyond the quotas is bounded over all.
+        // Limits the total demand beyond the quotas.
         let most_excess = random_excess * inside;
         let cut = if excess > most_excess { most_excess / excess } else { 1.0 };
         for demand in &mut demands {
-            for (_, _, times) in &mut demand.spells {
+            for (_, _, times) in &mut demand.peaks {
                 *times = if *times > 1.0 { 1.0 + (*times - 1.0) * cut } else { *times };
             }
         }
         for trouble in &troubles {
             match trouble.kind {
-                // Load is a rate a second: some customers ask for a share of all of it on top.
+                // The load is a rate per second: one to three customers add a share of the total rate.
                 Kind::HotCustomer => {
                     let hot = 1 + random.below(3);
                     for _ in 0..hot {
@@ -606,9 +606,9 @@
                         let times =
                             2.5 * trouble.size * inside / hot as f64 / plans[customers[chosen].plan].rate;
                         customers[chosen].habit = Habit::Hot;
-                        let spells = &mut demands[chosen].spells;
-                        spells.retain(|(from, until, _)| *until <= trouble.from || *from >= trouble.until);
-                        spells.push((trouble.from, trouble.until, times));
+                        let peaks = &mut demands[chosen].peaks;
+                        peaks.retain(|(from, until, _)| *until <= trouble.from || *from >= trouble.until);
+                        peaks.push((trouble.from, trouble.until, times));
                     }
                 }
                 Kind::OneOffs => {
@@ -618,7 +618,7 @@
                         let (first, spread) = set_of(&mut random, plan);
                         let name = format!("{:016x}", random.number() % (1 << 33)).into();
                         customers.push(Customer { name, plan, habit: Habit::Once, first, spread, base: 0.0 });
-                        demands.push(Demand { base: 0.0, spells: Vec::new() });
+                        demands.push(Demand { base: 0.0, peaks: Vec::new() });
                     }
                 }
                 _ => {}
@@ -626,18 +626,18 @@
         }
 
         let bursts: Vec<&Trouble> = troubles.iter().filter(|t| t.kind == Kind::Burst).collect();
-        let mut roots = Vec::new();
+        let mut first_tries = Vec::new();
         for (number, (customer, demand)) in customers.iter().zip(&demands).enumerate() {
             let mut random = Random::new(seed, "requests", number as u64);
             let plan = &plans[customer.plan];
-            let mut store = Store { held: plan.burst, at: 0 };
+            let mut bucket = TokenBucket { held: plan.burst, at: 0 };
             let mut out: Vec<Micros> = Vec::new();
             let wave = |at: Micros| {
                 let turn = (at as f64 / length as f64 + phase) * std::f64::consts::TAU;
                 1.0 + swing * turn.sin()
             };
             let top = 1.0 + swing + bursts.iter().map(|t| t.size).sum::<f64>();
-            let most = plan.rate * demand.most() * top;
+            let max_rate = plan.rate * demand.max() * top;
             let mut at = 0.0;
             loop {
                 let once = customer.habit == Habit::Once;
@@ -646,7 +646,7 @@
                     let Some(trouble) = trouble.filter(|_| at == 0.0) else { break };
                     at = trouble.from as f64 + random.unit() * (trouble.until - trouble.from) as f64;
                 } else {
-                    at += random.exponential() / most.max(1e-9) * 1e6;
+                    at += random.exponential() / max_rate.max(1e-9) * 1e6;
                 }
                 let now = at as Micros;
                 if now >= length {
@@ -654,13 +654,13 @@
                 }
                 let burst: f64 = bursts.iter().filter(|t| t.on(now)).map(|t| t.size).sum();
                 let rate = plan.rate * demand.at(now) * (wave(now) + burst);
-                if !once && !random.happens(rate / most) {
+                if !once && !random.happens(rate / max_rate) {
                     continue;
                 }
-                let mut lot = random.unit() * share_sum;
+                let mut draw = random.unit() * share_sum;
                 let class = shares.iter().position(|share| {
-                    lot -= share;
-                    lot < 0.0
+                    draw -= share;
+                    draw < 0.0
                 });
                 let class = class.unwrap_or(0);
                 let factor = match shapes[class] {
@@ -668,15 +668,15 @@
                     Shape::Lognormal => random.lognormal(spreads[class]),
                 };
                 let work = works[class] * factor * 1000.0;
-                store.fill(now, plan.rate, plan.burst);
+                bucket.fill(now, plan.rate, plan.burst);
                 out.retain(|end| *end > now);
-                let inside = store.held >= 1.0 && (plan.open == 0 || (out.len() as u32) < plan.open);
+                let inside = bucket.held >= 1.0 && (plan.open == 0 || (out.len() as u32) < plan.open);
                 if inside {
-                    store.held -= 1.0;
+                    bucket.held -= 1.0;
                     out.push(now + (work / mean_speed) as Micros);
                 }
                 let worth = classes[class].worth * plan.price;
-                roots.push(Root {
+                first_tries.push(FirstTry {
                     at: now,
                     customer: number as u32,
                     class: class as u8,
@@ -686,7 +686,7 @@
                 });
             }
         }
-        roots.sort_by_key(|root| (root.at, root.customer));
+        first_tries.sort_by_key(|first_try| (first_try.at, first_try.customer));
 
         let settings = Settings {
             gateways: count as u32,
@@ -740,44 +740,44 @@
             customers,
             skew: random.within(ranges.skew),
             shift: seconds(random.within(ranges.shift_s.0)),
-            roots,
+            first_tries,
             troubles,
             settings,
-            scenario_of: scenario.clone(),
+            source: scenario.clone(),
         }
     }
 
-    /// Through which gateway of its set a customer's request comes: a draw from 0 to below 1, at a time. Sets are
-    /// uneven, and which gateways are the busiest changes now and then.
-    pub fn gateway_of(&self, customer: usize, at: Micros, lot: f64) -> usize {
+    /// The gateway of the customer's set that receives a request at this time; `random` is drawn from 0 to below 1.
+    /// Requests are distributed unevenly over the set, and the busiest gateways change from time to time.
+    pub fn gateway_of(&self, customer: usize, at: Micros, random: f64) -> usize {
         let Customer { first, spread, .. } = self.customers[customer];
         let epoch = at / self.shift.max(1);
-        // Ranks by the power law, drawn through the integral of its weights.
+        // Ranks follow a power law, drawn through the integral of its weights.
         let (top, power) = (spread as f64, 1.0 - self.skew.min(0.999));
-        let rank = ((((top + 1.0).powf(power) - 1.0) * lot + 1.0).powf(1.0 / power) - 1.0) as usize;
+        let rank = ((((top + 1.0).powf(power) - 1.0) * random + 1.0).powf(1.0 / power) - 1.0) as usize;
         let mixed = mix(self.seed ^ mix(customer as u64 ^ epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
         let place =
-            (rank.min(spread - 1) * step_of(spread, mixed) + (mixed >> 32) as usize % spread) % spread;
+            (rank.min(spread - 1) * ring_step(spread, mixed) + (mixed >> 32) as usize % spread) % spread;
         (first + place) % self.gateways.len()
     }
 }
 
-/// A step that visits every place of a circle before any twice.
-fn step_of(places: usize, chance: u64) -> usize {
-    let shares = |mut a: usize, mut b: usize| {
+/// A step that visits every position of a ring before any position twice.
+fn ring_step(places: usize, chance: u64) -> usize {
+    let has_common_divisor = |mut a: usize, mut b: usize| {
         while b > 0 {
             (a, b) = (b, a % b);
         }
         a > 1
     };
     let mut step = 1 + chance as usize % places.max(1);
-    while shares(step, places) && step > 1 {
+    while has_common_divisor(step, places) && step > 1 {
         step -= 1;
     }
     step.max(1)
 }
 
-/// Spreads the bits of a number: the finisher of splitmix64.
+/// Mixes the bits of a number with the finalizer of splitmix64.
 pub fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/emulator/src/experiment.rs
+++ b/emulator/src/experiment.rs
@@ -1,10 +1,10 @@
-//! Experiments: days of scenarios and seeds, played side by side on all cores, and compared in pairs.
+//! Experiments: days of scenarios and seeds, simulated in parallel on all cores, and paired comparisons of results.
 
 use crate::books::Books;
 use crate::decider::{BASELINES, Library, Policy};
 use crate::draw::Day;
 use crate::judge::Rule;
-use crate::results::{Head, Marks, Results, ResultsError, Row, Writer};
+use crate::results::{Head, Results, ResultsError, Row, ScoreRange, Writer};
 use crate::scenario::Scenario;
 use crate::world::World;
 pub use fault_injection::Estimate;
@@ -14,24 +14,24 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 
-/// No day's floor lies further below its top: the bench's plays show the same distance on every day.
-const FLOOR_BELOW_TOP: f64 = 0.45;
+/// The maximum distance from a day's floor to its top. The bench's plays show the same distance on every day.
+const MAX_FLOOR_DISTANCE: f64 = 0.45;
 
-/// What is to be played.
+/// The days to simulate.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The scenarios.
     pub scenarios: Vec<Arc<Scenario>>,
     /// The seeds.
     pub seeds: Vec<u64>,
-    /// Whether the baselines are played beside, for a score.
+    /// Whether the baselines are simulated as well, to compute a score.
     pub score: bool,
-    /// Whether the baselines' own rows are kept.
+    /// Whether the rows of the baselines are kept.
     pub baselines: bool,
 }
 
-/// Plays one day under one policy.
-pub fn play(day: &Day, policy: &dyn Policy) -> Row {
+/// Simulates one day under one policy.
+pub fn run_day(day: &Day, policy: &dyn Policy) -> Row {
     let record = World::new(day, policy).run();
     let books = Books::close(day, &record);
     let looks = record.samples.iter().map(|sample| {
@@ -52,24 +52,24 @@
     }
 }
 
-/// What the baselines make of a day, and their rows.
-pub fn marks(day: &Day) -> (Marks, Vec<Row>) {
-    let rows: Vec<Row> = BASELINES.iter().map(|policy| play(day, policy)).collect();
+/// Simulates a day under the baselines. Returns the score's floor and top, and the rows.
+pub fn score_range(day: &Day) -> (ScoreRange, Vec<Row>) {
+    let rows: Vec<Row> = BASELINES.iter().map(|policy| run_day(day, policy)).collect();
     let of = |name: &str| rows.iter().find(|row| row.policy == name);
     let g = |name: &str| of(name).map_or(0.0, |row| row.books.g);
     let passed = of("all-in").is_some_and(|row| row.breaches.iter().any(|b| b.rule == Rule::Ceiling));
     let top = (g("sees-now") + g("sees-late").max(0.0)) / 2.0;
     let all_in = if passed { 0.0 } else { g("all-in").max(0.0) };
-    let floor = all_in.max(top - FLOOR_BELOW_TOP);
+    let floor = all_in.max(top - MAX_FLOOR_DISTANCE);
     let late_share = of("sees-late").map_or(0.0, |row| row.books.whole.share());
-    (Marks { floor, top, late_share }, rows)
+    (ScoreRange { floor, top, late_share }, rows)
 }
 
-/// Plays all days of a plan and gives each row, in the plan's order, to `take`, as soon as it and all before it
-/// are done. `done` is told of each day when it ends, in any order.
+/// Simulates all days of a plan and passes each row to `take` in the plan's order, as soon as the row and all rows
+/// before it are complete. `done` is called when a day ends, in any order.
 ///
 /// # Errors
-/// The first error that `take` gives; nothing is handed to it after that.
+/// Returns the first error of `take`, which is not called again after that.
 pub fn run<E: Send>(
     plan: &Plan, mut take: impl FnMut(Row) -> Result<(), E> + Send, done: impl Fn(&Row) + Sync,
 ) -> Result<(), E> {
@@ -78,7 +78,7 @@
         .iter()
         .flat_map(|scenario| plan.seeds.iter().map(|seed| (scenario.clone(), *seed)))
         .collect();
-    // Rows wait here for those before them.
+    // Completed rows wait here until all rows before them are complete.
     let waiting: Mutex<(usize, BTreeMap<usize, Vec<Row>>)> = Mutex::default();
     let out = Mutex::new((&mut take, None));
     days.par_iter().enumerate().for_each(|(number, (scenario, seed))| {
@@ -86,9 +86,9 @@
             return;
         }
         let day = Day::draw(scenario, *seed);
-        let mut rows = vec![play(&day, &Library)];
+        let mut rows = vec![run_day(&day, &Library)];
         if plan.score || plan.baselines {
-            let (marks, others) = marks(&day);
+            let (marks, others) = score_range(&day);
             let range = (marks.top - marks.floor).max(0.1);
             let clean = rows[0].broken == 0;
             rows[0].score = Some(if clean { (rows[0].books.g - marks.floor) / range } else { 0.0 });
@@ -115,60 +115,60 @@
     out.into_inner().ok().and_then(|out| out.1).map_or(Ok(()), Err)
 }
 
-/// Plays a plan into a file.
+/// Simulates a plan and writes the results to a file.
 ///
 /// # Errors
 /// When the file cannot be written.
 pub fn run_into(plan: &Plan, path: &Path, done: impl Fn(&Row) + Sync) -> Result<(), ResultsError> {
     let each = if plan.baselines { 1 + BASELINES.len() } else { 1 };
     let mut writer = Writer::new(path, &Head::of(plan.scenarios.len() * plan.seeds.len() * each))?;
-    run(plan, |row| writer.row(&row), done)
+    run(plan, |row| writer.write_row(&row), done)
 }
 
-/// How one scenario moved from the old results to the new.
+/// The change of one scenario from the old to the new results.
 #[derive(Clone, Debug, Serialize)]
-pub struct Moved {
-    /// The scenario; `all` for the mean of the scenarios.
+pub struct Change {
+    /// The scenario; `all` for the mean over the scenarios.
     pub scenario: String,
-    /// The difference of G, in pairs.
+    /// The paired difference of G.
     pub g: Estimate,
-    /// The old and the new mean.
+    /// The old and the new mean of G.
     pub means: (f64, f64),
-    /// The seed that lost most, and by how much.
+    /// The seed with the largest loss, and the change of its G.
     pub worst: (u64, f64),
-    /// Causes and prices by the size of their mean move; points of G, above 0 where more is lost.
+    /// Changes by cause and price, ordered by size, in points of G; positive if more is lost.
     pub causes: Vec<(String, Estimate)>,
-    /// Broken rules, old and new.
+    /// The number of breaches, old and new.
     pub broken: (u64, u64),
 }
 
-/// All that a row's books hold as lost, by name.
-fn entries(books: &Books) -> BTreeMap<String, f64> {
+/// All losses in a row's books, by name.
+fn all_losses(books: &Books) -> BTreeMap<String, f64> {
     let mut all: BTreeMap<String, f64> =
-        books.losses.iter().map(|(cause, lost)| (named(cause), *lost)).collect();
-    all.extend(books.prices.iter().map(|(price, lost)| (format!("price {}", named(price)), *lost)));
+        books.losses.iter().map(|(cause, lost)| (serialized_name(cause), *lost)).collect();
+    all.extend(books.prices.iter().map(|(price, lost)| (format!("price {}", serialized_name(price)), *lost)));
     all.insert("beyond the offer".into(), books.beyond_offer);
     all.insert("worst window".into(), books.uneven_time);
     all.insert("worst plan".into(), books.uneven_plans);
     all
 }
 
-/// Names a cause or price as results write it.
-fn named(what: &impl serde::Serialize) -> String {
+/// The name of a cause or price as written in results.
+fn serialized_name(what: &impl serde::Serialize) -> String {
     let value = serde_json::to_value(what).ok();
     value.as_ref().and_then(|value| value.as_str()).unwrap_or_default().to_string()
 }
 
 /// All losses of a day's books by name, largest first.
 pub fn losses(books: &Books) -> Vec<(String, f64)> {
-    let mut all: Vec<_> = entries(books).into_iter().collect();
+    let mut all: Vec<_> = all_losses(books).into_iter().collect();
     all.sort_by(|a, b| b.1.total_cmp(&a.1));
     all
 }
 
-/// Pairs days by scenario, digest, seed and policy, and says how they moved: one line for each scenario, then one
-/// for all. Days that only one side has are counted.
-pub fn compare(old: &Results, new: &Results) -> (Vec<Moved>, usize) {
+/// Pairs days by scenario, digest, seed and policy. Returns one change per scenario, then one for all scenarios,
+/// and the number of days that are in one of the files only.
+pub fn compare(old: &Results, new: &Results) -> (Vec<Change>, usize) {
     let key = |row: &Row| (row.scenario.clone(), row.digest.clone(), row.seed, row.policy.clone());
     let by_key: BTreeMap<_, &Row> = old.rows.iter().map(|row| (key(row), row)).collect();
     let mut pairs: BTreeMap<String, Vec<(&Row, &Row)>> = BTreeMap::new();
@@ -181,22 +181,23 @@
     }
     let unpaired = old.rows.len() + new.rows.len() - 2 * paired;
     let everything: Vec<(&Row, &Row)> = pairs.values().flatten().copied().collect();
-    let mut moved: Vec<Moved> = pairs.iter().map(|(name, pairs)| of_pairs(name, pairs)).collect();
+    let mut moved: Vec<Change> = pairs.iter().map(|(name, pairs)| compare_pairs(name, pairs)).collect();
     if moved.len() > 1 {
-        moved.push(of_pairs("all", &everything));
+        moved.push(compare_pairs("all", &everything));
     }
     (moved, unpaired)
 }
 
-fn of_pairs(scenario: &str, pairs: &[(&Row, &Row)]) -> Moved {
+fn compare_pairs(scenario: &str, pairs: &[(&Row, &Row)]) -> Change {
     let moves: Vec<f64> = pairs.iter().map(|(old, new)| new.books.g - old.books.g).collect();
     let mean = |of: &dyn Fn(&(&Row, &Row)) -> f64| pairs.iter().map(of).sum::<f64>() / pairs.len() as f64;
     let worst = pairs.iter().zip(&moves).min_by(|a, b| a.1.total_cmp(b.1));
-    let mut names: Vec<String> = pairs.iter().flat_map(|(_, new)| entries(&new.books).into_keys()).collect();
-    names.extend(pairs.iter().flat_map(|(old, _)| entries(&old.books).into_keys()));
+    let mut names: Vec<String> =
+        pairs.iter().flat_map(|(_, new)| all_losses(&new.books).into_keys()).collect();
+    names.extend(pairs.iter().flat_map(|(old, _)| all_losses(&old.books).into_keys()));
     names.sort();
     names.dedup();
-    let figure = |row: &Row, name: &str| entries(&row.books).get(name).copied().unwrap_or(0.0);
+    let figure = |row: &Row, name: &str| all_losses(&row.books).get(name).copied().unwrap_or(0.0);
     let mut causes: Vec<(String, Estimate)> = names
         .into_iter()
         .map(|name| {
@@ -206,7 +207,7 @@
         })
         .collect();
     causes.sort_by(|a, b| b.1.mean.abs().total_cmp(&a.1.mean.abs()));
-    Moved {
+    Change {
         scenario: scenario.into(),
         g: Estimate::of(&moves),
         means: (mean(&|(old, _)| old.books.g), mean(&|(_, new)| new.books.g)),
--- a/emulator/src/judge.rs
+++ b/emulator/src/judge.rs
@@ -1,7 +1,7 @@
 //! The judge checks the five rules and the interface's protocol at every event. It keeps its own records and relies
 //! neither on the gateways' state nor on the world's flags. Each breach names time, gateway, request and rule.
 
-use crate::draw::{Micros, Store, millis};
+use crate::draw::{Micros, TokenBucket, millis};
 use crate::scenario::Rules;
 use doorcourse::Outcome;
 use serde::{Deserialize, Serialize};
@@ -84,7 +84,7 @@
     unusable: HashMap<(usize, usize), Micros>,
     known: HashSet<(usize, usize)>,
     cold: HashMap<usize, ColdStartBudget>,
-    ceilings: HashMap<usize, Store>,
+    ceilings: HashMap<usize, TokenBucket>,
     /// The highest usage of any ceiling; 1 is the limit.
     pub nearest_to_ceiling: f64,
     /// The breaches, ordered by time.
@@ -257,16 +257,16 @@
         if plan.ceiling_rate <= 0.0 {
             return;
         }
-        let start = Store { held: plan.ceiling_burst, at: 0 };
-        let store = self.ceilings.entry(customer).or_insert(start);
-        store.fill(at, plan.ceiling_rate, plan.ceiling_burst);
-        store.held -= 1.0;
+        let start = TokenBucket { held: plan.ceiling_burst, at: 0 };
+        let bucket = self.ceilings.entry(customer).or_insert(start);
+        bucket.fill(at, plan.ceiling_rate, plan.ceiling_burst);
+        bucket.held -= 1.0;
         let slack = plan.ceiling_slack + plan.ceiling_rate * self.rules.ceiling_grace_ms / 1000.0;
-        let held = store.held;
+        let held = bucket.held;
         let usage = (plan.ceiling_burst - held) / (plan.ceiling_burst + slack);
         self.nearest_to_ceiling = self.nearest_to_ceiling.max(usage);
         if held < -slack - 1e-9 {
-            let what = format!("customer {customer}'s ceiling store at {held:.2}, {:.2} allowed", -slack);
+            let what = format!("customer {customer}'s ceiling bucket at {held:.2}, {:.2} allowed", -slack);
             self.record_breach(at, gateway, Some(request), Rule::Ceiling, what);
         }
     }
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -1,14 +1,14 @@
-//! `fennelscale-lab`: experiments with the fleet in simulated time.
+//! `fennelscale-lab`: experiments with the fleet in simulated time, and trials with real gateways.
 
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
 use fennelscale_lab::draw::Day;
-use fennelscale_lab::experiment::{self, Estimate, Moved, Plan};
+use fennelscale_lab::experiment::{self, Change, Estimate, Plan};
 use fennelscale_lab::live::{Demo, Trouble, load, table as table_of_load};
 use fennelscale_lab::report;
 use fennelscale_lab::results::{Results, Row};
-use fennelscale_lab::scenario::{SHIPPED, Scenario, Span};
+use fennelscale_lab::scenario::{BUILT_IN, Scenario, Span};
 use fennelscale_lab::trial::{self, schedule, schedule::Schedule};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::Write as _;
@@ -17,7 +17,7 @@
 use std::process::ExitCode;
 use std::sync::{Arc, Mutex};
 
-/// The fleet in simulated time: plays days, compares versions.
+/// Simulates the fleet: runs days, compares versions of the decisions, and tries real gateways.
 #[derive(Parser)]
 #[command(
     version,
@@ -25,151 +25,151 @@
     after_help = "Status: 0 done; 1 a rule was broken; 2 the input cannot be used; 3 a trial without a verdict."
 )]
 struct Command {
-    /// Days played side by side; 0: one for each core.
+    /// Days simulated in parallel; 0: one per core.
     #[arg(long, global = true, default_value_t = 0)]
     threads: usize,
     #[command(subcommand)]
-    what: What,
+    subcommand: Subcommands,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Plays days, and writes what came of them.
+enum Subcommands {
+    /// Simulates days and writes the results.
     Run {
-        /// Shipped scenarios by name, or scenario files.
+        /// Names of built-in scenarios, or scenario files.
         #[arg(required = true)]
         scenarios: Vec<String>,
         /// Seeds: a range as 1..20 (both ends included), single numbers, or both with commas.
         #[arg(long, default_value = "1..5", value_parser = seeds)]
         seeds: Seeds,
-        /// Where the results go.
+        /// The result file.
         #[arg(long)]
         out: PathBuf,
-        /// Plays the baselines as well, for a score of each day.
+        /// Simulates the baselines as well, to compute a score for each day.
         #[arg(long)]
         score: bool,
-        /// Keeps the baselines' rows beside.
+        /// Writes the rows of the baselines as well.
         #[arg(long)]
         baselines: bool,
-        /// Gateways tell each other of backends, as in a group: each word takes 50 to 350 ms.
+        /// Lets gateways exchange health reports about backends, as in a group: each report takes 50 to 350 ms.
         #[arg(long)]
         words: bool,
     },
-    /// Pairs two files of results by scenario and seed.
+    /// Compares two result files by scenario and seed.
     Compare {
         /// The older results.
         old: PathBuf,
         /// The newer results.
         new: PathBuf,
-        /// Causes shown for each scenario.
+        /// The number of causes shown per scenario.
         #[arg(long, default_value_t = 5)]
         causes: usize,
         /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Prints a file of results as a table.
+    /// Prints a result file as a table.
     Show {
-        /// The results.
+        /// The result file.
         file: PathBuf,
-        /// How the quota's gate decided, by plan, instead.
+        /// Shows the quota decisions by plan instead.
         #[arg(long)]
         gate: bool,
     },
-    /// Makes one HTML page with plots of a file of results.
+    /// Writes one HTML page with plots of a result file.
     Report {
-        /// The results.
+        /// The result file.
         file: PathBuf,
-        /// The folder that the page, `index.html`, goes to.
+        /// The directory for the page, `index.html`.
         #[arg(long)]
         out: PathBuf,
-        /// Older results, shown beside.
+        /// Older results to show for comparison.
         #[arg(long)]
         old: Option<PathBuf>,
     },
-    /// Writes a day out so that it can be read.
+    /// Prints a drawn day in readable form.
     Draw {
-        /// A shipped scenario or a scenario file.
+        /// A built-in scenario or a scenario file.
         scenario: String,
         /// The seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// All first tries as well.
+        /// Prints all first tries as well.
         #[arg(long)]
         requests: bool,
     },
-    /// Lists the shipped scenarios.
+    /// Lists the built-in scenarios.
     Scenarios,
-    /// Starts three real gateways among stand-ins on loopback, loads them, and shows what came of it.
+    /// Starts three real gateways with stand-ins on loopback, sends load, and prints the results.
     Demo {
-        /// For how long there is load, in seconds.
+        /// Duration of the load, in seconds.
         #[arg(long, default_value_t = 15, value_parser = clap::value_parser!(u64).range(2..=load::MOST_SECONDS))]
         seconds: u64,
-        /// Requests a second.
+        /// Requests per second.
         #[arg(long, default_value_t = 150.0)]
         rate: f64,
-        /// What goes wrong in the midst.
+        /// The trouble in the middle of the run.
         #[arg(long)]
         trouble: Option<Trouble>,
-        /// Five gateways in a group of three voters, with duties; one that has a duty is killed.
+        /// Starts five gateways in a group of three voters with duties, and kills one that has a duty.
         #[arg(long)]
         group: bool,
-        /// The gateway's program; usually the one beside this program.
+        /// The gateway's program; by default the one next to this program.
         #[arg(long)]
         gateway: Option<PathBuf>,
     },
-    /// Plays trials: real gateways among stand-ins, faults between them, and a judge of what they did together.
+    /// Runs trials: real gateways with stand-ins, injected faults, and a judge of the gateways' joint behaviour.
     Trial {
-        /// A shipped trial by name, or a file; without it, the shipped ones are listed.
+        /// A built-in trial by name, or a file; without a name, lists the built-in trials.
         name: Option<String>,
         /// Seeds, as for `run`.
         #[arg(long, default_value = "1", value_parser = seeds)]
         seeds: Seeds,
-        /// For how long there is load, in seconds, instead of what the trial says.
+        /// Duration of the load, in seconds, instead of the trial's own.
         #[arg(long)]
         seconds: Option<f64>,
-        /// Where the history, logs and timeline of each go.
+        /// The directory for the history, logs and timeline of each trial.
         #[arg(long)]
         keep: Option<PathBuf>,
-        /// Trials played side by side.
+        /// Trials run in parallel.
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=16))]
         side: u16,
-        /// The gateway's program; usually the one beside this program.
+        /// The gateway's program; by default the one next to this program.
         #[arg(long)]
         gateway: Option<PathBuf>,
-        /// An older gateway's program, for faults that ask for it.
+        /// An older gateway's program, for faults that require one.
         #[arg(long)]
         old: Option<PathBuf>,
     },
-    /// Sends load to gateways that run already, at loopback addresses.
+    /// Sends load to running gateways at loopback addresses.
     Load {
-        /// A gateway's address, as often as there are gateways.
+        /// A gateway's address; repeat the option for each gateway.
         #[arg(long = "to", required = true)]
         to: Vec<SocketAddr>,
-        /// For how long, in seconds.
+        /// Duration, in seconds.
         #[arg(long, default_value_t = 10)]
         seconds: u64,
-        /// Requests a second.
+        /// Requests per second.
         #[arg(long, default_value_t = 100.0)]
         rate: f64,
-        /// A class as NAME:SHARE:DEADLINE_MS, with a ! after the name where it must not run twice.
+        /// A class as NAME:SHARE:DEADLINE_MS, with a ! after the name if its requests must not run twice.
         #[arg(long = "class", default_values = ["reading:0.7:4000", "setpoint!:0.3:5000"], value_parser = class)]
         classes: Vec<load::Class>,
         /// A plan's name.
         #[arg(long = "plan", default_values = ["basic"])]
         plans: Vec<String>,
-        /// Customers.
+        /// The number of customers.
         #[arg(long, default_value_t = 40)]
         customers: u64,
-        /// The seed of all that is drawn.
+        /// The seed of all random draws.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
 }
 
-/// How long a word of a backend takes from one gateway to another, in ms: a report, up to a fifth of a second until
-/// it is collected, an entry of the log, a watch that ends.
-const WORDS: Span = Span { least: 50.0, most: 350.0 };
+/// The delay of a health report from one gateway to another, in ms: the report, up to 200 ms until the report is
+/// collected, a log entry, and the end of a watch.
+const PEER_REPORT_DELAY: Span = Span { least: 50.0, most: 350.0 };
 
 #[derive(Clone, Debug)]
 struct Seeds(Vec<u64>);
@@ -177,12 +177,12 @@
 fn seeds(text: &str) -> Result<Seeds, String> {
     let mut all = Vec::new();
     for part in text.split(',') {
-        let number = |text: &str| text.trim().parse::<u64>().map_err(|_| format!("not a seed: {text}"));
+        let number = |text: &str| text.trim().parse::<u64>().map_err(|_| format!("invalid seed: {text}"));
         match part.split_once("..") {
             Some((from, to)) => {
                 let (from, to) = (number(from)?, number(to)?);
                 if from > to || to - from >= 10_000 {
-                    return Err(format!("not a range of at most 10,000 seeds: {part}"));
+                    return Err(format!("invalid range, or more than 10,000 seeds: {part}"));
                 }
                 all.extend(from..=to);
             }
@@ -194,47 +194,49 @@
 
 fn class(text: &str) -> Result<load::Class, String> {
     let parts: Vec<&str> = text.split(':').collect();
-    let [name, share, deadline] = parts[..] else { return Err("not NAME:SHARE:DEADLINE_MS".into()) };
+    let [name, share, deadline] = parts[..] else {
+        return Err("a class must have the form NAME:SHARE:DEADLINE_MS".into());
+    };
     let share = share.parse().ok().filter(|share| *share > 0.0 && *share <= 1e6);
     let deadline_ms = deadline.parse().ok().filter(|ms| (1..=600_000).contains(ms));
     let (Some(share), Some(deadline_ms)) = (share, deadline_ms) else {
-        return Err("the share must be above 0, the deadline 1 to 600,000 ms".into());
+        return Err("the share must be above 0 and at most 1,000,000, the deadline 1 to 600,000 ms".into());
     };
     let bare = name.trim_end_matches('!');
     let plain = !bare.is_empty() && bare.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_');
     if !plain {
-        return Err("a class's name is letters, digits, - and _".into());
+        return Err("the name of a class may contain only letters, digits, - and _".into());
     }
     Ok(load::Class { name: bare.into(), safe: bare == name, share, deadline_ms })
 }
 
-/// A trial could not keep its own times: that is neither pass nor fail.
+/// A trial could not keep its own schedule, which counts neither as a pass nor as a failure.
 #[derive(Debug)]
 struct NoVerdict;
 
 impl std::fmt::Display for NoVerdict {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("no verdict on some trials")
+        f.write_str("some trials have no verdict")
     }
 }
 
 impl std::error::Error for NoVerdict {}
 
-/// The gateway's program, and the fault if there is none.
-fn program(given: Option<PathBuf>) -> Result<PathBuf, Fault> {
+/// The gateway's program, or an error if the program does not exist.
+fn program(given: Option<PathBuf>) -> Result<PathBuf, BoxError> {
     let program = match given {
         Some(program) => program,
         None => std::env::current_exe()?.with_file_name("fennelscale"),
     };
     if !program.exists() {
-        let told = "build it with: cargo build --release --workspace --locked";
-        return Err(format!("{}: there is no gateway; {told}", program.display()).into());
+        let hint = "build it with: cargo build --release --workspace --locked";
+        return Err(format!("{}: the gateway program does not exist; {hint}", program.display()).into());
     }
     Ok(program)
 }
 
-/// What ends the program: a line for standard error.
-type Fault = Box<dyn std::error::Error + Send + Sync>;
+/// An error that ends the program, printed as one line on standard error.
+type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
 fn main() -> ExitCode {
     let command = Command::parse();
@@ -243,11 +245,11 @@
         eprintln!("threads: {error}");
         return ExitCode::from(2);
     }
-    match carry_out(command.what) {
+    match execute(command.subcommand) {
         Ok(0) => ExitCode::SUCCESS,
         Ok(_) => ExitCode::from(1),
         Err(fault) => {
-            // Who reads no further is no fault.
+            // A reader that closes the pipe early is not an error.
             let closed = fault.downcast_ref::<std::io::Error>().map(std::io::Error::kind);
             if closed == Some(std::io::ErrorKind::BrokenPipe) {
                 return ExitCode::SUCCESS;
@@ -258,23 +260,23 @@
     }
 }
 
-/// Does what was asked for; gives how many rules were broken.
-fn carry_out(what: What) -> Result<u64, Fault> {
+/// Runs a command and returns the number of breaches.
+fn execute(subcommand: Subcommands) -> Result<u64, BoxError> {
     let mut out = std::io::stdout().lock();
-    match what {
-        What::Run { scenarios, seeds, out: path, score, baselines, words } => {
-            let words_ms = words.then_some(WORDS);
-            let load = |name: &String| Ok(Arc::new(Scenario { words_ms, ..Scenario::load(name)? }));
+    match subcommand {
+        Subcommands::Run { scenarios, seeds, out: path, score, baselines, words } => {
+            let peer_report_ms = words.then_some(PEER_REPORT_DELAY);
+            let load = |name: &String| Ok(Arc::new(Scenario { peer_report_ms, ..Scenario::load(name)? }));
             let scenarios = scenarios.iter().map(load);
-            let scenarios = scenarios.collect::<Result<Vec<_>, Fault>>()?;
+            let scenarios = scenarios.collect::<Result<Vec<_>, BoxError>>()?;
             let plan = Plan { scenarios, seeds: seeds.0, score, baselines };
             run(&plan, &path, &mut out)
         }
-        What::Compare { old, new, causes, json } => {
+        Subcommands::Compare { old, new, causes, json } => {
             let (old, new) = (Results::read(&old)?, Results::read(&new)?);
-            let (moved, unpaired) = experiment::compare(&old, &new);
+            let (change, unpaired) = experiment::compare(&old, &new);
             if json {
-                writeln!(out, "{}", serde_json::to_string_pretty(&moved)?)?;
+                writeln!(out, "{}", serde_json::to_string_pretty(&change)?)?;
                 return Ok(0);
             }
             writeln!(
@@ -294,15 +296,15 @@
                 }
             }
             if unpaired > 0 {
-                writeln!(out, "{unpaired} days stand in one file only, and are left out")?;
+                writeln!(out, "{unpaired} days are in only one of the files and are ignored")?;
             }
-            if moved.is_empty() {
+            if change.is_empty() {
                 return Err("the two files have no day in common".into());
             }
-            moved.iter().try_for_each(|moved| write_moved(moved, causes, &mut out))?;
+            change.iter().try_for_each(|change| write_moved(change, causes, &mut out))?;
             Ok(0)
         }
-        What::Show { file, gate } => {
+        Subcommands::Show { file, gate } => {
             let results = Results::read(&file)?;
             if results.missing() > 0 {
                 writeln!(out, "{} of {} days are missing", results.missing(), results.head.days)?;
@@ -314,7 +316,7 @@
             }
             Ok(0)
         }
-        What::Report { file, out: folder, old } => {
+        Subcommands::Report { file, out: folder, old } => {
             let old = old.as_deref().map(Results::read).transpose()?;
             let page = report::page(&Results::read(&file)?, old.as_ref())?;
             std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
@@ -323,67 +325,67 @@
             writeln!(out, "{}", path.display())?;
             Ok(0)
         }
-        What::Draw { scenario, seed, requests } => {
+        Subcommands::Draw { scenario, seed, requests } => {
             draw(&Day::draw(&Arc::new(Scenario::load(&scenario)?), seed), requests, &mut out)?;
             Ok(0)
         }
-        What::Demo { seconds, rate, trouble, group, gateway } => {
+        Subcommands::Demo { seconds, rate, trouble, group, gateway } => {
             let program = program(gateway)?;
             let demo = Demo { program, seconds, rate, trouble, group };
             let bar = progress(rate * seconds as f64)?;
-            let outcome = live()?.block_on(demo.run(|| bar.inc(1)))?;
+            let outcome = runtime()?.block_on(demo.run(|| bar.inc(1)))?;
             bar.finish_and_clear();
             write!(out, "{}", outcome.text())?;
             Ok(0)
         }
-        What::Trial { name: None, .. } => {
+        Subcommands::Trial { name: None, .. } => {
             for (name, text) in schedule::SHIPPED {
                 let about = text.lines().find_map(|line| line.strip_prefix("# ")).unwrap_or_default();
                 writeln!(out, "{name:14}{about}")?;
             }
             Ok(0)
         }
-        What::Trial { name: Some(name), seeds, seconds, keep, side, gateway, old } => {
+        Subcommands::Trial { name: Some(name), seeds, seconds, keep, side, gateway, old } => {
             let text = schedule::text(&name)?;
             let all = seeds.0.iter().map(|seed| Schedule::read(&name, &text, *seed, seconds));
             let all = all.collect::<Result<Vec<_>, _>>()?;
             let options = trial::Options { program: program(gateway)?, old, keep };
-            let runtime = live()?;
-            let told = runtime.block_on(async {
+            let runtime = runtime()?;
+            let summary = runtime.block_on(async {
                 let played = trial::report::several(&all, &options, side.into(), |text| {
                     let _ = write!(out, "{text}");
                 });
                 let mut end = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
                 tokio::select! {
-                    told = played => told,
+                    result = played => result,
                     _ = tokio::signal::ctrl_c() => Err("interrupted".into()),
-                    _ = end.recv() => Err("told to end".into()),
+                    _ = end.recv() => Err("terminated by SIGTERM".into()),
                 }
             });
-            // Whatever still runs goes before the answer is given.
+            // Ends all processes of the trials before the result is printed.
             drop(runtime);
             fennelscale_lab::live::process::end_all();
-            let told = told?;
-            write!(out, "{}", told.text())?;
-            match (told.broken, told.void) {
+            let summary = summary?;
+            write!(out, "{}", summary.text())?;
+            match (summary.broken, summary.void) {
                 (0, 0) => Ok(0),
                 (0, _) => Err(Box::new(NoVerdict)),
                 (broken, _) => Ok(broken),
             }
         }
-        What::Load { to, seconds, rate, classes, plans, customers, seed } => {
+        Subcommands::Load { to, seconds, rate, classes, plans, customers, seed } => {
             let (spread, skewed, watch) = (0, false, None);
             let load =
                 load::Load { to, rate, seconds, classes, plans, customers, spread, skewed, seed, watch };
             load.check()?;
             let bar = progress(rate * seconds as f64)?;
-            let classes = live()?.block_on(load.run(|| bar.inc(1)))?;
+            let classes = runtime()?.block_on(load.run(|| bar.inc(1)))?;
             bar.finish_and_clear();
             write!(out, "{}", table_of_load(&classes))?;
             Ok(0)
         }
-        What::Scenarios => {
-            for (name, text) in SHIPPED {
+        Subcommands::Scenarios => {
+            for (name, text) in BUILT_IN {
                 let about = text.lines().find_map(|line| line.strip_prefix("# ")).unwrap_or_default();
                 writeln!(out, "{name:14}{about}")?;
             }
@@ -392,17 +394,17 @@
     }
 }
 
-fn progress(requests: f64) -> Result<ProgressBar, Fault> {
+fn progress(requests: f64) -> Result<ProgressBar, BoxError> {
     let bar = ProgressBar::new(requests as u64);
     bar.set_style(ProgressStyle::with_template("{bar:40} {pos} of about {len} requests, {elapsed}")?);
     Ok(bar)
 }
 
-fn live() -> std::io::Result<tokio::runtime::Runtime> {
+fn runtime() -> std::io::Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_multi_thread().enable_all().build()
 }
 
-fn run(plan: &Plan, path: &std::path::Path, out: &mut impl std::io::Write) -> Result<u64, Fault> {
+fn run(plan: &Plan, path: &std::path::Path, out: &mut impl std::io::Write) -> Result<u64, BoxError> {
     let days = plan.scenarios.len() * plan.seeds.len();
     let bar = ProgressBar::new(days as u64);
     let style = ProgressStyle::with_template("{bar:40} {pos}/{len} days, {eta} left {msg}")?;
@@ -432,7 +434,7 @@
     Ok(broken)
 }
 
-/// One line a day, and one for the mean of each scenario.
+/// Prints one line per day, and one for the mean of each scenario.
 fn table(rows: &[Row], out: &mut impl std::io::Write) -> std::io::Result<()> {
     writeln!(
         out,
@@ -502,7 +504,7 @@
     Ok(())
 }
 
-/// The decisions of the quota's gate, summed up over all days of the decisions themselves.
+/// Prints the quota decisions, summed over all days of the library's policy.
 fn gate_table(rows: &[Row], out: &mut impl std::io::Write) -> std::io::Result<()> {
     let mut all: std::collections::BTreeMap<(&str, &str), [u64; 4]> = Default::default();
     for row in rows.iter().filter(|row| row.policy == "module") {
@@ -528,27 +530,27 @@
     format!("{:+.4}{within}", estimate.mean)
 }
 
-fn write_moved(moved: &Moved, causes: usize, out: &mut impl std::io::Write) -> std::io::Result<()> {
+fn write_moved(change: &Change, causes: usize, out: &mut impl std::io::Write) -> std::io::Result<()> {
     writeln!(
         out,
         "{:14} G {:.4} -> {:.4}: {} over {} days (95%); worst seed {} {:+.4}; broken {} -> {}",
-        moved.scenario,
-        moved.means.0,
-        moved.means.1,
-        estimate(&moved.g),
-        moved.g.count,
-        moved.worst.0,
-        moved.worst.1,
-        moved.broken.0,
-        moved.broken.1
+        change.scenario,
+        change.means.0,
+        change.means.1,
+        estimate(&change.g),
+        change.g.count,
+        change.worst.0,
+        change.worst.1,
+        change.broken.0,
+        change.broken.1
     )?;
-    for (name, lost) in moved.causes.iter().take(causes).filter(|(_, lost)| lost.mean != 0.0) {
+    for (name, lost) in change.causes.iter().take(causes).filter(|(_, lost)| lost.mean != 0.0) {
         writeln!(out, "    lost by {name:22} {}", estimate(lost))?;
     }
     Ok(())
 }
 
-fn draw(day: &Day, requests: bool, out: &mut impl std::io::Write) -> Result<(), Fault> {
+fn draw(day: &Day, requests: bool, out: &mut impl std::io::Write) -> Result<(), BoxError> {
     writeln!(out, "{} ({}), seed {}, {:.1} s", day.scenario, day.digest, day.seed, day.length as f64 / 1e6)?;
     let shown = [
         ("net", serde_json::to_value(&day.net)?),
@@ -573,19 +575,19 @@
     for trouble in &day.troubles {
         writeln!(out, "trouble {}", serde_json::to_value(trouble)?)?;
     }
-    let inside = day.roots.iter().filter(|root| root.inside).count();
+    let inside = day.first_tries.iter().filter(|first_try| first_try.inside).count();
     writeln!(
         out,
         "customers {}, first tries {}, inside quotas {inside}",
         day.customers.len(),
-        day.roots.len()
+        day.first_tries.len()
     )?;
     for customer in &day.customers {
         writeln!(out, "customer {}", serde_json::to_value(customer)?)?;
     }
     if requests {
-        for root in &day.roots {
-            writeln!(out, "request {}", serde_json::to_value(root)?)?;
+        for first_try in &day.first_tries {
+            writeln!(out, "request {}", serde_json::to_value(first_try)?)?;
         }
     }
     Ok(())
--- a/emulator/src/report.rs
+++ b/emulator/src/report.rs
@@ -1,7 +1,7 @@
-//! One HTML page about a file of results, with plots as SVG inside: worth over time, refusals, counter calls, what
-//! backends held, the loss waterfall, and older results beside where there are any.
+//! The HTML page about a result file, with plots as inline SVG: worth over time, refusals, counter calls, requests
+//! held by backends, the loss waterfall, and older results for comparison if given.
 
-use crate::books::Part;
+use crate::books::Worth;
 use crate::experiment::{Estimate, losses};
 use crate::results::{Results, Row};
 use fault_injection::plot::{COLOURS, PlotError, SIZE, bars, drawn, escaped, lines};
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// From 1 down to G: one step for each loss, largest first, the small ones together.
+/// Plots the steps from 1 down to G: one step per loss, largest first, with all losses below 0.004 combined.
 fn waterfall(title: &str, books: &[(String, f64)], g: f64) -> Result<String, PlotError> {
     let mut steps: Vec<(String, f64)> =
         books.iter().filter(|(_, lost)| lost.abs() >= 0.004).cloned().collect();
@@ -52,9 +52,9 @@
     rows.iter().map(|row| of(row)).sum::<f64>() / rows.len().max(1) as f64
 }
 
-/// A figure of each second, as mean over the days.
+/// A metric of each second, as the mean over the days.
 fn by_second(rows: &[&Row], of: impl Fn(&crate::books::Second) -> f64) -> Vec<(f64, f64)> {
-    // The last second of a day is a part of one.
+    // The last second of a day is incomplete.
     let most = rows.iter().map(|row| row.books.seconds.len().saturating_sub(1)).max().unwrap_or(0);
     (0..most)
         .map(|second| {
@@ -65,9 +65,9 @@
         .collect()
 }
 
-type Look = (f64, usize, usize, usize, usize, u64);
+type Sample = (f64, usize, usize, usize, usize, u64);
 
-fn by_look(rows: &[&Row], of: impl Fn(&Look, Option<&Look>) -> f64) -> Vec<(f64, f64)> {
+fn by_sample(rows: &[&Row], of: impl Fn(&Sample, Option<&Sample>) -> f64) -> Vec<(f64, f64)> {
     let most = rows.iter().map(|row| row.looks.len()).min().unwrap_or(0);
     (0..most)
         .map(|at| {
@@ -77,22 +77,22 @@
         .collect()
 }
 
-fn parts(
-    title: &str, sides: &[(&str, &[&Row])], of: impl Fn(&Row) -> &BTreeMap<String, Part>,
+fn worth_bars(
+    title: &str, sides: &[(&str, &[&Row])], of: impl Fn(&Row) -> &BTreeMap<String, Worth>,
 ) -> Result<String, PlotError> {
     let Some(first) = sides.first().and_then(|(_, rows)| rows.first()) else { return Ok(String::new()) };
     let names: Vec<String> = of(first).keys().cloned().collect();
     let series: Vec<(String, Vec<f64>)> = sides
         .iter()
         .map(|(side, rows)| {
-            let share = |name: &String| mean(rows, |row| of(row).get(name).map_or(0.0, Part::share));
+            let share = |name: &String| mean(rows, |row| of(row).get(name).map_or(0.0, Worth::share));
             (side.to_string(), names.iter().map(share).collect())
         })
         .collect();
     bars(title, "share earned", &names, &series)
 }
 
-/// The page about results, with older ones beside.
+/// Renders the page about results, next to older results if given.
 ///
 /// # Errors
 /// When a plot cannot be drawn.
@@ -134,7 +134,7 @@
         html.push_str("<th>old G");
     }
     for name in &names {
-        let rows = of(new, name);
+        let rows = rows_of(new, name);
         let g: Vec<f64> = rows.iter().map(|row| row.books.g).collect();
         let estimate = Estimate::of(&g);
         let within = estimate.within.map_or("-".into(), |within| format!("± {within:.3}"));
@@ -154,7 +154,7 @@
         html.push_str(&figure(&|row| row.books.figures.calls));
         write!(html, "<td{}>{broken}", if broken > 0 { " class=\"bad\"" } else { "" })?;
         if let Some(old) = old {
-            let rows = of(old, name);
+            let rows = rows_of(old, name);
             let g =
                 if rows.is_empty() { "-".into() } else { format!("{:.3}", mean(&rows, |row| row.books.g)) };
             write!(html, "<td>{g}")?;
@@ -168,13 +168,13 @@
     Ok(html)
 }
 
-fn of<'a>(results: &'a Results, scenario: &str) -> Vec<&'a Row> {
+fn rows_of<'a>(results: &'a Results, scenario: &str) -> Vec<&'a Row> {
     results.rows.iter().filter(|row| row.scenario == scenario && row.policy == "module").collect()
 }
 
 fn section(html: &mut String, name: &str, new: &Results, old: Option<&Results>) -> Result<(), PlotError> {
-    let rows = of(new, name);
-    let old_rows = old.map(|old| of(old, name)).filter(|rows| !rows.is_empty());
+    let rows = rows_of(new, name);
+    let old_rows = old.map(|old| rows_of(old, name)).filter(|rows| !rows.is_empty());
     let mut sides: Vec<(&str, &[&Row])> = vec![("new", &rows)];
     if let Some(old_rows) = &old_rows {
         sides.push(("old", old_rows));
@@ -190,15 +190,15 @@
         ("refused".to_string(), by_second(&rows, |s| f64::from(s.refused))),
         (
             "counter calls".to_string(),
-            by_look(&rows, |look, before| (look.5 - before.map_or(0, |before| before.5)) as f64 * 2.0),
+            by_sample(&rows, |sample, before| (sample.5 - before.map_or(0, |before| before.5)) as f64 * 2.0),
         ),
     ];
     html.push_str(&lines("Tries, refusals and counter calls", "a second", &tries)?);
     let held = [
-        ("held by all backends".to_string(), by_look(&rows, |look, _| look.1 as f64)),
-        ("of these waiting".to_string(), by_look(&rows, |look, _| look.2 as f64)),
-        ("backends that serve".to_string(), by_look(&rows, |look, _| look.4 as f64)),
-        ("gateways that run".to_string(), by_look(&rows, |look, _| look.3 as f64)),
+        ("held by all backends".to_string(), by_sample(&rows, |sample, _| sample.1 as f64)),
+        ("of these waiting".to_string(), by_sample(&rows, |sample, _| sample.2 as f64)),
+        ("backends that serve".to_string(), by_sample(&rows, |sample, _| sample.4 as f64)),
+        ("gateways that run".to_string(), by_sample(&rows, |sample, _| sample.3 as f64)),
     ];
     html.push_str(&lines("Requests out at backends, and machines", "number", &held)?);
     let mut triggers: Vec<String> = rows.iter().flat_map(|row| row.books.refusals.keys().cloned()).collect();
@@ -219,9 +219,9 @@
         &triggers,
         &refusals,
     )?);
-    html.push_str(&parts("By plan, inside the quotas", &sides, |row| &row.books.plans)?);
-    html.push_str(&parts("By class", &sides, |row| &row.books.classes)?);
-    html.push_str(&parts("By the gateway's zone", &sides, |row| &row.books.zones)?);
+    html.push_str(&worth_bars("By plan, inside the quotas", &sides, |row| &row.books.plans)?);
+    html.push_str(&worth_bars("By class", &sides, |row| &row.books.classes)?);
+    html.push_str(&worth_bars("By the gateway's zone", &sides, |row| &row.books.zones)?);
     for (side, rows) in &sides {
         let mut lost: BTreeMap<String, f64> = BTreeMap::new();
         for row in *rows {
--- a/emulator/src/results.rs
+++ b/emulator/src/results.rs
@@ -1,5 +1,6 @@
-//! Results on disk: one JSON object a line, first a head that says what was to be played, then the days in that
-//! order, each written when it and all before it are done. What was cut off is still read, and told.
+//! Result files: one JSON object per line. The first line is a head with the planned days; then the days follow in
+//! the planned order, each written when it and all days before it are complete. A truncated file can still be read,
+//! and reports how many days are missing.
 
 use crate::books::Books;
 use crate::judge::Breach;
@@ -9,19 +10,19 @@
 use std::io::{BufRead as _, BufReader, Write as _};
 use std::path::{Path, PathBuf};
 
-/// The version of the format; later ones add fields, and older readers pass over them.
+/// The version of the format. Later versions only add fields, which older readers ignore.
 pub const FORMAT: &str = "fennelscale-lab/1";
 
-/// What was to be played, and by what.
+/// The number of planned days and the program that simulated them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Head {
-    /// [`FORMAT`].
+    /// The value of [`FORMAT`].
     pub format: String,
-    /// The commit that the program was built from.
+    /// The commit from which the program was built.
     pub commit: String,
-    /// The digest of the decisions' sources.
+    /// The digest of the source files of the library's decisions.
     pub decisions: String,
-    /// How many days were to be played.
+    /// The number of planned days.
     pub days: usize,
 }
 
@@ -37,45 +38,45 @@
     }
 }
 
-/// What the baselines make of a day.
+/// The floor and the top of a day's score, derived from the baselines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Marks {
-    /// The result of letting all in; 0 if that is more or a ceiling is passed.
+pub struct ScoreRange {
+    /// G when all requests are admitted; 0 if that is higher or if a ceiling is exceeded.
     pub floor: f64,
-    /// Half way between who sees the truth at once and who sees it late.
+    /// The mean of G with the current and with the delayed true state.
     pub top: f64,
-    /// The share served by who sees late.
+    /// The share earned with the delayed true state.
     pub late_share: f64,
 }
 
 /// One day under one policy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// The scenario.
+    /// The scenario's name.
     pub scenario: String,
-    /// Its digest.
+    /// The scenario's digest.
     pub digest: String,
     /// The seed.
     pub seed: u64,
-    /// The policy.
+    /// The policy's name.
     pub policy: String,
-    /// Machines: gateways and backends.
+    /// The number of gateways and of backends.
     pub size: (usize, usize),
-    /// The score, where the baselines were played: (G - floor) / (top - floor).
+    /// The score, if the baselines were simulated: (G - floor) / (top - floor).
     pub score: Option<f64>,
-    /// The baselines.
-    pub marks: Option<Marks>,
+    /// The floor and the top of the score.
+    pub marks: Option<ScoreRange>,
     /// The books.
     pub books: Books,
-    /// Broken rules.
+    /// The number of breaches.
     pub broken: u64,
-    /// The first of them.
+    /// The first breaches.
     pub breaches: Vec<Breach>,
-    /// Backends looked at twice a second: seconds, held, waiting, gateways, backends, calls so far.
+    /// Samples of the fleet, two per second: seconds, held, waiting, gateways, backends, calls so far.
     pub looks: Vec<(f64, usize, usize, usize, usize, u64)>,
 }
 
-/// Results that cannot be written or read: one line.
+/// A result file that cannot be written or read, described in one line.
 #[derive(Debug)]
 pub struct ResultsError(PathBuf, String);
 
@@ -87,7 +88,7 @@
 
 impl std::error::Error for ResultsError {}
 
-/// Writes results, row by row.
+/// Writes results row by row.
 #[derive(Debug)]
 pub struct Writer {
     path: PathBuf,
@@ -95,47 +96,47 @@
 }
 
 impl Writer {
-    /// A new file with its head.
+    /// Creates a file and writes its head.
     ///
     /// # Errors
-    /// When it cannot be written.
+    /// When the file cannot be written.
     pub fn new(path: &Path, head: &Head) -> Result<Self, ResultsError> {
         let fault = |error: std::io::Error| ResultsError(path.into(), error.to_string());
         let mut writer = Self { path: path.into(), file: File::create(path).map_err(fault)? };
-        writer.line(head)?;
+        writer.write_line(head)?;
         Ok(writer)
     }
 
-    fn line(&mut self, what: &impl Serialize) -> Result<(), ResultsError> {
+    fn write_line(&mut self, what: &impl Serialize) -> Result<(), ResultsError> {
         let fault = |error: std::io::Error| ResultsError(self.path.clone(), error.to_string());
         let mut text = serde_json::to_string(what).map_err(|error| fault(error.into()))?;
         text.push('\n');
         self.file.write_all(text.as_bytes()).and_then(|()| self.file.flush()).map_err(fault)
     }
 
-    /// One more day.
+    /// Appends one day.
     ///
     /// # Errors
-    /// When it cannot be written whole.
-    pub fn row(&mut self, row: &Row) -> Result<(), ResultsError> {
-        self.line(row)
+    /// When the day cannot be written completely.
+    pub fn write_row(&mut self, row: &Row) -> Result<(), ResultsError> {
+        self.write_line(row)
     }
 }
 
-/// A file of results.
+/// The contents of a result file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Results {
-    /// What was to be played.
+    /// The planned days and the program.
     pub head: Head,
-    /// What was.
+    /// The days that the file contains.
     pub rows: Vec<Row>,
 }
 
 impl Results {
-    /// Reads a file. A last line that was cut off is left out.
+    /// Reads a file. An incomplete last line is ignored.
     ///
     /// # Errors
-    /// When it is no file of results, or of a later version.
+    /// When the file is no result file or has another format version.
     pub fn read(path: &Path) -> Result<Self, ResultsError> {
         let fault = |what: String| ResultsError(path.into(), what);
         let file = File::open(path).map_err(|error| fault(error.to_string()))?;
@@ -159,7 +160,7 @@
         Ok(Self { head, rows })
     }
 
-    /// How many days are missing.
+    /// The number of planned days that the file does not contain.
     pub fn missing(&self) -> usize {
         self.head.days.saturating_sub(self.rows.len())
     }
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -1,5 +1,5 @@
-//! What a day is drawn from: the figures of a site as ranges, and a day's size and troubles. Both are TOML files;
-//! every fault is told with the place in the file, and nothing is started on one.
+//! Scenarios: the parameters of a site as ranges, and the size and troubles of a day. Both are TOML files. Every
+//! error names the position in the file, and an invalid file starts nothing.
 
 pub use fault_injection::Span;
 use serde::de::{Deserializer, Error as _};
@@ -8,14 +8,14 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// Files longer than this are refused unread.
-const LONGEST_FILE: u64 = 1 << 20;
+/// Larger files are rejected without being read, in bytes.
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// A range of shares, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Shares(pub Span);
+pub struct ShareRange(pub Span);
 
-impl<'de> Deserialize<'de> for Shares {
+impl<'de> Deserialize<'de> for ShareRange {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let span = Span::deserialize(from)?;
         if span.most > 1.0 {
@@ -25,11 +25,11 @@
     }
 }
 
-/// A range that reaches from more than nothing upwards: what something is divided by, or how many there are.
+/// A range of positive numbers, such as divisors and counts.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Positive(pub Span);
+pub struct PositiveRange(pub Span);
 
-impl<'de> Deserialize<'de> for Positive {
+impl<'de> Deserialize<'de> for PositiveRange {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let span = Span::deserialize(from)?;
         if span.least <= 0.0 {
@@ -39,11 +39,11 @@
     }
 }
 
-/// A number of machines: from 1 to 10,000.
+/// A number of machines, from 1 to 10,000.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Machines(pub Span);
+pub struct MachineCount(pub Span);
 
-impl<'de> Deserialize<'de> for Machines {
+impl<'de> Deserialize<'de> for MachineCount {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let span = Span::deserialize(from)?;
         if span.least < 1.0 || span.most > 10_000.0 {
@@ -57,109 +57,109 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Use inside the quotas, as a share of what the backends can do.
-    pub inside: Positive,
-    /// The wave over the day, up and down by this share.
-    pub swing: Shares,
-    /// What is asked beyond quotas, at most so many times what is asked inside.
+    /// Demand within the quotas, as a share of the backends' capacity.
+    pub inside: PositiveRange,
+    /// The amplitude of the load's daily wave, as a share of the load.
+    pub swing: ShareRange,
+    /// The maximum demand beyond the quotas, as a multiple of the demand within them.
     pub most_excess: Span,
 }
 
-/// Ways between machines, one way, in ms.
+/// Network latencies, one way, in ms.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Net {
-    /// The zones' names.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// Inside a zone.
+    /// Latency within a zone.
     pub same_zone: Span,
-    /// Between zones.
+    /// Latency between zones.
     pub cross_zone: Span,
-    /// Between clients and gateways.
+    /// Latency between clients and gateways.
     pub client: Span,
-    /// Each way takes up to this share longer.
+    /// Each latency is increased by a random share of up to this value.
     pub jitter: Span,
 }
 
-/// How clients wait before they come again.
+/// The backoff of clients between tries.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Backoff {
-    /// Not at all.
+    /// No delay.
     None,
-    /// The same time each time.
+    /// The same delay before each retry.
     Fixed,
-    /// Twice as long each time.
+    /// Twice the delay with each retry.
     Exponential,
 }
 
-/// How clients behave.
+/// The behaviour of clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// Further tries.
+    /// The maximum number of retries.
     pub retries: Span,
-    /// The part of the deadline that one try gets.
-    pub patience: Shares,
-    /// How they wait.
+    /// The share of the deadline that a client waits for one try.
+    pub patience: ShareRange,
+    /// The possible kinds of backoff.
     pub backoff: Vec<Backoff>,
-    /// The first wait, in ms.
+    /// The first backoff delay, in ms.
     pub backoff_ms: Span,
-    /// The share that follows advice.
-    pub honour: Shares,
-    /// The longest advice followed, in ms.
+    /// The share of retries that follow the gateway's retry advice.
+    pub honour: ShareRange,
+    /// The maximum advised delay that clients follow, in ms.
     pub longest_advice: f64,
-    /// The share that leaves early.
-    pub impatient: Shares,
-    /// The share of repeats that come through another gateway of the set.
-    pub elsewhere: Shares,
-    /// How long a dead gateway still gets requests, in s.
+    /// The share of tries whose client leaves early.
+    pub impatient: ShareRange,
+    /// The share of retries that go to another gateway of the customer's set.
+    pub elsewhere: ShareRange,
+    /// How long a dead gateway still receives requests from the front, in s.
     pub front_notice_s: Span,
 }
 
-/// Who the customers are.
+/// The customers' demand.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customers {
-    /// What most use of their rate.
-    pub calm_use: Shares,
-    /// The share that uses nearly all.
-    pub full: Shares,
-    /// The share that asks far more for long.
-    pub heavy: Shares,
-    /// How much more.
+    /// The share of its rate that a calm customer uses.
+    pub calm_use: ShareRange,
+    /// The share of customers that use nearly their whole rate.
+    pub full: ShareRange,
+    /// The share of customers that exceed their rate by far for long periods.
+    pub heavy: ShareRange,
+    /// The demand of a heavy customer, as a multiple of its rate.
     pub heavy_times: Span,
-    /// The share that asks far more now and then.
-    pub spiky: Shares,
-    /// How much more.
+    /// The share of customers that exceed their rate by far in short spikes.
+    pub spiky: ShareRange,
+    /// The demand of a spike, as a multiple of the rate.
     pub spike_times: Span,
-    /// For how long, in s.
-    pub spike_s: Positive,
-    /// How often, in s.
-    pub spike_every_s: Positive,
-    /// How unevenly requests come in through the set.
+    /// The duration of a spike, in s.
+    pub spike_s: PositiveRange,
+    /// The interval between spikes, in s.
+    pub spike_every_s: PositiveRange,
+    /// How unevenly a customer's requests are distributed over its gateways.
     pub skew: Span,
-    /// How often that changes, in s.
-    pub shift_s: Positive,
+    /// Interval at which the distribution changes, in s.
+    pub shift_s: PositiveRange,
 }
 
-/// The list of backends.
+/// The backend discovery.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Discovery {
-    /// When a stopped process is noticed, in s.
+    /// Delay until discovery notices that a process has stopped, in s.
     pub notice_s: Span,
-    /// When a silent machine is noticed, in s.
+    /// Delay until discovery notices that a machine does not respond, in s.
     pub silent_notice_s: Span,
-    /// When a new backend is listed, in s.
+    /// Delay until discovery lists a new backend, in s.
     pub add_s: Span,
-    /// Changes go out this often, in ms.
-    pub period_ms: Positive,
-    /// And reach each gateway so much later, in ms.
+    /// Interval at which changes are published, in ms.
+    pub period_ms: PositiveRange,
+    /// Additional delay of a change on the way to each gateway, in ms.
     pub spread_ms: Span,
-    /// Lines that can be written a second.
-    pub lines_per_s: Positive,
-    /// A call that waited this long fails, in ms.
+    /// Lines of full lists that discovery can write per second.
+    pub lines_per_s: PositiveRange,
+    /// A request for the full list fails if it would take longer than this, in ms.
     pub timeout_ms: f64,
 }
 
@@ -167,85 +167,85 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Counting {
-    /// Calls served a second, over all parts.
-    pub calls_per_s: Positive,
-    /// Parts, among which names are split.
-    pub parts: Machines,
-    /// What a call takes beside the way and its turn, in ms.
+    /// Calls served per second, over all partitions.
+    pub calls_per_s: PositiveRange,
+    /// The number of partitions over which counter names are distributed.
+    pub parts: MachineCount,
+    /// The processing time of a call besides latency and queueing, in ms.
     pub base_ms: Span,
-    /// A part's longest line, in time-outs.
+    /// The maximum queueing time at a partition, as a multiple of the timeout.
     pub line: Span,
-    /// Callers give up after this, in ms.
+    /// The timeout of callers, in ms.
     pub timeout_ms: f64,
-    /// A lost counter is back after this, empty, in s.
+    /// Time until a lost counter is available again, without its values, in s.
     pub back_s: Span,
 }
 
-/// One kind of backend.
+/// The properties of a backend machine.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
-    /// Its cores.
+    /// The number of cores.
     pub cores: u32,
-    /// Their speed.
-    pub speed: Positive,
-    /// How much machines differ: the deviation of a lognormal factor.
+    /// The mean speed of a core.
+    pub speed: PositiveRange,
+    /// The spread of the speed among machines: the deviation of a lognormal factor.
     pub speed_spread: Span,
-    /// Requests in work at once, a core.
-    pub slots_per_core: Machines,
-    /// Requests that wait at most, a core.
-    pub line_per_core: Machines,
-    /// What each request held beyond `thrash_at` costs of the capacity.
+    /// The maximum number of running requests per core.
+    pub slots_per_core: MachineCount,
+    /// The maximum number of queued requests per core.
+    pub line_per_core: MachineCount,
+    /// The share of the capacity lost per request held above `thrash_at`.
     pub thrash: Span,
-    /// Requests held a core before that begins.
+    /// The number of held requests per core up to which the capacity is not reduced.
     pub thrash_at: Span,
-    /// The share of its capacity that a backend starts with.
-    pub cold_share: Shares,
-    /// When it is warm, in s.
-    pub cold_s: Positive,
+    /// The share of its capacity with which a backend starts.
+    pub cold_share: ShareRange,
+    /// The duration of the warm-up, in s.
+    pub cold_s: PositiveRange,
     /// The share of requests that fail.
-    pub error_share: Shares,
-    /// The chance of a day on which called-off work stops though it runs.
+    pub error_share: ShareRange,
+    /// The probability that, on a given day, a cancellation also stops work that is already running.
     pub stops_running_work: f64,
-    /// Round trips of a new connection.
+    /// The round trips of a new connection.
     pub handshake_rtts: Span,
-    /// The backend's work for it, in ms.
+    /// The backend's work for a new connection, in ms.
     pub handshake_work_ms: Span,
-    /// Connections held at most, a core.
-    pub connections_per_core: Machines,
-    /// The share of the capacity that a full table takes.
-    pub full_table_tax: Shares,
-    /// A connection not made by then is given up, in ms.
+    /// The maximum number of connections per core.
+    pub connections_per_core: MachineCount,
+    /// The share of the capacity that a full connection table costs.
+    pub full_table_tax: ShareRange,
+    /// The connect timeout, in ms.
     pub connect_timeout_ms: f64,
-    /// An idle connection is closed after this, in s.
+    /// The idle timeout of connections, in s.
     pub idle_s: f64,
     /// How often the load report is refreshed, in ms.
-    pub report_period_ms: Positive,
-    /// How late it is, in ms.
+    pub report_period_ms: PositiveRange,
+    /// The delay of the load report, in ms.
     pub report_delay_ms: Span,
-    /// How noisy it is.
+    /// The relative noise of the load report.
     pub report_noise: Span,
     /// The work of a probe, in ms.
     pub probe_work_ms: Span,
 }
 
-/// How the work of requests is spread about its mean.
+/// The distribution of the work of requests around its mean.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Shape {
     /// Exponential.
     Exponential,
-    /// Lognormal, with the class's spread.
+    /// Lognormal, with the spread of the class.
     Lognormal,
 }
 
-/// What repeating a request may do.
+/// The effect of running a request twice.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// Nothing.
+    /// The request is idempotent.
     Safe,
-    /// Harm.
+    /// Running the request twice does harm.
     Unsafe,
 }
 
@@ -253,25 +253,25 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Its share; the classes' shares are scaled to 1.
-    pub share: Shares,
-    /// The mean work, in ms of a core of speed 1.
-    pub work_ms: Positive,
-    /// The deviation of the work, as a share of its mean.
+    /// The share of requests in this class; the shares are normalized to a sum of 1.
+    pub share: ShareRange,
+    /// The mean work, in ms on a core of speed 1.
+    pub work_ms: PositiveRange,
+    /// The standard deviation of the work, as a share of its mean.
     pub spread: Span,
-    /// The same for each attempt on top.
+    /// The additional spread of the work among attempts of one request.
     pub attempt_noise: Span,
-    /// How it is spread.
+    /// The possible distributions of the work.
     pub shape: Vec<Shape>,
-    /// Answers are wanted within this, in ms.
+    /// The target latency, in ms: only answers within this time earn their worth.
     pub aim_ms: f64,
-    /// The client's whole wait, in ms.
+    /// The deadline of the client's request, in ms.
     pub deadline_ms: f64,
-    /// What an answer is worth.
+    /// The worth of an answer.
     pub worth: f64,
-    /// Whether it may be repeated.
+    /// Whether requests of the class may be repeated.
     pub effect: Effect,
 }
 
@@ -279,89 +279,90 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Its name.
+    /// The name of the plan.
     pub name: String,
-    /// Its part of the load.
+    /// The plan's share of the load.
     pub share: f64,
-    /// Units a second.
-    pub rate: Positive,
+    /// Units per second.
+    pub rate: PositiveRange,
     /// The burst, in seconds of the rate.
-    pub burst_s: Positive,
-    /// The factor on worth.
+    pub burst_s: PositiveRange,
+    /// The factor on the worth of answers.
     pub price: f64,
-    /// What a request beyond the quota earns of its worth.
+    /// The share of its worth that a request beyond the quota earns.
     #[serde(default)]
     pub over_worth: f64,
-    /// What it costs of its worth.
+    /// The share of its worth that a request beyond the quota costs.
     #[serde(default)]
     pub over_cost: f64,
-    /// The share of the gateways through which a customer's requests come.
-    pub set: Shares,
-    /// The ceiling, in times rate and burst; absent: none.
-    pub ceiling: Option<Positive>,
-    /// Attempts out at once, in times what the rate keeps out on idle backends; absent: no such quota.
-    pub open: Option<Positive>,
+    /// The share of the gateways that receive a customer's requests.
+    pub set: ShareRange,
+    /// The ceiling, as a multiple of rate and burst; no ceiling if absent.
+    pub ceiling: Option<PositiveRange>,
+    /// The limit of open attempts, as a multiple of the number that the rate keeps open on idle backends; no limit
+    /// if absent.
+    pub open: Option<PositiveRange>,
 }
 
-/// What gateways have to keep to.
+/// The rules that gateways must follow.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// An answer may come so much after its client's deadline, in ms.
+    /// How long after the client's deadline an answer is still accepted, in ms.
     pub answer_slack_ms: f64,
-    /// New work may go to a draining backend for so long, in ms.
+    /// How long new work may still go to a draining backend, in ms.
     pub drain_grace_ms: f64,
-    /// What gateways are told of `cold_share`.
+    /// The value of `cold_share` in the gateways' settings.
     pub told_cold_share: f64,
-    /// What gateways are told of `cold_s`.
+    /// The value of `cold_s` in the gateways' settings.
     pub told_cold_s: f64,
-    /// A cold backend falls when sent more than this multiple of its capacity ...
+    /// A cold backend fails if it receives more than this multiple of its capacity within `fall_ms`.
     pub fall_multiple: f64,
-    /// ... for so long, in ms.
+    /// The window for `fall_multiple`, in ms.
     pub fall_ms: f64,
-    /// What a ceiling may be passed by, as a share of its burst; one unit at least.
+    /// The tolerance of a ceiling, as a share of its burst and at least one unit.
     pub ceiling_slack: f64,
-    /// And what its rate gives in this time, in ms.
+    /// Additional tolerance of a ceiling: the units of its rate in this time, in ms.
     pub ceiling_grace_ms: f64,
-    /// Attempts of one request.
+    /// The maximum number of attempts per request.
     pub most_attempts: u32,
 }
 
-/// What is taken off the result: points for one (of all) of each.
+/// Prices that are subtracted from the result, in points of G, where 1 is the worth of the whole day.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Prices {
-    /// A crossing of zones for each first try.
+    /// The price of one cross-zone attempt per first try.
     pub cross_zone: f64,
-    /// Work wasted, as much as was asked for.
+    /// The price of wasted work equal to the work of all first tries.
     pub waste: f64,
-    /// A probe for each first try.
+    /// The price of one probe per first try.
     pub probe: f64,
-    /// All failing only after the aim.
+    /// The price if every request fails only after its target latency.
     pub late_fail: f64,
-    /// A call to the counter for each first try.
+    /// The price of one counter call per first try.
     pub counter: f64,
-    /// A new connection for each first try.
+    /// The price of one new connection per first try.
     pub handshake: f64,
-    /// The share of its worth that a request costs which was answered unsent after half of its time.
+    /// The share of its worth that a try costs when it is answered unsent after more than half of its time.
     pub held_back: f64,
 }
 
-/// How a day's parts are weighed.
+/// The weights of the parts of the result.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Goal {
-    /// The whole day.
+    /// The weight of the whole day.
     pub whole: f64,
-    /// The worst window.
+    /// The weight of the worst window.
     pub worst_window: f64,
-    /// The worst-served plan.
+    /// The weight of the plan with the lowest share earned.
     pub worst_plan: f64,
-    /// How long the window is, in s.
+    /// The length of the window, in s.
     pub window_s: f64,
 }
 
-/// A site: the ranges of all figures.
+/// A site: the ranges of all parameters.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Site {
@@ -379,7 +380,7 @@
     pub counter: Counting,
     /// The backends.
     pub backend: Machine,
-    /// The classes.
+    /// The request classes.
     pub class: Vec<Class>,
     /// The plans.
     pub plan: Vec<Plan>,
@@ -387,49 +388,49 @@
     pub rules: Rules,
     /// The prices.
     pub prices: Prices,
-    /// The goal.
+    /// The weights of the result.
     pub goal: Goal,
 }
 
-/// What goes wrong, or is done to the fleet.
+/// The kinds of trouble.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Gateways die and come back with their last list.
+    /// Gateways die and return with their last backend list.
     GatewayCrash,
-    /// Gateways are restarted in steps over the length, with notice.
+    /// Gateways are restarted one group after another over the duration, with notice.
     GatewayRoll,
-    /// Backends quickly fail a share of their requests.
+    /// Backends fail a share of their requests at once.
     FastErrors,
     /// Backends work more slowly.
     Slow,
-    /// Backends fall silent and come back cold.
+    /// Backends stop responding and return cold.
     Silent,
-    /// Backends are replaced by new ones in steps over the length.
+    /// Backends are replaced by new ones, one group after another over the duration.
     Replace,
-    /// One to three customers ask far beyond their quotas.
+    /// One to three customers exceed their quotas by far.
     HotCustomer,
-    /// Customers that are seen once.
+    /// New customers send a single request each.
     OneOffs,
-    /// A zone is cut off from the others.
+    /// A partition separates a zone from the others.
     ZoneCut,
-    /// A zone is lost with all in it.
+    /// A zone fails with all its machines.
     ZoneLoss,
-    /// The counter is down, and comes back empty.
+    /// The counter fails and returns without its values.
     CounterDown,
-    /// Lists come late.
+    /// Changes of the backend list are delayed.
     ListsLate,
-    /// Answers of backends get lost, and their connections stay silent.
+    /// Answers of backends are lost, and their connections stay silent.
     AnswersLost,
-    /// Connections are reset under requests.
+    /// Connections are reset while they carry requests.
     Resets,
-    /// All ask more.
+    /// All customers request more.
     Burst,
-    /// Traffic shifts from one zone's gateways to the others'.
+    /// Traffic moves from the gateways of one zone to the others.
     ZoneShift,
     /// Clients give up early.
     GiveUp,
-    /// Clients come again at once, and more often.
+    /// Clients retry without delay and more often.
     ComeAgain,
 }
 
@@ -437,91 +438,91 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
-    /// What.
+    /// The kind of the trouble.
     pub kind: Kind,
-    /// When, in s; absent: drawn so that it ends within the day.
+    /// When the trouble begins, in s; if absent, a random time at which the trouble still ends within the day.
     pub from_s: Option<Span>,
-    /// For how long, in s.
+    /// The duration, in s.
     pub for_s: Span,
-    /// The part of the machines it meets.
-    #[serde(default = "all")]
-    pub part: Shares,
-    /// How bad it is: a share of failures, of traffic, or a factor on work.
-    #[serde(default = "all_of")]
+    /// The share of the machines that are affected.
+    #[serde(default = "full_share")]
+    pub part: ShareRange,
+    /// The severity: a share of failures or of traffic, or a factor on work.
+    #[serde(default = "range_of_one")]
     pub size: Span,
-    /// The chance that it comes at all.
-    #[serde(default = "one")]
+    /// The probability that the trouble occurs.
+    #[serde(default = "probability_one")]
     pub chance: f64,
 }
 
-fn all() -> Shares {
-    Shares(all_of())
+fn full_share() -> ShareRange {
+    ShareRange(range_of_one())
 }
 
-fn all_of() -> Span {
+fn range_of_one() -> Span {
     Span { least: 1.0, most: 1.0 }
 }
 
-fn one() -> f64 {
+fn probability_one() -> f64 {
     1.0
 }
 
-fn same() -> Positive {
-    Positive(all_of())
+fn factor_one() -> PositiveRange {
+    PositiveRange(range_of_one())
 }
 
-/// A scenario file.
+/// The contents of a scenario file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct ScenarioFile {
     name: String,
     #[serde(default)]
     site: Option<PathBuf>,
-    gateways: Machines,
-    backends: Machines,
-    length_s: Positive,
-    #[serde(default = "same")]
-    pace: Positive,
-    #[serde(default = "same")]
-    rates: Positive,
+    gateways: MachineCount,
+    backends: MachineCount,
+    length_s: PositiveRange,
+    #[serde(default = "factor_one")]
+    pace: PositiveRange,
+    #[serde(default = "factor_one")]
+    rates: PositiveRange,
     #[serde(default)]
-    load: Option<Positive>,
+    load: Option<PositiveRange>,
     #[serde(default)]
-    connections_per_core: Option<Machines>,
+    connections_per_core: Option<MachineCount>,
     #[serde(default)]
-    calls_per_s: Option<Positive>,
+    calls_per_s: Option<PositiveRange>,
     #[serde(default)]
     call_base_ms: Option<Span>,
     #[serde(default)]
     trouble: Vec<Trouble>,
 }
 
-/// A scenario: a site, and a day's size and troubles.
+/// A scenario: a site, and the size and troubles of a day.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Its name.
+    /// The scenario's name.
     pub name: String,
-    /// How many gateways.
+    /// The number of gateways.
     pub gateways: Span,
-    /// How many backends.
+    /// The number of backends.
     pub backends: Span,
-    /// How long requests come, in s.
+    /// The time over which clients send first tries, in s.
     pub length_s: Span,
-    /// The factor on work, aims and deadlines.
+    /// The factor on work, target latencies and deadlines.
     pub pace: Span,
-    /// The factor on the plans' rates.
+    /// The factor on the rates of plans.
     pub rates: Span,
-    /// What goes wrong.
+    /// The possible troubles.
     pub troubles: Vec<Trouble>,
-    /// Gateways tell each other of backends in a group, within so many ms; none: they have no way to.
-    pub words_ms: Option<Span>,
+    /// The delay of health reports between gateways of a group, in ms; `None` if gateways exchange no reports.
+    pub peer_report_ms: Option<Span>,
     /// The site.
     pub site: Site,
-    /// The first 16 hex digits of the checksum over both texts.
+    /// The first 16 hex digits of the SHA-256 sum over the texts of scenario and site.
     pub digest: String,
 }
 
-/// A scenario that cannot be used: one line.
+/// An invalid scenario, described in one line.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ScenarioError(String);
 
@@ -533,8 +534,8 @@
 
 impl std::error::Error for ScenarioError {}
 
-/// The scenarios that come with the program, by name.
-pub const SHIPPED: [(&str, &str); 12] = [
+/// The built-in scenarios by name.
+pub const BUILT_IN: [(&str, &str); 12] = [
     ("calm", include_str!("../scenarios/calm.toml")),
     ("roll", include_str!("../scenarios/roll.toml")),
     ("herd", include_str!("../scenarios/herd.toml")),
@@ -548,7 +549,7 @@
     ("speed-30", include_str!("../scenarios/speed-30.toml")),
     ("speed-300", include_str!("../scenarios/speed-300.toml")),
 ];
-const SHIPPED_SITE: &str = include_str!("../scenarios/plant.toml");
+const BUILT_IN_SITE: &str = include_str!("../scenarios/plant.toml");
 
 fn parse<T: for<'de> Deserialize<'de>>(place: &str, text: &str) -> Result<T, ScenarioError> {
     toml::from_str(text).map_err(|error| {
@@ -563,41 +564,44 @@
 fn read(path: &Path) -> Result<String, ScenarioError> {
     let fault = |what: &dyn fmt::Display| ScenarioError(format!("{}: {what}", path.display()));
     let length = std::fs::metadata(path).map_err(|e| fault(&e))?.len();
-    if length > LONGEST_FILE {
-        return Err(fault(&format!("{length} bytes are too many, {LONGEST_FILE} at most")));
+    if length > MAX_FILE_BYTES {
+        return Err(fault(&format!("{length} bytes are too many, the limit is {MAX_FILE_BYTES}")));
     }
     std::fs::read_to_string(path).map_err(|e| fault(&e))
 }
 
 impl Scenario {
-    /// Reads a shipped scenario by its name, or a file by its path.
+    /// Reads a built-in scenario by its name, or a file by its path.
     ///
     /// # Errors
-    /// One line that names file and place.
+    /// Returns one line that names the file and the position.
     pub fn load(name: &str) -> Result<Self, ScenarioError> {
-        if let Some((_, text)) = SHIPPED.iter().find(|(shipped, _)| *shipped == name) {
+        if let Some((_, text)) = BUILT_IN.iter().find(|(shipped, _)| *shipped == name) {
             return Self::parse(&format!("{name}.toml"), text, Path::new(""));
         }
         let path = Path::new(name);
         if !path.exists() && path.extension().is_none() {
-            let known: Vec<_> = SHIPPED.iter().map(|(shipped, _)| *shipped).collect();
-            return Err(ScenarioError(format!("{name}: no such scenario; shipped are {}", known.join(", "))));
+            let known: Vec<_> = BUILT_IN.iter().map(|(shipped, _)| *shipped).collect();
+            return Err(ScenarioError(format!(
+                "{name}: no such scenario; built-in scenarios are {}",
+                known.join(", ")
+            )));
         }
         Self::parse(name, &read(path)?, path.parent().unwrap_or(Path::new("")))
     }
 
-    /// Reads a scenario from its text. Paths in it start at `folder`.
+    /// Parses a scenario. Paths in the text are relative to `folder`.
     ///
     /// # Errors
-    /// One line that names file and place.
+    /// Returns one line that names the file and the position.
     pub fn parse(place: &str, text: &str, folder: &Path) -> Result<Self, ScenarioError> {
-        let file: File = parse(place, text)?;
+        let file: ScenarioFile = parse(place, text)?;
         let (site_place, site_text) = match &file.site {
             Some(path) => (folder.join(path).display().to_string(), read(&folder.join(path))?),
-            None => ("plant.toml".into(), SHIPPED_SITE.into()),
+            None => ("plant.toml".into(), BUILT_IN_SITE.into()),
         };
         let mut site: Site = parse(&site_place, &site_text)?;
-        let lacks = |what: &str| Err(ScenarioError(format!("{site_place}: there is no {what}")));
+        let lacks = |what: &str| Err(ScenarioError(format!("{site_place}: a {what} is missing")));
         if site.class.is_empty() {
             return lacks("class");
         }
@@ -632,7 +636,7 @@
             pace: file.pace.0,
             rates: file.rates.0,
             troubles: file.trouble,
-            words_ms: None,
+            peer_report_ms: None,
             site,
             digest,
         })
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -9,7 +9,7 @@
 use crate::decider::{
     DELAYED_VIEW_AGE, Decider, Policy, StateView, TrueQuota, TrueState, TrueStateView, numbers,
 };
-use crate::draw::{Day, EPOCH, Micros, Store, micros, millis, mix};
+use crate::draw::{Day, EPOCH, Micros, TokenBucket, micros, millis, mix};
 use crate::judge::{BackendLoad, Judge, Rule};
 use crate::scenario::Kind;
 use backend::{Acceptance, ProcessState, Server};
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug)]
 pub struct Try {
     /// The number of the first try that this one repeats, or of itself.
-    pub root: u32,
+    pub first_try: u32,
     /// The number of retries before this try.
     pub number: u32,
     /// The gateway that receives the try.
@@ -103,8 +103,8 @@
     pub inside: Option<bool>,
     /// The event that triggered the first send.
     pub sent_on: Trigger,
-    /// For a try that was ended unsent: the customer's quota store, and whether its limit of open attempts had room.
-    pub store: Option<(f64, bool)>,
+    /// For a try that was ended unsent: the customer's token bucket, and whether its limit of open attempts had room.
+    pub bucket: Option<(f64, bool)>,
     /// The retry delay that the gateway advised.
     pub advice: Micros,
     /// The attempts of this try.
@@ -220,14 +220,14 @@
     client: Random,
     work: Random,
     words: Random,
-    next_root: usize,
+    next_first_try: usize,
     gateways: Vec<GatewayState>,
     servers: Vec<Server>,
     counter: Counter,
     calls: Vec<Call>,
     tries: Vec<Try>,
-    roots: Vec<Option<(Micros, bool)>>,
-    stores: Vec<(Store, u32)>,
+    first_tries: Vec<Option<(Micros, bool)>>,
+    buckets: Vec<(TokenBucket, u32)>,
     /// Units that each customer requested in the last second, with exponential decay; read by policies that see the
     /// true state.
     requested: Vec<f64>,
@@ -266,7 +266,7 @@
             pools: Vec::new(),
         });
         let full = |customer: &crate::draw::Customer| {
-            (Store { held: day.settings.plans[customer.plan].burst, at: 0 }, 0)
+            (TokenBucket { held: day.settings.plans[customer.plan].burst, at: 0 }, 0)
         };
         let started = |(number, b): (usize, &crate::draw::Backend)| {
             b.starts.is_none().then_some((number, BackendState::Ready, None))
@@ -282,20 +282,20 @@
             client: Random::new(day.seed, "client", 0),
             work: Random::new(day.seed, "work", 0),
             words: Random::new(day.seed, "words", 0),
-            next_root: 0,
+            next_first_try: 0,
             gateways: gateways.collect(),
             servers: servers.collect(),
             counter: Counter::new(&day.counter),
             calls: Vec::new(),
-            tries: Vec::with_capacity(day.roots.len() * 2),
-            roots: vec![None; day.roots.len()],
-            stores: day.customers.iter().map(full).collect(),
+            tries: Vec::with_capacity(day.first_tries.len() * 2),
+            first_tries: vec![None; day.first_tries.len()],
+            buckets: day.customers.iter().map(full).collect(),
             requested: vec![0.0; day.customers.len()],
             published: log.len(),
             log,
             publishing: false,
             discovery_free: 0.0,
-            judge: Judge::new(day.scenario_of.site.rules.clone()),
+            judge: Judge::new(day.source.site.rules.clone()),
             totals: Totals::default(),
             samples: Vec::new(),
             past_states: VecDeque::new(),
@@ -345,14 +345,14 @@
     pub fn run(mut self) -> Record {
         let end = self.day.length + TAIL_TIME;
         loop {
-            let next_root = self.day.roots.get(self.next_root).map(|root| root.at);
+            let next_first_try = self.day.first_tries.get(self.next_first_try).map(|first_try| first_try.at);
             let next = self.due.peek().map(|due| due.at);
-            match (next_root, next) {
+            match (next_first_try, next) {
                 (Some(at), next) if next.is_none_or(|next| at < next) => {
                     self.now = at;
-                    let root = self.next_root as u32;
-                    self.next_root += 1;
-                    self.send_try(root, 0, None);
+                    let first_try = self.next_first_try as u32;
+                    self.next_first_try += 1;
+                    self.send_try(first_try, 0, None);
                 }
                 (_, Some(at)) if at <= end => {
                     self.now = at;
@@ -366,7 +366,7 @@
         self.judge.breaches.sort_by(|a, b| a.at.total_cmp(&b.at));
         Record {
             tries: self.tries,
-            served: self.roots,
+            served: self.first_tries,
             totals: self.totals,
             samples: self.samples,
             judge: self.judge,
@@ -464,8 +464,9 @@
             }
             SimEvent::AnswerArrives(id) => self.answer_arrives(id),
             SimEvent::ClientRetries(id) => {
-                let (root, number) = (self.tries[id as usize].root, self.tries[id as usize].number + 1);
-                self.send_try(root, number, Some(id));
+                let (first_try, number) =
+                    (self.tries[id as usize].first_try, self.tries[id as usize].number + 1);
+                self.send_try(first_try, number, Some(id));
             }
             SimEvent::SampleState => self.sample_state(),
         }
@@ -474,7 +475,7 @@
     // ---- Network ----
 
     fn zones(&self) -> usize {
-        self.day.scenario_of.site.net.zones.len()
+        self.day.source.site.net.zones.len()
     }
 
     fn active_troubles(&self, kind: Kind) -> impl Iterator<Item = &'a crate::draw::Trouble> {
@@ -670,7 +671,7 @@
         let backend = &self.day.backends[number];
         BackendEntry {
             name: backend.name.clone(),
-            zone: self.day.scenario_of.site.net.zones[backend.zone].as_str().into(),
+            zone: self.day.source.site.net.zones[backend.zone].as_str().into(),
             cell: backend.cell,
             state,
             started: started.map(|at| EPOCH + millis(at)),
@@ -739,7 +740,7 @@
         if self.gateways[gateway].up {
             return;
         }
-        let zones = &self.day.scenario_of.site.net.zones;
+        let zones = &self.day.source.site.net.zones;
         let settings = Settings {
             gateway_index: gateway as u32,
             zone: zones[self.gateways[gateway].zone].as_str().into(),
@@ -822,10 +823,10 @@
     }
 
     fn attempt_over(&mut self, id: u32) {
-        let customer = self.day.roots[self.tries[id as usize].root as usize].customer as usize;
-        self.stores[customer].1 = self.stores[customer].1.saturating_sub(1);
-        if let Some(store) = self.current_state.stores.get_mut(customer) {
-            store.out = store.out.saturating_sub(1);
+        let customer = self.day.first_tries[self.tries[id as usize].first_try as usize].customer as usize;
+        self.buckets[customer].1 = self.buckets[customer].1.saturating_sub(1);
+        if let Some(bucket) = self.current_state.buckets.get_mut(customer) {
+            bucket.out = bucket.out.saturating_sub(1);
         }
     }
 
@@ -935,7 +936,7 @@
     /// partition separates from the sender, after a random delay of its own for report, log entry and watch. The
     /// loss of the group's majority and the rate limits of reports are not modelled.
     fn report_to_peers(&mut self, gateway: usize, backend: &Name, down: bool) {
-        let Some(delay) = self.day.scenario_of.words_ms else { return };
+        let Some(delay) = self.day.source.peer_report_ms else { return };
         let Some(number) = self.backends.get(backend).copied() else { return };
         for other in (0..self.gateways.len()).filter(|other| *other != gateway) {
             let partitioned = self.partitioned(self.gateways[gateway].zone, self.gateways[other].zone);
@@ -952,8 +953,8 @@
     // ---- Requests ----
 
     /// Sends a client's first try or a retry.
-    fn send_try(&mut self, root: u32, number: u32, before: Option<u32>) {
-        let first = &self.day.roots[root as usize];
+    fn send_try(&mut self, first_try: u32, number: u32, before: Option<u32>) {
+        let first = &self.day.first_tries[first_try as usize];
         let class = &self.day.classes[usize::from(first.class)];
         let give_up: f64 = self.active_troubles(Kind::GiveUp).map(|t| t.size).product();
         let last = before.map(|id| &self.tries[id as usize]);
@@ -990,7 +991,7 @@
         }
         let id = self.tries.len() as u32;
         self.tries.push(Try {
-            root,
+            first_try,
             number,
             gateway,
             incarnation: 0,
@@ -1000,7 +1001,7 @@
             closed: None,
             inside: None,
             sent_on: Trigger::Other,
-            store: None,
+            bucket: None,
             advice: 0,
             attempts: Vec::new(),
             ended: Ended::Open,
@@ -1015,13 +1016,14 @@
     }
 
     fn try_arrives(&mut self, id: u32) {
-        let (gateway, root) = (self.tries[id as usize].gateway, self.tries[id as usize].root as usize);
+        let (gateway, first_try) =
+            (self.tries[id as usize].gateway, self.tries[id as usize].first_try as usize);
         if !self.gateways[gateway].up {
             self.tries[id as usize].ended = Ended::Unreachable;
             let delay = self.client_latency();
             return self.schedule(self.now + delay, SimEvent::AnswerArrives(id));
         }
-        let first = &self.day.roots[root];
+        let first = &self.day.first_tries[first_try];
         let customer = &self.day.customers[first.customer as usize];
         let class = &self.day.classes[usize::from(first.class)];
         self.requested[first.customer as usize] += 1.0;
@@ -1073,14 +1075,15 @@
         if !self.judge.final_answer(self.now, gateway, id, refused) {
             return;
         }
-        let root = self.tries[id as usize].root as usize;
-        let (plan, held) = self.quota_store(root);
+        let first_try = self.tries[id as usize].first_try as usize;
+        let (plan, held) = self.quota_store(first_try);
         let tried = &mut self.tries[id as usize];
         tried.closed = Some((self.now, trigger));
         if tried.attempts.is_empty() {
-            tried.store = Some((
+            tried.bucket = Some((
                 held,
-                plan.open == 0 || self.stores[self.day.roots[root].customer as usize].1 < plan.open,
+                plan.open == 0
+                    || self.buckets[self.day.first_tries[first_try].customer as usize].1 < plan.open,
             ));
         }
         tried.advice = if advice.is_finite() { micros(advice) } else { 0 };
@@ -1091,20 +1094,20 @@
         }
     }
 
-    /// The plan and the true quota store of a first try's customer, refilled up to now.
-    fn quota_store(&mut self, root: usize) -> (&'a doorcourse::Plan, f64) {
-        let customer = self.day.roots[root].customer as usize;
+    /// The plan and the true token bucket of a first try's customer, refilled up to now.
+    fn quota_store(&mut self, first_try: usize) -> (&'a doorcourse::Plan, f64) {
+        let customer = self.day.first_tries[first_try].customer as usize;
         let plan = &self.day.settings.plans[self.day.customers[customer].plan];
-        (plan, self.stores[customer].0.fill(self.now, plan.rate, plan.burst))
+        (plan, self.buckets[customer].0.fill(self.now, plan.rate, plan.burst))
     }
 
     fn answer_arrives(&mut self, id: u32) {
         let tried = &self.tries[id as usize];
         if let Ended::Served(at) = tried.ended {
-            let (root, inside) = (tried.root as usize, tried.inside == Some(true));
-            let aim = self.day.classes[usize::from(self.day.roots[root].class)].aim;
-            if at <= self.day.roots[root].at + aim && self.roots[root].is_none() {
-                self.roots[root] = Some((at, inside));
+            let (first_try, inside) = (tried.first_try as usize, tried.inside == Some(true));
+            let aim = self.day.classes[usize::from(self.day.first_tries[first_try].class)].aim;
+            if at <= self.day.first_tries[first_try].at + aim && self.first_tries[first_try].is_none() {
+                self.first_tries[first_try] = Some((at, inside));
             }
             return;
         }
@@ -1117,8 +1120,8 @@
         if std::mem::replace(&mut tried.retry_decided, true) {
             return;
         }
-        let (number, ended, root) = (tried.number, tried.ended, tried.root as usize);
-        let first = &self.day.roots[root];
+        let (number, ended, first_try) = (tried.number, tried.ended, tried.first_try as usize);
+        let first = &self.day.first_tries[first_try];
         let class = &self.day.classes[usize::from(first.class)];
         let harmless = matches!(ended, Ended::Refused | Ended::Unreachable);
         let more: f64 = self.active_troubles(Kind::ComeAgain).map(|t| t.size).sum();
@@ -1153,24 +1156,24 @@
             return Some(unsent_end(id, name.clone(), finished));
         };
         let id = id as u32;
-        let root = self.tries[id as usize].root as usize;
-        let customer = self.day.roots[root].customer as usize;
+        let first_try = self.tries[id as usize].first_try as usize;
+        let customer = self.day.first_tries[first_try].customer as usize;
         if self.tries[id as usize].inside.is_none() {
-            let (plan, held) = self.quota_store(root);
-            let inside = held >= 1.0 && (plan.open == 0 || self.stores[customer].1 < plan.open);
+            let (plan, held) = self.quota_store(first_try);
+            let inside = held >= 1.0 && (plan.open == 0 || self.buckets[customer].1 < plan.open);
             if inside {
-                self.stores[customer].0.held -= 1.0;
-                if let Some(store) = self.current_state.stores.get_mut(customer) {
-                    store.held -= 1.0;
+                self.buckets[customer].0.held -= 1.0;
+                if let Some(bucket) = self.current_state.buckets.get_mut(customer) {
+                    bucket.held -= 1.0;
                 }
             }
             let tried = &mut self.tries[id as usize];
             (tried.inside, tried.sent_on) = (Some(inside), trigger);
             self.judge.draw_from_ceiling(self.now, gateway, u64::from(id), customer, plan);
         }
-        self.stores[customer].1 += 1;
-        if let Some(store) = self.current_state.stores.get_mut(customer) {
-            store.out += 1;
+        self.buckets[customer].1 += 1;
+        if let Some(bucket) = self.current_state.buckets.get_mut(customer) {
+            bucket.out += 1;
         }
         if let Some(load) = self.current_state.loads.get_mut(backend) {
             *load += 0.5;
@@ -1188,8 +1191,8 @@
         let expired = before - idle.len();
         let pooled = idle.pop().is_some();
         self.servers[backend].connections = self.servers[backend].connections.saturating_sub(expired);
-        let noise = self.day.classes[usize::from(self.day.roots[root].class)].attempt_noise;
-        let work = self.day.roots[root].work * self.work.lognormal(noise);
+        let noise = self.day.classes[usize::from(self.day.first_tries[first_try].class)].attempt_noise;
+        let work = self.day.first_tries[first_try].work * self.work.lognormal(noise);
         let delay = self.latency(here, there);
         let partitioned = self.partitioned(here, there);
         let mut fails = None;
@@ -1230,7 +1233,7 @@
 
     fn attempt_arrives(&mut self, id: u32, number: u32) {
         let tried = &mut self.tries[id as usize];
-        let (gateway, root) = (tried.gateway, tried.root as usize);
+        let (gateway, first_try) = (tried.gateway, tried.first_try as usize);
         let attempt = &mut tried.attempts[number as usize];
         if attempt.end.is_some() {
             return;
@@ -1259,7 +1262,8 @@
             self.judge.end_cold_start(backend);
         } else {
             let start_known = self.knows_start(gateway, backend);
-            let load = BackendLoad { backend, work: self.day.roots[root].work, capacity, start_known };
+            let load =
+                BackendLoad { backend, work: self.day.first_tries[first_try].work, capacity, start_known };
             if self.judge.work_arrived(self.now, gateway, u64::from(id), &load) {
                 self.totals.cold_failures += 1;
                 self.stop_backend(backend, ProcessState::Down);
@@ -1519,10 +1523,10 @@
             let requested = &mut self.requested;
             let fade = (-(SAMPLE_INTERVAL as f64) / 1e6).exp();
             requested.iter_mut().for_each(|requested| *requested *= fade);
-            let rows = self.stores.iter_mut().zip(customers).zip(requested);
-            let stores = rows.map(|(((store, out), customer), requested)| {
+            let rows = self.buckets.iter_mut().zip(customers).zip(requested);
+            let buckets = rows.map(|(((bucket, out), customer), requested)| {
                 let plan = &plans[customer.plan];
-                let held = store.fill(self.now, plan.rate, plan.burst);
+                let held = bucket.fill(self.now, plan.rate, plan.burst);
                 TrueQuota { held, out: *out, requested: *requested }
             });
             let machine = &self.day.machine;
@@ -1532,7 +1536,7 @@
                 let capacity = server.capacity(now, machine) / server.slowness;
                 if usable { server.held() as f64 / capacity.max(1e-9) } else { f64::INFINITY }
             });
-            let state = TrueState { stores: stores.collect(), loads: loads.collect() };
+            let state = TrueState { buckets: buckets.collect(), loads: loads.collect() };
             self.past_states.push_back(std::mem::replace(&mut self.current_state, state));
             if self.past_states.len() > (DELAYED_VIEW_AGE / SAMPLE_INTERVAL) as usize {
                 self.past_states.pop_front();
--- a/emulator/tests/judge.rs
+++ b/emulator/tests/judge.rs
@@ -77,7 +77,7 @@
     assert!(!twice.is_empty());
     for id in twice {
         let tried = &record.tries[id as usize];
-        assert!(day.classes[usize::from(day.roots[tried.root as usize].class)].once);
+        assert!(day.classes[usize::from(day.first_tries[tried.first_try as usize].class)].once);
         assert!(tried.attempts.len() > 1);
     }
 }
@@ -137,7 +137,7 @@
         of_ceiling
             .inspect(|breach| {
                 let tried = &record.tries[breach.request.expect("a request") as usize];
-                let customer = &day.customers[day.roots[tried.root as usize].customer as usize];
+                let customer = &day.customers[day.first_tries[tried.first_try as usize].customer as usize];
                 assert!(day.settings.plans[customer.plan].ceiling_rate > 0.0);
             })
             .collect::<Vec<_>>()
--- a/emulator/tests/report.rs
+++ b/emulator/tests/report.rs
@@ -3,13 +3,13 @@
 mod helper;
 use fennelscale_lab::decider::Library;
 use fennelscale_lab::draw::Day;
-use fennelscale_lab::experiment::play;
+use fennelscale_lab::experiment::run_day;
 use fennelscale_lab::report::page;
 use fennelscale_lab::results::{Head, Results};
 use helper::*;
 
 fn results(names: &[&str], planned: usize) -> Results {
-    let mut row = play(&Day::draw(&small(""), 1), &Library);
+    let mut row = run_day(&Day::draw(&small(""), 1), &Library);
     row.books.plans.insert("<dear & odd>".into(), Default::default());
     let rows = names.iter().map(|name| {
         row.scenario = name.to_string();
--- a/emulator/tests/scenario.rs
+++ b/emulator/tests/scenario.rs
@@ -3,7 +3,7 @@
 mod helper;
 use fennelscale_lab::experiment::{Estimate, Plan, compare, run_into};
 use fennelscale_lab::results::{Head, Results, Writer};
-use fennelscale_lab::scenario::{SHIPPED, Scenario};
+use fennelscale_lab::scenario::{BUILT_IN, Scenario};
 use helper::*;
 use std::path::{Path, PathBuf};
 
@@ -56,7 +56,7 @@
     let missing = Scenario::load("no/such.toml").expect_err("missing").to_string();
     assert!(missing.starts_with("no/such.toml: "), "{missing}");
     let unknown = Scenario::load("kalm").expect_err("unknown").to_string();
-    assert!(unknown.contains("shipped are calm, roll"), "{unknown}");
+    assert!(unknown.contains("built-in scenarios are calm, roll"), "{unknown}");
     let long = Temporary::new("long.toml");
     let file = std::fs::File::create(&long.0).expect("a file");
     // Sparse: it takes no room.
@@ -67,7 +67,7 @@
 
 #[test]
 fn the_shipped_scenarios_can_be_used_and_say_what_they_are() {
-    for (name, text) in SHIPPED {
+    for (name, text) in BUILT_IN {
         let scenario = Scenario::load(name).expect(name);
         assert_eq!(scenario.name, name);
         let full_size = !name.starts_with("small") && name != "speed-30";
--- a/emulator/tests/world.rs
+++ b/emulator/tests/world.rs
@@ -5,7 +5,7 @@
 use fennelscale_lab::books::Gate;
 use fennelscale_lab::decider::{BASELINES, Decider, Library, Policy};
 use fennelscale_lab::draw::{Day, mix};
-use fennelscale_lab::experiment::{Plan, play as play_row, run};
+use fennelscale_lab::experiment::{Plan, run, run_day};
 use fennelscale_lab::world::{Ended, World};
 use helper::*;
 use std::cell::RefCell;
@@ -57,7 +57,7 @@
             assert!((classes - books.whole.offered).abs() < 1e-6);
             assert!((zones - books.whole.earned).abs() < 1e-6);
             assert!((seconds - books.whole.offered).abs() < 1e-6);
-            assert_eq!(record.served.len(), day.roots.len());
+            assert_eq!(record.served.len(), day.first_tries.len());
             // Each try that was sent on or refused unsent is in one row of the gate.
             let counted = |of: fn(&Gate) -> u64| books.gate.values().map(of).sum::<u64>() as usize;
             let sent = record.tries.iter().filter(|t| t.inside.is_some()).count();
@@ -82,7 +82,7 @@
     assert!(told.keys().any(|(_, life)| *life == 2), "one was to come back");
     // Each is fed alone, in another order of gateways: it does the same.
     for ((number, life), lines) in told.into_iter().rev() {
-        let zones = &day.scenario_of.site.net.zones;
+        let zones = &day.source.site.net.zones;
         let settings = Settings {
             gateway_index: number as u32,
             zone: zones[day.gateways[number]].as_str().into(),
@@ -173,7 +173,7 @@
     let day = Day::draw(&small(""), 1);
     let of = |name: &str| {
         let policy = BASELINES.iter().find(|policy| policy.name() == name).expect("a baseline");
-        play_row(&day, policy).books.g
+        run_day(&day, policy).books.g
     };
     assert!(of("sees-now") > of("sees-late") && of("sees-late") > of("all-in"));
 }
