--- a/emulator/build.rs
+++ b/emulator/build.rs
@@ -1,4 +1,4 @@
-//! Names the commit and the decisions that the program is built with, for the results it writes.
+//! Passes the commit and a digest of the library's sources to the program, which writes both into its results.
 
 use sha2::{Digest as _, Sha256};
 use std::path::{Path, PathBuf};
@@ -9,9 +9,9 @@
     Some(String::from_utf8_lossy(&out.stdout).trim().to_string())
 }
 
-fn files_below(folder: &Path, files: &mut Vec<PathBuf>) {
+fn collect_files(folder: &Path, files: &mut Vec<PathBuf>) {
     for path in std::fs::read_dir(folder).into_iter().flatten().flatten().map(|entry| entry.path()) {
-        if path.is_dir() { files_below(&path, files) } else { files.push(path) }
+        if path.is_dir() { collect_files(&path, files) } else { files.push(path) }
     }
 }
 
@@ -22,7 +22,7 @@
         println!("cargo::rerun-if-changed={head}");
     }
     let mut files = Vec::new();
-    files_below(decisions, &mut files);
+    collect_files(decisions, &mut files);
     files.sort();
     let mut sum = Sha256::new();
     for file in files {
@@ -31,7 +31,7 @@
     let digest: String = sum.finalize()[..8].iter().map(|byte| format!("{byte:02x}")).collect();
     let commit = git(&["rev-parse", "--short=12", "HEAD"]).unwrap_or_else(|| "unknown".into());
     let changed = git(&["status", "--porcelain", "--", "../src"]).is_some_and(|text| !text.is_empty());
-    let mark = if changed { "+changes" } else { "" };
-    println!("cargo::rustc-env=LAB_COMMIT={commit}{mark}");
+    let suffix = if changed { "+changes" } else { "" };
+    println!("cargo::rustc-env=LAB_COMMIT={commit}{suffix}");
     println!("cargo::rustc-env=LAB_DECISIONS={digest}");
 }
--- a/emulator/examples/relay_cost.rs
+++ b/emulator/examples/relay_cost.rs
@@ -1,5 +1,5 @@
-//! What a relay of the trials adds to a round trip: pairs of a direct one and one through a relay, one after the
-//! other, and the quantiles of both.
+//! Measures what a relay of the trials adds to a round trip. Direct and relayed round trips alternate; the output
+//! is the median and the 99th percentile of both.
 
 use fennelscale_lab::trial::relay::{Net, Party};
 use std::net::SocketAddr;
@@ -7,13 +7,13 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
-const TRIPS: usize = 20_000;
+const ROUND_TRIPS: usize = 20_000;
 
-async fn trip(stream: &mut TcpStream) -> std::io::Result<f64> {
-    let begun = Instant::now();
+async fn round_trip(stream: &mut TcpStream) -> std::io::Result<f64> {
+    let started = Instant::now();
     stream.write_all(&[1; 200]).await?;
     stream.read_exact(&mut [0; 200]).await?;
-    Ok(begun.elapsed().as_secs_f64() * 1e6)
+    Ok(started.elapsed().as_secs_f64() * 1e6)
 }
 
 #[tokio::main]
@@ -34,15 +34,15 @@
     let (mut direct, mut through) = (TcpStream::connect(target).await?, TcpStream::connect(relayed).await?);
     direct.set_nodelay(true)?;
     through.set_nodelay(true)?;
-    let (mut alone, mut with) = (Vec::new(), Vec::new());
-    for _ in 0..TRIPS {
-        alone.push(trip(&mut direct).await?);
-        with.push(trip(&mut through).await?);
+    let (mut direct_times, mut relayed_times) = (Vec::new(), Vec::new());
+    for _ in 0..ROUND_TRIPS {
+        direct_times.push(round_trip(&mut direct).await?);
+        relayed_times.push(round_trip(&mut through).await?);
     }
-    for (name, times) in [("direct", &mut alone), ("through a relay", &mut with)] {
+    for (name, times) in [("direct", &mut direct_times), ("through a relay", &mut relayed_times)] {
         times.sort_by(f64::total_cmp);
         let at = |share: f64| times[(times.len() as f64 * share) as usize];
-        println!("{name}: {:.0} us at the median, {:.0} us at the 99th of {TRIPS}", at(0.5), at(0.99));
+        println!("{name}: {:.0} us at the median, {:.0} us at the 99th of {ROUND_TRIPS}", at(0.5), at(0.99));
     }
     Ok(())
 }
--- a/emulator/tests/helper/mod.rs
+++ b/emulator/tests/helper/mod.rs
@@ -1,4 +1,4 @@
-//! Small days, and gateways that do what a test tells them.
+//! Small simulated days, and gateways whose actions a test modifies.
 #![allow(dead_code)]
 
 use doorcourse::{Action, Event, Millis, Settings, SettingsError};
@@ -10,44 +10,44 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// The head of a scenario of a few machines and 8 s; troubles follow.
+/// The head of a scenario with a few machines and 8 s; tests append troubles.
 pub const SMALL: &str =
     "name = \"test\"\ngateways = 3\nbackends = [8, 10]\nlength_s = 8\npace = 0.5\nrates = 1.6\n";
 
-/// A scenario of a few machines with these troubles.
+/// A scenario with a few machines and these troubles.
 pub fn small(troubles: &str) -> Arc<Scenario> {
     let text = format!("{SMALL}{troubles}");
-    Arc::new(Scenario::parse("test.toml", &text, Path::new("")).expect("a usable scenario"))
+    Arc::new(Scenario::parse("test.toml", &text, Path::new("")).expect("the scenario is valid"))
 }
 
-/// A day's record and its books.
+/// Simulates a day and returns its record and books.
 pub fn play(day: &Day, policy: &dyn Policy) -> (Record, Books) {
     let record = World::new(day, policy).run();
     let books = Books::close(day, &record);
     (record, books)
 }
 
-/// What a twisted gateway does after the honest one has acted.
-pub type Twist = fn(Millis, &Event, &mut Vec<Action>);
+/// Modifies the actions that a gateway has returned for an event.
+pub type ModifyActions = fn(Millis, &Event, &mut Vec<Action>);
 
-/// The honest decisions, with their actions twisted.
-pub struct Twisted(pub Twist);
+/// The library's policy, with modified actions.
+pub struct Modified(pub ModifyActions);
 
-struct TwistedGateway(doorcourse::Gateway, Twist);
+struct ModifiedDecider(doorcourse::Gateway, ModifyActions);
 
-impl Decider for TwistedGateway {
+impl Decider for ModifiedDecider {
     fn handle(&mut self, now: Millis, event: Event, _: &TrueStateView<'_>, out: &mut Vec<Action>) {
         self.0.handle(now, event.clone(), out);
         (self.1)(now, &event, out);
     }
 }
 
-impl Policy for Twisted {
+impl Policy for Modified {
     fn name(&self) -> &str {
-        "twisted"
+        "modified"
     }
 
     fn start(&self, settings: Settings, seed: u64) -> Result<Box<dyn Decider>, SettingsError> {
-        Ok(Box::new(TwistedGateway(doorcourse::Gateway::new(settings, seed)?, self.0)))
+        Ok(Box::new(ModifiedDecider(doorcourse::Gateway::new(settings, seed)?, self.0)))
     }
 }
--- a/emulator/tests/judge.rs
+++ b/emulator/tests/judge.rs
@@ -1,4 +1,4 @@
-//! The judge catches a module that breaks a rule, names the request, and accuses no honest one.
+//! The judge detects a gateway that breaks a rule, names the request, and reports no breach for the library's policy.
 
 mod helper;
 use doorcourse::{Action, Event, Millis, Outcome};
@@ -9,20 +9,20 @@
 use rayon::prelude::*;
 use std::collections::BTreeSet;
 
-fn breaches(twist: Twist, troubles: &str) -> Vec<Breach> {
+fn breaches(modify: ModifyActions, troubles: &str) -> Vec<Breach> {
     let day = Day::draw(&small(troubles), 1);
-    play(&day, &Twisted(twist)).0.judge.breaches
+    play(&day, &Modified(modify)).0.judge.breaches
 }
 
-/// The requests that a rule's breaks name; there is at least one, and no other rule is broken.
-fn named(breaches: &[Breach], rule: Rule) -> BTreeSet<u64> {
-    assert!(!breaches.is_empty(), "nobody saw it");
+/// The requests named by the breaches. Requires at least one breach and no breach of another rule.
+fn breached_requests(breaches: &[Breach], rule: Rule) -> BTreeSet<u64> {
+    assert!(!breaches.is_empty(), "no breach was detected");
     assert!(breaches.iter().all(|b| b.rule == rule), "{breaches:?}");
     breaches.iter().filter_map(|b| b.request).collect()
 }
 
 #[test]
-fn an_honest_module_is_never_accused_over_two_hundred_days() {
+fn the_library_policy_breaks_no_rule_on_two_hundred_days() {
     let troubles = "[[trouble]]\nkind = \"gateway-crash\"\nfor_s = [1, 2]\npart = 0.4\nchance = 0.5\n\
         [[trouble]]\nkind = \"gateway-roll\"\nfor_s = [1, 3]\nchance = 0.3\n\
         [[trouble]]\nkind = \"replace\"\nfor_s = [1, 3]\npart = 0.4\nchance = 0.5\n\
@@ -33,31 +33,31 @@
         [[trouble]]\nkind = \"answers-lost\"\nfor_s = [2, 5]\nsize = 0.03\nchance = 0.5\n\
         [[trouble]]\nkind = \"silent\"\nfor_s = [1, 2]\npart = 0.2\nchance = 0.5\n";
     let scenario = small(troubles);
-    let accused: Vec<String> = (0..200u64)
+    let reported: Vec<String> = (0..200u64)
         .into_par_iter()
         .flat_map_iter(|seed| {
             let (record, _) = play(&Day::draw(&scenario, seed), &Library);
-            assert!(record.totals.attempts > 50, "seed {seed} sent nothing");
+            assert!(record.totals.attempts > 50, "seed {seed} sent too few attempts");
             record.judge.breaches.into_iter().map(move |breach| format!("seed {seed}: {breach:?}"))
         })
         .collect();
-    assert_eq!(accused, Vec::<String>::new());
+    assert_eq!(reported, Vec::<String>::new());
 }
 
 #[test]
-fn who_swallows_answers_loses_requests() {
-    // Every request whose number ends in 7 gets no refusal.
+fn a_missing_final_answer_is_detected() {
+    // Drops the refusal of every request whose number ends in 7.
     let found =
         breaches(|_, _, out| out.retain(|a| !matches!(a, Action::Refuse { id, .. } if id % 10 == 7)), "");
-    let requests = named(&found, Rule::Lost);
+    let requests = breached_requests(&found, Rule::Lost);
     assert!(requests.iter().all(|id| id % 10 == 7), "{requests:?}");
 }
 
 #[test]
-fn who_repeats_what_may_have_run_is_caught() {
-    let twist: Twist = |_, event, out| {
+fn a_repeat_of_a_request_that_may_have_run_is_detected() {
+    let modify: ModifyActions = |_, event, out| {
         let Event::AttemptEnded(end) = event else { return };
-        // An error may have run; the honest module fails it.
+        // An attempt that ended in an error may have run; the library fails such a request.
         if end.outcome == Outcome::Error && out.iter().any(|a| matches!(a, Action::Fail { .. })) {
             out.retain(|a| !matches!(a, Action::Fail { .. }));
             let (id, backend) = (end.id, end.backend.clone());
@@ -66,28 +66,28 @@
     };
     let failing = "[[trouble]]\nkind = \"fast-errors\"\nfrom_s = 1\nfor_s = 5\npart = 1\nsize = 0.3\n";
     let day = Day::draw(&small(failing), 1);
-    let (record, _) = play(&day, &Twisted(twist));
-    let twice: BTreeSet<u64> = record
+    let (record, _) = play(&day, &Modified(modify));
+    let repeated: BTreeSet<u64> = record
         .judge
         .breaches
         .iter()
         .filter(|b| b.rule == Rule::Duplicate)
         .filter_map(|b| b.request)
         .collect();
-    assert!(!twice.is_empty());
-    for id in twice {
+    assert!(!repeated.is_empty());
+    for id in repeated {
         let tried = &record.tries[id as usize];
         assert!(day.classes[usize::from(day.first_tries[tried.first_try as usize].class)].once);
         assert!(tried.attempts.len() > 1);
     }
 }
 
-/// Sends to whatever it has ever heard of, whatever the list says of it now.
-struct Deaf;
+/// Sends to any backend that was ever listed and ignores later changes of the list.
+struct IgnoresChanges;
 
-struct DeafGateway(Vec<doorcourse::Name>);
+struct IgnoresChangesDecider(Vec<doorcourse::Name>);
 
-impl Decider for DeafGateway {
+impl Decider for IgnoresChangesDecider {
     fn handle(&mut self, _: Millis, event: Event, _: &TrueStateView<'_>, out: &mut Vec<Action>) {
         match event {
             Event::BackendList(list) => self.0.extend(list.into_iter().map(|entry| entry.name)),
@@ -101,56 +101,56 @@
     }
 }
 
-impl Policy for Deaf {
+impl Policy for IgnoresChanges {
     fn name(&self) -> &str {
-        "deaf"
+        "ignores-changes"
     }
 
     fn start(&self, _: doorcourse::Settings, _: u64) -> Result<Box<dyn Decider>, doorcourse::SettingsError> {
-        Ok(Box::new(DeafGateway(Vec::new())))
+        Ok(Box::new(IgnoresChangesDecider(Vec::new())))
     }
 }
 
 #[test]
-fn who_goes_on_sending_to_a_draining_backend_is_caught() {
+fn sends_to_a_draining_backend_are_detected() {
     let day = Day::draw(&small("[[trouble]]\nkind = \"replace\"\nfrom_s = 1\nfor_s = 0.5\npart = 0.3\n"), 1);
-    let (record, _) = play(&day, &Deaf);
+    let (record, _) = play(&day, &IgnoresChanges);
     let drains: Vec<_> = record.judge.breaches.iter().filter(|b| b.rule == Rule::Drain).collect();
     assert!(!drains.is_empty());
     for breach in drains {
-        let tried = &record.tries[breach.request.expect("a request") as usize];
+        let tried = &record.tries[breach.request.expect("the breach names a request") as usize];
         let backend = &day.backends[tried.attempts[0].backend];
-        let (from, _) = backend.drains.expect("one that drains");
+        let (from, _) = backend.drains.expect("the backend drains");
         assert!(breach.at * 1000.0 > from as f64 + 2_000_000.0, "{breach:?}");
     }
 }
 
 #[test]
-fn who_lets_everything_in_passes_ceilings() {
+fn admitting_all_requests_exceeds_ceilings() {
     let troubles = "[[trouble]]\nkind = \"hot-customer\"\nfrom_s = 1\nfor_s = 6\nsize = 0.3\n";
     let scenario = small(troubles);
     let all_in = &BASELINES[0];
-    let passed = (0..8).flat_map(|seed| {
+    let breaches_of_ceilings = (0..8).flat_map(|seed| {
         let day = Day::draw(&scenario, seed);
         let (record, _) = play(&day, all_in);
         let of_ceiling = record.judge.breaches.into_iter().filter(|b| b.rule == Rule::Ceiling);
         of_ceiling
             .inspect(|breach| {
-                let tried = &record.tries[breach.request.expect("a request") as usize];
+                let tried = &record.tries[breach.request.expect("the breach names a request") as usize];
                 let customer = &day.customers[day.first_tries[tried.first_try as usize].customer as usize];
                 assert!(day.settings.plans[customer.plan].ceiling_rate > 0.0);
             })
             .collect::<Vec<_>>()
     });
-    assert!(passed.count() > 0);
+    assert!(breaches_of_ceilings.count() > 0);
 }
 
-/// Sends everything to one backend as soon as it has heard that this one started anew.
-struct Crush;
+/// Sends everything to one backend as soon as the list reports its restart.
+struct OverloadsRestarted;
 
-struct CrushGateway(Vec<doorcourse::Name>, Option<doorcourse::Name>);
+struct OverloadsRestartedDecider(Vec<doorcourse::Name>, Option<doorcourse::Name>);
 
-impl Decider for CrushGateway {
+impl Decider for OverloadsRestartedDecider {
     fn handle(&mut self, _: Millis, event: Event, _: &TrueStateView<'_>, out: &mut Vec<Action>) {
         match event {
             Event::BackendList(list) | Event::BackendChanges(list) => {
@@ -172,33 +172,33 @@
     }
 }
 
-impl Policy for Crush {
+impl Policy for OverloadsRestarted {
     fn name(&self) -> &str {
-        "crush"
+        "overloads-restarted"
     }
 
     fn start(&self, _: doorcourse::Settings, _: u64) -> Result<Box<dyn Decider>, doorcourse::SettingsError> {
-        Ok(Box::new(CrushGateway(Vec::new(), None)))
+        Ok(Box::new(OverloadsRestartedDecider(Vec::new(), None)))
     }
 }
 
 #[test]
-fn who_crushes_a_cold_backend_is_caught() {
+fn overload_of_a_cold_backend_is_detected() {
     let day = Day::draw(&small("[[trouble]]\nkind = \"replace\"\nfrom_s = 1\nfor_s = 0.5\npart = 0.1\n"), 1);
-    let (record, _) = play(&day, &Crush);
+    let (record, _) = play(&day, &OverloadsRestarted);
     let falls: Vec<_> = record.judge.breaches.iter().filter(|b| b.rule == Rule::Fall).collect();
     assert!(!falls.is_empty());
     assert_eq!(record.totals.cold_failures, falls.len() as u64);
     for breach in falls {
-        let tried = &record.tries[breach.request.expect("a request") as usize];
-        let backend = tried.attempts.last().expect("an attempt").backend;
+        let tried = &record.tries[breach.request.expect("the breach names a request") as usize];
+        let backend = tried.attempts.last().expect("the try has an attempt").backend;
         assert!(day.backends[backend].starts.is_some());
     }
 }
 
 #[test]
-fn actions_that_the_interface_does_not_allow_are_named() {
-    let twists: [(Twist, &str); 5] = [
+fn protocol_violations_are_described() {
+    let cases: [(ModifyActions, &str); 5] = [
         (
             |_, event, out| {
                 if let Event::Request(arrival) = event {
@@ -213,8 +213,8 @@
         (|_, _, out| out.push(Action::AddToCounter { name: 1 << 63, amount: 1.0, ttl: 10.0 }), "counter"),
         (|_, _, out| out.push(Action::SetTimer { after: f64::NAN, token: 0 }), "timer"),
     ];
-    for (twist, what) in twists {
-        let found = breaches(twist, "");
+    for (modify, what) in cases {
+        let found = breaches(modify, "");
         assert!(found.iter().any(|b| b.rule == Rule::Protocol && b.what.contains(what)), "{what}: {found:?}");
     }
 }
--- a/emulator/tests/report.rs
+++ b/emulator/tests/report.rs
@@ -1,4 +1,4 @@
-//! The page about results shows every scenario with its plots, and what is missing.
+//! The page about results shows every scenario with its plots, and how many days are missing.
 
 mod helper;
 use fennelscale_lab::decider::Library;
@@ -19,11 +19,11 @@
 }
 
 #[test]
-fn every_scenario_has_its_plots_and_its_line() {
+fn every_scenario_has_its_plots_and_its_table_row() {
     let new = results(&["calm", "a<b"], 2);
-    let html = page(&new, None).expect("a page");
+    let html = page(&new, None).expect("the page is rendered");
     assert_eq!(html.matches("<h2 ").count(), 2);
-    // Worth, tries, machines, refusals, plans, classes, zones, waterfall.
+    // Plots: worth, tries, machines, refusals, plans, classes, zones, waterfall.
     assert_eq!(html.matches("<svg ").count(), 2 * 8);
     assert!(html.contains(&format!("<td>{:.3}<td>-", new.rows[0].books.g)));
     assert!(html.contains("a&lt;b") && !html.contains("a<b") && !html.contains("<dear"));
@@ -34,11 +34,11 @@
 }
 
 #[test]
-fn older_results_stand_beside_and_what_is_missing_is_told() {
+fn older_results_and_missing_days_are_shown() {
     let (new, old) = (results(&["calm", "herd"], 5), results(&["calm"], 1));
-    let html = page(&new, Some(&old)).expect("a page");
+    let html = page(&new, Some(&old)).expect("the page is rendered");
     assert!(html.contains("3 of 5 days are missing"));
-    // The waterfall stands twice where there are older days, and once where there are none.
+    // With older days there are two waterfalls, otherwise one.
     assert_eq!(html.matches("<svg ").count(), 9 + 8);
     assert!(html.contains("earned, old") && html.contains("<td>-</table>"));
 }
