--- a/emulator/src/judge.rs
+++ b/emulator/src/judge.rs
@@ -167,7 +167,7 @@
                 gateway,
                 Some(request),
                 Rule::Protocol,
-                "sent to a backend that is in no list".into(),
+                "sent to a backend of no list".into(),
             );
             return false;
         };
@@ -187,7 +187,7 @@
                 gateway,
                 Some(request),
                 Rule::Lost,
-                "sent a request that it had already ended".into(),
+                "sent a request that it had ended".into(),
             );
             return false;
         }
@@ -203,8 +203,7 @@
         }
         let grace = crate::draw::micros(self.rules.drain_grace_ms);
         if let Some(since) = self.unusable.get(&(gateway, backend)).filter(|since| at > **since + grace) {
-            let what =
-                format!("sent to backend {backend} {} ms after the gateway was notified", millis(at - since));
+            let what = format!("sent to backend {backend} {} ms after it was told", millis(at - since));
             self.record_breach(at, gateway, Some(request), Rule::Drain, what);
         }
         true
@@ -266,7 +265,7 @@
         let usage = (plan.ceiling_burst - held) / (plan.ceiling_burst + slack);
         self.nearest_to_ceiling = self.nearest_to_ceiling.max(usage);
         if held < -slack - 1e-9 {
-            let what = format!("customer {customer}'s ceiling bucket at {held:.2}, {:.2} allowed", -slack);
+            let what = format!("customer {customer}'s ceiling store at {held:.2}, {:.2} allowed", -slack);
             self.record_breach(at, gateway, Some(request), Rule::Ceiling, what);
         }
     }
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -893,7 +893,7 @@
                 let known = self.tries.get(id as usize).filter(|t| t.gateway == gateway);
                 match known.and_then(|t| t.attempts.get(attempt as usize)) {
                     None => {
-                        let what = "cancelled an attempt that was never made".into();
+                        let what = "called off an attempt that was never made".into();
                         self.judge.record_breach(now, gateway, Some(id), Rule::Protocol, what);
                     }
                     Some(attempt_of) if attempt_of.end.is_none() => {
@@ -1424,7 +1424,7 @@
 
     fn call_counter(&mut self, gateway: usize, name: u64, amount: f64, ttl: f64) {
         if name >= 1 << 63 || !amount.is_finite() || amount.abs() > 1e9 || ttl.is_nan() || ttl < 1.0 {
-            let what = format!("invalid counter call: name {name}, amount {amount}, ttl {ttl}");
+            let what = format!("asked the counter for {name} {amount} {ttl}");
             return self.judge.record_breach(self.now, gateway, None, Rule::Protocol, what);
         }
         self.totals.calls += 1;
