--- a/emulator/src/books.rs
+++ b/emulator/src/books.rs
@@ -195,8 +195,8 @@
         let goal = &day.source.site.goal;
         let site = &day.source.site;
         let mut by_first_try: Vec<Vec<u32>> = vec![Vec::new(); day.first_tries.len()];
-        for (id, tried) in record.tries.iter().enumerate() {
-            by_first_try[tried.first_try as usize].push(id as u32);
+        for (id, client_try) in record.tries.iter().enumerate() {
+            by_first_try[client_try.first_try as usize].push(id as u32);
         }
         let window = (goal.window_s * 1e6) as Micros;
         let second = 1_000_000;
@@ -217,9 +217,10 @@
             let earned = served
                 .map_or(0.0, |(_, inside)| first_try.worth * if inside { 1.0 } else { plan.over_worth });
             for id in tries {
-                let tried = &record.tries[*id as usize];
-                over_cost += if tried.inside == Some(false) { plan.over_cost * first_try.worth } else { 0.0 };
-                held_back += first_try.worth * f64::from(u8::from(was_held_back(tried)));
+                let client_try = &record.tries[*id as usize];
+                over_cost +=
+                    if client_try.inside == Some(false) { plan.over_cost * first_try.worth } else { 0.0 };
+                held_back += first_try.worth * f64::from(u8::from(was_held_back(client_try)));
             }
             let class = &day.classes[usize::from(first_try.class)];
             let ended = tries.last().map(|id| &record.tries[*id as usize]);
@@ -240,53 +241,53 @@
                 *lost.entry(cause).or_default() += offered - earned;
             }
         }
-        for tried in &record.tries {
-            if let Some(at) = by_second.get_mut((tried.sent / second) as usize) {
+        for client_try in &record.tries {
+            if let Some(at) = by_second.get_mut((client_try.sent / second) as usize) {
                 at.tries += 1;
-                at.refused += u32::from(tried.ended == Ended::Refused);
+                at.refused += u32::from(client_try.ended == Ended::Refused);
             }
         }
 
         let offered = whole.offered.max(1e-9);
-        let first = day.first_tries.len().max(1) as f64;
+        let first_try_count = day.first_tries.len().max(1) as f64;
         let work: f64 = day.first_tries.iter().map(|first_try| first_try.work).sum::<f64>().max(1e-9);
         let totals = &record.totals;
         let prices = BTreeMap::from([
             (Price::OverQuota, over_cost / offered),
-            (Price::CrossZone, site.prices.cross_zone * totals.crossings as f64 / first),
+            (Price::CrossZone, site.prices.cross_zone * totals.cross_zone_attempts as f64 / first_try_count),
             (Price::Waste, site.prices.waste * totals.wasted / work),
-            (Price::Probe, site.prices.probe * totals.probes as f64 / first),
+            (Price::Probe, site.prices.probe * totals.probes as f64 / first_try_count),
             (Price::LateFail, site.prices.late_fail * late_fail / offered),
-            (Price::Counter, site.prices.counter * totals.calls as f64 / first),
-            (Price::Handshake, site.prices.handshake * totals.handshakes as f64 / first),
+            (Price::Counter, site.prices.counter * totals.calls as f64 / first_try_count),
+            (Price::Handshake, site.prices.handshake * totals.handshakes as f64 / first_try_count),
             (Price::HeldBack, site.prices.held_back * held_back / offered),
         ]);
         let share = whole.share();
         let worst_window = worst_window(&by_second, (window / second) as usize);
         let worst_plan = plans.iter().map(Worth::share).fold(share, f64::min);
-        let all = goal.whole + goal.worst_window + goal.worst_plan;
+        let weight_sum = goal.whole + goal.worst_window + goal.worst_plan;
         let gross = goal.whole * share + goal.worst_window * worst_window.0 + goal.worst_plan * worst_plan;
-        let taken: f64 = prices.values().sum();
+        let price_sum: f64 = prices.values().sum();
         let losses: BTreeMap<Cause, f64> =
-            lost.iter().map(|(cause, worth)| (*cause, all * worth / offered)).collect();
-        let booked: f64 = losses.values().sum();
+            lost.iter().map(|(cause, worth)| (*cause, weight_sum * worth / offered)).collect();
+        let cause_sum: f64 = losses.values().sum();
         let named = |parts: Vec<Worth>, names: Vec<String>| names.into_iter().zip(parts).collect();
         let plan_names = day.settings.plans.iter().map(|p| p.name.to_string()).collect();
         let class_names = day.classes.iter().map(|c| c.name.to_string()).collect();
         let mut refusals = BTreeMap::new();
-        for tried in record.tries.iter().filter(|t| t.ended == Ended::Refused) {
-            let trigger = tried.closed.map_or(Trigger::Other, |(_, trigger)| trigger);
+        for client_try in record.tries.iter().filter(|t| t.ended == Ended::Refused) {
+            let trigger = client_try.closed.map_or(Trigger::Other, |(_, trigger)| trigger);
             *refusals.entry(format!("{trigger:?}")).or_default() += 1;
         }
         Self {
-            g: gross - taken,
+            g: gross - price_sum,
             whole,
             worst_window,
             worst_plan,
             plans: named(plans, plan_names),
             classes: named(classes, class_names),
             zones: named(zones, site.net.zones.clone()),
-            beyond_offer: all * (1.0 - share) - booked + (1.0 - all),
+            beyond_offer: weight_sum * (1.0 - share) - cause_sum + (1.0 - weight_sum),
             losses,
             uneven_time: goal.worst_window * (share - worst_window.0),
             uneven_plans: goal.worst_plan * (share - worst_plan),
@@ -300,16 +301,17 @@
 }
 
 /// Whether a try was answered unsent after more than half of its time.
-fn was_held_back(tried: &Try) -> bool {
-    let answered = matches!(tried.ended, Ended::Refused | Ended::Failed) && tried.attempts.is_empty();
-    let time = tried.gives_up.saturating_sub(tried.sent);
-    answered && tried.closed.is_some_and(|(at, _)| (at - tried.sent) * 2 > time)
+fn was_held_back(client_try: &Try) -> bool {
+    let answered =
+        matches!(client_try.ended, Ended::Refused | Ended::Failed) && client_try.attempts.is_empty();
+    let time = client_try.patience_ends.saturating_sub(client_try.sent);
+    answered && client_try.closed.is_some_and(|(at, _)| (at - client_try.sent) * 2 > time)
 }
 
 fn worst_window(seconds: &[Second], length: usize) -> (f64, f64) {
     let mut worst = (f64::INFINITY, 0.0);
-    let most = seconds.len().saturating_sub(length);
-    for from in 0..=most {
+    let last_start = seconds.len().saturating_sub(length);
+    for from in 0..=last_start {
         let mut part = Worth::default();
         seconds[from..].iter().take(length).for_each(|s| part.add(s.part.offered, s.part.earned));
         if part.share() < worst.0 {
@@ -325,13 +327,13 @@
         return Cause::SentBeyond;
     }
     let aim = first_try.at + day.classes[usize::from(first_try.class)].aim;
-    let timely = |tried: &&Try| tried.closed.map_or(tried.sent, |(at, _)| at) <= aim;
+    let in_time = |client_try: &&Try| client_try.closed.map_or(client_try.sent, |(at, _)| at) <= aim;
     let of = |id: &u32| &record.tries[*id as usize];
-    let last = tries.iter().map(of).rev().find(|tried| tried.sent <= aim);
+    let last = tries.iter().map(of).rev().find(|client_try| client_try.sent <= aim);
     let Some(last) = last else { return Cause::Other };
-    if last.number > 0 && !timely(&last) && last.closed.is_some() {
+    if last.number > 0 && !in_time(&last) && last.closed.is_some() {
         // The retry came too late: the cause is the end of the try before, unless a backend ended it.
-        let before = tries.iter().map(of).rev().find(|tried| tried.number + 1 == last.number);
+        let before = tries.iter().map(of).rev().find(|client_try| client_try.number + 1 == last.number);
         if matches!(last.ended, Ended::Served(_)) && before.is_some_and(|t| t.attempts.is_empty()) {
             return Cause::CameTooLate;
         }
@@ -342,9 +344,9 @@
             attempt_cause(last)
         }
         Ended::Served(_) => {
-            let held = last.attempts.first().map_or(0, |a| a.sent.saturating_sub(last.sent));
-            let whole = last.closed.map_or(0, |(at, _)| at.saturating_sub(last.sent));
-            if held * 2 > whole {
+            let hold_time = last.attempts.first().map_or(0, |a| a.sent.saturating_sub(last.sent));
+            let answer_time = last.closed.map_or(0, |(at, _)| at.saturating_sub(last.sent));
+            if hold_time * 2 > answer_time {
                 Cause::HeldTooLong
             } else if last.attempts.len() > 1 {
                 attempt_cause(last)
@@ -367,14 +369,14 @@
 }
 
 /// The cause of the first attempt that failed.
-fn attempt_cause(tried: &Try) -> Cause {
-    let ends = tried.attempts.iter().filter_map(|attempt| attempt.end);
+fn attempt_cause(client_try: &Try) -> Cause {
+    let ends = client_try.attempts.iter().filter_map(|attempt| attempt.end);
     match ends.map(|(_, outcome)| outcome).find(|outcome| *outcome != Outcome::Served) {
         Some(Outcome::Error) => Cause::BackendFailed,
         Some(Outcome::Full) => Cause::BackendFull,
         Some(Outcome::ConnectFailed | Outcome::Broken) => Cause::BackendGone,
         Some(Outcome::TimedOut) => Cause::AttemptLost,
-        Some(Outcome::CalledOff) if tried.ended == Ended::Left => Cause::ClientGaveUp,
+        Some(Outcome::CalledOff) if client_try.ended == Ended::Left => Cause::ClientGaveUp,
         Some(Outcome::CalledOff) => Cause::BackendSlow,
         _ => Cause::Other,
     }
@@ -382,13 +384,13 @@
 
 fn gate(day: &Day, record: &Record) -> BTreeMap<String, Gate> {
     let mut all: BTreeMap<String, Gate> = BTreeMap::new();
-    for tried in &record.tries {
-        let plan = day.customers[day.first_tries[tried.first_try as usize].customer as usize].plan;
-        let order = if tried.number == 0 { "first" } else { "repeat" };
-        let (_, closed_on) = tried.closed.unwrap_or_default();
-        let trigger = if tried.inside.is_some() { tried.sent_on } else { closed_on };
+    for client_try in &record.tries {
+        let plan = day.customers[day.first_tries[client_try.first_try as usize].customer as usize].plan;
+        let order = if client_try.number == 0 { "first" } else { "repeat" };
+        let (_, closed_on) = client_try.closed.unwrap_or_default();
+        let trigger = if client_try.inside.is_some() { client_try.send_trigger } else { closed_on };
         let name = || format!("{} {order} {trigger:?}", day.settings.plans[plan].name);
-        match (tried.inside, tried.ended, tried.bucket) {
+        match (client_try.inside, client_try.ended, client_try.bucket) {
             (Some(true), ..) => all.entry(name()).or_default().inside += 1,
             (Some(false), ..) => all.entry(name()).or_default().beyond += 1,
             (None, Ended::Refused, Some((held, open))) if held >= 1.0 && open => {
@@ -404,21 +406,24 @@
 fn figures(day: &Day, record: &Record) -> Figures {
     let tries = record.tries.len().max(1) as f64;
     let refused = record.tries.iter().filter(|t| t.ended == Ended::Refused);
-    let plan_of =
-        |tried: &Try| day.customers[day.first_tries[tried.first_try as usize].customer as usize].plan;
-    let half = |tried: &Try| {
-        let plan = &day.settings.plans[plan_of(tried)];
-        tried.bucket.is_some_and(|(held, open)| held >= plan.burst / 2.0 && open)
+    let plan_of = |client_try: &Try| {
+        day.customers[day.first_tries[client_try.first_try as usize].customer as usize].plan
+    };
+    let half_unused = |client_try: &Try| {
+        let plan = &day.settings.plans[plan_of(client_try)];
+        client_try.bucket.is_some_and(|(held, open)| held >= plan.burst / 2.0 && open)
     };
     let sent = record.tries.iter().filter(|t| t.inside.is_some()).count();
     let beyond = record.tries.iter().filter(|t| t.inside == Some(false)).count();
     let prices: Vec<f64> = day.settings.plans.iter().map(|p| p.price).collect();
-    let dear = (0..prices.len()).max_by(|a, b| prices[*a].total_cmp(&prices[*b])).unwrap_or(0);
-    let cheap = (0..prices.len()).min_by(|a, b| prices[*a].total_cmp(&prices[*b])).unwrap_or(0);
+    let highest_price_plan = (0..prices.len()).max_by(|a, b| prices[*a].total_cmp(&prices[*b])).unwrap_or(0);
+    let lowest_price_plan = (0..prices.len()).min_by(|a, b| prices[*a].total_cmp(&prices[*b])).unwrap_or(0);
     let shed = |plan: usize| {
-        let with_room = |tried: &&Try| plan_of(tried) == plan && (tried.inside == Some(true) || half(tried));
+        let with_room = |client_try: &&Try| {
+            plan_of(client_try) == plan && (client_try.inside == Some(true) || half_unused(client_try))
+        };
         let all = record.tries.iter().filter(with_room).count();
-        let refused = record.tries.iter().filter(|t| plan_of(t) == plan && half(t)).count();
+        let refused = record.tries.iter().filter(|t| plan_of(t) == plan && half_unused(t)).count();
         refused as f64 / all.max(1) as f64
     };
     let mut times: Vec<Micros> = record
@@ -427,7 +432,7 @@
         .filter_map(|t| if let Ended::Served(at) = t.ended { Some(at - t.sent) } else { None })
         .collect();
     times.sort_unstable();
-    let at = |share: f64| {
+    let percentile = |share: f64| {
         let place = (times.len() as f64 * share) as usize;
         times.get(place.min(times.len().saturating_sub(1))).copied().map_or(0.0, millis)
     };
@@ -437,17 +442,17 @@
     Figures {
         tries: tries / day.first_tries.len().max(1) as f64,
         refused: refused.count() as f64 / tries,
-        refused_with_room: record.tries.iter().filter(|t| half(t)).count() as f64 / tries,
+        refused_with_room: record.tries.iter().filter(|t| half_unused(t)).count() as f64 / tries,
         beyond: beyond as f64 / sent.max(1) as f64,
         calls: totals.calls as f64 / tries,
         calls_unanswered: totals.calls_unanswered as f64 / totals.calls.max(1) as f64,
         attempts: attempts as f64 / tries,
-        vain: totals.vain as f64 / length,
-        same_zone: 1.0 - totals.crossings as f64 / attempts.max(1) as f64,
-        shed_dear: shed(dear),
-        shed_cheap: shed(cheap),
+        vain: totals.unreachable_connects as f64 / length,
+        same_zone: 1.0 - totals.cross_zone_attempts as f64 / attempts.max(1) as f64,
+        shed_dear: shed(highest_price_plan),
+        shed_cheap: shed(lowest_price_plan),
         nearest_to_ceiling: record.judge.nearest_to_ceiling,
-        median_ms: at(0.5),
-        p99_ms: at(0.99),
+        median_ms: percentile(0.5),
+        p99_ms: percentile(0.99),
     }
 }
--- a/emulator/src/decider.rs
+++ b/emulator/src/decider.rs
@@ -25,7 +25,7 @@
     /// Units left in the customer's token bucket.
     pub held: f64,
     /// Attempts in flight for the customer.
-    pub out: u32,
+    pub in_flight: u32,
     /// Units requested in the last second.
     pub requested: f64,
 }
@@ -152,7 +152,7 @@
 
 struct BackendView {
     ready: bool,
-    out: u32,
+    in_flight: u32,
     avoid_until: Millis,
 }
 
@@ -208,24 +208,24 @@
                 let window_length = plan.burst / plan.rate * 1000.0;
                 let window = (now / window_length) as u64;
                 let name: &str = &request.arrival.customer;
-                let salt = name.bytes().fold(window, |h, b| crate::draw::mix(h ^ u64::from(b)));
+                let window_key = name.bytes().fold(window, |h, b| crate::draw::mix(h ^ u64::from(b)));
                 let granted = plan.burst;
-                self.pending_counts.entry(salt >> 1).or_default().push((id, granted));
-                out.push(Action::AddToCounter { name: salt >> 1, amount: 1.0, ttl: window_length });
+                self.pending_counts.entry(window_key >> 1).or_default().push((id, granted));
+                out.push(Action::AddToCounter { name: window_key >> 1, amount: 1.0, ttl: window_length });
                 return;
             }
             Admission::TrueState(state_view) => {
                 let number = view.customers.get(&request.arrival.customer).copied();
                 let unknown = TrueQuota { held: plan.burst, ..TrueQuota::default() };
                 let seen = number.and_then(|n| view.state.buckets.get(n)).copied().unwrap_or(unknown);
-                let open = plan.open == 0 || seen.out < plan.open;
+                let has_slot = plan.open == 0 || seen.in_flight < plan.open;
                 // With a delayed state, admits a random share of the requests: the share that the token bucket can cover
                 // until the state is up to date.
-                let span = DELAYED_VIEW_AGE as f64 / 1e6;
-                let admit_share = (seen.held - 0.5 + plan.rate * span) / (seen.requested * span).max(1e-9);
+                let age_s = DELAYED_VIEW_AGE as f64 / 1e6;
+                let admit_share = (seen.held - 0.5 + plan.rate * age_s) / (seen.requested * age_s).max(1e-9);
                 let fits =
                     if state_view == StateView::Current { seen.held >= 1.0 } else { chance < admit_share };
-                fits && open
+                fits && has_slot
             }
         };
         if fits || worth_serving && self.sees_true_state {
@@ -258,8 +258,8 @@
         for (name, known) in ring.filter(usable).take(candidates) {
             let seen = view.backends.get(name).and_then(|n| view.state.loads.get(*n));
             let load = match (self.sees_true_state, seen) {
-                (true, Some(load)) => *load + f64::from(known.out) * 0.5,
-                _ => f64::from(known.out),
+                (true, Some(load)) => *load + f64::from(known.in_flight) * 0.5,
+                _ => f64::from(known.in_flight),
             };
             if best.as_ref().is_none_or(|(least, _)| load < *least) {
                 best = Some((load, name.clone()));
@@ -278,7 +278,7 @@
         request.attempts += 1;
         let timeout = request.arrival.deadline - 2.0 * self.settings.tick - now;
         if let Some(known) = self.backends.get_mut(&name) {
-            known.out += 1;
+            known.in_flight += 1;
         }
         out.push(Action::Send { id, backend: name, timeout, quota_wait: 0.0 });
     }
@@ -287,7 +287,7 @@
         &mut self, now: Millis, end: AttemptEnd, view: &TrueStateView<'_>, out: &mut Vec<Action>,
     ) {
         if let Some(known) = self.backends.get_mut(&end.backend) {
-            known.out = known.out.saturating_sub(1);
+            known.in_flight = known.in_flight.saturating_sub(1);
             if end.outcome != Outcome::Served {
                 known.avoid_until = now + 300.0;
             }
@@ -316,7 +316,7 @@
             self.backends.values_mut().for_each(|known| known.ready = false);
         }
         for entry in list {
-            let new = BackendView { ready: false, out: 0, avoid_until: 0.0 };
+            let new = BackendView { ready: false, in_flight: 0, avoid_until: 0.0 };
             let known = self.backends.entry(entry.name).or_insert(new);
             known.ready = entry.state == BackendState::Ready;
         }
--- a/emulator/src/experiment.rs
+++ b/emulator/src/experiment.rs
@@ -120,8 +120,8 @@
 /// # Errors
 /// When the file cannot be written.
 pub fn run_into(plan: &Plan, path: &Path, done: impl Fn(&Row) + Sync) -> Result<(), ResultsError> {
-    let each = if plan.baselines { 1 + BASELINES.len() } else { 1 };
-    let mut writer = Writer::new(path, &Head::of(plan.scenarios.len() * plan.seeds.len() * each))?;
+    let rows_per_day = if plan.baselines { 1 + BASELINES.len() } else { 1 };
+    let mut writer = Writer::new(path, &Head::of(plan.scenarios.len() * plan.seeds.len() * rows_per_day))?;
     run(plan, |row| writer.write_row(&row), done)
 }
 
--- a/emulator/src/judge.rs
+++ b/emulator/src/judge.rs
@@ -48,11 +48,11 @@
     gateway: usize,
     /// The latest time at which a final answer is accepted.
     due: Micros,
-    once: bool,
+    non_idempotent: bool,
     attempts: u32,
-    out: u32,
+    in_flight: u32,
     may_have_run: bool,
-    over: bool,
+    finished: bool,
 }
 
 /// The load budget of a backend that has started recently.
@@ -121,9 +121,19 @@
 
     /// Records that a live gateway accepted a request whose client waits until `deadline`. Returns the time at
     /// which the caller must check whether the answer is overdue.
-    pub fn request_accepted(&mut self, gateway: usize, request: u64, once: bool, deadline: Micros) -> Micros {
+    pub fn request_accepted(
+        &mut self, gateway: usize, request: u64, non_idempotent: bool, deadline: Micros,
+    ) -> Micros {
         let due = deadline + crate::draw::micros(self.rules.answer_slack_ms);
-        let record = TryRecord { gateway, due, once, attempts: 0, out: 0, may_have_run: false, over: false };
+        let record = TryRecord {
+            gateway,
+            due,
+            non_idempotent,
+            attempts: 0,
+            in_flight: 0,
+            may_have_run: false,
+            finished: false,
+        };
         self.tries.insert(request, record);
         due + 1
     }
@@ -138,7 +148,7 @@
     /// Records that the client has left: the gateway no longer owes an answer.
     pub fn client_left(&mut self, request: u64) {
         if let Some(record) = self.tries.get_mut(&request) {
-            record.over = true;
+            record.finished = true;
         }
     }
 
@@ -181,7 +191,7 @@
             );
             return false;
         };
-        if record.over {
+        if record.finished {
             self.record_breach(
                 at,
                 gateway,
@@ -195,9 +205,9 @@
         if record.attempts > self.rules.most_attempts {
             return false;
         }
-        let twice = record.once && (record.may_have_run || record.out > 0);
-        record.out += 1;
-        if twice {
+        let unsafe_repeat = record.non_idempotent && (record.may_have_run || record.in_flight > 0);
+        record.in_flight += 1;
+        if unsafe_repeat {
             let what = format!("attempt {} of a request that may have run", record.attempts - 1);
             self.record_breach(at, gateway, Some(request), Rule::Duplicate, what);
         }
@@ -212,7 +222,7 @@
     /// Records the end of an attempt, as reported to the gateway.
     pub fn attempt_ended(&mut self, request: u64, outcome: Outcome) {
         let Some(record) = self.tries.get_mut(&request) else { return };
-        record.out = record.out.saturating_sub(1);
+        record.in_flight = record.in_flight.saturating_sub(1);
         let never_ran = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent);
         record.may_have_run |= !never_ran;
     }
@@ -225,15 +235,16 @@
             self.record_breach(at, gateway, Some(request), Rule::Protocol, what);
             return false;
         };
-        if std::mem::replace(&mut record.over, true) {
+        if std::mem::replace(&mut record.finished, true) {
             return false;
         }
-        let (due, twice) = (record.due, refused && record.once && (record.may_have_run || record.out > 0));
+        let (due, unsafe_repeat) =
+            (record.due, refused && record.non_idempotent && (record.may_have_run || record.in_flight > 0));
         if at > due {
             let what = format!("answered {} ms too late", millis(at - due));
             self.record_breach(at, gateway, Some(request), Rule::Lost, what);
         }
-        if twice {
+        if unsafe_repeat {
             let what = "refused a request that may have run".into();
             self.record_breach(at, gateway, Some(request), Rule::Duplicate, what);
         }
@@ -242,8 +253,10 @@
 
     /// Called when the latest time for a final answer has passed. Returns true if there was no answer.
     pub fn answer_overdue(&mut self, at: Micros, request: u64) -> bool {
-        let Some(record) = self.tries.get_mut(&request).filter(|record| !record.over) else { return false };
-        record.over = true;
+        let Some(record) = self.tries.get_mut(&request).filter(|record| !record.finished) else {
+            return false;
+        };
+        record.finished = true;
         let gateway = record.gateway;
         self.record_breach(at, gateway, Some(request), Rule::Lost, "no final answer".into());
         true
@@ -283,23 +296,24 @@
     /// Records work that reached a backend, whether accepted or rejected. Returns true if a cold backend was sent
     /// more within the window than it can bear: the backend then fails.
     pub fn work_arrived(&mut self, at: Micros, gateway: usize, request: u64, load: &BackendLoad) -> bool {
-        let (span, multiple) = (crate::draw::micros(self.rules.fall_ms), self.rules.fall_multiple);
+        let (window, multiple) = (crate::draw::micros(self.rules.fall_ms), self.rules.fall_multiple);
         let BackendLoad { backend, work, capacity, start_known } = *load;
         let Some(cold) = self.cold.get_mut(&backend) else { return false };
         cold.capacities.push_back((at, capacity));
         cold.sent.push_back((at, work, start_known, gateway));
         cold.sum += work;
-        while cold.sent.front().is_some_and(|(then, ..)| *then + span < at) {
+        while cold.sent.front().is_some_and(|(then, ..)| *then + window < at) {
             cold.sum -= cold.sent.pop_front().map_or(0.0, |(_, work, ..)| work);
         }
-        while cold.capacities.len() > 1 && cold.capacities.front().is_some_and(|(then, _)| *then + span < at)
+        while cold.capacities.len() > 1
+            && cold.capacities.front().is_some_and(|(then, _)| *then + window < at)
         {
             cold.capacities.pop_front();
         }
         let mean = cold.capacities.iter().map(|(_, c)| c).sum::<f64>() / cold.capacities.len() as f64;
         // Tolerance for random variation: three standard deviations of a sum of this many exponential works.
-        let number = cold.sent.len() as f64;
-        let budget = multiple * mean * span as f64 + 3.0 * cold.sum / number * number.sqrt();
+        let count = cold.sent.len() as f64;
+        let budget = multiple * mean * window as f64 + 3.0 * cold.sum / count * count.sqrt();
         if cold.sum <= budget {
             return false;
         }
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -22,7 +22,7 @@
 #[command(
     version,
     about,
-    after_help = "Status: 0 done; 1 a rule was broken; 2 the input cannot be used; 3 a trial without a verdict."
+    after_help = "Exit status: 0 success; 1 a rule was broken; 2 invalid input; 3 a trial without a verdict."
 )]
 struct Command {
     /// Days simulated in parallel; 0: one per core.
@@ -248,14 +248,14 @@
     match execute(command.subcommand) {
         Ok(0) => ExitCode::SUCCESS,
         Ok(_) => ExitCode::from(1),
-        Err(fault) => {
+        Err(error) => {
             // A reader that closes the pipe early is not an error.
-            let closed = fault.downcast_ref::<std::io::Error>().map(std::io::Error::kind);
+            let closed = error.downcast_ref::<std::io::Error>().map(std::io::Error::kind);
             if closed == Some(std::io::ErrorKind::BrokenPipe) {
                 return ExitCode::SUCCESS;
             }
-            eprintln!("{fault}");
-            ExitCode::from(if fault.is::<NoVerdict>() { 3 } else { 2 })
+            eprintln!("{error}");
+            ExitCode::from(if error.is::<NoVerdict>() { 3 } else { 2 })
         }
     }
 }
--- a/emulator/src/report.rs
+++ b/emulator/src/report.rs
@@ -55,8 +55,8 @@
 /// A metric of each second, as the mean over the days.
 fn by_second(rows: &[&Row], of: impl Fn(&crate::books::Second) -> f64) -> Vec<(f64, f64)> {
     // The last second of a day is incomplete.
-    let most = rows.iter().map(|row| row.books.seconds.len().saturating_sub(1)).max().unwrap_or(0);
-    (0..most)
+    let count = rows.iter().map(|row| row.books.seconds.len().saturating_sub(1)).max().unwrap_or(0);
+    (0..count)
         .map(|second| {
             let figures = rows.iter().filter_map(|row| row.books.seconds.get(second)).map(&of);
             let all: Vec<f64> = figures.collect();
@@ -68,8 +68,8 @@
 type Sample = (f64, usize, usize, usize, usize, u64);
 
 fn by_sample(rows: &[&Row], of: impl Fn(&Sample, Option<&Sample>) -> f64) -> Vec<(f64, f64)> {
-    let most = rows.iter().map(|row| row.looks.len()).min().unwrap_or(0);
-    (0..most)
+    let count = rows.iter().map(|row| row.looks.len()).min().unwrap_or(0);
+    (0..count)
         .map(|at| {
             let figure = |row: &&Row| of(&row.looks[at], at.checked_sub(1).map(|before| &row.looks[before]));
             (rows[0].looks[at].0, rows.iter().map(figure).sum::<f64>() / rows.len() as f64)
--- a/emulator/src/results.rs
+++ b/emulator/src/results.rs
@@ -101,17 +101,17 @@
     /// # Errors
     /// When the file cannot be written.
     pub fn new(path: &Path, head: &Head) -> Result<Self, ResultsError> {
-        let fault = |error: std::io::Error| ResultsError(path.into(), error.to_string());
-        let mut writer = Self { path: path.into(), file: File::create(path).map_err(fault)? };
+        let to_error = |error: std::io::Error| ResultsError(path.into(), error.to_string());
+        let mut writer = Self { path: path.into(), file: File::create(path).map_err(to_error)? };
         writer.write_line(head)?;
         Ok(writer)
     }
 
     fn write_line(&mut self, what: &impl Serialize) -> Result<(), ResultsError> {
-        let fault = |error: std::io::Error| ResultsError(self.path.clone(), error.to_string());
-        let mut text = serde_json::to_string(what).map_err(|error| fault(error.into()))?;
+        let to_error = |error: std::io::Error| ResultsError(self.path.clone(), error.to_string());
+        let mut text = serde_json::to_string(what).map_err(|error| to_error(error.into()))?;
         text.push('\n');
-        self.file.write_all(text.as_bytes()).and_then(|()| self.file.flush()).map_err(fault)
+        self.file.write_all(text.as_bytes()).and_then(|()| self.file.flush()).map_err(to_error)
     }
 
     /// Appends one day.
@@ -138,23 +138,24 @@
     /// # Errors
     /// When the file is no result file or has another format version.
     pub fn read(path: &Path) -> Result<Self, ResultsError> {
-        let fault = |what: String| ResultsError(path.into(), what);
-        let file = File::open(path).map_err(|error| fault(error.to_string()))?;
+        let to_error = |what: String| ResultsError(path.into(), what);
+        let file = File::open(path).map_err(|error| to_error(error.to_string()))?;
         let mut lines = BufReader::new(file).lines();
-        let first = lines.next().ok_or_else(|| fault("empty".into()))?;
-        let first = first.map_err(|error| fault(error.to_string()))?;
-        let head: Head = serde_json::from_str(&first).map_err(|error| fault(format!("line 1: {error}")))?;
+        let first = lines.next().ok_or_else(|| to_error("the file is empty".into()))?;
+        let first = first.map_err(|error| to_error(error.to_string()))?;
+        let head: Head =
+            serde_json::from_str(&first).map_err(|error| to_error(format!("line 1: {error}")))?;
         if head.format != FORMAT {
-            return Err(fault(format!("format {} is not {FORMAT}", head.format)));
+            return Err(to_error(format!("format {} is not {FORMAT}", head.format)));
         }
         let mut rows = Vec::new();
         let mut lines = lines.enumerate().peekable();
         while let Some((number, line)) = lines.next() {
-            let line = line.map_err(|error| fault(error.to_string()))?;
+            let line = line.map_err(|error| to_error(error.to_string()))?;
             match serde_json::from_str(&line) {
                 Ok(row) => rows.push(row),
                 Err(_) if lines.peek().is_none() => {}
-                Err(error) => return Err(fault(format!("line {}: {error}", number + 2))),
+                Err(error) => return Err(to_error(format!("line {}: {error}", number + 2))),
             }
         }
         Ok(Self { head, rows })
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -562,12 +562,12 @@
 }
 
 fn read(path: &Path) -> Result<String, ScenarioError> {
-    let fault = |what: &dyn fmt::Display| ScenarioError(format!("{}: {what}", path.display()));
-    let length = std::fs::metadata(path).map_err(|e| fault(&e))?.len();
+    let to_error = |what: &dyn fmt::Display| ScenarioError(format!("{}: {what}", path.display()));
+    let length = std::fs::metadata(path).map_err(|e| to_error(&e))?.len();
     if length > MAX_FILE_BYTES {
-        return Err(fault(&format!("{length} bytes are too many, the limit is {MAX_FILE_BYTES}")));
+        return Err(to_error(&format!("{length} bytes are too many, the limit is {MAX_FILE_BYTES}")));
     }
-    std::fs::read_to_string(path).map_err(|e| fault(&e))
+    std::fs::read_to_string(path).map_err(|e| to_error(&e))
 }
 
 impl Scenario {
@@ -601,24 +601,24 @@
             None => ("plant.toml".into(), BUILT_IN_SITE.into()),
         };
         let mut site: Site = parse(&site_place, &site_text)?;
-        let lacks = |what: &str| Err(ScenarioError(format!("{site_place}: a {what} is missing")));
+        let missing = |what: &str| Err(ScenarioError(format!("{site_place}: a {what} is missing")));
         if site.class.is_empty() {
-            return lacks("class");
+            return missing("class");
         }
         if site.plan.is_empty() {
-            return lacks("plan");
+            return missing("plan");
         }
         if site.net.zones.is_empty() {
-            return lacks("zone");
+            return missing("zone");
         }
         if site.clients.backoff.is_empty() || site.class.iter().any(|c| c.shape.is_empty()) {
-            return lacks("choice of backoff or shape");
+            return missing("choice of backoff or shape");
         }
         if let Some(load) = file.load {
             site.load.inside = load;
         }
-        if let Some(most) = file.connections_per_core {
-            site.backend.connections_per_core = most;
+        if let Some(connections) = file.connections_per_core {
+            site.backend.connections_per_core = connections;
         }
         if let Some(calls) = file.calls_per_s {
             site.counter.calls_per_s = calls;
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -94,15 +94,15 @@
     /// When the client sent the try.
     pub sent: Micros,
     /// When the client's patience ends.
-    pub gives_up: Micros,
+    pub patience_ends: Micros,
     /// When the gateway accepted the try.
-    pub taken: Option<Micros>,
+    pub accepted_at: Option<Micros>,
     /// When the gateway ended the try, and the event that triggered the end.
     pub closed: Option<(Micros, Trigger)>,
     /// Whether the try was inside the quota when it was first sent to a backend.
     pub inside: Option<bool>,
     /// The event that triggered the first send.
-    pub sent_on: Trigger,
+    pub send_trigger: Trigger,
     /// For a try that was ended unsent: the customer's token bucket, and whether its limit of open attempts had room.
     pub bucket: Option<(f64, bool)>,
     /// The retry delay that the gateway advised.
@@ -134,14 +134,14 @@
 struct GatewayState {
     zone: usize,
     incarnation: u32,
-    /// Absent while it handles an event, and while the process is down.
+    /// Absent while the decision maker handles an event, and while the process is down.
     decider: Option<Box<dyn Decider>>,
     up: bool,
     /// Whether the gateway shuts down and receives no new connections.
-    ending: bool,
+    shutting_down: bool,
     down_since: Option<Micros>,
     /// The number of entries of the change log that the gateway has received.
-    seen: usize,
+    changes_seen: usize,
     pools: Vec<Pool>,
 }
 
@@ -153,7 +153,7 @@
     /// Attempts that reached a backend.
     pub attempts: u64,
     /// Attempts that went to another zone.
-    pub crossings: u64,
+    pub cross_zone_attempts: u64,
     /// New connections.
     pub handshakes: u64,
     /// Probes.
@@ -171,7 +171,7 @@
     /// Lines written to the log.
     pub log_lines: u64,
     /// Connections that were started to backends that cannot be reached.
-    pub vain: u64,
+    pub unreachable_connects: u64,
 }
 
 /// A sample of the fleet, for plots.
@@ -215,11 +215,11 @@
     policy: &'a dyn Policy,
     now: Micros,
     due: BinaryHeap<Scheduled>,
-    scheduled: u64,
+    scheduled_count: u64,
     net: Random,
     client: Random,
     work: Random,
-    words: Random,
+    peer_reports: Random,
     next_first_try: usize,
     gateways: Vec<GatewayState>,
     servers: Vec<Server>,
@@ -231,7 +231,7 @@
     /// Units that each customer requested in the last second, with exponential decay; read by policies that see the
     /// true state.
     requested: Vec<f64>,
-    log: Vec<(usize, BackendState, Option<Micros>)>,
+    change_log: Vec<(usize, BackendState, Option<Micros>)>,
     published: usize,
     publishing: bool,
     discovery_free: f64,
@@ -260,28 +260,28 @@
             incarnation: 0,
             decider: None,
             up: false,
-            ending: false,
+            shutting_down: false,
             down_since: None,
-            seen: 0,
+            changes_seen: 0,
             pools: Vec::new(),
         });
-        let full = |customer: &crate::draw::Customer| {
+        let full_bucket = |customer: &crate::draw::Customer| {
             (TokenBucket { held: day.settings.plans[customer.plan].burst, at: 0 }, 0)
         };
         let started = |(number, b): (usize, &crate::draw::Backend)| {
             b.starts.is_none().then_some((number, BackendState::Ready, None))
         };
-        let log: Vec<_> = day.backends.iter().enumerate().filter_map(started).collect();
+        let change_log: Vec<_> = day.backends.iter().enumerate().filter_map(started).collect();
         let mut world = Self {
             day,
             policy,
             now: 0,
             due: BinaryHeap::new(),
-            scheduled: 0,
+            scheduled_count: 0,
             net: Random::new(day.seed, "net", 0),
             client: Random::new(day.seed, "client", 0),
             work: Random::new(day.seed, "work", 0),
-            words: Random::new(day.seed, "words", 0),
+            peer_reports: Random::new(day.seed, "words", 0),
             next_first_try: 0,
             gateways: gateways.collect(),
             servers: servers.collect(),
@@ -289,10 +289,10 @@
             calls: Vec::new(),
             tries: Vec::with_capacity(day.first_tries.len() * 2),
             first_tries: vec![None; day.first_tries.len()],
-            buckets: day.customers.iter().map(full).collect(),
+            buckets: day.customers.iter().map(full_bucket).collect(),
             requested: vec![0.0; day.customers.len()],
-            published: log.len(),
-            log,
+            published: change_log.len(),
+            change_log,
             publishing: false,
             discovery_free: 0.0,
             judge: Judge::new(day.source.site.rules.clone()),
@@ -304,7 +304,7 @@
             backends: day.backends.iter().enumerate().map(|(n, b)| (b.name.clone(), n)).collect(),
             tap: None,
         };
-        world.gateways.iter_mut().for_each(|state| state.seen = world.published);
+        world.gateways.iter_mut().for_each(|state| state.changes_seen = world.published);
         for number in 0..world.gateways.len() {
             world.schedule(0, SimEvent::GatewayStarts(number));
         }
@@ -337,8 +337,8 @@
     }
 
     fn schedule(&mut self, at: Micros, event: SimEvent) {
-        self.scheduled += 1;
-        self.due.push(Scheduled::new(at.max(self.now), self.scheduled, event));
+        self.scheduled_count += 1;
+        self.due.push(Scheduled::new(at.max(self.now), self.scheduled_count, event));
     }
 
     /// Simulates the day to its end.
@@ -392,7 +392,7 @@
             SimEvent::GatewayDies(gateway) => self.kill_gateway(gateway),
             SimEvent::GatewayShutsDown(gateway, by) => {
                 if self.gateways[gateway].up {
-                    self.gateways[gateway].ending = true;
+                    self.gateways[gateway].shutting_down = true;
                     self.gateways[gateway].down_since = Some(self.now);
                     self.deliver(gateway, Event::ShuttingDown { deadline: EPOCH + millis(by) });
                 }
@@ -405,7 +405,7 @@
             SimEvent::FullList(gateway, incarnation) => {
                 if self.is_alive(gateway, incarnation) {
                     let (upto, lines) = (self.published, self.full_list(self.published));
-                    self.gateways[gateway].seen = upto;
+                    self.gateways[gateway].changes_seen = upto;
                     self.deliver_list(gateway, lines, true);
                 }
             }
@@ -451,9 +451,9 @@
             }
             SimEvent::ClientLeaves(id) => self.client_leaves(id),
             SimEvent::ClientTimesOut(id) => {
-                let tried = &mut self.tries[id as usize];
-                if tried.ended == Ended::Open {
-                    tried.ended = Ended::Left;
+                let client_try = &mut self.tries[id as usize];
+                if client_try.ended == Ended::Open {
+                    client_try.ended = Ended::Left;
                     self.schedule_retry(id, 0);
                 }
             }
@@ -644,11 +644,11 @@
             _ => BackendState::Gone,
         };
         let line = (backend, state, server.started);
-        let last = self.log.iter().rev().find(|(listed, ..)| *listed == backend);
+        let last = self.change_log.iter().rev().find(|(listed, ..)| *listed == backend);
         if last == Some(&line) {
             return;
         }
-        self.log.push(line);
+        self.change_log.push(line);
         if !std::mem::replace(&mut self.publishing, true) {
             let period = self.day.discovery.period.max(1);
             self.schedule((self.now / period + 1) * period, SimEvent::PublishChanges);
@@ -656,7 +656,7 @@
     }
 
     fn publish(&mut self) {
-        (self.published, self.publishing) = (self.log.len(), false);
+        (self.published, self.publishing) = (self.change_log.len(), false);
         for gateway in 0..self.gateways.len() {
             if self.gateways[gateway].up {
                 let wait = (self.net.unit() * self.day.discovery.spread as f64) as Micros;
@@ -681,16 +681,16 @@
     /// The full list after the first `upto` changes.
     fn full_list(&self, upto: usize) -> Vec<(usize, BackendState, Option<Micros>)> {
         let mut last: Vec<Option<(usize, BackendState, Option<Micros>)>> = vec![None; self.servers.len()];
-        self.log[..upto].iter().for_each(|line| last[line.0] = Some(*line));
+        self.change_log[..upto].iter().for_each(|line| last[line.0] = Some(*line));
         last.into_iter().flatten().filter(|line| line.1 != BackendState::Gone).collect()
     }
 
     fn deliver_changes(&mut self, gateway: usize, incarnation: u32, upto: usize) {
-        if !self.is_alive(gateway, incarnation) || self.gateways[gateway].seen >= upto {
+        if !self.is_alive(gateway, incarnation) || self.gateways[gateway].changes_seen >= upto {
             return;
         }
-        let lines = self.log[self.gateways[gateway].seen..upto].to_vec();
-        self.gateways[gateway].seen = upto;
+        let lines = self.change_log[self.gateways[gateway].changes_seen..upto].to_vec();
+        self.gateways[gateway].changes_seen = upto;
         self.deliver_list(gateway, lines, false);
     }
 
@@ -757,11 +757,11 @@
         };
         let backends = self.servers.len();
         let state = &mut self.gateways[gateway];
-        (state.incarnation, state.decider, state.ending, state.down_since) =
+        (state.incarnation, state.decider, state.shutting_down, state.down_since) =
             (incarnation, Some(decider), false, None);
         state.up = true;
         state.pools = (0..backends).map(|_| Pool::default()).collect();
-        let remembered = self.full_list(self.gateways[gateway].seen);
+        let remembered = self.full_list(self.gateways[gateway].changes_seen);
         self.deliver_list(gateway, remembered, true);
         if incarnation > 1 {
             self.request_full_list(gateway, incarnation);
@@ -784,18 +784,21 @@
         let longest = self.day.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let recent = self.tries.partition_point(|t| t.sent + longest + 1_000_000 < self.now);
         for id in recent as u32..self.tries.len() as u32 {
-            let tried = &self.tries[id as usize];
-            if tried.gateway != gateway || tried.incarnation != incarnation || tried.taken.is_none() {
+            let client_try = &self.tries[id as usize];
+            if client_try.gateway != gateway
+                || client_try.incarnation != incarnation
+                || client_try.accepted_at.is_none()
+            {
                 continue;
             }
-            for number in 0..tried.attempts.len() as u32 {
+            for number in 0..client_try.attempts.len() as u32 {
                 self.abandon_attempt(id, number);
             }
-            let tried = &mut self.tries[id as usize];
-            if tried.closed.is_none() {
-                tried.closed = Some((self.now, Trigger::Other));
-                if tried.ended == Ended::Open {
-                    tried.ended = Ended::Died;
+            let client_try = &mut self.tries[id as usize];
+            if client_try.closed.is_none() {
+                client_try.closed = Some((self.now, Trigger::Other));
+                if client_try.ended == Ended::Open {
+                    client_try.ended = Ended::Died;
                     let delay = self.client_latency();
                     self.schedule(self.now + delay, SimEvent::AnswerArrives(id));
                 }
@@ -826,13 +829,13 @@
         let customer = self.day.first_tries[self.tries[id as usize].first_try as usize].customer as usize;
         self.buckets[customer].1 = self.buckets[customer].1.saturating_sub(1);
         if let Some(bucket) = self.current_state.buckets.get_mut(customer) {
-            bucket.out = bucket.out.saturating_sub(1);
+            bucket.in_flight = bucket.in_flight.saturating_sub(1);
         }
     }
 
     fn drop_at_backend(&mut self, id: u32, number: u32) {
-        let tried = &self.tries[id as usize];
-        let (gateway, attempt) = (tried.gateway, tried.attempts[number as usize]);
+        let client_try = &self.tries[id as usize];
+        let (gateway, attempt) = (client_try.gateway, client_try.attempts[number as usize]);
         let zone = self.day.backends[attempt.backend].zone;
         if !self.partitioned(self.gateways[gateway].zone, zone) {
             let delay = self.latency(self.gateways[gateway].zone, zone);
@@ -941,7 +944,7 @@
         for other in (0..self.gateways.len()).filter(|other| *other != gateway) {
             let partitioned = self.partitioned(self.gateways[gateway].zone, self.gateways[other].zone);
             if self.gateways[other].up && !partitioned {
-                let at = self.now + (self.words.within(delay) * 1000.0) as Micros;
+                let at = self.now + (self.peer_reports.within(delay) * 1000.0) as Micros;
                 self.schedule(
                     at,
                     SimEvent::PeerReport(other, self.gateways[other].incarnation, number, down),
@@ -960,7 +963,7 @@
         let last = before.map(|id| &self.tries[id as usize]);
         let deadline = first.at + class.deadline;
         let patience = (class.deadline as f64 * self.day.clients.patience * give_up) as Micros;
-        let gives_up = (self.now + patience).min(deadline);
+        let patience_ends = (self.now + patience).min(deadline);
         let elsewhere = self.client.happens(self.day.clients.elsewhere);
         let customer = first.customer as usize;
         let mut gateway = match last {
@@ -974,8 +977,11 @@
         for _ in 0..8 {
             let down = self.gateways[gateway].down_since;
             let noticed = down.is_some_and(|since| {
-                let notice =
-                    if self.gateways[gateway].ending { 300_000 } else { self.day.clients.front_notice };
+                let notice = if self.gateways[gateway].shutting_down {
+                    300_000
+                } else {
+                    self.day.clients.front_notice
+                };
                 self.now > since + notice
             });
             let zone = self.gateways[gateway].zone;
@@ -996,11 +1002,11 @@
             gateway,
             incarnation: 0,
             sent: self.now,
-            gives_up,
-            taken: None,
+            patience_ends,
+            accepted_at: None,
             closed: None,
             inside: None,
-            sent_on: Trigger::Other,
+            send_trigger: Trigger::Other,
             bucket: None,
             advice: 0,
             attempts: Vec::new(),
@@ -1010,7 +1016,7 @@
         let delay = self.client_latency();
         self.schedule(self.now + delay, SimEvent::TryArrives(id));
         if self.client.happens(self.day.clients.impatient) {
-            let wait = (gives_up - self.now) as f64 * self.client.unit();
+            let wait = (patience_ends - self.now) as f64 * self.client.unit();
             self.schedule(self.now + wait as Micros, SimEvent::ClientLeaves(id));
         }
     }
@@ -1027,14 +1033,15 @@
         let customer = &self.day.customers[first.customer as usize];
         let class = &self.day.classes[usize::from(first.class)];
         self.requested[first.customer as usize] += 1.0;
-        let tried = &mut self.tries[id as usize];
-        if tried.ended != Ended::Open {
+        let client_try = &mut self.tries[id as usize];
+        if client_try.ended != Ended::Open {
             return;
         }
-        (tried.incarnation, tried.taken) = (self.gateways[gateway].incarnation, Some(self.now));
-        let (gives_up, number) = (tried.gives_up, tried.number);
-        let overdue = self.judge.request_accepted(gateway, u64::from(id), class.once, gives_up);
-        self.schedule(gives_up, SimEvent::ClientTimesOut(id));
+        (client_try.incarnation, client_try.accepted_at) =
+            (self.gateways[gateway].incarnation, Some(self.now));
+        let (patience_ends, number) = (client_try.patience_ends, client_try.number);
+        let overdue = self.judge.request_accepted(gateway, u64::from(id), class.once, patience_ends);
+        self.schedule(patience_ends, SimEvent::ClientTimesOut(id));
         self.schedule(overdue, SimEvent::AnswerOverdue(id));
         let arrival = Arrival {
             id: u64::from(id),
@@ -1043,7 +1050,7 @@
             class: class.name.clone(),
             units: 1.0,
             repeat: number > 0,
-            deadline: EPOCH + millis(gives_up),
+            deadline: EPOCH + millis(patience_ends),
             first_gateway: customer.first as u32,
             spread: customer.spread as u32,
         };
@@ -1052,12 +1059,15 @@
 
     /// Handles a client that has left: notifies its gateway and cancels its attempts.
     fn client_leaves(&mut self, id: u32) {
-        let tried = &mut self.tries[id as usize];
-        if tried.ended == Ended::Open {
-            tried.ended = Ended::Left;
-        }
-        let (gateway, incarnation) = (tried.gateway, tried.incarnation);
-        if tried.taken.is_none() || tried.closed.is_some() || !self.is_alive(gateway, incarnation) {
+        let client_try = &mut self.tries[id as usize];
+        if client_try.ended == Ended::Open {
+            client_try.ended = Ended::Left;
+        }
+        let (gateway, incarnation) = (client_try.gateway, client_try.incarnation);
+        if client_try.accepted_at.is_none()
+            || client_try.closed.is_some()
+            || !self.is_alive(gateway, incarnation)
+        {
             return;
         }
         self.tries[id as usize].closed = Some((self.now, Trigger::Other));
@@ -1077,18 +1087,18 @@
         }
         let first_try = self.tries[id as usize].first_try as usize;
         let (plan, held) = self.quota_store(first_try);
-        let tried = &mut self.tries[id as usize];
-        tried.closed = Some((self.now, trigger));
-        if tried.attempts.is_empty() {
-            tried.bucket = Some((
+        let client_try = &mut self.tries[id as usize];
+        client_try.closed = Some((self.now, trigger));
+        if client_try.attempts.is_empty() {
+            client_try.bucket = Some((
                 held,
                 plan.open == 0
                     || self.buckets[self.day.first_tries[first_try].customer as usize].1 < plan.open,
             ));
         }
-        tried.advice = if advice.is_finite() { micros(advice) } else { 0 };
-        if tried.ended == Ended::Open {
-            tried.ended = if refused { Ended::Refused } else { Ended::Failed };
+        client_try.advice = if advice.is_finite() { micros(advice) } else { 0 };
+        if client_try.ended == Ended::Open {
+            client_try.ended = if refused { Ended::Refused } else { Ended::Failed };
             let delay = self.client_latency();
             self.schedule(self.now + delay, SimEvent::AnswerArrives(id as u32));
         }
@@ -1102,25 +1112,25 @@
     }
 
     fn answer_arrives(&mut self, id: u32) {
-        let tried = &self.tries[id as usize];
-        if let Ended::Served(at) = tried.ended {
-            let (first_try, inside) = (tried.first_try as usize, tried.inside == Some(true));
+        let client_try = &self.tries[id as usize];
+        if let Ended::Served(at) = client_try.ended {
+            let (first_try, inside) = (client_try.first_try as usize, client_try.inside == Some(true));
             let aim = self.day.classes[usize::from(self.day.first_tries[first_try].class)].aim;
             if at <= self.day.first_tries[first_try].at + aim && self.first_tries[first_try].is_none() {
                 self.first_tries[first_try] = Some((at, inside));
             }
             return;
         }
-        let advice = tried.advice;
+        let advice = client_try.advice;
         self.schedule_retry(id, advice);
     }
 
     fn schedule_retry(&mut self, id: u32, advice: Micros) {
-        let tried = &mut self.tries[id as usize];
-        if std::mem::replace(&mut tried.retry_decided, true) {
+        let client_try = &mut self.tries[id as usize];
+        if std::mem::replace(&mut client_try.retry_decided, true) {
             return;
         }
-        let (number, ended, first_try) = (tried.number, tried.ended, tried.first_try as usize);
+        let (number, ended, first_try) = (client_try.number, client_try.ended, client_try.first_try as usize);
         let first = &self.day.first_tries[first_try];
         let class = &self.day.classes[usize::from(first.class)];
         let harmless = matches!(ended, Ended::Refused | Ended::Unreachable);
@@ -1148,7 +1158,7 @@
         &mut self, gateway: usize, id: u64, name: &Name, timeout: f64, trigger: Trigger,
     ) -> Option<Event> {
         let backend = self.backends.get(name).copied();
-        let known = self.tries.get(id as usize).filter(|t| t.gateway == gateway && t.taken.is_some());
+        let known = self.tries.get(id as usize).filter(|t| t.gateway == gateway && t.accepted_at.is_some());
         let known = known.is_some();
         let allowed = self.judge.attempt_sent(self.now, gateway, id, backend) && known;
         let (Some(backend), true) = (backend, allowed) else {
@@ -1167,13 +1177,13 @@
                     bucket.held -= 1.0;
                 }
             }
-            let tried = &mut self.tries[id as usize];
-            (tried.inside, tried.sent_on) = (Some(inside), trigger);
+            let client_try = &mut self.tries[id as usize];
+            (client_try.inside, client_try.send_trigger) = (Some(inside), trigger);
             self.judge.draw_from_ceiling(self.now, gateway, u64::from(id), customer, plan);
         }
         self.buckets[customer].1 += 1;
         if let Some(bucket) = self.current_state.buckets.get_mut(customer) {
-            bucket.out += 1;
+            bucket.in_flight += 1;
         }
         if let Some(load) = self.current_state.loads.get_mut(backend) {
             *load += 0.5;
@@ -1181,7 +1191,7 @@
 
         let (here, there) = (self.gateways[gateway].zone, self.day.backends[backend].zone);
         if here != there {
-            self.totals.crossings += 1;
+            self.totals.cross_zone_attempts += 1;
         }
         let machine = &self.day.machine;
         let idle = &mut self.gateways[gateway].pools[backend].idle;
@@ -1201,7 +1211,7 @@
             self.totals.handshakes += 1;
             let rtt = delay + self.latency(there, here);
             let state = self.servers[backend].state;
-            self.totals.vain += u64::from(partitioned || state != ProcessState::Up);
+            self.totals.unreachable_connects += u64::from(partitioned || state != ProcessState::Up);
             if partitioned || state == ProcessState::Silent {
                 fails = Some(self.now + machine.connect_timeout);
             } else if state == ProcessState::Down || self.servers[backend].connections >= machine.connections
@@ -1225,16 +1235,16 @@
             None if !partitioned => self.schedule(arrives, SimEvent::AttemptArrives(id, number)),
             None => {}
         }
-        let gives_up = self.tries[id as usize].gives_up;
-        let limit = if timeout.is_finite() { self.now + micros(timeout) } else { gives_up };
-        self.schedule(limit.min(gives_up).max(self.now + 1), SimEvent::AttemptTimesOut(id, number));
+        let patience_ends = self.tries[id as usize].patience_ends;
+        let limit = if timeout.is_finite() { self.now + micros(timeout) } else { patience_ends };
+        self.schedule(limit.min(patience_ends).max(self.now + 1), SimEvent::AttemptTimesOut(id, number));
         None
     }
 
     fn attempt_arrives(&mut self, id: u32, number: u32) {
-        let tried = &mut self.tries[id as usize];
-        let (gateway, first_try) = (tried.gateway, tried.first_try as usize);
-        let attempt = &mut tried.attempts[number as usize];
+        let client_try = &mut self.tries[id as usize];
+        let (gateway, first_try) = (client_try.gateway, client_try.first_try as usize);
+        let attempt = &mut client_try.attempts[number as usize];
         if attempt.end.is_some() {
             return;
         }
@@ -1294,7 +1304,7 @@
     /// Whether the gateway's backend list contains the backend's last start.
     fn knows_start(&self, gateway: usize, backend: usize) -> bool {
         let started = self.servers[backend].started;
-        let seen = &self.log[..self.gateways[gateway].seen];
+        let seen = &self.change_log[..self.gateways[gateway].changes_seen];
         seen.iter().rev().find(|line| line.0 == backend).is_some_and(|line| line.2 == started)
     }
 
@@ -1306,8 +1316,8 @@
         }
         self.servers[backend].advance(self.now, machine);
         while let Some(((id, number), work)) = self.servers[backend].take_completed(machine) {
-            let tried = &mut self.tries[id as usize];
-            let (gateway, attempt) = (tried.gateway, &mut tried.attempts[number as usize]);
+            let client_try = &mut self.tries[id as usize];
+            let (gateway, attempt) = (client_try.gateway, &mut client_try.attempts[number as usize]);
             attempt.at_backend = false;
             if attempt.end.is_some() {
                 self.totals.wasted += work;
@@ -1355,9 +1365,9 @@
 
     fn finish_attempt(&mut self, id: u32, number: u32, outcome: Outcome) -> Option<Event> {
         let now = self.now;
-        let tried = &mut self.tries[id as usize];
-        let (gateway, incarnation) = (tried.gateway, tried.incarnation);
-        let attempt = &mut tried.attempts[number as usize];
+        let client_try = &mut self.tries[id as usize];
+        let (gateway, incarnation) = (client_try.gateway, client_try.incarnation);
+        let attempt = &mut client_try.attempts[number as usize];
         if attempt.end.is_some() {
             return None;
         }
@@ -1378,15 +1388,15 @@
         if !self.is_alive(gateway, incarnation) {
             return None;
         }
-        let tried = &mut self.tries[id as usize];
+        let client_try = &mut self.tries[id as usize];
         if outcome == Outcome::Served {
-            if tried.closed.is_none() {
-                tried.closed = Some((now, Trigger::Attempt));
+            if client_try.closed.is_none() {
+                client_try.closed = Some((now, Trigger::Attempt));
                 self.judge.final_answer(now, gateway, u64::from(id), false);
                 let delay = self.client_latency();
-                let tried = &mut self.tries[id as usize];
-                if tried.ended == Ended::Open {
-                    tried.ended = Ended::Served(now + delay);
+                let client_try = &mut self.tries[id as usize];
+                if client_try.ended == Ended::Open {
+                    client_try.ended = Ended::Served(now + delay);
                     self.schedule(now + delay, SimEvent::AnswerArrives(id));
                 }
             } else {
@@ -1527,7 +1537,7 @@
             let buckets = rows.map(|(((bucket, out), customer), requested)| {
                 let plan = &plans[customer.plan];
                 let held = bucket.fill(self.now, plan.rate, plan.burst);
-                TrueQuota { held, out: *out, requested: *requested }
+                TrueQuota { held, in_flight: *out, requested: *requested }
             });
             let machine = &self.day.machine;
             let now = self.now;
--- a/emulator/tests/judge.rs
+++ b/emulator/tests/judge.rs
@@ -76,9 +76,9 @@
         .collect();
     assert!(!repeated.is_empty());
     for id in repeated {
-        let tried = &record.tries[id as usize];
-        assert!(day.classes[usize::from(day.first_tries[tried.first_try as usize].class)].once);
-        assert!(tried.attempts.len() > 1);
+        let client_try = &record.tries[id as usize];
+        assert!(day.classes[usize::from(day.first_tries[client_try.first_try as usize].class)].once);
+        assert!(client_try.attempts.len() > 1);
     }
 }
 
@@ -118,8 +118,8 @@
     let drains: Vec<_> = record.judge.breaches.iter().filter(|b| b.rule == Rule::Drain).collect();
     assert!(!drains.is_empty());
     for breach in drains {
-        let tried = &record.tries[breach.request.expect("the breach names a request") as usize];
-        let backend = &day.backends[tried.attempts[0].backend];
+        let client_try = &record.tries[breach.request.expect("the breach names a request") as usize];
+        let backend = &day.backends[client_try.attempts[0].backend];
         let (from, _) = backend.drains.expect("the backend drains");
         assert!(breach.at * 1000.0 > from as f64 + 2_000_000.0, "{breach:?}");
     }
@@ -136,8 +136,9 @@
         let of_ceiling = record.judge.breaches.into_iter().filter(|b| b.rule == Rule::Ceiling);
         of_ceiling
             .inspect(|breach| {
-                let tried = &record.tries[breach.request.expect("the breach names a request") as usize];
-                let customer = &day.customers[day.first_tries[tried.first_try as usize].customer as usize];
+                let client_try = &record.tries[breach.request.expect("the breach names a request") as usize];
+                let customer =
+                    &day.customers[day.first_tries[client_try.first_try as usize].customer as usize];
                 assert!(day.settings.plans[customer.plan].ceiling_rate > 0.0);
             })
             .collect::<Vec<_>>()
@@ -190,8 +191,8 @@
     assert!(!falls.is_empty());
     assert_eq!(record.totals.cold_failures, falls.len() as u64);
     for breach in falls {
-        let tried = &record.tries[breach.request.expect("the breach names a request") as usize];
-        let backend = tried.attempts.last().expect("the try has an attempt").backend;
+        let client_try = &record.tries[breach.request.expect("the breach names a request") as usize];
+        let backend = client_try.attempts.last().expect("the try has an attempt").backend;
         assert!(day.backends[backend].starts.is_some());
     }
 }
