--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -28,7 +28,7 @@
 const SAMPLE_INTERVAL: Micros = 20_000;
 /// The simulation continues for this long after the last first try.
 const TAIL_TIME: Micros = 8_000_000;
-/// A client retries after a refusal only if at least this much of its deadline remains.
+/// A client retries only if more than this much of its deadline remains.
 const MIN_TIME_LEFT_FOR_RETRY: Micros = 20_000;
 
 /// The last event that a gateway received before it sent or ended a request.
