--- a/emulator/src/trial/mod.rs
+++ b/emulator/src/trial/mod.rs
@@ -12,7 +12,7 @@
 use crate::live::process::{self, Process, free_addresses};
 use crate::live::stand_ins::{Backend, COLD, Counter, Discovery, hosts};
 use fault_injection::clock::{MOST_LATE, keeps_time};
-use judge::{CLASSES, FALL, LIMITS, PLANS, Verdict};
+use judge::{CLASSES, OVERLOAD_LIMIT, PLANS, PROCESS_LIMITS, Verdict};
 use relay::{Flow, Net, Party};
 use rustix::process::Signal;
 use schedule::{Fault, Kind, Schedule, Tmp};
@@ -253,7 +253,7 @@
                 "seed": format!("{:x}", crate::draw::mix(schedule.seed ^ number as u64)),
                 "discovery": net.way(me, Party::Discovery, told.address, true)?.to_string(),
                 "counter": net.way(me, Party::Counter, counter.address, true)?.to_string(),
-                "limits": {"cores": 1.0, "memory_mb": LIMITS.1, "sockets": LIMITS.0},
+                "limits": {"cores": 1.0, "memory_mb": PROCESS_LIMITS.1, "sockets": PROCESS_LIMITS.0},
                 "known": told.known(), "settings": settings(schedule, number)});
             let folder = place.0.join(format!("g{number}"));
             std::fs::create_dir_all(&folder)?;
@@ -526,5 +526,5 @@
         "extra": {"has-counter": true, "count-limit-ms": 50, "units-top": 1},
         "permissions": {"most-tries": 4, "may-cancel": true, "max-retry-after-ms": 1000},
         "rules": {"cold-from": COLD.0, "cold-ms": COLD.1.as_millis() as u64,
-            "overload-factor": FALL.1, "fall-ms": FALL.0.as_millis() as u64}})
+            "overload-factor": OVERLOAD_LIMIT.1, "fall-ms": OVERLOAD_LIMIT.0.as_millis() as u64}})
 }
--- a/emulator/src/trial/page.rs
+++ b/emulator/src/trial/page.rs
@@ -1,7 +1,7 @@
 //! The timeline of a trial ([`fault_injection::timeline`]), from what was written down.
 
 use crate::live::history::{Line, Seen};
-use crate::trial::judge::{BUCKET, Verdict};
+use crate::trial::judge::{BUCKET_US, Verdict};
 use crate::trial::schedule::Schedule;
 use fault_injection::plot::PlotError;
 use fault_injection::timeline::Timeline;
@@ -29,7 +29,7 @@
         (None, broken) => format!("{broken} rules broken"),
     };
     let share = |(at, (offered, served)): (usize, &(f64, f64))| {
-        (*offered > 0.0).then(|| (seconds(at as u64 * BUCKET) + 0.125, served / offered))
+        (*offered > 0.0).then(|| (seconds(at as u64 * BUCKET_US) + 0.125, served / offered))
     };
     let fault = |(number, fault): (usize, &super::schedule::Fault)| {
         let begin = begins.get(&number)?;
