--- a/emulator/src/live/history.rs
+++ b/emulator/src/live/history.rs
@@ -1,283 +1,289 @@
-//! What the parties of a trial saw, on one clock: the tool's own. Each party writes down what it did itself, at the
-//! moment it did it; nothing in here is a gateway's word about itself.
+//! History of a trial: the events of its parties, timestamped with the clock of the emulator. Clients and stand-ins
+//! record their own actions at the time of each action. The only events that gateways report themselves are
+//! [`Seen::Acted`].
 
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, Ipv4Addr};
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// The most that is kept: some minutes of the greatest load. A history that is full gives no verdict.
-const MOST: usize = 2_000_000;
+/// Maximum number of events, which suffices for some minutes at the maximum load. A trial whose history is full is
+/// void.
+const MAX_EVENTS: usize = 2_000_000;
 
-/// How a client's request ended.
+/// Outcome of a client's request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ended {
-    /// A whole answer came, with this status; `by` is what its body says, when it was served.
+    /// The client received a complete answer.
     Answered {
-        /// The status.
+        /// The status code.
         status: u16,
-        /// The text of the body, of a 200.
+        /// The body of a 200 answer; empty for other status codes.
         body: String,
     },
-    /// The connection ended without a whole answer. A connection that had carried a request before may have been
-    /// closed while this one was under way.
+    /// The connection closed before a complete answer arrived. A reused connection may have been closed by the gateway
+    /// while the client wrote the request.
     Broken {
-        /// Whether the connection was a new one.
+        /// Whether the connection was new, that is, had carried no request before.
         fresh: bool,
     },
-    /// Nothing came until half a second after the client's time.
+    /// No answer arrived within half a second after the client deadline.
     Silent,
-    /// It was never written: no gateway took the connection.
+    /// The request was never written: no gateway accepted a connection.
     Unsent,
 }
 
-/// A backend as one entry of a list tells it.
+/// A backend as described by an entry of a discovery list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its number.
+    /// Number of the backend.
     pub backend: usize,
-    /// Whether it wants new requests.
+    /// Whether the backend accepts new requests.
     pub usable: bool,
-    /// Its last start by the list, in ms of Unix time; 0: long ago.
+    /// Last start of the backend, in ms of Unix time; 0 if the backend started long ago.
     pub born_ms: u64,
 }
 
-/// One thing that a party saw or did.
+/// An event that a party observed or caused.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Seen {
-    /// A client has a request, whether or not a gateway can be reached.
+    /// A request is due at a client, whether or not a gateway is reachable.
     Due {
-        /// The request's id.
+        /// Id of the request.
         id: String,
-        /// Its class, by number.
+        /// Index of the request class.
         class: usize,
     },
     /// A client writes a request to a gateway.
     Sent {
-        /// The request's id.
+        /// Id of the request.
         id: String,
-        /// To which gateway.
+        /// Number of the receiving gateway.
         gateway: usize,
-        /// Its class, by number.
+        /// Index of the request class.
         class: usize,
-        /// Its customer's number, and plan, by number.
+        /// Number of the customer, and index of the customer's plan.
         customer: (usize, usize),
-        /// How long its client waits, in ms.
+        /// Client deadline, in ms.
         deadline_ms: u64,
     },
     /// A client's request ended.
     Ended {
-        /// The request's id.
+        /// Id of the request.
         id: String,
-        /// How.
+        /// Outcome of the request.
         how: Ended,
     },
-    /// A request arrived whole at a backend.
+    /// A backend received a complete request.
     Arrived {
-        /// The request's id.
+        /// Id of the request.
         id: String,
-        /// Where.
+        /// Number of the backend.
         backend: usize,
-        /// From which gateway; none if its address is no gateway's.
+        /// Number of the sending gateway; `None` if the source address belongs to no gateway.
         gateway: Option<usize>,
-        /// The work that it is, in ms of a slot.
+        /// Work that the request causes, in ms of one slot of a warm backend.
         work_ms: f64,
-        /// Whether it may have run; else it was turned away.
+        /// Whether the request may have run; false if the backend declined it.
         ran: bool,
     },
-    /// A backend answered a request as served.
+    /// A backend completed a request.
     Served {
-        /// The request's id.
+        /// Id of the request.
         id: String,
-        /// Where.
+        /// Number of the backend.
         backend: usize,
     },
-    /// A backend's process started; it is cold.
+    /// A backend restarted and is cold.
     Born {
-        /// Which.
+        /// Number of the backend.
         backend: usize,
-        /// When, as its list entry says it.
+        /// Start time in ms of Unix time, as in the discovery list.
         born_ms: u64,
     },
-    /// The counter added an amount.
+    /// The counter added an amount to a value.
     Added {
-        /// To which name.
+        /// Name of the value.
         name: String,
-        /// How much.
+        /// The amount.
         amount: f64,
-        /// The total after it.
+        /// The total after the addition.
         total: f64,
-        /// By which gateway.
+        /// Number of the calling gateway, if the source address belongs to one.
         gateway: Option<usize>,
     },
-    /// Discovery wrote a list to a gateway.
+    /// Discovery sent a list to a gateway.
     Told {
-        /// To which.
+        /// Number of the gateway.
         gateway: usize,
-        /// The list's version.
+        /// Version of the list.
         seq: u64,
-        /// All of it.
+        /// All entries of the list.
         hosts: Vec<Entry>,
     },
-    /// A gateway asked discovery for what is newer than a version, so it has that one.
+    /// A gateway requested a list newer than a version, which confirms that the gateway has that version.
     Asked {
-        /// Which gateway.
+        /// Number of the gateway.
         gateway: usize,
-        /// The version that it has.
+        /// The version that the gateway has.
         after: u64,
     },
-    /// A fault begins.
+    /// A fault started.
     Begins {
-        /// Its place in the schedule.
+        /// Index of the fault in the schedule.
         fault: usize,
     },
-    /// A fault is over.
+    /// A fault ended.
     Ends {
-        /// Its place in the schedule.
+        /// Index of the fault in the schedule.
         fault: usize,
     },
-    /// A gateway's process was started and listens.
+    /// A gateway process started and listens.
     Up {
-        /// Which gateway.
+        /// Number of the gateway.
         gateway: usize,
-        /// Its process.
+        /// Process id.
         pid: u32,
     },
-    /// A gateway's process ended; `asked` if the tool had told it to.
+    /// A gateway process exited.
     Down {
-        /// Which gateway.
+        /// Number of the gateway.
         gateway: usize,
-        /// Its process.
+        /// Process id.
         pid: u32,
-        /// Whether the tool had killed it or told it to end.
+        /// Whether the emulator had killed the process or requested its exit.
         asked: bool,
-        /// How it ended.
+        /// Exit status of the process.
         status: String,
     },
-    /// A gateway's guard of a duty said yes, as the gateway's own file of acts has it.
+    /// A gateway's duty guard permitted an action, according to the gateway's own record file.
     Acted {
-        /// Which gateway.
+        /// Number of the gateway.
         gateway: usize,
-        /// Which duty.
+        /// Name of the duty.
         duty: String,
-        /// Under which fence.
+        /// Fencing token of the duty.
         fence: u64,
     },
-    /// What a gateway's process holds.
+    /// Resource use of a gateway process.
     Holds {
-        /// Which gateway.
+        /// Number of the gateway.
         gateway: usize,
-        /// Its process.
+        /// Process id.
         pid: u32,
-        /// Open descriptors.
+        /// Number of open file descriptors.
         descriptors: u64,
         /// Resident memory, in kB.
         resident_kb: u64,
     },
 }
 
-/// One line of the history.
+/// One event with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// When, in microseconds since the history began.
+    /// Time of the event, in microseconds since the history began.
     pub at: u64,
-    /// What.
+    /// The event.
     pub seen: Seen,
 }
 
 /// The history of one trial.
 pub struct History {
-    begun: Instant,
-    /// The same moment on the machine's clock that counts suspended time.
-    boot: Duration,
-    lines: Mutex<(Vec<Line>, bool)>,
+    started_at: Instant,
+    /// The start time on `CLOCK_BOOTTIME`, which includes time that the machine was suspended.
+    started_at_boottime: Duration,
+    events: Mutex<(Vec<Line>, bool)>,
 }
 
-fn boot() -> Duration {
+fn boottime() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    let part = u32::try_from(time.tv_nsec).unwrap_or_default();
-    Duration::new(u64::try_from(time.tv_sec).unwrap_or_default(), part)
+    let nanos = u32::try_from(time.tv_nsec).unwrap_or_default();
+    Duration::new(u64::try_from(time.tv_sec).unwrap_or_default(), nanos)
 }
 
 impl Default for History {
     fn default() -> Self {
-        Self { begun: Instant::now(), boot: boot(), lines: Mutex::new((Vec::new(), false)) }
+        Self {
+            started_at: Instant::now(),
+            started_at_boottime: boottime(),
+            events: Mutex::new((Vec::new(), false)),
+        }
     }
 }
 
 impl History {
-    /// The time now, in microseconds.
+    /// Returns the current time, in microseconds since the history began.
     pub fn now(&self) -> u64 {
-        self.begun.elapsed().as_micros() as u64
+        self.started_at.elapsed().as_micros() as u64
     }
 
-    /// The time of a moment, in microseconds.
+    /// Converts an instant to microseconds since the history began.
     pub fn at(&self, moment: Instant) -> u64 {
-        moment.saturating_duration_since(self.begun).as_micros() as u64
+        moment.saturating_duration_since(self.started_at).as_micros() as u64
     }
 
-    /// Writes down what is seen now.
+    /// Records an event at the current time.
     pub fn note(&self, seen: Seen) {
         self.note_at(Instant::now(), seen);
     }
 
-    /// Writes down what was seen at a moment.
+    /// Records an event at an earlier instant.
     pub fn note_at(&self, moment: Instant, seen: Seen) {
-        let mut lines = self.lines.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        if lines.0.len() < MOST {
+        let mut lines = self.events.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        if lines.0.len() < MAX_EVENTS {
             lines.0.push(Line { at: self.at(moment), seen });
         } else {
             lines.1 = true;
         }
     }
 
-    /// Writes down what a process of this machine has dated by the clock that counts suspended time, in us.
+    /// Records an event that another process of this machine has timestamped with `CLOCK_BOOTTIME`, in us.
     pub fn note_boot(&self, boot_us: u64, seen: Seen) {
-        let since = Duration::from_micros(boot_us).saturating_sub(self.boot);
-        self.note_at(self.begun + since, seen);
+        let since = Duration::from_micros(boot_us).saturating_sub(self.started_at_boottime);
+        self.note_at(self.started_at + since, seen);
     }
 
-    /// All lines by time, and whether there were more than are kept.
+    /// Removes and returns all events in order of time, and whether events were discarded because the history was full.
     pub fn take(&self) -> (Vec<Line>, bool) {
-        let mut lines = self.lines.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut lines = self.events.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let (mut all, full) = std::mem::take(&mut *lines);
         all.sort_by_key(|line| line.at);
         (all, full)
     }
 }
 
-/// The addresses of one trial: trials that run side by side have nothing in common, and the port at which a gateway
-/// listens is never taken by a connection while its process is away.
+/// Loopback addresses of one trial. Concurrent trials use disjoint addresses. Gateways listen on other addresses than
+/// their outgoing connections use, so no connection can occupy the port of a gateway while its process is down.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Addresses(u8, u8);
 
-/// The last part of the first gateway's two addresses: where its connections come from, and where it listens.
-const CONNECTS: u8 = 10;
-const LISTENS: u8 = 110;
+/// Last octet of the two addresses of gateway 0: the source of its connections, and the address it listens on.
+const FIRST_SOURCE_OCTET: u8 = 10;
+const FIRST_LISTEN_OCTET: u8 = 110;
 
 impl Addresses {
-    /// Those of this process's trial of a number.
+    /// Returns the addresses of a trial of this process.
     pub fn of_trial(number: usize) -> Self {
         Self(10 + (std::process::id() % 240) as u8, (number % 256) as u8)
     }
 
-    /// Where the connections of a gateway come from; without a number, those of clients.
+    /// Returns the source address of a gateway's connections; without a number, of the connections of other parties.
     pub fn source(self, gateway: Option<usize>) -> IpAddr {
-        let last = gateway.map_or(1, |number| CONNECTS + number as u8);
+        let last = gateway.map_or(1, |number| FIRST_SOURCE_OCTET + number as u8);
         IpAddr::V4(Ipv4Addr::new(127, self.0, self.1, last))
     }
 
-    /// Where a gateway listens.
+    /// Returns the address that a gateway listens on.
     pub fn listen(self, gateway: usize) -> IpAddr {
-        IpAddr::V4(Ipv4Addr::new(127, self.0, self.1, LISTENS + gateway as u8))
+        IpAddr::V4(Ipv4Addr::new(127, self.0, self.1, FIRST_LISTEN_OCTET + gateway as u8))
     }
 }
 
-/// Whose connections come from this address.
+/// Returns the number of the gateway whose connections come from this address, if any.
 pub fn gateway_at(address: IpAddr) -> Option<usize> {
     let IpAddr::V4(address) = address else { return None };
     let last = address.octets()[3];
-    (CONNECTS..LISTENS).contains(&last).then(|| usize::from(last - CONNECTS))
+    (FIRST_SOURCE_OCTET..FIRST_LISTEN_OCTET).contains(&last).then(|| usize::from(last - FIRST_SOURCE_OCTET))
 }
--- a/emulator/src/live/load.rs
+++ b/emulator/src/live/load.rs
@@ -1,6 +1,7 @@
-//! An open-loop load on gateways: requests leave at drawn times whatever the answers do, and each is timed from
-//! the moment at which it should have left. So a gateway that stalls cannot hide by keeping its clients waiting
-//! (coordinated omission). Bounded in rate, time and requests out; loopback addresses only.
+//! Open-loop load generator for gateways. Requests are sent at random times independently of the answers, and the
+//! latency of each request counts from its scheduled time. This avoids coordinated omission: a stalled gateway cannot
+//! hide its latency by slowing its clients down. Rate, duration and the number of outstanding requests are bounded.
+//! The generator sends to loopback addresses only.
 
 use crate::live::history::{Ended, History, Seen};
 use bytes::Bytes;
@@ -18,63 +19,63 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 
-/// The most requests a second.
-pub const MOST_RATE: f64 = 5000.0;
-/// The longest load, in seconds.
-pub const MOST_SECONDS: u64 = 600;
-/// The most requests out at once; those beyond are counted as not sent.
-const MOST_OUT: usize = 2000;
-/// A gateway that could not be reached gets nothing for so long.
-const DOWN_FOR: Duration = Duration::from_millis(500);
-/// A client that has no answer in its time takes one for so much longer.
-const HALF: Duration = Duration::from_millis(500);
-/// Free connections kept to a gateway.
-const KEPT: usize = 64;
+/// Maximum request rate, per second.
+pub const MAX_RATE: f64 = 5000.0;
+/// Maximum duration of a load, in seconds.
+pub const MAX_SECONDS: u64 = 600;
+/// Maximum number of outstanding requests; requests that exceed the limit count as unsent.
+const MAX_OUTSTANDING: usize = 2000;
+/// Time for which an unreachable gateway receives no requests.
+const UNREACHABLE_PAUSE: Duration = Duration::from_millis(500);
+/// Time after the client deadline for which a client still accepts an answer.
+const LATE_ANSWER_WAIT: Duration = Duration::from_millis(500);
+/// Maximum number of idle connections to a gateway.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// A class of requests that the load is made of.
+/// A request class of the load.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name: the first part of the path.
+    /// Name of the class, and path of its requests.
     pub name: String,
-    /// Whether it may be repeated: GET, else POST.
+    /// Whether requests are idempotent; they use GET if so and POST otherwise.
     pub safe: bool,
-    /// Its part of the load.
+    /// Share of the class in the load, relative to the shares of the other classes.
     pub share: f64,
-    /// The time its clients give it, in ms.
+    /// Client deadline, in ms.
     pub deadline_ms: u64,
 }
 
-/// What load, on whom.
+/// Parameters of a load.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// The gateways.
+    /// Addresses of the gateways.
     pub to: Vec<SocketAddr>,
-    /// Requests a second.
+    /// Request rate, per second.
     pub rate: f64,
-    /// For how long, in seconds.
+    /// Duration, in seconds.
     pub seconds: u64,
-    /// The classes.
+    /// Request classes.
     pub classes: Vec<Class>,
-    /// The plans; customer n has plan n modulo their number.
+    /// Plans; customer n has plan n modulo the number of plans.
     pub plans: Vec<String>,
-    /// Customers.
+    /// Number of customers.
     pub customers: u64,
-    /// The gateways of a customer's set; 0: all of them.
+    /// Number of gateways that serve each customer; 0 means all.
     pub spread: usize,
-    /// Whether the first customers ask for far more than the last ones, instead of all for the same.
+    /// Whether the first customers send far more requests than the last ones; otherwise all send equally many.
     pub skewed: bool,
-    /// The seed of all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Who writes down what becomes of each request, if anybody does.
+    /// Recording of each request, if enabled.
     pub watch: Option<Watch>,
 }
 
-/// What a load that is watched needs.
+/// Recording of the requests of a load.
 #[derive(Clone)]
 pub struct Watch {
-    /// Where it is written down.
+    /// History that receives the events.
     pub history: Arc<History>,
-    /// Whether the front sends to a gateway, by its place in [`Load::to`].
+    /// Whether the load balancer sends requests to a gateway, by index in [`Load::to`].
     pub admitted: Arc<Vec<AtomicBool>>,
 }
 
@@ -84,14 +85,14 @@
     }
 }
 
-/// A load that must not be made.
+/// Why a load is not permitted.
 #[derive(Debug, PartialEq, Eq)]
 pub enum LoadError {
-    /// The address is not one of this machine's own.
+    /// An address is not a loopback address.
     NotLoopback(SocketAddr),
-    /// There is no gateway, class or plan.
-    Nothing(&'static str),
-    /// The rate or the time is out of bounds.
+    /// The load has no gateway, class or customer.
+    Missing(&'static str),
+    /// The rate or the duration is out of bounds.
     Bounds(String),
 }
 
@@ -101,7 +102,7 @@
             Self::NotLoopback(address) => {
                 write!(f, "{address} is no loopback address: no load is sent there")
             }
-            Self::Nothing(what) => write!(f, "there is no {what}"),
+            Self::Missing(what) => write!(f, "the load has no {what}"),
             Self::Bounds(what) => f.write_str(what),
         }
     }
@@ -109,25 +110,25 @@
 
 impl std::error::Error for LoadError {}
 
-/// What became of one class's requests.
+/// Request counts and latencies of one class.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    /// Answered 200.
+    /// Requests answered with 200.
     pub served: u64,
-    /// Answered 429 or 503.
+    /// Requests answered with 429 or 503.
     pub refused: u64,
-    /// Anything else that was answered, or nothing in time.
+    /// Requests with another status, a broken connection, or no answer in time.
     pub failed: u64,
-    /// No gateway could be reached, or too many were out.
+    /// Requests that were not sent: no gateway was reachable, or too many requests were outstanding.
     pub unsent: u64,
-    /// Times of what was served, in microseconds, from when each request was due.
+    /// Latencies of served requests, in microseconds from the scheduled time of each request.
     pub times: Histogram<u64>,
 }
 
 impl Tally {
-    /// Times are kept to three digits, up to ten minutes.
+    /// Creates an empty tally. Latencies keep three significant digits, up to ten minutes.
     fn new() -> Result<Self, LoadError> {
-        let times = Histogram::new_with_bounds(1, MOST_SECONDS * 1_000_000, 3);
+        let times = Histogram::new_with_bounds(1, MAX_SECONDS * 1_000_000, 3);
         let times = times.map_err(|error| LoadError::Bounds(error.to_string()))?;
         Ok(Self { served: 0, refused: 0, failed: 0, unsent: 0, times })
     }
@@ -146,8 +147,8 @@
         }
     }
 
-    /// All requests of the class.
-    pub fn all(&self) -> u64 {
+    /// Returns the number of all requests of the class.
+    pub fn total(&self) -> u64 {
         self.served + self.refused + self.failed + self.unsent
     }
 }
@@ -156,7 +157,7 @@
 
 struct Target {
     address: SocketAddr,
-    free: Mutex<Vec<Sender>>,
+    idle: Mutex<Vec<Sender>>,
     down_until: Mutex<Option<Instant>>,
 }
 
@@ -166,19 +167,19 @@
         self.down_until.lock().is_ok_and(|until| until.is_some_and(|until| now < until))
     }
 
-    /// A free connection, or a new one, and whether it is new.
+    /// Returns an idle or a new connection, and whether the connection is new.
     async fn connection(&self) -> Option<(Sender, bool)> {
         loop {
-            let Some(free) = self.free.lock().ok()?.pop() else { break };
-            if free.is_ready() {
-                return Some((free, false));
+            let Some(idle) = self.idle.lock().ok()?.pop() else { break };
+            if idle.is_ready() {
+                return Some((idle, false));
             }
         }
         let connect = timeout(Duration::from_secs(1), TcpStream::connect(self.address));
         let stream = connect.await.ok().and_then(Result::ok);
         let Some(stream) = stream else {
             if let Ok(mut until) = self.down_until.lock() {
-                *until = Some(Instant::now() + DOWN_FOR);
+                *until = Some(Instant::now() + UNREACHABLE_PAUSE);
             }
             return None;
         };
@@ -188,17 +189,17 @@
         Some((sender, true))
     }
 
-    /// Asks, and waits for the answer as long as a client does and half a second more. `sent` hears of each time
-    /// that the request is about to be written.
-    async fn ask(&self, mut request: Request<Empty<Bytes>>, waits: Duration, sent: impl Fn()) -> Ended {
+    /// Sends a request and waits for the answer until half a second after the client deadline. Calls `sent` each time
+    /// before the request is written.
+    async fn send(&self, mut request: Request<Empty<Bytes>>, deadline: Duration, sent: impl Fn()) -> Ended {
         loop {
             let Some((mut connection, fresh)) = self.connection().await else { return Ended::Unsent };
             sent();
-            let until = Instant::now() + waits + HALF;
+            let until = Instant::now() + deadline + LATE_ANSWER_WAIT;
             let answer = match timeout_at(until, connection.try_send_request(request)).await {
                 Err(_) => return Ended::Silent,
                 Ok(Ok(answer)) => answer,
-                // Closed while nothing was written on it: another connection will do.
+                // The reused connection closed before the request was written: retry on another connection.
                 Ok(Err(mut error)) => match error.take_message() {
                     Some(unwritten) if !fresh => {
                         request = unwritten;
@@ -214,10 +215,10 @@
                 Ok(Ok(body)) if status == 200 => String::from_utf8_lossy(&body.to_bytes()).into_owned(),
                 Ok(Ok(_)) => String::new(),
             };
-            if let Ok(mut free) = self.free.lock()
-                && free.len() < KEPT
+            if let Ok(mut idle) = self.idle.lock()
+                && idle.len() < MAX_IDLE_CONNECTIONS
             {
-                free.push(connection);
+                idle.push(connection);
             }
             return Ended::Answered { status, body };
         }
@@ -225,10 +226,10 @@
 }
 
 impl Load {
-    /// Whether the load may be made.
+    /// Validates the load.
     ///
     /// # Errors
-    /// When a bound is passed or an address is not this machine's.
+    /// When a value is out of bounds or an address is not a loopback address.
     pub fn check(&self) -> Result<(), LoadError> {
         if let Some(address) = self.to.iter().find(|address| !address.ip().is_loopback()) {
             return Err(LoadError::NotLoopback(*address));
@@ -239,70 +240,70 @@
             (self.plans.is_empty() || self.customers == 0, "customer"),
         ] {
             if empty {
-                return Err(LoadError::Nothing(what));
+                return Err(LoadError::Missing(what));
             }
         }
-        if !(self.rate > 0.0 && self.rate <= MOST_RATE) {
+        if !(self.rate > 0.0 && self.rate <= MAX_RATE) {
             return Err(LoadError::Bounds(format!(
-                "the rate must be above 0 and at most {MOST_RATE} a second"
+                "the rate must be above 0 and at most {MAX_RATE} per second"
             )));
         }
-        if self.seconds == 0 || self.seconds > MOST_SECONDS {
-            return Err(LoadError::Bounds(format!("the time must be 1 to {MOST_SECONDS} seconds")));
+        if self.seconds == 0 || self.seconds > MAX_SECONDS {
+            return Err(LoadError::Bounds(format!("the duration must be 1 to {MAX_SECONDS} seconds")));
         }
         Ok(())
     }
 
-    /// Makes the load and waits for its last answers. `told` hears of each request that was due.
+    /// Runs the load and waits for the last answers. Calls `on_due` for each request that is due.
     ///
     /// # Errors
-    /// When it must not be made.
-    pub async fn run(&self, told: impl Fn()) -> Result<Vec<(String, Tally)>, LoadError> {
+    /// When the load is not valid.
+    pub async fn run(&self, on_due: impl Fn()) -> Result<Vec<(String, Tally)>, LoadError> {
         self.check()?;
         let new = |address: &SocketAddr| {
-            Arc::new(Target { address: *address, free: Mutex::default(), down_until: Mutex::default() })
+            Arc::new(Target { address: *address, idle: Mutex::default(), down_until: Mutex::default() })
         };
         let targets: Vec<Arc<Target>> = self.to.iter().map(new).collect();
         let tallies = self.classes.iter().map(|_| Tally::new().map(Mutex::new));
         let tallies: Arc<Vec<Mutex<Tally>>> = Arc::new(tallies.collect::<Result<_, _>>()?);
-        let out = Arc::new(tokio::sync::Semaphore::new(MOST_OUT));
+        let outstanding = Arc::new(tokio::sync::Semaphore::new(MAX_OUTSTANDING));
         let mut random = Random::new(self.seed, "load", 0);
         let shares: f64 = self.classes.iter().map(|class| class.share).sum();
-        let begun = Instant::now();
-        let (mut due, mut number) = (begun, 0u64);
+        let started_at = Instant::now();
+        let (mut due, mut number) = (started_at, 0u64);
         loop {
             due += Duration::from_secs_f64(random.exponential() / self.rate);
-            if due >= begun + Duration::from_secs(self.seconds) {
+            if due >= started_at + Duration::from_secs(self.seconds) {
                 break;
             }
             sleep_until(due).await;
             number += 1;
-            told();
-            let mut lot = random.unit() * shares;
+            on_due();
+            let mut draw = random.unit() * shares;
             let class = self.classes.iter().position(|class| {
-                lot -= class.share;
-                lot < 0.0
+                draw -= class.share;
+                draw < 0.0
             });
             let class = class.unwrap_or(0);
-            let lot = random.unit();
-            let lot = if self.skewed { lot * lot } else { lot };
-            let customer = (lot * self.customers as f64) as usize;
+            let draw = random.unit();
+            let draw = if self.skewed { draw * draw } else { draw };
+            let customer = (draw * self.customers as f64) as usize;
             let spread = if self.spread == 0 { targets.len() } else { self.spread.min(targets.len()) };
             let first = if self.spread == 0 { 0 } else { customer % targets.len() };
             let begin = random.below(spread);
-            // The front passes over a gateway that could not be reached just now, or that is on its way out.
-            let set = (0..spread).map(|n| (first + (begin + n) % spread) % targets.len());
-            let open = |at: &usize| {
+            // The load balancer skips gateways that were unreachable recently or that are shutting down.
+            let candidates = (0..spread).map(|n| (first + (begin + n) % spread) % targets.len());
+            let admitted = |at: &usize| {
                 let watch = self.watch.as_ref();
                 !targets[*at].is_down() && watch.is_none_or(|w| w.admitted[*at].load(Ordering::Relaxed))
             };
-            let target = set.into_iter().find(open);
-            let place = out.clone().try_acquire_owned();
+            let target = candidates.into_iter().find(admitted);
+            let permit = outstanding.clone().try_acquire_owned();
             let id = format!("{:08x}{number:08x}", self.seed as u32);
             if let Some(watch) = &self.watch {
                 watch.history.note_at(due.into_std(), Seen::Due { id: id.clone(), class });
             }
-            let (Some(gateway), Ok(place)) = (target, place) else {
+            let (Some(gateway), Ok(permit)) = (target, permit) else {
                 if let Ok(mut tally) = tallies[class].lock() {
                     tally.add(&Ended::Unsent, Duration::ZERO);
                 }
@@ -318,26 +319,27 @@
                         watch.history.note(Seen::Sent { id, gateway, class, customer, deadline_ms });
                     }
                 };
-                let end = target.ask(request, Duration::from_millis(deadline_ms), sent).await;
+                let end = target.send(request, Duration::from_millis(deadline_ms), sent).await;
                 if let Ok(mut tally) = tallies[class].lock() {
                     tally.add(&end, due.elapsed());
                 }
                 if let Some(watch) = &watch {
                     watch.history.note(Seen::Ended { id, how: end });
                 }
-                drop(place);
+                drop(permit);
             });
         }
-        // Each request ends by itself: its deadline bounds it.
-        let _ = out.acquire_many(MOST_OUT as u32).await;
+        // Wait for all outstanding requests. The client deadline bounds each of them.
+        let _ = outstanding.acquire_many(MAX_OUTSTANDING as u32).await;
         let names = self.classes.iter().map(|class| class.name.clone());
-        let tally =
-            |of: &Mutex<Tally>| of.lock().map_or_else(|held| held.into_inner().clone(), |of| of.clone());
+        let tally = |of: &Mutex<Tally>| {
+            of.lock().map_or_else(|poisoned| poisoned.into_inner().clone(), |of| of.clone())
+        };
         Ok(names.zip(tallies.iter().map(tally)).collect())
     }
 
     fn request(
-        &self, class: usize, id: &str, customer: usize, set: (usize, usize),
+        &self, class: usize, id: &str, customer: usize, gateway_set: (usize, usize),
     ) -> Option<Request<Empty<Bytes>>> {
         let class = &self.classes[class];
         Request::builder()
@@ -348,7 +350,7 @@
             .header("Api-Plan", &self.plans[customer % self.plans.len()])
             .header("Api-Customer", format!("{:016x}", crate::draw::mix(customer as u64) % (1 << 33)))
             .header("Req-Deadline-Ms", class.deadline_ms)
-            .header("Api-Terms", format!("units=1,spread={},first={}", set.0, set.1))
+            .header("Api-Terms", format!("units=1,spread={},first={}", gateway_set.0, gateway_set.1))
             .body(Empty::new())
             .ok()
     }
--- a/emulator/src/live/mod.rs
+++ b/emulator/src/live/mod.rs
@@ -1,4 +1,5 @@
-//! Real gateways on loopback sockets among stand-ins, with a steady load and, where wanted, a trouble in the midst.
+//! Demo: real gateway processes on loopback sockets with stand-in backends, discovery and counter, under a steady
+//! load and with an optional fault.
 
 pub mod history;
 pub mod load;
@@ -20,48 +21,48 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// How many gateways the demo starts, alone or in a group of so many voters, and backends in each zone.
+/// Number of gateways of the demo without a group; with a group, the number of gateways and of voters.
 const GATEWAYS: usize = 3;
-const GROUP: (usize, usize) = (5, 3);
-/// The life of a session in the demo's group, in ms, and its duties.
-const LIFE: u64 = 2000;
+const GROUP_SIZE_AND_VOTERS: (usize, usize) = (5, 3);
+/// Session timeout of the demo's group, in ms, and the duties of the group.
+const SESSION_TIMEOUT_MS: u64 = 2000;
 const DUTIES: [&str; 2] = ["lamp", "horn"];
-/// How often it is looked at who has them.
-const LOOKS: Duration = Duration::from_millis(50);
-const BACKENDS: usize = 3;
+/// Interval at which the demo polls which gateway holds each duty.
+const DUTY_POLL_INTERVAL: Duration = Duration::from_millis(50);
+const BACKENDS_PER_ZONE: usize = 3;
 const ZONES: [&str; 3] = ["north", "south", "east"];
-/// What a backend of the demo works on at once.
-const SLOTS: usize = 4;
+/// Number of requests that a backend of the demo processes concurrently.
+const SLOTS_PER_BACKEND: usize = 4;
 
-/// What happens in the midst of the demo, and is over before its end.
+/// Fault of the demo; it ends before the demo does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Trouble {
-    /// One gateway is killed, and started again.
+    /// One gateway is killed and started again.
     Gateway,
-    /// All backends of a zone fall silent.
+    /// All backends of a zone stop answering.
     Zone,
-    /// The counter falls silent.
+    /// The counter stops answering.
     Counter,
-    /// A backend drains.
+    /// A backend drains and returns.
     Drain,
 }
 
-/// The demo.
+/// Options of the demo.
 #[derive(Clone, Debug)]
 pub struct Demo {
-    /// The gateway's program.
+    /// Path of the gateway executable.
     pub program: PathBuf,
-    /// For how long there is load, in seconds.
+    /// Duration of the load, in seconds.
     pub seconds: u64,
-    /// Requests a second.
+    /// Request rate, per second.
     pub rate: f64,
-    /// What happens.
+    /// Injected fault, if any.
     pub trouble: Option<Trouble>,
-    /// Whether the gateways form a group; one that has a duty is killed then.
+    /// Whether the gateways form a group. If so and no fault is given, the demo kills a gateway that holds a duty.
     pub group: bool,
 }
 
-/// A gateway's process.
+/// A gateway of the demo and its process.
 struct Gateway {
     name: String,
     folder: PathBuf,
@@ -69,65 +70,67 @@
     process: Process,
 }
 
-/// What a gateway's figures said at the end.
+/// Resource use of a gateway, read at the end of the demo.
 #[derive(Clone, Debug)]
 pub struct Cost {
-    /// Which gateway.
+    /// Name of the gateway.
     pub name: String,
-    /// Requests that it got.
+    /// Number of received requests.
     pub requests: u64,
-    /// Processor time, in ms.
+    /// CPU time, in ms.
     pub processor_ms: u64,
-    /// Resident memory at its peak, in kB.
+    /// Peak resident memory, in kB.
     pub peak_kb: u64,
-    /// Counter calls.
+    /// Number of counter calls.
     pub counter_calls: u64,
 }
 
-/// What the demo came to.
+/// Result of the demo.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// By class.
+    /// Request counts and latencies by class.
     pub classes: Vec<(String, Tally)>,
-    /// By gateway; without those that did not answer.
+    /// Resource use by gateway, without gateways whose console did not answer.
     pub costs: Vec<Cost>,
-    /// What happened, with its time in seconds.
+    /// Events with their time in seconds since the start of the load.
     pub happened: Vec<(f64, String)>,
 }
 
 impl Demo {
-    /// Runs it to its end. `told` hears of each request that was due.
+    /// Runs the demo to its end. Calls `on_due` for each request that is due.
     ///
     /// # Errors
-    /// When something cannot be started.
-    pub async fn run(&self, told: impl Fn()) -> Result<Outcome, Box<dyn std::error::Error + Send + Sync>> {
+    /// When a process or stand-in cannot start.
+    pub async fn run(&self, on_due: impl Fn()) -> Result<Outcome, Box<dyn std::error::Error + Send + Sync>> {
         let folder = std::env::temp_dir().join(format!("fennelscale-demo-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let result = self.run_in(&folder, told).await;
+        let result = self.run_in(&folder, on_due).await;
         let _ = std::fs::remove_dir_all(&folder);
         result
     }
 
     async fn run_in(
-        &self, folder: &Path, told: impl Fn(),
+        &self, folder: &Path, on_due: impl Fn(),
     ) -> Result<Outcome, Box<dyn std::error::Error + Send + Sync>> {
         let mut backends = Vec::new();
-        for number in 0..ZONES.len() * BACKENDS {
-            backends.push(Backend::start(number, ZONES[number % ZONES.len()], SLOTS, None).await?);
+        for number in 0..ZONES.len() * BACKENDS_PER_ZONE {
+            backends
+                .push(Backend::start(number, ZONES[number % ZONES.len()], SLOTS_PER_BACKEND, None).await?);
         }
         let dials = addresses_of(&backends);
         let discovery = Discovery::start(hosts(&backends, &dials), None).await?;
         let counter = Counter::start(1, None).await?;
         let (mut gateways, mut addresses) = (Vec::new(), Vec::new());
-        let here = IpAddr::V4(Ipv4Addr::LOCALHOST);
-        let seats = free_addresses::<{ GROUP.1 }>(here).await?;
-        let voters = seats.iter().enumerate().take(if self.group { GROUP.1 } else { 0 });
+        let loopback = IpAddr::V4(Ipv4Addr::LOCALHOST);
+        let group_addresses = free_addresses::<{ GROUP_SIZE_AND_VOTERS.1 }>(loopback).await?;
+        let voters =
+            group_addresses.iter().enumerate().take(if self.group { GROUP_SIZE_AND_VOTERS.1 } else { 0 });
         let voters: Vec<Value> =
             voters.map(|(n, at)| json!({"name": format!("g{n}"), "address": at.to_string()})).collect();
-        let fleet = if self.group { GROUP.0 } else { GATEWAYS };
+        let fleet = if self.group { GROUP_SIZE_AND_VOTERS.0 } else { GATEWAYS };
         for number in 0..fleet {
-            let rest = (fleet, &discovery, counter.address, voters.as_slice());
-            let (gateway, address) = Gateway::start(&self.program, folder, number, rest).await?;
+            let environment = (fleet, &discovery, counter.address, voters.as_slice());
+            let (gateway, address) = Gateway::start(&self.program, folder, number, environment).await?;
             gateways.push(gateway);
             addresses.push(address);
         }
@@ -148,15 +151,15 @@
         };
         let consoles: Vec<SocketAddr> = gateways.iter().map(|gateway| gateway.console).collect();
         let mut happened = Vec::new();
-        let loaded = load.run(told);
-        let troubled = self.troubled(&mut gateways, &backends, &discovery, &counter, &mut happened);
-        let passed = Mutex::default();
+        let loaded = load.run(on_due);
+        let troubled = self.inject_fault(&mut gateways, &backends, &discovery, &counter, &mut happened);
+        let takeovers = Mutex::default();
         let (classes, troubled) = tokio::select! {
             both = async { tokio::join!(loaded, troubled) } => both,
-            () = watched(&consoles, &passed) => return Err("the group cannot be watched".into()),
+            () = record_takeovers(&consoles, &takeovers) => return Err("the group cannot be monitored".into()),
         };
         troubled?;
-        happened.extend(passed.into_inner().unwrap_or_default());
+        happened.extend(takeovers.into_inner().unwrap_or_default());
         happened.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut costs = Vec::new();
         for gateway in &mut gateways {
@@ -166,8 +169,8 @@
         Ok(Outcome { classes: classes?, costs, happened })
     }
 
-    /// What goes wrong from two fifths of the time on, for three tenths of it.
-    async fn troubled(
+    /// Injects the fault after two fifths of the duration, for three tenths of the duration.
+    async fn inject_fault(
         &self, gateways: &mut [Gateway], backends: &[Arc<Backend>], discovery: &Discovery, counter: &Counter,
         happened: &mut Vec<(f64, String)>,
     ) -> io::Result<()> {
@@ -175,12 +178,12 @@
         let Some(trouble) = trouble else { return Ok(()) };
         let (before, lasts) = (self.seconds as f64 * 0.4, self.seconds as f64 * 0.3);
         sleep(Duration::from_secs_f64(before)).await;
-        // In a group, one that has a duty.
-        let mut victim = 0;
+        // In a group, choose a gateway that holds a duty.
+        let mut target = 0;
         for (number, gateway) in gateways.iter().enumerate().filter(|_| self.group) {
-            let figures = process::figures(gateway.console).await.unwrap_or_default();
-            if figures["group"]["held"].as_object().is_some_and(|held| !held.is_empty()) {
-                victim = number;
+            let metrics = process::console_metrics(gateway.console).await.unwrap_or_default();
+            if metrics["group"]["held"].as_object().is_some_and(|held| !held.is_empty()) {
+                target = number;
             }
         }
         let zone = |silent: bool| {
@@ -197,16 +200,16 @@
             before,
             match trouble {
                 Trouble::Gateway => {
-                    gateways[victim].process.kill().await?;
-                    format!("gateway {} is killed", gateways[victim].name)
+                    gateways[target].process.kill().await?;
+                    format!("gateway {} is killed", gateways[target].name)
                 }
                 Trouble::Zone => {
                     zone(true);
-                    format!("the backends of zone {} fall silent", ZONES[1])
+                    format!("the backends of zone {} stop answering", ZONES[1])
                 }
                 Trouble::Counter => {
                     counter.silent.store(true, Ordering::Relaxed);
-                    "the counter falls silent".into()
+                    "the counter stops answering".into()
                 }
                 Trouble::Drain => {
                     drain(true);
@@ -219,8 +222,8 @@
             before + lasts,
             match trouble {
                 Trouble::Gateway => {
-                    gateways[victim].process = started(&self.program, &gateways[victim].folder).await?;
-                    format!("gateway {} is started again", gateways[victim].name)
+                    gateways[target].process = start_gateway(&self.program, &gateways[target].folder).await?;
+                    format!("gateway {} is started again", gateways[target].name)
                 }
                 Trouble::Zone => {
                     zone(false);
@@ -240,42 +243,42 @@
     }
 }
 
-/// Writes down which duties pass to whom, for ever.
-async fn watched(consoles: &[SocketAddr], passed: &Mutex<Vec<(f64, String)>>) {
-    let begun = Instant::now();
+/// Records each takeover of a duty; never returns.
+async fn record_takeovers(consoles: &[SocketAddr], takeovers: &Mutex<Vec<(f64, String)>>) {
+    let started_at = Instant::now();
     let mut known = BTreeMap::new();
     loop {
-        sleep(LOOKS).await;
+        sleep(DUTY_POLL_INTERVAL).await;
         for (number, console) in consoles.iter().enumerate() {
-            let Some(figures) = process::figures(*console).await else { continue };
-            for (duty, held) in figures["group"]["held"].as_object().into_iter().flatten() {
+            let Some(metrics) = process::console_metrics(*console).await else { continue };
+            for (duty, held) in metrics["group"]["held"].as_object().into_iter().flatten() {
                 let fence = held["fence"].as_u64();
                 let left = held["left_ms"].as_u64().unwrap_or(0);
                 if left == 0 || known.get(duty).is_some_and(|before| *before >= fence) {
                     continue;
                 }
                 known.insert(duty.clone(), fence);
-                let told = format!("gateway g{number} has the duty {duty}, fence {}", fence.unwrap_or(0));
-                if let Ok(mut passed) = passed.lock() {
-                    passed.push((begun.elapsed().as_secs_f64(), told));
+                let event = format!("gateway g{number} has the duty {duty}, fence {}", fence.unwrap_or(0));
+                if let Ok(mut takeovers) = takeovers.lock() {
+                    takeovers.push((started_at.elapsed().as_secs_f64(), event));
                 }
             }
         }
     }
 }
 
-/// Starts a gateway on the configuration in its folder.
-async fn started(program: &Path, folder: &Path) -> io::Result<Process> {
+/// Starts a gateway with the configuration in its folder.
+async fn start_gateway(program: &Path, folder: &Path) -> io::Result<Process> {
     Process::start(program, &folder.join("config.json"), folder, &folder.join("tmp"), None).await
 }
 
 impl Gateway {
     async fn start(
-        program: &Path, folder: &Path, number: usize, rest: (usize, &Discovery, SocketAddr, &[Value]),
+        program: &Path, folder: &Path, number: usize, environment: (usize, &Discovery, SocketAddr, &[Value]),
     ) -> io::Result<(Self, SocketAddr)> {
-        let (fleet, discovery, counter, voters) = rest;
-        let here = IpAddr::V4(Ipv4Addr::LOCALHOST);
-        let [listen, console] = free_addresses(here).await?;
+        let (fleet, discovery, counter, voters) = environment;
+        let loopback = IpAddr::V4(Ipv4Addr::LOCALHOST);
+        let [listen, console] = free_addresses(loopback).await?;
         let name = format!("g{number}");
         let plan = |name: &str, rate: f64, burst: f64| json!({"name": name, "refill": rate, "burst": burst});
         let class = |name: &str, effect: &str, aim: f64, worth: f64| json!({"name": name, "effect": effect, "goal-time-ms": aim, "worth": worth});
@@ -292,21 +295,22 @@
         let folder = folder.join(&name);
         std::fs::create_dir_all(&folder)?;
         if !voters.is_empty() {
-            config["group"] = json!({"name": "demo", "voters": voters, "life_ms": LIFE, "duties": DUTIES});
+            config["group"] =
+                json!({"name": "demo", "voters": voters, "life_ms": SESSION_TIMEOUT_MS, "duties": DUTIES});
             if let Some(voter) = voters.get(number) {
                 config["group"]["listen"] = voter["address"].clone();
                 config["group"]["dir"] = json!(folder.join("disk"));
             }
         }
         std::fs::write(folder.join("config.json"), config.to_string())?;
-        let process = started(program, &folder).await?;
+        let process = start_gateway(program, &folder).await?;
         Ok((Self { name, folder, console, process }, listen))
     }
 
-    /// What its figures say, if it answers.
+    /// Reads the resource use of the gateway, if its console answers.
     async fn cost(&self) -> Option<Cost> {
-        let figures = process::figures(self.console).await?;
-        let cost = |name: &str| figures["cost"][name].as_u64().unwrap_or(0);
+        let metrics = process::console_metrics(self.console).await?;
+        let cost = |name: &str| metrics["cost"][name].as_u64().unwrap_or(0);
         Some(Cost {
             name: self.name.clone(),
             requests: cost("requests"),
@@ -317,7 +321,7 @@
     }
 }
 
-/// The outcome by class as a table.
+/// Formats the results by class as a table.
 pub fn table(classes: &[(String, Tally)]) -> String {
     let mut text = format!(
         "{:10}{:>8}{:>8}{:>9}{:>8}{:>8} | {:>9}{:>9}{:>9}{:>9}\n",
@@ -328,7 +332,7 @@
         let _ = writeln!(
             text,
             "{name:10}{:>8}{:>8}{:>9}{:>8}{:>8} | {:>9.1}{:>9.1}{:>9.1}{:>9.1}",
-            tally.all(),
+            tally.total(),
             tally.served,
             tally.refused,
             tally.failed,
@@ -343,7 +347,7 @@
 }
 
 impl Outcome {
-    /// All of it as text.
+    /// Formats the result as text.
     pub fn text(&self) -> String {
         let mut text = table(&self.classes);
         for (at, what) in &self.happened {
--- a/emulator/src/live/process.rs
+++ b/emulator/src/live/process.rs
@@ -1,5 +1,5 @@
-//! Gateways as processes of their own. Every process that is started here is ended here: when its owner goes, when
-//! the program panics ([`end_with_panics`]), and when it is told to stop ([`end_all`]).
+//! Control of gateway processes. The emulator kills every process that it started: when the [`Process`] is dropped,
+//! when the program panics ([`end_with_panics`]), and when the program receives a termination signal ([`end_all`]).
 
 use fault_injection::running;
 pub use fault_injection::running::{end_all, end_with_panics, signal};
@@ -16,30 +16,31 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-/// A gateway has this long to come up.
-const COMES_UP: Duration = Duration::from_secs(10);
-/// What a gateway writes once clients may come.
-const LISTENS: &str = ": listening at ";
-/// How often its log is looked at until then.
-const LOOKS: Duration = Duration::from_millis(10);
-/// The longest answer of a console.
-const LONGEST: u64 = 1 << 20;
+/// Time limit for a gateway to start listening.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Log text of a gateway that listens.
+const LISTENING_TEXT: &str = ": listening at ";
+/// Interval at which the log is polled for [`LISTENING_TEXT`].
+const LOG_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum size of a console answer, in bytes.
+const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
-/// A gateway's process.
+/// A gateway process.
 pub struct Process {
-    /// Its number with the system.
+    /// Process id.
     pub pid: u32,
-    /// What it writes.
+    /// Path of the log file.
     pub log: PathBuf,
     child: Child,
 }
 
 impl Process {
-    /// Starts the program on a configuration and waits until it listens. It writes into `folder`, both its log and,
-    /// in `tmp`, whatever it keeps. A console in the environment goes before the configuration's.
+    /// Starts the program with a configuration and waits until the process listens. The process writes its log to
+    /// `folder` and uses `tmp` as `$TMPDIR`. `console` overrides the console address of the configuration.
     ///
     /// # Errors
-    /// When it cannot be started, ends, or does not listen in time; with its last words.
+    /// When the process cannot start, exits, or does not listen in time. If the process exits, the error has the last
+    /// line of its log.
     pub async fn start(
         program: &Path, config: &Path, folder: &Path, tmp: &Path, console: Option<SocketAddr>,
     ) -> io::Result<Self> {
@@ -64,28 +65,31 @@
         let pid = child.id().unwrap_or_default();
         running::add(pid);
         let mut process = Self { pid, log, child };
-        match timeout(COMES_UP, process.comes_up()).await {
+        match timeout(START_TIMEOUT, process.wait_until_listening()).await {
             Ok(up) => up.map(|()| process),
-            Err(_) => Err(io::Error::other(format!("{}: did not come up", process.log.display()))),
+            Err(_) => Err(io::Error::other(format!(
+                "{}: the gateway did not listen in time",
+                process.log.display()
+            ))),
         }
     }
 
-    async fn comes_up(&mut self) -> io::Result<()> {
+    async fn wait_until_listening(&mut self) -> io::Result<()> {
         loop {
             let ended = self.ended();
-            let said = std::fs::read_to_string(&self.log)?;
-            if said.contains(LISTENS) {
+            let log_text = std::fs::read_to_string(&self.log)?;
+            if log_text.contains(LISTENING_TEXT) {
                 return Ok(());
             }
             if let Some(status) = ended {
-                let last = said.lines().last().unwrap_or_default();
+                let last = log_text.lines().last().unwrap_or_default();
                 return Err(io::Error::other(format!("{}: {status}: {last}", self.log.display())));
             }
-            sleep(LOOKS).await;
+            sleep(LOG_POLL_INTERVAL).await;
         }
     }
 
-    /// How it ended, if it has.
+    /// Returns the exit status if the process has exited.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         let status = self.child.try_wait().ok().flatten();
         if status.is_some() {
@@ -94,7 +98,7 @@
         status
     }
 
-    /// Kills it and waits for its end, also when it is stopped.
+    /// Kills the process, even if it is paused, and waits for its exit.
     pub async fn kill(&mut self) -> io::Result<ExitStatus> {
         signal(self.pid, Signal::KILL);
         let status = self.child.wait().await?;
@@ -102,7 +106,8 @@
         Ok(status)
     }
 
-    /// Tells it to end, and kills it if it has not by then. True if it ended by itself.
+    /// Sends SIGTERM, and SIGKILL if the process has not exited within `within`. Returns the exit status, and whether
+    /// the process exited without SIGKILL.
     pub async fn terminate(&mut self, within: Duration) -> io::Result<(ExitStatus, bool)> {
         signal(self.pid, Signal::TERM);
         match timeout(within, self.child.wait()).await {
@@ -114,8 +119,8 @@
         }
     }
 
-    /// Open descriptors, and resident memory in kB, by the system's account.
-    pub fn holds(&self) -> Option<(u64, u64)> {
+    /// Returns the number of open file descriptors, and the resident memory in kB, from `/proc`.
+    pub fn resource_use(&self) -> Option<(u64, u64)> {
         let descriptors = std::fs::read_dir(format!("/proc/{}/fd", self.pid)).ok()?.count() as u64;
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid)).ok()?;
         let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
@@ -126,14 +131,14 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if self.ended().is_none() {
-            // Stopped ones too: a signal to end would wait until they are continued.
+            // A paused process would not handle SIGTERM until it is resumed.
             signal(self.pid, Signal::KILL);
             running::remove(self.pid);
         }
     }
 }
 
-/// A log that is not there yet.
+/// Creates a new log file.
 fn new_log(folder: &Path) -> io::Result<(PathBuf, File)> {
     let mut number = 0;
     loop {
@@ -145,34 +150,34 @@
     }
 }
 
-/// Addresses that nobody listens at just now, each another one: all are held until the last is found.
+/// Returns `N` different addresses that are currently free. All of them stay bound until the last one is found.
 ///
 /// # Errors
-/// When there are none.
+/// When no address can be bound.
 pub async fn free_addresses<const N: usize>(ip: IpAddr) -> io::Result<[SocketAddr; N]> {
-    let mut held = Vec::new();
+    let mut listeners = Vec::new();
     let mut found = [SocketAddr::new(ip, 0); N];
     for address in &mut found {
         let listener = TcpListener::bind(*address).await?;
         *address = listener.local_addr()?;
-        held.push(listener);
+        listeners.push(listener);
     }
     Ok(found)
 }
 
-/// What a gateway's console answers to a call: its first line.
-pub async fn console(address: SocketAddr, call: &str) -> Option<String> {
+/// Sends a command to the console of a gateway and returns the first line of the answer.
+pub async fn console(address: SocketAddr, command: &str) -> Option<String> {
     let read = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
-        stream.write_all(format!("{call}\n").as_bytes()).await.ok()?;
+        stream.write_all(format!("{command}\n").as_bytes()).await.ok()?;
         let mut text = String::new();
-        stream.take(LONGEST).read_to_string(&mut text).await.ok()?;
+        stream.take(MAX_ANSWER_BYTES).read_to_string(&mut text).await.ok()?;
         text.lines().next().map(str::to_owned)
     };
     timeout(Duration::from_secs(2), read).await.ok()?
 }
 
-/// What a gateway's figures say, if it answers.
-pub async fn figures(address: SocketAddr) -> Option<Value> {
+/// Returns the `INFO` metrics of a gateway, if its console answers.
+pub async fn console_metrics(address: SocketAddr) -> Option<Value> {
     serde_json::from_str(&console(address, "INFO").await?).ok()
 }
--- a/emulator/src/live/stand_ins.rs
+++ b/emulator/src/live/stand_ins.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for what a gateway meets, by the protocol's page, on loopback sockets: backends, discovery, counter.
-//! Each can be put in trouble while it runs. They are for trying the program out, and measure nothing.
+//! Stand-ins for the services that a gateway uses, on loopback sockets: backends, discovery and counter. They
+//! implement the gateway's external protocol. Each can inject faults while it runs. They support functional trials
+//! and do not measure performance.
 
 use crate::live::history::{Entry, History, Seen, gateway_at};
 use bytes::Bytes;
@@ -24,86 +25,86 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::{sleep, timeout};
 
-/// The longest request body that a backend reads.
-const LONGEST_BODY: usize = 64 * 1024;
-/// The longest call of the counter.
-const LONGEST_CALL: usize = 4096;
-/// Connections that one stand-in holds.
-const CONNECTIONS: usize = 512;
+/// Maximum size of a request body at a backend, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Maximum size of a counter call, in bytes.
+const MAX_CALL_BYTES: usize = 4096;
+/// Maximum number of concurrent connections of one stand-in.
+const MAX_CONNECTIONS: usize = 512;
 
-/// Accepts connections and serves each on a task of its own, up to a bound.
-fn serve<F>(listener: TcpListener, each: impl Fn(TcpStream) -> F + Send + 'static)
+/// Accepts connections and serves each on its own task, at most [`MAX_CONNECTIONS`] at once.
+fn serve<F>(listener: TcpListener, handle: impl Fn(TcpStream) -> F + Send + 'static)
 where
     F: Future<Output = ()> + Send + 'static,
 {
-    let free = Arc::new(Semaphore::new(CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     tokio::spawn(async move {
         loop {
-            let Ok(place) = free.clone().acquire_owned().await else { return };
+            let Ok(permit) = permits.clone().acquire_owned().await else { return };
             let Ok((stream, _)) = listener.accept().await else {
                 sleep(Duration::from_millis(10)).await;
                 continue;
             };
             let _ = stream.set_nodelay(true);
-            let served = each(stream);
+            let handler = handle(stream);
             tokio::spawn(async move {
-                served.await;
-                drop(place);
+                handler.await;
+                drop(permit);
             });
         }
     });
 }
 
-async fn loopback() -> io::Result<(TcpListener, SocketAddr)> {
+async fn bind_loopback() -> io::Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     Ok((listener, address))
 }
 
-/// A backend: so many requests in work at once, each for a drawn time, a bounded line, and a state.
+/// A backend with a fixed number of slots, random service times, a bounded queue and injectable faults.
 pub struct Backend {
-    /// Its name.
+    /// Name of the backend.
     pub name: String,
-    /// Its zone.
+    /// Zone of the backend.
     pub zone: String,
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// It takes requests and says nothing.
+    /// Whether the backend accepts requests but never answers.
     pub silent: AtomicBool,
-    /// It turns new requests away.
+    /// Whether the backend declines new requests.
     pub draining: AtomicBool,
-    /// It fails this share of what it is sent, in thousandths.
+    /// Share of requests that the backend answers with an error, in thousandths.
     pub failing: AtomicU64,
-    /// Answers given.
+    /// Number of served requests.
     pub served: AtomicU64,
     number: usize,
     history: Option<Arc<History>>,
     born: Mutex<Option<(Instant, u64)>>,
     slots: Semaphore,
-    waiting: AtomicUsize,
-    chance: Mutex<Random>,
+    queued: AtomicUsize,
+    random: Mutex<Random>,
 }
 
-/// Requests that wait.
-const LINE: usize = 40;
-/// The share of its pace that a backend starts with, and how long it takes to reach all of it.
-pub const COLD: (f64, Duration) = (0.2, Duration::from_secs(10));
+/// Maximum number of requests that wait for a slot.
+const MAX_QUEUED_REQUESTS: usize = 40;
+/// Warm-up of a restarted backend: the initial share of its full speed, and the time until full speed.
+pub const WARM_UP: (f64, Duration) = (0.2, Duration::from_secs(10));
 
-/// The share of its pace that a backend has this long after its start.
+/// Returns the share of its full speed that a backend has reached at this time after its start.
 pub fn warmth(age: Duration) -> f64 {
-    let (share, warm) = COLD;
+    let (share, warm) = WARM_UP;
     share + (1.0 - share) * (age.as_secs_f64() / warm.as_secs_f64()).min(1.0)
 }
 
 impl Backend {
-    /// Starts one.
+    /// Starts a backend.
     ///
     /// # Errors
-    /// When there is no address for it.
+    /// When the backend cannot bind an address.
     pub async fn start(
         number: usize, zone: &str, slots: usize, history: Option<Arc<History>>,
     ) -> io::Result<Arc<Self>> {
-        let (listener, address) = loopback().await?;
+        let (listener, address) = bind_loopback().await?;
         let backend = Arc::new(Self {
             name: format!("b{number}"),
             zone: zone.into(),
@@ -116,25 +117,25 @@
             history,
             born: Mutex::new(None),
             slots: Semaphore::new(slots),
-            waiting: AtomicUsize::new(0),
-            chance: Mutex::new(Random::new(number as u64, "backend", 0)),
+            queued: AtomicUsize::new(0),
+            random: Mutex::new(Random::new(number as u64, "backend", 0)),
         });
-        let of = backend.clone();
+        let shared = backend.clone();
         serve(listener, move |stream| {
-            let of = of.clone();
+            let shared = shared.clone();
             async move {
                 let from = stream.peer_addr().ok().map(|address| address.ip());
-                let service = service_fn(move |request| of.clone().answer(request, from));
+                let service = service_fn(move |request| shared.clone().answer(request, from));
                 let connection = hyper::server::conn::http1::Builder::new();
-                // A connection that breaks is its client's affair.
+                // The client handles a broken connection; the backend needs no error handling.
                 let _ = connection.serve_connection(TokioIo::new(stream), service).await;
             }
         });
         Ok(backend)
     }
 
-    /// Its process starts anew: it is cold.
-    pub fn starts(&self) {
+    /// Simulates a restart of the process: the backend is cold from now on.
+    pub fn restart(&self) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         if let Ok(mut born) = self.born.lock() {
             *born = Some((Instant::now(), unix));
@@ -142,7 +143,7 @@
         self.note(Seen::Born { backend: self.number, born_ms: unix });
     }
 
-    /// Its last start, in ms of Unix time; 0: long ago.
+    /// Returns the last start of the backend, in ms of Unix time; 0 if the backend started long ago.
     pub fn born_ms(&self) -> u64 {
         self.born.lock().ok().and_then(|born| *born).map_or(0, |(_, unix)| unix)
     }
@@ -159,75 +160,75 @@
         self: Arc<Self>, request: Request<Incoming>, from: Option<IpAddr>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let Some(id) = request.headers().get("Req-Id").cloned() else {
-            return Ok(told(StatusCode::NOT_FOUND, ""));
+            return Ok(response(StatusCode::NOT_FOUND, ""));
         };
         let id = id.to_str().unwrap_or("?").to_owned();
         let mean = if request.method() == Method::GET { 20.0 } else { 45.0 };
-        if Limited::new(request.into_body(), LONGEST_BODY).collect().await.is_err() {
-            return Ok(told(StatusCode::PAYLOAD_TOO_LARGE, ""));
+        if Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await.is_err() {
+            return Ok(response(StatusCode::PAYLOAD_TOO_LARGE, ""));
         }
         let silent = self.silent.load(Ordering::Relaxed);
-        let full = self.waiting.load(Ordering::Relaxed) >= LINE;
-        let declines = !silent && (full || self.draining.load(Ordering::Relaxed));
-        let lot = |chance: &Mutex<Random>| {
-            chance.lock().map_or((1.0, 1.0), |mut chance| (chance.exponential(), chance.unit()))
+        let full = self.queued.load(Ordering::Relaxed) >= MAX_QUEUED_REQUESTS;
+        let declined_now = !silent && (full || self.draining.load(Ordering::Relaxed));
+        let draw = |random: &Mutex<Random>| {
+            random.lock().map_or((1.0, 1.0), |mut random| (random.exponential(), random.unit()))
         };
-        let (work, luck) = lot(&self.chance);
+        let (work, failure_draw) = draw(&self.random);
         let work_ms = work * mean;
         let gateway = from.and_then(gateway_at);
         let arrived =
-            Seen::Arrived { id: id.clone(), backend: self.number, gateway, work_ms, ran: !declines };
+            Seen::Arrived { id: id.clone(), backend: self.number, gateway, work_ms, ran: !declined_now };
         self.note(arrived);
         if silent {
             std::future::pending::<()>().await;
         }
-        if declines {
-            let mut declined = told(StatusCode::SERVICE_UNAVAILABLE, "");
+        if declined_now {
+            let mut declined = response(StatusCode::SERVICE_UNAVAILABLE, "");
             declined.headers_mut().insert("Srv-Declined", hyper::header::HeaderValue::from_static("1"));
             return Ok(declined);
         }
-        if luck * 1000.0 < self.failing.load(Ordering::Relaxed) as f64 {
-            return Ok(told(StatusCode::INTERNAL_SERVER_ERROR, ""));
+        if failure_draw * 1000.0 < self.failing.load(Ordering::Relaxed) as f64 {
+            return Ok(response(StatusCode::INTERNAL_SERVER_ERROR, ""));
         }
-        let place = Place::take(&self.waiting);
+        let place = QueuePlace::take(&self.queued);
         let slot = self.slots.acquire().await;
         drop(place);
         sleep(Duration::from_secs_f64(work_ms / 1000.0 / self.warmth())).await;
         drop(slot);
         self.served.fetch_add(1, Ordering::Relaxed);
         self.note(Seen::Served { id: id.clone(), backend: self.number });
-        Ok(told(StatusCode::OK, &format!("{id} by {}\n", self.name)))
+        Ok(response(StatusCode::OK, &format!("{id} by {}\n", self.name)))
     }
 }
 
-/// A place in a line, given back also when whoever holds it is dropped: its connection may break while it waits.
-struct Place<'a>(&'a AtomicUsize);
+/// A place in the queue. Dropping the place releases it, also when the connection breaks while the request waits.
+struct QueuePlace<'a>(&'a AtomicUsize);
 
-impl<'a> Place<'a> {
-    fn take(line: &'a AtomicUsize) -> Self {
-        line.fetch_add(1, Ordering::Relaxed);
-        Self(line)
+impl<'a> QueuePlace<'a> {
+    fn take(queue: &'a AtomicUsize) -> Self {
+        queue.fetch_add(1, Ordering::Relaxed);
+        Self(queue)
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueuePlace<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-fn told(status: StatusCode, text: &str) -> Response<Full<Bytes>> {
+fn response(status: StatusCode, text: &str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::copy_from_slice(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
-/// Where backends listen themselves.
+/// Returns the addresses that the backends listen on, without relays.
 pub fn addresses_of(backends: &[Arc<Backend>]) -> Vec<SocketAddr> {
     backends.iter().map(|backend| backend.address).collect()
 }
 
-/// The list of backends, each at the address where whoever is told finds it.
+/// Builds the discovery list of the backends, with the addresses at which the receiving gateway reaches them.
 pub fn hosts(backends: &[Arc<Backend>], dials: &[SocketAddr]) -> Vec<Value> {
     let entry = |(number, (backend, dial)): (usize, (&Arc<Backend>, &SocketAddr))| {
         let health = if backend.draining.load(Ordering::Relaxed) { "terminating" } else { "in_service" };
@@ -237,26 +238,27 @@
     backends.iter().zip(dials).enumerate().map(entry).collect()
 }
 
-/// Discovery: the whole list, and watches that answer when it changes.
+/// Discovery service: serves the complete list, and long polls that return when the list changes.
 pub struct Discovery {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     list: watch::Sender<(u64, Vec<Value>)>,
 }
 
 impl Discovery {
-    /// Starts it with a list; it may be one gateway's alone, and write down what it tells it.
+    /// Starts discovery with a list. With `watched`, the service belongs to one gateway and records the queries of
+    /// and the answers to that gateway.
     ///
     /// # Errors
-    /// When there is no address for it.
+    /// When discovery cannot bind an address.
     pub async fn start(hosts: Vec<Value>, watched: Option<(usize, Arc<History>)>) -> io::Result<Self> {
-        let (listener, address) = loopback().await?;
-        let (list, listed) = watch::channel((1, hosts));
+        let (listener, address) = bind_loopback().await?;
+        let (list, list_receiver) = watch::channel((1, hosts));
         serve(listener, move |stream| {
-            let (listed, watched) = (listed.clone(), watched.clone());
+            let (list_receiver, watched) = (list_receiver.clone(), watched.clone());
             async move {
                 let service =
-                    service_fn(move |request| answer_list(listed.clone(), watched.clone(), request));
+                    service_fn(move |request| answer_query(list_receiver.clone(), watched.clone(), request));
                 let connection = hyper::server::conn::http1::Builder::new();
                 let _ = connection.serve_connection(TokioIo::new(stream), service).await;
             }
@@ -264,43 +266,46 @@
         Ok(Self { address, list })
     }
 
-    /// The list changes.
+    /// Replaces the list and increments its version.
     pub fn change(&self, hosts: Vec<Value>) {
         self.list.send_modify(|list| *list = (list.0 + 1, hosts));
     }
 
-    /// The list as a configuration knows it.
+    /// Returns the current list in the form of the configuration's `known` field.
     pub fn known(&self) -> Value {
         let list = self.list.borrow();
         json!({"seq": list.0, "whole": true, "hosts": list.1})
     }
 }
 
-async fn answer_list(
-    mut listed: watch::Receiver<(u64, Vec<Value>)>, watched: Option<(usize, Arc<History>)>,
+async fn answer_query(
+    mut list_receiver: watch::Receiver<(u64, Vec<Value>)>, watched: Option<(usize, Arc<History>)>,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     if request.uri().path() != "/discovery/hosts" {
-        return Ok(told(StatusCode::NOT_FOUND, ""));
+        return Ok(response(StatusCode::NOT_FOUND, ""));
     }
     let query = request.uri().query().unwrap_or_default();
-    let figure = |name: &str| -> Option<u64> {
+    let number = |name: &str| -> Option<u64> {
         query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
     };
     let note = |seen: &dyn Fn(usize) -> Seen| {
         watched.iter().for_each(|(gateway, history)| history.note(seen(*gateway)));
     };
-    if let Some(after) = figure("after") {
+    if let Some(after) = number("after") {
         note(&|gateway| Seen::Asked { gateway, after });
-        let wait = Duration::from_millis(figure("wait_ms").unwrap_or(0).min(60_000));
-        let newer = timeout(wait, listed.wait_for(|list| list.0 > after)).await;
+        let wait = Duration::from_millis(number("wait_ms").unwrap_or(0).min(60_000));
+        let newer = timeout(wait, list_receiver.wait_for(|list| list.0 > after)).await;
         if newer.is_err() {
-            return Ok(told(StatusCode::OK, &json!({"seq": after, "whole": false, "hosts": []}).to_string()));
+            return Ok(response(
+                StatusCode::OK,
+                &json!({"seq": after, "whole": false, "hosts": []}).to_string(),
+            ));
         }
     }
-    let list = listed.borrow();
+    let list = list_receiver.borrow();
     note(&|gateway| Seen::Told { gateway, seq: list.0, hosts: entries(&list.1) });
-    Ok(told(StatusCode::OK, &json!({"seq": list.0, "whole": true, "hosts": list.1}).to_string()))
+    Ok(response(StatusCode::OK, &json!({"seq": list.0, "whole": true, "hosts": list.1}).to_string()))
 }
 
 fn entries(hosts: &[Value]) -> Vec<Entry> {
@@ -312,75 +317,75 @@
     hosts.iter().filter_map(entry).collect()
 }
 
-/// The counter.
+/// Counter service with the `ADDGET` command.
 pub struct Counter {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// It takes calls and says nothing.
+    /// Whether the counter accepts calls but never answers.
     pub silent: AtomicBool,
-    /// Calls answered.
+    /// Number of `ADDGET` calls, including rejected ones.
     pub calls: AtomicU64,
-    /// How many of its parts, from the first one on, turn calls away.
+    /// Number of shards, counted from the first, that reject calls as busy.
     pub busy: AtomicUsize,
-    parts: usize,
+    shards: usize,
     history: Option<Arc<History>>,
-    numbers: Mutex<HashMap<Vec<u8>, (f64, Instant)>>,
+    values: Mutex<HashMap<Vec<u8>, (f64, Instant)>>,
 }
 
 impl Counter {
-    /// Starts it, empty, with so many parts.
+    /// Starts an empty counter with a number of shards.
     ///
     /// # Errors
-    /// When there is no address for it.
-    pub async fn start(parts: usize, history: Option<Arc<History>>) -> io::Result<Arc<Self>> {
-        let (listener, address) = loopback().await?;
+    /// When the counter cannot bind an address.
+    pub async fn start(shards: usize, history: Option<Arc<History>>) -> io::Result<Arc<Self>> {
+        let (listener, address) = bind_loopback().await?;
         let counter = Arc::new(Self {
             address,
             silent: AtomicBool::new(false),
             calls: AtomicU64::new(0),
             busy: AtomicUsize::new(0),
-            parts: parts.max(1),
+            shards: shards.max(1),
             history,
-            numbers: Mutex::default(),
+            values: Mutex::default(),
         });
-        let of = counter.clone();
-        serve(listener, move |stream| of.clone().converse(stream));
+        let shared = counter.clone();
+        serve(listener, move |stream| shared.clone().serve_calls(stream));
         Ok(counter)
     }
 
-    /// How many parts it has.
-    pub fn parts(&self) -> usize {
-        self.parts
+    /// Returns the number of shards.
+    pub fn shards(&self) -> usize {
+        self.shards
     }
 
-    /// The part that holds a name: names are spread over all of them.
-    fn part(&self, name: &[u8]) -> usize {
+    /// Returns the index of the shard that holds a name, by a hash of the name.
+    fn shard_of(&self, name: &[u8]) -> usize {
         let sum =
             name.iter().fold(0, |sum: u64, byte| crate::draw::mix(sum ^ u64::from(*byte)).wrapping_add(1));
-        (sum % self.parts as u64) as usize
+        (sum % self.shards as u64) as usize
     }
 
-    /// Its first so many parts lose all numbers.
-    pub fn forget(&self, parts: usize) {
-        if let Ok(mut numbers) = self.numbers.lock() {
-            numbers.retain(|name, _| self.part(name) >= parts);
+    /// Removes all values of the first `shards` shards.
+    pub fn forget(&self, shards: usize) {
+        if let Ok(mut values) = self.values.lock() {
+            values.retain(|name, _| self.shard_of(name) >= shards);
         }
     }
 
-    async fn converse(self: Arc<Self>, mut stream: TcpStream) {
+    async fn serve_calls(self: Arc<Self>, mut stream: TcpStream) {
         let gateway = stream.peer_addr().ok().and_then(|address| gateway_at(address.ip()));
-        let mut held = Vec::new();
-        let mut part = [0; 4096];
-        while let Ok(count @ 1..) = stream.read(&mut part).await {
-            held.extend_from_slice(&part[..count]);
+        let mut buffer = Vec::new();
+        let mut chunk = [0; 4096];
+        while let Ok(count @ 1..) = stream.read(&mut chunk).await {
+            buffer.extend_from_slice(&chunk[..count]);
             let mut replies = Vec::new();
             loop {
-                match decode(&held) {
+                match decode(&buffer) {
                     Ok(Some((frame, used))) => {
-                        held.drain(..used);
+                        buffer.drain(..used);
                         self.answer(&frame, gateway, &mut replies);
                     }
-                    Ok(None) if held.len() <= LONGEST_CALL => break,
+                    Ok(None) if buffer.len() <= MAX_CALL_BYTES => break,
                     _ => return,
                 }
             }
@@ -394,34 +399,35 @@
     }
 
     fn answer(&self, frame: &OwnedFrame, gateway: Option<usize>, replies: &mut Vec<u8>) {
-        let OwnedFrame::Array(words) = frame else {
+        let OwnedFrame::Array(arguments) = frame else {
             return replies.extend_from_slice(b"-ERR no such call\r\n");
         };
-        let word = |at: usize| match words.get(at) {
+        let argument = |at: usize| match arguments.get(at) {
             Some(OwnedFrame::BulkString(bytes)) => bytes.as_slice(),
             _ => &[],
         };
-        let figure = |at| std::str::from_utf8(word(at)).ok()?.parse::<f64>().ok().filter(|f| f.is_finite());
-        match word(0).to_ascii_uppercase().as_slice() {
+        let number =
+            |at| std::str::from_utf8(argument(at)).ok()?.parse::<f64>().ok().filter(|f| f.is_finite());
+        match argument(0).to_ascii_uppercase().as_slice() {
             b"PING" => replies.extend_from_slice(b"+PONG\r\n"),
             b"CLIENT" | b"SELECT" => replies.extend_from_slice(b"+OK\r\n"),
             b"ADDGET" => {
-                let (Some(amount), Some(life), Ok(mut numbers)) = (figure(2), figure(3), self.numbers.lock())
+                let (Some(amount), Some(ttl_ms), Ok(mut values)) = (number(2), number(3), self.values.lock())
                 else {
                     return replies.extend_from_slice(b"-ERR no number\r\n");
                 };
                 self.calls.fetch_add(1, Ordering::Relaxed);
-                if self.part(word(1)) < self.busy.load(Ordering::Relaxed) {
+                if self.shard_of(argument(1)) < self.busy.load(Ordering::Relaxed) {
                     return replies.extend_from_slice(b"-BUSY\r\n");
                 }
                 let now = Instant::now();
-                numbers.retain(|_, (_, until)| *until > now);
-                let until = now + Duration::from_millis(life.clamp(1.0, 60_000.0) as u64);
-                let (total, _) = numbers.entry(word(1).to_vec()).or_insert((0.0, until));
+                values.retain(|_, (_, expires_at)| *expires_at > now);
+                let expires_at = now + Duration::from_millis(ttl_ms.clamp(1.0, 60_000.0) as u64);
+                let (total, _) = values.entry(argument(1).to_vec()).or_insert((0.0, expires_at));
                 *total += amount;
                 let text = total.to_string();
                 if let Some(history) = &self.history {
-                    let name = String::from_utf8_lossy(word(1)).into_owned();
+                    let name = String::from_utf8_lossy(argument(1)).into_owned();
                     history.note(Seen::Added { name, amount, total: *total, gateway });
                 }
                 replies.extend_from_slice(format!("${}\r\n{text}\r\n", text.len()).as_bytes());
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -103,7 +103,7 @@
     /// Starts three real gateways among stand-ins on loopback, loads them, and shows what came of it.
     Demo {
         /// For how long there is load, in seconds.
-        #[arg(long, default_value_t = 15, value_parser = clap::value_parser!(u64).range(2..=load::MOST_SECONDS))]
+        #[arg(long, default_value_t = 15, value_parser = clap::value_parser!(u64).range(2..=load::MAX_SECONDS))]
         seconds: u64,
         /// Requests a second.
         #[arg(long, default_value_t = 150.0)]
@@ -337,7 +337,7 @@
             Ok(0)
         }
         What::Trial { name: None, .. } => {
-            for (name, text) in schedule::SHIPPED {
+            for (name, text) in schedule::BUILT_IN_TRIALS {
                 let about = text.lines().find_map(|line| line.strip_prefix("# ")).unwrap_or_default();
                 writeln!(out, "{name:14}{about}")?;
             }
@@ -350,7 +350,7 @@
             let options = trial::Options { program: program(gateway)?, old, keep };
             let runtime = live()?;
             let told = runtime.block_on(async {
-                let played = trial::report::several(&all, &options, side.into(), |text| {
+                let played = trial::report::run_all(&all, &options, side.into(), |text| {
                     let _ = write!(out, "{text}");
                 });
                 let mut end = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
--- a/emulator/src/trial/judge.rs
+++ b/emulator/src/trial/judge.rs
@@ -1,6 +1,6 @@
 //! Checks the history of a trial against the rules. The judge relies only on events that the emulator's own clients
-//! and stand-ins recorded, never on a gateway's own claims. Each violation names the rule, the time, the parties and the
-//! active faults.
+//! and stand-ins recorded, never on a gateway's own claims. Each violation names the rule, the time, the parties and
+//! the active faults.
 //!
 //! The judge excuses failures that the injected faults may have caused. A request may be lost if its link or its
 //! gateway process was faulty while the request was outstanding. A discovery list that a fault may have delayed counts
@@ -60,11 +60,11 @@
 
 /// Resource limits of a gateway process: file descriptors, and resident memory in MB.
 pub const PROCESS_LIMITS: (u64, u64) = (1024, 192);
-/// Overload limit of a cold backend: the window, and the work that may arrive in the window as a multiple of the work that
-/// the backend can complete in the window.
+/// Overload limit of a cold backend: the window, and the work that may arrive in the window as a multiple of the work
+/// that the backend can complete in the window.
 pub const OVERLOAD_LIMIT: (Duration, f64) = (Duration::from_millis(2000), 2.5);
-/// Time after the drain or departure notice of a backend from which no new request may arrive there, in us. Of this, 50 ms
-/// are slack for the sockets.
+/// Time after the drain or departure notice of a backend from which no new request may arrive there, in us. Of this,
+/// 50 ms are slack for the sockets.
 const DRAIN_DEADLINE_US: u64 = 2_050_000;
 /// Maximum time from the client deadline to the final answer, in us: half a second, and 50 ms of slack for the sockets.
 const ANSWER_SLACK_US: u64 = 550_000;
@@ -113,7 +113,7 @@
 
 /// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Break {
+pub struct Violation {
     /// The violated rule.
     pub rule: Rule,
     /// Time of the violation, in seconds since the trial began.
@@ -130,13 +130,13 @@
 
 /// Service level during and after one fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Through {
+pub struct ServiceImpact {
     /// Description of the fault.
     pub fault: String,
     /// Served worth during the fault, relative to the level before all faults.
     pub during: Option<f64>,
-    /// Seconds from the end of the fault until the served worth of a one-second window was back at nine tenths of the level
-    /// before all faults; `None` if service did not recover.
+    /// Seconds from the end of the fault until the served worth of a one-second window was back at nine tenths of the
+    /// level before all faults; `None` if service did not recover.
     pub back_after: Option<f64>,
 }
 
@@ -144,7 +144,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Verdict {
     /// The violations in order of time, at most [`MAX_LISTED_BREAKS`].
-    pub breaks: Vec<Break>,
+    pub breaks: Vec<Violation>,
     /// Number of all violations.
     pub broken: u64,
     /// Why the trial is void, if it is: it neither passed nor failed.
@@ -162,14 +162,14 @@
     /// Offered and served worth by time bucket of [`BUCKET_US`].
     pub worth: Vec<(f64, f64)>,
     /// Service level by fault.
-    pub through: Vec<Through>,
+    pub through: Vec<ServiceImpact>,
     /// Each time that a duty was performed under a new fencing token: by another gateway, or by the same one again.
-    pub passed: Vec<Passed>,
+    pub passed: Vec<Takeover>,
 }
 
 /// One takeover of a duty.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Passed {
+pub struct Takeover {
     /// Name of the duty.
     pub duty: String,
     /// Number of the gateway that performed the duty before.
@@ -240,8 +240,8 @@
         Self { all: schedule.faults.iter().enumerate().filter_map(interval).collect(), down }
     }
 
-    /// Returns the faults on the links between two parties, in either direction, that were active at any time from `from`
-    /// to `to`.
+    /// Returns the faults on the links between two parties, in either direction, that were active at any time from
+    /// `from` to `to`.
     fn on_links(&self, a: Party, b: Party, from: u64, to: u64) -> impl Iterator<Item = &'a Fault> {
         let active = self.all.iter().filter(move |(fault, begin, end)| {
             *begin <= to && *end >= from && (fault.links.contains(&(a, b)) || fault.links.contains(&(b, a)))
@@ -272,8 +272,8 @@
         stops.map(|(_, begin, end)| (*end).min(to).saturating_sub((*begin).max(from))).sum()
     }
 
-    /// Returns whether a gateway process was killed, down or paused at any time from `from` to `to`. A kill counts from the
-    /// start of the fault, because clients see the process end before the emulator records its exit.
+    /// Returns whether a gateway process was killed, down or paused at any time from `from` to `to`. A kill counts
+    /// from the start of the fault, because clients see the process end before the emulator records its exit.
     fn process_disrupted(&self, gateway: usize, from: u64, to: u64) -> bool {
         let killed = |(fault, begin, end): &(&Fault, u64, u64)| {
             fault.kind == Kind::Kill
@@ -333,7 +333,7 @@
     fn report(&mut self, rule: Rule, at: u64, parties: &[Party], request: Option<&str>, what: String) {
         self.verdict.broken += 1;
         if self.verdict.breaks.len() < MAX_LISTED_BREAKS {
-            self.verdict.breaks.push(Break {
+            self.verdict.breaks.push(Violation {
                 rule,
                 at: at as f64 / 1e6,
                 parties: parties.iter().map(ToString::to_string).collect(),
@@ -345,8 +345,8 @@
     }
 }
 
-/// Checks a complete history, whose lines are sorted by time. `void` is the reason why the trial is invalid, if it is, such
-/// as an emulator that ran late.
+/// Checks a complete history, whose lines are sorted by time. `void` is the reason why the trial is invalid, if it
+/// is, such as an emulator that ran late.
 pub fn judge(schedule: &Schedule, lines: &[Line], void: Option<String>) -> Verdict {
     let mut judge = Judge {
         faults: ActiveFaults::from_history(schedule, lines),
@@ -429,9 +429,9 @@
                 tally[4] += 1;
                 *at > limit
             }
-            // A gateway may close an idle connection while a client writes a request to the connection; the gateway does
-            // not read that request. If a new connection closes before the gateway forwards its first request, the
-            // request has failed; a few of these per trial do not count as lost.
+            // A gateway may close an idle connection while a client writes a request to the connection; the gateway
+            // does not read that request. If a new connection closes before the gateway forwards its first request,
+            // the request has failed; a few of these per trial do not count as lost.
             Ended::Broken { fresh } => {
                 tally[4] += 1;
                 if *fresh && record.arrived.is_empty() && !excused {
@@ -583,9 +583,9 @@
 }
 
 impl ColdBackend {
-    /// Records work that arrived. If the work within the window exceeds the limit, returns the gateways that sent the work,
-    /// the total work and the allowed work. The list of gateways is empty if more than a third of the work came from
-    /// gateways that did not yet know of the cold start.
+    /// Records work that arrived. If the work within the window exceeds the limit, returns the gateways that sent the
+    /// work, the total work and the allowed work. The list of gateways is empty if more than a third of the work came
+    /// from gateways that did not yet know of the cold start.
     fn take(
         &mut self, at: u64, work: f64, gateway: Option<usize>, informed: bool,
     ) -> Option<(Vec<Party>, f64, f64)> {
@@ -597,7 +597,8 @@
         let sum: f64 = self.sent.iter().map(|(_, work, ..)| work).sum();
         let speed_share = |at: u64| warmth(Duration::from_micros(at.saturating_sub(self.born)));
         let mean = (speed_share(at.saturating_sub(window)) + speed_share(at)) / 2.0;
-        // Slack for random variation: three standard deviations of the sum of this many exponentially distributed values.
+        // Slack for random variation: three standard deviations of the sum of this many exponentially distributed
+        // values.
         let slack = 3.0 * sum / (self.sent.len() as f64).sqrt();
         let allowed = multiple * mean * OVERLOAD_LIMIT.0.as_secs_f64() * 1000.0 + slack;
         if sum <= allowed {
@@ -693,8 +694,8 @@
     }
 }
 
-/// Checks that the fencing tokens of a duty never decrease and that each belongs to one gateway. Records the takeovers and
-/// how long no gateway performed the duty.
+/// Checks that the fencing tokens of a duty never decrease and that each belongs to one gateway. Records the
+/// takeovers and how long no gateway performed the duty.
 fn check_duties(judge: &mut Judge<'_>, lines: &[Line]) {
     let mut last: HashMap<&str, (u64, usize, u64)> = HashMap::new();
     for line in lines {
@@ -710,7 +711,8 @@
             // Keep comparing with the higher fencing token.
             last.insert(duty, (at, by, before));
         } else if *fence != before {
-            let passed = Passed { duty: duty.clone(), from: by, to: *gateway, at: line.at as f64 / 1e6, gap };
+            let passed =
+                Takeover { duty: duty.clone(), from: by, to: *gateway, at: line.at as f64 / 1e6, gap };
             judge.verdict.passed.push(passed);
         }
     }
@@ -751,7 +753,7 @@
             let recovered_at = after.find(|from| {
                 share(*from, from + WINDOW_BUCKETS).is_some_and(|now| now >= before * RECOVERED_RATIO)
             });
-            judge.verdict.through.push(Through {
+            judge.verdict.through.push(ServiceImpact {
                 fault: fault.text.clone(),
                 during: during.map(|share| share / before),
                 back_after: recovered_at
--- a/emulator/src/trial/mod.rs
+++ b/emulator/src/trial/mod.rs
@@ -1,5 +1,6 @@
-//! Trials: many gateways as processes of their own, among stand-ins, with a relay on every link, faults between
-//! them, and a judge of what they did together. What each part promises stands in its own module.
+//! Trials: fault-injection runs against real gateway processes. The gateways talk to stand-ins (backends, discovery and
+//! counter) through a relay on every link. The relays and the process control inject faults, and the judge checks the
+//! recorded history. Each submodule documents its own guarantees.
 
 pub mod judge;
 pub mod page;
@@ -10,7 +11,7 @@
 use crate::live::history::{Addresses, History, Seen};
 use crate::live::load::{Class, Load, Watch};
 use crate::live::process::{self, Process, free_addresses};
-use crate::live::stand_ins::{Backend, COLD, Counter, Discovery, hosts};
+use crate::live::stand_ins::{Backend, Counter, Discovery, WARM_UP, hosts};
 use fault_injection::clock::{MOST_LATE, keeps_time};
 use judge::{CLASSES, OVERLOAD_LIMIT, PLANS, PROCESS_LIMITS, Verdict};
 use relay::{Flow, Net, Party};
@@ -25,41 +26,43 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// In a gateway's folder: the disk of a voter, and the file of its acts.
-const DISK: &str = "disk";
-const ACTS: &str = "acts";
-/// What a backend works on at once.
-const SLOTS: usize = 1;
-/// Customers, and gateways of each one's set.
+/// Names in the folder of a gateway: the data directory of a voter, and the file in which the gateway records its
+/// performed duties.
+const DISK_DIR: &str = "disk";
+const ACTS_FILE: &str = "acts";
+/// Number of requests that a backend processes concurrently.
+const SLOTS_PER_BACKEND: usize = 1;
+/// Number of customers, and number of gateways that serve each customer.
 const CUSTOMERS: u64 = 40;
-const SPREAD: usize = 3;
-/// The time between SIGTERM and SIGKILL, by the protocol; the front sends on for a part of it.
-const GRACE: Duration = Duration::from_millis(3700);
-const FRONT: Duration = Duration::from_millis(300);
-/// A new process that stands beside an old one takes over within this.
-const TAKES_OVER: Duration = Duration::from_secs(8);
-/// How often processes are looked at.
-const LOOKS: Duration = Duration::from_millis(200);
-/// How often it is looked whether a new process has taken over.
-const TICK: Duration = Duration::from_millis(10);
-/// What ends a trial before its end.
+const GATEWAYS_PER_CUSTOMER: usize = 3;
+/// Time between SIGTERM and SIGKILL that the protocol prescribes. After SIGTERM the load balancer keeps sending
+/// requests for [`FRONT_NOTICE_DELAY`].
+const TERMINATION_GRACE: Duration = Duration::from_millis(3700);
+const FRONT_NOTICE_DELAY: Duration = Duration::from_millis(300);
+/// Time limit for a new process to take over from the old one in a handover.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(8);
+/// Interval at which the emulator polls the state and resource use of the gateway processes.
+const PROCESS_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which the emulator polls whether a new process has taken over.
+const TAKEOVER_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Error that aborts a trial.
 pub type TrialError = Box<dyn std::error::Error + Send + Sync>;
 
-/// How trials are played.
+/// Options that apply to all trials of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The gateway's program.
+    /// Path of the gateway executable.
     pub program: PathBuf,
-    /// An older one, for restarts that ask for it.
+    /// Path of an older gateway executable, for restarts with `old = true`.
     pub old: Option<PathBuf>,
-    /// Where history, logs and timeline go; nowhere, and they are not kept.
+    /// Directory for the history, verdict, logs and timeline of each trial; `None` discards them.
     pub keep: Option<PathBuf>,
 }
 
-/// A folder that is gone when its owner is, and the number of the trial that it is of.
-struct Folder(PathBuf, usize);
+/// Temporary folder of a trial, removed on drop, and the number of the trial.
+struct TempFolder(PathBuf, usize);
 
-impl Folder {
+impl TempFolder {
     fn new() -> io::Result<Self> {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -69,47 +72,47 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A gateway of the trial: its place, and the process that runs there.
+/// A gateway of the trial: its files and addresses, and its current process.
 struct Node {
     number: usize,
     folder: PathBuf,
     config: PathBuf,
     console: SocketAddr,
     process: Option<Process>,
-    /// Whether a process that ends now was told to.
-    asked: bool,
+    /// Whether the emulator has killed the process or requested its exit.
+    exit_expected: bool,
 }
 
-/// Everything of a trial while it runs.
-struct Stage {
+/// The running environment of a trial.
+struct Environment {
     history: Arc<History>,
     net: Net,
     options: Options,
     nodes: Vec<tokio::sync::Mutex<Node>>,
     backends: Vec<Arc<Backend>>,
-    /// Each gateway's discovery, and where it finds each backend.
+    /// For each gateway its discovery service, and the relay address of each backend.
     discovery: Vec<(Discovery, Vec<SocketAddr>)>,
     counter: Arc<Counter>,
     admitted: Arc<Vec<AtomicBool>>,
-    faulty: Mutex<Vec<String>>,
+    injection_errors: Mutex<Vec<String>>,
 }
 
-/// Plays a trial to its end. The history is judged; with [`Options::keep`] it is written down too.
+/// Runs a trial to its end and judges its history. With [`Options::keep`], also writes the history and other artifacts.
 ///
 /// # Errors
-/// When something cannot be started or written.
+/// When a process or stand-in cannot start, or a file cannot be written.
 pub async fn play(schedule: &Schedule, options: &Options) -> Result<Verdict, TrialError> {
     process::end_with_panics();
-    let folder = Folder::new()?;
-    let (stage, to) = Stage::set(schedule, options, &folder).await?;
+    let folder = TempFolder::new()?;
+    let (environment, client_addresses) = Environment::set_up(schedule, options, &folder).await?;
     let late = Arc::new(AtomicU64::new(0));
-    let watching = tokio::spawn(keeps_time(late.clone()));
+    let clock_monitor = tokio::spawn(keeps_time(late.clone()));
     let class = |class: &judge::Class| Class {
         name: class.name.into(),
         safe: class.safe,
@@ -117,59 +120,61 @@
         deadline_ms: class.deadline_ms,
     };
     let load = Load {
-        to,
+        to: client_addresses,
         rate: schedule.rate,
         seconds: schedule.seconds.ceil() as u64,
         classes: CLASSES.iter().map(class).collect(),
         plans: PLANS.iter().map(|plan| plan.name.into()).collect(),
         customers: CUSTOMERS,
-        spread: SPREAD,
+        spread: GATEWAYS_PER_CUSTOMER,
         skewed: true,
         seed: schedule.seed,
-        watch: Some(Watch { history: stage.history.clone(), admitted: stage.admitted.clone() }),
+        watch: Some(Watch { history: environment.history.clone(), admitted: environment.admitted.clone() }),
     };
-    let over = AtomicBool::new(false);
-    let played = async {
-        let (loaded, ()) = tokio::join!(load.run(|| {}), stage.troubled(&schedule.faults));
-        over.store(true, Ordering::Relaxed);
+    let finished = AtomicBool::new(false);
+    let load_and_faults = async {
+        let (loaded, ()) = tokio::join!(load.run(|| {}), environment.inject_faults(&schedule.faults));
+        finished.store(true, Ordering::Relaxed);
         loaded
     };
-    let (loaded, ()) = tokio::join!(played, stage.looked_at(&over));
+    let (loaded, ()) = tokio::join!(load_and_faults, environment.monitor_processes(&finished));
     loaded?;
-    watching.abort();
-    for node in &stage.nodes {
+    clock_monitor.abort();
+    for node in &environment.nodes {
         if let Some(mut process) = node.lock().await.process.take() {
             process.kill().await?;
         }
     }
-    for node in &stage.nodes {
+    for node in &environment.nodes {
         let node = node.lock().await;
-        acted(&stage.history, node.number, &node.folder.join(ACTS))?;
+        read_acts(&environment.history, node.number, &node.folder.join(ACTS_FILE))?;
     }
-    let (lines, full) = stage.history.take();
+    let (lines, full) = environment.history.take();
     let late = Duration::from_micros(late.load(Ordering::Relaxed));
-    let faulty = stage.faulty.lock().unwrap_or_else(PoisonError::into_inner).join("; ");
+    let injection_errors =
+        environment.injection_errors.lock().unwrap_or_else(PoisonError::into_inner).join("; ");
     let void = if full {
-        Some("the history is full".into())
+        Some("the history exceeded its maximum number of events".into())
     } else if late > MOST_LATE {
-        Some(format!("the tool itself was {} ms late", late.as_millis()))
-    } else if stage.net.failed() > 0 {
-        Some(format!("the tool's own relays failed {} times", stage.net.failed()))
-    } else if !faulty.is_empty() {
-        Some(faulty)
+        Some(format!("the emulator itself ran {} ms late", late.as_millis()))
+    } else if environment.net.failed() > 0 {
+        Some(format!("the relays of the emulator failed {} times", environment.net.failed()))
+    } else if !injection_errors.is_empty() {
+        Some(injection_errors)
     } else {
         None
     };
     let verdict = judge::judge(schedule, &lines, void);
     if let Some(keep) = &options.keep {
-        let keep = keep.join(format!("{}-{}", plain(&schedule.name), schedule.seed));
-        write_down(&keep, &folder.0, schedule, &lines, &verdict)?;
+        let keep = keep.join(format!("{}-{}", folder_name(&schedule.name), schedule.seed));
+        write_artifacts(&keep, &folder.0, schedule, &lines, &verdict)?;
     }
     Ok(verdict)
 }
 
-/// Reads what a gateway has written down of its acts; a last line that is not whole was never written.
-fn acted(history: &History, gateway: usize, path: &Path) -> io::Result<()> {
+/// Adds the acts that a gateway recorded in its file to the history. Ignores an incomplete last line, whose write did
+/// not finish.
+fn read_acts(history: &History, gateway: usize, path: &Path) -> io::Result<()> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(()),
@@ -187,13 +192,13 @@
     Ok(())
 }
 
-/// A trial's name as a folder's.
-fn plain(name: &str) -> String {
+/// Converts the name of a trial to a folder name.
+fn folder_name(name: &str) -> String {
     let stem = Path::new(name).file_stem().unwrap_or_default().to_string_lossy();
     stem.chars().filter(|c| c.is_ascii_alphanumeric() || *c == '-' || *c == '_').collect()
 }
 
-fn write_down(
+fn write_artifacts(
     keep: &Path, folder: &Path, schedule: &Schedule, lines: &[crate::live::history::Line], verdict: &Verdict,
 ) -> Result<(), TrialError> {
     std::fs::create_dir_all(keep)?;
@@ -218,159 +223,162 @@
     Ok(())
 }
 
-impl Stage {
-    /// Sets everything up and starts the gateways. Gives where clients find them.
-    async fn set(
-        schedule: &Schedule, options: &Options, place: &Folder,
+impl Environment {
+    /// Starts the stand-ins, the relays and the gateways. Returns the addresses at which clients reach the gateways.
+    async fn set_up(
+        schedule: &Schedule, options: &Options, root: &TempFolder,
     ) -> Result<(Self, Vec<SocketAddr>), TrialError> {
         let fleet = &schedule.fleet;
         let history = Arc::new(History::default());
-        let addresses = Addresses::of_trial(place.1);
+        let addresses = Addresses::of_trial(root.1);
         let net = Net::new(addresses);
         let mut backends = Vec::new();
         for number in 0..fleet.backends {
             let zone = &fleet.zones[number % fleet.zones.len()];
-            backends.push(Backend::start(number, zone, SLOTS, Some(history.clone())).await?);
+            backends.push(Backend::start(number, zone, SLOTS_PER_BACKEND, Some(history.clone())).await?);
         }
         let counter = Counter::start(fleet.counter_parts, Some(history.clone())).await?;
-        // Where each gateway listens: for clients, operators and its group.
-        let mut places: Vec<[SocketAddr; 3]> = Vec::new();
+        // Listening addresses of each gateway: for clients, for operators and for its group.
+        let mut listen_addresses: Vec<[SocketAddr; 3]> = Vec::new();
         for number in 0..fleet.gateways {
-            places.push(free_addresses(addresses.listen(number)).await?);
+            listen_addresses.push(free_addresses(addresses.listen(number)).await?);
         }
-        let (mut discovery, mut nodes, mut to) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut discovery, mut nodes, mut client_addresses) = (Vec::new(), Vec::new(), Vec::new());
         for number in 0..fleet.gateways {
             let me = Party::Gateway(number);
             let mut dials = Vec::new();
-            for (at, backend) in backends.iter().enumerate() {
-                dials.push(net.way(me, Party::Backend(at), backend.address, true)?);
+            for (backend_number, backend) in backends.iter().enumerate() {
+                dials.push(net.way(me, Party::Backend(backend_number), backend.address, true)?);
             }
             let hosts = hosts(&backends, &dials);
-            let told = Discovery::start(hosts, Some((number, history.clone()))).await?;
-            let [listen, console, group_at] = places[number];
-            let mut finds = json!({
+            let published = Discovery::start(hosts, Some((number, history.clone()))).await?;
+            let [listen, console, group_at] = listen_addresses[number];
+            let mut config_json = json!({
                 "name": format!("g{number}"), "listen": listen.to_string(), "console": console.to_string(),
                 "seed": format!("{:x}", crate::draw::mix(schedule.seed ^ number as u64)),
-                "discovery": net.way(me, Party::Discovery, told.address, true)?.to_string(),
+                "discovery": net.way(me, Party::Discovery, published.address, true)?.to_string(),
                 "counter": net.way(me, Party::Counter, counter.address, true)?.to_string(),
                 "limits": {"cores": 1.0, "memory_mb": PROCESS_LIMITS.1, "sockets": PROCESS_LIMITS.0},
-                "known": told.known(), "settings": settings(schedule, number)});
-            let folder = place.0.join(format!("g{number}"));
+                "known": published.known(), "settings": settings(schedule, number)});
+            let folder = root.0.join(format!("g{number}"));
             std::fs::create_dir_all(&folder)?;
             if let Some(plan) = &fleet.group {
                 let known = (0..plan.voters).map(|voter| match voter == number {
                     true => Ok(group_at),
-                    false => net.way(me, Party::Gateway(voter), places[voter][2], false),
+                    false => net.way(me, Party::Gateway(voter), listen_addresses[voter][2], false),
                 });
                 let known = known.collect::<io::Result<Vec<_>>>()?;
                 let voters = known.iter().enumerate();
                 let voters: Vec<Value> = voters
                     .map(|(n, at)| json!({"name": format!("g{n}"), "address": at.to_string()}))
                     .collect();
-                finds["group"] = json!({"name": "trial", "voters": voters, "life_ms": plan.life_ms,
-                    "duties": plan.duties, "acts": folder.join(ACTS)});
+                config_json["group"] = json!({"name": "trial", "voters": voters, "life_ms": plan.life_ms,
+                    "duties": plan.duties, "acts": folder.join(ACTS_FILE)});
                 if number < plan.voters {
-                    finds["group"]["listen"] = json!(group_at.to_string());
-                    finds["group"]["dir"] = json!(folder.join(DISK));
+                    config_json["group"]["listen"] = json!(group_at.to_string());
+                    config_json["group"]["dir"] = json!(folder.join(DISK_DIR));
                 }
             }
             let config = folder.join("config.json");
-            std::fs::write(&config, finds.to_string())?;
-            to.push(net.way(Party::Clients, me, listen, false)?);
+            std::fs::write(&config, config_json.to_string())?;
+            client_addresses.push(net.way(Party::Clients, me, listen, false)?);
             nodes.push(tokio::sync::Mutex::new(Node {
                 number,
                 folder,
                 config,
                 console,
                 process: None,
-                asked: false,
+                exit_expected: false,
             }));
-            discovery.push((told, dials));
+            discovery.push((published, dials));
         }
         let admitted = Arc::new((0..fleet.gateways).map(|_| AtomicBool::new(true)).collect());
-        let (options, faulty) = (options.clone(), Mutex::default());
-        let stage = Self { history, net, options, nodes, backends, discovery, counter, admitted, faulty };
-        for node in &stage.nodes {
-            stage.start(&mut *node.lock().await, Tmp::Empty, Tmp::Empty, false).await?;
+        let (options, injection_errors) = (options.clone(), Mutex::default());
+        let environment =
+            Self { history, net, options, nodes, backends, discovery, counter, admitted, injection_errors };
+        for node in &environment.nodes {
+            environment.start(&mut *node.lock().await, Tmp::Empty, Tmp::Empty, false).await?;
         }
-        Ok((stage, to))
+        Ok((environment, client_addresses))
     }
 
-    /// Starts a gateway's process and lets clients in.
+    /// Starts a gateway process and lets the load balancer send requests to it.
     async fn start(&self, node: &mut Node, tmp: Tmp, disk: Tmp, old: bool) -> io::Result<()> {
-        let kept = node.folder.join("tmp");
+        let tmp_folder = node.folder.join("tmp");
         for (folder, _) in
-            [(&kept, tmp), (&node.folder.join(DISK), disk)].iter().filter(|(_, f)| *f == Tmp::Empty)
+            [(&tmp_folder, tmp), (&node.folder.join(DISK_DIR), disk)].iter().filter(|(_, f)| *f == Tmp::Empty)
         {
             let _ = std::fs::remove_dir_all(folder);
         }
         let program = self.options.old.as_ref().filter(|_| old).unwrap_or(&self.options.program);
-        let process = Process::start(program, &node.config, &node.folder, &kept, None).await?;
+        let process = Process::start(program, &node.config, &node.folder, &tmp_folder, None).await?;
         self.history.note(Seen::Up { gateway: node.number, pid: process.pid });
         node.process = Some(process);
-        node.asked = false;
+        node.exit_expected = false;
         self.net.set_up(Party::Gateway(node.number), true);
         self.admitted[node.number].store(true, Ordering::Relaxed);
         Ok(())
     }
 
-    fn ended(&self, node: &Node, pid: u32, status: &dyn std::fmt::Display) {
-        let (gateway, asked) = (node.number, node.asked);
+    fn record_exit(&self, node: &Node, pid: u32, status: &dyn std::fmt::Display) {
+        let (gateway, asked) = (node.number, node.exit_expected);
         self.history.note(Seen::Down { gateway, pid, asked, status: status.to_string() });
     }
 
-    /// Looks at all processes until the trial is over.
-    async fn looked_at(&self, over: &AtomicBool) {
-        while !over.load(Ordering::Relaxed) {
-            sleep(LOOKS).await;
+    /// Polls all gateway processes until the trial is over: records exits and resource use.
+    async fn monitor_processes(&self, finished: &AtomicBool) {
+        while !finished.load(Ordering::Relaxed) {
+            sleep(PROCESS_POLL_INTERVAL).await;
             for node in &self.nodes {
-                // Whoever holds it is at work on its process, and notes what becomes of it.
+                // The holder of the lock is starting or stopping the process and records its exit itself.
                 let Ok(mut node) = node.try_lock() else { continue };
                 let Some(process) = &mut node.process else { continue };
                 let pid = process.pid;
                 if let Some(status) = process.ended() {
                     node.process = None;
                     self.net.set_up(Party::Gateway(node.number), false);
-                    self.ended(&node, pid, &status);
-                } else if let Some((descriptors, resident_kb)) = process.holds() {
+                    self.record_exit(&node, pid, &status);
+                } else if let Some((descriptors, resident_kb)) = process.resource_use() {
                     self.history.note(Seen::Holds { gateway: node.number, pid, descriptors, resident_kb });
                 }
             }
         }
     }
 
-    /// All faults, each at its time.
-    async fn troubled(&self, faults: &[Fault]) {
-        let begun = Instant::now();
-        let one = |(number, fault): (usize, &Fault)| {
+    /// Injects all faults, each at its scheduled time.
+    async fn inject_faults(&self, faults: &[Fault]) {
+        let load_start = Instant::now();
+        let inject = |(number, fault): (usize, &Fault)| {
             let fault = fault.clone();
             async move {
-                sleep_until(begun + Duration::from_secs_f64(fault.at)).await;
+                sleep_until(load_start + Duration::from_secs_f64(fault.at)).await;
                 self.history.note(Seen::Begins { fault: number });
-                let until = Instant::now() + Duration::from_secs_f64(fault.lasts);
-                let done = self.carry_out(number, &fault, until).await;
+                let until = Instant::now() + Duration::from_secs_f64(fault.duration);
+                let result = self.inject_fault(number, &fault, until).await;
                 self.history.note(Seen::Ends { fault: number });
-                if let Err(error) = done {
-                    let mut faulty = self.faulty.lock().unwrap_or_else(PoisonError::into_inner);
-                    faulty.push(format!("{}: {error}", fault.text));
+                if let Err(error) = result {
+                    let mut injection_errors =
+                        self.injection_errors.lock().unwrap_or_else(PoisonError::into_inner);
+                    injection_errors.push(format!("{}: {error}", fault.text));
                 }
             }
         };
-        let mut all: Vec<_> = faults.iter().enumerate().map(|each| Box::pin(one(each))).collect();
+        let mut pending: Vec<_> =
+            faults.iter().enumerate().map(|fault_future| Box::pin(inject(fault_future))).collect();
         std::future::poll_fn(|cx| {
-            all.retain_mut(|each| each.as_mut().poll(cx).is_pending());
-            if all.is_empty() { std::task::Poll::Ready(()) } else { std::task::Poll::Pending }
+            pending.retain_mut(|fault_future| fault_future.as_mut().poll(cx).is_pending());
+            if pending.is_empty() { std::task::Poll::Ready(()) } else { std::task::Poll::Pending }
         })
         .await;
     }
 
-    /// One fault from its begin to its end.
-    async fn carry_out(&self, number: usize, fault: &Fault, until: Instant) -> io::Result<()> {
+    /// Injects one fault and removes it at the time `until`.
+    async fn inject_fault(&self, number: usize, fault: &Fault, until: Instant) -> io::Result<()> {
         let gateways =
             || fault.on.iter().filter_map(|p| if let Party::Gateway(n) = p { Some(*n) } else { None });
         let backends =
             || fault.on.iter().filter_map(|p| if let Party::Backend(n) = p { Some(*n) } else { None });
-        let parts = (fault.share * self.counter.parts() as f64).ceil() as usize;
+        let affected_shards = (fault.share * self.counter.shards() as f64).ceil() as usize;
         match fault.kind {
             Kind::Cut | Kind::Reset | Kind::Mute | Kind::Delay | Kind::Throttle | Kind::CutAfter => {
                 self.net.begin(number, &fault.links, fault.flow);
@@ -381,10 +389,10 @@
                 for gateway in gateways() {
                     let mut node = self.nodes[gateway].lock().await;
                     let Some(mut process) = node.process.take() else { continue };
-                    node.asked = true;
+                    node.exit_expected = true;
                     self.net.set_up(Party::Gateway(gateway), false);
                     let status = process.kill().await?;
-                    self.ended(&node, process.pid, &status);
+                    self.record_exit(&node, process.pid, &status);
                 }
                 sleep_until(until).await;
                 for gateway in gateways() {
@@ -415,37 +423,38 @@
                 }
             }
             Kind::Crash => {
-                let of = |party: &(Party, Party)| fault.on.contains(&party.0) || fault.on.contains(&party.1);
-                let links: Vec<_> = self.net.links().into_iter().filter(of).collect();
+                let touches =
+                    |party: &(Party, Party)| fault.on.contains(&party.0) || fault.on.contains(&party.1);
+                let links: Vec<_> = self.net.links().into_iter().filter(touches).collect();
                 self.net.begin(number, &links, Flow::Reset);
                 sleep_until(until).await;
-                backends().for_each(|backend| self.backends[backend].starts());
-                self.tell();
+                backends().for_each(|backend| self.backends[backend].restart());
+                self.publish_hosts();
                 self.net.end(number);
             }
             Kind::Silent | Kind::Drain | Kind::Fail => {
-                let set = |holds: bool| {
+                let apply = |active: bool| {
                     for backend in backends().map(|backend| &self.backends[backend]) {
                         match fault.kind {
-                            Kind::Silent => backend.silent.store(holds, Ordering::Relaxed),
-                            Kind::Drain => backend.draining.store(holds, Ordering::Relaxed),
+                            Kind::Silent => backend.silent.store(active, Ordering::Relaxed),
+                            Kind::Drain => backend.draining.store(active, Ordering::Relaxed),
                             _ => {
-                                let share = if holds { (fault.share * 1000.0) as u64 } else { 0 };
+                                let share = if active { (fault.share * 1000.0) as u64 } else { 0 };
                                 backend.failing.store(share, Ordering::Relaxed);
                             }
                         }
                     }
                     if fault.kind == Kind::Drain {
-                        self.tell();
+                        self.publish_hosts();
                     }
                 };
-                set(true);
+                apply(true);
                 sleep_until(until).await;
-                set(false);
+                apply(false);
             }
-            Kind::Forget => self.counter.forget(parts),
+            Kind::Forget => self.counter.forget(affected_shards),
             Kind::Busy => {
-                self.counter.busy.store(parts, Ordering::Relaxed);
+                self.counter.busy.store(affected_shards, Ordering::Relaxed);
                 sleep_until(until).await;
                 self.counter.busy.store(0, Ordering::Relaxed);
             }
@@ -453,8 +462,8 @@
         Ok(())
     }
 
-    /// Discovery has news for all gateways.
-    fn tell(&self) {
+    /// Publishes the current list of backends to all gateways.
+    fn publish_hosts(&self) {
         for (discovery, dials) in &self.discovery {
             discovery.change(hosts(&self.backends, dials));
         }
@@ -463,22 +472,23 @@
     async fn restart(&self, gateway: usize, fault: &Fault) -> io::Result<()> {
         let mut node = self.nodes[gateway].lock().await;
         let Some(mut process) = node.process.take() else { return Ok(()) };
-        node.asked = true;
+        node.exit_expected = true;
         let pid = process.pid;
-        let front = async {
-            sleep(FRONT).await;
+        let notify_front = async {
+            sleep(FRONT_NOTICE_DELAY).await;
             self.admitted[gateway].store(false, Ordering::Relaxed);
         };
-        let (ended, ()) = tokio::join!(process.terminate(GRACE), front);
-        let (status, by_itself) = ended?;
+        let (ended, ()) = tokio::join!(process.terminate(TERMINATION_GRACE), notify_front);
+        let (status, exited_itself) = ended?;
         self.net.set_up(Party::Gateway(gateway), false);
-        node.asked = by_itself;
-        let told = if by_itself { "" } else { ", killed: it had not ended after SIGTERM" };
-        self.ended(&node, pid, &format!("{status}{told}"));
+        node.exit_expected = exited_itself;
+        let suffix = if exited_itself { "" } else { ", killed: the process did not exit after SIGTERM" };
+        self.record_exit(&node, pid, &format!("{status}{suffix}"));
         self.start(&mut node, fault.tmp, fault.disk, fault.old).await
     }
 
-    /// A second process takes over; the first one is told to end once the second says that it serves.
+    /// Starts a second process of a gateway and terminates the first one once the second reports that it serves
+    /// requests.
     async fn hand_over(&self, gateway: usize) -> io::Result<()> {
         let mut node = self.nodes[gateway].lock().await;
         if node.process.is_none() {
@@ -488,25 +498,27 @@
         let (program, tmp) = (&self.options.program, node.folder.join("tmp"));
         let new = Process::start(program, &node.config, &node.folder, &tmp, Some(console)).await?;
         self.history.note(Seen::Up { gateway, pid: new.pid });
-        let due = Instant::now() + TAKES_OVER;
-        while !process::console(console, "PING").await.is_some_and(|said| said.starts_with("YES")) {
-            if Instant::now() > due {
-                return Err(io::Error::other("the new process does not say that it serves"));
+        let takeover_deadline = Instant::now() + TAKEOVER_TIMEOUT;
+        while !process::console(console, "PING").await.is_some_and(|answer| answer.starts_with("YES")) {
+            if Instant::now() > takeover_deadline {
+                return Err(io::Error::other(
+                    "the new process did not report in time that it serves requests",
+                ));
             }
-            sleep(TICK).await;
+            sleep(TAKEOVER_POLL_INTERVAL).await;
         }
         node.console = console;
         let Some(mut old) = node.process.replace(new) else { return Ok(()) };
-        let (status, by_itself) = old.terminate(GRACE).await?;
-        let asked = node.asked;
-        node.asked = by_itself;
-        self.ended(&node, old.pid, &status);
-        node.asked = asked;
+        let (status, exited_itself) = old.terminate(TERMINATION_GRACE).await?;
+        let exit_expected = node.exit_expected;
+        node.exit_expected = exited_itself;
+        self.record_exit(&node, old.pid, &status);
+        node.exit_expected = exit_expected;
         Ok(())
     }
 }
 
-/// What a gateway is told of the site.
+/// Settings of a gateway, derived from the schedule.
 fn settings(schedule: &Schedule, number: usize) -> Value {
     let fleet = &schedule.fleet;
     let class = |class: &judge::Class| {
@@ -525,6 +537,6 @@
         "plans": PLANS.iter().map(plan).collect::<Vec<_>>(),
         "extra": {"has-counter": true, "count-limit-ms": 50, "units-top": 1},
         "permissions": {"most-tries": 4, "may-cancel": true, "max-retry-after-ms": 1000},
-        "rules": {"cold-from": COLD.0, "cold-ms": COLD.1.as_millis() as u64,
+        "rules": {"cold-from": WARM_UP.0, "cold-ms": WARM_UP.1.as_millis() as u64,
             "overload-factor": OVERLOAD_LIMIT.1, "fall-ms": OVERLOAD_LIMIT.0.as_millis() as u64}})
 }
--- a/emulator/src/trial/relay.rs
+++ b/emulator/src/trial/relay.rs
@@ -1,4 +1,4 @@
-//! Who is connected in a trial, and the relays between them ([`fault_injection::relay`]).
+//! Parties of a trial and the relays on the links between them ([`fault_injection::relay`]).
 
 use crate::live::history::Addresses;
 pub use fault_injection::relay::{Flow, Link, MOST_HELD};
@@ -7,18 +7,18 @@
 use std::net::{IpAddr, SocketAddr};
 use std::ops::Deref;
 
-/// Somebody with connections.
+/// A party of a trial: one end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Party {
-    /// All clients and the front before them.
+    /// All clients, with the load balancer in front of the gateways.
     Clients,
-    /// A gateway.
+    /// The gateway of this number.
     Gateway(usize),
-    /// A backend.
+    /// The backend of this number.
     Backend(usize),
-    /// Discovery.
+    /// The discovery service.
     Discovery,
-    /// The counter.
+    /// The counter service.
     Counter,
 }
 
@@ -35,13 +35,13 @@
 }
 
 impl Party {
-    /// The address from which its connections come.
+    /// Returns the source address of the party's connections.
     fn source(self, addresses: Addresses) -> IpAddr {
         addresses.source(if let Self::Gateway(number) = self { Some(number) } else { None })
     }
 }
 
-/// Everything between the parties, on a trial's own addresses.
+/// The relays between the parties of one trial, on the loopback addresses of the trial.
 #[derive(Default)]
 pub struct Net {
     addresses: Addresses,
@@ -57,15 +57,16 @@
 }
 
 impl Net {
-    /// One on a trial's own addresses.
+    /// Creates a network without links on the addresses of a trial.
     pub fn new(addresses: Addresses) -> Self {
         Self { addresses, ..Self::default() }
     }
 
-    /// Opens the way from one party to another, which listens at an address. Gives the address to connect to.
+    /// Opens a relay from one party to another that listens at `target`. Returns the address that the first party
+    /// connects to. With `up` set to false, the relay refuses connections until the target is up.
     ///
     /// # Errors
-    /// When there is no address for the relay.
+    /// When the relay cannot bind an address.
     pub fn way(&self, from: Party, to: Party, target: SocketAddr, up: bool) -> io::Result<SocketAddr> {
         let source = from.source(self.addresses);
         self.net.way((from, to), SocketAddr::new(source, 0), source, target, up)
--- a/emulator/src/trial/report.rs
+++ b/emulator/src/trial/report.rs
@@ -1,4 +1,4 @@
-//! Several trials, and what they came to together.
+//! Runs several trials and summarizes their results.
 
 use super::judge::Verdict;
 use super::schedule::Schedule;
@@ -10,52 +10,55 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::task::JoinSet;
 
-/// Threads of one trial.
-const WORKERS: usize = 3;
+/// Worker threads of the runtime of one trial.
+const WORKER_THREADS: usize = 3;
 
-/// Served worth while a fault held, and seconds until service was back (none: never).
-type Through = (Option<f64>, Option<f64>);
+/// Relative served worth during a fault, and seconds until service recovered (`None`: never).
+type ServiceLevel = (Option<f64>, Option<f64>);
 
-/// What several trials came to.
+/// Summary of several trials.
 #[derive(Clone, Debug, Default)]
-pub struct Sum {
-    /// Trials played.
+pub struct Summary {
+    /// Number of trials.
     pub trials: usize,
-    /// Rules broken, in trials with a verdict.
+    /// Number of rule violations in trials with a verdict.
     pub broken: u64,
-    /// Trials without a verdict.
+    /// Number of void trials, which have no verdict.
     pub void: usize,
-    through: BTreeMap<String, Vec<Through>>,
-    /// Seconds in which nobody did a duty, each time that it passed on.
+    through: BTreeMap<String, Vec<ServiceLevel>>,
+    /// For each takeover of a duty, the seconds during which no gateway performed the duty.
     passed: Vec<f64>,
-    nearest: f64,
+    max_ceiling_use: f64,
     beyond: (u64, u64),
-    held: (u64, u64),
+    max_held: (u64, u64),
 }
 
-/// Plays trials, so many at once; `tell` gets some lines on each as it ends.
+/// Runs trials, at most `concurrency` of them concurrently. Calls `report_trial` with a report on each trial as it
+/// ends.
 ///
 /// # Errors
-/// When one cannot be played: the others are given up.
-pub async fn several(
-    trials: &[Schedule], options: &Options, side: usize, mut tell: impl FnMut(&str),
-) -> Result<Sum, TrialError> {
-    let (mut sum, places) = (Sum::default(), Arc::new(Semaphore::new(side.max(1))));
+/// When a trial cannot run; the remaining trials are aborted.
+pub async fn run_all(
+    trials: &[Schedule], options: &Options, concurrency: usize, mut report_trial: impl FnMut(&str),
+) -> Result<Summary, TrialError> {
+    let (mut sum, permits) = (Summary::default(), Arc::new(Semaphore::new(concurrency.max(1))));
     let mut all = JoinSet::new();
-    // Whoever waits no longer for the trials drops this, and they end.
-    let (_wanted, wanted) = watch::channel(());
+    // When the caller drops this future, the sender is dropped and the running trials abort.
+    let (_caller_alive, caller_alive) = watch::channel(());
     for schedule in trials {
-        let (schedule, options, places) = (schedule.clone(), options.clone(), places.clone());
-        let mut wanted = wanted.clone();
+        let (schedule, options, permits) = (schedule.clone(), options.clone(), permits.clone());
+        let mut caller_alive = caller_alive.clone();
         all.spawn(async move {
-            let _place = places.acquire_owned().await;
-            // On a runtime of its own: with it go the trial's listeners, relays and all that waits on them.
+            let _permit = permits.acquire_owned().await;
+            // Each trial has its own runtime: dropping the runtime closes the trial's listeners, relays and their
+            // tasks.
             let played = tokio::task::spawn_blocking(move || {
-                let runtime = Builder::new_multi_thread().worker_threads(WORKERS).enable_all().build()?;
+                let runtime =
+                    Builder::new_multi_thread().worker_threads(WORKER_THREADS).enable_all().build()?;
                 runtime.block_on(async {
                     tokio::select! {
                         verdict = play(&schedule, &options) => verdict.map(|verdict| (schedule, verdict)),
-                        _ = wanted.changed() => Err("given up".into()),
+                        _ = caller_alive.changed() => Err("trial aborted".into()),
                     }
                 })
             });
@@ -64,42 +67,42 @@
     }
     while let Some(played) = all.join_next().await {
         let (schedule, verdict) = played??;
-        tell(&lines(&schedule, &verdict));
+        report_trial(&format_trial(&schedule, &verdict));
         sum.add(&verdict);
     }
     Ok(sum)
 }
 
-/// One trial in a few lines: a verdict, its figures, and each break.
-pub fn lines(schedule: &Schedule, verdict: &Verdict) -> String {
+/// Formats the result of one trial: verdict, request counts, violations, takeovers and service levels.
+pub fn format_trial(schedule: &Schedule, verdict: &Verdict) -> String {
     let mut text = String::new();
     let faults: Vec<String> = schedule
         .faults
         .iter()
-        .map(|fault| format!("{:.1}+{:.1} {}", fault.at, fault.lasts, fault.text))
+        .map(|fault| format!("{:.1}+{:.1} {}", fault.at, fault.duration, fault.text))
         .collect();
-    let told = match (&verdict.void, verdict.broken) {
+    let outcome = match (&verdict.void, verdict.broken) {
         (Some(void), _) => format!("no verdict ({void})"),
         (None, 0) => "ok".into(),
         (None, broken) => format!("{broken} rules broken"),
     };
-    let _ = writeln!(text, "{} {}: {told}; faults: {}", schedule.name, schedule.seed, faults.join(", "));
+    let _ = writeln!(text, "{} {}: {outcome}; faults: {}", schedule.name, schedule.seed, faults.join(", "));
     for (name, [all, served, timely, refused, failed, excused]) in &verdict.classes {
         let _ = writeln!(
             text,
             "  {name}: {all} sent, {served} served ({timely} in time), {refused} refused, {failed} failed, {excused} lost to faults"
         );
     }
-    for broke in &verdict.breaks {
-        let request = broke.request.as_ref().map_or(String::new(), |id| format!(", request {id}"));
+    for violation in &verdict.breaks {
+        let request = violation.request.as_ref().map_or(String::new(), |id| format!(", request {id}"));
         let _ = writeln!(
             text,
             "  {:?} at {:.3} s by {}{request}: {} [{}]",
-            broke.rule,
-            broke.at,
-            broke.parties.join("+"),
-            broke.what,
-            broke.faults.join(", ")
+            violation.rule,
+            violation.at,
+            violation.parties.join("+"),
+            violation.what,
+            violation.faults.join(", ")
         );
     }
     for passed in &verdict.passed {
@@ -122,13 +125,13 @@
     text
 }
 
-/// A quantile of what stands in order.
-fn at(of: &[f64], share: f64) -> String {
-    let place = (of.len() as f64 * share).ceil().max(1.0) as usize - 1;
-    of.get(place.min(of.len().saturating_sub(1))).map_or("-".into(), |value| format!("{value:.2}"))
+/// Formats a quantile of sorted values, or `-` if there are none.
+fn quantile(of: &[f64], share: f64) -> String {
+    let index = (of.len() as f64 * share).ceil().max(1.0) as usize - 1;
+    of.get(index.min(of.len().saturating_sub(1))).map_or("-".into(), |value| format!("{value:.2}"))
 }
 
-impl Sum {
+impl Summary {
     fn add(&mut self, verdict: &Verdict) {
         self.trials += 1;
         if verdict.void.is_some() {
@@ -136,9 +139,9 @@
             return;
         }
         self.broken += verdict.broken;
-        self.nearest = self.nearest.max(verdict.nearest_to_ceiling);
+        self.max_ceiling_use = self.max_ceiling_use.max(verdict.nearest_to_ceiling);
         self.beyond = (self.beyond.0 + verdict.beyond.0, self.beyond.1 + verdict.beyond.1);
-        self.held = (self.held.0.max(verdict.most_held.0), self.held.1.max(verdict.most_held.1));
+        self.max_held = (self.max_held.0.max(verdict.most_held.0), self.max_held.1.max(verdict.most_held.1));
         self.passed.extend(verdict.passed.iter().map(|passed| passed.gap));
         for through in &verdict.through {
             let kind = through.fault.split(' ').next().unwrap_or_default().to_owned();
@@ -146,18 +149,18 @@
         }
     }
 
-    /// All of it as text.
+    /// Formats the summary as text.
     pub fn text(&self) -> String {
         let mut text = format!(
             "{} trials: {} rules broken, {} without a verdict; ceilings to {:.2} of the rule, {} of {} tries beyond quotas, at most {} descriptors and {} kB\n",
             self.trials,
             self.broken,
             self.void,
-            self.nearest,
+            self.max_ceiling_use,
             self.beyond.0,
             self.beyond.1,
-            self.held.0,
-            self.held.1
+            self.max_held.0,
+            self.max_held.1
         );
         if !self.passed.is_empty() {
             let mut gaps = self.passed.clone();
@@ -166,9 +169,9 @@
                 text,
                 "duties passed on {} times, not done for {} s (p50), {} s (p90), {} s at most",
                 gaps.len(),
-                at(&gaps, 0.5),
-                at(&gaps, 0.9),
-                at(&gaps, 1.0)
+                quantile(&gaps, 0.5),
+                quantile(&gaps, 0.9),
+                quantile(&gaps, 1.0)
             );
         }
         if !self.through.is_empty() {
@@ -187,11 +190,11 @@
                 text,
                 "{kind:12}{:>7} | {:>8}{:>8} | {:>8}{:>8}{:>8}{:>7}",
                 all.len(),
-                at(&during, 0.5),
-                at(&during, 0.0),
-                at(&back, 0.5),
-                at(&back, 0.9),
-                at(&back, 1.0),
+                quantile(&during, 0.5),
+                quantile(&during, 0.0),
+                quantile(&back, 0.5),
+                quantile(&back, 0.9),
+                quantile(&back, 1.0),
                 all.len() - back.len()
             );
         }
--- a/emulator/src/trial/schedule.rs
+++ b/emulator/src/trial/schedule.rs
@@ -1,5 +1,5 @@
-//! What a trial is: its fleet, its load, and its faults, written in TOML or drawn by a seed from stated ranges.
-//! A file is checked whole before anything starts; what is wrong with it is one line with its place.
+//! Schedule of a trial: its fleet, load and faults, read from TOML or drawn at random from a seed and stated ranges.
+//! A file is validated completely before anything starts. An error is one line that states the position in the file.
 
 use crate::scenario::Span;
 use crate::trial::relay::{Flow, Party};
@@ -10,8 +10,8 @@
 use std::path::Path;
 use toml::Spanned;
 
-/// The trials that come with the program.
-pub const SHIPPED: [(&str, &str); 9] = [
+/// Trials that are built into the program: name and TOML text.
+pub const BUILT_IN_TRIALS: [(&str, &str); 9] = [
     ("calm", include_str!("../../trials/calm.toml")),
     ("zone-cut", include_str!("../../trials/zone-cut.toml")),
     ("stall", include_str!("../../trials/stall.toml")),
@@ -23,14 +23,14 @@
     ("group-nemesis", include_str!("../../trials/group-nemesis.toml")),
 ];
 
-/// The longest trial, in seconds.
-pub const MOST_SECONDS: f64 = 300.0;
-/// The most requests a second.
-pub const MOST_RATE: f64 = 1000.0;
-/// How many gateways a trial has.
+/// Maximum duration of a trial, in seconds.
+pub const MAX_SECONDS: f64 = 300.0;
+/// Maximum request rate, per second.
+pub const MAX_RATE: f64 = 1000.0;
+/// Allowed numbers of gateways in a trial.
 pub const GATEWAYS: std::ops::RangeInclusive<usize> = 3..=30;
 
-/// A trial that cannot be played: one line, with the place.
+/// An invalid trial: one line of text with the position in the file.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ScheduleError(String);
 
@@ -42,47 +42,47 @@
 
 impl std::error::Error for ScheduleError {}
 
-/// The kinds of faults.
+/// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Links fall silent, as if the machines behind them had vanished.
+    /// Links drop everything, new connections included, as if the remote machine had lost power.
     Cut,
-    /// Links are reset, and new connections refused.
+    /// Links reset their connections and refuse new ones.
     Reset,
-    /// What is written on links vanishes, though connections come up.
+    /// Links accept connections but drop all bytes.
     Mute,
-    /// Links pass each piece after a drawn time (`ms`).
+    /// Links delay each chunk of data by a random time within a range (`ms`).
     Delay,
-    /// Links pass so many bytes a second (`bytes`).
+    /// Links limit their throughput (`bytes` per second).
     Throttle,
-    /// Connections on links are reset after so many bytes (`bytes`).
+    /// Links reset each connection after a number of bytes (`bytes`).
     CutAfter,
-    /// Gateways are killed and, afterwards, started again (`tmp`).
+    /// Gateways are killed (SIGKILL) and, at the end of the fault, started again (`tmp`, `disk`, `old`).
     Kill,
-    /// Gateways are stopped and, afterwards, continued.
+    /// Gateways are paused (SIGSTOP) and, at the end of the fault, resumed (SIGCONT).
     Stop,
-    /// Gateways are told to end (SIGTERM) and, when they have, started again (`tmp`, `old`).
+    /// Gateways are terminated (SIGTERM) and started again once they have exited (`tmp`, `disk`, `old`).
     Restart,
-    /// A second process of each gateway is started beside the first and takes over from it.
+    /// A second process of each gateway starts while the first one runs, and takes over from it.
     Handover,
-    /// Backends are killed and, afterwards, started again, cold.
+    /// The connections of backends are reset and refused; at the end of the fault the backends restart cold.
     Crash,
-    /// Backends take requests and say nothing.
+    /// Backends accept requests and never answer.
     Silent,
-    /// Backends fail this share of what they are sent (`share`).
+    /// Backends answer a share of their requests with an error (`share`).
     Fail,
-    /// Backends drain, and discovery says so.
+    /// Backends drain and discovery lists them as terminating.
     Drain,
-    /// The counter's parts lose their numbers at once (`share` of the parts).
+    /// Shards of the counter lose their values once (`share` of the shards).
     Forget,
-    /// The counter's parts turn calls away (`share` of the parts).
+    /// Shards of the counter reject calls as busy (`share` of the shards).
     Busy,
 }
 
 impl Kind {
-    /// What it does, if it is one of links.
-    fn harm(self) -> Option<Harm> {
+    /// Returns the link fault for kinds that affect links.
+    fn link_fault(self) -> Option<Harm> {
         Some(match self {
             Self::Cut => Harm::Cut,
             Self::Reset => Harm::Reset,
@@ -95,24 +95,24 @@
     }
 }
 
-/// What a gateway finds in its `$TMPDIR` when it is started again.
+/// Contents of a folder of a gateway, such as its `$TMPDIR`, when the gateway starts again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Tmp {
-    /// Nothing, as after a loss of power.
+    /// The folder is empty, as on a new machine.
     #[default]
     Empty,
-    /// What its last process left.
+    /// The folder holds the files of the previous process.
     Old,
 }
 
-/// A fault as it is written.
+/// A fault as written in a trial file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-struct Row {
+struct FaultSpec {
     at: f64,
     #[serde(rename = "for", default)]
-    lasts: f64,
+    duration: f64,
     fault: Kind,
     from: Option<String>,
     to: Option<String>,
@@ -124,150 +124,151 @@
     share: Option<f64>,
     #[serde(default)]
     tmp: Tmp,
-    #[serde(default = "old")]
+    #[serde(default = "default_disk")]
     disk: Tmp,
     #[serde(default)]
     old: bool,
 }
 
-fn old() -> Tmp {
+fn default_disk() -> Tmp {
     Tmp::Old
 }
 
-/// The group of a trial's gateways, as it is written: the first so many are its voters.
+/// The group of a trial's gateways, as written in a trial file. The first `voters` gateways are its voters.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct GroupPlan {
-    /// 1, 3 or 5.
+    /// Number of voters: 1, 3 or 5.
     pub voters: usize,
-    /// The life of a session, in ms.
+    /// Session timeout, in ms.
     pub life_ms: u64,
-    /// Duties that all would do.
+    /// Duties that every gateway competes for.
     pub duties: Vec<String>,
 }
 
-/// A trial as it is written.
+/// The contents of a trial file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-struct File {
+struct TrialFile {
     gateways: Spanned<usize>,
     backends: Spanned<usize>,
     zones: Spanned<Vec<String>>,
     seconds: Spanned<f64>,
     rate: Spanned<f64>,
-    #[serde(default = "one")]
+    #[serde(default = "default_counter_parts")]
     counter_parts: usize,
-    /// The zone that the counter is in; none: in no zone that can be cut.
+    /// Zone of the counter. Without a zone, cuts of zones do not affect the counter.
     counter_zone: Option<Spanned<String>>,
-    /// Without it the gateways do not know of each other.
+    /// Group of the gateways. Without a group, the gateways do not communicate with each other.
     group: Option<Spanned<GroupPlan>>,
     #[serde(default)]
-    fault: Vec<Spanned<Row>>,
-    /// Shapes of faults, of which each seed draws one or two.
+    fault: Vec<Spanned<FaultSpec>>,
+    /// Fault patterns, of which each seed draws one or two.
     #[serde(default)]
-    nemesis: Vec<Spanned<Shape>>,
+    nemesis: Vec<Spanned<FaultPattern>>,
 }
 
-fn one() -> usize {
+fn default_counter_parts() -> usize {
     1
 }
 
-/// Shapes of faults that a seed draws from.
+/// Fault patterns that a seed draws from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Shape {
-    /// Two to four links or groups of links, cut, reset, muted or delayed.
+pub enum FaultPattern {
+    /// Two to four links or groups of links with a link fault each.
     Cuts,
-    /// The fewer zones are cut off from all others.
+    /// One zone is cut off from all others.
     Split,
-    /// Two halves that see only one zone in common.
+    /// One zone reaches all others; every other zone reaches only itself and that zone.
     Bridge,
-    /// Each zone sees only the next one.
+    /// Gateways of each zone reach only their own zone and the next one.
     Ring,
-    /// One zone is cut off and heals, again and again.
+    /// One zone is repeatedly cut off and reconnected.
     Flapping,
-    /// All gateways are restarted, one after the other.
+    /// All gateways restart, one after the other.
     Rolling,
-    /// Gateways stop, for longer than a block lives.
+    /// One or two gateways are paused, possibly for longer than the lifetime of a counter block.
     Stalls,
-    /// Gateways are killed.
+    /// Some but not all gateways are killed.
     Kills,
-    /// The counter forgets, turns away, or is heard by some only.
+    /// The counter loses values, rejects calls, or its answers are dropped or delayed.
     Counter,
-    /// Backends drain, and some gateways are told late.
+    /// A backend drains, and one gateway receives the notice late.
     Drains,
-    /// Backends crash and come back cold.
+    /// Backends crash and restart cold.
     Colds,
-    /// Handovers under faults of links.
+    /// A handover, possibly with a link fault of the same gateway.
     Handovers,
 }
 
-/// One fault of a schedule.
+/// One scheduled fault.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// When it begins, in seconds from the load's begin.
+    /// Start of the fault, in seconds since the start of the load.
     pub at: f64,
-    /// For how long.
-    pub lasts: f64,
-    /// What.
+    /// Duration of the fault, in seconds.
+    pub duration: f64,
+    /// Kind of the fault.
     pub kind: Kind,
-    /// Where on links: by who writes and who reads.
+    /// Affected links as (writer, reader).
     pub links: Vec<(Party, Party)>,
-    /// Whom, if it is one of processes or stand-ins.
+    /// Affected parties, for faults of processes and stand-ins.
     pub on: Vec<Party>,
-    /// What the links do.
+    /// Behaviour of the affected links.
     pub flow: Flow,
-    /// A share: of answers or of parts.
+    /// Share of answers or counter shards that the fault affects, from 0 to 1.
     pub share: f64,
-    /// What a new process finds in its `$TMPDIR`, and a voter of a group on its disk.
+    /// Contents of the `$TMPDIR` of the restarted process.
     pub tmp: Tmp,
-    /// See `tmp`.
+    /// Contents of the data directory of a restarted voter.
     pub disk: Tmp,
-    /// Whether the new process is of the older program.
+    /// Whether the restart uses the older executable.
     pub old: bool,
-    /// All of it in words.
+    /// Short description of the fault.
     pub text: String,
 }
 
 /// The fleet of a trial.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// How many gateways; gateway n is in zone n modulo the number of zones, and so are backends.
+    /// Number of gateways. Gateway n is in zone n modulo the number of zones; the same holds for backends.
     pub gateways: usize,
-    /// How many backends.
+    /// Number of backends.
     pub backends: usize,
-    /// The zones' names.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// The counter's parts.
+    /// Number of shards of the counter.
     pub counter_parts: usize,
-    /// The counter's zone.
+    /// Index of the counter's zone in `zones`, if the counter is in a zone.
     pub counter_zone: Option<usize>,
-    /// The gateways' group.
+    /// Group of the gateways, if they form one.
     pub group: Option<GroupPlan>,
 }
 
 impl Fleet {
-    /// The zone of a party.
+    /// Returns the index of a party's zone, if the party is in one.
     pub fn zone(&self, party: Party) -> Option<usize> {
         match party {
             Party::Gateway(number) | Party::Backend(number) => Some(number % self.zones.len()),
             Party::Counter => self.counter_zone,
-            // Discovery's agent is on each gateway's own machine, and clients come from outside.
+            // The discovery agent runs on the machine of each gateway, and clients connect from outside.
             Party::Discovery | Party::Clients => None,
         }
     }
 
-    fn parties(&self) -> Vec<Party> {
+    fn all_parties(&self) -> Vec<Party> {
         let gateways = (0..self.gateways).map(Party::Gateway);
         let backends = (0..self.backends).map(Party::Backend);
         gateways.chain(backends).chain([Party::Clients, Party::Discovery, Party::Counter]).collect()
     }
 
-    /// Whom a text names: `*`, `zone:NAME`, `gateways`, `backends`, a party's name, or several with commas.
-    fn named(&self, text: &str) -> Option<Vec<Party>> {
+    /// Resolves a comma-separated list of party selectors: `*`, `zone:NAME`, `gateways`, `backends`, or the name of a
+    /// party. Returns `None` if a selector matches no party.
+    fn select(&self, text: &str) -> Option<Vec<Party>> {
         let mut all = Vec::new();
         for name in text.split(',').map(str::trim) {
-            let parties = self.parties().into_iter();
+            let parties = self.all_parties().into_iter();
             let found: Vec<Party> = match name.strip_prefix("zone:") {
                 Some(zone) => {
                     let zone = self.zones.iter().position(|z| z == zone)?;
@@ -290,8 +291,8 @@
         Some(all)
     }
 
-    /// Whether two parties talk, and who of them connects.
-    pub fn talk(from: Party, to: Party) -> bool {
+    /// Returns whether `from` opens connections to `to`.
+    pub fn connects(from: Party, to: Party) -> bool {
         use Party::{Backend, Clients, Counter, Discovery, Gateway};
         match (from, to) {
             (Gateway(from), Gateway(to)) => from != to,
@@ -299,73 +300,83 @@
         }
     }
 
-    /// The links between two groups, in the direction from the one to the other and, unless `one_way`, back. Where
-    /// the second group holds parties of the first, these keep each other: a zone that is cut is whole inside.
+    /// Returns the links from one set of parties to another and, unless `one_way`, the reverse links. Links among
+    /// parties that are in both sets are excluded, so a zone that is cut off keeps its internal links.
     pub fn links(&self, from: &[Party], to: &[Party], one_way: bool) -> Vec<(Party, Party)> {
-        links_between(from, to, one_way, from.len() == self.parties().len(), Self::talk)
+        links_between(from, to, one_way, from.len() == self.all_parties().len(), Self::connects)
     }
 }
 
-/// A trial, ready to be played.
+/// A validated trial.
 #[derive(Clone, Debug)]
 pub struct Schedule {
-    /// Its name.
+    /// Name of the trial.
     pub name: String,
-    /// Who is there.
+    /// The parties of the trial.
     pub fleet: Fleet,
-    /// For how long there is load, in seconds.
+    /// Duration of the load, in seconds.
     pub seconds: f64,
-    /// Requests a second.
+    /// Request rate, per second.
     pub rate: f64,
-    /// The seed.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// The faults, by time.
+    /// The faults in order of their start.
     pub faults: Vec<Fault>,
 }
 
-/// The text of a shipped trial, or of a file.
+/// Returns the TOML text of the built-in trial of this name, or else of the file at this path.
 ///
 /// # Errors
-/// When there is neither.
+/// When no built-in trial has the name and the file cannot be read.
 pub fn text(name: &str) -> Result<String, ScheduleError> {
-    match SHIPPED.iter().find(|(shipped, _)| *shipped == name) {
+    match BUILT_IN_TRIALS.iter().find(|(built_in, _)| *built_in == name) {
         Some((_, text)) => Ok((*text).to_owned()),
-        None => std::fs::read_to_string(Path::new(name))
-            .map_err(|error| ScheduleError(format!("{name}: no trial of this name, and as a file: {error}"))),
+        None => std::fs::read_to_string(Path::new(name)).map_err(|error| {
+            ScheduleError(format!(
+                "{name}: no built-in trial has this name, and the file cannot be read: {error}"
+            ))
+        }),
     }
 }
 
 impl Schedule {
-    /// Reads a trial and draws what is left to the seed.
+    /// Parses and validates a trial, and draws the random faults from the seed. `seconds` overrides the duration in the
+    /// file.
     ///
     /// # Errors
-    /// When it cannot be played: one line with the place.
+    /// When the trial is invalid: one line with the position in the file.
     pub fn read(name: &str, text: &str, seed: u64, seconds: Option<f64>) -> Result<Self, ScheduleError> {
         let place = |at: usize, what: &str| ScheduleError(fault_injection::place(name, text, at, what));
-        let file: File = toml::from_str(text)
+        let file: TrialFile = toml::from_str(text)
             .map_err(|error| place(error.span().map_or(0, |span| span.start), error.message()))?;
         let bad = |at: std::ops::Range<usize>, what: String| Err(place(at.start, &what));
         let zones = file.zones.get_ref();
         if zones.is_empty() || zones.len() > 9 || zones.iter().any(String::is_empty) {
-            return bad(file.zones.span(), "1 to 9 zones with names".into());
+            return bad(file.zones.span(), "a trial needs 1 to 9 zones with non-empty names".into());
         }
         if !GATEWAYS.contains(file.gateways.get_ref()) {
-            return bad(file.gateways.span(), format!("{} to {} gateways", GATEWAYS.start(), GATEWAYS.end()));
+            return bad(
+                file.gateways.span(),
+                format!("the number of gateways must be {} to {}", GATEWAYS.start(), GATEWAYS.end()),
+            );
         }
         if !(1..=60).contains(file.backends.get_ref()) || file.counter_parts == 0 {
-            return bad(file.backends.span(), "1 to 60 backends, and a part of the counter at least".into());
+            return bad(
+                file.backends.span(),
+                "a trial needs 1 to 60 backends and at least one counter part".into(),
+            );
         }
         let seconds = seconds.unwrap_or(*file.seconds.get_ref());
-        if !(1.0..=MOST_SECONDS).contains(&seconds) {
-            return bad(file.seconds.span(), format!("1 to {MOST_SECONDS} seconds"));
+        if !(1.0..=MAX_SECONDS).contains(&seconds) {
+            return bad(file.seconds.span(), format!("the duration must be 1 to {MAX_SECONDS} seconds"));
         }
-        if !(1.0..=MOST_RATE).contains(file.rate.get_ref()) {
-            return bad(file.rate.span(), format!("1 to {MOST_RATE} requests a second"));
+        if !(1.0..=MAX_RATE).contains(file.rate.get_ref()) {
+            return bad(file.rate.span(), format!("the rate must be 1 to {MAX_RATE} requests per second"));
         }
         let counter_zone = match &file.counter_zone {
             Some(zone) => match zones.iter().position(|z| z == zone.get_ref()) {
                 Some(at) => Some(at),
-                None => return bad(zone.span(), "no zone of this name".into()),
+                None => return bad(zone.span(), "no zone has this name".into()),
             },
             None => None,
         };
@@ -373,7 +384,10 @@
         if let (Some(of), Some(plan)) = (&file.group, &group)
             && !([1, 3, 5].contains(&plan.voters) && plan.voters <= *file.gateways.get_ref())
         {
-            return bad(of.span(), "1, 3 or 5 voters, which are gateways".into());
+            return bad(
+                of.span(),
+                "the number of voters must be 1, 3 or 5 and at most the number of gateways".into(),
+            );
         }
         let fleet = Fleet {
             gateways: *file.gateways.get_ref(),
@@ -385,19 +399,19 @@
         };
         let mut faults = Vec::new();
         for row in &file.fault {
-            match fault(&fleet, row.get_ref(), seconds) {
+            match resolve_fault(&fleet, row.get_ref(), seconds) {
                 Ok(fault) => faults.push(fault),
                 Err(what) => return bad(row.span(), what),
             }
         }
         if !file.nemesis.is_empty() {
-            let shapes: Vec<Shape> = file.nemesis.iter().map(|shape| *shape.get_ref()).collect();
-            let drawn = draw(&fleet, &shapes, seconds, seed);
+            let patterns: Vec<FaultPattern> = file.nemesis.iter().map(|pattern| *pattern.get_ref()).collect();
+            let drawn = draw_faults(&fleet, &patterns, seconds, seed);
             for row in drawn {
-                // What is drawn is read as if it had been written.
-                match fault(&fleet, &row, seconds) {
+                // Validate drawn faults in the same way as faults from the file.
+                match resolve_fault(&fleet, &row, seconds) {
                     Ok(fault) => faults.push(fault),
-                    Err(what) => return bad(0..0, format!("drawn: {what}")),
+                    Err(what) => return bad(0..0, format!("invalid drawn fault: {what}")),
                 }
             }
         }
@@ -407,75 +421,75 @@
     }
 }
 
-/// Checks one fault against the fleet.
-fn fault(fleet: &Fleet, row: &Row, seconds: f64) -> Result<Fault, String> {
-    let Row { at, lasts, fault: kind, one_way, tmp, disk, old, .. } = *row;
-    if !(at.is_finite() && at >= 0.0 && lasts.is_finite() && lasts >= 0.0 && at + lasts <= seconds) {
-        return Err(format!("a fault lies within the {seconds} seconds of the trial"));
+/// Validates one fault against the fleet and resolves its parties.
+fn resolve_fault(fleet: &Fleet, row: &FaultSpec, seconds: f64) -> Result<Fault, String> {
+    let FaultSpec { at, duration, fault: kind, one_way, tmp, disk, old, .. } = *row;
+    if !(at.is_finite() && at >= 0.0 && duration.is_finite() && duration >= 0.0 && at + duration <= seconds) {
+        return Err(format!("a fault must start and end within the {seconds} seconds of the trial"));
     }
-    let whom = |text: &Option<String>, key: &str| match text {
-        Some(text) => fleet.named(text).ok_or_else(|| format!("{key}: nobody is named {text}")),
+    let select_parties = |text: &Option<String>, key: &str| match text {
+        Some(text) => fleet.select(text).ok_or_else(|| format!("{key}: no party matches {text}")),
         None => Err(format!("{key} is missing")),
     };
     let name =
         serde_json::to_value(kind).ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default();
     let share = row.share.unwrap_or(1.0);
     if !(0.0..=1.0).contains(&share) {
-        return Err("share is 0 to 1".into());
+        return Err("share must be 0 to 1".into());
     }
     let (mut links, mut on, mut flow) = (Vec::new(), Vec::new(), Flow::Free);
     let mut text = name;
-    if let Some(harm) = kind.harm() {
-        let (from, to) = (whom(&row.from, "from")?, whom(&row.to, "to")?);
+    if let Some(link_fault) = kind.link_fault() {
+        let (from, to) = (select_parties(&row.from, "from")?, select_parties(&row.to, "to")?);
         links = fleet.links(&from, &to, one_way);
         if links.is_empty() {
-            return Err("nobody in from talks with anybody in to".into());
+            return Err("no connection exists between the parties in from and to".into());
         }
-        flow = harm.flow(row.ms, row.bytes)?;
+        flow = link_fault.flow(row.ms, row.bytes)?;
         let arrow = if one_way { ">" } else { "-" };
         text =
             format!("{text} {}{arrow}{}", row.from.as_deref().unwrap_or(""), row.to.as_deref().unwrap_or(""));
     } else {
         on = match kind {
             Kind::Forget | Kind::Busy => vec![Party::Counter],
-            _ => whom(&row.on, "on")?,
+            _ => select_parties(&row.on, "on")?,
         };
-        let fits = |party: &Party| match kind {
+        let applies = |party: &Party| match kind {
             Kind::Kill | Kind::Stop | Kind::Restart | Kind::Handover => matches!(party, Party::Gateway(_)),
             Kind::Forget | Kind::Busy => *party == Party::Counter,
             _ => matches!(party, Party::Backend(_)),
         };
-        on.retain(fits);
+        on.retain(applies);
         if on.is_empty() {
-            return Err("on: this fault is not one of theirs".into());
+            return Err("on: this kind of fault does not apply to the selected parties".into());
         }
         text = format!("{text} {}", row.on.as_deref().unwrap_or("counter"));
     }
-    Ok(Fault { at, lasts, kind, links, on, flow, share, tmp, disk, old, text })
+    Ok(Fault { at, duration, kind, links, on, flow, share, tmp, disk, old, text })
 }
 
-/// The first and last moment of drawn faults, as shares of the time: before is what service is held against, and
-/// after is left for it to return.
-const DRAWN: (f64, f64) = (0.25, 0.65);
+/// Earliest start and latest end of most drawn faults, as shares of the trial duration. The time before serves as the
+/// baseline of the service level; the time after leaves room for recovery.
+const DRAW_WINDOW: (f64, f64) = (0.25, 0.65);
 
-/// Draws one or two shapes of faults.
-fn draw(fleet: &Fleet, shapes: &[Shape], seconds: f64, seed: u64) -> Vec<Row> {
+/// Draws one or two fault patterns and their faults.
+fn draw_faults(fleet: &Fleet, patterns: &[FaultPattern], seconds: f64, seed: u64) -> Vec<FaultSpec> {
     let mut random = Random::new(seed, "nemesis", 0);
     let count = 1 + usize::from(random.happens(0.4));
     let mut rows = Vec::new();
-    let mut left = shapes.to_vec();
-    for _ in 0..count.min(shapes.len()) {
-        // Each shape once: two rolling restarts would be at the same processes.
-        let shape = left.remove(random.below(left.len()));
-        rows.extend(shape.draw(fleet, seconds, &mut random));
+    let mut remaining = patterns.to_vec();
+    for _ in 0..count.min(patterns.len()) {
+        // Draw each pattern at most once: two rolling restarts would act on the same processes at once.
+        let pattern = remaining.remove(random.below(remaining.len()));
+        rows.extend(pattern.draw(fleet, seconds, &mut random));
     }
     rows
 }
 
-fn row(at: f64, lasts: f64, fault: Kind) -> Row {
-    Row {
+fn fault_spec(at: f64, duration: f64, fault: Kind) -> FaultSpec {
+    FaultSpec {
         at,
-        lasts,
+        duration,
         fault,
         from: None,
         to: None,
@@ -490,20 +504,20 @@
     }
 }
 
-fn between(at: f64, lasts: f64, fault: Kind, from: &str, to: &str) -> Row {
-    Row { from: Some(from.into()), to: Some(to.into()), ..row(at, lasts, fault) }
+fn link_fault_spec(at: f64, duration: f64, fault: Kind, from: &str, to: &str) -> FaultSpec {
+    FaultSpec { from: Some(from.into()), to: Some(to.into()), ..fault_spec(at, duration, fault) }
 }
 
-fn on(at: f64, lasts: f64, fault: Kind, on: &str) -> Row {
-    Row { on: Some(on.into()), ..row(at, lasts, fault) }
+fn party_fault_spec(at: f64, duration: f64, fault: Kind, on: &str) -> FaultSpec {
+    FaultSpec { on: Some(on.into()), ..fault_spec(at, duration, fault) }
 }
 
-impl Shape {
-    fn draw(self, fleet: &Fleet, seconds: f64, random: &mut Random) -> Vec<Row> {
+impl FaultPattern {
+    fn draw(self, fleet: &Fleet, seconds: f64, random: &mut Random) -> Vec<FaultSpec> {
         let span = |least: f64, most: f64| Span { least, most };
-        let (first, last) = (seconds * DRAWN.0, seconds * DRAWN.1);
+        let (first, last) = (seconds * DRAW_WINDOW.0, seconds * DRAW_WINDOW.1);
         let at = random.within(span(first, (first + last) / 2.0));
-        let lasts = random.within(span(0.5, (last - at).max(0.5)));
+        let duration = random.within(span(0.5, (last - at).max(0.5)));
         let zone = |number: usize| format!("zone:{}", fleet.zones[number % fleet.zones.len()]);
         let start = random.below(fleet.zones.len());
         let gateway = |random: &mut Random| format!("g{}", random.below(fleet.gateways));
@@ -523,7 +537,7 @@
                 let one = |random: &mut Random| {
                     let kind = *random.one_of(&kinds);
                     let at = random.within(span(first, (first + last) / 2.0));
-                    let lasts = random.within(span(0.3, (last - at).max(0.5)));
+                    let duration = random.within(span(0.3, (last - at).max(0.5)));
                     let from = if random.happens(0.5) { gateway(random) } else { zone(random.below(9)) };
                     let others = ["backends", "counter", "discovery", "*"];
                     let to = if random.happens(0.6) {
@@ -531,26 +545,28 @@
                     } else {
                         backend(random)
                     };
-                    // A link of a party to its own zone's parties alone may not exist; all of them always do.
+                    // A zone may have no links to a given backend or to the backends outside the zone; links from a
+                    // zone to all other parties always exist.
                     let to = if to.starts_with('b') && from.starts_with('z') { "*".into() } else { to };
                     let to = if from.starts_with('z') && to == "backends" { "*".into() } else { to };
-                    Row {
+                    FaultSpec {
                         one_way: random.happens(0.4),
                         ms: Some((5.0, random.within(span(20.0, 400.0)))),
                         bytes: Some(random.within(span(50.0, 4000.0)) as u64),
-                        ..between(at, lasts, kind, &from, &to)
+                        ..link_fault_spec(at, duration, kind, &from, &to)
                     }
                 };
                 (0..number).map(|_| one(random)).collect()
             }
-            Self::Split => vec![between(at, lasts, Kind::Cut, &zone(start), "*")],
+            Self::Split => vec![link_fault_spec(at, duration, Kind::Cut, &zone(start), "*")],
             Self::Bridge | Self::Ring => {
-                // In a ring a zone hears its own parties and the next zone's; over a bridge, all hear the first.
+                // In a ring, a zone reaches its own parties and those of the next zone. With a bridge, all zones
+                // reach the zone `start`.
                 let zones = fleet.zones.len();
                 let mut rows = Vec::new();
                 for a in 0..zones {
                     for b in (0..zones).filter(|b| *b != a) {
-                        let apart = match self {
+                        let separated = match self {
                             Self::Ring => b != (a + 1) % zones,
                             _ => a != start && b != start,
                         };
@@ -562,10 +578,10 @@
                             .map(|number| format!("b{number}"))
                             .chain(others.map(|g| format!("g{g}")))
                             .collect();
-                        if apart && !gateways.is_empty() && !backends.is_empty() {
-                            rows.push(between(
+                        if separated && !gateways.is_empty() && !backends.is_empty() {
+                            rows.push(link_fault_spec(
                                 at,
-                                lasts,
+                                duration,
                                 Kind::Cut,
                                 &gateways.join(","),
                                 &backends.join(","),
@@ -578,16 +594,18 @@
             Self::Flapping => {
                 let period = random.within(span(0.6, 1.6));
                 let number = (((last - at) / period) as usize).clamp(2, 6);
-                let open = period * 0.5;
-                let flap = |n: usize| between(at + period * n as f64, open, Kind::Cut, &zone(start), "*");
-                (0..number).map(flap).filter(|row| row.at + row.lasts <= seconds).collect()
+                let cut_duration = period * 0.5;
+                let flap = |n: usize| {
+                    link_fault_spec(at + period * n as f64, cut_duration, Kind::Cut, &zone(start), "*")
+                };
+                (0..number).map(flap).filter(|row| row.at + row.duration <= seconds).collect()
             }
             Self::Rolling => {
-                let each = ((seconds * 0.85 - first) / fleet.gateways as f64).min(3.0);
+                let interval = ((seconds * 0.85 - first) / fleet.gateways as f64).min(3.0);
                 let tmp = if random.happens(0.5) { Tmp::Old } else { Tmp::Empty };
-                let one = |n: usize| Row {
+                let one = |n: usize| FaultSpec {
                     tmp,
-                    ..on(first + each * n as f64, 0.1, Kind::Restart, &format!("g{n}"))
+                    ..party_fault_spec(first + interval * n as f64, 0.1, Kind::Restart, &format!("g{n}"))
                 };
                 (0..fleet.gateways).map(one).collect()
             }
@@ -596,53 +614,70 @@
                 (0..number)
                     .map(|_| {
                         let at = random.within(span(first, (first + last) / 2.0));
-                        on(at, random.within(span(0.3, last - at)), Kind::Stop, &gateway(random))
+                        party_fault_spec(
+                            at,
+                            random.within(span(0.3, last - at)),
+                            Kind::Stop,
+                            &gateway(random),
+                        )
                     })
                     .collect()
             }
             Self::Kills => {
                 let number = 1 + random.below(fleet.gateways - 1);
-                let one = |n: usize| on(at, lasts, Kind::Kill, &format!("g{n}"));
+                let one = |n: usize| party_fault_spec(at, duration, Kind::Kill, &format!("g{n}"));
                 (0..number).map(one).collect()
             }
             Self::Counter => {
                 let half: Vec<String> = (0..fleet.gateways / 2).map(|g| format!("g{g}")).collect();
                 let share = Some(random.within(span(0.3, 1.0)));
                 match random.below(4) {
-                    0 => vec![Row { share, ..row(at, 0.0, Kind::Forget) }],
-                    1 => vec![Row { share, ..row(at, lasts, Kind::Busy) }],
-                    2 => vec![Row {
+                    0 => vec![FaultSpec { share, ..fault_spec(at, 0.0, Kind::Forget) }],
+                    1 => vec![FaultSpec { share, ..fault_spec(at, duration, Kind::Busy) }],
+                    2 => vec![FaultSpec {
                         one_way: true,
-                        ..between(at, lasts, Kind::Mute, "counter", &half.join(","))
+                        ..link_fault_spec(at, duration, Kind::Mute, "counter", &half.join(","))
                     }],
-                    _ => vec![Row {
+                    _ => vec![FaultSpec {
                         ms: Some((20.0, 200.0)),
                         one_way: true,
-                        ..between(at, lasts, Kind::Delay, "counter", "gateways")
+                        ..link_fault_spec(at, duration, Kind::Delay, "counter", "gateways")
                     }],
                 }
             }
             Self::Drains => {
-                let victim = backend(random);
-                let late = gateway(random);
-                let to_late = Row { one_way: true, ..between(at, lasts, Kind::Cut, "discovery", &late) };
-                vec![to_late, on(at + 0.1, (lasts + 1.0).min(seconds - at - 0.1), Kind::Drain, &victim)]
+                let drained = backend(random);
+                let late_gateway = gateway(random);
+                let discovery_cut = FaultSpec {
+                    one_way: true,
+                    ..link_fault_spec(at, duration, Kind::Cut, "discovery", &late_gateway)
+                };
+                vec![
+                    discovery_cut,
+                    party_fault_spec(
+                        at + 0.1,
+                        (duration + 1.0).min(seconds - at - 0.1),
+                        Kind::Drain,
+                        &drained,
+                    ),
+                ]
             }
             Self::Colds => {
                 let number = 1 + random.below(fleet.backends / 2);
                 let begin = random.below(fleet.backends);
-                let one =
-                    |n: usize| on(at, lasts, Kind::Crash, &format!("b{}", (begin + n) % fleet.backends));
+                let one = |n: usize| {
+                    party_fault_spec(at, duration, Kind::Crash, &format!("b{}", (begin + n) % fleet.backends))
+                };
                 (0..number).map(one).collect()
             }
             Self::Handovers => {
-                let who = gateway(random);
-                let mut rows = vec![on(at, 0.1, Kind::Handover, &who)];
+                let handed_over = gateway(random);
+                let mut rows = vec![party_fault_spec(at, 0.1, Kind::Handover, &handed_over)];
                 if random.happens(0.6) {
                     let kind = if random.happens(0.5) { Kind::Cut } else { Kind::Reset };
                     let to = *random.one_of(&["counter", "discovery", "backends"]);
                     let begin = at + random.within(span(-0.2, 0.4));
-                    rows.push(between(begin, lasts.min(2.0), kind, &who, to));
+                    rows.push(link_fault_spec(begin, duration.min(2.0), kind, &handed_over, to));
                 }
                 rows
             }
--- a/emulator/tests/live.rs
+++ b/emulator/tests/live.rs
@@ -32,7 +32,7 @@
 fn load_goes_to_loopback_only_and_within_bounds() {
     let refused = load(&["127.0.0.1:1", "10.0.0.1:80"]).check().expect_err("not loopback");
     assert_eq!(refused.to_string(), "10.0.0.1:80 is no loopback address: no load is sent there");
-    assert_eq!(load(&[]).check(), Err(LoadError::Nothing("gateway")));
+    assert_eq!(load(&[]).check(), Err(LoadError::Missing("gateway")));
     let sound = load(&["127.0.0.1:1", "[::1]:2"]);
     assert_eq!(sound.check(), Ok(()));
     for (rate, seconds) in [(0.0, 1), (f64::NAN, 1), (5001.0, 1), (1.0, 0), (1.0, 601)] {
@@ -148,7 +148,7 @@
     let classes = timeout(LONG, load.run(counted)).await.expect("in time");
     let (name, tally) = &classes.expect("made")[0];
     assert_eq!(name, "reading");
-    assert_eq!(tally.all(), told.load(Ordering::Relaxed));
+    assert_eq!(tally.total(), told.load(Ordering::Relaxed));
     assert!(tally.served > 10, "{tally:?}");
     // A quarter of the requests at least was due while it stalled, and waited for a tenth of a second or more.
     let slow = tally.times.count_between(100_000, u64::MAX);
@@ -163,5 +163,5 @@
     let load = Load { to: vec![at], ..load(&[]) };
     let classes = timeout(LONG, load.run(|| {})).await.expect("in time").expect("made");
     let tally = &classes[0].1;
-    assert!(tally.unsent > 0 && tally.unsent == tally.all(), "{tally:?}");
+    assert!(tally.unsent > 0 && tally.unsent == tally.total(), "{tally:?}");
 }
--- a/emulator/tests/trial.rs
+++ b/emulator/tests/trial.rs
@@ -4,7 +4,7 @@
 use fennelscale_lab::live::process;
 use fennelscale_lab::trial::judge::{Rule, Verdict};
 use fennelscale_lab::trial::relay::{Flow, Net, Party};
-use fennelscale_lab::trial::schedule::{SHIPPED, Schedule};
+use fennelscale_lab::trial::schedule::{BUILT_IN_TRIALS, Schedule};
 use fennelscale_lab::trial::{Options, play};
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
@@ -277,7 +277,7 @@
 
 #[test]
 fn a_seed_draws_the_same_faults_each_time_and_all_that_is_drawn_can_be_played() {
-    let text = SHIPPED.iter().find(|(name, _)| *name == "nemesis").expect("shipped").1;
+    let text = BUILT_IN_TRIALS.iter().find(|(name, _)| *name == "nemesis").expect("shipped").1;
     let read = |seed| Schedule::read("nemesis", text, seed, None).expect("a schedule");
     let mut seen = std::collections::HashSet::new();
     for seed in 0..500 {
@@ -287,14 +287,14 @@
         seen.insert(format!("{faults:?}"));
     }
     assert!(seen.len() > 450, "{} of 500 differ", seen.len());
-    for (name, text) in SHIPPED {
+    for (name, text) in BUILT_IN_TRIALS {
         Schedule::read(name, text, 1, None).expect("a shipped trial can be played");
     }
 }
 
 #[test]
 fn a_cut_of_a_zone_is_one_line_and_leaves_the_zone_whole_inside() {
-    let text = SHIPPED.iter().find(|(name, _)| *name == "zone-cut").expect("shipped").1;
+    let text = BUILT_IN_TRIALS.iter().find(|(name, _)| *name == "zone-cut").expect("shipped").1;
     let schedule = Schedule::read("zone-cut", text, 1, None).expect("a schedule");
     let links = &schedule.faults[0].links;
     let (north, other) = (Party::Backend(0), Party::Backend(1));
--- a/emulator/tests/trial_open.rs
+++ b/emulator/tests/trial_open.rs
@@ -16,7 +16,7 @@
     let options = Options { program, old: None, keep: None };
     let before = descriptors();
     let trials = [schedule(1), schedule(2)];
-    report::several(&trials, &options, 2, |_| {}).await.expect("played");
+    report::run_all(&trials, &options, 2, |_| {}).await.expect("played");
     // The relays of one trial alone are more than this.
     let closed = async {
         while descriptors() > before + 15 {
