--- a/emulator/src/trial/judge.rs
+++ b/emulator/src/trial/judge.rs
@@ -1,6 +1,6 @@
-//! Checks the history of a trial against the rules. The judge relies only on events that the emulator's own clients
-//! and stand-ins recorded, never on a gateway's own claims. Each violation names the rule, the time, the parties and
-//! the active faults.
+//! Checks the history of a trial against the rules. The judge relies on events that the emulator's own clients and
+//! stand-ins recorded, not on claims of the gateways; only the checks of duties use the gateways' own records. Each
+//! violation names the rule, the time, the parties and the active faults.
 //!
 //! The judge excuses failures that the injected faults may have caused. A request may be lost if its link or its
 //! gateway process was faulty while the request was outstanding. A discovery list that a fault may have delayed counts
--- a/emulator/src/trial/mod.rs
+++ b/emulator/src/trial/mod.rs
@@ -85,7 +85,7 @@
     config: PathBuf,
     console: SocketAddr,
     process: Option<Process>,
-    /// Whether the emulator has killed the process or requested its exit.
+    /// Whether an exit of the process is expected, because the emulator has killed the process or requested its exit.
     exit_expected: bool,
 }
 
@@ -172,8 +172,8 @@
     Ok(verdict)
 }
 
-/// Adds the acts that a gateway recorded in its file to the history. Ignores an incomplete last line, whose write did
-/// not finish.
+/// Adds the duty actions that a gateway recorded in its file to the history. Ignores an incomplete last line, whose
+/// write did not finish.
 fn read_acts(history: &History, gateway: usize, path: &Path) -> io::Result<()> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
