--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -103,7 +103,7 @@
     /// Starts three real gateways with stand-ins on loopback, sends load, and prints the results.
     Demo {
         /// Duration of the load, in seconds.
-        #[arg(long, default_value_t = 15, value_parser = clap::value_parser!(u64).range(2..=load::MOST_SECONDS))]
+        #[arg(long, default_value_t = 15, value_parser = clap::value_parser!(u64).range(2..=load::MAX_SECONDS))]
         seconds: u64,
         /// Requests per second.
         #[arg(long, default_value_t = 150.0)]
@@ -339,7 +339,7 @@
             Ok(0)
         }
         Subcommands::Trial { name: None, .. } => {
-            for (name, text) in schedule::SHIPPED {
+            for (name, text) in schedule::BUILT_IN_TRIALS {
                 let about = text.lines().find_map(|line| line.strip_prefix("# ")).unwrap_or_default();
                 writeln!(out, "{name:14}{about}")?;
             }
@@ -352,7 +352,7 @@
             let options = trial::Options { program: program(gateway)?, old, keep };
             let runtime = runtime()?;
             let summary = runtime.block_on(async {
-                let played = trial::report::several(&all, &options, side.into(), |text| {
+                let played = trial::report::run_all(&all, &options, side.into(), |text| {
                     let _ = write!(out, "{text}");
                 });
                 let mut end = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
