--- a/crates/control-plane/src/control_plane/membership.rs
+++ b/crates/control-plane/src/control_plane/membership.rs
@@ -85,7 +85,7 @@
             .iter()
             .map(|learner| json!({ "address": learner.id.address, "caught_up": learner.caught_up }))
             .collect();
-        json!({ "voters": standing.voters, "healthy": standing.healthy.len(), "unheard": unheard,
+        json!({ "voters": standing.voters, "counted": standing.healthy.len(), "unheard": unheard,
             "learners": learners, "further_losses": to_json(&self.tolerated_losses(&standing)),
             "tolerated": to_json(&self.settings.tolerance.losses) })
     }
