--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,15 +1,17 @@
 //! The data plane: accepts client requests and proxies them to backends.
 //!
 //! The data plane runs on a single thread. `doorcourse` decides about load balancing, retries and the ejection of
-//! backends, with one engine per service. The host's [`Admission`] decides whether a tenant has quota left. Connection
-//! handling, body streaming and the decision engine are shared with the `http-proxy` crate.
+//! backends, with one engine per service. The host, the process that embeds the data plane, provides an [`Admission`]
+//! that decides whether a tenant has quota left. Connection handling, body streaming and the decision engine are shared
+//! with the `http-proxy` crate.
 //!
 //! Invariants:
 //!
-//! - A request that is not pure must not run twice. Such a request is sent to another backend only if no byte of it
-//!   was written before, or if the first backend states that it did not run the request.
+//! - A request that is not pure (that has effects) must not run twice. Such a request is sent to another backend only
+//!   if no byte of it was written before, or if the first backend states that it did not run the request.
 //! - The data plane itself answers 429 and 503 only to requests that never ran.
-//! - A successful answer is passed on only if it is complete, carries the backend's seal and echoes the request's id.
+//! - A successful answer is passed on only if it is complete, carries the backend's seal (a header) and echoes the
+//!   request's id.
 //! - An API key never leaves the process.
 
 #![forbid(unsafe_code)]
@@ -122,6 +124,6 @@
         retry_after: Duration,
     },
     /// The decision arrives later: a unit, or the time until more quota is expected. If the receiver has been dropped
-    /// by then, the unit stays with the host.
+    /// by then, the host keeps the unit.
     Pending(oneshot::Receiver<Result<(), Duration>>),
 }
--- a/crates/quota/examples/leases.rs
+++ b/crates/quota/examples/leases.rs
@@ -1,9 +1,11 @@
 //! Reports the cost of quota leases in randomized simulations, and the requests that leases refuse but a single token
 //! bucket would grant.
 //!
-//! Columns: client requests; requests missed compared with a token bucket; refused requests; requests that waited for a
-//! block, with their mean and 99th percentile wait; lease requests and their bytes per client request; granted units
-//! that were not spent; requests paid from fallback slices; the worst compliance span relative to the compliance bound.
+//! Columns: client requests; requests that a single token bucket would grant but the leases refused; refused requests;
+//! requests that waited for a block of units from the holder, with their mean and 99th percentile wait; lease requests
+//! and their bytes per client request; granted units that no gateway spent; requests paid from fallback slices (an even
+//! share of the quota, spent while the holder is silent); the most units spent in any compliance span (5 s), relative
+//! to the bound for such a span.
 //! An argument selects the cases whose name contains it.
 
 #[path = "../tests/world/mod.rs"]
--- a/crates/quota/src/lease_cache.rs
+++ b/crates/quota/src/lease_cache.rs
@@ -74,18 +74,22 @@
     /// `None` sets no limit.
     params: Option<WindowParams>,
     burst: f64,
+    /// Unspent units of the current block, and the number of the window that the block belongs to.
     block: u32,
     window: u64,
     /// Expiry of the block and of the remaining units last reported by the holder.
     window_ends_at: Millis,
-    /// Units received and spent in the block's window.
+    /// Units granted to this gateway in the block's window, and units of them spent.
     received: u32,
     spent: u32,
     /// Units that were left in the counter's window at the last grant.
     remaining: u32,
+    /// Waiting client requests and their deadlines.
     waiting: VecDeque<(u64, Millis)>,
+    /// Number of the lease request in flight for this tenant.
     in_flight: Option<u64>,
     needs_block: bool,
+    /// Unspent units of expired blocks that go back to the counter with the next lease request.
     returned: u32,
     /// Index of the tenant's holder in `LeaseCache::holders`.
     holder_index: usize,
@@ -93,6 +97,7 @@
     retry_at: Millis,
     /// The holder grants nothing yet and allows fallback slices until this time.
     slices_until: Millis,
+    /// The fallback slice: unspent units, expiry, and units spent since the slice was opened.
     slice_units: f64,
     slice_ends_at: Millis,
     slice_used: u32,
@@ -209,8 +214,8 @@
         self.ignores_epoch = true;
     }
 
-    /// Advances to a newer epoch. Returned units and slice debts of the older epoch are dropped, since only the
-    /// holder that granted the units may take them back.
+    /// Advances to a newer epoch. Units to return are dropped, since only the holder that granted the units may take
+    /// them back. Slice debts of the older epoch are dropped as well and never charged.
     fn advance_epoch(&mut self, epoch: Epoch) {
         if epoch > self.epoch {
             self.epoch = epoch;
@@ -414,7 +419,8 @@
             self.holders.iter_mut().find_map(|holder| Some((holder.take_in_flight(grant.number)?, holder)));
         let Some((sent, holder)) = answered else { return };
         if grant.epoch < self.epoch && !self.ignores_epoch {
-            // The holder may not have received the newest assignment yet. If it never does, its lease soon expires.
+            // The holder may not have received the newest assignment yet. If the assignment never arrives, the holder's
+            // lease soon expires.
             for state in self.tenants.values_mut().filter(|state| state.in_flight == Some(grant.number)) {
                 state.retry_at = now + RETRY_DELAY;
             }
@@ -442,7 +448,7 @@
         self.clear_in_flight(grant.number);
     }
 
-    /// Abandons a lease request without an answer. The holder counts as silent until it answers another request.
+    /// Abandons a lease request that got no answer. The holder counts as silent until it answers another request.
     pub fn request_failed(&mut self, now: Millis, number: u64) {
         if let Some(holder) =
             self.holders.iter_mut().find_map(|holder| holder.take_in_flight(number).map(|_| holder))
@@ -491,7 +497,7 @@
         self.seed = seed;
     }
 
-    /// The next time at which `tick` or `lease_requests` has something to do, if nothing happens before.
+    /// The next time at which the caller has to call `tick` or `lease_requests`, unless another event comes first.
     pub fn next_deadline(&self) -> Option<Millis> {
         if self.closed {
             return None;
--- a/crates/quota/src/quota_service.rs
+++ b/crates/quota/src/quota_service.rs
@@ -12,9 +12,10 @@
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// Counters of a former holder are opened at once, without its handover and before its blocks have expired.
+    /// Grants units from a former holder's counters at once: without waiting for the handover message, or for the
+    /// units that the former holder granted to gateways (blocks) to expire.
     pub skips_handover: bool,
-    /// A deputy continues to grant units after its lease has expired.
+    /// A deputy (a holder other than the leader) continues to grant units after its lease has expired.
     pub grants_after_lease: bool,
 }
 
@@ -56,7 +57,8 @@
     quotas: Vec<Quota>,
     fleet_size: u32,
     oversized_slices: Vec<OversizedSlice>,
-    /// Committed floors of counters, used when this process next becomes the holder of all counters.
+    /// Committed floors (lower bounds of counters, see [`crate::Floor`]), used when this process next becomes the
+    /// holder of all counters.
     floors: BTreeMap<String, u32>,
     faults: Faults,
 }
@@ -205,7 +207,7 @@
         self.lease_until = 0.0;
     }
 
-    /// Applies a configuration.
+    /// Applies the tenants' quotas of a new configuration.
     pub fn set_quotas(&mut self, now: Millis, quotas: Vec<Quota>) {
         self.quotas = quotas;
         let own = self.own_quotas();
--- a/crates/quota/src/window_params.rs
+++ b/crates/quota/src/window_params.rs
@@ -15,8 +15,8 @@
 
 /// Compliance span: a quota is checked over every interval of this length.
 const COMPLIANCE_SPAN: Millis = 5000.0;
-/// Excess ratio and fixed slack, in units, that the counters use of the compliance bound (`COMPLIANCE_EXCESS`,
-/// `COMPLIANCE_SLACK`). The rest covers changes of holder.
+/// Excess ratio and fixed slack, in units, that the counters may use. Both are below the compliance bound
+/// (`COMPLIANCE_EXCESS`, `COMPLIANCE_SLACK`). The difference is reserved for excess around changes of holder.
 const TARGET_EXCESS: f64 = 1.08;
 const TARGET_SLACK: f64 = 18.0;
 /// A request can reach its backend this much later than another one. A compliance span therefore sees the grants of a
--- a/crates/quota/tests/fleet_growth.rs
+++ b/crates/quota/tests/fleet_growth.rs
@@ -12,7 +12,8 @@
 /// Number of all gateways, and of those that stay in the fleet throughout.
 const GATEWAYS: usize = 13;
 const CORE_GATEWAYS: usize = 3;
-/// Upper limit of the worst compliance span of any tenant, as a fraction of the compliance bound.
+/// Upper limit of the most requests of a tenant that run within any compliance span (5 s), as a fraction of the
+/// compliance bound in `world/load_metrics.rs`.
 const MAX_SPAN_RATIO: f64 = 0.97;
 
 /// Minimum fraction of the quotas that is served while the fleet grows and no gateway is isolated.
@@ -53,7 +54,8 @@
     }
 }
 
-/// Isolates some core gateways, then starts all other gateways. Returns the worst compliance span.
+/// Isolates some core gateways, then starts all other gateways. Returns the worst span ratio
+/// (see [`MAX_SPAN_RATIO`]).
 fn grow_with_isolated_gateways(seed: u64, isolated: usize, leader: LeaderFate) -> f64 {
     let mut world = shrunk_world(seed);
     for index in 0..isolated {
--- a/crates/quota/tests/gateway_departures.rs
+++ b/crates/quota/tests/gateway_departures.rs
@@ -10,7 +10,8 @@
 use yare::parameterized;
 
 const CONTROL_PLANES: usize = 3;
-/// Upper limit of the worst compliance span of any tenant, as a fraction of the compliance bound.
+/// Upper limit of the most requests of a tenant that run within any compliance span (5 s), as a fraction of the
+/// compliance bound in `world/load_metrics.rs`.
 const MAX_SPAN_RATIO: f64 = 0.97;
 
 /// Tenants whose clients send requests at a constant multiple of their quota.
@@ -33,7 +34,7 @@
 }
 
 /// Shrinks the fleet from 13 to 3 gateways, then kills the leader. Returns the fraction of the quotas served after
-/// each step and the worst compliance span.
+/// each step and the worst span ratio (see [`MAX_SPAN_RATIO`]).
 fn shrink_fleet(seed: u64, faults: MembershipFaults) -> Result<(f64, f64, f64), String> {
     let mut world = world(seed, 13, 0.9, faults);
     world.membership().unreliable = true;
@@ -104,7 +105,7 @@
 const GATEWAYS: usize = 5;
 
 /// Gateways join and leave while a fault of the given kind occurs every one or two seconds. Returns the worst
-/// compliance span.
+/// span ratio (see [`MAX_SPAN_RATIO`]).
 fn run_scenario(seed: u64, scenario: Scenario, faults: MembershipFaults) -> Result<f64, String> {
     let mut world = world(seed, GATEWAYS, 2.0, faults);
     world.membership().unreliable = true;
--- a/crates/quota/tests/gateway_reconnect.rs
+++ b/crates/quota/tests/gateway_reconnect.rs
@@ -10,7 +10,8 @@
 
 const CONTROL_PLANES: usize = 3;
 const GATEWAYS: usize = 3;
-/// Upper limit of the worst compliance span of any tenant, as a fraction of the compliance bound.
+/// Upper limit of the most requests of a tenant that run within any compliance span (5 s), as a fraction of the
+/// compliance bound in `world/load_metrics.rs`.
 const MAX_SPAN_RATIO: f64 = 0.97;
 /// Minimum fraction of the quotas that is served while one gateway is isolated most of the time.
 const MIN_SERVED_RATIO: f64 = 0.8;
--- a/crates/quota/tests/multiple_holders.rs
+++ b/crates/quota/tests/multiple_holders.rs
@@ -9,7 +9,8 @@
 
 const CONTROL_PLANES: usize = 5;
 const GATEWAYS: usize = 12;
-/// Upper limit of the worst compliance span of any tenant, as a fraction of the compliance bound.
+/// Upper limit of the most requests of a tenant that run within any compliance span (5 s), as a fraction of the
+/// compliance bound in `world/load_metrics.rs`.
 const MAX_SPAN_RATIO: f64 = 0.93;
 
 /// Some tenants always exceed their quota. Others stay idle until their burst is full, then exceed their quota for
@@ -38,8 +39,8 @@
     All,
 }
 
-/// Injects a fault of the given kind every two or three seconds. Returns the worst compliance span and the largest
-/// number of holders.
+/// Injects a fault of the given kind every two or three seconds. Returns the worst span ratio (see
+/// [`MAX_SPAN_RATIO`]) and the largest number of holders.
 fn run_scenario(
     seed: u64, scenario: Scenario, faults: Faults, ignores_epoch: bool,
 ) -> Result<(f64, usize), String> {
--- a/crates/quota/tests/world/load_metrics.rs
+++ b/crates/quota/tests/world/load_metrics.rs
@@ -49,7 +49,7 @@
     pub lease_requests: f64,
     pub lease_bytes: f64,
     pub granted: f64,
-    /// The worst compliance span, as a fraction of the compliance bound.
+    /// The most requests of a tenant that ran within any compliance span, as a fraction of the compliance bound.
     pub worst_span_ratio: f64,
 }
 
@@ -120,7 +120,7 @@
         }
     }
 
-    /// The worst compliance span of any tenant, as a fraction of the compliance bound.
+    /// The most requests of a tenant that ran in any compliance span so far, as a fraction of the compliance bound.
     pub fn worst_span_ratio(&self) -> f64 {
         self.tenants.iter().map(Tenant::worst_span_ratio).fold(0.0, f64::max)
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -45,7 +45,7 @@
     pub dedup_scope: DedupScope,
     /// How long repeats of a keyed request are dropped, counted from the first attempt that may have run.
     pub dedup_window: Millis,
-    /// The value of an answer.
+    /// The value of an answer relative to other classes. Load shedding refuses classes of low worth first.
     pub worth: f64,
     /// The share of the worth that an answer after the latency target has.
     pub late_worth: f64,
@@ -70,9 +70,9 @@
     pub ceiling_slack: f64,
     /// A factor on the worth of a request.
     pub price: f64,
-    /// The share of its worth that a request beyond the quota earns.
+    /// The share of its worth that a served request beyond the quota still earns.
     pub over_worth: f64,
-    /// The share of its worth that a request beyond the quota costs.
+    /// The penalty for serving a request beyond the quota, as a share of the worth of the request.
     pub over_cost: f64,
 }
 
@@ -125,7 +125,7 @@
     pub max_attempts: u32,
     /// The longest retry-after time that clients follow.
     pub max_retry_after: Millis,
-    /// The least share of its capacity that a backend has right after its start.
+    /// The minimum share of its capacity that a backend has right after its start.
     pub cold_capacity: f64,
     /// The time after its start within which a backend reaches its full capacity.
     pub warmup_time: Millis,
@@ -133,7 +133,7 @@
     pub overload_factor: f64,
     /// The time over which the load of a cold backend is measured.
     pub overload_window: Millis,
-    /// Points deducted for every request that crosses zones.
+    /// The price of sending a request to a backend of another zone. Backends of this zone are preferred accordingly.
     pub price_cross_zone: f64,
 }
 
@@ -177,9 +177,9 @@
 pub struct BackendEntry {
     /// The backend's name.
     pub name: Name,
-    /// Its zone.
+    /// The backend's zone.
     pub zone: Name,
-    /// Its cell.
+    /// The backend's cell: a group of backends that share one deduplication record, see [`DedupScope::Cell`].
     pub cell: u64,
     /// Whether it accepts requests.
     pub state: BackendState,
@@ -235,7 +235,7 @@
 /// How a counter call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CountOutcome {
-    /// The amount was added; the count's total after that.
+    /// The amount was added. Holds the count's total after the call.
     Total(f64),
     /// The amount was not added.
     NotAdded,
@@ -422,11 +422,11 @@
     },
     /// Add to a shared count and report its total as [`Event::Counted`].
     AddToCounter {
-        /// The count's name, below 2^63.
+        /// The name of the count, below 2^63: a number at the shared counter, of one customer and window.
         name: u64,
         /// The amount to add; may be negative.
         amount: f64,
-        /// The time to live of a new count.
+        /// The time to live of the count, if this call creates the count.
         ttl: Millis,
     },
     /// Send a message to all other gateways.
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -67,28 +67,27 @@
 #[derive(Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 struct Customer {
-    plan: usize,
+    plan: usize, // index in the settings
     /// How many gateways serve the customer, and this gateway's place among them.
     spread: f64,
     place: u32,
-    salt: u64,
-    window: u64,
+    salt: u64,   // hash of the name; staggers the windows of customers
+    window: u64, // number of the current window
     /// Leased units that are not yet spent; they expire with the window.
     lease: f64,
-    /// What this gateway has added to the window's count, and the last total received of that count.
+    /// Units that this gateway has added to the window's count, and the last total (count) received.
     added: f64,
     #[serde(rename = "seen")]
     last_total: f64,
-    /// The customer's token bucket by all totals received; refilled at the plan's rate in between.
+    /// Estimated tokens of the customer's fleet-wide bucket: follows the totals, refilled at the plan's rate.
     #[serde(rename = "store")]
     tokens: f64,
     #[serde(rename = "store_at")]
     tokens_at: Millis,
-    /// Whether any total has been received.
-    known: bool,
+    known: bool, // whether any total has been received
     #[serde(rename = "heard")]
     last_total_at: Millis,
-    /// Units spent but not yet added to the count; a negative debt is still to be given back to the count.
+    /// Units spent but not yet added to the count at the counter; if negative, units to subtract from it.
     #[serde(rename = "owed")]
     debt: f64,
     /// The counter call in progress: its window, the requested lease, and the debt that it reports.
@@ -99,8 +98,8 @@
     unanswered: Vec<(f64, f64, Millis)>,
     #[serde(skip)]
     waiting: VecDeque<RequestId>,
-    demand: f64,
-    demand_at: Millis,
+    demand: f64,       // smoothed, in units per ms
+    demand_at: Millis, // time of the last request
     /// In a large fleet, no counter call before this time once the quota is known to be spent.
     #[serde(rename = "ask_from")]
     next_call_at: Millis,
@@ -128,14 +127,14 @@
     unverified: bool,
     repeat: bool,
     arrived: Millis,
-    /// When the answer has to leave: a little before the client gives up.
+    /// When the answer has to leave: `RESERVED_TICKS` before the client's deadline.
     answer_by: Millis,
     admitted_at: Option<Millis>,
     hold_until: Millis,
     stage: Stage,
     attempts: u32,
-    may_have_run: Option<(Millis, Name)>,
-    /// Part of the body is lost with an attempt, so that no further attempt is possible.
+    may_have_run: Option<(Millis, Name)>, // send time and backend of the first such attempt
+    /// An attempt consumed part of the request body, so that no further attempt is possible.
     body_consumed: bool,
     sent_at: Millis,
     sent_to: Option<Name>,
@@ -165,25 +164,25 @@
     customers: BTreeMap<Name, Customer>,
     requests: BTreeMap<RequestId, Request>,
     queue: VecDeque<RequestId>,
-    calls: BTreeMap<u64, Name>,
+    calls: BTreeMap<u64, Name>, // counts with calls in progress, and the customer of each
     /// Counts with calls that timed out, and the customer of each.
     lost_calls: BTreeMap<u64, Name>,
-    /// The share of wanted counter calls that are made; falls while the counter replies slowly.
+    /// The share of due counter calls that are made; falls while the counter replies slowly.
     call_share: f64,
     /// For each plan, the share of customers whose first total leaves room for a request.
     plan_odds: Vec<f64>,
-    failed_calls: u32,
-    counter_back_at: Millis,
+    failed_calls: u32,       // in a row
+    counter_back_at: Millis, // end of the last counter silence
     last_counter_reply: Millis,
     silence_logged: bool,
-    class_latency: Vec<f64>,
-    class_answers: Vec<f64>,
+    class_latency: Vec<f64>, // smoothed mean latency of each class, in ms
+    class_answers: Vec<f64>, // answers behind each mean
     /// Share of late answers of all backends, smoothed.
     late: f64,
     started_up: bool,
-    retry_budget: f64,
-    too_late: u64,
-    retries_denied: u64,
+    retry_budget: f64,   // retries that may be sent now; see `RETRY_RATIO`
+    too_late: u64,       // requests given up because the expected answer would miss the deadline
+    retries_denied: u64, // retries not sent because the budget was spent
     shutdown_at: Option<Millis>,
 }
 
--- a/src/logic/backends.rs
+++ b/src/logic/backends.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Weight of the newest answer in the share of late answers, and of the newest first total in a plan's odds.
+/// Weight of the newest answer in `Gateway::late`, and of a customer's first total in `Gateway::plan_odds`.
 pub(super) const NEWEST_WEIGHT: f64 = 0.1;
 /// Weight of the newest latency in the mean latency of its class.
 pub(super) const LATENCY_WEIGHT: f64 = 0.02;
@@ -16,9 +16,9 @@
 pub(super) const LATE_TARGET: f64 = 0.1;
 /// How far one answer moves the limit: a late one by nine tenths of this, one in time by a tenth.
 pub(super) const LIMIT_STEP: f64 = 0.12;
-/// Least limit of one backend for one gateway; the sum of the limits of all backends applies too.
+/// Minimum limit of one backend for one gateway; the sum of the limits of all backends applies too.
 pub(super) const MIN_LIMIT: f64 = 0.2;
-/// Late answers above `LATE_TARGET` shed this many times their share of the fresh requests, but never all.
+/// Load shedding refuses this many times the excess of late answers over `LATE_TARGET`, but never everything.
 /// Requests admitted without a total are shed as if worth `UNVERIFIED_FACTOR` times less.
 pub(super) const SHED_SLOPE: f64 = 2.0;
 pub(super) const MIN_ADMIT_SHARE: f64 = 0.05;
@@ -60,7 +60,7 @@
         self.state == BackendState::Ready && !self.detached
     }
 
-    /// The least share of its capacity that a backend has by now; the share grows at least linearly.
+    /// The minimum share of capacity that a starting backend has by now; the share grows at least linearly.
     pub(super) fn warm_capacity(&self, now: Millis, settings: &Settings) -> f64 {
         let starts = [self.started, self.returned].into_iter().flatten();
         let Some(started) = starts.reduce(f64::max) else { return 1.0 };
--- a/src/logic/counter.rs
+++ b/src/logic/counter.rs
@@ -1,4 +1,4 @@
-//! The counter: calls that add leases, and their replies, in time, late or missing.
+//! Calls to the shared counter, which add leases and debts to a count, and replies in time, late or missing.
 
 use super::*;
 
@@ -63,7 +63,7 @@
         customer.roll_window(self.now, plan);
         let slice = customer.slice.take();
         if plan.ceiling_rate > 0.0 && customer.known && customer.last_total_at < self.counter_back_at {
-            // The counter may have come back empty, without the units that others spent in the silence. Only
+            // The counter may have come back empty, without units that other gateways spent meanwhile. Only
             // this gateway's slice (or an unknown customer's initial tokens) is certain to be left.
             customer.tokens = customer.tokens.min(slice.map_or(Customer::initial_tokens(plan), |(n, _)| n));
         }
@@ -75,7 +75,7 @@
     }
 
     /// Serves the waiting requests after a total. A spent quota refills one unit at a time; all gateways of a
-    /// large fleet would call for the same unit, and all but one return it. Their next calls therefore spread
+    /// large fleet would request the same unit, and all but one return it. Their next calls therefore spread
     /// at random over the time until each gateway has a unit.
     pub(super) fn serve_waiting(&mut self, name: &Name, out: &mut Vec<Action>) {
         let (large_fleet, random) = (self.large_fleet(), self.chance());
@@ -94,7 +94,7 @@
     }
 
     /// Grants the lease of a call that timed out, and reports its debt, when the reply comes late. Otherwise
-    /// the count would hold units that no gateway can spend, and a slow counter would use up the quotas. In a
+    /// the count would hold units that no gateway can spend, and slow replies would exhaust the quotas. In a
     /// large fleet the reply also ends a silence: each gateway makes few calls, and two in a row may be late.
     pub(super) fn on_late_total(&mut self, count: u64, total: f64, amount: f64, out: &mut Vec<Action>) {
         let large_fleet = self.large_fleet();
@@ -126,7 +126,7 @@
     }
 
     /// Handles a call without a reply: its lease is not spent, even if it may have been counted. Waiting
-    /// requests use the slice; in a large fleet, which crowds the counter at times, they await a late reply.
+    /// requests use the slice; in a large fleet, which may overload the counter, they await a late reply.
     pub(super) fn on_no_reply(&mut self, count: u64, name: Name, timed_out: bool, out: &mut Vec<Action>) {
         self.failed_calls += 1;
         if self.counter_silent() && !std::mem::replace(&mut self.silence_logged, true) {
--- a/src/logic/quota.rs
+++ b/src/logic/quota.rs
@@ -1,12 +1,13 @@
-//! Quotas: a customer's leases and tokens, and the quota gate that every request passes.
+//! Quotas: a customer's leases and tokens, and the quota gate that every request passes. The shared counter
+//! keeps one count of leased units per customer and window. A total is the count that the counter replies.
 
 use super::*;
 
-/// A lease covers the demand of this share of a window (burst over rate). An idle lease is returned after as
-/// long, for others to use, and a debt of this share of the burst is reported without a new lease.
+/// A lease covers the demand of this share of a window (burst over rate), and goes back to the counter when
+/// idle for as long. A `Customer::debt` of this share of the burst is reported even if no request waits.
 pub(super) const LEASE_SHARE: f64 = 0.15;
-/// A lease takes at most this share of the tokens, split over the customer's gateways, or an even part of the
-/// tokens above this share of the burst: leases are large while tokens are plentiful.
+/// A lease is the larger of the demand, up to this share of the tokens over the customer's gateways, and an
+/// even part of the tokens in excess of this share of the burst. With fewer tokens, idle leases are returned.
 pub(super) const SCARCE_SHARE: f64 = 0.5;
 /// A lease is renewed when less than this share of it is left.
 pub(super) const RENEW_SHARE: f64 = 0.4;
@@ -18,27 +19,27 @@
 pub(super) const LEASE_WAIT_SHARE: f64 = 0.12;
 /// Under a ceiling an unknown customer starts with this share of its burst (see `Customer::initial_tokens`).
 pub(super) const CEILING_START_SHARE: f64 = 0.5;
-/// The counter is considered silent after this many timeouts without a reply: one call may just be late.
+/// The counter counts as silent after this many call timeouts without a reply: one call may just be late.
 pub(super) const SILENT_AFTER: f64 = 3.0;
-/// Most counter calls of one gateway in progress while the counter replies in time.
+/// Maximum counter calls of one gateway in progress, while the counter replies in time.
 pub(super) const MAX_CALLS: f64 = 12.0;
 /// Target reply time as a share of the call timeout; in a large fleet requests can wait for slower replies.
 pub(super) const REPLY_TARGET_SHARE: f64 = 0.3;
 pub(super) const REPLY_TARGET_SHARE_LARGE_FLEET: f64 = 0.5;
-/// An instant reply raises the share of calls made by this factor; a late one lowers it by up to twice that.
+/// An instant reply raises `Gateway::call_share` by this fraction; a late one lowers it by up to twice that.
 pub(super) const CALL_SHARE_STEP: f64 = 0.2;
-/// Least share of calls made: a gateway that makes no calls would not notice that the counter is back.
+/// Minimum `Gateway::call_share`: without any call a gateway would not notice that the counter is back.
 pub(super) const MIN_CALL_SHARE: f64 = 0.1;
-/// A quota whose burst is below this for each of its gateways is sampled: leases would be too large.
+/// A quota with a burst below this per gateway is sampled: even leases of one unit would be too large.
 pub(super) const SAMPLED_UNITS_PER_GATEWAY: f64 = 0.5;
 /// A sampled quota grants this share of the burst when its window begins, and the rest at the plan's rate.
-/// The share left out makes up for requests that are admitted without a total and never counted.
+/// The reduced start compensates for requests that are admitted without a total and never counted.
 pub(super) const SAMPLED_START_SHARE: f64 = 0.35;
 /// In a large fleet, calls on a spent quota spread over this share of the time until each gateway has a unit.
 pub(super) const CALL_SPREAD: f64 = 0.2;
-/// A customer idle for this many windows has full tokens: removing its state loses nothing, frees memory.
+/// The state of a customer idle for this many windows is removed: the tokens are full again by then.
 pub(super) const IDLE_WINDOWS: f64 = 2.0;
-/// Longest lifetime of a count, in ms.
+/// Maximum lifetime of a window's count at the counter, in ms.
 pub(super) const MAX_TTL: Millis = 60_000.0;
 
 impl Customer {
@@ -66,7 +67,7 @@
         (number as u64, number * length - shift)
     }
 
-    /// Whether a call timed out recently: its reply may still come, and another call crowds the counter.
+    /// Whether a call timed out recently: the reply may still come, and another call would load the counter.
     pub(super) fn late_reply_due(&self, now: Millis, timeout: Millis) -> bool {
         self.unanswered.last().is_some_and(|(_, _, at)| now < at + timeout * SILENT_AFTER)
     }
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The smoothed demand of `LEASE_SHARE` of a window, as far as an even part of the tokens allows.
+    /// The smoothed demand of `LEASE_SHARE` of a window, at most this gateway's even part of scarce tokens.
     pub(super) fn demand_lease(&self, plan: &Plan) -> f64 {
         let target = self.demand * Self::window_length(plan) * LEASE_SHARE;
         target.min(self.tokens * SCARCE_SHARE / self.spread).floor()
@@ -99,7 +100,7 @@
     }
 
     /// Updates the tokens from a total; keeps the part of the lease that fits and returns the rest. In a
-    /// large fleet without a silence in the window, an unknown customer also has the window's refill.
+    /// large fleet without counter silence in this window, an unknown customer also gets the window's refill.
     pub(super) fn update(&mut self, total: f64, lease: f64, debt: f64, plan: &Plan, back_at: Option<Millis>) {
         let began = self.window_at(self.tokens_at, plan).1;
         let since = if back_at.is_some_and(|back| back < began) { began } else { self.tokens_at };
@@ -109,7 +110,7 @@
             self.tokens = (Self::initial_tokens(plan) + given).min(plan.burst) - total;
             self.known = true;
         } else if total + 1e-6 < self.added {
-            // Emptied count: reports this gateway's units again, or new leases would add to those still held.
+            // The counter lost the count: report this gateway's units again, or they could be leased twice.
             self.debt += self.added - total;
             self.tokens -= lease;
         } else {
@@ -191,7 +192,7 @@
     }
 
     /// The gate of a sampled quota: counts the units of a random share of the first tries, weighted by the
-    /// inverse of that share. Repeats by clients are not counted, which leaves the calls to first tries.
+    /// inverse of that share. Clients' repeats are not counted: the few calls are reserved for first tries.
     pub(super) fn admit_sampled(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let chance = self.chance();
         let Some(request) = self.requests.get(&id) else { return false };
@@ -205,8 +206,8 @@
     }
 
     /// Decides on a request of a sampled quota without a total, by the first totals of the plan's customers:
-    /// all first tries pass while that earns more than it costs. The customer's own last total is ignored, as
-    /// it dates from a peak of demand and would refuse requests for which the quota has units again.
+    /// all first tries pass while the worth of those within the quota exceeds the net cost of the others.
+    /// The customer's own last total is ignored: it dates from a demand peak, and units may be free again.
     pub(super) fn admit_by_odds(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let chance = self.chance();
         let Some(request) = self.requests.get(&id) else { return };
@@ -247,7 +248,7 @@
         self.refuse(id, wait, out);
     }
 
-    /// Admits a request from the even slice, while the counter is silent or slow, or refuses it.
+    /// Admits a request from this gateway's even slice while the counter is silent or slow, or refuses it.
     pub(super) fn admit_from_slice(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let random = if self.large_fleet() { self.chance() } else { 0.0 };
         let Some(request) = self.requests.get(&id) else { return };
--- a/src/logic/requests.rs
+++ b/src/logic/requests.rs
@@ -6,9 +6,9 @@
 pub(super) const QUEUE_WAIT_SHARE: f64 = 0.3;
 /// An answer must leave this many ticks before the client's deadline.
 pub(super) const RESERVED_TICKS: f64 = 2.0;
-/// Most attempts of a safe request that may have run: a request that two backends cannot serve is costly.
+/// Maximum attempts of a safe request that may have run: a request that two backends fail is costly.
 pub(super) const MAX_SAFE_ATTEMPTS: u32 = 2;
-/// An attempt stalls after this share of the request's time, but no earlier than after this many mean
+/// An attempt counts as stalled after this share of the request's time, but not before this many mean
 /// latencies: a lower multiple would cut off slow answers, above all under overload.
 pub(super) const STALL_SHARE: f64 = 0.5;
 pub(super) const STALL_LATENCIES: f64 = 6.0;
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -35,7 +35,7 @@
         harness.now += 5.0;
         harness.end_attempt(id, 0, &chosen, Outcome::Served);
     }
-    // The two warm backends share the other requests; a tenth of those is a fifth of the load of one of them.
+    // At most a tenth of all requests: about a fifth of the load of each of the two warm backends.
     assert!((1..=10).contains(&to_cold), "{to_cold}");
 }
 
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets of hundreds of gateways: the sum of what all gateways permit.
+//! Fleets of hundreds of gateways: the sum of the requests, attempts and counter calls of all gateways.
 
 mod helper;
 use doorcourse::*;
@@ -124,12 +124,13 @@
 #[test]
 fn without_a_total_first_tries_pass_while_that_pays_and_repeats_do_not() {
     let mut harness = fleet(GATEWAYS, &names(5), false).swap_remove(0);
-    // One total far beyond the quota does not count against the next request.
+    // A total far beyond the quota refuses the request that waited for it, but not the requests after it.
     let (name, amount) = counter_call(&request_spread(&mut harness, 1, "c", false)).expect("a counter call");
     assert!(refused(&harness.reply_total(name, 1000.0 + amount), 1));
     assert_eq!(dispatched_without_total(&mut harness, 100, false), 40);
     assert_eq!(dispatched_without_total(&mut harness, 200, true), 0);
-    // Most customers of the plan are beyond their quotas: admitted requests would cost more than they earn.
+    // Most customers of the plan exceed their quotas: on average, an admitted request would now cost more (the plan's
+    // `over_cost` of a request beyond the quota) than it is worth.
     let mut totals_received = 0;
     for id in 300..600 {
         if let Some((name, _)) = counter_call(&request_spread(&mut harness, id, &format!("c{id}"), false)) {
@@ -318,7 +319,7 @@
 fn slices_below_one_unit_are_rounded_by_chance_during_silence() {
     let mut dispatched = 0;
     for harness in &mut fleet(GATEWAYS, &names(5), false) {
-        // The counter is considered silent after two rejected calls without any earlier total.
+        // Without any earlier total, the gateway considers the counter silent after two rejected calls.
         for id in 1..=3 {
             let mut actions = harness.request_from(id, &format!("c{id}"), "ceiling", "safe", false, 10);
             if let Some((name, _)) = counter_call(&actions) {
