--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -55,6 +55,7 @@
 
 /// A service with the engine that decides about its requests.
 pub struct Service {
+    /// Chooses backends, decides about retries and sends the attempts.
     pub engine: Rc<Engine<BackendProtocol>>,
     /// How many backends of the service accept requests.
     serving_backends: Cell<usize>,
@@ -99,10 +100,12 @@
     settings: DataPlaneSettings,
     seed: u64,
     admission: Rc<dyn Admission>,
+    /// The configuration in force.
     config: RefCell<Option<Rc<GatewayConfig>>>,
     /// Notified when a configuration comes into force.
     config_changed: Notify,
     backends: Rc<Backends<BackendProtocol>>,
+    /// The services with an engine, by name.
     services: RefCell<BTreeMap<Name, Rc<Service>>>,
     instances: RefCell<InstanceTable>,
     /// The number of gateways and the index of this gateway.
--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -42,8 +42,8 @@
 const CAPACITY_WAIT_RATIO: f64 = 0.2;
 /// The range of the retry delay after a refusal for lack of capacity, as shares of the route's latency goal.
 const RETRY_AFTER_GOAL_RATIO: (f64, f64) = (0.2, 0.6);
-/// The longest such retry delay, as a share of the request's timeout at its arrival. Clients honour `Retry-After` only
-/// up to a third of the time until their deadline.
+/// The longest retry delay after a refusal for lack of capacity, as a share of the request's timeout at its arrival.
+/// Clients honour `Retry-After` only up to a third of the time until their deadline.
 const MAX_RETRY_AFTER_TIMEOUT_RATIO: f64 = 0.33;
 /// How long a request waits for the first configuration. A process that has just started receives the configuration
 /// within moments if there is a leader. A refusal after more than a quarter of the route's goal counts against the
--- a/crates/data-plane/src/recorder.rs
+++ b/crates/data-plane/src/recorder.rs
@@ -114,6 +114,7 @@
 #[derive(Default)]
 pub struct RequestCounts {
     outcomes: [Cell<u64>; REQUEST_OUTCOMES.len()],
+    /// The answer time histogram of served requests; the last bucket has no upper bound.
     buckets: [Cell<u64>; ANSWER_TIME_BOUNDS.len() + 1],
     /// The sum of the answer times, in seconds.
     answer_time_sum: Cell<f64>,
@@ -148,6 +149,7 @@
     log_limiters: RefCell<[(&'static str, LogRateLimiter); RATE_LIMITED_STEPS.len()]>,
     /// The counters of requests that were assigned to no service.
     unrouted: RequestCounts,
+    /// The number of attempts by outcome, in the order of [`ATTEMPT_OUTCOMES`].
     attempts: [Cell<u64>; ATTEMPT_OUTCOMES.len()],
 }
 
@@ -314,6 +316,7 @@
     data_plane: &'q DataPlane,
     arrived: Instant,
     id: Option<HeaderValue>,
+    /// Whether the end of the request has been recorded.
     ended: bool,
     /// The parsed request, once its head is known to be valid.
     pub request: Option<Rc<ClientRequest>>,
--- a/crates/data-plane/src/routing.rs
+++ b/crates/data-plane/src/routing.rs
@@ -37,6 +37,7 @@
 pub struct RoutedRequest<'a> {
     pub request: Rc<ClientRequest>,
     pub route: &'a Route,
+    /// The tenant of the API key. `None` without a valid key on a public route, or if the configuration has no keys.
     pub tenant: Option<&'a Tenant>,
     /// The time that the client waits, limited by the route's deadline.
     pub timeout: Duration,
--- a/crates/data-plane/tests/duplicate_execution.rs
+++ b/crates/data-plane/tests/duplicate_execution.rs
@@ -141,7 +141,7 @@
     });
 }
 
-/// A failure after the request was written on a reused connection leaves the same doubt as on a new connection.
+/// A failure after the request was written on a reused connection may have run the request, as on a new connection.
 #[yare::parameterized(
     by_a_reset = { &[ReadRequest, Write(GOOD), Read(1), Reset], MAY_HAVE_RUN },
     by_a_close = { &[ReadRequest, Write(GOOD), ReadRequest, Close], MAY_HAVE_RUN },
--- a/crates/quota/src/floor.rs
+++ b/crates/quota/src/floor.rs
@@ -8,9 +8,11 @@
 
 use crate::Millis;
 
-/// A floor rises only if the counter stayed above it for this long. Longer than the compliance span of a quota (5 s).
+/// A floor rises only if the counter stayed above the new floor for this long. Longer than the compliance span, the
+/// 5 s over which the use of a quota is checked.
 const OBSERVATION_PERIOD: Millis = 6000.0;
-/// Floor of a quiet tenant as a fraction of a window's maximum. The blocks of a quiet tenant normally stay above it.
+/// Floor of a quiet tenant as a fraction of a window's maximum. A quiet tenant's counter normally stays
+/// above this floor.
 const FLOOR_RATIO: f64 = 0.5;
 /// A counter is near its floor when the distance is below this fraction of a refill. The floor must then be lowered.
 const NEAR_FLOOR_RATIO: f64 = 0.25;
@@ -22,6 +24,7 @@
     enforced: u32,
     /// The floor last proposed for the log, or the committed floor.
     proposed: u32,
+    /// Lowest number of free units seen since `observed_since`.
     min_free: f64,
     observed_since: Millis,
 }
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -16,15 +16,15 @@
 /// A request this close before a window's end is served from the next window. A gateway counts the window's end from
 /// when it sent its request, so its first request for a new window often arrives slightly early.
 const EARLY_TOLERANCE: Millis = 20.0;
-/// The counter of a removed tenant is kept this long, longer than the compliance span (5 s), in case the tenant is
-/// configured again.
+/// The counter of a removed tenant is kept this long, in case the tenant is configured again. Longer than the
+/// compliance span, the 5 s over which the use of a quota is checked.
 const REMOVED_TENANT_RETENTION: Millis = 10_000.0;
 /// Maximum number of gateways tracked by name. Further gateways are served but count as silent.
 const MAX_GATEWAYS: usize = 4096;
 /// A block is at most an even share of the available units divided by this, unless waiting requests need more.
 const EVEN_BLOCK_DIVISOR: f64 = 1.5;
-/// Lower bound of the block limit, as a fraction of the even share of a refill. Without this bound, the blocks of a
-/// busy tenant keep shrinking.
+/// Lower bound of the block limit, as a fraction of a gateway's even share of a refill (the units that each window
+/// adds to a counter). Without this bound, the blocks of a busy tenant keep shrinking.
 const MIN_BLOCK_RATIO: f64 = 0.2;
 /// How long a counter waits for the handover from its former holder. Meanwhile lease requests are answered with
 /// [`CounterStatus::RetryLater`].
@@ -41,18 +41,22 @@
     params: Option<WindowParams>,
     /// Parameters of a changed quota, in force from the next window.
     next_params: Option<WindowParams>,
+    /// Number of the current window, and the time when the window ends.
     window: u64,
     window_end: Millis,
     /// Units that may still be granted, before the fallback slices of silent gateways are deducted.
     free: f64,
+    /// Units granted in the current window.
     granted: f64,
-    /// Fraction of a refill that silent gateways may spend: the largest value seen during this window.
+    /// Fraction of a refill ([`WindowParams::refill`]) that silent gateways may spend: the largest value seen during
+    /// this window.
     silent_fraction: f64,
     /// Before this time, units are granted only as in `grant_while_closed`.
     closed_until: Millis,
     floor: Floor,
     /// Before this time, a handover from the former holder opens the counter at once.
     handover_deadline: Millis,
+    /// When a configuration removed the tenant.
     removed_at: Option<Millis>,
 }
 
@@ -78,9 +82,11 @@
     /// When the current assignment arrived, and for how long after it the leases of a former holder may last.
     assigned_at: Millis,
     closed_for: Millis,
-    /// No holder existed before, so counters open at once with their maximum.
+    /// Whether no holder existed before, so that counters open at once with their maximum.
     first_holder: bool,
+    /// Whether a configuration has been applied.
     configured: bool,
+    /// Number of gateways, including silent ones.
     fleet_size: u32,
     /// Gateways whose fallback slice is larger than an even share, with the fleet size by which each divides the
     /// quota.
@@ -89,8 +95,10 @@
     silent_fraction: f64,
     /// Committed floors of counters from the replicated log, as of the start of this holder.
     floors: BTreeMap<String, u32>,
+    /// Gateways in contact, and the time of the last message of each.
     last_contacts: HashMap<String, Millis>,
     charges: SilenceCharges,
+    /// Counters by tenant.
     counters: BTreeMap<String, Counter>,
 }
 
--- a/crates/quota/src/holder_assigner.rs
+++ b/crates/quota/src/holder_assigner.rs
@@ -12,7 +12,7 @@
 /// A control plane must be in contact for this long before it becomes a deputy.
 const MIN_STABLE_TIME: Millis = 3000.0;
 /// Minimum interval between optional changes of the assignment. Each change can cost a tenant part of a window, and a
-/// compliance span (5 s) should see few changes.
+/// compliance span (the 5 s over which the use of a quota is checked) should see few changes.
 const MIN_CHANGE_INTERVAL: Millis = 6000.0;
 /// The assignment shrinks if the remaining holders would run below this fraction of their capacity. The distance to
 /// full load avoids alternating growth and shrinkage, since each change moves counters.
@@ -22,9 +22,11 @@
 
 #[derive(Debug)]
 struct Candidate {
+    /// Start of the current contact without interruption.
     stable_since: Millis,
     last_contact: Millis,
     last_answered_offer: u64,
+    /// Lease requests that the candidate answers per second.
     request_rate: f64,
 }
 
@@ -36,6 +38,7 @@
     requests_per_holder: f64,
     assignment: HolderAssignment,
     last_change: Millis,
+    /// Control planes that offer to hold counters, and deputies, by name.
     candidates: BTreeMap<String, Candidate>,
 }
 
--- a/crates/quota/src/holder_state.rs
+++ b/crates/quota/src/holder_state.rs
@@ -23,6 +23,7 @@
     pub(crate) name: Rc<str>,
     in_flight: Vec<InFlightRequest>,
     silent: bool,
+    /// A silent holder gets no lease request before this time.
     pub(crate) next_probe_at: Millis,
 }
 
--- a/crates/quota/src/lease_cache.rs
+++ b/crates/quota/src/lease_cache.rs
@@ -109,7 +109,9 @@
     /// Part of `slice_debt` that the lease request in flight reports.
     slice_debt_in_flight: u32,
     has_demand: bool,
+    /// Smoothed requests per window.
     demand: f64,
+    /// Requests since `demand_since`, the start of the window that is being measured.
     requests_in_window: f64,
     demand_since: Millis,
     last_request_at: Millis,
@@ -122,16 +124,20 @@
 #[derive(Debug)]
 pub struct LeaseCache {
     tenants: BTreeMap<String, TenantState>,
+    /// Number of gateways by which a refill is divided into fallback slices.
     fleet_size: f64,
     seed: u64,
     last_request_number: u64,
+    /// Highest epoch received. May be newer than that of `assignment`.
     epoch: Epoch,
     assignment: HolderAssignment,
     /// The holders, in the order of the assignment; never empty.
     holders: Vec<HolderState>,
+    /// Time of the last contact with a holder or, through a control plane, with the leader.
     last_contact: Option<Millis>,
     /// Fault injected by tests: grants of an older epoch are accepted.
     ignores_epoch: bool,
+    /// Client requests that wait for a block, over all tenants.
     waiting_count: usize,
     /// After `close`: no units are spent and no lease requests are sent.
     closed: bool,
--- a/crates/quota/src/quota_service.rs
+++ b/crates/quota/src/quota_service.rs
@@ -52,8 +52,10 @@
 pub struct QuotaService {
     name: String,
     assignment: HolderAssignment,
+    /// End of the lease. Afterwards this process must not grant units.
     lease_until: Millis,
     holder: Option<QuotaHolder>,
+    /// Quotas of all tenants, also of those whose counters other holders have.
     quotas: Vec<Quota>,
     fleet_size: u32,
     oversized_slices: Vec<OversizedSlice>,
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -1,4 +1,4 @@
-//! The cost of decisions in deterministic counts: allocations per request, and bytes kept per customer.
+//! The memory cost of decisions: heap allocations per request, and bytes kept per customer. Both are deterministic.
 //! Each bound is the measured value at the time it was set, plus the slack stated beside it.
 
 mod helper;
@@ -27,7 +27,7 @@
     Event::Request(Arrival { spread: 1, ..harness.arrival(id, customer, "plain", "safe") })
 }
 
-/// Measures the allocations for handling an event, without those of the host.
+/// Measures the allocations that the gateway makes while handling an event.
 fn handle(harness: &mut Harness, event: Event) -> AllocationInfo {
     harness.actions.clear();
     harness.actions.reserve(64);
--- a/tests/counter_silence.rs
+++ b/tests/counter_silence.rs
@@ -46,7 +46,7 @@
 #[test]
 fn gateway_spends_at_most_its_even_slice_during_silence() {
     let mut harness = Harness::new(settings(), &["a1", "a2", "a3"]);
-    // Burst 10 and rate 5 for two gateways: at most 5 at once and 2.5 a second each, 30 in ten seconds.
+    // Burst 10 and rate 5 for two gateways: each may spend 5 units at once and 2.5 per second, 30 in ten seconds.
     let dispatched = send_during_silence(&mut harness, "plain", 10_000.0);
     assert!((26..=30).contains(&dispatched), "{dispatched}");
 }
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -3,7 +3,8 @@
 
 use doorcourse::*;
 
-/// Classes: safe, keyed, unsafe. Plans of 10 units and 5 a second: plain, under a ceiling, with a concurrency cap.
+/// Classes: safe, keyed, unsafe. Plans with burst 10 and 5 units per second: `plain`, `ceiling` (a hard ceiling of 1.6
+/// times the quota) and `capped` (two attempts in flight).
 pub fn settings() -> Settings {
     let class = |name: &str, idempotency, dedup_scope| Class {
         name: name.into(),
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -20,6 +20,7 @@
     class: usize,
     deadline: Millis,
     attempts: u32,
+    /// The backend and send time of the attempt in flight.
     out: Option<(Name, Millis)>,
     /// The backend and time of the first attempt that may have run.
     may_have_run: Option<(Name, Millis)>,
