--- a/src/interface.rs
+++ b/src/interface.rs
@@ -339,7 +339,7 @@
     Counted {
         /// The count's name.
         name: u64,
-        /// How it ended.
+        /// How the call ended.
         outcome: CountOutcome,
         /// The duration of the call.
         latency: Millis,
@@ -354,7 +354,7 @@
         /// The backend's name.
         backend: Name,
     },
-    /// Operators put a backend back into use. It may have been restarted meanwhile.
+    /// Operators put a backend back into use. The backend may have been restarted meanwhile.
     Attach {
         /// The backend's name.
         backend: Name,
@@ -384,7 +384,7 @@
         id: RequestId,
         /// The backend's name.
         backend: Name,
-        /// Time limit of the attempt from now on, with its connection; within the client's deadline.
+        /// Time limit of the attempt from now on, including connection setup; ends before the client's deadline.
         timeout: Millis,
         /// How long the request waited for its customer's quota, before it could be sent to any backend.
         quota_wait: Millis,
@@ -441,7 +441,7 @@
     HealthObserved {
         /// The backend's name.
         backend: Name,
-        /// Its zone.
+        /// The backend's zone.
         zone: Name,
         /// True if the backend does not respond, false if it responds again.
         down: bool,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -39,8 +39,8 @@
     zone: Name,
     cell: u64,
     state: BackendState,
-    detached: bool,
-    /// When operators last put the backend back into use; it may have been restarted meanwhile.
+    detached: bool, // taken out of use by operators
+    /// When operators last put the backend back into use; the backend may have been restarted meanwhile.
     returned: Option<Millis>,
     started: Option<Millis>,
     /// When this gateway last sent the backend an attempt, and when the backend last answered one.
@@ -49,15 +49,15 @@
     answered_at: Millis,
     #[serde(skip)]
     in_flight: u32,
-    /// The most attempts in flight from this gateway; follows latencies, but never below `min_limit`.
+    /// Maximum attempts in flight from this gateway; follows latencies, but never below `min_limit`.
     #[serde(rename = "room")]
     limit: f64,
     #[serde(rename = "least")]
     min_limit: f64,
-    failures: u32,
+    failures: u32, // in a row
     eject_until: Millis,
     #[serde(rename = "own")]
-    preferred: bool,
+    preferred: bool, // see `PREFERRED_BACKENDS`
     #[serde(skip)]
     name_hash: u64,
     #[serde(skip)]
@@ -100,7 +100,7 @@
     waiting: VecDeque<RequestId>,
     demand: f64,       // smoothed, in units per ms
     demand_at: Millis, // time of the last request
-    /// In a large fleet, no counter call before this time once the quota is known to be spent.
+    /// In a large fleet, a gateway that knows a quota is spent makes no counter call before this time.
     #[serde(rename = "ask_from")]
     next_call_at: Millis,
     /// This gateway's even share of the tokens, spent while the counter is silent, and its last refill time.
@@ -125,7 +125,7 @@
     units: f64,
     /// Admitted without a total of its customer's count.
     unverified: bool,
-    repeat: bool,
+    repeat: bool, // a client's retry of an earlier request
     arrived: Millis,
     /// When the answer has to leave: `RESERVED_TICKS` before the client's deadline.
     answer_by: Millis,
@@ -169,7 +169,7 @@
     lost_calls: BTreeMap<u64, Name>,
     /// The share of due counter calls that are made; falls while the counter replies slowly.
     call_share: f64,
-    /// For each plan, the share of customers whose first total leaves room for a request.
+    /// For each plan, the smoothed share of customers whose first total leaves units to spend.
     plan_odds: Vec<f64>,
     failed_calls: u32,       // in a row
     counter_back_at: Millis, // end of the last counter silence
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Hands over all state and keeps no lease or slice: both processes share one gateway's part of quotas.
+    /// Hands over all state and keeps no lease or slice: both share one gateway's part of each quota.
     pub fn hand_over(&mut self) -> HandoverState {
         let customers = self.customers.clone();
         for customer in self.customers.values_mut() {
--- a/src/logic/backends.rs
+++ b/src/logic/backends.rs
@@ -8,13 +8,13 @@
 pub(super) const LATENCY_WEIGHT: f64 = 0.02;
 /// A failure counts as a late answer if it took this many times the mean latency.
 pub(super) const LATE_FAILURE_LATENCIES: f64 = 4.0;
-/// Initial in-flight limit of one backend over all gateways together; it then follows the latencies.
+/// Initial in-flight limit of one backend over all gateways together; later the limit follows latencies.
 pub(super) const INITIAL_LIMIT: f64 = 3.5;
 /// Answers are late after this share of the latency target; the rest is for the network, queues and variance.
 pub(super) const ON_TIME_SHARE: f64 = 0.6;
 /// Target share of late answers: the limit of a backend grows below this share and shrinks above it.
 pub(super) const LATE_TARGET: f64 = 0.1;
-/// How far one answer moves the limit: a late one by nine tenths of this, one in time by a tenth.
+/// Relative change of the limit: a late answer lowers it by nine tenths of this, one in time adds a tenth.
 pub(super) const LIMIT_STEP: f64 = 0.12;
 /// Minimum limit of one backend for one gateway; the sum of the limits of all backends applies too.
 pub(super) const MIN_LIMIT: f64 = 0.2;
@@ -23,7 +23,7 @@
 pub(super) const SHED_SLOPE: f64 = 2.0;
 pub(super) const MIN_ADMIT_SHARE: f64 = 0.05;
 pub(super) const UNVERIFIED_FACTOR: f64 = 40.0;
-/// Another gateway's report that a backend is down holds for this share of the warm-up time.
+/// Another gateway's report that a backend is down expires after this share of the warm-up time.
 pub(super) const REPORT_TTL_SHARE: f64 = 0.2;
 /// Ejection time for each failure in a row, as a share of the warm-up time.
 pub(super) const EJECT_SHARE: f64 = 0.02;
@@ -31,10 +31,10 @@
 pub(super) const REPORT_AT: u32 = 2;
 /// A backend in another zone scores this much worse for each point of the cross-zone price; prices are small.
 pub(super) const CROSS_ZONE_BIAS: f64 = 5.0;
-/// In a large fleet a gateway prefers this many backends, to have few connections; others score worse.
+/// In a large fleet a gateway prefers this many backends, to open few connections; others score worse.
 pub(super) const PREFERRED_BACKENDS: usize = 5;
 pub(super) const NON_PREFERRED_FACTOR: f64 = 100.0;
-/// A cold backend gets an even part of the requests, times its present share of capacity, times this. Warm
+/// A cold backend gets an even part of the requests, times its current share of capacity, times this. Warm
 /// backends get no more than their capacity, so all gateways together stay below the cold overload factor.
 pub(super) const COLD_LOAD: f64 = 0.8;
 /// In a large fleet a cold backend is loaded like a warm one, up to this part of the overload factor.
@@ -43,7 +43,7 @@
 pub(super) const MAX_UNUSED_AFTER_ATTACH: Millis = 2500.0;
 
 impl Backend {
-    /// Adapts the limit to `LATE_TARGET`: protects from overload of any cause, without knowing the capacity.
+    /// Adapts the limit to `LATE_TARGET`: protects backends of unknown capacity from overload of any cause.
     pub(super) fn note_latency(&mut self, late: bool) {
         let used = f64::from(self.in_flight) + 1.0 >= self.limit.floor();
         if late || used {
@@ -70,7 +70,7 @@
 
     /// Ejects the backend after a failure. Outcomes reveal dead, stalled and failing backends long before the
     /// list does, and a backend that fails fast looks idle and would attract load. The ejection grows with
-    /// each failure and lasts as long as the attempt did, since its work may go on after the call-off.
+    /// each failure and lasts at least as long as the attempt: the work may continue after the call-off.
     pub(super) fn note_failure(&mut self, now: Millis, latency: Millis, settings: &Settings) -> bool {
         self.failures += 1;
         let share = EJECT_SHARE * f64::from(self.failures);
@@ -192,13 +192,13 @@
             let full = f64::from(backend.in_flight) >= backend.limit.ceil();
             let random = unit_interval(seed ^ backend.name_hash);
             let warm = backend.warm_capacity(self.now, &self.settings);
-            // Limits a cold backend by chance to its share of the load, from the first ms. Needs no agreement
-            // among gateways and no warm backend.
+            // Random choice limits a cold backend to its share of the load, from the first ms. This needs no
+            // coordination among gateways and no warm backend.
             let part = if warm < 1.0 { warm * cold_share } else { 0.0 };
             let missed = if large { !(0.0..part).contains(&draw) } else { random * ready >= part };
             draw -= part;
             let cold = warm < 1.0 && missed;
-            // One request is no load, and operators expect an attached backend to be in use again soon.
+            // One request is no overload, and operators expect an attached backend to be in use again soon.
             let unused_since = backend.returned.filter(|at| backend.sent <= *at);
             let cold = cold && unused_since.is_none_or(|at| self.now < at + MAX_UNUSED_AFTER_ATTACH);
             if !backend.ready() || !in_group || full || cold || self.now < backend.eject_until {
@@ -237,7 +237,7 @@
                 latency > self.settings.classes[class].latency_target * ON_TIME_SHARE
             }
             Outcome::NeverSent => return,
-            // The client has left. With a waiting client, the attempt was called off because it stalled.
+            // The client has left. If the client still waits, the attempt was called off as stalled instead.
             Outcome::CalledOff if !self.requests.contains_key(&end.id) => return,
             Outcome::Full => true,
             // An attempt cut short by its client's deadline says little about the fleet.
