--- a/crates/data-plane/tests/duplicate_execution.rs
+++ b/crates/data-plane/tests/duplicate_execution.rs
@@ -238,7 +238,7 @@
     });
 }
 
-/// A request whose body was not written completely may have run all the same.
+/// A request may have run even if its body was not written completely.
 #[test]
 fn a_partly_written_request_may_have_run() {
     run_on_one_thread(async {
--- a/crates/quota/tests/floors.rs
+++ b/crates/quota/tests/floors.rs
@@ -12,7 +12,7 @@
     Quota { tenant: TENANT.into(), rate_per_s: 50.0, burst: 50.0 }
 }
 
-/// Random number generator (splitmix64) for values from 0 to 1.
+/// Random number generator (splitmix64) for values between 0 and 1.
 struct Rng(u64);
 
 impl Rng {
--- a/crates/quota/tests/gateway_departures.rs
+++ b/crates/quota/tests/gateway_departures.rs
@@ -43,7 +43,7 @@
         world.leave(index, None);
         world.run_until(world.now + 600.0)?;
     }
-    // The fleet size in the log shrinks some seconds later, and recently started control planes use that size too.
+    // The fleet size in the log shrinks some seconds later. Recently started control planes use the size in the log.
     world.run_until(world.now + 6_000.0)?;
     let after_shrink = served_ratio(&mut world, 6_000.0)?;
     assert!(
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -108,7 +108,7 @@
         let mut harness = Harness::seeded(settings(), seed, &["a1", "a2"]);
         let failing = harness.dispatch(1, "c", "plain", "unsafe");
         harness.end_attempt_after(5.0, 1, 0, &failing, Outcome::Error);
-        // The failing backend has nothing in flight, and the other one has one more attempt each time.
+        // The failing backend has nothing in flight, and the other backend gets one more attempt each time.
         for id in 2..=3 {
             let chosen = harness.dispatch(id, &format!("c{id}"), "plain", "unsafe");
             assert_ne!(chosen, failing, "seed {seed}, request {id}");
--- a/tests/counter_silence.rs
+++ b/tests/counter_silence.rs
@@ -166,7 +166,8 @@
     let mut harness = Harness::new(settings(), &["a1", "a2"]);
     let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("a counter call");
     time_out(&mut harness, name);
-    // Others hold more than the burst. The request admitted during the silence is reported; the late lease is returned.
+    // Other gateways have leased more than the burst. The request admitted during the silence is reported, and the
+    // late lease is returned.
     late_reply(&mut harness, name, amount + 40.0, amount);
     let (_, report) = counter_call(&harness.advance(60.0, &[])).expect("a call that returns the excess");
     assert_eq!(report, 1.0 - amount);
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -89,7 +89,7 @@
     let actions = admitted(&mut harness, 1, "c", "unsafe");
     let (chosen, time_limit) = first_timeout(&actions).expect("an attempt");
     assert_eq!(time_limit, 2000.0 - RESERVED);
-    // The hold timer expires all the same.
+    // The request's timer expires nevertheless, and must not call the attempt off.
     assert!(!called_off(&harness.advance(time_limit, &[1]), 1));
     let actions = harness.end_attempt_after(time_limit, 1, 0, &chosen, Outcome::TimedOut);
     assert!(failed(&actions, 1) && send_count(&actions) == 0, "it may have run: {actions:?}");
@@ -120,7 +120,7 @@
     assert!(!called_off(&actions, 101), "the backend may just be slow");
     let more = stall_timer(&actions, 101).expect("a second timer");
     assert!((first + more - 960.0).abs() < 3.0, "twelve mean latencies: {first} and {more}");
-    // This connection may be dead while the others are not.
+    // This connection may be dead although the backend answers on other connections.
     assert!(called_off(&harness.advance(more, &[101]), 101));
 }
 
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets of hundreds of gateways: the sum of the requests, attempts and counter calls of all gateways.
+//! Fleets of hundreds of gateways: limits that the gateways together must keep, and each gateway's own share.
 
 mod helper;
 use doorcourse::*;
@@ -270,7 +270,7 @@
         counter_call(&harness.request_from(1, "c", "ceiling", "safe", false, 10)).expect("a counter call");
     let (_, chosen) = first_send(&harness.reply_total(name, amount)).expect("an attempt");
     harness.end_attempt(1, 0, &chosen, Outcome::Served);
-    // Two seconds later the tokens are full again, and other gateways have used all of them.
+    // Two seconds later the token bucket is full again, and other gateways lease all of the tokens.
     harness.advance(2200.0, &[]);
     let (name, amount) =
         counter_call(&harness.request_from(2, "c", "ceiling", "safe", false, 10)).expect("a counter call");
@@ -284,7 +284,7 @@
 
 #[test]
 fn gateways_do_not_all_call_for_the_next_unit_of_a_spent_quota() {
-    // Five units a second: after 0.3 s each gateway expects one unit in the bucket.
+    // At five units per second, each gateway expects the next unit in the bucket after 0.3 s.
     let mut calls = 0;
     for gateway_index in 0..40 {
         let mut harness = with_spent_quota(gateway_index);
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -22,7 +22,7 @@
 fn request_beyond_the_quota_is_refused_with_retry_after_and_the_lease_is_returned() {
     let mut harness = Harness::new(settings(), &["a1", "a2"]);
     let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("a counter call");
-    // Others hold more than the burst and the refill of the window so far.
+    // The total shows that other gateways have leased more than the burst and the refill of the window so far.
     let actions = harness.reply_total(name, amount + 40.0);
     let retry_after = actions.iter().find_map(|a| match a {
         Action::Refuse { id: 1, retry_after } => Some(*retry_after),
@@ -61,7 +61,7 @@
 fn negative_tokens_end_with_their_window() {
     let mut harness = Harness::new(settings(), &["a1", "a2"]);
     let (name, amount) = counter_call(&harness.request(1, "c", "plain", "safe")).expect("a counter call");
-    // The count contains leases of twenty quotas whose replies were lost.
+    // The count contains leases worth twenty quotas that no gateway received, because the replies were lost.
     let (_, returned) =
         counter_call(&harness.reply_total(name, amount + 200.0)).expect("a call that returns the excess");
     harness.reply_total(name, amount + 200.0 + returned);
@@ -140,7 +140,7 @@
 #[test]
 fn lease_handed_over_is_spent_once() {
     let mut old = Harness::new(settings(), &["a1"]);
-    // The first lease is burst over gateways: five units, of which one is spent.
+    // The first lease is the burst divided by the number of gateways: five units, of which one is spent.
     let chosen = old.dispatch(1, "c", "plain", "safe");
     old.end_attempt(1, 0, &chosen, Outcome::Served);
     let text = serde_json::to_string(&old.gateway.hand_over()).expect("serialized state");
