--- a/src/logic.rs
+++ b/src/logic.rs
@@ -39,8 +39,8 @@
     zone: Name,
     cell: u64,
     state: BackendState,
-    detached: bool,
-    /// When operators last put the backend back into use; it may have been restarted meanwhile.
+    detached: bool, // taken out of use by operators
+    /// When operators last put the backend back into use; the backend may have been restarted meanwhile.
     returned: Option<Millis>,
     started: Option<Millis>,
     /// When this gateway last sent the backend an attempt, and when the backend last answered one.
@@ -49,15 +49,15 @@
     answered_at: Millis,
     #[serde(skip)]
     in_flight: u32,
-    /// The most attempts in flight from this gateway; follows latencies, but never below `min_limit`.
+    /// Maximum attempts in flight from this gateway; follows latencies, but never below `min_limit`.
     #[serde(rename = "room")]
     limit: f64,
     #[serde(rename = "least")]
     min_limit: f64,
-    failures: u32,
+    failures: u32, // in a row
     eject_until: Millis,
     #[serde(rename = "own")]
-    preferred: bool,
+    preferred: bool, // see `PREFERRED_BACKENDS`
     #[serde(skip)]
     name_hash: u64,
     #[serde(skip)]
@@ -67,28 +67,27 @@
 #[derive(Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 struct Customer {
-    plan: usize,
+    plan: usize, // index in the settings
     /// How many gateways serve the customer, and this gateway's place among them.
     spread: f64,
     place: u32,
-    salt: u64,
-    window: u64,
+    salt: u64,   // hash of the name; staggers the windows of customers
+    window: u64, // number of the current window
     /// Leased units that are not yet spent; they expire with the window.
     lease: f64,
-    /// What this gateway has added to the window's count, and the last total received of that count.
+    /// Units that this gateway has added to the window's count, and the last total (count) received.
     added: f64,
     #[serde(rename = "seen")]
     last_total: f64,
-    /// The customer's token bucket by all totals received; refilled at the plan's rate in between.
+    /// Estimated tokens of the customer's fleet-wide bucket: follows the totals, refilled at the plan's rate.
     #[serde(rename = "store")]
     tokens: f64,
     #[serde(rename = "store_at")]
     tokens_at: Millis,
-    /// Whether any total has been received.
-    known: bool,
+    known: bool, // whether any total has been received
     #[serde(rename = "heard")]
     last_total_at: Millis,
-    /// Units spent but not yet added to the count; a negative debt is still to be given back to the count.
+    /// Units spent but not yet added to the count at the counter; if negative, units to subtract from it.
     #[serde(rename = "owed")]
     debt: f64,
     /// The counter call in progress: its window, the requested lease, and the debt that it reports.
@@ -99,9 +98,9 @@
     unanswered: Vec<(f64, f64, Millis)>,
     #[serde(skip)]
     waiting: VecDeque<RequestId>,
-    demand: f64,
-    demand_at: Millis,
-    /// In a large fleet, no counter call before this time once the quota is known to be spent.
+    demand: f64,       // smoothed, in units per ms
+    demand_at: Millis, // time of the last request
+    /// In a large fleet, a gateway that knows a quota is spent makes no counter call before this time.
     #[serde(rename = "ask_from")]
     next_call_at: Millis,
     /// This gateway's even share of the tokens, spent while the counter is silent, and its last refill time.
@@ -126,16 +125,16 @@
     units: f64,
     /// Admitted without a total of its customer's count.
     unverified: bool,
-    repeat: bool,
+    repeat: bool, // a client's retry of an earlier request
     arrived: Millis,
-    /// When the answer has to leave: a little before the client gives up.
+    /// When the answer has to leave: `RESERVED_TICKS` before the client's deadline.
     answer_by: Millis,
     admitted_at: Option<Millis>,
     hold_until: Millis,
     stage: Stage,
     attempts: u32,
-    may_have_run: Option<(Millis, Name)>,
-    /// Part of the body is lost with an attempt, so that no further attempt is possible.
+    may_have_run: Option<(Millis, Name)>, // send time and backend of the first such attempt
+    /// An attempt consumed part of the request body, so that no further attempt is possible.
     body_consumed: bool,
     sent_at: Millis,
     sent_to: Option<Name>,
@@ -165,25 +164,25 @@
     customers: BTreeMap<Name, Customer>,
     requests: BTreeMap<RequestId, Request>,
     queue: VecDeque<RequestId>,
-    calls: BTreeMap<u64, Name>,
+    calls: BTreeMap<u64, Name>, // counts with calls in progress, and the customer of each
     /// Counts with calls that timed out, and the customer of each.
     lost_calls: BTreeMap<u64, Name>,
-    /// The share of wanted counter calls that are made; falls while the counter replies slowly.
+    /// The share of due counter calls that are made; falls while the counter replies slowly.
     call_share: f64,
-    /// For each plan, the share of customers whose first total leaves room for a request.
+    /// For each plan, the smoothed share of customers whose first total leaves units to spend.
     plan_odds: Vec<f64>,
-    failed_calls: u32,
-    counter_back_at: Millis,
+    failed_calls: u32,       // in a row
+    counter_back_at: Millis, // end of the last counter silence
     last_counter_reply: Millis,
     silence_logged: bool,
-    class_latency: Vec<f64>,
-    class_answers: Vec<f64>,
+    class_latency: Vec<f64>, // smoothed mean latency of each class, in ms
+    class_answers: Vec<f64>, // answers behind each mean
     /// Share of late answers of all backends, smoothed.
     late: f64,
     started_up: bool,
-    retry_budget: f64,
-    too_late: u64,
-    retries_denied: u64,
+    retry_budget: f64,   // retries that may be sent now; see `RETRY_RATIO`
+    too_late: u64,       // requests given up because the expected answer would miss the deadline
+    retries_denied: u64, // retries not sent because the budget was spent
     shutdown_at: Option<Millis>,
 }
 
@@ -234,7 +233,7 @@
         }
     }
 
-    /// Hands over all state and keeps no lease or slice: both processes share one gateway's part of quotas.
+    /// Hands over all state and keeps no lease or slice: both share one gateway's part of each quota.
     pub fn hand_over(&mut self) -> HandoverState {
         let customers = self.customers.clone();
         for customer in self.customers.values_mut() {
