--- a/crates/control-plane/src/config_history.rs
+++ b/crates/control-plane/src/config_history.rs
@@ -6,10 +6,11 @@
 use snapshot_format::UnknownFormat;
 use std::collections::BTreeMap;
 
-/// Number of versions whose digest is remembered, 32 bytes each. A retry of an older order gets no final answer,
-/// since the order may have been accepted.
+/// Number of versions whose digest is remembered, 32 bytes each. Without its digest, an accepted configuration
+/// cannot be distinguished from another one of the same version, so a retry of an older order gets no final answer.
 const MAX_DIGESTS: usize = 4096;
-/// Maximum number of quota floors. Under a new holder, tenants beyond this limit start without any units.
+/// Maximum number of quota floors (see [`quota::Floor`]), one per tenant. Under a new quota holder, tenants beyond this
+/// limit start without any units.
 const MAX_FLOORS: usize = 4096;
 /// Number of versions whose log position is remembered.
 const MAX_POSITIONS: usize = 64;
@@ -117,14 +118,18 @@
     pub epoch: u64,
 }
 
-/// All accepted configurations, the newest one with its body.
+/// The accepted configurations: the newest one with its body, and what is remembered of earlier ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigHistory {
+    /// The newest version; 0 before the first.
     version: u64,
+    /// Body of the newest version, byte for byte.
     body: Vec<u8>,
+    /// Digests of the latest versions, by version.
     digests: BTreeMap<u64, [u8; 32]>,
+    /// Log positions of the latest versions, by version.
     positions: BTreeMap<u64, LogPosition>,
-    /// Bodies of former versions.
+    /// Bodies of former versions, by version.
     bodies: BTreeMap<u64, Vec<u8>>,
     /// The version before the newest one with its body, if the body is too large for `bodies`. Subscribers have that
     /// version and receive the newest one as a delta to it. In memory only.
--- a/crates/control-plane/src/contact.rs
+++ b/crates/control-plane/src/contact.rs
@@ -23,7 +23,8 @@
 /// Number of queries whose response is still accepted: more than are sent within [`CONFIRMATION_TTL`].
 const MAX_OUTSTANDING_QUERIES: usize = 32;
 
-/// Prefix of these messages. They are sent as Raft messages, and no Raft message begins with it.
+/// Prefix of an encoded [`ContactMessage`], which is sent in the frame of a Raft message. No encoded Raft message
+/// begins with this prefix.
 const MESSAGE_TAG: &[u8] = b"\xffcontact 1\n";
 
 /// Messages between the leader and the processes that query it.
@@ -77,7 +78,7 @@
         bytes
     }
 
-    /// Decodes such a message; `None` for other messages.
+    /// Decodes a `ContactMessage`; `None` if the bytes are a Raft message.
     pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
         bitcode::decode(bytes.strip_prefix(MESSAGE_TAG)?).ok()
     }
@@ -103,8 +104,11 @@
 /// The outstanding queries of one process, and the newest response.
 #[derive(Debug, Default)]
 pub(crate) struct LeaderContact {
+    /// Number and send time of each outstanding query, oldest first.
     sent: VecDeque<(u64, Millis)>,
+    /// The leader that received the last query.
     last_queried: Option<SocketAddr>,
+    /// Content of the newest response.
     newest: Option<Confirmation>,
 }
 
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -70,9 +70,11 @@
 const MAX_PENDING_CALLS: usize = 256;
 /// The log is compacted after this many changes: each change holds a whole configuration.
 const COMPACT_AFTER_CHANGES: f64 = 16.0;
-/// Weight of a quota checkpoint or a drain entry, relative to a change: such an entry has some hundred bytes.
+/// Weight of a quota checkpoint or a drain entry for compaction, relative to a change: a checkpoint or drain entry
+/// takes only some hundred bytes.
 const SMALL_ENTRY_WEIGHT: f64 = 0.1;
-/// The log is also compacted after this many bytes: the disk is small, and a change of 4 MB takes 8 MB in the file.
+/// The log is also compacted after this many bytes of entries: the disk is small, and a change of 4 MB takes 8 MB in
+/// the file.
 const COMPACT_AFTER_BYTES: usize = 4_000_000;
 /// A control plane that has run for less than this may not know all backends yet, so that its list of backends is
 /// sent as additions only and not as the complete list.
@@ -113,16 +115,23 @@
 struct HolderOffers {
     /// Number of each outstanding offer, and when the offer was sent.
     sent: VecDeque<(u64, u64)>,
+    /// Highest offer number to which the leader has responded.
     last_answered: u64,
+    /// When the next offer is due.
     next_at: u64,
     /// Total of served lease requests at the last measurement, time of the measurement, and requests per second.
     request_rate: (u64, u64, f64),
 }
 
+/// An open connection to another process, and what that process has announced on it.
 struct Peer {
+    /// Sending half of the connection.
     line: FrameSender,
+    /// Identity that the peer has announced, if it has.
     hello: Option<Hello>,
+    /// Address that this process dialed; `None` for an incoming connection.
     dialed: Option<SocketAddr>,
+    /// Whether the peer receives updates of the configuration, backends and quota holders.
     is_subscriber: bool,
     /// Configuration that the peer has, or will have once it has read everything sent so far.
     held: ConfigId,
@@ -136,6 +145,7 @@
     is_shutting_down: bool,
 }
 
+/// A call of a backend or an operator that waits for a leader or for the leader's reply.
 struct PendingCall {
     reply: oneshot::Sender<Reply>,
     since: u64,
@@ -150,6 +160,7 @@
     Remote { peer: u64, token: u64 },
 }
 
+/// An order that this leader has proposed, and that the log has not decided yet.
 struct PendingProposal {
     requester: Requester,
     since: u64,
@@ -161,7 +172,9 @@
     started_at: Instant,
     rng_state: u64,
     commands: mpsc::Sender<Command>,
+    /// Draws the id of a new connection, unique in this process.
     connection_ids: Rc<dyn Fn() -> u64>,
+    /// Open connections by connection id.
     peers: BTreeMap<u64, Peer>,
     /// Connection attempts in progress: id of the connection, and when the address may be dialed again.
     dialing: BTreeMap<SocketAddr, (u64, u64)>,
@@ -169,8 +182,9 @@
     /// Incarnations of the known control planes that store the Raft log.
     quorum_incarnations: BTreeMap<SocketAddr, u64>,
     register: BackendRegistry,
-    /// Changes of backends that subscribers and other control planes have not received yet.
+    /// Changes of backends that subscribers have not received yet.
     subscriber_batch: BackendBatch,
+    /// Changes of backends that other control planes have not received yet.
     control_plane_batch: BackendBatch,
     fleet: Fleet,
     config_history: ConfigHistory,
@@ -178,7 +192,9 @@
     config_encoder: ConfigEncoder,
     /// A committed entry has changed the configuration in force, and subscribers have not received the new one yet.
     config_changed: bool,
+    /// The Raft node; `None` for a process without a Raft log, and after a snapshot that could not be restored.
     node: Option<Node>,
+    /// Writes the Raft log; `None` for a process without a Raft log.
     disk: Option<Disk>,
     quota_service: QuotaService,
     /// Assigns quota holders; present only while this process leads.
@@ -195,8 +211,11 @@
     last_current_at: u64,
     connector: Rc<dyn Connector>,
     faults: Faults,
+    /// Last token drawn for a forwarded call or a proposal.
     last_token: u64,
+    /// Calls that wait for a leader or for the leader's reply, by token.
     pending_calls: HashMap<u64, PendingCall>,
+    /// Proposed orders that the log has not decided yet, by token.
     pending_proposals: BTreeMap<u64, PendingProposal>,
     /// Orders that reached this leader before its first lease.
     orders_awaiting_lease: Vec<(Requester, LeaderCall)>,
@@ -205,9 +224,11 @@
     drains_supported_by: BTreeSet<SocketAddr>,
     /// Tokens of this leader's proposals, by log index. Cleared when this process stops leading.
     tokens_by_index: BTreeMap<u64, u64>,
+    /// Weighted number of entries applied since the last log compaction; a change has weight 1.
     changes_since_compaction: f64,
     /// Token of the quota checkpoint in flight. At most one checkpoint is proposed at a time.
     checkpoint_token: Option<u64>,
+    /// Bytes of the entries applied since the last log compaction.
     bytes_since_compaction: usize,
     warmed_up: bool,
     /// Number of messages received from other processes since the start.
@@ -220,6 +241,7 @@
     last_sent_data_planes: (Vec<(String, u64)>, u64),
     /// Outputs of the Raft node that have not been handled yet.
     outputs: Vec<Output>,
+    /// Whether `outputs` is being handled: outputs of nested inputs are queued meanwhile.
     handling_outputs: bool,
     event_log: EventLog,
     /// Failure detector among neighbouring processes, if one runs.
--- a/crates/control-plane/src/control_plane/drains.rs
+++ b/crates/control-plane/src/control_plane/drains.rs
@@ -24,15 +24,20 @@
 
 /// A call that waits until the drain of a backend is recorded in the log.
 struct PendingDrain {
+    /// Receives the reply.
     requester: Requester,
+    /// Id of the backend.
     id: String,
 }
 
 /// Drain calls at the leader. At most one log entry is in flight.
 #[derive(Default)]
 pub(super) struct DrainProposals {
+    /// Calls for which no entry has been proposed yet.
     queued: Vec<PendingDrain>,
+    /// Calls whose backends are in the proposed entry.
     in_flight: Vec<PendingDrain>,
+    /// Token of the proposed entry; `None` while no entry is in flight.
     token: Option<u64>,
 }
 
@@ -100,7 +105,7 @@
             let full = Reply::error(503, "too many backends leave at once: ask again");
             return self.reply_to_drain(PendingDrain { requester, id }, full, now);
         }
-        // Records in the table are committed.
+        // Drain records in this table come from committed entries, so the drain can be acknowledged at once.
         if self.register.drains().contains(&id) {
             return self.reply_to_drain(PendingDrain { requester, id }, Reply::ok(), now);
         }
--- a/crates/control-plane/src/event_log.rs
+++ b/crates/control-plane/src/event_log.rs
@@ -18,9 +18,10 @@
 /// appearance.
 const MAX_KNOWN_DATA_PLANES: usize = 4096;
 
-/// Log lines per step and per interval in milliseconds. The remaining events are still recorded here.
+/// Maximum number of log lines per interval with the same `step` field (the kind of event), and the interval in
+/// milliseconds. Events whose log line is suppressed are still recorded.
 const LOG_RATE_LIMIT: (u32, u64) = (20, 10_000);
-/// Steps whose log lines are limited.
+/// Steps whose log lines are subject to [`LOG_RATE_LIMIT`].
 const RATE_LIMITED_STEPS: [&str; 7] =
     ["leader", "quota_service", "config", "data_plane", "voters", "dial", "drain"];
 
@@ -92,14 +93,20 @@
 /// One recorded event.
 #[derive(Clone, Debug)]
 pub struct Event {
+    /// Milliseconds since the start of this process.
     at: u64,
+    /// Backend id, data plane name, control plane address, configuration version such as `r7`, or a fixed name such
+    /// as `voters`.
     subject: Rc<str>,
     kind: EventKind,
+    /// Raft term in which the event was recorded; reported as `epoch`.
     epoch: u64,
+    /// Newest configuration version at the time of the event.
     version: u64,
 }
 
 impl EventKind {
+    /// Kind of the event in the `step` field of log lines.
     fn step(&self) -> &'static str {
         match self {
             Self::Leader(_) => "leader",
@@ -177,10 +184,15 @@
 /// Records events, limits log lines, and counts for metrics.
 #[derive(Debug)]
 pub struct EventLog {
+    /// Events of backends.
     backends: RingBuffer<Event>,
+    /// All other events.
     others: RingBuffer<Event>,
+    /// Current Raft term, copied into each new event.
     epoch: u64,
+    /// Newest configuration version, copied into each new event.
     version: u64,
+    /// Leader known to this process.
     leader: Option<SocketAddr>,
     /// Last known phase and overdue flag of backends that have not ended.
     live_backends: HashMap<Rc<str>, (Phase, bool)>,
@@ -188,7 +200,9 @@
     services: HashSet<Rc<str>>,
     /// Incarnation of each data plane; `None` once it no longer counts.
     data_planes: BTreeMap<Rc<str>, Option<u64>>,
+    /// Rate limiters of the log lines, one for each of [`RATE_LIMITED_STEPS`].
     line_limits: [LogRateLimiter; RATE_LIMITED_STEPS.len()],
+    /// Rate limiter of the log lines about candidacies of this process.
     candidacy_limit: LogRateLimiter,
     pub counters: Counters,
 }
@@ -225,7 +239,7 @@
         ring.push(Event { at, subject, kind, epoch, version });
     }
 
-    /// Whether a log line of this step is allowed, and how many were suppressed before it.
+    /// Returns `None` if a log line of this step must be suppressed, otherwise the number of lines suppressed before.
     pub fn allow_line(&mut self, step: &str, at: u64) -> Option<u64> {
         let kind = RATE_LIMITED_STEPS.iter().position(|known| *known == step);
         kind.map_or(Some(0), |kind| self.line_limits[kind].try_acquire(at))
@@ -239,7 +253,7 @@
         }
     }
 
-    /// Updates the leader, term and version, and records a change of the leader.
+    /// Updates the leader, the Raft term (`epoch`) and the version, and records a change of the leader.
     pub fn on_leader_state(&mut self, at: u64, leader: Option<SocketAddr>, epoch: u64, version: u64) {
         (self.epoch, self.version) = (epoch, version);
         if leader != self.leader {
@@ -305,7 +319,7 @@
                 (Some((Phase::Serving, _)) | None, Phase::Draining) => StatusChange::Draining,
                 (Some((_, false)), _) if backend.overdue => StatusChange::Overdue,
                 (Some((_, true)), _) if !backend.overdue => StatusChange::Back,
-                // Only its address, capacity or zone has changed.
+                // Only the address, capacity or zone of the backend has changed.
                 _ => continue,
             };
             let id = match self.live_backends.get_key_value(&*backend.id) {
--- a/crates/raft/src/leader_state.rs
+++ b/crates/raft/src/leader_state.rs
@@ -12,15 +12,19 @@
 #[derive(Debug)]
 #[cfg_attr(test, derive(Clone, Hash))]
 pub(crate) struct LeaderState {
+    /// When this node was elected.
     pub(crate) elected_at: Millis,
-    /// Since when the leader has held its lease without a gap, and when that was last checked.
+    /// Since when the leader has held its lease without a gap.
     pub(crate) stable_since: Millis,
+    /// When the leader last checked that it holds the lease.
     pub(crate) stability_checked_at: Millis,
+    /// When the next heartbeat is due.
     pub(crate) next_heartbeat_at: Millis,
+    /// The replication progress of each peer: members, learners, and recently removed members.
     pub(crate) peers: Vec<Peer>,
     /// Proposals that are not committed yet.
     pub(crate) pending_proposals: VecDeque<PendingProposal>,
-    /// The number of the newest heartbeat.
+    /// The number of the newest heartbeat. Peers echo this number in their responses.
     pub(crate) last_echo: u64,
     /// The numbers and send times of the newest heartbeats.
     pub(crate) sent_heartbeats: VecDeque<(u64, Millis)>,
@@ -49,8 +53,11 @@
 #[derive(Debug)]
 #[cfg_attr(test, derive(Clone, Hash))]
 pub(crate) struct PendingProposal {
+    /// The index of the proposal's log entry.
     pub(crate) index: u64,
+    /// Identifies the proposal to the host.
     pub(crate) token: u64,
+    /// The length of the change in bytes.
     pub(crate) size: usize,
 }
 
@@ -61,19 +68,23 @@
     pub(crate) id: VoterId,
     /// The highest index up to which the peer's disk is known to match this log.
     pub(crate) match_index: u64,
+    /// The index of the next entry to send to the peer.
     pub(crate) next_index: u64,
     /// Whether `next_index` is a guess. While probing, the leader sends one message at a time.
     pub(crate) probing: bool,
+    /// Unanswered messages with log data, oldest first.
     pub(crate) in_flight: VecDeque<InFlightMessage>,
     /// The chunked transfer in progress, if any. The leader sends no other log data to the peer meanwhile.
     pub(crate) transfer: Option<OutgoingTransfer>,
+    /// Whether the peer supports chunked transfers.
     pub(crate) chunk_support: ChunkSupport,
-    /// The number of lost attempts before the peer acknowledged any chunk.
+    /// The number of chunked transfer attempts without a response while chunk support of the peer is unknown.
     pub(crate) unanswered_chunk_attempts: u32,
     /// The send time of the newest heartbeat that the peer has answered.
     pub(crate) answered_heartbeat_at: Option<Millis>,
-    /// For peers that are not members: when the leader forgets the peer, and whether the peer is to become a voter.
+    /// When the leader forgets the peer, if the peer is not a member.
     pub(crate) expires_at: Millis,
+    /// Whether the host has requested that the peer, which is not a member, become a voter.
     pub(crate) promotion_requested: bool,
 }
 
@@ -81,9 +92,13 @@
 #[derive(Debug)]
 #[cfg_attr(test, derive(Clone, Hash))]
 pub(crate) struct InFlightMessage {
+    /// The index of the entry before the first one in the message.
     pub(crate) prev_index: u64,
+    /// The index of the last entry that the message covers.
     pub(crate) last_index: u64,
+    /// The size of the message's log data in bytes.
     pub(crate) bytes: usize,
+    /// The message counts as lost if the peer answers a heartbeat that was sent at this time or later.
     pub(crate) presumed_lost_at: Millis,
 }
 
--- a/crates/raft/src/membership.rs
+++ b/crates/raft/src/membership.rs
@@ -8,12 +8,14 @@
 };
 use crate::types::{Millis, Output, Payload, VoterId};
 
-/// The maximum lag of a node that counts as caught up, in entries and in bytes. The entry limit covers entries that are
-/// in flight while changes continue; the byte limit is what a 2 Mbit/s link carries in half a second.
+/// The maximum lag of a node that counts as caught up, in entries. Covers entries that are in flight while changes
+/// continue.
 const MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 8;
+/// The maximum lag of a node that counts as caught up, in bytes: what a 2 Mbit/s link carries in half a second.
 const MAX_CAUGHT_UP_LAG_BYTES: usize = 128 << 10;
-/// The maximum number of learners, and how long the leader keeps a peer that is not a member, in election timeouts.
+/// The maximum number of learners.
 const MAX_LEARNERS: usize = 8;
+/// How long the leader keeps sending to a peer that is not a member, in election timeouts.
 const PEER_RETENTION_ELECTIONS: u64 = 10;
 
 impl Node {
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -82,7 +82,9 @@
     ticket: u64,
     /// The last log index on disk once the save is durable.
     last_index: u64,
+    /// The term on disk once the save is durable.
     term: u64,
+    /// Messages that are sent once the save is durable.
     replies: Vec<Output>,
     /// The term of the node's vote for itself, if the save contains that vote.
     own_vote: Option<u64>,
@@ -92,10 +94,15 @@
 #[derive(Debug, Default)]
 #[cfg_attr(test, derive(Clone, Hash))]
 pub(crate) struct UnsavedChanges {
+    /// Whether the term or the vote has changed.
     pub(crate) hard_state: bool,
+    /// Index from which on entries are removed.
     pub(crate) truncate: Option<u64>,
+    /// Index of the first appended entry.
     pub(crate) first_entry: Option<u64>,
+    /// Whether the snapshot has changed.
     pub(crate) snapshot: bool,
+    /// The term in which this node voted for itself.
     pub(crate) own_vote: Option<u64>,
 }
 
@@ -107,9 +114,12 @@
     pub(crate) timing: Timing,
     pub(crate) retirement: RetirementPolicy,
     pub(crate) faults: Faults,
+    /// The highest term seen.
     pub(crate) term: u64,
+    /// The candidate that received this node's vote in `term`.
     pub(crate) vote: Option<VoterId>,
     pub(crate) log: Log,
+    /// The commit index known to this node.
     pub(crate) commit: u64,
     /// The highest commit index received from a leader.
     pub(crate) leader_commit: u64,
@@ -118,7 +128,9 @@
     pub(crate) leader_state: Option<LeaderState>,
     /// Present while this node requests pre-votes or votes.
     pub(crate) campaign: Option<Campaign>,
+    /// The number of the newest pre-vote round.
     pub(crate) pre_vote_round: u64,
+    /// When the election timeout ends.
     pub(crate) election_deadline: Millis,
     /// The elections that this node lost since it last knew a leader, except those in which a vote was refused.
     pub(crate) failed_elections: u32,
@@ -129,14 +141,20 @@
     pub(crate) verified_index: u64,
     /// The last log index on disk.
     pub(crate) durable_index: u64,
+    /// The term on disk.
     pub(crate) durable_term: u64,
+    /// The ticket of the newest save.
     pub(crate) last_ticket: u64,
+    /// Saves that are not durable yet, oldest first.
     pub(crate) pending_saves: VecDeque<PendingSave>,
+    /// What the current input has changed and the next save must contain.
     pub(crate) unsaved: UnsavedChanges,
+    /// Messages of the current input that depend on unsaved state.
     replies: Vec<Output>,
     /// The chunked payload that is being received.
     pub(crate) incoming: Option<IncomingTransfer>,
     pub(crate) limits: TransferLimits,
+    /// The role in the last [`Output::Role`].
     pub(crate) reported_role: Role,
     pub(crate) rng_state: u64,
 }
--- a/crates/raft/src/transfer.rs
+++ b/crates/raft/src/transfer.rs
@@ -19,7 +19,7 @@
 /// An unanswered message or chunk counts as lost once the peer answers a heartbeat sent this many heartbeat intervals
 /// later. All messages use one connection in order, so a slow link alone never causes a retransmission.
 pub(crate) const HEARTBEATS_UNTIL_LOST: u64 = 3;
-/// The same limit for a whole snapshot, which takes longer to be written to disk.
+/// The same as [`HEARTBEATS_UNTIL_LOST`] for a whole snapshot, which takes longer to be written to disk.
 pub(crate) const HEARTBEATS_UNTIL_SNAPSHOT_LOST: u64 = 20;
 
 /// Limits of the data in flight to one follower.
@@ -51,7 +51,9 @@
 /// The payload of a transfer.
 #[derive(Debug, Encode, Decode)]
 pub(crate) enum TransferPayload {
+    /// A whole snapshot.
     Snapshot(Snapshot),
+    /// One entry, and the term of the entry before it.
     Entry { previous_term: u64, entry: Entry },
 }
 
@@ -69,7 +71,9 @@
 #[cfg_attr(test, derive(Hash))]
 pub(crate) enum ChunkSupport {
     #[default]
+    /// The follower has not acknowledged any chunk yet.
     Unknown,
+    /// The follower has acknowledged a chunk.
     Known,
     /// The follower runs the previous release and gets whole messages.
     Missing,
@@ -89,10 +93,15 @@
 #[cfg_attr(test, derive(Clone, Hash))]
 pub(crate) struct OutgoingTransfer {
     pub(crate) id: TransferId,
+    /// The encoded payload.
     pub(crate) payload: Arc<[u8]>,
+    /// The number of payload bytes that the follower has confirmed, counted from the start.
     pub(crate) acknowledged: usize,
+    /// The offset of the next chunk to send.
     pub(crate) next_offset: usize,
+    /// Unanswered chunks, oldest first.
     pub(crate) in_flight: VecDeque<ChunkInFlight>,
+    /// The current limit of bytes in flight.
     pub(crate) window_bytes: usize,
     /// The shortest observed time from sending a chunk to its response. Any excess is queueing delay.
     pub(crate) min_delay: Option<Millis>,
--- a/crates/registry/src/backend_registry.rs
+++ b/crates/registry/src/backend_registry.rs
@@ -51,8 +51,11 @@
 
 /// All known backend instances.
 pub struct BackendRegistry {
+    /// Known backends by id.
     registrations: BTreeMap<String, Registration>,
+    /// The drain records of the Raft log.
     drains: DrainTable,
+    /// A backend without a heartbeat for this long is overdue.
     overdue_after: Millis,
 }
 
--- a/crates/registry/src/fleet.rs
+++ b/crates/registry/src/fleet.rs
@@ -10,7 +10,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// How long a silent data plane that has not announced its departure still counts. The data plane may be isolated and
-/// spend its fallback slices; its lease cache spends them for this long after the last message of a control plane.
+/// spend its fallback slices (its share of each quota while it gets no lease). The lease cache of a data plane spends
+/// fallback slices for this long after the last message of a control plane.
 pub const SILENT_DATA_PLANE_TIMEOUT_MS: Millis = 30_000;
 /// How long a departure is remembered: longer than any process still reports contact with the departed data plane. A
 /// report after this time counts the data plane again, for [`SILENT_DATA_PLANE_TIMEOUT_MS`].
@@ -35,15 +36,18 @@
 
 #[derive(Debug)]
 struct Incarnation {
+    /// The random number that identifies the incarnation.
     number: u64,
-    /// Time of the last contact, or of the departure.
+    /// Time of the last contact with an active incarnation, or of the departure of a departed one.
     at: Millis,
 }
 
 /// All incarnations of one data plane name.
 #[derive(Debug, Default)]
 struct DataPlaneEntry {
+    /// Incarnations that have not announced their departure.
     active: Vec<Incarnation>,
+    /// Incarnations that have announced their departure.
     departed: Vec<Incarnation>,
     /// Start of the current uninterrupted period with at least one active incarnation.
     present_since: Millis,
@@ -54,6 +58,7 @@
 /// The data planes that any control plane has been in contact with.
 #[derive(Debug, Default)]
 pub struct Fleet {
+    /// Known data planes by name.
     entries: BTreeMap<String, DataPlaneEntry>,
     /// Recent slice divisors, each with the time from which control planes sent the divisor to data planes.
     divisors: VecDeque<(Millis, u32)>,
--- a/crates/transport/src/follower.rs
+++ b/crates/transport/src/follower.rs
@@ -79,6 +79,7 @@
     commands: mpsc::Sender<Command>,
 }
 
+/// A command from the [`ControlFollower`] handle to the task.
 enum Command {
     LeaseRequest(SocketAddr, quota::LeaseRequest),
     Seeds(Vec<SocketAddr>),
@@ -120,6 +121,7 @@
     pending_requests: PendingRequests,
 }
 
+/// State of the task behind a [`ControlFollower`].
 struct FollowerTask {
     settings: FollowerSettings,
     on_update: Box<dyn FnMut(Update)>,
@@ -127,15 +129,17 @@
     started_at: Instant,
     last_connection_number: u64,
     followed: Option<Upstream>,
-    /// Time of the last freshness query to the followed control plane, and of the last part of a message from it.
+    /// Time of the last freshness query to the followed control plane.
     last_query_at: u64,
+    /// Time of the last part of an incomplete message of the followed control plane.
     last_partial_at: Option<u64>,
     freshness: FreshnessTracker,
     search: CandidateSearch,
     drain_records: DrainRecords,
     holders: Vec<QuotaHolder>,
-    /// The current configuration and its body, which the next difference may build on.
+    /// Version and digest of the current configuration.
     config_id: ConfigId,
+    /// Body of the current configuration, on which the next difference may build.
     config_body: Vec<u8>,
     /// A received configuration that is not adopted yet, because the sender may lag behind and this process has none.
     pending_config: Option<ConfigSnapshot>,
--- a/crates/transport/src/freshness.rs
+++ b/crates/transport/src/freshness.rs
@@ -51,14 +51,18 @@
 /// The freshness queries of a data plane, and the age of the data plane's state.
 #[derive(Debug)]
 pub struct FreshnessTracker {
+    /// Age of the state, in ms, from which on other control planes are queried.
     stale_after: Millis,
+    /// Number and send time of each unanswered query.
     sent_queries: VecDeque<(u64, Millis)>,
+    /// Number of the last query.
     last_number: u64,
-    /// The state of this process contains all changes that the leader had made by this time. In the future shortly
-    /// after the start.
+    /// The state of this process contains all changes that the leader had made by this time. Shortly after the start
+    /// this time lies in the future, which gives the process extra time for its first answer.
     as_of: Millis,
     /// Whether any control plane answers freshness queries. Those of an earlier version do not.
     is_supported: bool,
+    /// When the current search for another control plane began.
     search_started_at: Option<Millis>,
 }
 
--- a/crates/transport/src/peer_choice.rs
+++ b/crates/transport/src/peer_choice.rs
@@ -40,8 +40,9 @@
     /// Time of the last answer in which the control plane reported that the leader confirms its state.
     answered_at: Millis,
     fresh: bool,
-    /// Whether the control plane has sent any message, and whether its state has ever been confirmed as current.
+    /// Whether the control plane has sent any message.
     has_sent_message: bool,
+    /// Whether the state of the control plane has ever been confirmed as current.
     was_fresh: bool,
     /// Configuration version in the last fresh heartbeat.
     version: u64,
@@ -50,10 +51,15 @@
 /// The control planes that a follower knows, and the one that it follows.
 #[derive(Debug)]
 pub struct PeerChoice {
+    /// Name of this process.
     name: String,
+    /// Zone of this process.
     zone: String,
+    /// Address of this process if it is a control plane.
     own: Option<SocketAddr>,
+    /// Addresses from the settings.
     seeds: Vec<SocketAddr>,
+    /// Known control planes and their zones.
     control_planes: BTreeMap<SocketAddr, String>,
     /// Times of recent failures by address.
     failed: BTreeMap<SocketAddr, Millis>,
--- a/crates/transport/src/search.rs
+++ b/crates/transport/src/search.rs
@@ -19,11 +19,13 @@
 /// A candidate is chosen only if its last fresh answer is newer than this.
 const MAX_ANSWER_AGE_MS: Millis = 2 * QUERY_INTERVAL_MS;
 
+/// A control plane that is queried besides the followed one.
 struct Candidate {
     upstream: Upstream,
     last_query_at: Option<Millis>,
-    /// Times of the first and the last fresh answer of the candidate.
+    /// Time of the first fresh answer of the candidate.
     first_fresh_at: Option<Millis>,
+    /// Time of the last fresh answer of the candidate.
     last_fresh_at: Option<Millis>,
 }
 
@@ -32,6 +34,7 @@
 pub(crate) struct CandidateSearch {
     /// Connections in the order in which they were dialed.
     candidates: Vec<Candidate>,
+    /// When each address was last dialed.
     dialed: BTreeMap<SocketAddr, Millis>,
     /// Time of the first fresh answer of any candidate.
     first_fresh_at: Option<Millis>,
