--- a/crates/control-plane/src/admission.rs
+++ b/crates/control-plane/src/admission.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// The reply to an order. Callers stop at 409 and 412, and retry after 503.
+/// The reply to an order. Callers treat 409 and 412 as final, and retry after 503.
 pub fn reply_to(verdict: Verdict) -> Reply {
     match verdict {
         Verdict::Accepted | Verdict::AlreadyAccepted => Reply::ok(),
--- a/crates/control-plane/src/backend_batch.rs
+++ b/crates/control-plane/src/backend_batch.rs
@@ -1,7 +1,7 @@
 //! Changes of backends that are sent in batches.
 //!
 //! When many backends appear at once, such as after a restart of the whole system, a message per backend and
-//! subscriber costs more than its content. So new backends and signs of life are delayed for some milliseconds;
+//! subscriber costs more than its content. So new backends and heartbeats are delayed for some milliseconds;
 //! backends that drain or depart are sent immediately.
 
 use protocol::{Backend, Phase};
--- a/crates/control-plane/src/calls.rs
+++ b/crates/control-plane/src/calls.rs
@@ -26,7 +26,7 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Timeout for each part of a request body.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(3);
-/// Response timeout of changes: an operator's change may be large, and its response waits for disks.
+/// Response timeout of changes: an operator's change may be large, and the response waits for the disks of a majority.
 const CHANGE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Pause after a failed accept, since the process may be out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
@@ -36,10 +36,11 @@
 const MAX_ID_BYTES: usize = 256;
 /// Maximum body of an order in bytes: a configuration at the design size has 5.1 MB.
 const MAX_ORDER_BYTES: usize = 6 << 20;
-/// Maximum total size of bodies being read, in bytes: three of the largest orders. Orders may arrive in numbers, and
+/// Maximum total size of bodies being read, in bytes: three of the largest orders. Many orders may arrive at once, and
 /// memory is limited.
 const MAX_BUFFERED_BODY_BYTES: usize = 3 * MAX_ORDER_BYTES;
-/// Bodies of endpoints with at most this limit are not counted, so that backends never wait for orders.
+/// Endpoints whose body limit is at most this are exempt from [`MAX_BUFFERED_BODY_BYTES`], so that backends never wait
+/// for orders.
 const MAX_UNBUDGETED_BODY_BYTES: usize = 16 * 1024;
 /// Header with the version that an order builds on.
 const BASE_VERSION: &str = "x-base-version";
--- a/crates/control-plane/src/control_plane/contact.rs
+++ b/crates/control-plane/src/control_plane/contact.rs
@@ -31,7 +31,7 @@
     }
 
     /// Same as [`Self::leader`] for a process without a Raft log. Such a process relies on the leader's own
-    /// responses; while there are none, it names the leader from the voters' heartbeats, as not current.
+    /// responses. Without a valid response it names the leader from the voters' heartbeats, as not current.
     fn leader_without_log(&self, now: u64) -> (Option<SocketAddr>, u64, bool) {
         if self.faults.trusts_heartbeats {
             let current = self.last_heartbeat.fresh && now < self.last_heartbeat_at + LEADER_REPORT_TTL_MS;
@@ -92,7 +92,8 @@
         self.leader_contact.newest(now).map(|newest| now.saturating_sub(newest.sent_at))
     }
 
-    /// A data plane asks for the age of the state that it receives, and gets the drain records that it lacks.
+    /// Handles a freshness query of a data plane: replies with the age of the state here and the drain records that the
+    /// data plane lacks.
     pub(super) fn on_freshness_question(&mut self, connection: u64, question: FreshnessQuery, now: u64) {
         let FreshnessQuery { number, last_drain: known } = question;
         let age_ms = self.confirmation_age(now).map(|age| u32::try_from(age).unwrap_or(u32::MAX));
--- a/crates/control-plane/src/control_plane/departures.rs
+++ b/crates/control-plane/src/control_plane/departures.rs
@@ -1,15 +1,16 @@
 //! Data planes that have announced their departure, and the number of data planes that quotas are divided by.
 //!
-//! The next quota holder must know of a departure as well. So each process that learns of one forwards it
-//! immediately, and sends all remembered departures on each new connection.
+//! The next quota holder must know of a departure as well. So each control plane forwards a new departure immediately,
+//! and sends all remembered departures on each new connection to a control plane.
 
 use super::*;
 use protocol::{Departure, UNDERSTANDS_DEPARTURES};
 use quota::Epoch;
 use registry::SILENT_DATA_PLANE_TIMEOUT_MS;
 
-/// Data planes divide their quota slices by the number of data planes seen within this window. An isolated data plane
-/// keeps the last number it received, which must not be a small one from a moment when many data planes restart.
+/// A data plane without a quota lease spends a slice: the quota divided by the number of data planes seen within this
+/// window (the slice divisor). An isolated data plane keeps the last divisor it received, which must not be a small one
+/// from a moment when many data planes restart.
 const SLICE_DIVISOR_WINDOW_MS: u64 = SILENT_DATA_PLANE_TIMEOUT_MS;
 /// A smaller fleet is recorded in the log only after this long: a restarted data plane is back by then.
 const FLEET_SHRINK_DELAY_MS: u64 = 5000;
@@ -76,7 +77,7 @@
         self.fleet.has_departed(&hello.name, hello.process_incarnation)
     }
 
-    /// Removes departed data planes from the quota service, which must not mistake them for silent ones.
+    /// Removes departed data planes from the quota service, which would otherwise reserve slices for them.
     pub(super) fn exclude_departed(&mut self) {
         for name in self.fleet.departed_names() {
             self.quota_service.remove_gateway(name);
@@ -91,7 +92,8 @@
         self.quota_service.set_oversized_slices(wide);
     }
 
-    /// The number of data planes that may spend quota. Slices are held back for the silent ones among them.
+    /// The number of data planes that may spend quota. The quota service reserves a slice of each quota for every
+    /// silent data plane, which may still spend its slice.
     pub(super) fn quota_fleet_size(&self, now: u64) -> u32 {
         self.fleet.size().max(self.recorded_fleet_size(now))
     }
--- a/crates/control-plane/src/control_plane/drains.rs
+++ b/crates/control-plane/src/control_plane/drains.rs
@@ -152,7 +152,7 @@
         self.propose_drains();
     }
 
-    /// This process stopped leading. The entry in flight may still be committed, so all callers are told to retry.
+    /// This process stopped leading. The entry in flight may still be committed, so every reply requests a retry.
     pub(super) fn abort_drains(&mut self) {
         let now = self.now();
         for drain in self.drain_proposals.take_all() {
@@ -177,12 +177,12 @@
         }
     }
 
-    /// Recorded backends that are otherwise unknown here, for a subscriber that may know them.
+    /// Backends that have a drain record but are otherwise unknown here, for a subscriber that may know these backends.
     pub(super) fn drained_unknown(&self) -> Vec<Backend> {
         self.register.unknown_draining().into_iter().map(Backend::draining).collect()
     }
 
-    /// The drain records for a snapshot; none while some voter may be unable to read them.
+    /// The drain records for a snapshot; `None` while some voter may run a version that cannot read drain records.
     pub(super) fn drains_for_snapshot(&self) -> Option<DrainRun> {
         let me = self.settings.address.to_string();
         let mut others = self.node.iter().flat_map(|node| node.members()).filter(|voter| voter.address != me);
--- a/crates/control-plane/src/control_plane/orders.rs
+++ b/crates/control-plane/src/control_plane/orders.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// An isolated process sends a backend to another process: an update from here would reach few others, so that
-    /// other processes would consider the backend overdue.
+    /// An isolated process refuses a heartbeat, so that the backend calls another process: an update from here would
+    /// reach few others, and other processes would consider the backend overdue.
     fn heartbeat_reply(&self, now: u64) -> Reply {
         let (.., current) = self.leader(now);
         if current || now < self.last_current_at + ISOLATION_GRACE_MS {
@@ -262,8 +262,8 @@
 
     /// Removes a voter. The Raft node completes a removal only if the request is repeated until a majority of the
     /// other voters has the new list, so the caller repeats the call: 202 means in progress, 404 means that no voter
-    /// has this address. A leader with a lease is in contact with a majority of the voters; removing a voter that the
-    /// leader does not hear keeps all voters that the leader hears.
+    /// has this address. A leader with a lease is in contact with a majority of the voters; removing an unresponsive
+    /// voter keeps all responsive ones.
     fn remove_voter(&mut self, address: &str, now: u64) -> Reply {
         let Some(node) = &self.node else { return Reply::error(503, "this process does not lead") };
         let in_progress = Reply::error(202, "under way: ask again");
--- a/crates/control-plane/src/control_plane/quota_service.rs
+++ b/crates/control-plane/src/control_plane/quota_service.rs
@@ -31,7 +31,7 @@
             self.assignment = placer.assignment().clone();
             self.placer = Some(placer);
             self.resize_fleet(now);
-            // Floors exist only while the leader is the sole holder.
+            // Checkpoints contain quota floors (see [`quota::Floor`]) only while the leader is the sole holder.
             if self.settings.max_lease_requests_per_holder <= 0.0 {
                 self.quota_service.set_floors(self.config_history.floors().clone());
             }
@@ -53,7 +53,7 @@
         self.renew_quota_lease(now);
     }
 
-    /// Extends the leader's role to the end of its Raft lease.
+    /// Extends the quota holder role of the leader to the end of its Raft lease.
     fn renew_quota_lease(&mut self, now: u64) {
         if self.placer.is_some()
             && let Some(until) = self.node.as_ref().and_then(|node| node.lease_until(now))
@@ -73,7 +73,7 @@
         let is_sole_holder = self.settings.max_lease_requests_per_holder <= 0.0;
         let floors = if is_sole_holder { self.quota_service.propose_floors(now as f64) } else { Vec::new() };
         let (fleet_size, recorded) = (self.fleet_size_to_record(now), self.config_history.fleet_size());
-        // A small difference hardly changes the share of any data plane.
+        // A small difference in the fleet size hardly changes the slice of any data plane.
         let fleet_changed = now >= WARMUP_MS
             && fleet_size > 0
             && fleet_size.abs_diff(recorded) * FLEET_CHANGE_DIVISOR > recorded;
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Asks the leader for a lease as a deputy, or offers this voter as one.
+    /// Requests a quota lease from the leader: renews the lease of a deputy, or offers this voter as a new deputy.
     fn send_offer(&mut self, now: u64) {
         if self.settings.max_lease_requests_per_holder <= 0.0 || now < self.offers.next_at {
             return;
--- a/crates/control-plane/src/event_log.rs
+++ b/crates/control-plane/src/event_log.rs
@@ -28,7 +28,7 @@
 /// What happened.
 #[derive(Clone, Debug)]
 pub enum EventKind {
-    /// Another process leads, or none.
+    /// The leader changed; `None` if no leader is known.
     Leader(Option<SocketAddr>),
     /// This process became a quota holder, or ceased to be one.
     QuotaService(bool),
@@ -76,17 +76,17 @@
 /// A change in the status of a backend or data plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusChange {
-    /// First appearance.
+    /// The backend or data plane appeared for the first time.
     First,
-    /// Finishes its requests before it ends.
+    /// The backend finishes its requests before it ends.
     Draining,
-    /// Its heartbeats are overdue.
+    /// The heartbeats of the backend are overdue.
     Overdue,
-    /// Heard again after a silence.
+    /// Heartbeats or contact resumed after a silence.
     Back,
     /// A new incarnation under the same name.
     Restarted,
-    /// Ended, or silent for so long that it no longer counts.
+    /// The backend or data plane has ended, or has been silent for so long that it no longer counts.
     Gone,
 }
 
@@ -198,7 +198,7 @@
     live_backends: HashMap<Rc<str>, (Phase, bool)>,
     /// Interned service names, shared by the events.
     services: HashSet<Rc<str>>,
-    /// Incarnation of each data plane; `None` once it no longer counts.
+    /// Incarnation of each known data plane; `None` once the data plane no longer counts.
     data_planes: BTreeMap<Rc<str>, Option<u64>>,
     /// Rate limiters of the log lines, one for each of [`RATE_LIMITED_STEPS`].
     line_limits: [LogRateLimiter; RATE_LIMITED_STEPS.len()],
--- a/crates/control-plane/src/snapshot_state.rs
+++ b/crates/control-plane/src/snapshot_state.rs
@@ -1,7 +1,8 @@
 //! The state machine's state as stored in a snapshot: the configuration history and the drain records.
 //!
-//! A state without drain records is written in the format of the previous version, which that version can read; so is
-//! a state for voters of the previous version. Every other state begins with a tag.
+//! A state without drain records is written in the untagged format of the previous version. Drain records are left out
+//! while some voter runs the previous version, which can read only that format. A state with drain records begins with
+//! a tag.
 
 use crate::config_history::ConfigHistory;
 use crate::config_history::snapshot_format::UnknownFormat;
--- a/crates/control-plane/src/tolerance.rs
+++ b/crates/control-plane/src/tolerance.rs
@@ -35,8 +35,8 @@
         min_voters(machines.max(in_zones).max(in_regions)).max(MIN_VOTERS)
     }
 
-    /// The losses that a list of this many voters tolerates, given the zones of the healthy ones: any losses of that
-    /// many machines, zones or regions leave a majority.
+    /// The losses that a list of this many voters tolerates, given the zones of the healthy voters. After the loss of
+    /// any `n` machines (or zones, or regions), with `n` as returned, a majority remains.
     pub fn tolerated(&self, voters: usize, healthy: &[&str]) -> Losses {
         let spare = healthy.len().saturating_sub(majority_of(voters));
         Losses {
--- a/crates/control-plane/tests/isolation.rs
+++ b/crates/control-plane/tests/isolation.rs
@@ -37,12 +37,19 @@
 /// What happens to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Disruption {
+    /// All frames to the process are lost.
     CutIn,
+    /// All frames from the process are lost.
     CutOut,
+    /// All frames to and from the process are lost.
     CutBoth,
+    /// Frames to the process are acknowledged by a relay, but delivered only after the disruption.
     HeldIn,
+    /// Frames in both directions are held in the same way.
     HeldBoth,
+    /// The process does not run.
     Frozen,
+    /// The disk completes no write.
     DiskHangs,
 }
 
@@ -61,6 +68,7 @@
 enum Targets {
     Leader,
     Follower,
+    /// A process without a Raft log.
     WithoutLog,
     /// A minority of five voters, which stay connected to each other.
     LeaderAndFollower,
--- a/crates/raft/src/bounded_model_check/world.rs
+++ b/crates/raft/src/bounded_model_check/world.rs
@@ -60,13 +60,15 @@
     Wipe(usize),
 }
 
-/// How often rare events may happen, and the highest term in which a node may start an election.
+/// How often each kind of rare event may still happen.
 #[derive(Clone, Copy, Debug, Default, Hash)]
 pub struct Budget {
+    /// The highest term in which a node may start an election.
     pub term: u64,
     /// The number of events after which the save of the event may remain pending.
     pub slow_syncs: u8,
     pub restarts: u8,
+    /// Losses of a disk.
     pub wipes: u8,
     pub proposals: u8,
     pub joins: u8,
@@ -75,6 +77,7 @@
     pub step_downs: u8,
 }
 
+/// A message in the simulated network.
 struct Sent {
     from: VoterId,
     to: VoterId,
@@ -104,9 +107,13 @@
 #[derive(Clone)]
 pub struct World {
     hosts: Vec<Host>,
+    /// All messages sent so far; each may be delivered repeatedly or never.
     net: Rc<Vec<Rc<Sent>>>,
+    /// Committed entries, leaders and votes that later events must not contradict.
     history: Rc<History>,
+    /// Digest of `history`, so that equal states are recognized.
     history_digest: u64,
+    /// How many of the limited events may still happen.
     pub budget: Budget,
     limits: TransferLimits,
     fault: Fault,
--- a/crates/raft/src/leadership_transfer.rs
+++ b/crates/raft/src/leadership_transfer.rs
@@ -1,8 +1,8 @@
 //! Leadership transfer before a shutdown (section 3.10 of Ongaro's dissertation on Raft).
 //!
 //! Without a transfer the followers notice the loss of the leader only after an election timeout, during which
-//! nobody accepts changes or holds quota. The leader steps down, and thus gives up its lease, before it sends
-//! `TimeoutNow`, and does not lead again in this term. Voters may therefore elect the successor at once, even if
+//! no node accepts changes and no host grants quota. The leader steps down, and thus gives up its lease, before it
+//! sends `TimeoutNow`, and does not lead again in this term. Voters may therefore elect the successor at once, even if
 //! they have just answered a heartbeat of the former leader: no lease depends on that response any more.
 
 use crate::node::Node;
--- a/crates/raft/src/types.rs
+++ b/crates/raft/src/types.rs
@@ -30,7 +30,7 @@
     pub heartbeat: Millis,
     /// The minimum election timeout. The actual timeout is drawn at random between this value and twice this value.
     pub election: Millis,
-    /// How long after sending a heartbeat that a majority answered the leader can rule out another leader. Shorter
+    /// The duration of the leader lease, from the sending of a heartbeat that a majority has answered. Shorter
     /// than `election` by more than the clocks of two machines can drift apart during `election`.
     pub lease: Millis,
 }
--- a/crates/raft/tests/membership/mod.rs
+++ b/crates/raft/tests/membership/mod.rs
@@ -24,7 +24,7 @@
     DiskWiped,
     /// The machine is gone for good; an empty one starts at another address.
     Replaced,
-    /// As `Replaced`, but the new machine starts first.
+    /// As `Replaced`, but the new machine starts before the old one stops.
     PlannedReplacement,
 }
 
@@ -40,9 +40,9 @@
 struct Cluster {
     world: World,
     tolerated: usize,
-    /// Hosts that are not gone for good.
+    /// Hosts that were not replaced.
     present: Vec<usize>,
-    /// The time until which the machine of any loss still counts as lost.
+    /// The time until which the machines of the latest losses still count as lost.
     lost_until: Millis,
     /// Pending events: when partitioned hosts rejoin, and when hosts leave for good.
     rejoin: Vec<(Millis, usize)>,
--- a/crates/raft/tests/randomized.rs
+++ b/crates/raft/tests/randomized.rs
@@ -11,8 +11,8 @@
 
 const TROUBLE_DURATION: u64 = 9_000;
 
-/// The troubles of a simulation: the percentage of steps with a trouble, and the percentage of each kind of trouble.
-/// Any remaining percentage heals all partitions.
+/// The injected failures of a simulation: the percentage of steps with a failure, and the percentage of each kind of
+/// failure. Any remaining percentage heals all partitions.
 #[derive(Clone, Copy)]
 struct Conditions {
     trouble_percent: u64,
@@ -57,7 +57,7 @@
     limits: DEFAULT_LIMITS,
 };
 const CHUNKED: Conditions = Conditions { limits: SMALL_CHUNKS, ..ALL_TROUBLES };
-/// Frequent leadership transfers during all troubles, and on links that lose and delay messages.
+/// Frequent leadership transfers during all kinds of failures, and on links that lose and delay messages.
 const LEADERSHIP_TRANSFERS: Conditions = Conditions { transfer_percent: 20, ..ALL_TROUBLES };
 const TRANSFERS_WITH_LINK_FAILURES: Conditions =
     Conditions { transfer_percent: 30, proposal_percent: 100, ..LINK_FAILURES };
--- a/crates/registry/src/backend_registry.rs
+++ b/crates/registry/src/backend_registry.rs
@@ -11,7 +11,7 @@
 const HEARTBEAT_TRANSIT_MS: Millis = 800;
 /// A backend without heartbeats for this long counts as gone, so that the table stays bounded.
 const SILENT_BACKEND_TIMEOUT_MS: Millis = 60_000;
-/// How long an instance that is gone is remembered: a delayed heartbeat must not restore it.
+/// How long an instance that is gone is remembered: a delayed heartbeat must not restore the instance.
 const GONE_RETENTION_MS: Millis = 60_000;
 /// Maximum number of instances; further ones are ignored.
 const MAX_INSTANCES: usize = 20_000;
--- a/crates/transport/src/drain_records.rs
+++ b/crates/transport/src/drain_records.rs
@@ -6,8 +6,8 @@
 /// Milliseconds of the host's monotonic clock.
 type Millis = u64;
 
-/// A control plane may have fewer records than one queried before. If every answer reports fewer records for this
-/// long, the log with the higher record numbers has been replaced.
+/// A control plane may report a lower record number than a control plane queried before. If every answer reports a
+/// lower number for this long, the Raft log with the higher record numbers has been replaced.
 const LOG_REPLACEMENT_TIMEOUT_MS: Millis = 5000;
 
 /// The drain records of a data plane.
--- a/crates/transport/src/peer_choice.rs
+++ b/crates/transport/src/peer_choice.rs
@@ -1,4 +1,6 @@
 //! Selection of the control plane to follow: a state machine without I/O or a clock.
+//!
+//! A heartbeat is fresh if its sender marks its own state as confirmed by the leader.
 
 use protocol::Heartbeat;
 use quota::{Epoch, HolderAssignment};
@@ -28,7 +30,7 @@
 const RETRY_INTERVAL_MS: Millis = 200;
 /// A process without a configuration adopts a possibly outdated one only after this long.
 const STALE_CONFIG_DELAY_MS: Millis = 8000;
-/// Maximum number of known control planes. A deployment has several dozen; a longer list is faulty.
+/// Maximum number of known control planes. A deployment has several dozen; a longer list indicates a fault.
 const MAX_CONTROL_PLANES: usize = 256;
 
 /// The followed control plane.
--- a/crates/transport/src/search.rs
+++ b/crates/transport/src/search.rs
@@ -1,5 +1,6 @@
 //! Search for a control plane whose state the leader confirms, while the followed one may be isolated from the
-//! leader.
+//! leader. An answer to a freshness query is fresh if the state of its sender was confirmed by the leader recently; see
+//! [`FreshnessTracker::is_recent`](crate::freshness::FreshnessTracker::is_recent).
 
 use crate::upstream::Upstream;
 use std::collections::BTreeMap;
--- a/crates/transport/src/upstream.rs
+++ b/crates/transport/src/upstream.rs
@@ -15,7 +15,7 @@
 /// An event on a connection: the connection number, and what was received or why the connection was lost.
 pub(crate) type Event = (u64, Result<Received, ConnectionError>);
 
-/// Channels on which connections report to the follower.
+/// Channels on which connection tasks report to the follower task.
 #[derive(Clone, Debug)]
 pub(crate) struct Inbox {
     /// Established connections.
