--- a/crates/control-plane/src/control_plane/connections.rs
+++ b/crates/control-plane/src/control_plane/connections.rs
@@ -66,7 +66,8 @@
         known.chain(voters).filter(|address| *address != self.settings.address).collect()
     }
 
-    /// Each control plane dials its own connection to every other one.
+    /// Closes stale connections and dials missing ones. Each control plane dials its own connection to every other
+    /// control plane.
     pub(super) fn maintain_connections(&mut self, now: u64) {
         let stale: Vec<u64> = self
             .peers
@@ -109,7 +110,7 @@
         self.addresses_of(self.directory.all())
     }
 
-    /// The addresses that other control planes receive.
+    /// The addresses of recently connected control planes, which other control planes receive.
     pub(super) fn connected_addresses(&self, now: u64) -> Vec<ControlPlaneAddress> {
         self.addresses_of(self.directory.recently_connected(now))
     }
@@ -126,7 +127,7 @@
         addresses.into_iter().collect()
     }
 
-    /// Records which control planes are connected, and forgets those without a connection for long.
+    /// Records which control planes are connected, and forgets control planes that have had no connection for long.
     pub(super) fn maintain_directory(&mut self, now: u64) {
         let alive = self
             .peers
@@ -179,7 +180,7 @@
             Message::Follow { have } => self.on_follow(connection, have, now),
             Message::FreshnessQuery(question) => self.on_freshness_question(connection, question, now),
             Message::Backends { backends, .. } => {
-                // Of a control plane that this process dialed, the address is known but no name.
+                // A control plane that this process dialed has sent no name, so its address identifies the origin.
                 let address = peer.dialed.map_or_else(String::new, |address| address.to_string());
                 let origin = peer.hello.as_ref().map_or(address, |hello| hello.name.clone());
                 let changed = self.register.merge_reports(now, backends);
@@ -239,8 +240,8 @@
         match hello.plane {
             Plane::DataPlane => {
                 self.fleet.record_contact(now, &hello.name, hello.process_incarnation);
-                // The fleet size must include the new data plane first; otherwise the quota service takes the new data
-                // plane for one of the silent ones.
+                // The fleet size must include the new data plane first. Otherwise the quota service counts the new
+                // data plane as one of the silent data planes.
                 self.resize_fleet(now);
                 self.on_data_plane_contact(&hello, quota::Epoch::default(), now);
                 if let Some(peer) = self.peers.get(&connection) {
--- a/crates/control-plane/src/control_plane/entries.rs
+++ b/crates/control-plane/src/control_plane/entries.rs
@@ -9,8 +9,9 @@
         let now = self.now();
         let Some(node) = &mut self.node else { return };
         node.handle(now, input, &mut self.outputs);
-        // An input that an output causes is handled after all earlier outputs. Otherwise a compaction caused by a
-        // committed entry would be written to disk before that entry, and the entry would lie below the snapshot.
+        // Handling an output may produce another input for the Raft node. The outputs of that input are handled after
+        // all earlier outputs. Otherwise a compaction caused by a committed entry would be written to disk before the
+        // entry itself, and the entry would lie below the snapshot.
         if std::mem::replace(&mut self.handling_outputs, true) {
             return;
         }
@@ -65,8 +66,8 @@
     }
 
     /// Replaces the state by the leader's snapshot. If this version cannot read the snapshot, the process stops
-    /// taking part in the log and writes nothing of the snapshot: it would decide on changes, and lead, with a state
-    /// behind its log.
+    /// taking part in the log and writes nothing of the snapshot. Otherwise the process would decide on changes, and
+    /// might lead, with a state behind its log.
     fn install_snapshot(&mut self, snapshot: &Snapshot) {
         match SnapshotState::restore(&snapshot.state) {
             Ok(SnapshotState { config_history, drains }) => {
@@ -108,8 +109,8 @@
                 let list = voters.iter().map(|voter| voter.address.clone().into()).collect();
                 return self.event_log.record(now, "voters", Recorded::Voters(list));
             }
-            // The first entry of this leader's own term: all entries of former leaders are applied, so that this
-            // process can become a quota holder.
+            // The first entry of this leader's own term is committed. All entries of former leaders are applied, so
+            // this process can become a quota holder.
             Payload::Noop if self.node.as_ref().is_some_and(|node| node.term() == at.epoch) => {
                 return self.maintain_quota_service(now);
             }
--- a/crates/control-plane/src/control_plane/membership.rs
+++ b/crates/control-plane/src/control_plane/membership.rs
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Another control plane is shutting down. If it votes, the remaining voters may tolerate more losses without it.
+    /// Another control plane is shutting down. If that control plane votes, the remaining voters may tolerate more
+    /// losses without it.
     pub(super) fn on_control_plane_shutdown(&mut self, connection: u64, hello: &Hello) {
         if let Some(peer) = self.peers.get_mut(&connection) {
             peer.is_shutting_down = true;
@@ -42,8 +43,8 @@
         }
     }
 
-    /// The connected processes that store the Raft log. Processes known only from the past are left out: they may be
-    /// gone, and would take the places of others among the learners.
+    /// The connected processes that store the Raft log. Processes without a recent message are left out: such processes
+    /// may be gone, and would occupy some of the limited number of learners.
     fn voter_candidates(&self, now: u64) -> BTreeSet<VoterId> {
         let connected = self
             .peers
@@ -58,7 +59,7 @@
             .collect()
     }
 
-    /// The zones of these voters. A voter in an unknown zone counts as the only one in its zone.
+    /// The zones of these voters. A voter whose zone is unknown counts as the only voter in its zone.
     fn zones_of<'a>(&'a self, voters: &'a [VoterId]) -> Vec<&'a str> {
         let zone = |voter: &'a VoterId| match voter.address.parse() {
             Ok(address) if address == self.settings.address => self.settings.me.zone.as_str(),
--- a/crates/control-plane/src/control_plane/orders.rs
+++ b/crates/control-plane/src/control_plane/orders.rs
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Whether this process leads but has not held a lease yet. Until then it does not know all entries that its
-    /// predecessors committed.
+    /// Whether this process leads but has not held a lease yet. Before its first lease a leader does not know all
+    /// entries that its predecessors committed.
     fn awaits_lease(&self, now: u64) -> bool {
         let lacks_lease = |node: &Node| node.is_leader() && node.lease_until(now).is_none();
         self.node.as_ref().is_some_and(lacks_lease) && !self.faults.ignores_lease
@@ -278,7 +278,7 @@
                 &format!("{address} leads: end its process first, then another one does"),
             );
         }
-        // A running process would join again.
+        // A running process would become a voter again after its removal, so only an unresponsive voter is removed.
         if !node.has_led_for_election_timeout(now) {
             return in_progress;
         }
--- a/crates/control-plane/src/control_plane/shutdown.rs
+++ b/crates/control-plane/src/control_plane/shutdown.rs
@@ -1,6 +1,7 @@
-//! Graceful shutdown of a control plane: it transfers leadership to another voter, leaves a voter list of even size,
-//! and answers the pending calls. Otherwise the other voters would notice the loss only by its silence; until then no
-//! change is accepted and no quota is granted, and the voter list tolerates one loss less.
+//! Graceful shutdown of a control plane: the process transfers leadership to another voter, leaves a voter list of even
+//! size, and answers the pending calls. Otherwise the other voters would notice the loss only by the silence of the
+//! process. Until then no change would be accepted and no quota granted if the process was the leader, and the voter
+//! list would tolerate one loss less.
 
 use super::*;
 
@@ -28,7 +29,7 @@
         self.step_raft(Input::TransferLeadership);
     }
 
-    /// Asks the leader to remove this voter.
+    /// Requests that the leader remove this voter.
     fn request_removal(&mut self) {
         let now = self.now();
         if now < self.next_leave_at {
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -30,8 +30,8 @@
                 peer.line.send(&Message::Heartbeat(heartbeat));
             }
         }
-        // A control plane without a Raft log subscribes only to those with one. Two without a log that subscribed to
-        // each other would send each other's outdated updates back and forth.
+        // A control plane without a Raft log subscribes only to control planes with a Raft log. Two control planes
+        // without a log that subscribed to each other would send each other's outdated updates back and forth.
         if self.node.is_none() {
             let have = self.config_encoder.config_id();
             for address in self.quorum_incarnations.keys() {
@@ -90,7 +90,8 @@
 
     /// Sends the newest configuration to a subscriber that has another one.
     pub(super) fn send_config_snapshot(&mut self, connection: u64) {
-        // The history may be ahead of the encoder; `on_config_changed` sends to all subscribers shortly.
+        // The history is ahead of the encoder; `on_config_changed` sends the newest configuration to all subscribers
+        // shortly.
         if self.config_changed {
             return;
         }
@@ -131,8 +132,8 @@
         self.send_to_control_planes(&Message::ControlPlanes(self.connected_addresses(now)));
         self.fleet.sweep(now);
         let (.., current) = self.leader(now);
-        // An outdated process, like one that has just started, may know only few data planes. The count of
-        // such a process must not enlarge any slice.
+        // An isolated or newly started process may know only few data planes. The count of such a process must not
+        // enlarge any slice.
         if current {
             self.fleet.set_slice_divisor(now, self.slice_divisor(now));
         }
@@ -164,8 +165,8 @@
     }
 
     /// Applies the findings of the failure detector among neighbours. A data plane that its neighbours consider dead
-    /// keeps counting as silent: it may only be isolated from them and still spend quota. A data plane that announced
-    /// its departure does not count any more.
+    /// keeps counting as silent: the data plane may only be isolated from its neighbours and still spend quota. A data
+    /// plane that announced its departure does not count any more.
     fn apply_neighbor_watch(&mut self, now: u64) {
         let Some(neighbor_watch) = &self.neighbor_watch else { return };
         if self
--- a/crates/raft/src/election.rs
+++ b/crates/raft/src/election.rs
@@ -16,8 +16,8 @@
 impl Node {
     /// Starts a pre-vote after an election timeout without a leader.
     pub(crate) fn start_pre_vote(&mut self, now: Millis, out: &mut Vec<Output>) {
-        // Votes did not arrive in time: with slow disks the next election needs a longer timeout, or no election ever
-        // succeeds. After a split vote a longer timeout would only delay the next election.
+        // `timed_out`: votes did not arrive in time. With slow disks the next election needs a longer timeout, or no
+        // election ever succeeds. After a split vote (`refused`) a longer timeout would only delay the next election.
         let timed_out =
             self.campaign.as_ref().is_some_and(|campaign| campaign.is_election && !campaign.refused);
         self.failed_elections = if timed_out {
@@ -28,7 +28,7 @@
         self.reset_election_deadline(now);
         self.leader = None;
         self.campaign = None;
-        // A node that is not a voter would only disrupt the voters.
+        // An election started by a node that is not a voter would only disrupt the voters.
         if !self.is_voter() {
             return;
         }
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -5,10 +5,11 @@
 use crate::transfer::{HEARTBEATS_UNTIL_LOST, HEARTBEATS_UNTIL_SNAPSHOT_LOST};
 use crate::types::{Entry, Message, Millis, Output, Payload, Snapshot, TransferKind, VoterId};
 
-/// The maximum number of entries in one `Append`; the window limits their bytes.
+/// The maximum number of entries in one `Append`. The transfer window limits the bytes of these entries.
 const MAX_ENTRIES_PER_APPEND: usize = 64;
-/// The maximum number of uncommitted entries, and the maximum bytes of uncommitted changes.
+/// The maximum number of uncommitted entries.
 const MAX_UNCOMMITTED_ENTRIES: u64 = 1024;
+/// The maximum total size of uncommitted changes, in bytes.
 const MAX_UNCOMMITTED_BYTES: usize = 7 << 20;
 /// The largest change that a leader accepts, in bytes: a configuration of 6 MiB plus the encoding overhead of the host.
 pub const MAX_CHANGE_BYTES: usize = (6 << 20) + (4 << 10);
@@ -222,7 +223,7 @@
         let heartbeat_sent_at = if faults.fixed_loss_timeout { now } else { sent_at.unwrap_or(0) };
         if peer.in_flight.front().is_some_and(|first| first.presumed_lost_at <= heartbeat_sent_at) {
             peer.in_flight.clear();
-            // A chunked entry that follows lost entries can no longer be appended.
+            // A chunked entry that follows lost entries can no longer be appended, so its transfer ends.
             peer.transfer.take_if(|transfer| transfer.id.kind == TransferKind::Entry);
             peer.probing = true;
             peer.next_index = peer.match_index.max(matched) + 1;
@@ -388,7 +389,7 @@
         for entry in entries.into_iter().filter(|entry| entry.index > base) {
             match self.log.term_at(entry.index) {
                 Some(term) if term == entry.term => continue,
-                // Cannot happen: a leader without a committed entry cannot be elected. Ignore such a message.
+                // Cannot happen: a candidate whose log lacks a committed entry is not elected. Ignores such a message.
                 Some(_) if entry.index <= self.commit => return None,
                 Some(_) => self.truncate_log(entry.index),
                 None => {}
@@ -407,7 +408,7 @@
         self.mark_committed(commit.min(self.verified_index), out);
     }
 
-    /// The highest index at which the logs may match. Skips all entries of the conflicting term.
+    /// The highest index at which this log may match the leader's log. Skips all entries of the conflicting term.
     fn conflict_hint(&self, prev_index: u64) -> u64 {
         let mut hint = prev_index.saturating_sub(1).min(self.log.last());
         if let Some(conflicting_term) = self.log.term_at(prev_index) {
--- a/crates/raft/src/transfer_protocol.rs
+++ b/crates/raft/src/transfer_protocol.rs
@@ -5,8 +5,8 @@
 use crate::transfer::{ChunkSupport, IncomingTransfer, OutgoingTransfer, TransferLimits, TransferPayload};
 use crate::types::{Entry, Message, Millis, Output, Snapshot, TransferId, TransferKind, VoterId};
 
-/// The longest payload that a follower assembles, in bytes: a configuration of maximum size, its predecessors, and the
-/// remembered versions and floors.
+/// The longest payload that a follower assembles, in bytes. The snapshot of a control plane holds a configuration of
+/// maximum size, its predecessors, and the remembered versions and quota floors.
 const MAX_PAYLOAD_BYTES: u64 = 24 << 20;
 /// The number of unanswered transfer attempts, while heartbeats are answered, after which a follower is assumed to run
 /// the previous release, which ignores chunks.
