--- a/crates/control-plane/src/directory.rs
+++ b/crates/control-plane/src/directory.rs
@@ -1,8 +1,8 @@
 //! Directory of known control planes: a state machine without I/O or clock.
 //!
 //! Replaced machines come back at other addresses, so old addresses fall out of use. A control plane without a
-//! connection to any process is forgotten after a while. For this, each process advertises only control planes with a
-//! recent connection of its own: otherwise processes would pass an unused address on to each other forever.
+//! connection to any process is forgotten after a while. So each process advertises only control planes with which the
+//! process itself had a recent connection. Otherwise processes would pass an unused address on to each other forever.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 /// A control plane is advertised to others for this long after the last connection with it.
 const ADVERTISE_FOR: Millis = 60_000;
 /// A control plane is forgotten this long after the last connection with it, or after it was first reported. Longer
-/// than any tolerated partition, after which both sides have to find each other again.
+/// than any tolerated partition, because both sides of a partition have to find each other again afterwards.
 const FORGET_AFTER: Millis = 600_000;
 
 /// One control plane.
--- a/crates/control-plane/tests/drains.rs
+++ b/crates/control-plane/tests/drains.rs
@@ -63,7 +63,7 @@
 }
 
 impl World {
-    /// Acts as a data plane on the machine of a process, and checks what it receives.
+    /// Acts as a data plane on the machine of a process, and checks the updates that the data plane receives.
     async fn observe_updates(&self, process: usize) {
         let (connection, mut frames) = self.simulation.subscribe(process).await;
         let mut query = interval(QUERY_INTERVAL);
--- a/crates/control-plane/tests/orders/chaos.rs
+++ b/crates/control-plane/tests/orders/chaos.rs
@@ -37,12 +37,16 @@
     ReadAnywhere,
 }
 
-/// A copy of an order, or a read, in transit; `call` is its number in the history.
+/// A copy of an order, or a read, in transit.
 #[derive(Clone, Copy)]
 struct Sent {
+    /// The number of the call in the history.
     call: usize,
+    /// Index of the order; `None` for a read.
     order: Option<usize>,
+    /// The process that the copy reaches.
     host: usize,
+    /// When the copy arrives.
     due: u64,
 }
 
@@ -59,12 +63,17 @@
     injected: InjectedFault,
     /// The history after each log entry.
     states: Vec<Rc<ConfigHistory>>,
+    /// The verdict on each log entry; `None` if the entry holds no order.
     verdicts: Vec<Option<Verdict>>,
+    /// All orders sent so far.
     orders: Vec<Order>,
+    /// Copies and reads in transit.
     copies: Vec<Sent>,
+    /// Orders in the logs of leaders that have not been answered yet.
     in_log: Vec<LogEntry>,
     promises: Promises,
     history: History<Operation, Answer>,
+    /// Numbers of the calls with an answer.
     answered: BTreeSet<usize>,
 }
 
--- a/crates/control-plane/tests/orders/world.rs
+++ b/crates/control-plane/tests/orders/world.rs
@@ -54,6 +54,7 @@
 #[derive(Clone, Debug, Default)]
 struct Leader {
     config_history: ConfigHistory,
+    /// Indexes of the orders that the leader has proposed and that are not committed, oldest first.
     in_flight: Vec<usize>,
 }
 
