--- a/crates/control-plane/src/control_plane/drains.rs
+++ b/crates/control-plane/src/control_plane/drains.rs
@@ -24,15 +24,20 @@
 
 /// A call that waits until the drain of a backend is recorded in the log.
 struct PendingDrain {
+    /// Receives the reply.
     requester: Requester,
+    /// Id of the backend.
     id: String,
 }
 
 /// Drain calls at the leader. At most one log entry is in flight.
 #[derive(Default)]
 pub(super) struct DrainProposals {
+    /// Calls for which no entry has been proposed yet.
     queued: Vec<PendingDrain>,
+    /// Calls whose backends are in the proposed entry.
     in_flight: Vec<PendingDrain>,
+    /// Token of the proposed entry; `None` while no entry is in flight.
     token: Option<u64>,
 }
 
@@ -100,7 +105,7 @@
             let full = Reply::error(503, "too many backends leave at once: ask again");
             return self.reply_to_drain(PendingDrain { requester, id }, full, now);
         }
-        // Records in the table are committed.
+        // Drain records in this table come from committed entries, so the drain can be acknowledged at once.
         if self.register.drains().contains(&id) {
             return self.reply_to_drain(PendingDrain { requester, id }, Reply::ok(), now);
         }
@@ -147,7 +152,7 @@
         self.propose_drains();
     }
 
-    /// This process stopped leading. The entry in flight may still be committed, so all callers are told to retry.
+    /// This process stopped leading. The entry in flight may still be committed, so every reply requests a retry.
     pub(super) fn abort_drains(&mut self) {
         let now = self.now();
         for drain in self.drain_proposals.take_all() {
@@ -172,12 +177,12 @@
         }
     }
 
-    /// Recorded backends that are otherwise unknown here, for a subscriber that may know them.
+    /// Backends that have a drain record but are otherwise unknown here, for a subscriber that may know these backends.
     pub(super) fn drained_unknown(&self) -> Vec<Backend> {
         self.register.unknown_draining().into_iter().map(Backend::draining).collect()
     }
 
-    /// The drain records for a snapshot; none while some voter may be unable to read them.
+    /// The drain records for a snapshot; `None` while some voter may run a version that cannot read drain records.
     pub(super) fn drains_for_snapshot(&self) -> Option<DrainRun> {
         let me = self.settings.address.to_string();
         let mut others = self.node.iter().flat_map(|node| node.members()).filter(|voter| voter.address != me);
--- a/crates/control-plane/src/control_plane/orders.rs
+++ b/crates/control-plane/src/control_plane/orders.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// An isolated process sends a backend to another process: an update from here would reach few others, so that
-    /// other processes would consider the backend overdue.
+    /// An isolated process refuses a heartbeat, so that the backend calls another process: an update from here would
+    /// reach few others, and other processes would consider the backend overdue.
     fn heartbeat_reply(&self, now: u64) -> Reply {
         let (.., current) = self.leader(now);
         if current || now < self.last_current_at + ISOLATION_GRACE_MS {
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Whether this process leads but has not held a lease yet. Until then it does not know all entries that its
-    /// predecessors committed.
+    /// Whether this process leads but has not held a lease yet. Before its first lease a leader does not know all
+    /// entries that its predecessors committed.
     fn awaits_lease(&self, now: u64) -> bool {
         let lacks_lease = |node: &Node| node.is_leader() && node.lease_until(now).is_none();
         self.node.as_ref().is_some_and(lacks_lease) && !self.faults.ignores_lease
@@ -262,8 +262,8 @@
 
     /// Removes a voter. The Raft node completes a removal only if the request is repeated until a majority of the
     /// other voters has the new list, so the caller repeats the call: 202 means in progress, 404 means that no voter
-    /// has this address. A leader with a lease is in contact with a majority of the voters; removing a voter that the
-    /// leader does not hear keeps all voters that the leader hears.
+    /// has this address. A leader with a lease is in contact with a majority of the voters; removing an unresponsive
+    /// voter keeps all responsive ones.
     fn remove_voter(&mut self, address: &str, now: u64) -> Reply {
         let Some(node) = &self.node else { return Reply::error(503, "this process does not lead") };
         let in_progress = Reply::error(202, "under way: ask again");
@@ -278,7 +278,7 @@
                 &format!("{address} leads: end its process first, then another one does"),
             );
         }
-        // A running process would join again.
+        // A running process would become a voter again after its removal, so only an unresponsive voter is removed.
         if !node.has_led_for_election_timeout(now) {
             return in_progress;
         }
--- a/crates/transport/src/peer_choice.rs
+++ b/crates/transport/src/peer_choice.rs
@@ -1,4 +1,6 @@
 //! Selection of the control plane to follow: a state machine without I/O or a clock.
+//!
+//! A heartbeat is fresh if its sender marks its own state as confirmed by the leader.
 
 use protocol::Heartbeat;
 use quota::{Epoch, HolderAssignment};
@@ -28,7 +30,7 @@
 const RETRY_INTERVAL_MS: Millis = 200;
 /// A process without a configuration adopts a possibly outdated one only after this long.
 const STALE_CONFIG_DELAY_MS: Millis = 8000;
-/// Maximum number of known control planes. A deployment has several dozen; a longer list is faulty.
+/// Maximum number of known control planes. A deployment has several dozen; a longer list indicates a fault.
 const MAX_CONTROL_PLANES: usize = 256;
 
 /// The followed control plane.
@@ -40,8 +42,9 @@
     /// Time of the last answer in which the control plane reported that the leader confirms its state.
     answered_at: Millis,
     fresh: bool,
-    /// Whether the control plane has sent any message, and whether its state has ever been confirmed as current.
+    /// Whether the control plane has sent any message.
     has_sent_message: bool,
+    /// Whether the state of the control plane has ever been confirmed as current.
     was_fresh: bool,
     /// Configuration version in the last fresh heartbeat.
     version: u64,
@@ -50,10 +53,15 @@
 /// The control planes that a follower knows, and the one that it follows.
 #[derive(Debug)]
 pub struct PeerChoice {
+    /// Name of this process.
     name: String,
+    /// Zone of this process.
     zone: String,
+    /// Address of this process if it is a control plane.
     own: Option<SocketAddr>,
+    /// Addresses from the settings.
     seeds: Vec<SocketAddr>,
+    /// Known control planes and their zones.
     control_planes: BTreeMap<SocketAddr, String>,
     /// Times of recent failures by address.
     failed: BTreeMap<SocketAddr, Millis>,
--- a/crates/transport/src/search.rs
+++ b/crates/transport/src/search.rs
@@ -1,5 +1,6 @@
 //! Search for a control plane whose state the leader confirms, while the followed one may be isolated from the
-//! leader.
+//! leader. An answer to a freshness query is fresh if the state of its sender was confirmed by the leader recently; see
+//! [`FreshnessTracker::is_recent`](crate::freshness::FreshnessTracker::is_recent).
 
 use crate::upstream::Upstream;
 use std::collections::BTreeMap;
@@ -19,11 +20,13 @@
 /// A candidate is chosen only if its last fresh answer is newer than this.
 const MAX_ANSWER_AGE_MS: Millis = 2 * QUERY_INTERVAL_MS;
 
+/// A control plane that is queried besides the followed one.
 struct Candidate {
     upstream: Upstream,
     last_query_at: Option<Millis>,
-    /// Times of the first and the last fresh answer of the candidate.
+    /// Time of the first fresh answer of the candidate.
     first_fresh_at: Option<Millis>,
+    /// Time of the last fresh answer of the candidate.
     last_fresh_at: Option<Millis>,
 }
 
@@ -32,6 +35,7 @@
 pub(crate) struct CandidateSearch {
     /// Connections in the order in which they were dialed.
     candidates: Vec<Candidate>,
+    /// When each address was last dialed.
     dialed: BTreeMap<SocketAddr, Millis>,
     /// Time of the first fresh answer of any candidate.
     first_fresh_at: Option<Millis>,
