--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -4,7 +4,14 @@
 //!
 //! Rules with a time bound apply to undisturbed machines only: for [`TimeBounds::contact`], no process of the machine
 //! or of a control plane's machine was killed, started or stopped, and no link of these had a fault. Duplicate runs,
-//! forged answers, runs of refused requests, and excess over a quota or a retry budget are never excused.
+//! forged answers, runs of refused requests, and excess over a quota or a retry budget are violations even while faults
+//! are active.
+//!
+//! Terms: an attempt is one sending of a client's request to a gateway; a request has several attempts if the client
+//! retries. An attempt runs when a backend processes it. An effectful request must run at most once, a pure request may
+//! run several times. A seal ([`seal`]) is a header value by which a backend proves that it answered an attempt. Worth
+//! measures the service that clients received: each request within its tenant's quota is owed 1 and earns 1, 0.5 or 0,
+//! depending on its outcome ([`Verdict::worth`]).
 
 use crate::backend::is_valid_seal;
 pub use crate::backend::seal;
@@ -16,7 +23,7 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
-/// Time by which an event may be recorded late on a busy machine, in microseconds.
+/// Maximum delay between an event and its record on a busy machine, in microseconds.
 const RECORDING_DELAY: u64 = 100_000;
 /// Maximum number of violations recorded with their description; further violations are only counted.
 const MAX_DESCRIBED: usize = 100;
@@ -27,9 +34,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// A successful answer does not come from the backend that ran the request.
+    /// A successful answer belongs to another attempt, or its seal is not from a backend that ran the attempt.
     Mixed,
-    /// A backend ran a request that no client sent, or that was altered, carried an API key or named the wrong tenant.
+    /// A backend ran a request that no client sent, or the request arrived altered, with the client's API key (which
+    /// gateways must remove) or with the wrong tenant.
     Unasked,
     /// An effectful request, which may run only once, ran more than once.
     Twice,
@@ -39,17 +47,20 @@
     Route,
     /// A valid request received a 3xx or 4xx answer that is not a refusal.
     Denied,
-    /// A request reached a backend after the drain deadline.
+    /// A request reached a backend later than [`TimeBounds::drain`] after the acknowledgement of the backend's drain.
     Drain,
-    /// A planned restart broke off a request, or an acknowledged configuration is lost.
+    /// The planned restart of a gateway broke off a request that had reached a backend, or an acknowledged
+    /// configuration is lost.
     Lost,
-    /// Configurations were acknowledged, applied or read back wrongly.
+    /// A configuration change was wrongly acknowledged or rejected, not applied in time, or read back with other
+    /// content.
     Config,
     /// A service received more retries within 10 s than the retry budget allows.
     Budget,
-    /// A tenant exceeded its quota within 5 s.
+    /// More requests of a tenant ran within 5 s than the tenant's quota allows.
     Quota,
-    /// Less than a quarter of the worth is earned after all faults, although at least a quarter was earned before.
+    /// Later than [`TimeBounds::recovery`] after the last disruption, less than a quarter of the owed worth is earned,
+    /// although at least a quarter was earned before the first disruption.
     Recover,
     /// A process exited unexpectedly, or did not exit after SIGTERM.
     Ended,
@@ -79,7 +90,7 @@
     pub drain: u64,
     /// Time after an acknowledgement by which a configuration is in force.
     pub apply: u64,
-    /// Time after its last disruption until a machine counts as undisturbed.
+    /// How long a machine still counts as disturbed after the end of its last disruption.
     pub contact: u64,
     /// Time between SIGTERM and SIGKILL.
     pub grace: u64,
@@ -129,8 +140,9 @@
     pub uses: Vec<QuotaUse>,
     /// Delays that the machine may have caused; they do not count as violations.
     pub late: Vec<String>,
-    /// Worth owed and worth earned per time bucket, by the due time of requests. A request served within its goal earns 1,
-    /// one served later 0.5.
+    /// Worth owed and worth earned per bucket of [`BUCKET_US`], by the due time of requests. Each request within its
+    /// tenant's quota is owed 1. The request earns 1 if served within the latency goal of its kind, 0.5 if served later,
+    /// and 0 otherwise.
     pub worth: Vec<(f64, f64)>,
 }
 
@@ -147,7 +159,7 @@
     }
 }
 
-/// A disruption of machines: start, end, affected machines, and whether it was planned.
+/// A fault, or the downtime of a process, with the affected machines. A downtime that begins with SIGTERM is planned.
 struct Disruption {
     begin: u64,
     end: u64,
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -1,5 +1,6 @@
 //! Hollow data planes, many per process. Each has the connections, protocol and lease requests of a real one, but
-//! neither clients nor tables. Hollow backends, which only send heartbeats, run beside them.
+//! neither serves clients nor keeps tables of backends and quotas. Hollow backends, which only send heartbeats, run in
+//! the same processes.
 
 use super::report::{Report, steady_seconds};
 use crate::capacity::messages::lease_request;
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -1,4 +1,5 @@
-//! One measurement: real control planes and a few real data planes, with hollow data planes and backends around them.
+//! One measurement: real control planes and a few real data planes, together with hollow data planes and hollow backends
+//! (see [`super::hollow`]), which produce the control traffic of a large fleet without serving requests.
 
 use super::hollow::HollowSettings;
 use super::report::{Report, steady_seconds};
@@ -34,9 +35,9 @@
 pub struct Plan {
     /// The program of the real processes.
     pub program: Program,
-    /// The program of the hollow processes: this executable.
+    /// The program of the processes that run hollow data planes: the testbed's own executable.
     pub own: Program,
-    /// Number of hollow data planes.
+    /// Number of hollow data planes, which stand in for gateways (see [`super::hollow`]).
     pub gateways: usize,
     /// Number of processes for the hollow data planes.
     pub processes: usize,
--- a/gateway/src/group/mod.rs
+++ b/gateway/src/group/mod.rs
@@ -1,5 +1,8 @@
-//! The gateway's membership in a group: started and stopped with the process, shown in `INFO`, controlled by operators.
-//! Holds only the handle of the group's thread; failures of the group do not affect serving.
+//! The gateway's membership in a group of gateways (crate `fennelscale_group`): started and stopped with the process,
+//! shown by the console command `INFO`, controlled by operators with the console command `GROUP`. A separate thread runs
+//! the group protocol; this module holds the handle of that thread. Failures of the group do not affect serving.
+//!
+//! A duty is a named role that at most one gateway of the group holds at a time, under a fencing token ("fence").
 
 pub mod scout;
 pub mod settings;
@@ -21,11 +24,12 @@
 
 /// Delay before a failed start is retried.
 const START_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval at which the held duties are checked, for the log.
+/// Interval at which the duties of this gateway are polled, to log each gained and lost duty.
 const DUTY_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval of the acts that are written to `group.acts` for each held duty.
+/// Interval at which a line is appended to the file of the setting `group.acts` for each duty that this gateway holds.
+/// The emulator reads these files to check that no two gateways perform a duty under the same fence.
 const ACT_INTERVAL: Duration = Duration::from_millis(20);
-/// How long the process waits at shutdown until the group is notified.
+/// How long the process waits at shutdown for the group to acknowledge that the session is closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
 /// File descriptors of the group's thread: event loop, disk, connections to the voters and from the members.
 pub const DESCRIPTORS: usize = 48;
@@ -33,6 +37,7 @@
 /// A gateway's membership in a group.
 pub struct GroupMembership {
     settings: Settings,
+    /// Handle of the group's thread; `None` until the thread has started, and after [`Self::close`].
     handle: RefCell<Option<Rc<Handle>>>,
     /// Health reports that were received from scouts, and reports that were sent to scouts.
     report_counts: Cell<(u64, u64)>,
@@ -113,7 +118,8 @@
         }
     }
 
-    /// Performs an act under each held duty periodically, and writes to the file when the guard permitted the act.
+    /// Test aid: for each duty that this gateway holds, periodically appends the time, the duty and the fence to the file
+    /// `group.acts`, as long as the guard of the duty is valid.
     async fn write_acts(self: Rc<Self>) {
         let Some(path) = &self.settings.acts else { return };
         let mut file = match std::fs::OpenOptions::new().append(true).create(true).open(path) {
@@ -122,8 +128,8 @@
         };
         while let Some(handle) = self.handle() {
             for guard in handle.guards() {
-                // Reads the clock before querying the guard: a pause in between must not make the permission appear
-                // later than it was given.
+                // Reads the clock before the guard's check: if the process pauses in between, the written time must
+                // not be later than the time of the check.
                 let now = Clock::Boot.now();
                 let Some(fence) = guard.valid_fence() else { continue };
                 let line = format!("{} {} {fence}\n", now.as_micros(), guard.duty);
@@ -161,7 +167,8 @@
         })
     }
 
-    /// The maximum number of gateways that the group may permit to be absent at the same time, as for a restart.
+    /// Maximum number of gateways with a planned absence (a restart, for instance) at the same time: the share
+    /// `away_at_once` of the gateways with an open session, and at least 1.
     fn max_away(&self) -> u32 {
         let sessions = self.handle().map_or(0, |handle| handle.status().view.sessions);
         ((sessions as f64 * self.settings.away_at_once) as u32).max(1)
@@ -202,13 +209,14 @@
         }
     }
 
-    /// Announces the shutdown: the duties pass to other gateways at once, and this gateway counts as absent.
+    /// Announces the shutdown: this gateway counts as absent, releases its duties at once so that other gateways can
+    /// claim the duties, and claims no more.
     pub async fn drain(&self) {
         self.order(MemberRequest::RequestAbsence(u32::MAX)).await;
         self.order(MemberRequest::SetEligible(false)).await;
     }
 
-    /// Leaves the group at the end of the process, waiting for a short time until the group is notified.
+    /// Leaves the group at the end of the process, and waits at most [`CLOSE_TIMEOUT`] for the acknowledgement.
     pub async fn close(&self) {
         let _ = timeout(CLOSE_TIMEOUT, self.order(MemberRequest::Close)).await;
         self.handle.take();
--- a/gateway/src/group/scout.rs
+++ b/gateway/src/group/scout.rs
@@ -1,6 +1,6 @@
 //! Health reports about backends. Every gateway reports its findings to the scout of the zone, which publishes them in
 //! a record for all gateways; each gateway passes new reports to its decision engine. Being the scout is a duty: one
-//! gateway per zone holds the duty at a time, and its fencing token accompanies every record.
+//! gateway per zone holds the duty at a time, and each record carries the fencing token of the duty.
 //!
 //! This module makes no decisions. Limits: each gateway reports on a backend at most once a second and sends at most
 //! `MAX_REPORTS_PER_SECOND` reports a second; a scout writes a record of at most `MAX_RECORD_REPORTS` reports, at
@@ -177,7 +177,7 @@
             };
             let before = reports.last_number;
             for payload in &notes {
-                // The last report on a backend takes effect.
+                // A later report on the same backend replaces the earlier one.
                 if let Ok(report) = postcard::from_bytes::<HealthReport>(payload) {
                     reports.add(report);
                 }
--- a/gateway/src/group/settings.rs
+++ b/gateway/src/group/settings.rs
@@ -56,7 +56,7 @@
     pub away_at_once: f64,
     /// Whether health reports about backends are exchanged.
     pub scout: bool,
-    /// File to which each act under a duty is written, for tests.
+    /// File to which the gateway periodically writes which duties it holds; for tests.
     pub acts: Option<PathBuf>,
 }
 
