--- a/crates/testbed/src/capacity/costs.rs
+++ b/crates/testbed/src/capacity/costs.rs
@@ -143,7 +143,7 @@
 }
 
 fn quota_costs(size: &Size) -> Vec<StepCost> {
-    // A holder answers each lease request, then checks all floors, as the control plane makes it do.
+    // A quota holder answers each lease request and then checks the floors of all quotas, as in the control plane.
     let answered = measure(
         LONG_TURNS,
         || holder(size),
--- a/crates/testbed/src/capacity/model.rs
+++ b/crates/testbed/src/capacity/model.rs
@@ -1,5 +1,6 @@
 //! Traffic and processor use of each role at a size: lengths and costs of messages and steps, multiplied by their
-//! rates. The rates follow from constants of the protocol and from the capacity plan; nothing here is measured.
+//! rates. The rates follow from constants of the protocol and from the capacity plan; this module measures
+//! nothing.
 
 use super::costs::{StepCost, step};
 use super::messages::{HEARTBEAT_MS, MessageLength, ROUND_MS, kind};
@@ -22,9 +23,9 @@
 /// A role whose load is computed separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Carries requests.
+    /// A data plane, which proxies requests.
     DataPlane,
-    /// Serves control, with or without a disk: the share of one control plane of data planes and heartbeats.
+    /// A control plane, with or without a disk, serving its share of the data planes and of the backends' heartbeats.
     ControlPlane,
     /// Additional load of the log leader.
     Leader,
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -1,4 +1,5 @@
-//! Stand-in clients with persistent connections; they retry according to the protocol.
+//! Stand-in clients with persistent connections; they retry according to the protocol. In this module, a gateway is a
+//! data plane of the fleet.
 
 use crate::backend::{answer_body, is_valid_seal, request_body, request_path};
 use crate::history::{End, Event, History};
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -19,7 +19,8 @@
 
 /// Timeout for the start.
 const START_TIMEOUT: Duration = Duration::from_secs(40);
-/// Pause before the measurement: newly started processes send their tables twice.
+/// Pause before the measurement. Processes that have just started send their complete tables (see the message "all
+/// backends" in [`super::hollow`]) twice.
 const SETTLE_TIME: Duration = Duration::from_secs(6);
 /// Interval between configuration changes.
 const CHANGE_INTERVAL: Duration = Duration::from_secs(5);
--- a/emulator/src/decider.rs
+++ b/emulator/src/decider.rs
@@ -46,8 +46,8 @@
     fn handle(&mut self, now: Millis, event: Event, view: &TrueStateView<'_>, out: &mut Vec<Action>);
 }
 
-/// Delay of the true state for [`StateView::Delayed`], in microseconds. It equals the delay of load reports at the plant
-/// site.
+/// Delay of the true state for [`StateView::Delayed`], in microseconds. The delay equals that of load reports at the
+/// built-in site (`plant.toml`).
 pub const DELAYED_VIEW_AGE: Micros = 300_000;
 
 /// How a policy sees the true state.
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -4,8 +4,15 @@
 //!
 //! A simulated day is drawn from a scenario and a seed ([`draw::Day::draw`]) and simulated under a policy
 //! ([`world::World`]); then its books are closed ([`books::Books::close`]). The same scenario, seed and policy give
-//! the same result. A *try* is one request of a client to a gateway, an *attempt* is one request of a gateway to a
-//! backend.
+//! the same result.
+//!
+//! Terms:
+//! - A *try* is one request of a client to a gateway. A client's *first try* may be followed by retries.
+//! - An *attempt* is one request of a gateway to a backend, on behalf of a try.
+//! - The *worth* of a try is its value in the score; the try earns its worth if it is answered within the target
+//!   latency.
+//! - A *trouble* is a fault that the day injects at a scheduled time.
+//! - A *breach* is one violation of a rule, as found by the judge.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -22,7 +22,8 @@
 use fault_injection::Random;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
-/// A gateway that handles this many events at one instant without coming to rest is stopped.
+/// Maximum number of events that a gateway may handle at one instant of simulated time: an event and those that its
+/// actions cause at once. A gateway that reaches the maximum breaches the protocol; its queued events are dropped.
 const MAX_ROUNDS: usize = 10_000;
 /// Interval at which the true state is sampled.
 const SAMPLE_INTERVAL: Micros = 20_000;
@@ -114,8 +115,10 @@
     retry_decided: bool,
 }
 
+/// A call of a gateway to the counter.
 struct Call {
     gateway: usize,
+    /// Incarnation of the calling gateway's process; an answer to an older process is dropped.
     incarnation: u32,
     counter_incarnation: u32,
     name: u64,
@@ -123,9 +126,11 @@
     ttl: Micros,
     started: Micros,
     answer: Option<CountOutcome>,
+    /// Whether the caller has received an outcome: the answer, or the timeout of the call.
     given_up: bool,
 }
 
+/// The idle connections of a gateway to one backend.
 #[derive(Default)]
 struct Pool {
     idle: Vec<Micros>,
@@ -133,6 +138,7 @@
 
 struct GatewayState {
     zone: usize,
+    /// Identifies the current process of the gateway; events scheduled for an earlier process are dropped.
     incarnation: u32,
     /// Absent while the decision maker handles an event, and while the process is down.
     decider: Option<Box<dyn Decider>>,
@@ -164,9 +170,9 @@
     pub calls_unanswered: u64,
     /// Calls that the counter rejected.
     pub calls_rejected: u64,
-    /// Work that backends did in vain, in core microseconds.
+    /// Work that backends did for attempts that were cancelled or failed, in core microseconds.
     pub wasted: f64,
-    /// Backends that failed under a cold start.
+    /// Backends that failed because of too much work during their cold start.
     pub cold_failures: u64,
     /// Lines written to the log.
     pub log_lines: u64,
@@ -214,31 +220,44 @@
     day: &'a Day,
     policy: &'a dyn Policy,
     now: Micros,
+    /// Scheduled events; the heap returns the earliest one first.
     due: BinaryHeap<Scheduled>,
+    /// Number of events scheduled so far; orders events of the same time and rank.
     scheduled_count: u64,
+    /// Independent random streams: the network, the clients, the work of requests, and the delays of health reports.
     net: Random,
     client: Random,
     work: Random,
     peer_reports: Random,
+    /// Index in [`Day::first_tries`] of the next first try to send.
     next_first_try: usize,
     gateways: Vec<GatewayState>,
+    /// The simulated backends, by backend number.
     servers: Vec<Server>,
     counter: Counter,
     calls: Vec<Call>,
     tries: Vec<Try>,
+    /// For each first try, the values of [`Record::served`].
     first_tries: Vec<Option<(Micros, bool)>>,
+    /// For each customer, the true token bucket and the number of attempts in flight.
     buckets: Vec<(TokenBucket, u32)>,
     /// Units that each customer requested in the last second, with exponential decay; read by policies that see the
     /// true state.
     requested: Vec<f64>,
+    /// Changes of backends that discovery has noticed: backend number, state, and time of the last start.
     change_log: Vec<(usize, BackendState, Option<Micros>)>,
+    /// Number of entries of `change_log` that discovery has published.
     published: usize,
+    /// Whether the next publication is scheduled.
     publishing: bool,
+    /// Time at which discovery has written all full lists that were requested so far.
     discovery_free: f64,
     judge: Judge,
     totals: Totals,
     samples: Vec<Sample>,
+    /// Former samples of the true state, oldest first; the oldest is the state that [`StateView::Delayed`] shows.
     past_states: VecDeque<TrueState>,
+    /// The latest sample of the true state, updated as attempts are sent and end.
     current_state: TrueState,
     customers: HashMap<Name, usize>,
     backends: HashMap<Name, usize>,
--- a/gateway/src/control/counter.rs
+++ b/gateway/src/control/counter.rs
@@ -31,21 +31,28 @@
 const MAX_PENDING_CALLS: usize = 1024;
 const MAX_UNPARSED_BYTES: usize = 4096;
 
+/// A call that was queued on a connection and has no answer yet.
 struct Call {
-    /// `None` for a ping.
+    /// Name of the count; `None` for a ping.
     name: Option<u64>,
     amount: f64,
     made_at: Instant,
     /// Offset just after the call's last byte in the stream of bytes written on this connection.
     end_offset: u64,
+    /// Whether the callback has received the outcome `Unknown` after the call timed out. Always true for a ping, which
+    /// has no outcome to report.
     reported: bool,
 }
 
+/// The state of one connection; starts anew when the connection is re-established.
 #[derive(Default)]
 struct Pipeline {
     connected: bool,
+    /// Bytes of calls that are not yet written to the socket.
     write_buffer: VecDeque<u8>,
+    /// Number of bytes written on this connection.
     written: u64,
+    /// Calls without an answer, oldest first.
     calls: VecDeque<Call>,
     /// When bytes last arrived.
     last_read_at: Option<Instant>,
@@ -171,7 +178,7 @@
                 {
                     eprintln!("counter: {error} (logged once)");
                 }
-                // A connection that lasted was closed as idle or with the counter's machine: no backoff needed.
+                // A connection that lasted this long was working: the backoff starts anew.
                 if started.elapsed() > UNRESPONSIVE_TIMEOUT {
                     backoff = RECONNECT_BACKOFF[0];
                 }
--- a/http-proxy/src/engine.rs
+++ b/http-proxy/src/engine.rs
@@ -54,11 +54,14 @@
     /// When the request arrived, or when its last attempt ended.
     waiting_since: Instant,
     reply: oneshot::Sender<Reply>,
+    /// Number of attempts so far.
     attempts: u32,
-    /// How many backends have received part of the request, and the maximum.
+    /// Number of attempts that wrote part of the request to a backend, and its maximum.
     backends_reached: u32,
     max_backends: u32,
+    /// Whether the last attempt timed out.
     timed_out: bool,
+    /// Whether any attempt may have executed the request.
     may_have_run: bool,
     /// The answer of a backend to a failed attempt; the client gets it if no later attempt succeeds.
     backend_answer: Option<Answer>,
@@ -67,7 +70,9 @@
 
 /// An attempt in flight.
 struct InFlightAttempt {
+    /// Index of the attempt among the attempts of its request.
     attempt: u32,
+    /// Cancels the attempt; `None` once used.
     cancel: Option<oneshot::Sender<CancelReason>>,
 }
 
@@ -80,8 +85,11 @@
 
 struct State<P: Protocol> {
     gateway: Gateway,
+    /// Requests without a final answer.
     pending: HashMap<RequestId, PendingRequest<P>>,
+    /// The attempt in flight of each request; it may outlive the request's entry in `pending`.
     in_flight: HashMap<RequestId, InFlightAttempt>,
+    /// The id given to the latest request.
     last_id: RequestId,
 }
 
@@ -92,6 +100,7 @@
     counter: Option<Box<dyn Counter>>,
     metrics: Rc<Metrics>,
     state: RefCell<State<P>>,
+    /// Events that wait for the decision engine, and whether an event is being handled (see [`Self::post`]).
     events: RefCell<VecDeque<Event>>,
     running: Cell<bool>,
     health_observer: OnceCell<HealthObserver>,
@@ -340,7 +349,7 @@
                 }
             }
             Action::Log(text) => self.backends.protocol().log(None, format_args!("{text}")),
-            // This host sends no peer messages, and it watches the backend list all the time.
+            // The proxy sends no messages to other gateways, and it watches the backend list all the time.
             Action::Broadcast { .. } | Action::WatchBackends => {}
         }
     }
@@ -358,8 +367,8 @@
     fn send(&self, id: RequestId, backend: Name, timeout: Millis, quota_wait: Millis) {
         let mut state = self.state.borrow_mut();
         let State { pending, in_flight, .. } = &mut *state;
-        // Guards against sending for a finished request or for one with an attempt in flight. The decision engine
-        // still needs an end for every `Send`.
+        // Sends nothing for a finished request or for a request with an attempt in flight. The decision engine expects
+        // an `AttemptEnded` event for every `Send` action, so the event is posted nevertheless.
         let free = pending.get_mut(&id).filter(|_| !in_flight.contains_key(&id));
         let Some(request) = free else {
             let finished = !pending.contains_key(&id);
@@ -457,7 +466,8 @@
                 .map(|pending| {
                     (pending.timed_out, pending.waiting_since) = (timed_out, Instant::now());
                     pending.backends_reached += u32::from(write_started);
-                    // `body_consumed` prevents further attempts: the request has reached the maximum of backends.
+                    // Once the request has reached the maximum number of backends, `body_consumed` is set so that
+                    // the decision engine sends no further attempt.
                     body_consumed |= pending.backends_reached >= pending.max_backends;
                     let not_executed =
                         matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent);
