--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -256,19 +256,27 @@
     }
 }
 
+/// What the history says about one attempt.
 struct Attempt {
     sent: u64,
+    /// Index in [`KINDS`], if the route belongs to the first configuration.
     kind: Option<usize>,
+    /// Index in [`TENANTS`] of the tenant whose API key the attempt carries.
     tenant: Option<usize>,
     pure: bool,
+    /// The machine whose data plane the client connected to.
     machine: Option<usize>,
     /// The service at which the attempt arrived first.
     service: Option<usize>,
+    /// Number of arrivals at backends; a data plane that retries causes further ones.
     arrivals: u32,
+    /// Number of runs at backends.
     runs: u32,
     /// The backend that ran the attempt last.
     ran_by: Option<u32>,
+    /// Whether the client received a refusal.
     refused: bool,
+    /// Whether a backend withheld its answer or broke the answer off.
     answer_withheld: bool,
 }
 
--- a/crates/testbed/src/windows.rs
+++ b/crates/testbed/src/windows.rs
@@ -1,12 +1,16 @@
 //! Sliding windows over sorted times in microseconds, for quotas and retry budgets.
 
-/// Window of the quota check in microseconds, with the factor and the number of runs by which a quota may be exceeded.
+/// Window of the quota check, in microseconds.
 pub const QUOTA_WINDOW: u64 = 5_000_000;
+/// Factor by which the runs within a window may exceed the quota.
 const QUOTA_EXCESS: f64 = 1.1;
+/// Number of runs by which a window may exceed the quota in addition to [`QUOTA_EXCESS`].
 const QUOTA_SLACK: f64 = 20.0;
-/// Window of the retry check in microseconds, with the allowed ratio of retries to requests and the allowed extra.
+/// Window of the retry check, in microseconds.
 const RETRY_WINDOW: u64 = 10_000_000;
+/// Allowed ratio of retries to requests within a window.
 const RETRY_RATIO: f64 = 0.2;
+/// Number of retries that a window may hold in addition to [`RETRY_RATIO`].
 const RETRY_SLACK: u64 = 66;
 
 /// Maximum number of requests both sent and run within one window, from pairs `(sent, arrived)` in any order.
--- a/emulator/src/experiment.rs
+++ b/emulator/src/experiment.rs
@@ -14,7 +14,8 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 
-/// The maximum distance from a day's floor to its top. The bench's plays show the same distance on every day.
+/// Maximum distance in G between the floor and the top of a day's score ([`ScoreRange`]). The runs of the benchmark
+/// show this distance on every day.
 const MAX_FLOOR_DISTANCE: f64 = 0.45;
 
 /// The days to simulate.
--- a/emulator/src/judge.rs
+++ b/emulator/src/judge.rs
@@ -20,7 +20,8 @@
     Duplicate,
     /// New work went to a draining or removed backend after the grace period that follows the notification.
     Drain,
-    /// A cold backend was sent more than it can bear, by gateways that had been notified of its start.
+    /// A cold backend (one that started recently and still warms up) received more work than its limit allows from
+    /// gateways that had been notified of its start.
     Fall,
     /// The usage of a customer exceeded its ceiling.
     Ceiling,
@@ -49,9 +50,12 @@
     /// The latest time at which a final answer is accepted.
     due: Micros,
     non_idempotent: bool,
+    /// Number of attempts so far, and of those in flight.
     attempts: u32,
     in_flight: u32,
+    /// Whether a backend may have run the request.
     may_have_run: bool,
+    /// Whether the gateway owes no final answer any more: the answer was sent, or the client has left.
     finished: bool,
 }
 
--- a/gateway/src/clients/frontend.rs
+++ b/gateway/src/clients/frontend.rs
@@ -25,17 +25,17 @@
 
 /// Maximum value of `Req-Deadline-Ms`; larger values are rejected.
 const MAX_DEADLINE_MS: u64 = 600_000;
-/// Idle timeout, and timeout for the first head on a connection. A later head has as long again after the idle time.
-/// Chosen between two requirements: a peer that sends no valid request gets an error or a close within 3 s, and an idle
-/// connection stays open for at least 2 s.
+/// Idle timeout of a client connection, and timeout for the first request head on a connection. A later head must be
+/// complete within the same time after its first byte. The value lies between two requirements of the protocol: a peer
+/// that sends no valid request gets an error or a close within 3 s, and an idle connection stays open for at least 2 s.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2300);
 /// Minimum time for the first bytes of a body whose head arrived late.
 const BODY_START_TIMEOUT: Duration = Duration::from_millis(600);
 /// A client's timeout starts with the last byte of its request, but the decision engine decides before a long body is
 /// complete. The deadline for the engine is extended by this much: the time of the slowest client for the longest body.
 const MAX_UPLOAD_TIME: Duration = Duration::from_secs(600);
-/// How long new connections are accepted after the shutdown signal. Idle connections are closed after half of it. In
-/// lame-duck mode, connections that have been idle for half of it are closed.
+/// How long new connections are accepted after the shutdown signal. Idle connections are closed once half of this time
+/// has passed since the signal. In lame-duck mode, connections that have been idle for half of this time are closed.
 const SHUTDOWN_DELAY: Duration = Duration::from_millis(500);
 /// Interval for checking idle connections during shutdown and in lame-duck mode.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -43,8 +43,9 @@
 const HANDOVER_IDLE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// How long connections may stay open at shutdown after the last final answer.
 const FINAL_DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
-/// The part of the grace period that is reserved for writing the last answers, and its maximum share.
+/// The part of the grace period (from the shutdown signal to the kill) that is reserved for writing the last answers.
 const FINAL_ANSWER_RESERVE: Duration = Duration::from_millis(300);
+/// Maximum share of the grace period that [`FINAL_ANSWER_RESERVE`] may take.
 const FINAL_ANSWER_RESERVE_RATIO: f64 = 0.25;
 /// Size of the read buffer, which holds the head of one request.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
@@ -87,15 +88,18 @@
     classes: Vec<(Name, Idempotency)>,
     plans: Vec<Name>,
     max_units: f64,
+    /// Time between the shutdown signal and the earliest kill of the process.
     grace: Duration,
     connections: Rc<ClientConnections>,
     metrics: Rc<Metrics>,
-    /// Whether operators send clients to other gateways, and whether the process is shutting down.
+    /// Whether lame-duck mode is on: operators have this gateway send its clients to other gateways.
     lame_duck: watch::Sender<bool>,
     shutting_down: Cell<bool>,
-    /// Whether clients are served, and whether another process has taken over the new clients.
+    /// Whether clients are served.
     serving: Cell<bool>,
+    /// Whether another process of this gateway has taken over the listener and accepts the new clients.
     handed_over: Cell<bool>,
+    /// Signals that another process takes over.
     hand_over: Notify,
 }
 
--- a/gateway/tests/budget.rs
+++ b/gateway/tests/budget.rs
@@ -164,7 +164,8 @@
     let env = TestEnv::start(&Setup::with_backends(&host_entries), CounterMode::Normal).await;
     let ran = || complete_requests.lock().expect("lock").len();
     let (mut bytes, mut answered, mut broken) = (0, 0, 0);
-    // Until the whole request is read and the whole answer is written.
+    // Break the connection one byte later in each round, until the backend reads the whole request and writes the whole
+    // answer.
     while answered < 3 {
         *break_at.lock().expect("lock") = bytes;
         let before = ran();
@@ -289,7 +290,8 @@
     assert_eq!(message, "take\n");
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("system time").as_secs_f64() * 1000.0;
     let now = unix - 3_600_000.0;
-    // A window of 10,000 s: the current one at that time, with the rest of its lease and an empty store.
+    // A quota window of 10,000 s, current on the sender's clock, with three leased units left and no unused units in
+    // store.
     let length = 10_000_000.0;
     let salt = 7;
     let window = ((now + f64::from(salt) / 1024.0 * length) / length).floor() as u64;
@@ -320,7 +322,8 @@
         let reply = env.gateway.client().await.exchange(&request("look", 5000, "", "")).await;
         served += usize::from(reply.status() == 200);
     }
-    // In the new process's own time the lease would belong to an old window, and an hour's refill would be available.
+    // If the new process used its own clock, the lease would belong to an earlier window, and the units refilled in an
+    // hour would be available.
     assert_eq!(served, 3, "exactly the three units that were handed over");
     other.abort();
 }
--- a/http-proxy/src/clients.rs
+++ b/http-proxy/src/clients.rs
@@ -29,18 +29,22 @@
 
 /// The state of one client connection.
 pub struct ClientConnection {
-    /// Idle timeout, and timeout for receiving the head of a request.
     idle_timeout: Duration,
+    /// Timeout for receiving the head of a request.
     head_timeout: Duration,
+    /// Whether a request is being processed or its answer is not yet handed out.
     busy: Cell<bool>,
-    /// When the connection was accepted or last answered, and when the first byte of the next request arrived.
+    /// When the connection was accepted or last answered.
     idle_since: Cell<Instant>,
+    /// When the first byte of the next request arrived.
     head_started_at: Cell<Option<Instant>>,
     has_been_answered: Cell<bool>,
-    /// The answer has been handed to the HTTP library but is not yet written: a slow reader is still busy.
+    /// Whether an answer has been handed to the HTTP library but is not yet written. The connection of a client that
+    /// reads slowly is not idle.
     handed_out: Cell<bool>,
-    /// When bytes were last received, and the class and start time of the answer being written.
+    /// When bytes were last received.
     read_at: Cell<Instant>,
+    /// The class of the request whose answer is being written, and when the writing began.
     writing: Cell<Option<(Name, Instant)>>,
     close_requested: Notify,
 }
--- a/http-proxy/src/pool.rs
+++ b/http-proxy/src/pool.rs
@@ -167,11 +167,14 @@
 pub struct Backends<P: Protocol> {
     protocol: P,
     backends: RefCell<HashMap<Name, Backend>>,
+    /// The version of the list of backends.
     seq: Cell<u64>,
     connect_timeout: Duration,
     max_idle_time: Duration,
+    /// Maximum number of connections to all backends together, and to each backend.
     max_connections: Cell<usize>,
     max_per_backend: Cell<usize>,
+    /// Number of connections in use, to all backends together.
     in_use: Rc<Cell<usize>>,
     usage: Rc<ResourceUsage>,
     pub(crate) fault_injector: FaultInjector,
--- a/http-proxy/src/time/budget.rs
+++ b/http-proxy/src/time/budget.rs
@@ -9,12 +9,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time reserved for writing the answer before the client's timeout, and the maximum share of the timeout that is
-/// reserved.
+/// Time reserved for writing the answer before the client's timeout.
 const ANSWER_RESERVE: Duration = Duration::from_millis(25);
+/// Maximum share of the client's timeout that is reserved.
 const ANSWER_RESERVE_RATIO: f64 = 0.25;
-/// How long an observed lag of the event loop counts, and the smallest lag that counts: less is timer granularity.
+/// How long an observed lag of the event loop counts.
 const LAG_TTL: Duration = Duration::from_millis(100);
+/// Delay of a timer up to which the event loop does not count as lagging: timers are no more precise.
 const TIMER_GRANULARITY: Duration = Duration::from_millis(5);
 
 /// The time budget of a request.
--- a/http-proxy/src/time/clock.rs
+++ b/http-proxy/src/time/clock.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// If the clocks of two processes of a gateway differ by more than this many ms, the system clock was set between their
-/// starts. A handover takes much less time.
+/// If the clocks of two processes of a gateway differ by more than this many ms, the system clock was set between the
+/// starts of the processes. The duration of a handover alone explains only much smaller differences.
 const MIN_CLOCK_STEP: Millis = 2000.0;
 
 /// Unix time in milliseconds, read once from the system clock and then advanced by the monotonic clock, so that it
@@ -36,9 +36,10 @@
         (self.unix.as_secs_f64() + since - before) * 1000.0
     }
 
-    /// Adopts the clock of another process of this gateway that reported `reported` just now, if the system clock was
-    /// set since that process started: the handed-over state and the windows of the other gateways use the old time.
-    /// `None` if the difference is small enough to be the duration of the handover.
+    /// Returns this clock set to `reported`, the current time of the preceding process of this gateway, if the system
+    /// clock was set after that process had started. The state that the process hands over and the quota windows of the
+    /// other gateways use the time from before the step. Returns `None` if the clocks differ by at most
+    /// [`MIN_CLOCK_STEP`], so that this clock can be kept.
     pub fn aligned_with(self, reported: Millis) -> Option<Self> {
         let step = reported - self.now();
         let unix = Duration::try_from_secs_f64(self.unix.as_secs_f64() + step / 1000.0).ok()?;
--- a/http-proxy/src/wire/body.rs
+++ b/http-proxy/src/wire/body.rs
@@ -20,12 +20,14 @@
 pub const MAX_REQUEST_BODY: u64 = 34 << 20;
 /// Queue capacity of a streamed answer, in frames.
 const ANSWER_QUEUE_FRAMES: usize = 2;
-/// Maximum time without bytes in the middle of a short body, and of a long one.
+/// Maximum time without bytes in the middle of a body of which at most [`MAX_BUFFERED_BODY`] bytes have arrived.
 const SHORT_BODY_GAP_TIMEOUT: Duration = Duration::from_millis(2300);
+/// Maximum time without bytes in the middle of a longer body.
 const LONG_BODY_GAP_TIMEOUT: Duration = Duration::from_secs(6);
-/// The total time waiting for a client's body may not exceed this much plus the time its bytes take at
-/// `MIN_BYTES_PER_SECOND`, half of the rate that slow clients are promised, since their bytes arrive in bursts.
+/// Maximum total time waiting for the bytes of a client's body, in addition to the time that the received bytes take at
+/// [`MIN_BYTES_PER_SECOND`].
 const TOTAL_WAIT_BASE: Duration = Duration::from_millis(2500);
+/// Minimum rate of a client's body. Half of the rate that slow clients are promised, since bytes arrive in bursts.
 const MIN_BYTES_PER_SECOND: f64 = 32_000.0;
 
 /// Maximum time in which a backend reads none of the available bytes of a long body.
@@ -63,8 +65,11 @@
     timer: Pin<Box<Sleep>>,
     /// Deadline for the first bytes.
     first_bytes_deadline: Option<Instant>,
+    /// Start of the current wait for the client; `None` while no wait is in progress.
     waiting_since: Option<Instant>,
+    /// Sum of all completed waits for the client.
     total_wait: Duration,
+    /// Number of bytes received so far, and its maximum.
     bytes: u64,
     max_bytes: u64,
 }
