--- a/crates/testbed/src/changes.rs
+++ b/crates/testbed/src/changes.rs
@@ -4,18 +4,24 @@
 use crate::judge::{Rule, TimeBounds, Violations};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// One change that the operator sent. Times are in microseconds on the history's clock.
 struct Change {
+    /// Version that the change creates.
     version: u64,
+    /// Version that the change is based on.
     base: u64,
     valid: bool,
+    /// Versions of the changes whose own routes the configuration contains.
     routes: Vec<u64>,
     sent: u64,
+    /// Time of the acknowledgement.
     acked: Option<u64>,
+    /// Time and HTTP status of the rejection.
     rejected: Option<(u64, u16)>,
 }
 
 impl Change {
-    /// Whether the change may be in force: a change without a definite answer may or may not be.
+    /// Whether the change may be in force. A valid change without a definite answer may have been committed.
     fn may_be_in_force(&self) -> bool {
         self.valid && self.rejected.is_none()
     }
@@ -33,8 +39,11 @@
 /// All changes with their observations.
 #[derive(Default)]
 pub(crate) struct Changes {
+    /// All changes by version.
     all: BTreeMap<u64, Change>,
     probes: Vec<Probe>,
+    /// Final configuration of each control plane: time, machine, version if there was an answer, and whether the
+    /// content equals the content sent under this version.
     reads: Vec<(u64, usize, Option<u64>, bool)>,
 }
 
@@ -115,7 +124,8 @@
         }
     }
 
-    /// An undisturbed machine must serve a request by a configuration that may be in force.
+    /// Checks that an undisturbed machine answered a probe by a configuration that may have been in force: the newest
+    /// one acknowledged at least [`TimeBounds::apply`] before the probe, or a newer one.
     fn check_probe(&self, probe: &Probe, bounds: &TimeBounds, violations: &mut Violations<'_>) {
         let Probe { version, machine, sent, at, route_found } = *probe;
         if !violations.disruptions.undisturbed(Some(machine), sent.saturating_sub(bounds.apply), at) {
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -10,13 +10,16 @@
 pub const ZONES: [&str; 4] = ["north", "south", "east", "north"];
 /// Number of backend slots. In trials each slot has its own address.
 pub const SLOTS: usize = 6;
-/// Last octets of addresses: first backend; first machine as a relayed source; clients and the operator.
+/// Last octet of the address of the first backend slot.
 const FIRST_BACKEND_OCTET: u8 = 20;
+/// Last octet of the source address of connections that relays open on behalf of the first machine.
 const FIRST_MACHINE_OCTET: u8 = 100;
+/// Last octet of the source address of clients and the operator.
 const CLIENT_OCTET: u8 = 200;
 /// Number of machines with a control plane that votes.
 pub const VOTERS: usize = 3;
-/// Ports per machine: front, readiness, control and peers.
+/// Ports per machine, in this order: client requests ("front"), readiness checks, backends and the operator
+/// ("control"), and connections between processes ("peers").
 const PORTS_PER_MACHINE: u16 = 4;
 /// Candidates for the first port, below the range that systems use for outgoing connections.
 const FIRST_PORT: u16 = 18_400;
@@ -26,8 +29,11 @@
 /// Addresses of the fleet.
 #[derive(Clone, Debug)]
 pub struct Site {
+    /// IP address of each machine.
     ips: Vec<Ipv4Addr>,
+    /// The first of the [`PORTS_PER_MACHINE`] ports.
     base: u16,
+    /// Whether there is a relay on every link.
     relayed: bool,
 }
 
--- a/emulator/src/draw.rs
+++ b/emulator/src/draw.rs
@@ -185,7 +185,7 @@
     pub plan: usize,
     /// The customer's demand pattern.
     pub habit: Habit,
-    /// The first gateway of the customer's set.
+    /// The first gateway of the customer's set: the gateways that receive the customer's requests.
     pub first: usize,
     /// The number of gateways in the set.
     pub spread: usize,
@@ -285,9 +285,9 @@
     pub classes: Vec<Class>,
     /// The customers.
     pub customers: Vec<Customer>,
-    /// The exponent of the uneven distribution of requests over a customer's gateways.
+    /// The exponent of the power law by which a customer's requests are distributed over its set of gateways.
     pub skew: f64,
-    /// Interval at which the busiest gateways of a set change.
+    /// Interval at which the ranks of the gateways in a customer's set change, and with them the busiest gateways.
     pub shift: Micros,
     /// First tries, ordered by time.
     pub first_tries: Vec<FirstTry>,
--- a/emulator/src/judge.rs
+++ b/emulator/src/judge.rs
@@ -62,7 +62,10 @@
 /// The load budget of a backend that has started recently.
 #[derive(Default)]
 struct ColdStartBudget {
+    /// Work sent to the backend within the window: time, work, whether the sender's backend list contained the start of
+    /// the backend, and the sending gateway.
     sent: VecDeque<(Micros, f64, bool, usize)>,
+    /// Sum of the work in `sent`.
     sum: f64,
     /// Samples of the backend's capacity within the window, with their times.
     capacities: VecDeque<(Micros, f64)>,
@@ -297,8 +300,8 @@
         self.cold.remove(&backend);
     }
 
-    /// Records work that reached a backend, whether accepted or rejected. Returns true if a cold backend was sent
-    /// more within the window than it can bear: the backend then fails.
+    /// Records work that reached a backend, whether accepted or rejected. Returns true if a cold backend received
+    /// more work within the window than its limit ([`Rules::fall_multiple`]) allows: the backend then fails.
     pub fn work_arrived(&mut self, at: Micros, gateway: usize, request: u64, load: &BackendLoad) -> bool {
         let (window, multiple) = (crate::draw::micros(self.rules.fall_ms), self.rules.fall_multiple);
         let BackendLoad { backend, work, capacity, start_known } = *load;
--- a/emulator/src/trial/judge.rs
+++ b/emulator/src/trial/judge.rs
@@ -300,12 +300,15 @@
     due: u64,
     sent: u64,
     gateway: usize,
+    /// Index in [`CLASSES`].
     class: usize,
     deadline: u64,
+    /// Number of the customer, and index of the customer's plan.
     customer: (usize, usize),
     ended: Option<(u64, Ended)>,
     /// Arrivals at backends: time, backend, sending gateway, and whether the request may have run.
     arrived: Vec<(u64, usize, Option<usize>, bool)>,
+    /// Backends that completed the request.
     served_by: Vec<usize>,
 }
 
@@ -319,8 +322,11 @@
 
 /// Work that a cold backend received within the overload window.
 struct ColdBackend {
+    /// Start of the backend on the history's clock, in us.
     born: u64,
+    /// Start of the backend as in discovery lists, in ms of Unix time.
     born_ms: u64,
+    /// Work that arrived: time, work, sending gateway, and whether that gateway knew of the start.
     sent: VecDeque<(u64, f64, Option<usize>, bool)>,
 }
 
--- a/emulator/src/world/event.rs
+++ b/emulator/src/world/event.rs
@@ -28,7 +28,7 @@
     GatewayStarts(usize),
     /// Discovery publishes the changes of the list.
     PublishChanges,
-    /// Changes up to this number reach a gateway, if its process is still this incarnation.
+    /// The entries of the change log up to this number reach a gateway, if its process is still this incarnation.
     ListChanges(usize, u32, usize),
     /// A full list reaches a gateway.
     FullList(usize, u32),
--- a/gateway/src/group/scout.rs
+++ b/gateway/src/group/scout.rs
@@ -66,14 +66,17 @@
 /// Sends, receives and, as the zone's scout, publishes health reports.
 pub struct Scout {
     group: Rc<GroupMembership>,
+    /// The zone of this gateway.
     zone: String,
     /// Called with each received report.
     on_report: Box<dyn Fn(Name, bool)>,
     /// When each backend was last reported, and whether as down.
     reported: RefCell<BTreeMap<Name, (Instant, bool)>>,
+    /// Number of reports that this gateway may still send in the current second.
     report_budget: Cell<u32>,
-    /// Fencing token and last sequence number that were passed on, by record.
+    /// For each record, its fencing token and the sequence number of the last report passed to the decision engine.
     seen: RefCell<BTreeMap<String, (u64, u64)>>,
+    /// The highest fencing token seen for each duty.
     fences: RefCell<SeenFences>,
 }
 
@@ -177,7 +180,7 @@
             };
             let before = reports.last_number;
             for payload in &notes {
-                // A later report on the same backend replaces the earlier one.
+                // Reports on the same backend stay in order, so receivers apply the latest one last.
                 if let Ok(report) = postcard::from_bytes::<HealthReport>(payload) {
                     reports.add(report);
                 }
--- a/group/src/lease.rs
+++ b/group/src/lease.rs
@@ -28,7 +28,9 @@
 #[derive(Debug)]
 pub struct SessionDeadlines {
     session_ttl: Duration,
+    /// The term in which this process leads, if it does.
     term: Option<u64>,
+    /// Earliest end of each session, by session ID.
     deadlines: BTreeMap<u64, Moment>,
 }
 
--- a/group/src/member.rs
+++ b/group/src/member.rs
@@ -116,12 +116,15 @@
     /// Index of the client to use for the next request; advances after a failure.
     preferred_voter: Cell<usize>,
     status: watch::Sender<MemberStatus>,
+    /// Whether this process claims free duties.
     eligible: Cell<bool>,
     closed: Cell<bool>,
     lease: RefCell<Arc<Lease>>,
-    /// The highest fence seen for each duty, and the highest fence of each duty that this process no longer holds.
+    /// The highest fence seen for each duty.
     seen_fences: RefCell<SeenFences>,
+    /// The highest fence of each duty that this process no longer holds; no guard is created for it again.
     ended_fences: RefCell<BTreeMap<String, u64>>,
+    /// Duties that this process is about to claim.
     pending_claims: RefCell<BTreeSet<String>>,
     /// Number of consecutive failures to open a session.
     failed_opens: Cell<u32>,
--- a/group/src/voter.rs
+++ b/group/src/voter.rs
@@ -41,6 +41,7 @@
     /// The time of the next Raft timer, and a signal that this time has moved earlier.
     next_due: Cell<Millis>,
     due_moved_earlier: Notify,
+    /// Number of times that committed entries were applied; a change wakes the tasks that wait for a newer state.
     applied_changes: watch::Sender<u64>,
     leadership: watch::Sender<Leadership>,
     /// Addresses of voters from the settings of this process. They take precedence over the replicated addresses,
@@ -53,6 +54,7 @@
     /// Queued Raft messages per voter. An entry exists while a task delivers messages to that voter.
     outgoing: RefCell<HashMap<VoterId, VecDeque<Vec<u8>>>>,
     session_deadlines: RefCell<SessionDeadlines>,
+    /// When this voter, while it leads, first saw each planned absence; used to expire absences.
     absence_first_seen: RefCell<BTreeMap<String, Moment>>,
     /// Notes by duty. Kept only while this voter leads.
     notes: RefCell<BTreeMap<String, VecDeque<Vec<u8>>>>,
--- a/group/src/voter/driver.rs
+++ b/group/src/voter/driver.rs
@@ -25,7 +25,9 @@
     /// Increases with each new writer. Events of an older writer do not belong to the current log.
     pub(super) writer_generation: u64,
     pub(super) applied: AppliedState,
+    /// Index of the last entry that the latest snapshot contains.
     pub(super) snapshot_index: u64,
+    /// The token given to the latest proposal; tokens identify proposals on this voter.
     pub(super) last_token: u64,
     /// Callers waiting for the result of their proposal, by token.
     pub(super) waiters: HashMap<u64, oneshot::Sender<Reply>>,
