--- a/crates/reachlb/src/run_control_plane.rs
+++ b/crates/reachlb/src/run_control_plane.rs
@@ -17,7 +17,7 @@
 
 /// Capacity of the command channel of the control plane's event loop.
 const COMMAND_QUEUE_LENGTH: usize = 1024;
-/// A silent voter is removed after the catch-up bound divided by this number.
+/// A silent voter is removed after the catch-up bound divided by this number (see [`retire_after`]).
 const CATCH_UP_PARTS: u64 = 3;
 /// Minimum silence before a voter is removed, in election timeouts. Lost messages explain shorter silences.
 const MIN_SILENT_ELECTIONS: u64 = 4;
--- a/crates/testbed/src/backend.rs
+++ b/crates/testbed/src/backend.rs
@@ -34,8 +34,9 @@
 const MAX_CONNECTIONS: usize = 130;
 /// Maximum length of a request body in bytes.
 const MAX_BODY_LEN: usize = 1 << 20;
-/// Duration of the warm-up, and the initial slowdown factor of a cold backend.
+/// Duration of the warm-up: a backend is cold for this time after its start.
 const WARMUP: Duration = Duration::from_secs(2);
+/// Factor by which a backend is slower at the beginning of its warm-up.
 const COLD_FACTOR: f64 = 2.0;
 /// Time for which a drained backend keeps serving after the drain deadline, so that late requests are detected.
 const POST_DRAIN_SERVICE: Duration = Duration::from_millis(700);
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -25,7 +25,7 @@
     pub deadline_ms: u64,
     /// Latency goal, in ms.
     pub goal_ms: u64,
-    /// Rank.
+    /// Priority of the route; 0 is the highest.
     pub rank: u32,
     /// Target services with their shares.
     pub targets: &'static [(&'static str, u32)],
--- a/emulator/src/books.rs
+++ b/emulator/src/books.rs
@@ -107,7 +107,8 @@
     pub vain: f64,
     /// The share of attempts in the gateway's own zone.
     pub same_zone: f64,
-    /// The refused share of the tries that had room in the quota, for the plan with the highest price.
+    /// The refused share of the tries that had room in the quota, for the plan with the highest factor on the worth of
+    /// answers (its price).
     pub shed_dear: f64,
     /// The same share for the plan with the lowest price.
     pub shed_cheap: f64,
--- a/emulator/src/live/history.rs
+++ b/emulator/src/live/history.rs
@@ -259,8 +259,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Addresses(u8, u8);
 
-/// Last octet of the two addresses of gateway 0: the source of its connections, and the address it listens on.
+/// Last octet of the source address of gateway 0's connections.
 const FIRST_SOURCE_OCTET: u8 = 10;
+/// Last octet of the address that gateway 0 listens on.
 const FIRST_LISTEN_OCTET: u8 = 110;
 
 impl Addresses {
--- a/emulator/src/live/mod.rs
+++ b/emulator/src/live/mod.rs
@@ -21,11 +21,13 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Number of gateways of the demo without a group; with a group, the number of gateways and of voters.
+/// Number of gateways of the demo without a group.
 const GATEWAYS: usize = 3;
+/// With a group: the number of gateways, and how many of them are voters.
 const GROUP_SIZE_AND_VOTERS: (usize, usize) = (5, 3);
-/// Session timeout of the demo's group, in ms, and the duties of the group.
+/// Session timeout of the demo's group, in ms.
 const SESSION_TIMEOUT_MS: u64 = 2000;
+/// Duties of the demo's group: named roles that at most one gateway holds at a time. The names have no meaning.
 const DUTIES: [&str; 2] = ["lamp", "horn"];
 /// Interval at which the demo polls which gateway holds each duty.
 const DUTY_POLL_INTERVAL: Duration = Duration::from_millis(50);
--- a/emulator/src/live/stand_ins.rs
+++ b/emulator/src/live/stand_ins.rs
@@ -87,7 +87,7 @@
 
 /// Maximum number of requests that wait for a slot.
 const MAX_QUEUED_REQUESTS: usize = 40;
-/// Warm-up of a restarted backend: the initial share of its full speed, and the time until full speed.
+/// Warm-up of a restarted ("cold") backend: the initial share of its full speed, and the time until full speed.
 pub const WARM_UP: (f64, Duration) = (0.2, Duration::from_secs(10));
 
 /// Returns the share of its full speed that a backend has reached at this time after its start.
--- a/emulator/src/trial/judge.rs
+++ b/emulator/src/trial/judge.rs
@@ -68,21 +68,21 @@
 const DRAIN_DEADLINE_US: u64 = 2_050_000;
 /// Maximum time from the client deadline to the final answer, in us: half a second, and 50 ms of slack for the sockets.
 const ANSWER_SLACK_US: u64 = 550_000;
-/// Tolerated excess over a ceiling in addition to the plan's slack: the units that the refill rate yields in this many
-/// seconds.
+/// Tolerated excess over a ceiling in addition to the excess that the plan tolerates: the units that the refill rate
+/// yields in this many seconds.
 const CEILING_SLACK_SECONDS: f64 = 0.15;
 /// Maximum delivery time of a discovery list on a link without faults, in us.
 const DELIVERY_TIME_US: u64 = 100_000;
 /// Maximum time after the end of a link fault until the relay has reset the connections that it held back, in us.
 const RESET_AFTER_FAULT_US: u64 = 250_000;
-/// Of this many requests, one may find its new connection closed without an answer and without an attempt at a backend.
-/// At least one request per trial may.
+/// One in this many requests of a trial, and at least one request, may find its new connection closed without an answer
+/// and without an attempt at a backend. See [`check_requests`] for the reason.
 const REQUESTS_PER_REJECTED_CONNECTION: usize = 200;
 /// Maximum number of violations that the verdict lists; the verdict only counts the others.
 const MAX_LISTED_BREAKS: usize = 100;
-/// Width of the time buckets that requests are counted in, in us. Service levels are compared over windows of
-/// [`WINDOW_BUCKETS`] buckets.
+/// Width of the time buckets that requests are counted in, in us.
 pub const BUCKET_US: u64 = 250_000;
+/// Number of buckets in a window. Service levels are compared window by window.
 const WINDOW_BUCKETS: usize = 4;
 /// Service counts as recovered at this share of the level before the first fault.
 const RECOVERED_RATIO: f64 = 0.9;
--- a/emulator/src/trial/mod.rs
+++ b/emulator/src/trial/mod.rs
@@ -26,18 +26,19 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Names in the folder of a gateway: the data directory of a voter, and the file in which the gateway records its
-/// performed duties.
+/// Name of the data directory of a voter, in the folder of the gateway.
 const DISK_DIR: &str = "disk";
+/// Name of the file in which a gateway records that it performs a duty, in the folder of the gateway.
 const ACTS_FILE: &str = "acts";
 /// Number of requests that a backend processes concurrently.
 const SLOTS_PER_BACKEND: usize = 1;
-/// Number of customers, and number of gateways that serve each customer.
+/// Number of customers.
 const CUSTOMERS: u64 = 40;
+/// Number of gateways that serve each customer.
 const GATEWAYS_PER_CUSTOMER: usize = 3;
-/// Time between SIGTERM and SIGKILL that the protocol prescribes. After SIGTERM the load balancer keeps sending
-/// requests for [`FRONT_NOTICE_DELAY`].
+/// Time between SIGTERM and SIGKILL that the protocol prescribes.
 const TERMINATION_GRACE: Duration = Duration::from_millis(3700);
+/// How long after SIGTERM the load balancer still sends requests to the gateway.
 const FRONT_NOTICE_DELAY: Duration = Duration::from_millis(300);
 /// Time limit for a new process to take over from the old one in a handover.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(8);
@@ -83,7 +84,9 @@
     number: usize,
     folder: PathBuf,
     config: PathBuf,
+    /// Address of the operators' console.
     console: SocketAddr,
+    /// The current process; `None` while the gateway is down.
     process: Option<Process>,
     /// Whether an exit of the process is expected, because the emulator has killed the process or requested its exit.
     exit_expected: bool,
@@ -99,7 +102,9 @@
     /// For each gateway its discovery service, and the relay address of each backend.
     discovery: Vec<(Discovery, Vec<SocketAddr>)>,
     counter: Arc<Counter>,
+    /// Whether the load balancer sends requests to a gateway, by gateway number.
     admitted: Arc<Vec<AtomicBool>>,
+    /// Faults that could not be injected; they make the trial void.
     injection_errors: Mutex<Vec<String>>,
 }
 
--- a/group/src/state_machine.rs
+++ b/group/src/state_machine.rs
@@ -15,13 +15,17 @@
 /// The ID of a session, chosen at random by the process that opens the session.
 pub type SessionId = u64;
 
-/// Limits of the replicated state: sessions, duties, records, bytes of a record's value, bytes of a name, and voter
-/// addresses.
+/// Maximum number of open sessions.
 pub const MAX_SESSIONS: usize = 1000;
+/// Maximum number of duties in the replicated state.
 const MAX_DUTIES: usize = crate::lease::MAX_DUTIES;
+/// Maximum number of records in the replicated state.
 const MAX_RECORDS: usize = 256;
+/// Maximum length of a record's value.
 const MAX_VALUE_BYTES: usize = 8 * 1024;
+/// Maximum length of each name, zone, version, address and record key.
 const MAX_NAME_BYTES: usize = 64;
+/// Maximum number of voter addresses in the replicated state.
 const MAX_VOTER_ADDRESSES: usize = 64;
 
 /// The session of one process.
--- a/group/src/voter/leader.rs
+++ b/group/src/voter/leader.rs
@@ -11,8 +11,9 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Maximum number of notes kept per duty, and maximum size of a note.
+/// Maximum number of notes (see [`GroupRequest`]) that the leader keeps per duty.
 const MAX_NOTES_PER_DUTY: usize = 512;
+/// Maximum size of a note.
 const MAX_NOTE_BYTES: usize = 256;
 /// A planned absence ends after this time if its process has not returned.
 const ABSENCE_TIMEOUT: Duration = Duration::from_secs(60);
--- a/group/src/voter/raft_transport.rs
+++ b/group/src/voter/raft_transport.rs
@@ -10,9 +10,9 @@
 use std::rc::Rc;
 use tokio::time::sleep;
 
-/// Maximum number of messages queued for one voter (the oldest are dropped first), and maximum size of a batch with
-/// several messages.
+/// Maximum number of messages queued for one voter. The oldest are dropped first.
 const MAX_QUEUED_MESSAGES: usize = 64;
+/// Maximum size of a batch of several messages, which are sent in one call.
 const MAX_BATCH_BYTES: usize = 1 << 20;
 /// A batch above this size gets a longer timeout.
 const LARGE_BATCH_BYTES: usize = 64 * 1024;
