--- a/emulator/src/trial/judge.rs
+++ b/emulator/src/trial/judge.rs
@@ -143,7 +143,7 @@
 /// Result of judging a trial.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Verdict {
-    /// The violations in order of time, at most [`MAX_LISTED_BREAKS`].
+    /// The violations in order of time, at most `MAX_LISTED_BREAKS`.
     pub breaks: Vec<Violation>,
     /// Number of all violations.
     pub broken: u64,
--- a/gateway/src/group/mod.rs
+++ b/gateway/src/group/mod.rs
@@ -216,7 +216,7 @@
         self.order(MemberRequest::SetEligible(false)).await;
     }
 
-    /// Leaves the group at the end of the process, and waits at most [`CLOSE_TIMEOUT`] for the acknowledgement.
+    /// Leaves the group at the end of the process, and waits at most `CLOSE_TIMEOUT` for the acknowledgement.
     pub async fn close(&self) {
         let _ = timeout(CLOSE_TIMEOUT, self.order(MemberRequest::Close)).await;
         self.handle.take();
--- a/http-proxy/src/time/clock.rs
+++ b/http-proxy/src/time/clock.rs
@@ -39,7 +39,7 @@
     /// Returns this clock set to `reported`, the current time of the preceding process of this gateway, if the system
     /// clock was set after that process had started. The state that the process hands over and the quota windows of the
     /// other gateways use the time from before the step. Returns `None` if the clocks differ by at most
-    /// [`MIN_CLOCK_STEP`], so that this clock can be kept.
+    /// `MIN_CLOCK_STEP`, so that this clock can be kept.
     pub fn aligned_with(self, reported: Millis) -> Option<Self> {
         let step = reported - self.now();
         let unix = Duration::try_from_secs_f64(self.unix.as_secs_f64() + step / 1000.0).ok()?;
