--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -1,4 +1,5 @@
-//! One measurement: real control planes and a few real data planes, with hollow data planes and backends around them.
+//! One measurement: real control planes and a few real data planes, together with hollow data planes and hollow backends
+//! (see [`super::hollow`]), which produce the control traffic of a large fleet without serving requests.
 
 use super::hollow::HollowSettings;
 use super::report::{Report, steady_seconds};
@@ -18,7 +19,8 @@
 
 /// Timeout for the start.
 const START_TIMEOUT: Duration = Duration::from_secs(40);
-/// Pause before the measurement: newly started processes send their tables twice.
+/// Pause before the measurement. Processes that have just started send their complete tables (see the message "all
+/// backends" in [`super::hollow`]) twice.
 const SETTLE_TIME: Duration = Duration::from_secs(6);
 /// Interval between configuration changes.
 const CHANGE_INTERVAL: Duration = Duration::from_secs(5);
@@ -34,9 +36,9 @@
 pub struct Plan {
     /// The program of the real processes.
     pub program: Program,
-    /// The program of the hollow processes: this executable.
+    /// The program of the processes that run hollow data planes: the testbed's own executable.
     pub own: Program,
-    /// Number of hollow data planes.
+    /// Number of hollow data planes, which stand in for gateways (see [`super::hollow`]).
     pub gateways: usize,
     /// Number of processes for the hollow data planes.
     pub processes: usize,
--- a/emulator/src/judge.rs
+++ b/emulator/src/judge.rs
@@ -20,7 +20,8 @@
     Duplicate,
     /// New work went to a draining or removed backend after the grace period that follows the notification.
     Drain,
-    /// A cold backend was sent more than it can bear, by gateways that had been notified of its start.
+    /// A cold backend (one that started recently and still warms up) received more work than its limit allows from
+    /// gateways that had been notified of its start.
     Fall,
     /// The usage of a customer exceeded its ceiling.
     Ceiling,
@@ -49,16 +50,22 @@
     /// The latest time at which a final answer is accepted.
     due: Micros,
     non_idempotent: bool,
+    /// Number of attempts so far, and of those in flight.
     attempts: u32,
     in_flight: u32,
+    /// Whether a backend may have run the request.
     may_have_run: bool,
+    /// Whether the gateway owes no final answer any more: the answer was sent, or the client has left.
     finished: bool,
 }
 
 /// The load budget of a backend that has started recently.
 #[derive(Default)]
 struct ColdStartBudget {
+    /// Work sent to the backend within the window: time, work, whether the sender's backend list contained the start of
+    /// the backend, and the sending gateway.
     sent: VecDeque<(Micros, f64, bool, usize)>,
+    /// Sum of the work in `sent`.
     sum: f64,
     /// Samples of the backend's capacity within the window, with their times.
     capacities: VecDeque<(Micros, f64)>,
@@ -293,8 +300,8 @@
         self.cold.remove(&backend);
     }
 
-    /// Records work that reached a backend, whether accepted or rejected. Returns true if a cold backend was sent
-    /// more within the window than it can bear: the backend then fails.
+    /// Records work that reached a backend, whether accepted or rejected. Returns true if a cold backend received
+    /// more work within the window than its limit ([`Rules::fall_multiple`]) allows: the backend then fails.
     pub fn work_arrived(&mut self, at: Micros, gateway: usize, request: u64, load: &BackendLoad) -> bool {
         let (window, multiple) = (crate::draw::micros(self.rules.fall_ms), self.rules.fall_multiple);
         let BackendLoad { backend, work, capacity, start_known } = *load;
--- a/gateway/src/group/scout.rs
+++ b/gateway/src/group/scout.rs
@@ -1,6 +1,6 @@
 //! Health reports about backends. Every gateway reports its findings to the scout of the zone, which publishes them in
 //! a record for all gateways; each gateway passes new reports to its decision engine. Being the scout is a duty: one
-//! gateway per zone holds the duty at a time, and its fencing token accompanies every record.
+//! gateway per zone holds the duty at a time, and each record carries the fencing token of the duty.
 //!
 //! This module makes no decisions. Limits: each gateway reports on a backend at most once a second and sends at most
 //! `MAX_REPORTS_PER_SECOND` reports a second; a scout writes a record of at most `MAX_RECORD_REPORTS` reports, at
@@ -66,14 +66,17 @@
 /// Sends, receives and, as the zone's scout, publishes health reports.
 pub struct Scout {
     group: Rc<GroupMembership>,
+    /// The zone of this gateway.
     zone: String,
     /// Called with each received report.
     on_report: Box<dyn Fn(Name, bool)>,
     /// When each backend was last reported, and whether as down.
     reported: RefCell<BTreeMap<Name, (Instant, bool)>>,
+    /// Number of reports that this gateway may still send in the current second.
     report_budget: Cell<u32>,
-    /// Fencing token and last sequence number that were passed on, by record.
+    /// For each record, its fencing token and the sequence number of the last report passed to the decision engine.
     seen: RefCell<BTreeMap<String, (u64, u64)>>,
+    /// The highest fencing token seen for each duty.
     fences: RefCell<SeenFences>,
 }
 
@@ -177,7 +180,7 @@
             };
             let before = reports.last_number;
             for payload in &notes {
-                // The last report on a backend takes effect.
+                // Reports on the same backend stay in order, so receivers apply the latest one last.
                 if let Ok(report) = postcard::from_bytes::<HealthReport>(payload) {
                     reports.add(report);
                 }
