--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -199,7 +199,7 @@
     pending_calls: HashMap<u64, PendingCall>,
     pending_proposals: BTreeMap<u64, PendingProposal>,
     /// Orders that reached this leader before its first lease.
-    orders_awaiting_lease: Vec<(Requester, LeaderCall)>,
+    leader_calls_awaiting_lease: Vec<(Requester, LeaderCall)>,
     drain_proposals: DrainProposals,
     /// Control planes that have announced since this process started that they understand [`LeaderCall::Drain`].
     drains_supported_by: BTreeSet<SocketAddr>,
@@ -282,7 +282,7 @@
             last_token: 0,
             pending_calls: HashMap::new(),
             pending_proposals: BTreeMap::new(),
-            orders_awaiting_lease: Vec::new(),
+            leader_calls_awaiting_lease: Vec::new(),
             drain_proposals: DrainProposals::default(),
             drains_supported_by: BTreeSet::new(),
             tokens_by_index: BTreeMap::new(),
@@ -381,7 +381,7 @@
             self.maintain_quota_service(now);
         }
         self.query_leader(now);
-        self.process_orders_awaiting_lease(now);
+        self.process_leader_calls_awaiting_lease(now);
         self.progress_shutdown();
         // A new leader, or the end of this process's catch-up, is reported immediately.
         let (leader, epoch, fresh) = self.leader(now);
--- a/crates/control-plane/src/control_plane/connections.rs
+++ b/crates/control-plane/src/control_plane/connections.rs
@@ -185,12 +185,14 @@
                 let changed = self.register.merge_reports(now, backends);
                 self.publish_backends(changed, Origin::Peer(&origin));
             }
-            Message::BackendHeartbeats(heard) => {
-                let recovered = self.register.merge_heartbeats(now, &heard);
+            Message::BackendHeartbeats(heartbeats) => {
+                let recovered = self.register.merge_heartbeats(now, &heartbeats);
                 self.publish_backends(recovered, Origin::Silence);
             }
             Message::DataPlanes(data_planes) => {
-                data_planes.iter().for_each(|(name, life)| self.fleet.record_contact(now, name, *life));
+                data_planes
+                    .iter()
+                    .for_each(|(name, incarnation)| self.fleet.record_contact(now, name, *incarnation));
                 peer.data_planes = data_planes;
                 self.resize_fleet(now);
             }
@@ -202,16 +204,16 @@
                 }
             }
             Message::HolderLeaseRequest { number: offer, answered, request_rate } => {
-                self.on_offer(connection, offer, answered, request_rate, now)
+                self.on_holder_lease_request(connection, offer, answered, request_rate, now)
             }
             Message::HolderLease { number: offer, assignment, lease_ms } => {
-                self.on_lease(offer, &assignment, lease_ms, now)
+                self.on_holder_lease(offer, &assignment, lease_ms, now)
             }
             Message::HolderAssignment(assignment) => self.on_assignment(&assignment, now),
             Message::Handover(handover) => self.on_handover(handover, now),
             Message::LeaseRequest(draw) => self.on_lease_request(connection, draw, now),
             Message::ForwardedCall { token, call } => {
-                self.on_order(Requester::Remote { peer: connection, token }, call, now)
+                self.on_leader_call(Requester::Remote { peer: connection, token }, call, now)
             }
             Message::ForwardedReply { token, status, body } => {
                 self.on_forwarded_reply(connection, token, Reply { status, body })
--- a/crates/control-plane/src/control_plane/drains.rs
+++ b/crates/control-plane/src/control_plane/drains.rs
@@ -83,7 +83,7 @@
             let refused = Reply::error(503, "this process may be cut off: ask another one");
             return self.reply_to_drain_call(&id, reply, refused, now);
         }
-        self.on_local_order(LeaderCall::Drain(id), reply, now);
+        self.on_local_leader_call(LeaderCall::Drain(id), reply, now);
     }
 
     /// Replies to the drain call of a backend.
--- a/crates/control-plane/src/control_plane/membership.rs
+++ b/crates/control-plane/src/control_plane/membership.rs
@@ -68,41 +68,44 @@
         voters.iter().map(zone).collect()
     }
 
-    fn tolerated_losses(&self, standing: &MembershipStatus) -> Losses {
-        let tolerated = self.settings.tolerance.tolerated(standing.voters, &self.zones_of(&standing.healthy));
-        Losses { machines: tolerated.machines.min(standing.further_losses), ..tolerated }
+    fn tolerated_losses(&self, membership: &MembershipStatus) -> Losses {
+        let tolerated =
+            self.settings.tolerance.tolerated(membership.voters, &self.zones_of(&membership.healthy));
+        Losses { machines: tolerated.machines.min(membership.further_losses), ..tolerated }
     }
 
     /// Health of the voter list as the leader knows it; `null` on any other process.
     pub(super) fn quorum_status(&self, now: u64) -> Value {
-        let Some(standing) = self.node.as_ref().and_then(|node| node.membership_status(now)) else {
+        let Some(membership) = self.node.as_ref().and_then(|node| node.membership_status(now)) else {
             return Value::Null;
         };
         let to_json = |losses: &Losses| json!({ "machines": losses.machines, "zones": losses.zones, "regions": losses.regions });
-        let unheard: Vec<_> = standing.unresponsive.iter().map(|voter| voter.address.as_str()).collect();
-        let learners: Vec<_> = standing
+        let unheard: Vec<_> = membership.unresponsive.iter().map(|voter| voter.address.as_str()).collect();
+        let learners: Vec<_> = membership
             .learners
             .iter()
             .map(|learner| json!({ "address": learner.id.address, "caught_up": learner.caught_up }))
             .collect();
-        json!({ "voters": standing.voters, "healthy": standing.healthy.len(), "unheard": unheard,
-            "learners": learners, "further_losses": to_json(&self.tolerated_losses(&standing)),
+        json!({ "voters": membership.voters, "healthy": membership.healthy.len(), "unheard": unheard,
+            "learners": learners, "further_losses": to_json(&self.tolerated_losses(&membership)),
             "tolerated": to_json(&self.settings.tolerance.losses) })
     }
 
     pub(super) fn quorum_metrics(&self, page: &mut MetricsPage, now: u64) {
-        let Some(standing) = self.node.as_ref().and_then(|node| node.membership_status(now)) else { return };
+        let Some(membership) = self.node.as_ref().and_then(|node| node.membership_status(now)) else {
+            return;
+        };
         let rows = |losses: Losses| {
             let kinds = [("machine", losses.machines), ("zone", losses.zones), ("region", losses.regions)];
             kinds.map(|(kind, count)| (vec![("of", kind.to_owned())], count as f64))
         };
         let help = "How many more may be lost at once while a majority of the voters is left, at the leader";
-        page.gauges("further_losses", help, rows(self.tolerated_losses(&standing)));
+        page.gauges("further_losses", help, rows(self.tolerated_losses(&membership)));
         let help = "How many the settings want to be borne";
         page.gauges("tolerated_losses", help, rows(self.settings.tolerance.losses));
         let help = "Voters that have not answered the leader within an election";
-        page.gauge("voters_unheard", help, standing.unresponsive.len() as f64);
+        page.gauge("voters_unheard", help, membership.unresponsive.len() as f64);
         let help = "Processes that receive the log to become voters";
-        page.gauge("learners", help, standing.learners.len() as f64);
+        page.gauge("learners", help, membership.learners.len() as f64);
     }
 }
--- a/crates/control-plane/src/control_plane/orders.rs
+++ b/crates/control-plane/src/control_plane/orders.rs
@@ -11,19 +11,19 @@
         match call {
             Call::Heartbeat(backend) => {
                 let draining = (backend.phase == Phase::Draining).then(|| backend.id.clone());
-                let judgement = self.register.record_heartbeat(now, backend);
-                self.publish_judgement(judgement);
+                let outcome = self.register.record_heartbeat(now, backend);
+                self.publish_merge_outcome(outcome);
                 match draining {
                     Some(id) => self.on_drain_call(id, reply, now),
                     None => drop(reply.send(self.heartbeat_reply(now))),
                 }
             }
             Call::Departure(id) => {
-                let judgement = self.register.record_departure(now, &id);
-                self.publish_judgement(judgement);
+                let outcome = self.register.record_departure(now, &id);
+                self.publish_merge_outcome(outcome);
                 self.on_drain_call(id, reply, now);
             }
-            Call::Order(order) => self.on_local_order(order, reply, now),
+            Call::Order(order) => self.on_local_leader_call(order, reply, now),
             Call::Status => drop(reply.send(self.status(now))),
             Call::History => drop(reply.send(self.history(now))),
             Call::VersionBody(version) => drop(reply.send(self.version_body(version))),
@@ -43,15 +43,17 @@
         }
     }
 
-    pub(super) fn publish_judgement(&mut self, judgement: MergeOutcome) {
-        if let MergeOutcome::Changed(backends) = judgement {
+    pub(super) fn publish_merge_outcome(&mut self, outcome: MergeOutcome) {
+        if let MergeOutcome::Changed(backends) = outcome {
             self.publish_called_backends(backends);
         }
     }
 
-    pub(super) fn on_local_order(&mut self, order: LeaderCall, reply: oneshot::Sender<Reply>, now: u64) {
-        if self.accepts_orders() {
-            return self.on_order(Requester::Local(reply), order, now);
+    pub(super) fn on_local_leader_call(
+        &mut self, order: LeaderCall, reply: oneshot::Sender<Reply>, now: u64,
+    ) {
+        if self.accepts_leader_calls() {
+            return self.on_leader_call(Requester::Local(reply), order, now);
         }
         let max_pending =
             if matches!(order, LeaderCall::Drain(_)) { MAX_PENDING_DRAINS } else { MAX_PENDING_CALLS };
@@ -68,7 +70,7 @@
     /// Forwards pending calls as soon as a leader is known.
     pub(super) fn forward_pending(&mut self, now: u64) {
         let (leader, _, current) = self.leader(now);
-        let accepts_orders = self.accepts_orders();
+        let accepts_leader_calls = self.accepts_leader_calls();
         self.requeue_stranded(leader.filter(|_| current));
         let ready: Vec<u64> = self
             .pending_calls
@@ -77,9 +79,9 @@
             .map(|(t, _)| *t)
             .collect();
         for token in ready {
-            if accepts_orders {
+            if accepts_leader_calls {
                 if let Some(pending) = self.pending_calls.remove(&token) {
-                    self.on_order(Requester::Local(pending.reply), pending.order, now);
+                    self.on_leader_call(Requester::Local(pending.reply), pending.order, now);
                 }
             } else if let Some(to) = leader.filter(|to| *to != self.settings.address)
                 && self.leader_supports(&to, token)
@@ -147,12 +149,12 @@
     }
 
     /// Handles the deferred orders once the new leader holds its first lease or stops leading.
-    pub(super) fn process_orders_awaiting_lease(&mut self, now: u64) {
-        if self.orders_awaiting_lease.is_empty() || self.awaits_lease(now) {
+    pub(super) fn process_leader_calls_awaiting_lease(&mut self, now: u64) {
+        if self.leader_calls_awaiting_lease.is_empty() || self.awaits_lease(now) {
             return;
         }
-        for (requester, order) in std::mem::take(&mut self.orders_awaiting_lease) {
-            self.on_order(requester, order, now);
+        for (requester, order) in std::mem::take(&mut self.leader_calls_awaiting_lease) {
+            self.on_leader_call(requester, order, now);
         }
     }
 
@@ -206,13 +208,13 @@
     }
 
     /// Handles an order at the leader.
-    pub(super) fn on_order(&mut self, requester: Requester, order: LeaderCall, now: u64) {
+    pub(super) fn on_leader_call(&mut self, requester: Requester, order: LeaderCall, now: u64) {
         // The process that forwarded the order forwards it again once another process leads.
         if self.is_shutting_down && matches!(requester, Requester::Remote { .. }) {
             return;
         }
-        if self.awaits_lease(now) && self.orders_awaiting_lease.len() < MAX_PENDING_CALLS {
-            return self.orders_awaiting_lease.push((requester, order));
+        if self.awaits_lease(now) && self.leader_calls_awaiting_lease.len() < MAX_PENDING_CALLS {
+            return self.leader_calls_awaiting_lease.push((requester, order));
         }
         let leads = self
             .node
--- a/crates/control-plane/src/control_plane/quota_service.rs
+++ b/crates/control-plane/src/control_plane/quota_service.rs
@@ -21,7 +21,7 @@
             // The role ends only with leadership: a lease that is regained within the same term finds the counters
             // unchanged.
             self.resign_quota_holder(now);
-            self.send_offer(now);
+            self.send_holder_lease_request(now);
         } else if has_lease && self.placer.as_ref().is_none_or(|p| p.assignment().epoch.term != term) {
             let is_first_term = term <= 1 && self.config_history.version() == 0;
             let max_requests = self.settings.max_lease_requests_per_holder;
@@ -116,7 +116,7 @@
     }
 
     /// Asks the leader for a lease as a deputy, or offers this voter as one.
-    fn send_offer(&mut self, now: u64) {
+    fn send_holder_lease_request(&mut self, now: u64) {
         if self.settings.max_lease_requests_per_holder <= 0.0 || now < self.offers.next_at {
             return;
         }
@@ -136,7 +136,7 @@
         }
     }
 
-    pub(super) fn on_offer(
+    pub(super) fn on_holder_lease_request(
         &mut self, connection: u64, offer: u64, answered: u64, request_rate: f64, now: u64,
     ) {
         let until = self.node.as_ref().and_then(|node| node.lease_until(now)).filter(|until| *until > now);
@@ -159,7 +159,9 @@
         });
     }
 
-    pub(super) fn on_lease(&mut self, offer: u64, assignment: &HolderAssignment, lease_ms: f64, now: u64) {
+    pub(super) fn on_holder_lease(
+        &mut self, offer: u64, assignment: &HolderAssignment, lease_ms: f64, now: u64,
+    ) {
         self.on_assignment(assignment, now);
         self.offers.last_answered = self.offers.last_answered.max(offer);
         let sent = self.offers.sent.iter().find(|(number, _)| *number == offer).map(|(_, sent)| *sent);
@@ -207,7 +209,7 @@
     /// A new holder needs its lease, and subscribers must learn the new assignment immediately.
     fn on_assignment_changed(&mut self, now: u64) {
         self.offers.next_at = now;
-        self.send_offer(now);
+        self.send_holder_lease_request(now);
         self.next_due[1] = now;
     }
 
--- a/crates/control-plane/src/control_plane/shutdown.rs
+++ b/crates/control-plane/src/control_plane/shutdown.rs
@@ -6,7 +6,7 @@
 
 impl ControlPlane {
     /// Whether this process leads and keeps leading: a process that is shutting down proposes no further orders.
-    pub(super) fn accepts_orders(&self) -> bool {
+    pub(super) fn accepts_leader_calls(&self) -> bool {
         !self.is_shutting_down && self.is_leader()
     }
 
@@ -62,7 +62,7 @@
         if self.pending_calls.is_empty()
             && self.pending_proposals.is_empty()
             && self.drain_proposals.is_empty()
-            && self.orders_awaiting_lease.is_empty()
+            && self.leader_calls_awaiting_lease.is_empty()
             && let Some(done) = self.shutdown_done.take()
         {
             let _ = done.send(());
--- a/crates/control-plane/src/control_plane/status.rs
+++ b/crates/control-plane/src/control_plane/status.rs
@@ -56,12 +56,12 @@
             .collect();
         let data_planes: Vec<_> = self.fleet.names().collect();
         let watch = self.neighbor_watch.as_ref().map(|neighbor_watch| {
-            let standing = neighbor_watch.status();
-            let watched = standing.watched.into_iter();
+            let detector_status = neighbor_watch.status();
+            let watched = detector_status.watched.into_iter();
             let watched: Vec<_> = watched
                 .map(|(name, silent, doubted)| json!({ "name": name, "silent_ms": silent, "doubted": doubted }))
                 .collect();
-            json!({ "isolated": standing.isolated, "here": standing.alive_count, "watched": watched })
+            json!({ "isolated": detector_status.isolated, "here": detector_status.alive_count, "watched": watched })
         });
         let status = json!({ "name": self.settings.me.name, "zone": self.settings.me.zone, "up_ms": now, "frames": self.messages_received,
             "leader": leader.map(|l| l.to_string()), "epoch": epoch, "fresh": fresh,
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -118,9 +118,9 @@
     }
 
     pub(super) fn gossip_round(&mut self, now: u64) {
-        let heard = self.register.take_heartbeats();
-        if !heard.is_empty() {
-            self.send_to_control_planes(&Message::BackendHeartbeats(heard));
+        let heartbeats = self.register.take_heartbeats();
+        if !heartbeats.is_empty() {
+            self.send_to_control_planes(&Message::BackendHeartbeats(heartbeats));
         }
         let changed = self.register.sweep(now);
         self.publish_backends(changed, Origin::Silence);
@@ -151,8 +151,8 @@
     fn count_data_planes(&mut self, now: u64) {
         let mut data_planes = self.local_data_planes(now);
         let reported = self.peers.values().filter(|peer| now < peer.last_received_at + PEER_TIMEOUT_MS);
-        for (name, life) in data_planes.iter().chain(reported.flat_map(|peer| &peer.data_planes)) {
-            self.fleet.record_contact(now, name, *life);
+        for (name, incarnation) in data_planes.iter().chain(reported.flat_map(|peer| &peer.data_planes)) {
+            self.fleet.record_contact(now, name, *incarnation);
         }
         data_planes.sort_unstable();
         if data_planes != self.last_sent_data_planes.0
--- a/crates/control-plane/tests/processes.rs
+++ b/crates/control-plane/tests/processes.rs
@@ -534,15 +534,15 @@
 fn wait_for_three_healthy_voters(processes: &[&Process], voter: SocketAddr) {
     wait_for(|| {
         let answers = processes.iter().filter_map(|process| process.call("GET /Harbour.Status HTTP/1.1", ""));
-        let mut standings = answers.filter_map(|(_, body)| {
+        let mut memberships = answers.filter_map(|(_, body)| {
             let status: serde_json::Value = serde_json::from_str(&body).expect("JSON");
             let members = status["log"]["members"].to_string();
             Some(status["log"]["standing"].clone())
-                .filter(|standing| standing.is_object() && members.contains(&voter.to_string()))
+                .filter(|membership| membership.is_object() && members.contains(&voter.to_string()))
         });
-        let standing = standings.next()?;
-        let tolerated = &standing["further_losses"]["machines"];
-        (standing["voters"] == 3 && *tolerated == 1 && standing["learners"] == serde_json::json!([]))
+        let membership = memberships.next()?;
+        let tolerated = &membership["further_losses"]["machines"];
+        (membership["voters"] == 3 && *tolerated == 1 && membership["learners"] == serde_json::json!([]))
             .then_some(())
     });
 }
--- a/crates/reachlb/src/start.rs
+++ b/crates/reachlb/src/start.rs
@@ -55,8 +55,8 @@
         UdpSocket::from_std(socket)
     };
     let socket = open().into_diagnostic().wrap_err_with(|| format!("receive datagrams at {address}"))?;
-    let card = transport::card(address, &settings.node_name, data_plane, instance);
-    Ok(Some(NeighborWatch::start(socket, card, neighbor_watch_seeds(settings), instance)))
+    let identity = transport::identity(address, &settings.node_name, data_plane, instance);
+    Ok(Some(NeighborWatch::start(socket, identity, neighbor_watch_seeds(settings), instance)))
 }
 
 /// Addresses at which the processes on the seeds' machines receive datagrams of the failure detector.
--- a/crates/testbed/src/capacity/costs.rs
+++ b/crates/testbed/src/capacity/costs.rs
@@ -217,7 +217,7 @@
         }
         register
     };
-    let beat = measure(SHORT_TURNS, full, |register, repetition| {
+    let heartbeat_cost = measure(SHORT_TURNS, full, |register, repetition| {
         let mut heartbeat = backend(repetition % size.backends);
         heartbeat.call_count += 1_000_000 + repetition as u64;
         register.record_heartbeat(repetition as u64, heartbeat);
@@ -239,7 +239,7 @@
         std::hint::black_box(fleet.index_within(0, u64::MAX, &gateway_name(repetition % size.gateways)));
     });
     vec![
-        cost_of(step::HEARTBEAT, beat),
+        cost_of(step::HEARTBEAT, heartbeat_cost),
         cost_of(step::REPORTED_HEARTBEAT, reported),
         cost_of(step::ROUND, round),
         cost_of(step::FIND_NUMBER, number),
--- a/crates/testbed/src/capacity/messages.rs
+++ b/crates/testbed/src/capacity/messages.rs
@@ -107,8 +107,8 @@
 }
 
 fn control_plane_addresses(size: &Size) -> Vec<ControlPlaneAddress> {
-    let card = |n| ControlPlaneAddress { address: address(n), zone: format!("zone-{}", n % 4) };
-    (0..size.control_planes).map(card).collect()
+    let control_plane = |n| ControlPlaneAddress { address: address(n), zone: format!("zone-{}", n % 4) };
+    (0..size.control_planes).map(control_plane).collect()
 }
 
 /// Heartbeats that one control plane receives in one round.
@@ -164,7 +164,7 @@
 pub fn lengths(size: &Size) -> Vec<MessageLength> {
     let body = configuration_bytes(size, 1);
     let (whole, difference) = configuration_frames(size);
-    let (beat, answer) = heartbeat();
+    let (heartbeat_length, answer) = heartbeat();
     let of = |kind, message: Message| MessageLength { kind, bytes: frame(&message).len() };
     let raw = |kind, bytes| MessageLength { kind, bytes };
     let appended = log(&append(body.clone()));
@@ -190,7 +190,7 @@
         of(kind::CONTROL_PLANES, Message::ControlPlanes(control_plane_addresses(size))),
         of(kind::DATA_PLANES, Message::DataPlanes(data_planes_of_one(size))),
         of(kind::HEARD, Message::BackendHeartbeats(heartbeats_of_round(size))),
-        raw(kind::HTTP_HEARTBEAT, beat),
+        raw(kind::HTTP_HEARTBEAT, heartbeat_length),
         raw(kind::HTTP_ANSWER, answer),
         of(kind::BACKEND, Message::Backends { is_complete: false, backends: vec![backend(7)] }),
         of(kind::ALL_BACKENDS, Message::Backends { is_complete: true, backends: backends(size) }),
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -24,7 +24,7 @@
 };
 pub use drain_records::DrainRecords;
 pub use follower::{ControlFollower, FollowerSettings, Update};
-pub use neighbor_watch::{NeighborWatch, card};
+pub use neighbor_watch::{NeighborWatch, identity};
 pub use peer_choice::PeerChoice;
 pub use pending_requests::PendingRequests;
 
