--- a/crates/control-plane/src/calls.rs
+++ b/crates/control-plane/src/calls.rs
@@ -216,25 +216,26 @@
 fn parse_heartbeat(id: &str, _: &HeaderMap, body: &[u8]) -> Result<Call, Reply> {
     let backend_id = check_backend_id(id)?;
     let invalid = |why: String| Reply::error(400, &format!("beat of {id}: {why}"));
-    let beat: HeartbeatBody = serde_json::from_slice(body).map_err(|error| invalid(error.to_string()))?;
-    let phase = match beat.condition.phase.as_str() {
+    let heartbeat: HeartbeatBody =
+        serde_json::from_slice(body).map_err(|error| invalid(error.to_string()))?;
+    let phase = match heartbeat.condition.phase.as_str() {
         "serving" => Phase::Serving,
         "draining" => Phase::Draining,
         other => return Err(invalid(format!("condition.phase: {other:?} is neither serving nor draining"))),
     };
-    if beat.address.parse::<std::net::SocketAddr>().is_err() {
-        return Err(invalid(format!("address: {:?} is no ip:port", beat.address)));
+    if heartbeat.address.parse::<std::net::SocketAddr>().is_err() {
+        return Err(invalid(format!("address: {:?} is no ip:port", heartbeat.address)));
     }
     Ok(Call::Heartbeat(Backend {
         id: backend_id,
-        service: beat.summary.target,
-        address: beat.address,
-        zone: beat.summary.zone,
-        generation: beat.summary.generation,
-        capacity: beat.summary.capacity.max(1),
+        service: heartbeat.summary.target,
+        address: heartbeat.address,
+        zone: heartbeat.summary.zone,
+        generation: heartbeat.summary.generation,
+        capacity: heartbeat.summary.capacity.max(1),
         phase,
-        warmup_left_ms: beat.condition.warmup_left_ms.clamp(0.0, 600_000.0) as u32,
-        call_count: beat.condition.call_count,
+        warmup_left_ms: heartbeat.condition.warmup_left_ms.clamp(0.0, 600_000.0) as u32,
+        call_count: heartbeat.condition.call_count,
         overdue: false,
     }))
 }
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -38,7 +38,7 @@
     /// # Errors
     /// When the directory cannot be written or the log cannot be read.
     pub fn open(
-        folder: &Path, new_voter: impl FnOnce(bool) -> (VoterId, Vec<VoterId>),
+        directory: &Path, new_voter: impl FnOnce(bool) -> (VoterId, Vec<VoterId>),
         commands: mpsc::Sender<Command>,
     ) -> Result<(Self, PersistentState), DiskError> {
         let unusable = |step: &'static str, path: &Path, why: String| DiskError::Unusable {
@@ -46,8 +46,9 @@
             path: path.display().to_string(),
             why,
         };
-        std::fs::create_dir_all(folder).map_err(|e| unusable("create directory", folder, e.to_string()))?;
-        let path = folder.join(Self::FILE);
+        std::fs::create_dir_all(directory)
+            .map_err(|e| unusable("create directory", directory, e.to_string()))?;
+        let path = directory.join(Self::FILE);
         let (store, saved, damaged) = match Store::open(&path) {
             Ok((store, saved)) => (store, saved, false),
             Err(error) if error.is_lost() => {
--- a/crates/control-plane/tests/malformed_input.rs
+++ b/crates/control-plane/tests/malformed_input.rs
@@ -13,10 +13,10 @@
 const MAX_ERROR_BYTES: usize = 64 * 1024;
 
 fn corpus(names: &[&str]) -> Vec<Vec<u8>> {
-    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/corpus");
+    let directory = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/corpus");
     let config = concat!(env!("CARGO_MANIFEST_DIR"), "/../config/tests/data");
     let read = |name: &&str| {
-        let near = std::fs::read(format!("{folder}/{name}"));
+        let near = std::fs::read(format!("{directory}/{name}"));
         near.or_else(|_| std::fs::read(format!("{config}/{name}"))).expect("a corpus file")
     };
     names.iter().map(read).collect()
--- a/crates/control-plane/tests/processes.rs
+++ b/crates/control-plane/tests/processes.rs
@@ -36,10 +36,10 @@
 }
 
 impl Process {
-    /// Starts a process that stores the Raft log in `folder`, or one without a log if there is no folder.
+    /// Starts a process that stores the Raft log in `directory`, or one without a log if there is no directory.
     fn start(
-        at: usize, address: SocketAddr, seeds: &[SocketAddr], control: SocketAddr, folder: Option<PathBuf>,
-        first: bool,
+        at: usize, address: SocketAddr, seeds: &[SocketAddr], control: SocketAddr,
+        directory: Option<PathBuf>, first: bool,
     ) -> Self {
         let (stop, stop_signal) = oneshot::channel::<()>();
         let seeds = seeds.to_vec();
@@ -55,8 +55,8 @@
                     (VoterId { address: address.to_string(), incarnation }, founders)
                 };
                 // The thread of the former process may still be closing the file.
-                let log =
-                    folder.map(|folder| wait_for(|| Disk::open(&folder, newcomer, commands.clone()).ok()));
+                let log = directory
+                    .map(|directory| wait_for(|| Disk::open(&directory, newcomer, commands.clone()).ok()));
                 let me = Hello {
                     name: format!("m{at}"),
                     process_incarnation: 1,
@@ -178,19 +178,19 @@
 struct TestFleet {
     peers: Vec<SocketAddr>,
     controls: Vec<SocketAddr>,
-    folder: tempfile::TempDir,
+    directory: tempfile::TempDir,
 }
 
 impl TestFleet {
     fn new() -> Self {
         let ports = free_ports(10);
-        let folder = tempfile::tempdir().expect("a folder");
-        Self { peers: ports[..5].to_vec(), controls: ports[5..].to_vec(), folder }
+        let directory = tempfile::tempdir().expect("cannot create the temporary directory");
+        Self { peers: ports[..5].to_vec(), controls: ports[5..].to_vec(), directory }
     }
 
     fn start(&self, at: usize, first: bool) -> Process {
-        let folder = (at < VOTERS).then(|| self.disk(at));
-        Process::start(at, self.peers[at], &self.peers[..VOTERS], self.controls[at], folder, first)
+        let directory = (at < VOTERS).then(|| self.disk(at));
+        Process::start(at, self.peers[at], &self.peers[..VOTERS], self.controls[at], directory, first)
     }
 
     /// Starts a process with a log that knows only these seeds.
@@ -199,7 +199,7 @@
     }
 
     fn disk(&self, at: usize) -> PathBuf {
-        self.folder.path().join(at.to_string())
+        self.directory.path().join(at.to_string())
     }
 
     fn all(&self, first: bool) -> Vec<Process> {
--- a/crates/testbed/src/capacity/messages.rs
+++ b/crates/testbed/src/capacity/messages.rs
@@ -16,15 +16,15 @@
 
 /// The kinds of messages, as tables name them.
 pub(super) mod kind {
-    pub const ORDERED: &str = "configuration, as the operator sends it";
-    pub const WHOLE: &str = "configuration to a follower that has none";
-    pub const DIFFERENCE: &str = "configuration as a difference, one quota changed";
+    pub const SUBMITTED_CONFIGURATION: &str = "configuration, as the operator sends it";
+    pub const CONFIGURATION: &str = "configuration to a follower that has none";
+    pub const CONFIGURATION_DIFFERENCE: &str = "configuration as a difference, one quota changed";
     pub const LOG_ENTRY: &str = "log entry with a configuration, to one voter";
-    pub const ORDER: &str = "order forwarded to the leader";
+    pub const FORWARDED_CALL: &str = "order forwarded to the leader";
     pub const HELLO: &str = "hello";
-    pub const STATUS: &str = "heartbeat to a follower";
+    pub const FOLLOWER_HEARTBEAT: &str = "heartbeat to a follower";
     pub const FOLLOW: &str = "follow, a data plane's keep-alive";
-    pub const HERE: &str = "here, a data plane's keep-alive to a quota holder";
+    pub const QUOTA_KEEPALIVE: &str = "here, a data plane's keep-alive to a quota holder";
     pub const LEASE_REQUEST: &str = "lease request of one tenant";
     pub const GRANT: &str = "grant to one tenant";
     pub const LEASE_REQUEST_OF_TEN: &str = "lease request of ten tenants";
@@ -33,7 +33,7 @@
     pub const LOG_HEARTBEAT_ANSWER: &str = "answer to a log heartbeat";
     pub const CONTROL_PLANES: &str = "control planes, to each other and to followers";
     pub const DATA_PLANES: &str = "data planes of one control plane";
-    pub const HEARD: &str = "heartbeats received by one control plane in a round";
+    pub const RECEIVED_HEARTBEATS: &str = "heartbeats received by one control plane in a round";
     pub const HTTP_HEARTBEAT: &str = "heartbeat of a backend, HTTP";
     pub const HTTP_ANSWER: &str = "answer to a backend's heartbeat, HTTP";
     pub const BACKEND: &str = "one backend that changed";
@@ -169,15 +169,18 @@
     let raw = |kind, bytes| MessageLength { kind, bytes };
     let appended = log(&append(body.clone()));
     vec![
-        raw(kind::ORDERED, body.len()),
-        raw(kind::WHOLE, whole),
-        raw(kind::DIFFERENCE, difference),
+        raw(kind::SUBMITTED_CONFIGURATION, body.len()),
+        raw(kind::CONFIGURATION, whole),
+        raw(kind::CONFIGURATION_DIFFERENCE, difference),
         of(kind::LOG_ENTRY, appended),
-        of(kind::ORDER, Message::ForwardedCall { token: 7, call: LeaderCall::Replace { base: 1, body } }),
+        of(
+            kind::FORWARDED_CALL,
+            Message::ForwardedCall { token: 7, call: LeaderCall::Replace { base: 1, body } },
+        ),
         of(kind::HELLO, Message::Hello(hello(Plane::DataPlane))),
-        of(kind::STATUS, Message::Heartbeat(status(size))),
+        of(kind::FOLLOWER_HEARTBEAT, Message::Heartbeat(status(size))),
         of(kind::FOLLOW, Message::Follow { have: config_id(3_000, b"x") }),
-        of(kind::HERE, Message::QuotaKeepalive { epoch: Epoch::first(12) }),
+        of(kind::QUOTA_KEEPALIVE, Message::QuotaKeepalive { epoch: Epoch::first(12) }),
         of(kind::LEASE_REQUEST, Message::LeaseRequest(lease_request(4_000_000, 7..8))),
         of(kind::GRANT, Message::Grant(grant(7..8))),
         of(kind::LEASE_REQUEST_OF_TEN, Message::LeaseRequest(lease_request(4_000_000, 7..17))),
@@ -189,7 +192,7 @@
         ),
         of(kind::CONTROL_PLANES, Message::ControlPlanes(control_plane_addresses(size))),
         of(kind::DATA_PLANES, Message::DataPlanes(data_planes_of_one(size))),
-        of(kind::HEARD, Message::BackendHeartbeats(heartbeats_of_round(size))),
+        of(kind::RECEIVED_HEARTBEATS, Message::BackendHeartbeats(heartbeats_of_round(size))),
         raw(kind::HTTP_HEARTBEAT, heartbeat_length),
         raw(kind::HTTP_ANSWER, answer),
         of(kind::BACKEND, Message::Backends { is_complete: false, backends: vec![backend(7)] }),
--- a/crates/testbed/src/capacity/model.rs
+++ b/crates/testbed/src/capacity/model.rs
@@ -72,13 +72,13 @@
 /// so that configurations are sent as differences.
 pub fn messages(role: Role, size: &Size, kept: bool) -> Vec<Flow> {
     let leases = LEASE_REQUESTS_PER_REQUEST * size.requests_per_s;
-    let configuration = if kept { kind::DIFFERENCE } else { kind::WHOLE };
+    let configuration = if kept { kind::CONFIGURATION_DIFFERENCE } else { kind::CONFIGURATION };
     let (followers, others) = (followers(size), others(size));
     match role {
         Role::DataPlane => vec![
-            flow(kind::STATUS, STATUS_PER_S),
+            flow(kind::FOLLOWER_HEARTBEAT, STATUS_PER_S),
             flow(kind::FOLLOW, KEEP_ALIVES_PER_S),
-            flow(kind::HERE, KEEP_ALIVES_PER_S),
+            flow(kind::QUOTA_KEEPALIVE, KEEP_ALIVES_PER_S),
             flow(kind::LEASE_REQUEST, leases / size.gateways as f64),
             flow(kind::GRANT, leases / size.gateways as f64),
             flow(configuration, CHANGES_PER_S),
@@ -87,9 +87,9 @@
         Role::ControlPlane => vec![
             flow(kind::HTTP_HEARTBEAT, heartbeats(size)),
             flow(kind::HTTP_ANSWER, heartbeats(size)),
-            flow(kind::HEARD, 2.0 * others * 1000.0 / ROUND_MS),
+            flow(kind::RECEIVED_HEARTBEATS, 2.0 * others * 1000.0 / ROUND_MS),
             flow(kind::CONTROL_PLANES, 2.0 * others * 1000.0 / ROUND_MS),
-            flow(kind::STATUS, followers * STATUS_PER_S),
+            flow(kind::FOLLOWER_HEARTBEAT, followers * STATUS_PER_S),
             flow(kind::FOLLOW, followers * KEEP_ALIVES_PER_S),
             flow(configuration, followers * CHANGES_PER_S),
             flow(kind::BACKEND, (followers + others) * BACKEND_UPDATES_PER_S),
@@ -97,14 +97,14 @@
         ],
         Role::Leader => vec![
             flow(kind::LOG_ENTRY, others * CHANGES_PER_S),
-            flow(kind::ORDER, CHANGES_PER_S),
+            flow(kind::FORWARDED_CALL, CHANGES_PER_S),
             flow(kind::LOG_HEARTBEAT, others * LOG_HEARTBEATS_PER_S),
             flow(kind::LOG_HEARTBEAT_ANSWER, others * LOG_HEARTBEATS_PER_S),
         ],
         Role::QuotaHolder => vec![
             flow(kind::LEASE_REQUEST, leases),
             flow(kind::GRANT, leases),
-            flow(kind::HERE, size.gateways as f64 * KEEP_ALIVES_PER_S),
+            flow(kind::QUOTA_KEEPALIVE, size.gateways as f64 * KEEP_ALIVES_PER_S),
         ],
     }
 }
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -57,10 +57,10 @@
         ProcessOptions { name, program: self.file.clone(), arguments, settings, log }
     }
 
-    /// Start options of a control plane, with files below `folder`.
-    pub fn control_plane(&self, folder: &Path, machine: usize) -> ProcessOptions {
+    /// Start options of a control plane, with files below `directory`.
+    pub fn control_plane(&self, directory: &Path, machine: usize) -> ProcessOptions {
         let name = format!("machine-{}-control-plane", machine + 1);
-        let (settings, log) = settings_and_log(folder, &name);
+        let (settings, log) = settings_and_log(directory, &name);
         self.process_options(name, "control-plane", settings, log)
     }
 
@@ -69,19 +69,19 @@
     /// # Errors
     /// Returns an error when a file cannot be written or a process cannot be started.
     pub fn start_all(
-        &self, folder: &Path, site: &Site,
+        &self, directory: &Path, site: &Site,
     ) -> Result<(Vec<Process>, Vec<Process>), TestbedError> {
-        make_folders(folder)?;
+        create_directories(directory)?;
         let mut control_planes = Vec::new();
         let mut data_planes = Vec::new();
         for machine in 0..VOTERS {
-            let options = self.control_plane(folder, machine);
-            let text = site.control_plane_settings(machine, &data_folder(folder, machine), true);
+            let options = self.control_plane(directory, machine);
+            let text = site.control_plane_settings(machine, &data_directory(directory, machine), true);
             std::fs::write(&options.settings, text).map_err(TestbedError::file(&options.settings))?;
             control_planes.push(Process::start(options)?);
         }
         for machine in 0..ZONES.len() {
-            let options = self.data_plane(folder, machine);
+            let options = self.data_plane(directory, machine);
             std::fs::write(&options.settings, site.data_plane_settings(machine))
                 .map_err(TestbedError::file(&options.settings))?;
             data_planes.push(Process::start(options)?);
@@ -89,38 +89,41 @@
         Ok((control_planes, data_planes))
     }
 
-    /// Start options of a process of hollow data planes, with files below `folder`.
-    pub fn hollow(&self, folder: &Path, number: usize, settings: PathBuf) -> ProcessOptions {
+    /// Start options of a process of hollow data planes, with files below `directory`.
+    pub fn hollow(&self, directory: &Path, number: usize, settings: PathBuf) -> ProcessOptions {
         let name = format!("hollow-{number}");
-        let (_, log) = settings_and_log(folder, &name);
+        let (_, log) = settings_and_log(directory, &name);
         self.process_options(name, "hollow", settings, log)
     }
 
-    /// Start options of a data plane, with files below `folder`.
-    pub fn data_plane(&self, folder: &Path, machine: usize) -> ProcessOptions {
+    /// Start options of a data plane, with files below `directory`.
+    pub fn data_plane(&self, directory: &Path, machine: usize) -> ProcessOptions {
         let name = format!("machine-{}-data-plane", machine + 1);
-        let (settings, log) = settings_and_log(folder, &name);
+        let (settings, log) = settings_and_log(directory, &name);
         self.process_options(name, "data-plane", settings, log)
     }
 }
 
-fn settings_and_log(folder: &Path, name: &str) -> (PathBuf, PathBuf) {
-    (folder.join("settings").join(format!("{name}.toml")), folder.join("logs").join(format!("{name}.log")))
+fn settings_and_log(directory: &Path, name: &str) -> (PathBuf, PathBuf) {
+    (
+        directory.join("settings").join(format!("{name}.toml")),
+        directory.join("logs").join(format!("{name}.log")),
+    )
 }
 
-/// Data folder of a control plane.
-pub fn data_folder(folder: &Path, machine: usize) -> PathBuf {
-    folder.join("data").join(format!("machine-{}", machine + 1))
+/// Data directory of a control plane.
+pub fn data_directory(directory: &Path, machine: usize) -> PathBuf {
+    directory.join("data").join(format!("machine-{}", machine + 1))
 }
 
-/// Creates the folders of a fleet.
+/// Creates the directories of a fleet.
 ///
 /// # Errors
-/// Returns an error when a folder cannot be created.
-pub fn make_folders(folder: &Path) -> Result<(), TestbedError> {
-    let inner = ["settings", "logs"].map(|name| folder.join(name));
-    for folder in inner.into_iter().chain((0..VOTERS).map(|machine| data_folder(folder, machine))) {
-        std::fs::create_dir_all(&folder).map_err(TestbedError::file(&folder))?;
+/// Returns an error when a directory cannot be created.
+pub fn create_directories(directory: &Path) -> Result<(), TestbedError> {
+    let inner = ["settings", "logs"].map(|name| directory.join(name));
+    for directory in inner.into_iter().chain((0..VOTERS).map(|machine| data_directory(directory, machine))) {
+        std::fs::create_dir_all(&directory).map_err(TestbedError::file(&directory))?;
     }
     Ok(())
 }
@@ -155,14 +158,14 @@
 /// # Errors
 /// Returns an error when a process exits or on timeout.
 pub async fn wait_ready(
-    platform: &Platform, processes: &mut [&mut Process], folder: &Path,
+    platform: &Platform, processes: &mut [&mut Process], directory: &Path,
 ) -> Result<(), TestbedError> {
     let until = Instant::now() + START_TIMEOUT;
     let wanted = ZONES.len();
     loop {
         for process in &mut *processes {
             if let Some(status) = process.exit_status() {
-                let log = folder.join("logs").join(format!("{}.log", process.name()));
+                let log = directory.join("logs").join(format!("{}.log", process.name()));
                 let log_text = std::fs::read_to_string(&log).unwrap_or_default();
                 let last_line =
                     log_text.lines().rfind(|line| !line.trim().is_empty()).unwrap_or("no output").to_owned();
@@ -180,7 +183,7 @@
         }
         if Instant::now() > until {
             let what = format!("{ready} of {wanted} data planes are ready");
-            return Err(TestbedError::Timeout { what, within: START_TIMEOUT, logs: folder.join("logs") });
+            return Err(TestbedError::Timeout { what, within: START_TIMEOUT, logs: directory.join("logs") });
         }
         sleep(POLL_INTERVAL).await;
     }
@@ -190,7 +193,7 @@
 ///
 /// # Errors
 /// Returns an error when the configuration is rejected or not acknowledged in time.
-pub async fn send_first_configuration(operator: &Operator, folder: &Path) -> Result<(), TestbedError> {
+pub async fn send_first_configuration(operator: &Operator, directory: &Path) -> Result<(), TestbedError> {
     match operator.first(Instant::now() + START_TIMEOUT).await {
         Some(answer) if answer.status.is_success() => Ok(()),
         Some(answer) => {
@@ -199,7 +202,7 @@
         }
         None => {
             let what = "the first configuration was not acknowledged".to_owned();
-            Err(TestbedError::Timeout { what, within: START_TIMEOUT, logs: folder.join("logs") })
+            Err(TestbedError::Timeout { what, within: START_TIMEOUT, logs: directory.join("logs") })
         }
     }
 }
@@ -208,10 +211,10 @@
 ///
 /// # Errors
 /// Returns an error when a settings file cannot be written.
-pub fn disable_bootstrap(program: &Program, site: &Site, folder: &Path) -> Result<(), TestbedError> {
+pub fn disable_bootstrap(program: &Program, site: &Site, directory: &Path) -> Result<(), TestbedError> {
     for machine in 0..VOTERS {
-        let settings = program.control_plane(folder, machine).settings;
-        let text = site.control_plane_settings(machine, &data_folder(folder, machine), false);
+        let settings = program.control_plane(directory, machine).settings;
+        let text = site.control_plane_settings(machine, &data_directory(directory, machine), false);
         std::fs::write(&settings, text).map_err(TestbedError::file(&settings))?;
     }
     Ok(())
@@ -242,7 +245,7 @@
     pub scenario: Scenario,
     /// Seed of all random choices.
     pub seed: u64,
-    /// Whether to keep the folder with settings and logs.
+    /// Whether to keep the directory with settings and logs.
     pub keep: bool,
 }
 
@@ -263,17 +266,17 @@
     async fn run_to_end(&self) -> Result<bool, TestbedError> {
         let temp_dir = tempfile::Builder::new().prefix("testbed-").disable_cleanup(self.keep).tempdir();
         let temp_dir = temp_dir.map_err(TestbedError::file(std::env::temp_dir()))?;
-        let folder = temp_dir.path();
+        let directory = temp_dir.path();
         let progress = Progress::default();
         // Derive the addresses from the process id, so that fleets of other processes on this machine use other ones.
         let pid = std::process::id();
         let site = Site::find(64 + (pid >> 8) as u8 % 128, pid as u8, u64::from(pid))?;
-        let (mut control_planes, mut data_planes) = self.program.start_all(folder, &site)?;
+        let (mut control_planes, mut data_planes) = self.program.start_all(directory, &site)?;
         progress.report(format!(
             "{} control planes and {} data planes start; logs in {}",
             VOTERS,
             ZONES.len(),
-            folder.join("logs").display()
+            directory.join("logs").display()
         ));
         let control: Vec<_> = (0..VOTERS).map(|machine| site.control(machine)).collect();
         let control = Control::new(control);
@@ -282,13 +285,13 @@
         let backends = backends(&services, |_| LOOPBACK, |_| control.clone(), self.seed, Some(&history))?;
         let fronts: Vec<_> = (0..ZONES.len()).map(|machine| site.front(machine)).collect();
         let operator = Operator::new(control.clone(), fronts.clone(), history.clone());
-        send_first_configuration(&operator, folder).await?;
+        send_first_configuration(&operator, directory).await?;
         progress.report(format!("r{FIRST_VERSION} is acknowledged"));
         let readiness = (0..ZONES.len()).map(|machine| site.readiness(machine)).collect();
         let platform = Arc::new(Platform::new(fronts, readiness));
         let mut all: Vec<_> = control_planes.iter_mut().chain(&mut data_planes).collect();
-        wait_ready(&platform, &mut all, folder).await?;
-        disable_bootstrap(&self.program, &site, folder)?;
+        wait_ready(&platform, &mut all, directory).await?;
+        disable_bootstrap(&self.program, &site, directory)?;
         progress.report(format!(
             "all data planes are ready; {} requests a second for {} s",
             self.rate, self.seconds
@@ -296,7 +299,7 @@
         let duration = Duration::from_secs(self.seconds);
         let mut environment = Environment {
             control_planes,
-            data: (0..VOTERS).map(|machine| data_folder(folder, machine)).collect(),
+            data: (0..VOTERS).map(|machine| data_directory(directory, machine)).collect(),
             data_planes,
             control,
             operator,
--- a/crates/testbed/src/error.rs
+++ b/crates/testbed/src/error.rs
@@ -9,7 +9,7 @@
 /// An error of the testbed.
 #[derive(Debug, Error, Diagnostic)]
 pub enum TestbedError {
-    /// A file or folder cannot be accessed.
+    /// A file or directory cannot be accessed.
     #[error("{}: {error}", path.display())]
     #[diagnostic(code(testbed::file))]
     File {
@@ -54,7 +54,7 @@
         what: String,
         /// The timeout.
         within: Duration,
-        /// Folder of the process logs.
+        /// Directory of the process logs.
         logs: PathBuf,
     },
     /// A process exited while the fleet was starting.
@@ -79,11 +79,11 @@
         /// What is wrong.
         wrong: String,
     },
-    /// Another fleet is running in this folder.
+    /// Another fleet is running in this directory.
     #[error("a fleet is already running in {} (process {pid})", dir.display())]
     #[diagnostic(code(testbed::up), help("`testbed down --dir {}` stops it", dir.display()))]
     AlreadyRunning {
-        /// The folder.
+        /// The directory.
         dir: PathBuf,
         /// Id of the process that runs the fleet.
         pid: u32,
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -101,7 +101,7 @@
     /// run each trial with this `reachlb` program as well, and compare the figures
     #[options(meta = "FILE", no_short)]
     against: Option<PathBuf>,
-    /// folder for history, verdict, logs and page of each trial
+    /// directory for history, verdict, logs and page of each trial
     #[options(meta = "DIR")]
     keep: Option<PathBuf>,
     /// file for the figures of each trial, one JSON object per line
@@ -138,7 +138,7 @@
 struct UpArguments {
     /// print this help
     help: bool,
-    /// folder of the fleet's files, created or reused
+    /// directory of the fleet's files, created or reused
     #[options(meta = "DIR", default = ".testbed")]
     dir: PathBuf,
     /// a `reachlb` program to run instead of the built-in one
@@ -196,7 +196,7 @@
 struct DownArguments {
     /// print this help
     help: bool,
-    /// folder of the fleet's files
+    /// directory of the fleet's files
     #[options(meta = "DIR", default = ".testbed")]
     dir: PathBuf,
 }
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -6,7 +6,7 @@
 use crate::capacity::samples::configuration_bytes;
 use crate::capacity::size::Size;
 use crate::control::Control;
-use crate::demo::{Program, make_folders};
+use crate::demo::{Program, create_directories};
 use crate::error::TestbedError;
 use crate::fleet::{self, Process};
 use crate::report::Progress;
@@ -123,13 +123,13 @@
         Ok(outcome)
     }
 
-    fn start(&self, folder: &Path, size: &Size) -> Result<Processes, TestbedError> {
-        make_folders(folder)?;
+    fn start(&self, directory: &Path, size: &Size) -> Result<Processes, TestbedError> {
+        create_directories(directory)?;
         let pid = std::process::id();
         let site = Site::find(64 + (pid >> 8) as u8 % 128, pid as u8, u64::from(pid))?;
-        let (mut control, data) = self.program.start_all(folder, &site)?;
+        let (mut control, data) = self.program.start_all(directory, &site)?;
         for machine in VOTERS..CONTROL_PLANES {
-            let options = self.program.control_plane(folder, machine);
+            let options = self.program.control_plane(directory, machine);
             std::fs::write(&options.settings, site.diskless_control_settings(machine))
                 .map_err(TestbedError::file(&options.settings))?;
             control.push(Process::start(options)?);
@@ -140,7 +140,7 @@
         let backends = (self.backends_each * self.gateways as f64) as usize;
         let mut reports = Vec::new();
         for n in 0..self.processes {
-            let report = folder.join(format!("hollow-{n}.json"));
+            let report = directory.join(format!("hollow-{n}.json"));
             let settings = HollowSettings {
                 first: share_of(self.gateways, n),
                 gateways: share_of(self.gateways, n + 1) - share_of(self.gateways, n),
@@ -153,7 +153,7 @@
                 requests_per_s: self.requests_per_s,
                 report: report.clone(),
             };
-            let path = hollow_settings(folder, n);
+            let path = hollow_settings(directory, n);
             std::fs::write(&path, serde_json::to_vec(&settings).unwrap_or_default())
                 .map_err(TestbedError::file(&path))?;
             reports.push(report);
@@ -161,9 +161,9 @@
         Ok(Processes { control, data, hollow: Vec::new(), control_client: Control::new(addresses), reports })
     }
 
-    fn start_hollow(&self, folder: &Path, processes: &mut Processes) -> Result<(), TestbedError> {
+    fn start_hollow(&self, directory: &Path, processes: &mut Processes) -> Result<(), TestbedError> {
         for n in 0..self.processes {
-            let options = self.own.hollow(folder, n, hollow_settings(folder, n));
+            let options = self.own.hollow(directory, n, hollow_settings(directory, n));
             processes.hollow.push(Process::start(options)?);
         }
         Ok(())
@@ -201,12 +201,12 @@
     }
 }
 
-fn hollow_settings(folder: &Path, number: usize) -> PathBuf {
-    folder.join("settings").join(format!("hollow-{number}.json"))
+fn hollow_settings(directory: &Path, number: usize) -> PathBuf {
+    directory.join("settings").join(format!("hollow-{number}.json"))
 }
 
 impl Processes {
-    async fn first_configuration(&self, size: &Size, folder: &Path) -> Result<(), TestbedError> {
+    async fn first_configuration(&self, size: &Size, directory: &Path) -> Result<(), TestbedError> {
         let body = Bytes::from(configuration_bytes(size, 1));
         let answer = self.control_client.replace(None, 0, &body, Instant::now() + START_TIMEOUT).await;
         match answer {
@@ -218,7 +218,7 @@
             None => Err(TestbedError::Timeout {
                 what: "the first configuration was not acknowledged".to_owned(),
                 within: START_TIMEOUT,
-                logs: folder.join("logs"),
+                logs: directory.join("logs"),
             }),
         }
     }
@@ -230,7 +230,7 @@
         sum
     }
 
-    async fn wait_for(&self, version: u64, gateways: usize, folder: &Path) -> Result<(), TestbedError> {
+    async fn wait_for(&self, version: u64, gateways: usize, directory: &Path) -> Result<(), TestbedError> {
         let until = Instant::now() + START_TIMEOUT;
         loop {
             let count = self.report().arrivals.get(&version).map_or(0, |arrival| arrival.count);
@@ -239,7 +239,11 @@
             }
             if Instant::now() > until {
                 let what = format!("{count} of {gateways} hollow data planes have r{version}");
-                return Err(TestbedError::Timeout { what, within: START_TIMEOUT, logs: folder.join("logs") });
+                return Err(TestbedError::Timeout {
+                    what,
+                    within: START_TIMEOUT,
+                    logs: directory.join("logs"),
+                });
             }
             sleep(POLL_INTERVAL).await;
         }
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -77,7 +77,7 @@
 pub struct Environment {
     /// The control planes.
     pub control_planes: Vec<Process>,
-    /// Data folders of the control planes.
+    /// Data directories of the control planes.
     pub data: Vec<PathBuf>,
     /// The data planes, one on each machine.
     pub data_planes: Vec<Process>,
@@ -140,9 +140,9 @@
         self.control_planes[leader].kill().await;
         let name = self.control_planes[leader].name().to_owned();
         if disk {
-            let folder = &self.data[leader];
-            std::fs::remove_dir_all(folder).map_err(TestbedError::file(folder))?;
-            std::fs::create_dir_all(folder).map_err(TestbedError::file(folder))?;
+            let directory = &self.data[leader];
+            std::fs::remove_dir_all(directory).map_err(TestbedError::file(directory))?;
+            std::fs::create_dir_all(directory).map_err(TestbedError::file(directory))?;
         }
         self.progress
             .report(format!("{name} leads: killed{}", if disk { ", and its disk is lost" } else { "" }));
--- a/crates/testbed/src/trial/environment.rs
+++ b/crates/testbed/src/trial/environment.rs
@@ -6,7 +6,7 @@
 use crate::backend::{BackendOptions, StandInBackend};
 use crate::behavior::Behavior;
 use crate::control::Control;
-use crate::demo::{Program, data_folder};
+use crate::demo::{Program, data_directory};
 use crate::error::TestbedError as Error;
 use crate::fleet::{GRACE, Process};
 use crate::history::{Event, History, ProcessEvent};
@@ -41,7 +41,7 @@
     pub net: Net<Party>,
     /// Addresses of all parties.
     pub site: Site,
-    folder: PathBuf,
+    directory: PathBuf,
     /// Control planes by machine. The lock holder controls the process and records its state changes.
     pub control_planes: Vec<Mutex<Process>>,
     /// Data planes by machine, locked in the same way.
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     /// Returns an error when a process or relay cannot be started.
-    pub fn start(program: &Program, folder: &Path, site: Site, seed: u64) -> Result<Self, Error> {
+    pub fn start(program: &Program, directory: &Path, site: Site, seed: u64) -> Result<Self, Error> {
         let (history, net) = (Arc::new(History::default()), Net::default());
         let others = site.source(None);
         for from in 0..ZONES.len() {
@@ -99,12 +99,12 @@
         let operator = Operator::new(controls(Party::Operator)?, fronts.to_vec(), history.clone());
         let of_backends: Vec<_> =
             (0..SLOTS).map(|slot| controls(Party::StandInBackend(slot))).collect::<Result<_, _>>()?;
-        let (control_planes, data_planes) = program.start_all(folder, &site)?;
+        let (control_planes, data_planes) = program.start_all(directory, &site)?;
         let mut environment = Self {
             history,
             net,
             site,
-            folder: folder.to_owned(),
+            directory: directory.to_owned(),
             control_planes: control_planes.into_iter().map(Mutex::new).collect(),
             data_planes: data_planes.into_iter().map(Mutex::new).collect(),
             backends: Vec::new(),
@@ -259,9 +259,9 @@
             }
         }
         if fault.disk == Disk::Empty && !data_plane {
-            let folder = data_folder(&self.folder, machine);
-            std::fs::remove_dir_all(&folder).map_err(Error::file(&folder))?;
-            std::fs::create_dir_all(&folder).map_err(Error::file(&folder))?;
+            let directory = data_directory(&self.directory, machine);
+            std::fs::remove_dir_all(&directory).map_err(Error::file(&directory))?;
+            std::fs::create_dir_all(&directory).map_err(Error::file(&directory))?;
         }
         sleep_until(until).await;
         process.restart()?;
--- a/crates/testbed/src/trial/mod.rs
+++ b/crates/testbed/src/trial/mod.rs
@@ -35,7 +35,7 @@
 pub struct Options {
     /// The program that runs the processes under test.
     pub program: Program,
-    /// Folder for histories, logs and pages; without it, they are not kept.
+    /// Directory for histories, logs and pages; without it, they are not kept.
     pub keep: Option<PathBuf>,
 }
 
@@ -89,10 +89,10 @@
 async fn run_schedule(schedule: Schedule, options: &Options) -> Result<CompletedTrial, Error> {
     let temp_dir = tempfile::Builder::new().prefix("testbed-trial-").tempdir();
     let temp_dir = temp_dir.map_err(Error::file(std::env::temp_dir()))?;
-    let folder = temp_dir.path();
+    let directory = temp_dir.path();
     let (site, _claim) = site()?;
-    let environment = Rc::new(Environment::start(&options.program, folder, site, schedule.seed)?);
-    send_first_configuration(&*environment.operator.lock().await, folder).await?;
+    let environment = Rc::new(Environment::start(&options.program, directory, site, schedule.seed)?);
+    send_first_configuration(&*environment.operator.lock().await, directory).await?;
     let readiness = (0..ZONES.len()).map(|machine| environment.site.readiness(machine)).collect();
     let platform = Arc::new(Platform::new(environment.fronts.to_vec(), readiness));
     {
@@ -101,13 +101,13 @@
             guards.push(process.lock().await);
         }
         let mut all: Vec<_> = guards.iter_mut().map(|process| &mut **process).collect();
-        wait_ready(&platform, &mut all, folder).await?;
+        wait_ready(&platform, &mut all, directory).await?;
     }
-    disable_bootstrap(&options.program, &environment.site, folder)?;
+    disable_bootstrap(&options.program, &environment.site, directory)?;
     let late = Arc::new(AtomicU64::new(0));
     let clock_check = tokio::spawn(measure_clock_delay(late.clone()));
     let disk_delay = Arc::new(AtomicU64::new(0));
-    let disk_check = tokio::spawn(measure_write_time(folder.join("heartbeat"), disk_delay.clone()));
+    let disk_check = tokio::spawn(measure_write_time(directory.join("heartbeat"), disk_delay.clone()));
     let polled = platform.clone();
     let poll = tokio::spawn(async move { polled.poll_readiness().await });
     let duration = Duration::from_secs_f64(schedule.seconds);
@@ -174,13 +174,20 @@
     let verdict = judge(&lines, &TIME_BOUNDS, void);
     let figures = Figures::of(&schedule, &verdict, &lines, started_at);
     if let Some(keep) = &options.keep {
-        write_results(&keep.join(schedule.folder()), folder, &schedule, &lines, &verdict, started_at)?;
+        write_results(
+            &keep.join(schedule.directory_name()),
+            directory,
+            &schedule,
+            &lines,
+            &verdict,
+            started_at,
+        )?;
     }
     Ok(CompletedTrial { schedule, verdict, figures })
 }
 
 fn write_results(
-    keep: &Path, folder: &Path, schedule: &Schedule, lines: &[Record], verdict: &Verdict, load_start: u64,
+    keep: &Path, directory: &Path, schedule: &Schedule, lines: &[Record], verdict: &Verdict, load_start: u64,
 ) -> Result<(), Error> {
     std::fs::create_dir_all(keep).map_err(Error::file(keep))?;
     let write = |name: &str, text: String| {
@@ -198,7 +205,7 @@
         "page.html",
         page::page(schedule, lines, verdict, load_start).unwrap_or_else(|error| error.to_string()),
     )?;
-    let logs = folder.join("logs");
+    let logs = directory.join("logs");
     for log in std::fs::read_dir(&logs).map_err(Error::file(&logs))?.flatten() {
         std::fs::copy(log.path(), keep.join(log.file_name())).map_err(Error::file(log.path()))?;
     }
--- a/crates/testbed/src/trial/schedule.rs
+++ b/crates/testbed/src/trial/schedule.rs
@@ -268,8 +268,8 @@
         Ok(Self { name: name.into(), seconds, rate, seed, faults })
     }
 
-    /// Folder name of the trial.
-    pub fn folder(&self) -> String {
+    /// Name of the directory with the results of the trial.
+    pub fn directory_name(&self) -> String {
         let stem = Path::new(&self.name).file_stem().unwrap_or_default().to_string_lossy();
         let plain: String =
             stem.chars().filter(|c| c.is_ascii_alphanumeric() || *c == '-' || *c == '_').collect();
--- a/crates/testbed/src/trial/several.rs
+++ b/crates/testbed/src/trial/several.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Joins the trial threads on drop, so that they can stop their processes and remove their folders first.
+/// Joins the trial threads on drop, so that they can stop their processes and remove their directories first.
 struct Threads {
     /// Dropping the sender cancels all running trials.
     cancel: Option<watch::Sender<()>>,
--- a/crates/testbed/src/up.rs
+++ b/crates/testbed/src/up.rs
@@ -3,7 +3,7 @@
 use crate::backend::StandInBackend;
 use crate::clients::Platform;
 use crate::control::Control;
-use crate::demo::{Program, backends, data_folder, make_folders, termination_signal, wait_ready};
+use crate::demo::{Program, backends, create_directories, data_directory, termination_signal, wait_ready};
 use crate::error::TestbedError;
 use crate::fleet::{self, Process, start_ticks};
 use crate::plan::{FIRST_VERSION, configuration};
@@ -34,7 +34,7 @@
 pub struct Up {
     /// The program that runs the processes.
     pub program: Program,
-    /// Folder of the fleet's files.
+    /// Directory of the fleet's files.
     pub dir: PathBuf,
 }
 
@@ -83,7 +83,7 @@
         &self, dir: &Path, processes: &mut Vec<Process>,
     ) -> Result<Vec<Arc<StandInBackend>>, TestbedError> {
         let progress = Progress::default();
-        make_folders(dir)?;
+        create_directories(dir)?;
         let control_planes: Vec<_> =
             (0..VOTERS).map(|machine| self.program.control_plane(dir, machine)).collect();
         let data_planes: Vec<_> =
@@ -92,11 +92,11 @@
         if missing {
             // Existing files contain the addresses of another site, so either all files are written or none.
             let site = Site::find(0, 1, 0)?;
-            let first = (0..VOTERS).all(|machine| empty(&data_folder(dir, machine)));
+            let first = (0..VOTERS).all(|machine| empty(&data_directory(dir, machine)));
             for (machine, options) in control_planes.iter().enumerate() {
                 write(
                     &options.settings,
-                    &site.control_plane_settings(machine, &data_folder(dir, machine), first),
+                    &site.control_plane_settings(machine, &data_directory(dir, machine), first),
                 )?;
             }
             for (machine, options) in data_planes.iter().enumerate() {
@@ -243,8 +243,8 @@
     std::fs::write(path, text).map_err(TestbedError::file(path))
 }
 
-fn empty(folder: &Path) -> bool {
-    std::fs::read_dir(folder).map_or(true, |mut entries| entries.next().is_none())
+fn empty(directory: &Path) -> bool {
+    std::fs::read_dir(directory).map_or(true, |mut entries| entries.next().is_none())
 }
 
 /// Records the ids of all processes. The testbed comes first, since it stops the others in order.
@@ -268,7 +268,7 @@
     entries.iter().filter_map(entry).collect()
 }
 
-/// Stops the fleet of a folder. Returns the number of processes that were still running.
+/// Stops the fleet of a directory. Returns the number of processes that were still running.
 ///
 /// # Errors
 /// Returns an error when the list of processes cannot be removed.
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -102,7 +102,7 @@
 
 #[test]
 fn trial_without_faults_has_no_violations() {
-    let temp_dir = tempfile::tempdir().expect("temporary folder");
+    let temp_dir = tempfile::tempdir().expect("cannot create the temporary directory");
     let keep = temp_dir.path().to_str().expect("UTF-8 path");
     let (mut child, stdout) = start(&["trial", "calm", "--keep", keep]);
     let all: Vec<_> = stdout.lines().map(|line| line.expect("UTF-8 output")).collect();
@@ -134,7 +134,7 @@
 
 #[test]
 fn invalid_schedule_is_reported_with_its_position() {
-    let temp_dir = tempfile::tempdir().expect("temporary folder");
+    let temp_dir = tempfile::tempdir().expect("cannot create the temporary directory");
     let file = temp_dir.path().join("bad.toml");
     std::fs::write(&file, "seconds = 5.0\nrate = 9.0\n[[fault]]\nat = 1.0\nfault = \"kill\"\non = \"h9\"\n")
         .expect("schedule file is written");
@@ -147,7 +147,7 @@
 
 #[test]
 fn fleet_can_be_stopped_and_started_again() {
-    let temp_dir = tempfile::tempdir().expect("temporary folder");
+    let temp_dir = tempfile::tempdir().expect("cannot create the temporary directory");
     let dir = temp_dir.path().to_str().expect("UTF-8 path");
     for round in 0..2 {
         let (mut child, mut stdout) = start(&["up", "--dir", dir]);
--- a/gateway/src/group/settings.rs
+++ b/gateway/src/group/settings.rs
@@ -67,9 +67,9 @@
     /// # Errors
     /// When this gateway is not a voter, or the disk or the names are not usable.
     pub fn rescue(&self, lost: &[String]) -> Result<String, String> {
-        let Some((_, folder)) = &self.run.voter else { return Err("this gateway is not a voter".into()) };
+        let Some((_, directory)) = &self.run.voter else { return Err("this gateway is not a voter".into()) };
         let (me, group) = (&self.run.session.name, &self.run.group);
-        let id = store::rescue(folder, me, group, lost).map_err(|error| error.to_string())?;
+        let id = store::rescue(directory, me, group, lost).map_err(|error| error.to_string())?;
         Ok(format!("group {group}: {me} is the only voter now, with id {id}; GROUP ADD adds further voters"))
     }
 }
