--- a/crates/control-plane/src/control_plane/membership.rs
+++ b/crates/control-plane/src/control_plane/membership.rs
@@ -15,7 +15,7 @@
     pub(super) fn maintain_voters(&mut self, now: u64) {
         let silence = self.settings.retire_after_ms;
         let Some(node) = &self.node else { return };
-        let least_voters = self.settings.tolerance.min_voters(&self.zones_of(node.members()));
+        let min_voter_count = self.settings.tolerance.min_voters(&self.zones_of(node.members()));
         let missing: Vec<_> = if node.is_leader() {
             self.voter_candidates(now).into_iter().filter(|voter| !node.members().contains(voter)).collect()
         } else {
@@ -24,7 +24,7 @@
         if let Some(node) = &mut self.node {
             node.set_retirement_policy(RetirementPolicy {
                 silence_timeout: silence,
-                min_voters: least_voters,
+                min_voters: min_voter_count,
             });
         }
         for voter in missing {
--- a/crates/control-plane/src/control_plane/status.rs
+++ b/crates/control-plane/src/control_plane/status.rs
@@ -163,8 +163,9 @@
         page.counters("changes", "Configurations judged here", changes);
         page.counter("leader_changes", "Times that another leader was known here", counters.leader_changes);
         let (acknowledged, refused) = counters.drain_replies;
-        let leavings = [(row("outcome", "acknowledged"), acknowledged), (row("outcome", "refused"), refused)];
-        page.counters("leavings", "Calls of backends that leave, by the answer", leavings);
+        let drain_calls =
+            [(row("outcome", "acknowledged"), acknowledged), (row("outcome", "refused"), refused)];
+        page.counters("leavings", "Calls of backends that leave, by the answer", drain_calls);
         let draws = [
             (row("outcome", "answered"), counters.lease_requests.0),
             (row("outcome", "not_holder"), counters.lease_requests.1),
--- a/crates/control-plane/tests/config_history.rs
+++ b/crates/control-plane/tests/config_history.rs
@@ -307,7 +307,10 @@
         assert_eq!(read, SnapshotState { config_history: config_history.clone(), drains });
         assert!(SnapshotState::restore(&state[..state.len() - 1]).is_err());
         for former in random_states(&mut random) {
-            assert_eq!(SnapshotState::restore(&former).expect("a former state").drains, DrainRun::default());
+            assert_eq!(
+                SnapshotState::restore(&former).expect("a state of an earlier version is valid").drains,
+                DrainRun::default()
+            );
         }
     }
 }
@@ -346,6 +349,9 @@
             Change::decode(&drains.encode()).is_err() && QuotaCheckpoint::decode(&drains.encode()).is_none()
         );
         assert!(DrainEntry::decode(&entry).is_none() && DrainEntry::decode(&checkpoint.to_entry()).is_none());
-        assert_eq!(DrainEntry::decode(&drains.encode()).expect("drains").expect("a complete entry"), drains);
+        assert_eq!(
+            DrainEntry::decode(&drains.encode()).expect("a drain entry").expect("a complete entry"),
+            drains
+        );
     }
 }
--- a/crates/control-plane/tests/control_socket.rs
+++ b/crates/control-plane/tests/control_socket.rs
@@ -78,8 +78,8 @@
     let head = format!(
         "POST /Config.Replace HTTP/1.1\r\nHost: c\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n"
     );
-    stream.write_all(head.as_bytes()).await.expect("sent");
-    stream.write_all(&vec![b' '; length - 1]).await.expect("sent");
+    stream.write_all(head.as_bytes()).await.expect("cannot write to the stream");
+    stream.write_all(&vec![b' '; length - 1]).await.expect("cannot write to the stream");
     stream
 }
 
@@ -129,7 +129,7 @@
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     let head = "POST /Backends.Departure/i-1 HTTP/1.1\r\nHost: c\r\nConnection: close\r\nContent-Length: 100\r\n\r\n";
     let head = format!("{head}{{{}", " ".repeat(98));
-    stream.write_all(head.as_bytes()).await.expect("sent");
+    stream.write_all(head.as_bytes()).await.expect("cannot write to the stream");
     end_upload(stream, b"}").await
 }
 
--- a/crates/control-plane/tests/data_planes/mod.rs
+++ b/crates/control-plane/tests/data_planes/mod.rs
@@ -38,7 +38,7 @@
     // A process that starts now learns of the departure as well.
     control_planes[first].kill();
     control_planes[first] = fleet.start(first, false);
-    stays.stream.shutdown(std::net::Shutdown::Both).expect("closed");
+    stays.stream.shutdown(std::net::Shutdown::Both).expect("cannot shut down the stream");
     let _stays = FakePeer::data_plane(fleet.peers[first], "a", 1);
     let is_connected_to_all = |process: &Process| {
         let (_, status) = process.call("GET /Harbour.Status HTTP/1.1", "")?;
--- a/crates/control-plane/tests/fake_peer/mod.rs
+++ b/crates/control-plane/tests/fake_peer/mod.rs
@@ -25,7 +25,7 @@
     }
 
     pub fn send(&mut self, message: &Message) {
-        self.stream.write_all(&protocol::frame(message)).expect("sent");
+        self.stream.write_all(&protocol::frame(message)).expect("cannot write to the stream");
     }
 
     pub fn next(&mut self) -> Message {
--- a/crates/control-plane/tests/forwarded_calls.rs
+++ b/crates/control-plane/tests/forwarded_calls.rs
@@ -90,7 +90,7 @@
 async fn read_config(calls: SocketAddr) -> String {
     let mut stream = TcpStream::connect(calls).await.expect("a connection");
     let request = b"GET /Config.Read HTTP/1.1\r\nHost: m\r\nConnection: close\r\n\r\n";
-    stream.write_all(request).await.expect("written");
+    stream.write_all(request).await.expect("cannot write to the stream");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).await.expect("an answer");
     answer
--- a/crates/control-plane/tests/malformed_input.rs
+++ b/crates/control-plane/tests/malformed_input.rs
@@ -34,7 +34,10 @@
 fn configurations_are_rejected_or_parse_the_same_again() {
     fuzz(1, corpus(&["config.json"]), |bytes| match Config::parse(bytes) {
         Ok(config) => {
-            assert_eq!(Config::parse(bytes).expect("the same again").version, config.version);
+            assert_eq!(
+                Config::parse(bytes).expect("an accepted body is accepted again").version,
+                config.version
+            );
             true
         }
         Err(fault) => {
@@ -136,7 +139,8 @@
     fuzz(5, whole.iter().map(frame).collect(), |bytes| match unframe::<Message>(bytes) {
         Ok(Some((message, accepted))) => {
             assert!(accepted <= bytes.len());
-            let again = unframe::<Message>(&frame(&message)).expect("whole").expect("whole");
+            let again =
+                unframe::<Message>(&frame(&message)).expect("a valid frame").expect("a complete frame");
             assert_eq!(format!("{:?}", again.0), format!("{message:?}"));
             true
         }
--- a/crates/control-plane/tests/orders/world.rs
+++ b/crates/control-plane/tests/orders/world.rs
@@ -234,6 +234,7 @@
             config_history.apply(LogPosition::default(), change);
         }
         let snapshot = config_history.snapshot();
-        self.leader.config_history = ConfigHistory::restore(&snapshot).expect("what it wrote");
+        self.leader.config_history =
+            ConfigHistory::restore(&snapshot).expect("a snapshot that the history wrote is valid");
     }
 }
--- a/crates/control-plane/tests/processes.rs
+++ b/crates/control-plane/tests/processes.rs
@@ -394,10 +394,11 @@
     {
         let mut stream = wait_for(|| TcpStream::connect(control_planes[0].control).ok());
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
-        write!(stream, "POST /Config.Replace HTTP/1.1\r\nHost: c\r\n{length}\r\n\r\n{body}").expect("sent");
-        stream.shutdown(std::net::Shutdown::Write).expect("half closed");
+        write!(stream, "POST /Config.Replace HTTP/1.1\r\nHost: c\r\n{length}\r\n\r\n{body}")
+            .expect("cannot write to the stream");
+        stream.shutdown(std::net::Shutdown::Write).expect("cannot shut down the write half");
         let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("all of it");
+        stream.read_to_string(&mut answer).expect("cannot read the answer");
         assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 408 "), "{answer}");
         println!("{length}: {answer:?}");
     }
@@ -436,24 +437,29 @@
     };
     let mut stream = TcpStream::connect(fleet.peers[1]).expect("a connection");
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
-    let mut send = |message: Message| stream.write_all(&protocol::frame(&message)).expect("sent");
+    let mut send =
+        |message: Message| stream.write_all(&protocol::frame(&message)).expect("cannot write to the stream");
     send(Message::Hello(hello));
     send(Message::Follow { have: ConfigId::default() });
-    let (mut read, mut buffer) = (stream.try_clone().expect("a second handle"), Vec::new());
+    let (mut read, mut buffer) = (stream.try_clone().expect("cannot clone the stream"), Vec::new());
     let Message::ConfigDelta(first) = next_config_snapshot(&mut read, &mut buffer) else {
         panic!("a whole configuration instead of a delta to nothing")
     };
     assert_eq!(first.base, 0);
-    let first = rebuild(None, &first).expect("the first");
+    let first = rebuild(None, &first).expect("cannot rebuild the first configuration");
     assert_eq!(first.body, config(3).into_bytes());
     assert_eq!(control_planes[2].replace_until_final(3, &config(4)), 200);
     let Message::ConfigDelta(next) = next_config_snapshot(&mut read, &mut buffer) else {
         panic!("a whole configuration instead of a delta to the former one")
     };
     assert_eq!(next.base, 3);
-    assert_eq!(rebuild(Some(&first.body), &next).expect("the next").body, config(4).into_bytes());
+    assert_eq!(
+        rebuild(Some(&first.body), &next).expect("cannot rebuild the next configuration").body,
+        config(4).into_bytes()
+    );
     // The data plane requests the whole configuration, as after a delta that does not apply.
-    let mut send = |message: Message| stream.write_all(&protocol::frame(&message)).expect("sent");
+    let mut send =
+        |message: Message| stream.write_all(&protocol::frame(&message)).expect("cannot write to the stream");
     send(Message::SnapshotRequest);
     let whole = ConfigSnapshot { version: 4, body: config(4).into_bytes() };
     assert_eq!(next_config_snapshot(&mut read, &mut buffer), Message::ConfigSnapshot(whole));
@@ -598,7 +604,7 @@
     let frames = [Message::Hello(hello), Message::Follow { have: ConfigId::default() }]
         .map(|message| protocol::frame(&message))
         .concat();
-    subscriber.write_all(&frames).expect("sent");
+    subscriber.write_all(&frames).expect("cannot write to the stream");
     subscriber.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
     let (mut read, mut config_snapshots) = (Vec::new(), Vec::new());
     loop {
@@ -655,7 +661,7 @@
             let frames = [Message::Hello(hello), Message::Heartbeat(heartbeat)]
                 .map(|message| protocol::frame(&message))
                 .concat();
-            stream.write_all(&frames).expect("sent");
+            stream.write_all(&frames).expect("cannot write to the stream");
             stream
         })
         .collect();
@@ -682,7 +688,7 @@
         voter_incarnation: Some(0),
     };
     let mut stream = wait_for(|| TcpStream::connect(fleet.peers[to]).ok());
-    stream.write_all(&protocol::frame(&Message::Hello(hello))).expect("sent");
+    stream.write_all(&protocol::frame(&Message::Hello(hello))).expect("cannot write to the stream");
     stream
 }
 
@@ -718,8 +724,8 @@
     let mut line = connect_as_voter(&fleet, 1, 0);
     // An unknown message of a later version is ignored, and the connection stays open.
     let unknown = protocol::frame(&Message::Log { incarnation: 0, message: vec![200, 1, 2, 3] });
-    line.write_all(&unknown).expect("sent");
-    line.write_all(&raft_frame(&append)).expect("sent");
+    line.write_all(&unknown).expect("cannot write to the stream");
+    line.write_all(&raft_frame(&append)).expect("cannot write to the stream");
     wait_for_status(&process, r#""commit":20"#);
     process.kill();
     let saved = read_log(&fleet, 0);
@@ -735,7 +741,8 @@
         fleet.peers[..VOTERS].iter().map(|at| VoterId { address: at.to_string(), incarnation: 0 }).collect();
     let snapshot = Snapshot { index: 9, term: 1, members, state: b"of a version to come".to_vec() };
     let mut line = connect_as_voter(&fleet, 1, 0);
-    line.write_all(&raft_frame(&LogMessage::InstallSnapshot { term: 1, snapshot })).expect("sent");
+    line.write_all(&raft_frame(&LogMessage::InstallSnapshot { term: 1, snapshot }))
+        .expect("cannot write to the stream");
     wait_for_status(&process, r#""log":null"#);
     process.kill();
     let saved = read_log(&fleet, 0);
--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -165,14 +165,16 @@
     let keep_alive =
         (keep_alive > 0).then(|| HeaderValue::from_str(&format!("timeout={keep_alive}")).ok()).flatten();
     set_user_timeout(&stream, CLIENT_DEAD_AFTER);
-    let (guest, connections) = (ClientConnection::new(idle, head), data_plane.frontend().connections.clone());
+    let (client_connection, connections) =
+        (ClientConnection::new(idle, head), data_plane.frontend().connections.clone());
     let service = service_fn({
-        let (data_plane, guest) = (data_plane.clone(), guest.clone());
+        let (data_plane, client_connection) = (data_plane.clone(), client_connection.clone());
         move |request| {
-            let (data_plane, guest, keep_alive) = (data_plane.clone(), guest.clone(), keep_alive.clone());
+            let (data_plane, client_connection, keep_alive) =
+                (data_plane.clone(), client_connection.clone(), keep_alive.clone());
             async move {
-                let busy = guest.request_started();
-                let arrived = guest.read_at();
+                let busy = client_connection.request_started();
+                let arrived = client_connection.read_at();
                 data_plane.figures().usage().request_received();
                 let mut response = data_plane.handle(request, arrived).await;
                 let headers = response.headers_mut();
@@ -187,7 +189,7 @@
             }
         }
     });
-    connections.serve(stream, guest, buffer, service);
+    connections.serve(stream, client_connection, buffer, service);
 }
 
 impl DataPlane {
--- a/crates/data-plane/src/readiness.rs
+++ b/crates/data-plane/src/readiness.rs
@@ -29,9 +29,10 @@
     let connections = ClientConnections::new(MAX_CONNECTIONS, data_plane.figures().clone());
     loop {
         let stream = connections.accept(&listener).await;
-        let (data_plane, guest) = (data_plane.clone(), ClientConnection::new(IDLE_TIMEOUT, IDLE_TIMEOUT));
+        let (data_plane, client_connection) =
+            (data_plane.clone(), ClientConnection::new(IDLE_TIMEOUT, IDLE_TIMEOUT));
         let service = service_fn({
-            let guest = guest.clone();
+            let client_connection = client_connection.clone();
             move |request: Request<Incoming>| {
                 let mut response = Response::new(AnswerBody::whole(Bytes::new(), ResponseGuard::default()));
                 if let Some((content_type, text)) = operator_page(&data_plane, &request) {
@@ -40,11 +41,11 @@
                 } else if !data_plane.is_ready() {
                     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
                 }
-                response.body_mut().guard.busy = Some(guest.request_started());
+                response.body_mut().guard.busy = Some(client_connection.request_started());
                 async move { Ok::<_, Infallible>(response) }
             }
         });
-        connections.clone().serve(stream, guest, READ_BUFFER_BYTES, service);
+        connections.clone().serve(stream, client_connection, READ_BUFFER_BYTES, service);
     }
 }
 
--- a/crates/data-plane/tests/retries.rs
+++ b/crates/data-plane/tests/retries.rs
@@ -10,12 +10,12 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Two backends. `spoiled_response` handles the first request that either of them receives; all others succeed.
-async fn backend_pair(spoiled_response: fn(&HttpMessage) -> Action) -> [ScriptedBackend; 2] {
+/// Two backends. `faulty_response` handles the first request that either of them receives; all others succeed.
+async fn backend_pair(faulty_response: fn(&HttpMessage) -> Action) -> [ScriptedBackend; 2] {
     let first = Rc::new(std::cell::Cell::new(true));
     let respond = move |first: Rc<std::cell::Cell<bool>>| {
         move |request: &HttpMessage| {
-            if first.replace(false) { spoiled_response(request) } else { respond_ok(request) }
+            if first.replace(false) { faulty_response(request) } else { respond_ok(request) }
         }
     };
     [
@@ -57,10 +57,10 @@
     unframed = { crate::unframed }, garbage = { crate::garbage }, silence = { crate::silence }, failed = { crate::failed },
 )]
 fn a_request_that_may_have_run_fails_unless_it_is_pure_and_can_be_retried(
-    spoiled_response: fn(&HttpMessage) -> Action,
+    faulty_response: fn(&HttpMessage) -> Action,
 ) {
     run_on_one_thread(async move {
-        let backends = backend_pair(spoiled_response).await;
+        let backends = backend_pair(faulty_response).await;
         let gateway = TestGateway::start(default_config(), &[&backends[0], &backends[1]]).await;
         let reply = gateway.exchange(&request("POST", "/e/x", "", "b")).await;
         assert_eq!((reply.status(), reply.retry_after()), (502, None));
@@ -70,7 +70,7 @@
             "the request reaches one backend only"
         );
 
-        let backends = backend_pair(spoiled_response).await;
+        let backends = backend_pair(faulty_response).await;
         let gateway = TestGateway::start(default_config(), &[&backends[0], &backends[1]]).await;
         let reply = gateway.exchange(&request("POST", "/p/x", "", "b")).await;
         assert_eq!((reply.status(), &*reply.body), (200, &b"fine"[..]));
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -27,7 +27,7 @@
 #[test]
 fn invalid_frames_are_distinguished_from_incomplete_ones() {
     assert_eq!(unframe::<Message>(&[0, 0]), Ok(None));
-    let long = u32::try_from(MAX_FRAME_BYTES + 1).expect("fits").to_be_bytes();
+    let long = u32::try_from(MAX_FRAME_BYTES + 1).expect("the length fits into 32 bits").to_be_bytes();
     assert_eq!(unframe::<Message>(&long), Err(FrameError::TooLong(MAX_FRAME_BYTES + 1)));
     assert_eq!(unframe::<Message>(&[0, 0, 0, 3, 255, 255, 255]), Err(FrameError::Undecodable));
 }
--- a/crates/raft/src/bounded_model_check/world.rs
+++ b/crates/raft/src/bounded_model_check/world.rs
@@ -428,21 +428,22 @@
     /// Checks that two logs with a common entry match up to that entry, and that at most one membership change is
     /// pending.
     fn check_logs_match(&self, at: usize) -> Result<(), String> {
-        let mine = &self.hosts[at].node.log;
+        let own_log = &self.hosts[at].node.log;
         for host in self.hosts.iter().filter(|host| host.node.me() != self.hosts[at].node.me()) {
             let other = &host.node.log;
-            let base = mine.base().max(other.base());
-            let end = mine.last().min(other.last());
-            let common = (base + 1..=end).rev().find(|index| mine.term_at(*index) == other.term_at(*index));
+            let base = own_log.base().max(other.base());
+            let end = own_log.last().min(other.last());
+            let common =
+                (base + 1..=end).rev().find(|index| own_log.term_at(*index) == other.term_at(*index));
             for index in base + 1..=common.unwrap_or(0) {
-                if mine.get(index) != other.get(index) {
+                if own_log.get(index) != other.get(index) {
                     return Err(format!("entry {index} differs in two logs that share a later entry"));
                 }
             }
         }
         let node = &self.hosts[at].node;
-        let pending = (self.history.committed.len() as u64 + 1..=mine.last())
-            .filter(|index| matches!(mine.get(*index), Some(Entry { payload: Payload::Members(_), .. })));
+        let pending = (self.history.committed.len() as u64 + 1..=own_log.last())
+            .filter(|index| matches!(own_log.get(*index), Some(Entry { payload: Payload::Members(_), .. })));
         if pending.count() > 1 {
             return Err(format!("two membership changes are pending on {}", node.me()));
         }
--- a/crates/raft/tests/catch_up.rs
+++ b/crates/raft/tests/catch_up.rs
@@ -22,7 +22,7 @@
     missed: u64,
     change_bytes: usize,
     /// The interval at which the connections of the host break.
-    breaks_every: Option<Millis>,
+    break_interval: Option<Millis>,
     /// The time after which the host loses power once.
     killed_after: Option<Millis>,
     /// Whether the host is needed for a majority, because the third voter is down.
@@ -36,7 +36,7 @@
 const PLAIN: Case = Case {
     missed: 100,
     change_bytes: 20_000,
-    breaks_every: None,
+    break_interval: None,
     killed_after: None,
     needed_for_majority: false,
     without_chunk_support: false,
@@ -55,7 +55,7 @@
         // Three transfer attempts are lost first, each detected by a later heartbeat.
         limit_ms += 2_000;
     }
-    if let Some(every) = case.breaks_every {
+    if let Some(every) = case.break_interval {
         // Half a second of each interval passes until the loss is detected.
         limit_ms += limit_ms * 500 / (every - 500);
     }
@@ -100,7 +100,7 @@
     let (began, sent, before) = (world.now, world.sent_bytes, world.state(leader).changes);
     let limit_ms = time_limit(&world, leader, case);
     let pause = (case.change_bytes * 100 / CHANGES_PERCENT / BANDWIDTH).max(20) as Millis;
-    let (mut next_change, mut next_break, mut next_kill) = (pause, case.breaks_every, case.killed_after);
+    let (mut next_change, mut next_break, mut next_kill) = (pause, case.break_interval, case.killed_after);
     while world.applied(LAGGING) < world.applied(leader) {
         world.run_until(world.now + 5)?;
         let after = world.now - began;
@@ -116,7 +116,7 @@
             world.propose(case.change_bytes)?;
         }
         if next_break.is_some_and(|at| after >= at) {
-            next_break = next_break.zip(case.breaks_every).map(|(at, every)| at + every);
+            next_break = next_break.zip(case.break_interval).map(|(at, every)| at + every);
             world.break_connections(LAGGING);
         }
         if next_kill.is_some_and(|at| after >= at) {
@@ -142,8 +142,8 @@
     a_thousand_of_100_kb = { Case { missed: 1_000, change_bytes: 100_000, ..PLAIN } },
     five_thousand = { Case { missed: 5_000, change_bytes: 2_000, ..PLAIN } },
     five_thousand_of_20_kb = { Case { missed: 5_000, ..PLAIN } },
-    connections_break = { Case { change_bytes: 100_000, breaks_every: Some(3_000), ..PLAIN } },
-    large_changes_and_connections_break = { Case { missed: 10, change_bytes: 2_000_000, breaks_every: Some(3_000), ..PLAIN } },
+    connections_break = { Case { change_bytes: 100_000, break_interval: Some(3_000), ..PLAIN } },
+    large_changes_and_connections_break = { Case { missed: 10, change_bytes: 2_000_000, break_interval: Some(3_000), ..PLAIN } },
     needed_for_a_majority = { Case { change_bytes: 100_000, needed_for_majority: true, ..PLAIN } },
     previous_release = { Case { change_bytes: 200_000, without_chunk_support: true, ..PLAIN } },
     small_changes_and_previous_release = {
@@ -165,7 +165,7 @@
 #[parameterized(
     restart_transfers = {
         Faults { restart_transfers: true, ..Faults::NONE },
-        Case { change_bytes: 100_000, breaks_every: Some(3_000), ..PLAIN }, TOO_LATE
+        Case { change_bytes: 100_000, break_interval: Some(3_000), ..PLAIN }, TOO_LATE
     },
     compaction_aborts_transfers = {
         Faults { compaction_aborts_transfers: true, ..Faults::NONE },
--- a/crates/raft/tests/randomized.rs
+++ b/crates/raft/tests/randomized.rs
@@ -9,13 +9,13 @@
 use simulation::{TIMING, World};
 use yare::parameterized;
 
-const TROUBLE_DURATION: u64 = 9_000;
+const DISRUPTION_DURATION: u64 = 9_000;
 
-/// The troubles of a simulation: the percentage of steps with a trouble, and the percentage of each kind of trouble.
+/// The disruptions of a simulation: the percentage of steps with a disruption, and the percentage of each kind.
 /// Any remaining percentage heals all partitions.
 #[derive(Clone, Copy)]
 struct Conditions {
-    trouble_percent: u64,
+    disruption_percent: u64,
     kill_share: u64,
     wipe_share: u64,
     freeze_share: u64,
@@ -34,8 +34,8 @@
 const SMALL_CHUNKS: TransferLimits =
     TransferLimits { chunk_bytes: 24, min_window_bytes: 4, max_window_bytes: 100 };
 
-const ALL_TROUBLES: Conditions = Conditions {
-    trouble_percent: 20,
+const ALL_DISRUPTIONS: Conditions = Conditions {
+    disruption_percent: 20,
     kill_share: 25,
     wipe_share: 8,
     freeze_share: 15,
@@ -46,7 +46,7 @@
     limits: DEFAULT_LIMITS,
 };
 const POWER_LOSSES: Conditions = Conditions {
-    trouble_percent: 40,
+    disruption_percent: 40,
     kill_share: 60,
     wipe_share: 0,
     freeze_share: 0,
@@ -56,16 +56,16 @@
     transfer_percent: 0,
     limits: DEFAULT_LIMITS,
 };
-const CHUNKED: Conditions = Conditions { limits: SMALL_CHUNKS, ..ALL_TROUBLES };
-/// Frequent leadership transfers during all troubles, and on links that lose and delay messages.
-const LEADERSHIP_TRANSFERS: Conditions = Conditions { transfer_percent: 20, ..ALL_TROUBLES };
+const CHUNKED: Conditions = Conditions { limits: SMALL_CHUNKS, ..ALL_DISRUPTIONS };
+/// Frequent leadership transfers during all disruptions, and on links that lose and delay messages.
+const LEADERSHIP_TRANSFERS: Conditions = Conditions { transfer_percent: 20, ..ALL_DISRUPTIONS };
 const TRANSFERS_WITH_LINK_FAILURES: Conditions =
     Conditions { transfer_percent: 30, proposal_percent: 100, ..LINK_FAILURES };
 /// Fewer proposals, since a leader does not transfer its leadership while entries are uncommitted.
 const TRANSFERS_WITH_FEW_PROPOSALS: Conditions =
     Conditions { proposal_percent: 30, ..TRANSFERS_WITH_LINK_FAILURES };
 const LINK_FAILURES: Conditions = Conditions {
-    trouble_percent: 25,
+    disruption_percent: 25,
     kill_share: 0,
     wipe_share: 0,
     freeze_share: 60,
@@ -76,12 +76,14 @@
     limits: DEFAULT_LIMITS,
 };
 
-fn run_with_trouble(seed: u64, size: usize, conditions: Conditions, faults: Faults) -> Result<World, String> {
+fn run_with_disruptions(
+    seed: u64, size: usize, conditions: Conditions, faults: Faults,
+) -> Result<World, String> {
     let mut world = World::with_limits(seed, size, faults, conditions.limits);
     world.run_until(world.now + 1_000)?;
     world.slow_percent = conditions.slow_percent;
     let mut wiped = 0;
-    let end = world.now + TROUBLE_DURATION;
+    let end = world.now + DISRUPTION_DURATION;
     while world.now < end {
         let pause = 10 + world.rng.below(60);
         world.run_until(world.now + pause)?;
@@ -103,15 +105,15 @@
                 wiped = 0;
             }
         }
-        if !world.rng.chance(conditions.trouble_percent) {
+        if !world.rng.chance(conditions.disruption_percent) {
             continue;
         }
-        let (span, trouble) = (world.rng.below(1_500), world.rng.below(100));
+        let (span, disruption) = (world.rng.below(1_500), world.rng.below(100));
         let at = world.rng.below(size as u64) as usize;
         let mut from = 0;
         let mut occurs = |chance: u64| {
             from += chance;
-            (from - chance..from).contains(&trouble)
+            (from - chance..from).contains(&disruption)
         };
         if occurs(conditions.kill_share) {
             if world.rng.chance(15) {
@@ -145,13 +147,13 @@
         world.run_until(world.now + 100)?;
         world.run_maintenance()?;
     }
-    let leader = world.leader().ok_or("no leader after the troubles")?;
+    let leader = world.leader().ok_or("no leader after the disruptions")?;
     let before = world.committed.len();
     world.input(leader, Input::Propose { token: 1, change: vec![1] })?;
     world.run_until(world.now + 500)?;
     let last = world.committed.last_key_value().map_or(0, |(index, _)| *index);
     if world.committed.len() == before {
-        return Err("no entry is committed after the troubles".into());
+        return Err("no entry is committed after the disruptions".into());
     }
     for host in &world.hosts {
         let node = host.node.as_ref().ok_or("a node is still down")?;
@@ -164,14 +166,14 @@
 }
 
 fn run_and_recover(seed: u64, size: usize, conditions: Conditions) -> Result<(u64, u64, u64), String> {
-    let mut world = run_with_trouble(seed, size, conditions, Faults::default())?;
+    let mut world = run_with_disruptions(seed, size, conditions, Faults::default())?;
     run_until_recovered(&mut world)?;
     Ok((world.committed.len() as u64, world.lease_steps, world.sent_messages))
 }
 
 #[parameterized(
-    three = { 3, 0, ALL_TROUBLES }, three_more_seeds = { 3, 1, ALL_TROUBLES },
-    five = { 5, 2, ALL_TROUBLES }, five_more_seeds = { 5, 3, ALL_TROUBLES },
+    three = { 3, 0, ALL_DISRUPTIONS }, three_more_seeds = { 3, 1, ALL_DISRUPTIONS },
+    five = { 5, 2, ALL_DISRUPTIONS }, five_more_seeds = { 5, 3, ALL_DISRUPTIONS },
     three_with_chunked_transfers = { 3, 4, CHUNKED }, five_with_chunked_transfers = { 5, 5, CHUNKED },
     three_with_leadership_transfers = { 3, 6, LEADERSHIP_TRANSFERS },
     five_with_leadership_transfers = { 5, 7, LEADERSHIP_TRANSFERS },
@@ -197,7 +199,7 @@
 fn find_violation(faults: Faults, conditions: Conditions, expected: &str) -> Option<(u64, String)> {
     (0..1_500).find_map(|seed| {
         let size = 3 + seed as usize % 2 * 2;
-        let violation = run_with_trouble(seed, size, conditions, faults).err()?;
+        let violation = run_with_disruptions(seed, size, conditions, faults).err()?;
         violation.contains(expected).then_some((seed, violation))
     })
 }
@@ -208,7 +210,7 @@
 #[parameterized(
     unsaved_votes = { Faults { unsaved_votes: true, ..UNGUARDED }, POWER_LOSSES, TWO_LEADERS },
     any_incarnation = {
-        Faults { any_incarnation: true, ..Faults::default() }, ALL_TROUBLES, CONFLICTING_COMMITS
+        Faults { any_incarnation: true, ..Faults::default() }, ALL_DISRUPTIONS, CONFLICTING_COMMITS
     },
     vote_despite_leader = {
         Faults { vote_despite_leader: true, ..Faults::default() }, LINK_FAILURES, TWO_LEASE_HOLDERS
@@ -233,7 +235,7 @@
 fn no_violation_without_injected_faults(conditions: Conditions) {
     let unguarded = Faults { vote_despite_leader: false, ..UNGUARDED };
     for (seed, faults) in (0..60).flat_map(|seed| [(seed, Faults::default()), (seed, unguarded)]) {
-        let mut world = run_with_trouble(seed, 3 + seed as usize % 2 * 2, conditions, faults)
+        let mut world = run_with_disruptions(seed, 3 + seed as usize % 2 * 2, conditions, faults)
             .unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
         run_until_recovered(&mut world).unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
     }
--- a/crates/raft/tests/simultaneous_losses.rs
+++ b/crates/raft/tests/simultaneous_losses.rs
@@ -12,7 +12,7 @@
 const ROUNDS: usize = 5;
 /// The maximum time, in ms, until all hosts are voters again.
 const RECOVERY_TIMEOUT: u64 = 20_000;
-/// The maximum time, in ms, to wait for a commit. Enough without troubles, unless a slow save is drawn.
+/// The maximum time, in ms, to wait for a commit. Sufficient without disruptions, unless a slow save is drawn.
 const COMMIT_TIMEOUT: u64 = 2_000;
 
 /// The moment of the power loss.
--- a/crates/reachlb/src/run_data_plane.rs
+++ b/crates/reachlb/src/run_data_plane.rs
@@ -99,7 +99,7 @@
     let seeds = start::seeds(&settings);
     let detours = settings.tuning.detours.clone();
     *follower.borrow_mut() = Some(ControlFollower::start(
-        FollowerSettings { me, seeds, detours: detours, stale_after: stale_after(&settings) },
+        FollowerSettings { me, seeds, detours, stale_after: stale_after(&settings) },
         on_update,
     ));
     let (watch, reloaded_follower) = (neighbor_watch.clone(), follower.clone());
--- a/crates/testbed/src/trial/mod.rs
+++ b/crates/testbed/src/trial/mod.rs
@@ -222,7 +222,7 @@
         let mut ips: Vec<_> = sites.iter().map(|(site, _)| site.backend(0)).collect();
         // Simulates a concurrent run that tries the same block first.
         let (_, claim) = &sites[0];
-        assert!(TcpListener::bind(claim.local_addr().expect("bound")).is_err());
+        assert!(TcpListener::bind(claim.local_addr().expect("the listener has an address")).is_err());
         ips.sort_unstable();
         ips.dedup();
         assert_eq!(ips.len(), 4);
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -313,9 +313,9 @@
     recover = { service_does_not_recover, Rule::Recover },
     ended = { process_exited, Rule::Ended },
 )]
-fn planted_violation_is_attributed_to_its_rule(plant: fn(&mut HistoryBuilder), rule: Rule) {
+fn planted_violation_is_attributed_to_its_rule(add_violation: fn(&mut HistoryBuilder), rule: Rule) {
     let mut history = HistoryBuilder::new();
-    plant(&mut history);
+    add_violation(&mut history);
     let verdict = history.evaluate();
     assert_eq!(verdict.counts.into_iter().collect::<Vec<_>>(), [(rule, 1)], "{:?}", verdict.violations);
     assert_eq!((verdict.violations.len(), verdict.violations[0].rule), (1, rule));
@@ -328,18 +328,18 @@
     old_version = { old_version_in_force, Rule::Config },
     cut = { request_cut_by_restart, Rule::Lost },
 )]
-fn disturbed_machines_are_excused(plant: fn(&mut HistoryBuilder), rule: Rule) {
+fn disturbed_machines_are_excused(add_violation: fn(&mut HistoryBuilder), rule: Rule) {
     for core in [false, true] {
         let mut history = HistoryBuilder::new();
         let machine = if core { 0 } else { 3 };
         history.add_event(Event::FaultBegan { fault: 0, text: "cut".into(), machines: vec![machine] });
-        plant(&mut history);
+        add_violation(&mut history);
         assert_eq!(history.evaluate().total(), 0, "{:?}", history.evaluate().violations);
         // After the fault has ended and the contact time has passed, the same events are a violation.
         history.add_event(Event::FaultEnded { fault: 0 });
         history.wait(TIME_BOUNDS.contact);
         let mut second = HistoryBuilder { lines: Vec::new(), now: history.now };
-        plant(&mut second);
+        add_violation(&mut second);
         history
             .lines
             .extend(second.lines.into_iter().filter(|line| !matches!(line.event, Event::Drained { .. })));
--- a/gateway/tests/bodies.rs
+++ b/gateway/tests/bodies.rs
@@ -82,7 +82,8 @@
 async fn long_body_is_forwarded_with_content_length_or_in_chunks() {
     let backend = Backend::start(&[Action::Write(ok("x"))]).await;
     let env = TestEnv::with_backends(&[&backend]).await;
-    let body = String::from_utf8(pattern(5 * MIB).iter().map(|b| b'a' + b % 26).collect()).expect("text");
+    let body =
+        String::from_utf8(pattern(5 * MIB).iter().map(|b| b'a' + b % 26).collect()).expect("UTF-8 text");
     let mut client = env.gateway.client().await;
     for _ in 0..2 {
         let reply = client.exchange(&request("order", 900, "", &body)).await;
@@ -292,7 +293,7 @@
     });
     let reply = client.read().await;
     assert!([408, 502, 504].contains(&reply.status()), "{}", reply.status());
-    helper::wait_for("end of the attempt", ended).await.expect("end");
+    helper::wait_for("end of the attempt", ended).await.expect("the attempt ends");
     // The backend is not ejected: the next request is sent to it at once.
     let mut next = env.gateway.client().await;
     next.write(&request("look", 5000, "", "")).await;
@@ -333,9 +334,10 @@
     assert_eq!(client.read().await.status(), 200);
     wait_until("six attempts", || backend.attempts() == 6).await;
     // A body above the maximum is rejected at once, before it arrives.
-    let vast = request("order", 5000, "", "").replace("Content-Length: 0", "Content-Length: 60000000");
+    let oversized_request =
+        request("order", 5000, "", "").replace("Content-Length: 0", "Content-Length: 60000000");
     let mut client = env.gateway.client().await;
-    client.write(&vast).await;
+    client.write(&oversized_request).await;
     let reply = tokio::time::timeout(Duration::from_secs(20), client.read()).await.expect("answer");
     assert_eq!((reply.status(), backend.attempts()), (413, 6));
 }
--- a/gateway/tests/helper/mod.rs
+++ b/gateway/tests/helper/mod.rs
@@ -259,8 +259,8 @@
                         let mode = *mode.lock().expect("lock");
                         let reply = match mode {
                             CounterMode::Normal | CounterMode::Delayed(_) => {
-                                let amount: f64 = args[2].parse().expect("amount");
-                                assert!(args[3].parse::<u64>().expect("ttl") >= 1);
+                                let amount: f64 = args[2].parse().expect("the amount is a number");
+                                assert!(args[3].parse::<u64>().expect("the TTL is an integer") >= 1);
                                 let mut totals = totals.lock().expect("lock");
                                 let total = totals.entry(args[1].clone()).or_default();
                                 *total += amount;
@@ -493,7 +493,7 @@
 
     fn signal(&self, which: &str) {
         let id = self.child.id().expect("process").to_string();
-        let sent = std::process::Command::new("kill").args([which, &id]).status().expect("kill");
+        let sent = std::process::Command::new("kill").args([which, &id]).status().expect("cannot run kill");
         assert!(sent.success());
     }
 
--- a/gateway/tests/process.rs
+++ b/gateway/tests/process.rs
@@ -106,7 +106,7 @@
     env.gateway.terminate();
     // Far below the timeout for a head.
     let end = tokio::time::timeout(Duration::from_secs(30), env.gateway.wait_exit()).await;
-    assert_eq!(end.expect("end").code(), Some(0));
+    assert_eq!(end.expect("the process exits in time").code(), Some(0));
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/simhost/tests/wire.rs
+++ b/simhost/tests/wire.rs
@@ -12,7 +12,7 @@
     let input = lines.join("\n") + "\n";
     let mut output = Vec::new();
     Host::default().run(&mut input.as_bytes(), &mut output)?;
-    Ok(String::from_utf8(output).expect("text").lines().map(str::to_owned).collect())
+    Ok(String::from_utf8(output).expect("UTF-8 text").lines().map(str::to_owned).collect())
 }
 
 fn start(instance: u32) -> String {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -339,7 +339,7 @@
     Counted {
         /// The count's name.
         name: u64,
-        /// How it ended.
+        /// The outcome of the call.
         outcome: CountOutcome,
         /// The duration of the call.
         latency: Millis,
--- a/src/logic/backends.rs
+++ b/src/logic/backends.rs
@@ -60,7 +60,7 @@
         self.state == BackendState::Ready && !self.detached
     }
 
-    /// The least share of its capacity that a backend has by now; the share grows at least linearly.
+    /// The minimum share of its capacity that a backend has reached; the share grows at least linearly.
     pub(super) fn warm_capacity(&self, now: Millis, settings: &Settings) -> f64 {
         let starts = [self.started, self.returned].into_iter().flatten();
         let Some(started) = starts.reduce(f64::max) else { return 1.0 };
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -32,7 +32,13 @@
     harness.actions.clear();
     harness.actions.reserve(64);
     let mut event = Some(event);
-    measure(|| harness.gateway.handle(harness.now, event.take().expect("once"), &mut harness.actions))
+    measure(|| {
+        harness.gateway.handle(
+            harness.now,
+            event.take().expect("the closure is called once"),
+            &mut harness.actions,
+        )
+    })
 }
 
 /// Serves a request at its first backend. Returns the backend and the number of allocations.
