--- a/crates/control-plane/src/call.rs
+++ b/crates/control-plane/src/call.rs
@@ -11,7 +11,7 @@
     Departure(String),
     /// An order of an operator.
     Order(LeaderCall),
-    /// Query for the status of this process and what it knows.
+    /// Query for the status of this process and its view of the fleet.
     Status,
     /// Query for the latest accepted versions and their log positions.
     History,
--- a/crates/control-plane/src/control_plane/drains.rs
+++ b/crates/control-plane/src/control_plane/drains.rs
@@ -18,7 +18,7 @@
 /// Maximum number of drain calls that wait for the leader. The rest of [`MAX_PENDING_CALLS`] is left to operators.
 pub(super) const MAX_PENDING_DRAINS: usize = MAX_PENDING_CALLS / 2;
 
-/// A draining backend is told to call another process when the leader has not replied within this time: the process
+/// If the leader has not replied within this time, a draining backend is asked to call another process: the process
 /// that the backend called may be isolated without having noticed yet.
 pub(super) const DRAIN_FORWARD_TIMEOUT_MS: u64 = 450;
 
@@ -147,7 +147,7 @@
         self.propose_drains();
     }
 
-    /// This process stopped leading. The entry in flight may still be committed, so all callers are told to retry.
+    /// This process stopped leading. The entry in flight may still be committed, so all callers are asked to retry.
     pub(super) fn abort_drains(&mut self) {
         let now = self.now();
         for drain in self.drain_proposals.take_all() {
--- a/crates/control-plane/src/control_plane/orders.rs
+++ b/crates/control-plane/src/control_plane/orders.rs
@@ -1,4 +1,4 @@
-//! Calls of backends and operators, at the leader and on the way to it.
+//! Calls of backends and operators, at the leader and at the processes that forward calls to the leader.
 
 use super::drains::{DRAIN_FORWARD_TIMEOUT_MS, MAX_PENDING_DRAINS};
 use super::*;
--- a/crates/control-plane/src/directory.rs
+++ b/crates/control-plane/src/directory.rs
@@ -1,6 +1,6 @@
 //! Directory of known control planes: a state machine without I/O or clock.
 //!
-//! Replaced machines come back at other addresses, so old addresses fall out of use. A control plane without a
+//! Replaced machines return at other addresses, so old addresses become unused. A control plane without a
 //! connection to any process is forgotten after a while. For this, each process advertises only control planes with a
 //! recent connection of its own: otherwise processes would pass an unused address on to each other forever.
 
--- a/crates/control-plane/src/event_log.rs
+++ b/crates/control-plane/src/event_log.rs
@@ -24,7 +24,7 @@
 const RATE_LIMITED_STEPS: [&str; 7] =
     ["leader", "quota_service", "config", "data_plane", "voters", "dial", "drain"];
 
-/// What happened.
+/// Kind of an event, with its details.
 #[derive(Clone, Debug)]
 pub enum EventKind {
     /// Another process leads, or none.
--- a/crates/control-plane/tests/isolation.rs
+++ b/crates/control-plane/tests/isolation.rs
@@ -34,7 +34,7 @@
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(2500);
 const OPERATORS: usize = 4;
 
-/// What happens to a process.
+/// A disruption of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Disruption {
     CutIn,
--- a/crates/control-plane/tests/support/linearizability.rs
+++ b/crates/control-plane/tests/support/linearizability.rs
@@ -125,7 +125,7 @@
 /// Checks that some order of the calls explains a history.
 ///
 /// # Errors
-/// When there is none.
+/// If no such order exists.
 pub fn check<M: Model>(
     model: &M, history: &History<M::Operation, M::Answer>,
 ) -> Result<(), Box<Violation<M>>> {
--- a/crates/data-plane/src/routing.rs
+++ b/crates/data-plane/src/routing.rs
@@ -57,7 +57,7 @@
             return Err(Rejection::Malformed("no Host"));
         }
         let host = host_header.and_then(|host| host.to_str().ok()).unwrap_or_default();
-        // A backend that goes by the other host would serve a different route.
+        // A backend that uses the other host for routing would serve a different route.
         if uri.authority().is_some_and(|authority| !authority.as_str().eq_ignore_ascii_case(host)) {
             return Err(Rejection::Malformed("two hosts"));
         }
--- a/crates/data-plane/tests/answers/history.rs
+++ b/crates/data-plane/tests/answers/history.rs
@@ -42,7 +42,7 @@
     TooManyBackends { id: String },
 }
 
-/// What happened in a scenario.
+/// The recorded events of a scenario.
 #[derive(Default)]
 pub struct History {
     pub calls: RefCell<BTreeMap<String, Call>>,
--- a/crates/failure-detector/src/message.rs
+++ b/crates/failure-detector/src/message.rs
@@ -112,7 +112,7 @@
     pub digest: u64,
     /// Records to gossip.
     pub records: Vec<MemberRecord>,
-    /// Members that the sender suspects. The receiver replies with what it knows about them.
+    /// Members that the sender suspects. The receiver replies with its records of these members.
     pub suspicions: Vec<MemberIncarnation>,
     /// Members that the receiver suspects and that the sender received a datagram from recently.
     pub alive_reports: Vec<MemberIncarnation>,
--- a/crates/quota/tests/fleet_growth.rs
+++ b/crates/quota/tests/fleet_growth.rs
@@ -1,5 +1,5 @@
 //! Gateways that are isolated while the fleet grows. They keep dividing the quota by the small fleet's size, so their
-//! fallback slices are oversized, and the holder must reserve what they really spend.
+//! fallback slices are oversized, and the holder must reserve the units that these slices really spend.
 
 mod world;
 
@@ -20,7 +20,7 @@
 /// Request rate of the clients, as a multiple of the quotas.
 const DEMAND_RATIO: f64 = 7.0;
 
-/// What happens to the leader while gateways are isolated.
+/// Disruption of the leader while gateways are isolated.
 #[derive(Clone, Copy, PartialEq)]
 enum LeaderFate {
     Stays,
--- a/crates/raft/src/store.rs
+++ b/crates/raft/src/store.rs
@@ -62,7 +62,7 @@
     /// The contents of the file are corrupt.
     #[diagnostic(code(raft::store::damaged), help("set the file aside and join as a new voter"))]
     Damaged {
-        /// What is wrong with the contents.
+        /// Description of the damage.
         reason: String,
         /// The file.
         path: PathBuf,
--- a/crates/testbed/src/backend.rs
+++ b/crates/testbed/src/backend.rs
@@ -1,4 +1,4 @@
-//! A stand-in backend with a fixed number of slots, a bounded queue, random service times and the answers that the
+//! A simulated backend with a fixed number of slots, a bounded queue, random service times and the answers that the
 //! protocol requires.
 
 use crate::behavior::{Behavior, Body};
@@ -66,7 +66,7 @@
     text.rsplit_once('.').is_some_and(|(instance, _)| seal(instance, id) == text)
 }
 
-/// A running stand-in backend.
+/// A running simulated backend.
 pub struct StandInBackend {
     /// Service of the backend.
     pub service: String,
--- a/crates/testbed/src/behavior.rs
+++ b/crates/testbed/src/behavior.rs
@@ -1,4 +1,4 @@
-//! Behavior of stand-in backends, including failures.
+//! Behavior of simulated backends, including failures.
 
 use bytes::Bytes;
 use hyper::body::{Frame, SizeHint};
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients with persistent connections; they retry according to the protocol.
+//! Simulated clients with persistent connections; they retry according to the protocol.
 
 use crate::backend::{answer_body, is_valid_seal, request_body, request_path};
 use crate::history::{End, Event, History};
@@ -30,7 +30,7 @@
 /// Minimum remaining time for another attempt.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(20);
 
-/// Stand-in for the load balancer: checks the readiness of gateways and assigns new connections to ready ones.
+/// Simulated load balancer: checks the readiness of gateways and assigns new connections to ready ones.
 pub struct Platform {
     fronts: Vec<SocketAddr>,
     readiness: Vec<SocketAddr>,
--- a/crates/testbed/src/error.rs
+++ b/crates/testbed/src/error.rs
@@ -76,7 +76,7 @@
     Settings {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// Description of the error.
         wrong: String,
     },
     /// Another fleet is running in this directory.
@@ -109,7 +109,7 @@
         path: PathBuf,
         /// The line number.
         line: usize,
-        /// What is wrong.
+        /// Description of the error.
         wrong: String,
     },
     /// A signal or another failure cancelled the run.
--- a/crates/testbed/src/heartbeats.rs
+++ b/crates/testbed/src/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of stand-in backends to the control planes.
+//! Heartbeats of simulated backends to the control planes.
 
 use crate::control::Control;
 use crate::plan::DRAIN_MS;
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -63,7 +63,7 @@
         /// The machine whose client port accepted the connection.
         machine: usize,
     },
-    /// A stand-in backend started.
+    /// A simulated backend started.
     #[serde(rename = "Born")]
     BackendStarted {
         /// Unique number of the backend.
@@ -190,7 +190,7 @@
         machine: usize,
         /// Whether the process is a data plane; otherwise a control plane.
         data_plane: bool,
-        /// What happened to the process.
+        /// The new state of the process.
         #[serde(rename = "deed")]
         process_event: ProcessEvent,
     },
@@ -220,7 +220,7 @@
         /// The newest version that the control plane knows.
         version: u64,
     },
-    /// Something was delayed, possibly by the machine that runs the trial.
+    /// A delay was measured, possibly caused by the machine that runs the trial.
     Late {
         /// Description of the delay.
         text: String,
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,5 @@
-//! Runs a small fleet on one machine: the real programs as separate processes, and stand-ins for backends, the operator
-//! and clients. The fleet can be kept running for inspection ([`up`]), or run under load and disruptions with an
+//! Runs a small fleet on one machine: the real programs as separate processes, and a simulated operator, backends and
+//! clients. The fleet can be kept running for inspection ([`up`]), or run under load and disruptions with an
 //! evaluation of what was sent, run and answered ([`demo`], [`trial`]).
 //!
 //! All listeners use loopback addresses; all runs are bounded in time and size. Every child process that the testbed
--- a/crates/testbed/src/operator.rs
+++ b/crates/testbed/src/operator.rs
@@ -1,4 +1,4 @@
-//! Stand-in operator: sends configuration changes, races of two changes and invalid changes, and reads the result.
+//! Simulated operator: sends configuration changes, races of two changes and invalid changes, and reads the result.
 
 use crate::backend::request_path;
 use crate::control::Control;
--- a/crates/testbed/src/trial/environment.rs
+++ b/crates/testbed/src/trial/environment.rs
@@ -1,4 +1,4 @@
-//! The environment of a trial: processes, stand-ins and the relays between them, and how faults are injected.
+//! The environment of a trial: processes, simulated parties and the relays between them, and how faults are injected.
 
 use super::misbehaving_client::run_rude_client;
 use super::parties::{Party, ZONES_OF_BACKENDS};
--- a/crates/testbed/src/trial/mod.rs
+++ b/crates/testbed/src/trial/mod.rs
@@ -1,4 +1,4 @@
-//! Trials: real processes with stand-in clients, backends and operator, a relay on every link, injected faults, and an
+//! Trials: real processes with simulated clients, backends and operator, a relay on every link, injected faults, and an
 //! evaluation of what clients, backends and the operator observed.
 
 mod draw;
--- a/crates/testbed/src/trial/parties.rs
+++ b/crates/testbed/src/trial/parties.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The machine of the party, unless the party is a stand-in.
+    /// The machine of the party, unless the party is simulated.
     pub fn machine(self) -> Option<usize> {
         match self {
             Self::Machine(machine) | Self::DataPlane(machine) | Self::ControlPlane(machine) => Some(machine),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -39,7 +39,7 @@
     pub name: Name,
     /// An answer within this time has its full worth, a later one `late_worth`.
     pub latency_target: Millis,
-    /// Whether its requests may be repeated.
+    /// Whether requests of the class may be repeated.
     pub idempotency: Idempotency,
     /// Which backends drop the repeat of a keyed request.
     pub dedup_scope: DedupScope,
@@ -177,11 +177,11 @@
 pub struct BackendEntry {
     /// The backend's name.
     pub name: Name,
-    /// Its zone.
+    /// Zone of the backend.
     pub zone: Name,
-    /// Its cell.
+    /// Cell of the backend.
     pub cell: u64,
-    /// Whether it accepts requests.
+    /// Whether the backend accepts requests.
     pub state: BackendState,
     /// When it last started, if known.
     pub started: Option<Millis>,
@@ -265,7 +265,7 @@
     pub units: f64,
     /// Whether the client marks the request as a retry.
     pub repeat: bool,
-    /// When the client gives up, on the host's clock. The client's wait began before this event.
+    /// Timeout of the client, on the host's clock. The client's wait began before this event.
     pub deadline: Millis,
     /// Index of the first gateway of the customer's set; the next indexes follow, modulo the number of gateways.
     pub first_gateway: u32,
@@ -349,12 +349,12 @@
         /// When the process ends at the latest.
         deadline: Millis,
     },
-    /// Operators take a backend out of use until [`Event::Attach`], whatever its state in the list.
+    /// Operators detached a backend until [`Event::Attach`], whatever its state in the list.
     Detach {
         /// The backend's name.
         backend: Name,
     },
-    /// Operators put a backend back into use. It may have been restarted meanwhile.
+    /// Operators attached a backend again. The backend may have restarted meanwhile.
     Attach {
         /// The backend's name.
         backend: Name,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -40,7 +40,7 @@
     cell: u64,
     state: BackendState,
     detached: bool,
-    /// When operators last put the backend back into use; it may have been restarted meanwhile.
+    /// When operators last attached the backend; the backend may have restarted meanwhile.
     returned: Option<Millis>,
     started: Option<Millis>,
     /// When this gateway last sent the backend an attempt, and when the backend last answered one.
@@ -128,7 +128,7 @@
     unverified: bool,
     repeat: bool,
     arrived: Millis,
-    /// When the answer has to leave: a little before the client gives up.
+    /// Deadline for sending the answer, shortly before the client timeout.
     answer_by: Millis,
     admitted_at: Option<Millis>,
     hold_until: Millis,
--- a/src/logic/backends.rs
+++ b/src/logic/backends.rs
@@ -70,7 +70,7 @@
 
     /// Ejects the backend after a failure. Outcomes reveal dead, stalled and failing backends long before the
     /// list does, and a backend that fails fast looks idle and would attract load. The ejection grows with
-    /// each failure and lasts as long as the attempt did, since its work may go on after the call-off.
+    /// each failure and lasts as long as the attempt did, since the backend may continue after the cancellation.
     pub(super) fn note_failure(&mut self, now: Millis, latency: Millis, settings: &Settings) -> bool {
         self.failures += 1;
         let share = EJECT_SHARE * f64::from(self.failures);
--- a/src/logic/requests.rs
+++ b/src/logic/requests.rs
@@ -184,13 +184,13 @@
         may_retry.then(|| timeout(time))
     }
 
-    /// The time until which a retry's answer is worth the load: only the latency target while many are late.
+    /// The time until which a retry is worth its load: only the latency target while many are late.
     pub(super) fn retry_deadline(&self, request: &Request) -> Millis {
         let target = request.arrived + self.settings.classes[request.class].latency_target;
         if self.admit_share() < 1.0 { target.min(request.answer_by) } else { request.answer_by }
     }
 
-    /// Calls off a stalled attempt while there is time for a retry. A backend that has since answered others
+    /// Cancels a stalled attempt while there is time for a retry. A backend that has since answered others
     /// may just be slow and gets twice as long; after that, this connection alone may be dead. Without
     /// another backend or a retry budget the attempt is left to run.
     pub(super) fn on_stall(&mut self, id: RequestId, out: &mut Vec<Action>) {
