--- a/src/interface.rs
+++ b/src/interface.rs
@@ -265,7 +265,7 @@
     pub units: f64,
     /// Whether the client marks the request as a retry.
     pub repeat: bool,
-    /// Timeout of the client, on the host's clock. The client's wait began before this event.
+    /// The client deadline, on the clock of the host. The client started to wait before this event.
     pub deadline: Millis,
     /// Index of the first gateway of the customer's set; the next indexes follow, modulo the number of gateways.
     pub first_gateway: u32,
@@ -349,7 +349,7 @@
         /// When the process ends at the latest.
         deadline: Millis,
     },
-    /// Operators detached a backend until [`Event::Attach`], whatever its state in the list.
+    /// Operators detached a backend: it gets no requests until [`Event::Attach`], whatever its state in the list.
     Detach {
         /// The backend's name.
         backend: Name,
