--- a/crates/control-plane/src/control_plane/drains.rs
+++ b/crates/control-plane/src/control_plane/drains.rs
@@ -18,7 +18,7 @@
 /// Maximum number of drain calls that wait for the leader. The rest of [`MAX_PENDING_CALLS`] is left to operators.
 pub(super) const MAX_PENDING_DRAINS: usize = MAX_PENDING_CALLS / 2;
 
-/// A draining backend is told to call another process when the leader has not replied within this time: the process
+/// If the leader has not replied within this time, a draining backend is asked to call another process: the process
 /// that the backend called may be isolated without having noticed yet.
 pub(super) const DRAIN_FORWARD_TIMEOUT_MS: u64 = 450;
 
@@ -88,7 +88,7 @@
             let refused = Reply::error(503, "this process may be cut off: ask another one");
             return self.reply_to_drain_call(&id, reply, refused, now);
         }
-        self.on_local_order(LeaderCall::Drain(id), reply, now);
+        self.on_local_leader_call(LeaderCall::Drain(id), reply, now);
     }
 
     /// Replies to the drain call of a backend.
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -31,7 +31,7 @@
 /// Minimum remaining time for another attempt.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(20);
 
-/// Stand-in for the load balancer: checks the readiness of gateways and assigns new connections to ready ones.
+/// Simulated load balancer: checks the readiness of gateways and assigns new connections to ready ones.
 pub struct Platform {
     fronts: Vec<SocketAddr>,
     readiness: Vec<SocketAddr>,
--- a/crates/testbed/src/error.rs
+++ b/crates/testbed/src/error.rs
@@ -9,7 +9,7 @@
 /// An error of the testbed.
 #[derive(Debug, Error, Diagnostic)]
 pub enum TestbedError {
-    /// A file or folder cannot be accessed.
+    /// A file or directory cannot be accessed.
     #[error("{}: {error}", path.display())]
     #[diagnostic(code(testbed::file))]
     File {
@@ -54,7 +54,7 @@
         what: String,
         /// The timeout.
         within: Duration,
-        /// Folder of the process logs.
+        /// Directory of the process logs.
         logs: PathBuf,
     },
     /// A process exited while the fleet was starting.
@@ -76,14 +76,14 @@
     Settings {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// Description of the error.
         wrong: String,
     },
-    /// Another fleet is running in this folder.
+    /// Another fleet is running in this directory.
     #[error("a fleet is already running in {} (process {pid})", dir.display())]
     #[diagnostic(code(testbed::up), help("`testbed down --dir {}` stops it", dir.display()))]
     AlreadyRunning {
-        /// The folder.
+        /// The directory.
         dir: PathBuf,
         /// Id of the process that runs the fleet.
         pid: u32,
@@ -109,7 +109,7 @@
         path: PathBuf,
         /// The line number.
         line: usize,
-        /// What is wrong.
+        /// Description of the error.
         wrong: String,
     },
     /// A signal or another failure cancelled the run.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -39,7 +39,7 @@
     pub name: Name,
     /// An answer within this time has its full worth, a later one `late_worth`.
     pub latency_target: Millis,
-    /// Whether its requests may be repeated.
+    /// Whether requests of the class may be repeated.
     pub idempotency: Idempotency,
     /// Which backends drop the repeat of a keyed request.
     pub dedup_scope: DedupScope,
@@ -181,7 +181,7 @@
     pub zone: Name,
     /// The backend's cell: a group of backends that share one deduplication record, see [`DedupScope::Cell`].
     pub cell: u64,
-    /// Whether it accepts requests.
+    /// Whether the backend accepts requests.
     pub state: BackendState,
     /// When it last started, if known.
     pub started: Option<Millis>,
@@ -265,7 +265,7 @@
     pub units: f64,
     /// Whether the client marks the request as a retry.
     pub repeat: bool,
-    /// When the client gives up, on the host's clock. The client's wait began before this event.
+    /// The client deadline, on the clock of the host. The client started to wait before this event.
     pub deadline: Millis,
     /// Index of the first gateway of the customer's set; the next indexes follow, modulo the number of gateways.
     pub first_gateway: u32,
@@ -349,7 +349,7 @@
         /// When the process ends at the latest.
         deadline: Millis,
     },
-    /// Operators take a backend out of use until [`Event::Attach`], whatever its state in the list.
+    /// Operators detached a backend: it gets no requests until [`Event::Attach`], whatever its state in the list.
     Detach {
         /// The backend's name.
         backend: Name,
