--- a/crates/failure-detector/src/rendezvous.rs
+++ b/crates/failure-detector/src/rendezvous.rs
@@ -1,4 +1,5 @@
-//! Rendezvous hashing, which selects the watchers of each member.
+//! Rendezvous hashing, which selects the watchers of each member. Each pair of a candidate and a watched member has a
+//! pseudo-random weight. The candidates with the greatest weights, called the heaviest, watch the member.
 
 use crate::message::MemberAddr;
 
@@ -30,8 +31,9 @@
     ranked.into_iter().map(|(_, addr)| addr).collect()
 }
 
-/// [`watched`] skips pairs whose weight is so light that this many heavier watchers are expected. With 40 expected,
-/// fewer than five heavier watchers exist for one pair in 10^13. Such a member merely has one watcher fewer.
+/// Expected number of heavier candidates at which [`watched`] skips a member without comparing all weights. With 40
+/// expected heavier candidates, fewer than [`WATCHERS`](crate::WATCHERS) (4) exist with a probability below 10^-13.
+/// In that case the skipped member has one watcher fewer.
 const EXPECTED_HEAVIER: u64 = 40;
 
 /// The members that `me` watches: those that have `me` among their first `count` watchers.
--- a/crates/quota/src/floor.rs
+++ b/crates/quota/src/floor.rs
@@ -1,6 +1,7 @@
 //! Floors: lower bounds of counters, recorded in the replicated log, from which a new holder can start.
 //!
-//! When a holder crashes, its counters are lost. Its successor knows neither the units granted nor the blocks in use.
+//! When a holder crashes, its counters are lost. Its successor knows neither the units granted nor the blocks (units
+//! granted to one gateway for one window) that are still in use.
 //! Without more information it has to wait for one window and then start without any burst. A floor bounds the loss:
 //! while the log records a floor for a counter, no grant takes the counter below the floor. A new holder therefore
 //! starts at once with the units of the floor. The floor of a tenant far below its quota never changes. Before a
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -3,7 +3,11 @@
 //!
 //! A counter is open while the holder grants units from it. After a change of holder, a counter is closed until every
 //! block of the former holder has expired, unless the former holder hands the counter over or the log has a floor for
-//! it.
+//! it. A block is the units granted to one gateway for one window.
+//!
+//! A gateway that gets no answer from its holder spends its fallback slice instead: in each window, one refill (the
+//! units that a window adds to the counter) divided by the number of gateways. The holder therefore reserves the
+//! slices of silent gateways, which have sent no message for [`GATEWAY_TIMEOUT`].
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -79,7 +83,7 @@
     epoch: Epoch,
     /// Start of the first window. Every window ends a whole number of window lengths after this time.
     window_origin: Millis,
-    /// When the current assignment arrived, and for how long after it the leases of a former holder may last.
+    /// When the current assignment arrived, and for how long after its arrival a former holder's lease may last.
     assigned_at: Millis,
     closed_for: Millis,
     /// Whether no holder existed before, so that counters open at once with their maximum.
@@ -233,7 +237,8 @@
             let opens_at = self.assigned_at + self.closed_for + window;
             let closed = !self.first_holder && (!self.configured || now < opens_at);
             let floor = self.floors.remove(&quota.tenant).unwrap_or(0);
-            // A floor below one refill is not used: fallback slices give as much and reach all gateways at once.
+            // A floor below one refill is not used: the fallback slices of all gateways add up to one refill, and
+            // every gateway can spend its slice at once.
             let starts_at_floor = closed && params.is_some_and(|p| f64::from(floor) >= p.refill);
             let closed = closed && !starts_at_floor;
             let closed_until = if closed { opens_at.max(now) } else { now };
@@ -273,8 +278,8 @@
         self.update_silent_fraction();
     }
 
-    /// Sets the gateways with oversized fallback slices: they last learned a smaller fleet size and may have been cut
-    /// off since.
+    /// Sets the gateways that may spend oversized fallback slices. A gateway divides each refill by the last fleet
+    /// size that it received. If the fleet has grown since then, the gateway's slice is larger than an even share.
     pub fn set_oversized_slices(&mut self, oversized_slices: &[OversizedSlice]) {
         self.oversized_slices =
             oversized_slices.iter().map(|slice| (slice.gateway.clone(), slice.divisor.max(1))).collect();
@@ -294,15 +299,16 @@
 
     /// Removes a gateway that has shut down and spends nothing more. Its blocks stay counted until their window ends.
     pub fn remove_gateway(&mut self, gateway: &str) {
-        // Keeping the contact would hide one silent gateway, whose slice would then not be reserved.
+        // The number of silent gateways is the fleet size minus the gateways in contact. If a stopped gateway still
+        // counted as in contact, the fallback slice of one silent gateway would not be reserved.
         self.last_contacts.remove(gateway);
         self.charges.forget(gateway);
         self.update_silent_fraction();
     }
 
-    /// Answers a demand while the counter is closed. The fallback slices of all gateways would add up to one refill.
-    /// From this refill, gateways in contact get what they need instead of even slices: in a large fleet an even
-    /// slice rarely matches the requests of a gateway.
+    /// Answers a demand while the counter is closed. If all gateways spent their fallback slices, these would add up
+    /// to one refill per window. The holder grants units of this refill by need instead, because in a large fleet an
+    /// even slice rarely matches the requests that a gateway receives.
     fn grant_while_closed(&mut self, now: Millis, demand: &TenantDemand, grant: TenantGrant) -> TenantGrant {
         let (contact_count, fleet_size) = (self.last_contacts.len() as f64, f64::from(self.fleet_size));
         let silent_fraction = self.silent_fraction;
@@ -345,8 +351,8 @@
         Grant { number: request.number, epoch: self.epoch, grants }
     }
 
-    /// Refunds the estimated charge for a gateway that has returned from a silence, up to the debt that the gateway
-    /// reports.
+    /// Refunds the units that the counter was charged while the gateway was silent, up to the debt (units spent from
+    /// fallback slices) that the returned gateway reports. The debt itself is charged separately.
     fn refund(&mut self, now: Millis, gateway: &str, demand: &TenantDemand) {
         let charged_refill_time = self.charges.refund(now, gateway, &demand.tenant);
         if charged_refill_time <= 0.0 {
@@ -426,9 +432,9 @@
         self.counters.iter().filter(|(_, c)| c.removed_at.is_none()).map(counter_stats).collect()
     }
 
-    /// Marks gateways without recent contact as silent. They may have spent fallback slices since `SILENCE_TIMEOUT`
-    /// after their last message, while the counters still granted their share to others, so this spending is charged
-    /// now.
+    /// Marks gateways without recent contact as silent. A silent gateway may have spent fallback slices since
+    /// `SILENCE_TIMEOUT` after its last message. Until now the counters granted these units to other gateways, so the
+    /// counters are charged for the slices now.
     fn expire_silent_gateways(&mut self, now: Millis) {
         let is_silent = |at: &Millis| now >= *at + GATEWAY_TIMEOUT;
         let mut newly_silent_fraction = 0.0;
@@ -482,7 +488,8 @@
         while let Some(params) =
             counter.params.filter(|p| now + EARLY_TOLERANCE.min(p.window * 0.05) >= counter.window_end)
         {
-            // While a counter is closed, gateways spend slices instead of grants, not in addition to them.
+            // While a counter is closed, gateways spend fallback slices instead of granted blocks, so the slices are
+            // not deducted from the counter.
             if counter.window_end > counter.closed_until {
                 counter.free -= params.refill * counter.silent_fraction;
             }
--- a/crates/quota/src/lease_cache.rs
+++ b/crates/quota/src/lease_cache.rs
@@ -1,4 +1,8 @@
 //! The gateway side of quota leases: a cache of unit blocks granted by the holders of the tenants' counters.
+//!
+//! A block is a number of units that a holder grants for one window of a tenant. While the holder does not answer, the
+//! gateway spends its fallback slice instead: in each window, one refill divided by the number of gateways. Slice units
+//! that the counter does not know of are a debt, which the gateway reports with its next lease request.
 
 mod tenant_state;
 
@@ -22,8 +26,8 @@
 const MIN_PREFETCH_DEMAND: f64 = 1.0;
 /// The demand of a tenant without requests for this long is forgotten.
 const IDLE_TIMEOUT: Millis = 20_000.0;
-/// Fallback slices end this long after the last contact with a holder, because the known fleet size is too old by
-/// then.
+/// A gateway spends no fallback slices once its last contact with a holder is this long ago: the fleet size by which
+/// the slice is computed may be outdated by then.
 const MAX_SLICE_TIME: Millis = 30_000.0;
 /// Delay before a lease request is repeated for a counter that is being handed over between holders.
 const RETRY_DELAY: Millis = 15.0;
@@ -101,10 +105,10 @@
     slice_units: f64,
     slice_ends_at: Millis,
     slice_used: u32,
-    /// Whether the slice must be charged to the counter. True if the holder did not answer, because the holder then
-    /// still grants all units to other gateways.
+    /// Whether units spent from the fallback slice must be charged to the counter. True if the holder did not answer,
+    /// because the holder then still grants all units to other gateways.
     slice_is_charged: bool,
-    /// Slice units of past windows that the counter has not been charged for.
+    /// The debt: units spent from fallback slices in past windows that the counter has not been charged for.
     slice_debt: u32,
     /// Part of `slice_debt` that the lease request in flight reports.
     slice_debt_in_flight: u32,
@@ -174,8 +178,8 @@
             tenant.burst = quota.burst.max(0.0);
             self.tenants.insert(quota.tenant, tenant);
         }
-        // Requests of a removed tenant may still wait for a decision. Such a tenant is kept without any units until
-        // then.
+        // Requests of a removed tenant may still wait for a decision. The tenant's state is kept, without any units,
+        // until these requests are refused.
         for (name, mut tenant) in previous.into_iter().filter(|(_, state)| !state.waiting.is_empty()) {
             tenant.mark_removed(now);
             self.tenants.insert(name, tenant);
@@ -324,8 +328,8 @@
         }
     }
 
-    /// Returns the unit of a granted request that was not run. The unit can be spent again only in its own window.
-    /// After that window the unit goes back to the counter, which enforces the maximum of a window.
+    /// Takes back the unit of a granted request that was not run. Until the window of the unit ends, the gateway can
+    /// spend the unit again. Later, the unit goes back to the counter, which enforces the maximum of a window.
     pub fn return_unit(&mut self, now: Millis, tenant: &str) {
         let Some(state) = self.tenants.get_mut(tenant) else { return };
         state.advance_window(now);
@@ -418,8 +422,8 @@
         out
     }
 
-    /// Handles a holder's answer. An answer from a former holder or to an abandoned request is ignored: its units
-    /// stay counted until their window ends, and no gateway spends them.
+    /// Handles a holder's answer. An answer from a former holder or to an abandoned request is ignored. No gateway
+    /// spends the units of an ignored answer, although the counter counts them as granted until their window ends.
     pub fn handle_grant(&mut self, now: Millis, grant: Grant, out: &mut Vec<(u64, Verdict)>) {
         let answered =
             self.holders.iter_mut().find_map(|holder| Some((holder.take_in_flight(grant.number)?, holder)));
@@ -485,8 +489,8 @@
                 if !silent && now < *deadline {
                     return true;
                 }
-                // The grant is late. The fallback slice is spent in advance of the block and deducted from the next
-                // block.
+                // The grant is late. The request is paid from the fallback slice, and the units spent from the slice
+                // are deducted from the next block.
                 if may_use_slices && !state.is_exhausted(now) {
                     state.open_slice(now, fleet_size, random);
                     if state.spend_slice_unit() {
--- a/crates/quota/src/lease_cache/tenant_state.rs
+++ b/crates/quota/src/lease_cache/tenant_state.rs
@@ -91,7 +91,7 @@
         has_unit
     }
 
-    /// Adds the spent units of an expired slice to the debt, unless a block has already covered them.
+    /// Adds the units spent from an expired fallback slice to the debt, unless they were deducted from a block.
     fn settle_slice(&mut self, now: Millis) {
         if now < self.slice_ends_at {
             return;
@@ -112,8 +112,8 @@
 
     /// Whether a lease request is needed now.
     pub(super) fn should_request(&self, now: Millis) -> bool {
-        // A window starts without a block. A tenant with enough demand requests its block before the first client
-        // request.
+        // No block is left when a window starts. For a tenant with enough demand, the gateway requests a block
+        // before the first client request of the window arrives.
         let new_window =
             now >= self.window_ends_at && self.window_ends_at > 0.0 && self.demand >= MIN_PREFETCH_DEMAND;
         (self.needs_block || new_window) && !self.is_exhausted(now)
@@ -165,7 +165,7 @@
         self.window = tenant_grant.window;
         self.window_ends_at = self.window_ends_at.max(window_ends_at);
         self.remaining = tenant_grant.remaining;
-        // Slice units already spent in this window were taken in advance from this block.
+        // Units spent from the fallback slice earlier in this window are deducted from this block.
         let prepaid = if now < self.slice_ends_at { tenant_grant.granted.min(self.slice_used) } else { 0 };
         self.slice_used -= prepaid;
         self.slice_units = self.slice_units.fract();
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -8,6 +8,20 @@
 //! has a [`LeaseCache`] of unit blocks that holders grant from these counters. While a holder does not answer, a
 //! gateway spends its fallback slice instead: an even share of the quota, one part per gateway of the fleet.
 //!
+//! Terms of this crate:
+//! - Window: each counter divides time into windows of a fixed length. Every window adds a refill of units to the
+//!   counter ([`WindowParams`]).
+//! - Block: the units that a gateway leases from a counter. Unspent units expire at the end of the window.
+//! - Lease request: a gateway's message that asks a holder for blocks ([`LeaseRequest`]). The lease of a holder is
+//!   something else: the time for which that holder may grant blocks.
+//! - Epoch: the number of an assignment ([`Epoch`]). Holders and gateways follow the assignment with the highest epoch.
+//! - Silent: a gateway or holder that no message has arrived from for some time.
+//! - Fallback slice: the units that a gateway may spend per window without a holder, a refill divided by the fleet
+//!   size. A slice is oversized if the gateway computes it with an outdated, smaller fleet size ([`OversizedSlice`]).
+//! - Debt: fallback units that a gateway has spent and that no counter has been charged for ([`TenantDemand::owed`]).
+//! - Floor: a lower bound of a counter in the replicated log, from which the next holder can start (`floor.rs`).
+//! - Handover: the state of counters that a holder sends to their next holder ([`Handover`]).
+//!
 //! The caller passes the time of its own monotonic clock to every call. Messages carry durations only, never points
 //! in time.
 
--- a/crates/quota/src/silence_charges.rs
+++ b/crates/quota/src/silence_charges.rs
@@ -1,6 +1,7 @@
 //! Charges for silent gateways, and their refunds.
 //!
-//! A gateway that receives nothing from the holder spends a fallback slice in each window. The holder charges the
+//! A gateway that receives nothing from the holder spends a fallback slice in each window: the window's refill divided
+//! by the number of gateways. The holder charges the
 //! counters an estimate of that spending, because the gateway may never return. A gateway that returns reports the
 //! units actually spent ([`TenantDemand::owed`]). To avoid a double charge, the holder then refunds the estimate, up
 //! to the reported debt and once per tenant.
@@ -11,7 +12,8 @@
 use crate::TenantDemand;
 use crate::{Millis, SILENCE_TIMEOUT};
 
-/// A returning gateway reports its debts within this time. Later debts belong to later silences and get no refund.
+/// A returning gateway reports its debts, the fallback units that it spent, within this time. A debt reported later
+/// belongs to a later silence and gets no refund.
 const REFUND_PERIOD: Millis = 2_000.0;
 /// A gateway spends no fallback slices for longer than this, so a longer silence is charged no more.
 const MAX_CHARGED_SILENCE: Millis = 30_000.0;
--- a/crates/quota/src/window_params.rs
+++ b/crates/quota/src/window_params.rs
@@ -16,7 +16,8 @@
 /// Compliance span: a quota is checked over every interval of this length.
 const COMPLIANCE_SPAN: Millis = 5000.0;
 /// Excess ratio and fixed slack, in units, that the counters may use. Both are below the compliance bound
-/// (`COMPLIANCE_EXCESS`, `COMPLIANCE_SLACK`). The difference is reserved for excess around changes of holder.
+/// (`COMPLIANCE_EXCESS`, `COMPLIANCE_SLACK`). The difference is a reserve for changes of holder, during which units can
+/// be granted in excess.
 const TARGET_EXCESS: f64 = 1.08;
 const TARGET_SLACK: f64 = 18.0;
 /// A request can reach its backend this much later than another one. A compliance span therefore sees the grants of a
--- a/src/logic/quota.rs
+++ b/src/logic/quota.rs
@@ -72,8 +72,8 @@
         self.unanswered.last().is_some_and(|(_, _, at)| now < at + timeout * SILENT_AFTER)
     }
 
-    /// Refills the tokens and enters the current window. Unused leases and negative tokens end with the
-    /// window: a count above the quota includes leases that no gateway received or that are being returned.
+    /// Refills the tokens and enters the current window, where leases start anew. Negative tokens become zero:
+    /// the count can exceed the quota by leases that no gateway received or that gateways are returning.
     pub(super) fn roll_window(&mut self, now: Millis, plan: &Plan) {
         self.tokens = (self.tokens + plan.rate * (now - self.tokens_at) / 1000.0).min(plan.burst);
         self.tokens_at = now;
