--- a/crates/failure-detector/src/detector.rs
+++ b/crates/failure-detector/src/detector.rs
@@ -1,4 +1,9 @@
 //! The failure detector of one process: pings watched members, collects suspicions and declares deaths.
+//!
+//! The watch set of a process holds the members that rendezvous hashing assigns to the process as a regular watcher. A
+//! process that receives a suspicion about another member becomes a temporary watcher of the suspect for a while. A
+//! process that has recently received a datagram from the suspect replies with an alive report, which outweighs all
+//! suspicions. Members spread records of each other's state by gossip. A sync compares the whole views of two members.
 
 use crate::message::{
     Identity, MemberAddr, MemberIncarnation, MemberRecord, MemberState, Message, MessageKind,
@@ -275,7 +280,8 @@
         }
     }
 
-    /// Drops a view that is older than the tombstones of other members: its records would revive dead members.
+    /// Drops all records except the process's own one. Called after an interruption so long that other members may have
+    /// removed tombstones (records of dead members): old `Alive` records in this view would revive these dead members.
     fn reset_view(&mut self, now: Millis) {
         self.view.reset_to(self.own_record.clone(), now);
         self.watched.clear();
@@ -425,7 +431,8 @@
             evidence.suspicions.insert(own_addr, (incarnation, now));
             let is_proven = self.is_proven_dead(addr);
             let Some(member) = self.watched.get_mut(&addr) else { continue };
-            // By now the other watchers had time to report the member as alive, and two more pings went out.
+            // A death is declared only some time after the suspicion began. Meanwhile the other watchers can report
+            // the member as alive, and this process sends two more pings.
             let suspected_since = *member.suspected_since.get_or_insert(now);
             if is_proven && !member.temporary && now >= suspected_since + PING_INTERVAL_MS {
                 self.declare_dead(addr, now);
@@ -461,7 +468,7 @@
     }
 
     /// Whether the known suspicions, including this process's own, prove a death. A single alive report outweighs all
-    /// of them.
+    /// suspicions.
     fn is_proven_dead(&self, addr: MemberAddr) -> bool {
         let (Some(record), Some(evidence)) = (self.view.get(addr), self.evidence.get(&addr)) else {
             return false;
@@ -610,7 +617,8 @@
         let Some(record) = self.view.get(incarnation.addr) else { return };
         let (known, alive) = (record.member_incarnation(), record.state == MemberState::Alive);
         if known != incarnation || !alive {
-            // The suspecting member has an outdated record.
+            // The suspicion is about another incarnation of the suspect, or about a suspect that is not alive in this
+            // view. The suspecting member receives this process's record as a correction.
             corrections.push(record.clone());
             return;
         }
@@ -676,9 +684,9 @@
     }
 }
 
-/// Time from which the silence of a member counts that was not pinged yet. It lies far enough back that no alive
-/// report is sent for the member. The number of unanswered pings then decides when the member is suspected, since
-/// those pings take longer.
+/// Initial value of `last_received` for a member that was not pinged yet. The value is old enough that this process
+/// sends no alive report for the member. The member is then suspected once enough pings are unanswered, because these
+/// pings take longer than the silence that is still missing.
 fn initial_last_received(now: Millis) -> Millis {
     now.saturating_sub(ALIVE_REPORT_WINDOW_MS)
 }
--- a/crates/failure-detector/src/view.rs
+++ b/crates/failure-detector/src/view.rs
@@ -65,9 +65,10 @@
             #[cfg(test)]
             Some(entry) if self.accepts_stale => entry.record != *record,
             Some(entry) => record.rank() > entry.record.rank(),
-            // Tombstones of unknown members are dropped. If views accepted them, tombstones would circulate forever,
-            // because each process would keep them for the full time again. If an outdated `Alive` record arrives
-            // afterwards, the digests differ and a sync brings the tombstone again.
+            // A tombstone is the record of a dead or departed member. Tombstones of unknown members are dropped. If
+            // views accepted such tombstones, they would circulate forever, because each process would keep them for
+            // the full time again. If an outdated `Alive` record arrives afterwards, the digests differ and a sync
+            // brings the tombstone again.
             None => record.state == MemberState::Alive && self.entries.len() < MAX_MEMBERS,
         }
     }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Hands over all state and keeps no lease or slice: both share one gateway's part of each quota.
+    /// Returns the state for a successor process and zeroes leases and slices here, so that none is spent twice.
     pub fn hand_over(&mut self) -> HandoverState {
         let customers = self.customers.clone();
         for customer in self.customers.values_mut() {
--- a/src/logic/backends.rs
+++ b/src/logic/backends.rs
@@ -1,4 +1,4 @@
-//! Backends: the list, the in-flight limit and ejection of each, and the choice among them.
+//! Backends: list, in-flight limits, ejection and choice. A cold backend has just started and is warming up.
 
 use super::*;
 
--- a/src/logic/counter.rs
+++ b/src/logic/counter.rs
@@ -1,4 +1,4 @@
-//! Calls to the shared counter, which add leases and debts to a count, and replies in time, late or missing.
+//! Counter calls, each of which adds a lease and a debt (units spent without a lease) to a customer's count.
 
 use super::*;
 
--- a/src/logic/quota.rs
+++ b/src/logic/quota.rs
@@ -1,5 +1,5 @@
-//! Quotas: a customer's leases and tokens, and the quota gate that every request passes. The shared counter
-//! keeps one count of leased units per customer and window. A total is the count that the counter replies.
+//! The quota gate. Gateways lease units from a shared counter, which counts leased units by customer and
+//! window and replies with the total. While it is silent, a gateway spends its slice, an even part of tokens.
 
 use super::*;
 
@@ -72,7 +72,7 @@
         self.unanswered.last().is_some_and(|(_, _, at)| now < at + timeout * SILENT_AFTER)
     }
 
-    /// Refills the tokens and enters the current window, where leases start anew. Negative tokens become zero:
+    /// Refills the tokens and enters the current window, where leases start at 0. Negative tokens become 0:
     /// the count can exceed the quota by leases that no gateway received or that gateways are returning.
     pub(super) fn roll_window(&mut self, now: Millis, plan: &Plan) {
         self.tokens = (self.tokens + plan.rate * (now - self.tokens_at) / 1000.0).min(plan.burst);
@@ -127,7 +127,7 @@
     }
 
     /// Spends from the even slice of the last known tokens while the counter is silent. A slice below one
-    /// unit is rounded by chance, or no gateway could spend the units that all slices hold together.
+    /// unit is rounded at random: otherwise no gateway could spend the units of all slices together.
     pub(super) fn spend_slice(&mut self, units: f64, now: Millis, plan: &Plan, random: f64) -> bool {
         let even = self.tokens.max(0.0) / self.spread;
         let (held, at) = self.slice.unwrap_or(((even + random).floor().max(even), now));
@@ -228,7 +228,7 @@
         let plan = &self.settings.plans[customer.plan];
         let rate = plan.rate;
         let since = rate * (now - customer.window_at(now, plan).1) / 1000.0;
-        // A weighted request also stands for requests that were not counted: the excess weight is allowed.
+        // A counted request has the weight of several uncounted ones, so its weight may exceed the quota.
         let slack = lease - lease * self.call_share;
         let granted = (plan.burst * SAMPLED_START_SHARE + since).min(plan.burst) + slack;
         let waiting = std::mem::take(&mut customer.waiting);
--- a/src/logic/requests.rs
+++ b/src/logic/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: queueing, dispatch and retries, from arrival to the one final answer.
+//! Requests: queueing, dispatch and retries, from arrival to the single final answer.
 
 use super::*;
 
