--- a/crates/quota/src/assignment.rs
+++ b/crates/quota/src/assignment.rs
@@ -56,7 +56,8 @@
     }
 }
 
-/// Hash of a holder and a tenant: FNV-1a with a final mix. All versions on all machines must compute the same value.
+/// Hash of a holder and a tenant: FNV-1a with a final mix. All processes must compute the same
+/// value, whatever their software version.
 fn rendezvous_hash(holder: &str, tenant: &str) -> u64 {
     let bytes = holder.bytes().chain([0]).chain(tenant.bytes());
     let hash = bytes.fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -523,8 +523,8 @@
             ends_in: 0.0,
             status: CounterStatus::FallbackSlice,
         };
-        // A tenant unknown here may be new in a configuration that has not arrived yet, or may have another holder. A
-        // fallback slice could then be spent in addition to the other holder's grants.
+        // A tenant unknown here may be new in a configuration that has not arrived yet, or may have another holder. In
+        // the second case the gateway must not spend its fallback slice in addition to the other holder's grants.
         let sole_holder = self.epoch.number <= 1;
         let Some(counter) = self.counters.get_mut(&demand.tenant).filter(|c| c.removed_at.is_none()) else {
             return if sole_holder {
@@ -558,9 +558,9 @@
         let owed = demand.owed();
         counter.free = (counter.free - f64::from(owed)).max(-params.max_units);
         let needed = if owed > 0 { 0 } else { demand.needed };
-        // In the first window after the start, every gateway counts as silent until its first request, and slices
-        // spent until then are deducted from its first block. Reserving the slices of all gateways would refuse most
-        // of the units of the floor.
+        // No fallback slices are reserved in the first window after the start. Every gateway counts as silent until
+        // its first request, so a reserve for all slices would refuse most of the units of the floor. Units spent from
+        // a slice before the first request are deducted from the gateway's first block.
         let silent_fraction =
             if now < self.window_origin + params.window { 0.0 } else { counter.silent_fraction };
         let available = counter.free - params.refill * silent_fraction;
@@ -574,7 +574,7 @@
         counter.granted += granted;
         grant.granted = granted as u32;
         counter.floor.record_free(available - granted);
-        // The remaining units include those below the floor: they become available as soon as the log lowers the
+        // The remaining units include units below the floor, which become available as soon as the log lowers the
         // floor.
         grant.remaining = (total_available - granted) as u32;
         grant.status = CounterStatus::Open;
--- a/crates/quota/src/holder_assigner.rs
+++ b/crates/quota/src/holder_assigner.rs
@@ -1,4 +1,5 @@
-//! The leader's choice of the control planes that hold counters.
+//! The leader's choice of the control planes that hold counters. The leader always is a holder. The other holders are
+//! called deputies; each deputy may grant units only while its lease from the leader lasts.
 
 use std::collections::BTreeMap;
 
@@ -45,7 +46,7 @@
 impl HolderAssigner {
     /// Starts a term in which the leader holds all counters itself. If the fleet sends more than
     /// `requests_per_holder` lease requests per second, the leader adds deputies. Each further holder costs every
-    /// gateway one message per window, so low load stays on one holder. With infinity the leader never adds deputies.
+    /// gateway one message per window, so one holder serves a low load alone. With infinity the leader never adds deputies.
     pub fn new(leader: &str, term: u64, now: Millis, requests_per_holder: f64) -> Self {
         let assignment = HolderAssignment { epoch: Epoch::first(term), holders: vec![leader.to_owned()] };
         Self {
--- a/crates/quota/src/holder_state.rs
+++ b/crates/quota/src/holder_state.rs
@@ -1,4 +1,5 @@
-//! State of one holder as seen by a gateway's lease cache: requests in flight and whether the holder answers.
+//! State of one holder as seen by a gateway's lease cache: requests in flight and whether the holder answers. A holder
+//! is silent when a request has had no answer for `SILENCE_TIMEOUT`, until the next answer.
 
 use std::rc::Rc;
 
--- a/crates/quota/src/quota_service.rs
+++ b/crates/quota/src/quota_service.rs
@@ -1,4 +1,6 @@
-//! Quota service of one control plane: which counters it holds under the newest assignment, and for how long.
+//! Quota service of one control plane: which counters it holds under the newest assignment, and for how long. A holder
+//! may grant units only while its lease lasts. The lease of the leader is that of the replicated log; the leader grants
+//! leases to the other holders (deputies).
 
 use bitcode::{Decode, Encode};
 use std::collections::BTreeMap;
@@ -129,8 +131,8 @@
         let is_next = assignment.epoch.follows(self.assignment.epoch);
         self.assignment = assignment.clone();
         let mut handovers = Vec::new();
-        // After a missed assignment, a counter may have moved away and back, so the holder starts again with new
-        // counters.
+        // After a missed assignment, a counter may have moved to another holder and back. The units granted there are
+        // unknown here, so this holder starts again with new counters.
         let mut holder = self.holder.take().filter(|_| is_next);
         if let Some(holder) = &mut holder {
             handovers = self.release_counters(now, holder);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,9 @@
 //! The types exchanged between a host and a gateway: settings, events and actions. They have no behaviour.
+//!
+//! Terms: The host is the program that does the input and output for a gateway. An attempt is one sending of a request
+//! to a backend; a request can take several attempts. The worth of a request is the relative value of its answer. A
+//! counter call adds an amount to a count (a number at the counter shared by all gateways) and returns the total. A
+//! customer's set is the gateways that receive the customer's requests.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -37,7 +42,7 @@
 pub struct Class {
     /// The class's name.
     pub name: Name,
-    /// An answer within this time has its full worth, a later one `late_worth`.
+    /// Latency target: an answer within this time has its full worth, a later answer only the share `late_worth`.
     pub latency_target: Millis,
     /// Whether requests of the class may be repeated.
     pub idempotency: Idempotency,
@@ -45,7 +50,7 @@
     pub dedup_scope: DedupScope,
     /// How long repeats of a keyed request are dropped, counted from the first attempt that may have run.
     pub dedup_window: Millis,
-    /// The value of an answer relative to other classes. Load shedding refuses classes of low worth first.
+    /// The value (worth) of an answer relative to other classes. Load shedding refuses classes of low worth first.
     pub worth: f64,
     /// The share of the worth that an answer after the latency target has.
     pub late_worth: f64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -30,7 +30,7 @@
 //! # What the host must provide
 //!
 //! - One [`Gateway`] in a process of its own; after a restart a new one, with a fresh seed and the last list.
-//!   No two gateways share a seed, or they would make the same random choices.
+//!   Each gateway needs a different seed: gateways with equal seeds would make the same random choices.
 //! - Clocks that agree among gateways to well within the shortest window of any plan: the name of a count contains
 //!   the window's number. Gateways whose clocks differ by a window use different counts, and each grants the quota
 //!   again.
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -187,7 +187,7 @@
 }
 
 impl Gateway {
-    /// A gateway that knows its settings and nothing else.
+    /// Creates a gateway without backends, customers or learned values.
     ///
     /// # Errors
     /// When the settings cannot be used.
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Returns the state for a successor process and zeroes leases and slices here, so that none is spent twice.
+    /// Returns the state for a successor process and zeroes leases and slices here: none is spent twice.
     pub fn hand_over(&mut self) -> HandoverState {
         let customers = self.customers.clone();
         for customer in self.customers.values_mut() {
--- a/src/logic/requests.rs
+++ b/src/logic/requests.rs
@@ -6,7 +6,7 @@
 pub(super) const QUEUE_WAIT_SHARE: f64 = 0.3;
 /// An answer must leave this many ticks before the client's deadline.
 pub(super) const RESERVED_TICKS: f64 = 2.0;
-/// Maximum attempts of a safe request that may have run: a request that two backends fail is costly.
+/// Maximum attempts of a safe request that may have run: a request that fails twice may harm backends.
 pub(super) const MAX_SAFE_ATTEMPTS: u32 = 2;
 /// An attempt counts as stalled after this share of the request's time, but not before this many mean
 /// latencies: a lower multiple would cut off slow answers, above all under overload.
@@ -184,14 +184,14 @@
         may_retry.then(|| timeout(time))
     }
 
-    /// The time until which a retry is worth its load: only the latency target while many are late.
+    /// The latest time for the answer to a retry: only the latency target while many answers are late.
     pub(super) fn retry_deadline(&self, request: &Request) -> Millis {
         let target = request.arrived + self.settings.classes[request.class].latency_target;
         if self.admit_share() < 1.0 { target.min(request.answer_by) } else { request.answer_by }
     }
 
-    /// Cancels a stalled attempt while there is time for a retry. A backend that has since answered others
-    /// may just be slow and gets twice as long; after that, this connection alone may be dead. Without
+    /// Cancels a stalled attempt while there is time for a retry. If the backend has answered other requests
+    /// since, the attempt gets twice as long: the backend may be slow, or only this connection dead. Without
     /// another backend or a retry budget the attempt is left to run.
     pub(super) fn on_stall(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
