--- a/crates/failure-detector/src/simulation.rs
+++ b/crates/failure-detector/src/simulation.rs
@@ -47,7 +47,7 @@
     pub false_deaths: Vec<(usize, usize, Millis)>,
     /// Suspicions sent about nodes that were running and not frozen: the suspecting node and the suspect.
     pub false_suspicions: Vec<(usize, usize)>,
-    /// Nodes that other nodes may rightly declare dead at some time.
+    /// For each node, whether other nodes may declare the node dead without a fault of the detector.
     pub may_be_declared_dead: Vec<bool>,
     rng_state: u64,
     queue: BinaryHeap<Reverse<(Millis, u64, usize, SimEvent)>>,
--- a/crates/quota/src/floor.rs
+++ b/crates/quota/src/floor.rs
@@ -1,19 +1,19 @@
 //! Floors: lower bounds of counters, recorded in the replicated log, from which a new holder can start.
 //!
 //! When a holder crashes, its counters are lost. Its successor knows neither the units granted nor the blocks (units
-//! granted to one gateway for one window) that are still in use.
-//! Without more information it has to wait for one window and then start without any burst. A floor bounds the loss:
-//! while the log records a floor for a counter, no grant takes the counter below the floor. A new holder therefore
-//! starts at once with the units of the floor. The floor of a tenant far below its quota never changes. Before a
-//! tenant near its quota receives more units, a log entry removes its floor.
+//! granted to one gateway for one window) that are still in use. Without more information, the successor has to wait
+//! for one window and then start without any burst. A floor bounds the loss: while the log records a floor for a
+//! counter, no grant takes the counter below the floor. A new holder therefore starts at once with the units of the
+//! floor. The floor of a tenant far below its quota never changes. Before a tenant near its quota receives more units,
+//! a log entry removes its floor.
 
 use crate::Millis;
 
 /// A floor rises only if the counter stayed above the new floor for this long. Longer than the compliance span, the
 /// 5 s over which the use of a quota is checked.
 const OBSERVATION_PERIOD: Millis = 6000.0;
-/// Floor of a quiet tenant as a fraction of a window's maximum. A quiet tenant's counter normally stays
-/// above this floor.
+/// Floor of a tenant that uses little of its quota, as a fraction of a window's maximum. The counter of such a tenant
+/// normally stays above this floor.
 const FLOOR_RATIO: f64 = 0.5;
 /// A counter is near its floor when the distance is below this fraction of a refill. The floor must then be lowered.
 const NEAR_FLOOR_RATIO: f64 = 0.25;
@@ -46,7 +46,7 @@
         self.min_free = self.min_free.min(free);
     }
 
-    /// Whether the counter is so near its floor that the next grants need units below it.
+    /// Whether the counter is so near its floor that the next grants need units below the floor.
     pub fn needs_lowering(&self, refill: f64) -> bool {
         self.proposed > 0 && self.min_free < self.enforced() + refill * NEAR_FLOOR_RATIO
     }
--- a/crates/quota/src/holder_assigner.rs
+++ b/crates/quota/src/holder_assigner.rs
@@ -46,7 +46,8 @@
 impl HolderAssigner {
     /// Starts a term in which the leader holds all counters itself. If the fleet sends more than
     /// `requests_per_holder` lease requests per second, the leader adds deputies. Each further holder costs every
-    /// gateway one message per window, so one holder serves a low load alone. With infinity the leader never adds deputies.
+    /// gateway one message per window, so one holder serves a low load alone. With an infinite `requests_per_holder`
+    /// the leader never adds deputies.
     pub fn new(leader: &str, term: u64, now: Millis, requests_per_holder: f64) -> Self {
         let assignment = HolderAssignment { epoch: Epoch::first(term), holders: vec![leader.to_owned()] };
         Self {
--- a/src/logic/backends.rs
+++ b/src/logic/backends.rs
@@ -176,8 +176,8 @@
         let seed = self.random;
         let zone_bias = 1.0 + self.settings.price_cross_zone * CROSS_ZONE_BIAS;
         let large = self.large_fleet();
-        // A large fleet draws once for all cold backends: of several separate draws that win at once, all but
-        // one would be wasted.
+        // In a large fleet, one random draw covers all cold backends: with a draw for each, several backends
+        // could be drawn for the same request, and all but one of these draws would be wasted.
         let mut draw = unit_interval(mix(seed)) * ready;
         let cold_share = if large {
             (self.settings.overload_factor * COLD_LOAD_LARGE_FLEET).min(ready / f64::max(capacity, 1e-9))
@@ -198,13 +198,13 @@
             let missed = if large { !(0.0..part).contains(&draw) } else { random * ready >= part };
             draw -= part;
             let cold = warm < 1.0 && missed;
-            // One request is no overload, and operators expect an attached backend to be in use again soon.
+            // One request does not overload a cold backend, and operators expect an attached one in use soon.
             let unused_since = backend.returned.filter(|at| backend.sent <= *at);
             let cold = cold && unused_since.is_none_or(|at| self.now < at + MAX_UNUSED_AFTER_ATTACH);
             if !backend.ready() || !in_group || full || cold || self.now < backend.eject_until {
                 continue;
             }
-            // A large fleet draws by weight, so that no two gateways try backends in the same order.
+            // In a large fleet the score has a random factor, so that gateways try backends in varied orders.
             let jitter = if large { -random.max(1e-12).ln() } else { 1.0 + 0.1 * random };
             let bias = if backend.same_zone { 1.0 } else { zone_bias };
             let bias = if backend.preferred || !large { bias } else { bias * NON_PREFERRED_FACTOR };
@@ -237,10 +237,10 @@
                 latency > self.settings.classes[class].latency_target * ON_TIME_SHARE
             }
             Outcome::NeverSent => return,
-            // The client has left. If the client still waits, the attempt was called off as stalled instead.
+            // The client disconnected. If the client still waits, the attempt was called off because it stalled.
             Outcome::CalledOff if !self.requests.contains_key(&end.id) => return,
             Outcome::Full => true,
-            // An attempt cut short by its client's deadline says little about the fleet.
+            // An attempt that its client's deadline cut short says little about the load of the backends.
             _ => latency > *mean * LATE_FAILURE_LATENCIES,
         };
         backend.note_latency(late);
@@ -252,7 +252,7 @@
         if failed && backend.note_failure(now, latency, &self.settings) {
             out.push(Action::Log(format!("backend {name} ejected: {REPORT_AT} failures in a row")));
         }
-        // A full or failing backend is alive and may serve other gateways better, so it is not reported down.
+        // A backend that answers `Full` or `Error` is alive and may serve other gateways: no report as down.
         if failed && backend.failures >= REPORT_AT && !matches!(end.outcome, Outcome::Full | Outcome::Error) {
             out.push(backend.health_observed(name, true));
         }
--- a/src/logic/live.rs
+++ b/src/logic/live.rs
@@ -36,9 +36,9 @@
         self.choose_preferred();
     }
 
-    /// Sets how many requests a backend can work on concurrently. All gateways together may always keep that many in
-    /// flight and some more: a queue at the backend delays a request less than a round trip to its client would, and
-    /// no gateway sees the other gateways' share.
+    /// Sets how many requests a backend can work on concurrently. All gateways together may always have
+    /// `LIMIT_PER_SLOT` times as many in flight: a queue at the backend delays a request less than a round trip to its
+    /// client would, and a gateway does not know how many requests the other gateways have in flight.
     pub fn set_backend_slots(&mut self, name: &Name, slots: u32) {
         let gateways = f64::from(self.settings.gateways);
         if let Some(backend) = self.backends.get_mut(name) {
--- a/src/logic/requests.rs
+++ b/src/logic/requests.rs
@@ -6,7 +6,7 @@
 pub(super) const QUEUE_WAIT_SHARE: f64 = 0.3;
 /// An answer must leave this many ticks before the client's deadline.
 pub(super) const RESERVED_TICKS: f64 = 2.0;
-/// Maximum attempts of a safe request that may have run: a request that fails twice may harm backends.
+/// Maximum attempts of a safe request that may have run: a request that fails twice tends to be costly.
 pub(super) const MAX_SAFE_ATTEMPTS: u32 = 2;
 /// An attempt counts as stalled after this share of the request's time, but not before this many mean
 /// latencies: a lower multiple would cut off slow answers, above all under overload.
