--- a/crates/failure-detector/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -5,6 +5,17 @@
 //! membership records on these datagrams. A process that stops answering is suspected. It is declared dead if several
 //! members suspect it and none reports it as alive.
 //!
+//! Terms:
+//! - Member: a process of the fleet, identified by its address and a start ID, a random number drawn at its start.
+//! - Record: the state of a member (alive, dead, or departed after an announced shutdown) under an incarnation
+//!   number, spread by gossip. The record of a dead or departed member is called a tombstone.
+//! - Incarnation: a number that a member raises to override a wrong record about itself.
+//! - View: the records that one process has of all members. Views are compared by digests and repaired by a sync, in
+//!   which a member sends the records of those buckets (parts of the view) whose digests differ.
+//! - Seed: a configured address that a process contacts to join the fleet.
+//! - Suspicion and alive report: a watcher's statement that a member does not answer, or that the member was recently
+//!   in contact.
+//!
 //! Invariants:
 //! - Of two records about one process, the one with the greater (incarnation, start ID, state) wins, in whatever
 //!   order the records arrive.
--- a/crates/failure-detector/src/view.rs
+++ b/crates/failure-detector/src/view.rs
@@ -1,4 +1,5 @@
-//! One process's view of the membership, and its queue of records to gossip.
+//! One process's view of the membership, and its queue of records to gossip. Records of dead and departed members are
+//! called tombstones. A view is split into buckets, so that a sync transfers only the parts that differ.
 
 use crate::Millis;
 use crate::message::{MemberAddr, MemberRecord, MemberState};
--- a/src/logic/backends.rs
+++ b/src/logic/backends.rs
@@ -237,7 +237,7 @@
                 latency > self.settings.classes[class].latency_target * ON_TIME_SHARE
             }
             Outcome::NeverSent => return,
-            // The client disconnected. If the client still waits, the attempt was called off because it stalled.
+            // The client disconnected. If the client still waits, the call-off is due to a stalled attempt.
             Outcome::CalledOff if !self.requests.contains_key(&end.id) => return,
             Outcome::Full => true,
             // An attempt that its client's deadline cut short says little about the load of the backends.
--- a/src/logic/quota.rs
+++ b/src/logic/quota.rs
@@ -6,7 +6,7 @@
 /// A lease covers the demand of this share of a window (burst over rate), and goes back to the counter when
 /// idle for as long. A `Customer::debt` of this share of the burst is reported even if no request waits.
 pub(super) const LEASE_SHARE: f64 = 0.15;
-/// A lease is the larger of the demand, up to this share of the tokens over the customer's gateways, and an
+/// A lease is the larger of the demand, up to this share of the tokens per gateway of the customer, and an
 /// even part of the tokens in excess of this share of the burst. With fewer tokens, idle leases are returned.
 pub(super) const SCARCE_SHARE: f64 = 0.5;
 /// A lease is renewed when less than this share of it is left.
@@ -30,7 +30,7 @@
 pub(super) const CALL_SHARE_STEP: f64 = 0.2;
 /// Minimum `Gateway::call_share`: without any call a gateway would not notice that the counter is back.
 pub(super) const MIN_CALL_SHARE: f64 = 0.1;
-/// A quota with a burst below this per gateway is sampled: even leases of one unit would be too large.
+/// Below this burst per gateway, one unit is too large a lease: the quota is sampled (some requests counted).
 pub(super) const SAMPLED_UNITS_PER_GATEWAY: f64 = 0.5;
 /// A sampled quota grants this share of the burst when its window begins, and the rest at the plan's rate.
 /// The reduced start compensates for requests that are admitted without a total and never counted.
--- a/src/logic/requests.rs
+++ b/src/logic/requests.rs
@@ -14,9 +14,9 @@
 pub(super) const STALL_LATENCIES: f64 = 6.0;
 /// Half of all answers take longer than this many mean latencies: with less time left an answer is unlikely.
 pub(super) const MEDIAN_RATIO: f64 = 0.7;
-/// Retries of attempts that reached a backend are at most this share of the fresh requests ...
+/// Retry budget earned by each fresh request; a retry of an attempt that reached a backend costs 1.
 pub(super) const RETRY_RATIO: f64 = 0.2;
-/// ... plus this initial budget over all gateways, of which each gateway has at least a few.
+/// Initial and maximum retry budget of all gateways together. Each gateway has at least `MIN_RETRY_BURST`.
 pub(super) const FLEET_RETRY_BURST: f64 = 30.0;
 pub(super) const MIN_RETRY_BURST: f64 = 2.0;
 
