--- a/crates/failure-detector/src/detector.rs
+++ b/crates/failure-detector/src/detector.rs
@@ -91,7 +91,7 @@
     next_ping: Millis,
     /// When this process began to suspect the member.
     suspected_since: Option<Millis>,
-    /// Whether the member is watched only because other members suspect it. Such a watch ends some time after the
+    /// Whether the member is watched only because other members suspect it. A temporary watch ends some time after the
     /// last suspicion.
     temporary: bool,
     last_requested: Millis,
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Restarts the measurement of all silences.
+    /// Restarts the silence timers of all watched members.
     fn reset_silences(&mut self, now: Millis) {
         self.last_received = now;
         self.evidence.clear();
@@ -540,8 +540,8 @@
         }
         let mut corrections = Vec::new();
         let sender = message.from.clone();
-        // A sender that others consider dead must learn of it: only the sender can refute the record, by raising its
-        // incarnation.
+        // A sender that other members consider dead must receive the record that says so: only the sender can refute
+        // that record, by raising its incarnation.
         if self.view.get(from).is_some_and(|known| known.rank() > sender.rank()) {
             corrections.extend(self.view.get(from).cloned());
         }
@@ -565,8 +565,9 @@
         if message.digest == self.view.digest() {
             self.last_agreement = now;
         }
-        // Recent changes spread by gossip without a sync. The time of the last change is considered too, because two
-        // members that lack the same records agree with each other but not with the rest.
+        // A sync is due some time after the last message with an equal digest: gossip alone spreads recent changes. The
+        // sync is also due some time after the last change of this view. Two members that lack the same records have
+        // equal digests, so agreement with one member does not prove that the view is complete.
         let sync_due = now > self.last_agreement.min(self.last_change) + EXTRA_PING_INTERVAL_MS
             || self.view.alive_count() <= 2;
         let requests_sync =
@@ -597,7 +598,8 @@
                 .collect();
             self.rng_state = splitmix64(self.rng_state);
             let batches = records.len().div_ceil(MAX_BATCH_ENTRIES);
-            // If the records exceed the datagram limit, a random starting point gives every batch a chance.
+            // If the records exceed the datagram limit, only some batches are sent. The first one is chosen at random,
+            // so that every batch is sent in some reply.
             let first = (self.rng_state % batches.max(1) as u64) as usize;
             for batch in
                 records.chunks(MAX_BATCH_ENTRIES).cycle().skip(first).take(batches.min(MAX_SYNC_DATAGRAMS))
--- a/crates/quota/src/lease_cache.rs
+++ b/crates/quota/src/lease_cache.rs
@@ -264,7 +264,8 @@
         self.seed = seed;
     }
 
-    /// Records contact with a holder other than by a grant, which extends the use of fallback slices.
+    /// Records contact with a holder by a message other than a grant. Each contact extends the time in which the
+    /// gateway may spend fallback slices.
     pub fn record_contact(&mut self, now: Millis) {
         self.last_contact = Some(now);
     }
@@ -394,7 +395,7 @@
                 });
             }
         }
-        // Returned units travel with requests that are sent anyway, never in a request of their own.
+        // Unspent units are returned only in requests that are sent for another reason, never in a separate request.
         for (holder_index, lease_request) in &mut lease_requests {
             for (name, state) in &mut self.tenants {
                 if state.returned > 0
