--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -15,7 +15,8 @@
 //! - Lease request: a gateway's message that asks a holder for blocks ([`LeaseRequest`]). The lease of a holder is
 //!   something else: the time for which that holder may grant blocks.
 //! - Epoch: the number of an assignment ([`Epoch`]). Holders and gateways follow the assignment with the highest epoch.
-//! - Silent: a gateway or holder that no message has arrived from for some time.
+//! - Silent: a gateway that has sent its holder no message for `GATEWAY_TIMEOUT`, or a holder that has not answered a
+//!   lease request for `SILENCE_TIMEOUT`.
 //! - Fallback slice: the units that a gateway may spend per window without a holder, a refill divided by the fleet
 //!   size. A slice is oversized if the gateway computes it with an outdated, smaller fleet size ([`OversizedSlice`]).
 //! - Debt: fallback units that a gateway has spent and that no counter has been charged for ([`TenantDemand::owed`]).
