--- a/crates/control-plane/src/admission.rs
+++ b/crates/control-plane/src/admission.rs
@@ -4,6 +4,9 @@
 //! order is refused without being proposed only by a verdict that no later entry can change (see
 //! [`Verdict::is_final`]). Otherwise an entry in flight, or an earlier copy of the order still in transit, could put
 //! a refused order into force.
+//!
+//! An order is an operator's request to change the configuration. A verdict is the outcome of the change at its
+//! position in the log, such as accepted or stale.
 
 use crate::call::Reply;
 use crate::config_history::{Change, ConfigHistory, Verdict};
--- a/crates/control-plane/src/config_history.rs
+++ b/crates/control-plane/src/config_history.rs
@@ -1,4 +1,9 @@
 //! History of accepted configurations: the result of the log's entries, equal on every voter.
+//!
+//! Each configuration has a version and a digest of its body (the text that the operator sent). An order names its
+//! base, the version that the operator edited, and is accepted only if the base is the newest version. The history
+//! also keeps what the next quota holder needs: the size of the fleet of data planes, and the quota floors (see
+//! [`quota::Floor`]).
 
 pub mod snapshot_format;
 
--- a/crates/control-plane/src/contact.rs
+++ b/crates/control-plane/src/contact.rs
@@ -5,6 +5,9 @@
 //! queries the leader for its read index (section 6.4 of Ongaro's dissertation on Raft, here for a span of time
 //! instead of one read). Only a leader that holds its lease responds, and the confirmation dates from when the query
 //! was sent, by the monotonic clock of the querying process. No delay on the way makes a confirmation appear newer.
+//!
+//! A process without a Raft log also receives the leader's drain records with the response: the numbered ids of
+//! backends that must receive no more requests (see [`registry::DrainTable`]).
 
 use bitcode::{Decode, Encode};
 use registry::DrainRun;
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -1,4 +1,9 @@
 //! The event loop that owns all tables of the control plane.
+//!
+//! The terms backend, subscriber, quota holder, fleet and slice are explained in the [crate](crate) documentation.
+//! A call is an HTTP request of a backend or an operator on the control socket; an order is a call that the leader
+//! decides, such as a change of the configuration. The state of a process is current while the leader has confirmed
+//! it recently (see `contact`); a process without such a confirmation may be isolated.
 
 mod connections;
 mod contact;
--- a/crates/control-plane/src/control_plane/connections.rs
+++ b/crates/control-plane/src/control_plane/connections.rs
@@ -1,4 +1,7 @@
 //! Connections with other processes, and the dispatch of incoming messages.
+//!
+//! A peer is the process at the other end of a connection. It identifies itself with a [`Hello`]; a data plane, or
+//! a control plane without a Raft log, may then subscribe to updates.
 
 use super::*;
 use protocol::{UNDERSTANDS_DEPARTURES, UNDERSTANDS_DRAINS};
--- a/crates/control-plane/src/control_plane/departures.rs
+++ b/crates/control-plane/src/control_plane/departures.rs
@@ -2,6 +2,10 @@
 //!
 //! The next quota holder must know of a departure as well. So each control plane forwards a new departure immediately,
 //! and sends all remembered departures on each new connection to a control plane.
+//!
+//! The fleet is the set of data planes that may spend quota. A data plane without a quota lease spends a slice: its
+//! share of each quota, which is the quota divided by the slice divisor, a number of data planes that the control
+//! planes publish.
 
 use super::*;
 use protocol::{Departure, UNDERSTANDS_DEPARTURES};
--- a/crates/control-plane/src/control_plane/orders.rs
+++ b/crates/control-plane/src/control_plane/orders.rs
@@ -1,4 +1,8 @@
 //! Calls of backends and operators, at the leader and at the processes that forward calls to the leader.
+//!
+//! An order is a call that only the leader can handle ([`LeaderCall`]): reading or replacing the configuration,
+//! recording the drain of a backend, or removing a voter. A process that does not lead forwards the order to the
+//! leader and passes the reply to the caller.
 
 use super::drains::{DRAIN_FORWARD_TIMEOUT_MS, MAX_PENDING_DRAINS};
 use super::*;
--- a/crates/control-plane/src/control_plane/quota_service.rs
+++ b/crates/control-plane/src/control_plane/quota_service.rs
@@ -1,4 +1,9 @@
 //! The quota holder role: the leader holds the quota counters, alone or together with deputies that it appoints.
+//!
+//! A holder keeps its role only while it has a lease: the leader by its Raft lease, a deputy by a lease that it
+//! requests from the leader. A voter offers itself as a deputy, and the leader publishes the current deputies as a
+//! numbered assignment. A checkpoint is a log entry with the fleet size and the quota floors (see [`quota::Floor`])
+//! that the next holder starts from.
 
 use super::*;
 use quota::{Epoch, Handover, MAX_DEPUTY_LEASE};
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -1,4 +1,7 @@
 //! Updates sent to subscribers and to other control planes.
+//!
+//! A subscriber is a data plane, or a control plane without a Raft log. Other control planes receive the states of
+//! backends and the lists of connected data planes, so that every process knows all of them.
 
 use super::*;
 use failure_detector::MemberState;
--- a/crates/control-plane/src/directory.rs
+++ b/crates/control-plane/src/directory.rs
@@ -3,6 +3,8 @@
 //! Replaced machines come back at other addresses, so old addresses fall out of use. A control plane without a
 //! connection to any process is forgotten after a while. So each process advertises only control planes with which the
 //! process itself had a recent connection. Otherwise processes would pass an unused address on to each other forever.
+//!
+//! A process advertises a control plane by including its address in the lists that it sends to other processes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/control-plane/src/drain_entry.rs
+++ b/crates/control-plane/src/drain_entry.rs
@@ -1,4 +1,6 @@
 //! Log entries that record draining backends.
+//!
+//! A draining backend finishes its running requests before it ends and must receive no new ones.
 
 use bitcode::{Decode, Encode};
 
--- a/crates/control-plane/src/event_log.rs
+++ b/crates/control-plane/src/event_log.rs
@@ -1,4 +1,6 @@
 //! Bounded log of events that this process decided or observed. Texts are formatted only when the events are read.
+//!
+//! An event has a subject, such as a backend or a data plane, and a step (the kind of the event in log lines).
 
 use crate::admission::Decision;
 use crate::config_history::Verdict;
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -3,6 +3,13 @@
 //!
 //! A single task owns all tables ([`ControlPlane`]) and handles a queue of commands: calls on the control socket,
 //! messages of other processes, completed disk writes, and timers. Nothing else changes a table.
+//!
+//! A backend is an instance of a service that receives proxied requests; it registers by heartbeats and announces
+//! its drain (it takes no new requests) and its departure (it has ended). A subscriber is a data plane, or a
+//! control plane without a Raft log, that receives updates. The quota holder keeps the quota counters and grants
+//! leases (temporary rights to spend quota) to data planes; the leader is a holder, and may appoint other voters as
+//! deputies. The fleet is the set of data planes that may spend quota; a data plane without a lease spends a slice,
+//! its share of each quota. The voters are the control planes that vote in Raft.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/protocol/src/freshness.rs
+++ b/crates/protocol/src/freshness.rs
@@ -1,4 +1,7 @@
 //! Queries for the maximum age of a control plane's state, and for records of draining backends.
+//!
+//! The age is the time since the Raft leader last confirmed the state. A drain record is the id of a backend that
+//! must receive no new requests; the leader numbers the records.
 
 use bitcode::{Decode, Encode};
 
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -4,6 +4,12 @@
 //! closes the connection on a frame that is too long or that it cannot decode: all processes of a deployment run the
 //! same version or adjacent versions. Messages carry durations in milliseconds, never timestamps, because machines do
 //! not share a clock.
+//!
+//! A voter is a control plane that votes in Raft, and the leader is the elected one. A quota holder is a control
+//! plane that keeps quota counters and grants leases (temporary rights to spend quota) to data planes: the leader,
+//! and the deputies that it appoints by a numbered assignment. A data plane without a lease spends fallback slices:
+//! its share of each quota, which is the quota divided by the fleet size. A process incarnation identifies one run
+//! of a process. A drain record is a numbered entry in the leader's list of draining backends.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -4,6 +4,11 @@
 //! the host must carry out. [`store`] keeps the state that must survive a restart. The host transports messages, writes
 //! each [`Save`] to disk and reports when the write is durable; the node holds back every message that depends on the
 //! save until then.
+//!
+//! The leader lease is the span in which a leader may rely on no other node leading: a majority of voters has
+//! responded to a heartbeat, and voters grant no vote for some time after that response. A learner receives the log
+//! without a vote. The host is the program that runs the node. A transfer sends one long snapshot or entry in
+//! chunks.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/registry/src/backend_registry.rs
+++ b/crates/registry/src/backend_registry.rs
@@ -1,4 +1,8 @@
 //! The table of backend instances.
+//!
+//! An instance is one run of a backend process; a restart creates another instance with another id. The call count
+//! of an instance is the number of calls that it has made to the control plane. A draining instance finishes its
+//! running requests and receives no new ones; an instance that is gone has ended or was silent for too long.
 
 use crate::{DrainRun, DrainTable, Millis};
 use protocol::{Backend, Phase};
--- a/crates/registry/src/fleet.rs
+++ b/crates/registry/src/fleet.rs
@@ -3,6 +3,10 @@
 //! A data plane is identified by the name of its machine and by its incarnation, a random number drawn at each start.
 //! A departure is final for its incarnation: later reports of contact with the incarnation, from any process, have no
 //! effect. A new incarnation of the same name is a different data plane; departures of earlier ones do not affect it.
+//!
+//! A data plane without a quota lease spends fallback slices: its share of each quota, which is the quota divided
+//! by the slice divisor, a number of data planes that the control planes publish. A slice is oversized if the data
+//! plane divides by an outdated, smaller number.
 
 use crate::Millis;
 use protocol::Departure;
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -3,6 +3,10 @@
 //! Both tables are state machines without I/O or a clock. States of a backend instance that different processes
 //! report are merged by rules that are independent of order and duplicates: the phase of an instance only advances,
 //! and of two states of one instance, the one with the higher call count is newer.
+//!
+//! A backend is overdue after missed heartbeats, draining while it finishes its running requests, and gone after
+//! its end or a long silence. A draining backend has a record in the Raft log (see [`DrainTable`]). The fleet is
+//! the set of data planes that may spend quota ([`Fleet`]).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/transport/src/departure.rs
+++ b/crates/transport/src/departure.rs
@@ -1,5 +1,7 @@
 //! The announcement of a data plane that it has ended: tracks the connections on which the announcement was sent and
 //! accepted.
+//!
+//! A data plane that has ended spends no quota, so control planes no longer reserve quota for it once they know.
 
 use std::collections::BTreeSet;
 use tokio::sync::oneshot;
--- a/crates/transport/src/drain_records.rs
+++ b/crates/transport/src/drain_records.rs
@@ -1,4 +1,7 @@
 //! Drain records at a data plane, received from several control planes that share one Raft log.
+//!
+//! A drain record is the id of a backend that must receive no new requests, with its number in the order of the
+//! log; see [`registry::DrainTable`].
 
 use protocol::{Backend, FreshnessAnswer, Phase};
 use registry::{DrainRun, DrainTable};
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -3,6 +3,10 @@
 //!
 //! All tasks run on one thread in a `LocalSet`. The send queue of each peer is bounded. A peer that stops reading
 //! loses its connection, reconnects, and receives the complete state again.
+//!
+//! A peer is the process at the other end of a connection. The followed control plane is the one whose updates a
+//! process receives. A quota holder is a control plane that grants quota leases to data planes. A freshness query
+//! asks a control plane how long ago the Raft leader confirmed its state.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/transport/src/pending_requests.rs
+++ b/crates/transport/src/pending_requests.rs
@@ -1,4 +1,6 @@
 //! Lease requests that wait for an answer on one connection.
+//!
+//! A lease request asks a quota holder (a control plane) for the right to spend part of a quota for a limited time.
 
 use std::collections::VecDeque;
 
--- a/crates/transport/src/search.rs
+++ b/crates/transport/src/search.rs
@@ -1,6 +1,8 @@
 //! Search for a control plane whose state the leader confirms, while the followed one may be isolated from the
 //! leader. An answer to a freshness query is fresh if the state of its sender was confirmed by the leader recently; see
 //! [`FreshnessTracker::is_recent`](crate::freshness::FreshnessTracker::is_recent).
+//!
+//! A candidate is a control plane that the search has dialed and queries besides the followed one.
 
 use crate::upstream::Upstream;
 use std::collections::BTreeMap;
