--- a/crates/control-plane/src/config_history.rs
+++ b/crates/control-plane/src/config_history.rs
@@ -15,7 +15,7 @@
 /// cannot be distinguished from another one of the same version, so a retry of an older order gets no final answer.
 const MAX_DIGESTS: usize = 4096;
 /// Maximum number of quota floors (see [`quota::Floor`]), one per tenant. Under a new quota holder, tenants beyond this
-/// limit start without any units.
+/// limit start without any quota units.
 const MAX_FLOORS: usize = 4096;
 /// Number of versions whose log position is remembered.
 const MAX_POSITIONS: usize = 64;
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -334,7 +334,7 @@
         control_plane
     }
 
-    /// Uses the failure detector among neighbouring processes as a further source.
+    /// Also uses the UDP failure detector between neighbouring processes to detect live and departed data planes.
     pub fn with_neighbor_watch(self, neighbor_watch: Option<Rc<NeighborWatch>>) -> Self {
         Self { neighbor_watch, ..self }
     }
--- a/crates/control-plane/src/control_plane/contact.rs
+++ b/crates/control-plane/src/control_plane/contact.rs
@@ -7,7 +7,7 @@
 const MAX_RECORDS_PER_RESPONSE: usize = 512;
 
 impl ControlPlane {
-    /// The leader as known here, its term, and whether the state of this process is confirmed as current.
+    /// The leader as known to this process, its term, and whether the state of this process is confirmed as current.
     pub(super) fn leader(&self, now: u64) -> (Option<SocketAddr>, u64, bool) {
         match &self.node {
             Some(node) if node.is_leader() => {
@@ -98,7 +98,7 @@
         let FreshnessQuery { number, last_drain: known } = question;
         let age_ms = self.confirmation_age(now).map(|age| u32::try_from(age).unwrap_or(u32::MAX));
         let table = self.register.drains();
-        // A data plane that knows more drain records than this process lacks none.
+        // The data plane has a newer drain record than this process, so the answer contains no records.
         let max_records = if known > table.last() { 0 } else { MAX_RECORDS_PER_RESPONSE };
         let run = table.run_after(known, max_records);
         let answer = FreshnessAnswer {
--- a/crates/control-plane/src/control_plane/departures.rs
+++ b/crates/control-plane/src/control_plane/departures.rs
@@ -1,7 +1,8 @@
 //! Data planes that have announced their departure, and the number of data planes that quotas are divided by.
 //!
-//! The next quota holder must know of a departure as well. So each control plane forwards a new departure immediately,
-//! and sends all remembered departures on each new connection to a control plane.
+//! A departed data plane spends no quota any more. Any control plane may become a quota holder and must then know of
+//! the departure. So each control plane forwards a new departure immediately, and sends all remembered departures on
+//! each new connection to a control plane.
 //!
 //! The fleet is the set of data planes that may spend quota. A data plane without a quota lease spends a slice: its
 //! share of each quota, which is the quota divided by the slice divisor, a number of data planes that the control
@@ -18,7 +19,7 @@
 const SLICE_DIVISOR_WINDOW_MS: u64 = SILENT_DATA_PLANE_TIMEOUT_MS;
 /// A smaller fleet is recorded in the log only after this long: a restarted data plane is back by then.
 const FLEET_SHRINK_DELAY_MS: u64 = 5000;
-/// A process that has run for this long knows every data plane that still counts.
+/// A process that has run for this long knows every data plane that still counts in the fleet.
 const FLEET_DISCOVERY_MS: u64 = 30_000;
 
 impl ControlPlane {
--- a/crates/control-plane/src/control_plane/drains.rs
+++ b/crates/control-plane/src/control_plane/drains.rs
@@ -1,10 +1,11 @@
 //! Backends that drain or depart.
 //!
-//! A backend ends soon after its drain is acknowledged, and from a deadline on no request may reach it, whichever
-//! process dies or is isolated meanwhile. An update sent by one process proves nothing, since the update may reach no
-//! other process. So a drain is acknowledged only once its record is committed in the log. Every process that relies
-//! on a later response of the leader has that record (see `contact`), and a data plane obtains such a response before
-//! its current confirmation expires (see `transport::freshness`).
+//! A backend exits soon after its drain is acknowledged. From a deadline on no request may reach the backend, even if
+//! a process fails or is isolated meanwhile. Sending an update about the drain is not enough, since the update may
+//! reach no other process. So a drain is acknowledged only once its record (the id of the backend) is committed in the
+//! Raft log. A process counts as current only with all records that the leader had at its last response (see
+//! `contact`), and a data plane must receive an answer of a current process before the state of the data plane reaches
+//! its maximum age (see `transport::freshness`).
 
 use super::*;
 use crate::drain_entry::DrainEntry;
@@ -18,8 +19,8 @@
 /// Maximum number of drain calls that wait for the leader. The rest of [`MAX_PENDING_CALLS`] is left to operators.
 pub(super) const MAX_PENDING_DRAINS: usize = MAX_PENDING_CALLS / 2;
 
-/// If the leader has not replied within this time, a draining backend is asked to call another process: the process
-/// that the backend called may be isolated without having noticed yet.
+/// If the leader has not replied to a forwarded drain call within this time, the reply tells the backend to call
+/// another process: this process may be isolated without having noticed yet.
 pub(super) const DRAIN_FORWARD_TIMEOUT_MS: u64 = 450;
 
 /// A call that waits until the drain of a backend is recorded in the log.
@@ -82,7 +83,7 @@
         if self.faults.acknowledges_drains_locally {
             return self.reply_to_drain_call(&id, reply, Reply::ok(), now);
         }
-        // A process that may be isolated sends the backend to another process at once.
+        // If this process may be isolated, the reply tells the backend at once to call another process.
         let (.., current) = self.leader(now);
         if !current {
             let refused = Reply::error(503, "this process may be cut off: ask another one");
@@ -143,7 +144,7 @@
         }
     }
 
-    /// A drain entry of this leader was refused, or its outcome is unknown.
+    /// Replies to the calls of a drain entry that was refused, or whose outcome is unknown.
     pub(super) fn fail_drains(&mut self, token: u64, reply: &Reply) {
         let now = self.now();
         for drain in self.drain_proposals.take_decided(token) {
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Sends newly recorded backends to subscribers, including backends unknown here: subscribers may know them.
+    /// Sends newly recorded backends to subscribers, including backends that only the subscribers may know.
     pub(super) fn publish_drained(&mut self, drained: DrainOutcome) {
         self.publish_backends(drained.changed, Origin::Log);
         if !drained.unknown.is_empty() {
--- a/crates/control-plane/src/control_plane/quota_service.rs
+++ b/crates/control-plane/src/control_plane/quota_service.rs
@@ -23,8 +23,8 @@
         let Some(node) = &self.node else { return };
         let (is_leader, has_lease, term) = (node.is_leader(), node.holds_lease(now), node.term());
         if !is_leader {
-            // The role ends only with leadership: a lease that is regained within the same term finds the counters
-            // unchanged.
+            // A leader that only loses its lease keeps the holder role, since a term has at most one leader: if the lease
+            // is regained within the term, the counters are still valid.
             self.resign_quota_holder(now);
             self.send_holder_lease_request(now);
         } else if has_lease && self.placer.as_ref().is_none_or(|p| p.assignment().epoch.term != term) {
@@ -68,9 +68,9 @@
         self.propose_checkpoint(now);
     }
 
-    /// Proposes a checkpoint of what the next quota holder needs to know. One entry is in flight at a time, and there
-    /// are at most a few per second: a floor rises only after seconds, and falls once for each tenant that becomes
-    /// busy.
+    /// Proposes a checkpoint with the quota floors and the fleet size for the next quota holder. One checkpoint is in
+    /// flight at a time. Checkpoints stay rare, at most a few per second: the floor of a tenant rises only after
+    /// seconds, and falls once when the tenant becomes busy.
     pub(super) fn propose_checkpoint(&mut self, now: u64) {
         if self.placer.is_none() || self.checkpoint_token.is_some() {
             return;
@@ -78,7 +78,7 @@
         let is_sole_holder = self.settings.max_lease_requests_per_holder <= 0.0;
         let floors = if is_sole_holder { self.quota_service.propose_floors(now as f64) } else { Vec::new() };
         let (fleet_size, recorded) = (self.fleet_size_to_record(now), self.config_history.fleet_size());
-        // A small difference in the fleet size hardly changes the slice of any data plane.
+        // A small difference in the fleet size is not recorded, since it hardly changes the slice of a data plane.
         let fleet_changed = now >= WARMUP_MS
             && fleet_size > 0
             && fleet_size.abs_diff(recorded) * FLEET_CHANGE_DIVISOR > recorded;
--- a/crates/control-plane/src/control_plane/updates.rs
+++ b/crates/control-plane/src/control_plane/updates.rs
@@ -52,7 +52,7 @@
             && (is_newer || now > self.last_heartbeat_at + LEADER_REPORT_TTL_MS)
         {
             let known = (self.last_heartbeat.term, self.last_heartbeat.assignment);
-            // Heartbeats of two control planes may report assignments out of order.
+            // Heartbeats of two control planes may arrive out of order, so an older holder assignment is ignored.
             if (heartbeat.term, heartbeat.assignment) >= known || heartbeat.term != known.0 {
                 (self.last_heartbeat, self.last_heartbeat_at) = (heartbeat, now);
             }
@@ -93,8 +93,8 @@
 
     /// Sends the newest configuration to a subscriber that has another one.
     pub(super) fn send_config_snapshot(&mut self, connection: u64) {
-        // The history is ahead of the encoder; `on_config_changed` sends the newest configuration to all subscribers
-        // shortly.
+        // The encoder does not have the newest configuration of the history yet; `on_config_changed` sends that
+        // configuration to all subscribers shortly.
         if self.config_changed {
             return;
         }
@@ -135,8 +135,8 @@
         self.send_to_control_planes(&Message::ControlPlanes(self.connected_addresses(now)));
         self.fleet.sweep(now);
         let (.., current) = self.leader(now);
-        // An isolated or newly started process may know only few data planes. The count of such a process must not
-        // enlarge any slice.
+        // An isolated or newly started process may know only few data planes. Its low count must not become the slice
+        // divisor, since a smaller divisor enlarges the slices.
         if current {
             self.fleet.set_slice_divisor(now, self.slice_divisor(now));
         }
@@ -167,9 +167,9 @@
         }
     }
 
-    /// Applies the findings of the failure detector among neighbours. A data plane that its neighbours consider dead
-    /// keeps counting as silent: the data plane may only be isolated from its neighbours and still spend quota. A data
-    /// plane that announced its departure does not count any more.
+    /// Applies the results of the UDP failure detector between neighbouring processes. A data plane that its neighbours
+    /// report as dead stays in the fleet until its silence times out: it may only be isolated from the neighbours and
+    /// still spend quota. A data plane that announced its departure leaves the fleet at once.
     fn apply_neighbor_watch(&mut self, now: u64) {
         let Some(neighbor_watch) = &self.neighbor_watch else { return };
         if self
--- a/crates/control-plane/src/directory.rs
+++ b/crates/control-plane/src/directory.rs
@@ -1,8 +1,8 @@
 //! Directory of known control planes: a state machine without I/O or clock.
 //!
-//! Replaced machines come back at other addresses, so old addresses fall out of use. A control plane without a
-//! connection to any process is forgotten after a while. So each process advertises only control planes with which the
-//! process itself had a recent connection. Otherwise processes would pass an unused address on to each other forever.
+//! A replaced machine returns at another address, and its old address must be forgotten. So each process advertises
+//! only control planes with which the process itself had a recent connection. Otherwise processes would report an
+//! unused address to each other forever.
 //!
 //! A process advertises a control plane by including its address in the lists that it sends to other processes.
 
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -32,8 +32,8 @@
     pub const FILE: &'static str = "log.redb";
 
     /// Opens the log in a directory, or creates one. `new_voter` provides the identity and the founders of a new log;
-    /// its argument says whether a damaged file was set aside. A damaged log loses its voter, so a new voter starts
-    /// instead.
+    /// its argument says whether a damaged file was set aside. The voter of a damaged log has lost its votes and
+    /// entries and must not vote again under its identity, so a voter with a new identity replaces it.
     ///
     /// # Errors
     /// When the directory cannot be written or the log cannot be read.
--- a/crates/control-plane/src/event_log.rs
+++ b/crates/control-plane/src/event_log.rs
@@ -80,7 +80,7 @@
 pub enum StatusChange {
     /// The backend or data plane appeared for the first time.
     First,
-    /// The backend finishes its requests before it ends.
+    /// The backend drains: it finishes its running requests before it ends.
     Draining,
     /// The heartbeats of the backend are overdue.
     Overdue,
@@ -353,7 +353,7 @@
         name
     }
 
-    /// Records changes among the data planes that count now, given as pairs of name and incarnation.
+    /// Records changes in the fleet; `now` yields name and incarnation of each data plane that currently counts.
     pub fn on_data_planes<'a>(&mut self, at: u64, now: impl Iterator<Item = (&'a str, u64)>) {
         let now: BTreeMap<&str, u64> = now.collect();
         let mut changed: Vec<(Rc<str>, Option<u64>, StatusChange)> = Vec::new();
--- a/crates/registry/src/drains.rs
+++ b/crates/registry/src/drains.rs
@@ -50,8 +50,8 @@
     }
 
     /// Applies records of the leader's table, whose newest record has the number `last`. Returns the ids of the
-    /// records that are new in this table. If this table has higher numbers than the leader's, its log was replaced,
-    /// and the table is cleared first.
+    /// records that are new in this table. If this table has higher record numbers than the leader, the Raft log behind
+    /// this table was replaced by a new one, and the table is cleared first.
     pub fn apply_run(&mut self, run: &DrainRun, last: u64) -> Vec<String> {
         if self.last > last {
             *self = Self::default();
--- a/crates/registry/src/fleet.rs
+++ b/crates/registry/src/fleet.rs
@@ -17,8 +17,8 @@
 /// spend its fallback slices (its share of each quota while it gets no lease). The lease cache of a data plane spends
 /// fallback slices for this long after the last message of a control plane.
 pub const SILENT_DATA_PLANE_TIMEOUT_MS: Millis = 30_000;
-/// How long a departure is remembered: longer than any process still reports contact with the departed data plane. A
-/// report after this time counts the data plane again, for [`SILENT_DATA_PLANE_TIMEOUT_MS`].
+/// How long a departure is remembered: longer than processes can still report contact with the departed data plane. A
+/// report after this time would add the data plane to the fleet again, for [`SILENT_DATA_PLANE_TIMEOUT_MS`].
 const DEPARTURE_RETENTION_MS: Millis = 120_000;
 /// How long another process may report contact with a data plane that no longer receives anything: twice the silence
 /// timeout of a connection, plus the intervals of the reports.
--- a/crates/transport/src/follower.rs
+++ b/crates/transport/src/follower.rs
@@ -141,7 +141,7 @@
     config_id: ConfigId,
     /// Body of the current configuration, on which the next difference may build.
     config_body: Vec<u8>,
-    /// A received configuration that is not adopted yet, because the sender may lag behind and this process has none.
+    /// A received configuration that is not adopted yet: this process has none, and the sender's may be outdated.
     pending_config: Option<ConfigSnapshot>,
     last_keepalive_at: Instant,
     assignment: HolderAssignment,
@@ -280,8 +280,8 @@
         }
     }
 
-    /// Handles a freshness answer. The answer dates the state here once all drain records that it counts have
-    /// arrived.
+    /// Handles a freshness answer. The answer updates the age of this process's state only once this process has all
+    /// drain records that the sender had.
     fn on_freshness_answer(&mut self, connection: u64, answer: &FreshnessAnswer, now: u64) {
         let Some(age) = answer.age_ms else { return };
         let added = self.drain_records.apply_answer(now, answer);
@@ -417,8 +417,8 @@
         } else if let Some(upstream) = self.search.connection(number) {
             upstream.sender = Some(sender);
         } else if let Some(holder) = self.holders.iter_mut().find(|holder| holder.upstream.number == number) {
-            // With several holders, a data plane counts as in contact only once it reports the assignment that it
-            // knows.
+            // With several quota holders, a holder counts a data plane as in contact only once the data plane has
+            // reported the holder assignment that it has received.
             if self.assignment.epoch.number > 1 {
                 sender.send(&Message::QuotaKeepalive { epoch: self.assignment.epoch });
             }
--- a/crates/transport/src/search.rs
+++ b/crates/transport/src/search.rs
@@ -102,8 +102,8 @@
     }
 
     /// Once the settle time has passed, takes the candidate with the earliest fresh answer among those with a recent
-    /// one, and closes all other connections. The candidate that answers first is the least loaded one. The first one
-    /// in the data plane's own order of preference may be the cause of the search.
+    /// one, and closes all other connections. The earliest answer indicates the least loaded candidate. The order of
+    /// preference is not used, since its first control plane may be the one whose isolation started the search.
     pub(crate) fn take_best(&mut self, now: Millis) -> Option<Upstream> {
         self.first_fresh_at.filter(|first_fresh_at| now >= first_fresh_at + SETTLE_TIME_MS)?;
         let is_fresh =
