--- a/crates/control-plane/src/control_plane/membership.rs
+++ b/crates/control-plane/src/control_plane/membership.rs
@@ -10,8 +10,9 @@
 const CANDIDATE_TIMEOUT_MS: u64 = 2500;
 
 impl ControlPlane {
-    /// Sets the policy by which the Raft node removes silent voters, and proposes all connected processes that could
-    /// vote and do not. The Raft node expects a proposal to be repeated until the process votes.
+    /// Sets the policy by which the Raft node removes silent voters. On the leader, also proposes all connected
+    /// processes that keep a Raft log but are not voters; the Raft node expects each proposal to be repeated until the
+    /// process is a voter.
     pub(super) fn maintain_voters(&mut self, now: u64) {
         let silence = self.settings.retire_after_ms;
         let Some(node) = &self.node else { return };
@@ -32,8 +33,8 @@
         }
     }
 
-    /// Another control plane is shutting down. If that control plane votes, the remaining voters may tolerate more
-    /// losses without it.
+    /// Another control plane is shutting down. If that control plane is a voter, the leader may remove it from
+    /// the voter list: a list of even size tolerates more further losses without the stopped voter than with it.
     pub(super) fn on_control_plane_shutdown(&mut self, connection: u64, hello: &Hello) {
         if let Some(peer) = self.peers.get_mut(&connection) {
             peer.is_shutting_down = true;
--- a/crates/control-plane/src/control_plane/quota_service.rs
+++ b/crates/control-plane/src/control_plane/quota_service.rs
@@ -23,8 +23,8 @@
         let Some(node) = &self.node else { return };
         let (is_leader, has_lease, term) = (node.is_leader(), node.holds_lease(now), node.term());
         if !is_leader {
-            // A leader that only loses its lease keeps the holder role, since a term has at most one leader: if the lease
-            // is regained within the term, the counters are still valid.
+            // A leader that only loses its lease keeps the holder role, since a term has at most one leader: if the
+            // lease is regained within the term, the counters are still valid.
             self.resign_quota_holder(now);
             self.send_holder_lease_request(now);
         } else if has_lease && self.placer.as_ref().is_none_or(|p| p.assignment().epoch.term != term) {
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -26,7 +26,8 @@
     pub vote_despite_leader: bool,
     /// Responses do not wait until the save is durable.
     pub reply_before_sync: bool,
-    /// Elections start without a pre-vote. Correct by itself, but the pre-vote hides other faults.
+    /// Elections start without a pre-vote. Raft is safe without the pre-vote, but the pre-vote would keep tests from
+    /// detecting other faults.
     pub skip_pre_vote: bool,
     /// A chunked transfer restarts from its first byte whenever a chunk is lost.
     pub restart_transfers: bool,
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -314,7 +314,8 @@
         }
         self.mark_committed(index, out);
         if let Some(leader) = &mut self.leader_state {
-            // Announces the new commit index soon, and several commits with one heartbeat.
+            // Followers learn the commit index from heartbeats, so the next one is sent early. The short delay lets one
+            // heartbeat announce several commits.
             leader.next_heartbeat_at = leader.next_heartbeat_at.min(now + self.timing.heartbeat / 8);
             while leader.pending_proposals.front().is_some_and(|proposal| proposal.index <= index) {
                 leader.pending_proposals.pop_front();
--- a/crates/registry/src/backend_registry.rs
+++ b/crates/registry/src/backend_registry.rs
@@ -28,8 +28,8 @@
     reported_at: Millis,
     /// Whether a heartbeat arrived here since the last [`BackendRegistry::take_heartbeats`].
     heartbeat_pending: bool,
-    /// Whether this process has announced the current state to the other processes itself. A state that it received
-    /// from another process does not count, since that process may have reached only a few others.
+    /// Whether this process has announced the current state to the other processes itself. The announcement of another
+    /// process does not count, since that process may have reached only a few others.
     announced: bool,
 }
 
@@ -138,7 +138,8 @@
     pub fn record_departure(&mut self, now: Millis, id: &str) -> MergeOutcome {
         let Some(registration) = self.registrations.get_mut(id) else { return MergeOutcome::Ignored };
         registration.last_contact_at = now;
-        // A state received from another process may have reached only a few processes.
+        // If another process reported the end, that process may have reached only a few others. So this process
+        // announces the end again, unless it has announced the end itself before.
         let was_announced = std::mem::replace(&mut registration.announced, true);
         if registration.backend.phase == Phase::Gone && was_announced {
             return MergeOutcome::Refreshed;
@@ -155,8 +156,8 @@
         backends.flat_map(|backend| self.merge(now, backend, false)).collect()
     }
 
-    /// Merges heartbeats that another process received: backend ids and call counts. Returns the backends that are no
-    /// longer overdue.
+    /// Merges heartbeats that another process received, given as backend ids and call counts. Returns the backends that
+    /// were overdue until these heartbeats.
     pub fn merge_heartbeats(&mut self, now: Millis, heartbeats: &[(String, u64)]) -> Vec<Backend> {
         let mut recovered = Vec::new();
         for (id, calls) in heartbeats {
@@ -262,9 +263,9 @@
         changed
     }
 
-    /// Ends the previous instances at the address of a new instance, whether or not they announced their end.
-    /// Addresses are reused only after seconds. So an instance with a recent heartbeat is not a predecessor; in that
-    /// case the report about the new instance is a delayed one.
+    /// Marks earlier instances at the address of a new instance as gone, whether or not they announced their end. An
+    /// address is reused only seconds after the end of its previous instance. So if an instance at the address has sent
+    /// a heartbeat recently, the "new" instance is an older one whose report was delayed, and nothing is marked.
     fn end_predecessors(&mut self, now: Millis, newcomer: &Backend) -> Vec<Backend> {
         if newcomer.phase == Phase::Gone {
             return Vec::new();
--- a/crates/registry/src/drains.rs
+++ b/crates/registry/src/drains.rs
@@ -56,7 +56,7 @@
         if self.last > last {
             *self = Self::default();
         }
-        // Records between the two tables' numbers were already dropped at the leader.
+        // If the run starts after this table's newest record, the leader has dropped the records in between.
         self.last = self.last.max(run.after);
         let known = usize::try_from(self.last - run.after).unwrap_or(usize::MAX);
         let added: Vec<String> = run.ids.iter().skip(known).cloned().collect();
--- a/crates/registry/src/fleet.rs
+++ b/crates/registry/src/fleet.rs
@@ -94,14 +94,14 @@
     /// Sets the divisor by which data planes divide their slices from now on.
     pub fn set_slice_divisor(&mut self, now: Millis, divisor: u32) {
         self.divisors.push_back((now, divisor));
-        // Keeps the newest divisor from before the window, which was in effect when the window began.
+        // Keeps the divisors of the last `REPORT_DELAY_MS`, and the one that was in effect when that span began.
         while self.divisors.get(1).is_some_and(|(since, _)| since + REPORT_DELAY_MS <= now) {
             self.divisors.pop_front();
         }
     }
 
-    /// The data planes that may divide their slices by less than `present`, because their last contact was when the
-    /// fleet was smaller. Data planes in contact receive the larger fleet size in time.
+    /// The data planes whose slices may be oversized: their last contact was when the slice divisor was smaller than
+    /// `present`. Data planes in contact receive the larger divisor in time.
     pub fn oversized_slices(&self, present: u32) -> Vec<OversizedSlice> {
         let oversized = |(name, entry): (&String, &DataPlaneEntry)| {
             let divisor = entry.divisor.filter(|divisor| *divisor < present && entry.is_present())?;
@@ -117,8 +117,8 @@
         in_effect.map(|((_, divisor), _)| *divisor).min()
     }
 
-    /// Records that an incarnation has announced its end, after which it spends no quota. Returns whether the
-    /// departure is new here.
+    /// Records that an incarnation of a data plane has announced its end, after which the incarnation spends no quota.
+    /// Returns whether the departure was not recorded before.
     pub fn record_departure(&mut self, now: Millis, departure: &Departure) -> bool {
         let faults = self.faults;
         let Some(entry) = self.entry_or_insert(&departure.name) else { return false };
--- a/crates/transport/src/follower.rs
+++ b/crates/transport/src/follower.rs
@@ -241,7 +241,8 @@
                 holder.upstream.send(&keepalive);
             }
         }
-        // A silent holder may be isolated. A new connection shows this sooner than waiting on the old one.
+        // A holder that does not answer lease requests may be unreachable. Reconnecting detects an unreachable holder
+        // sooner than waiting on the old connection.
         self.drop_holders(|holder| holder.pending_requests.is_overdue(now, LEASE_REQUEST_TIMEOUT_MS));
         self.maintain_holders();
         self.maintain_freshness(now);
@@ -473,7 +474,8 @@
                     (self.on_update)(Update::HolderAssignment(self.assignment.clone()));
                 }
                 self.maintain_holders();
-                // The heartbeat may have been delayed in a socket, or the sender may not have noticed its isolation.
+                // A fresh heartbeat may have been delayed in a socket, or its sender may not have noticed its isolation.
+                // So the heartbeat counts as fresh only while the newest freshness answer is recent enough.
                 let fresh = heartbeat.fresh && !self.freshness.is_stale(now);
                 (self.on_update)(Update::Heartbeat(Heartbeat { fresh, ..heartbeat }));
             }
--- a/crates/transport/src/neighbor_watch.rs
+++ b/crates/transport/src/neighbor_watch.rs
@@ -46,7 +46,7 @@
             neighbor_watch.send(out);
             let due = neighbor_watch.detector.borrow().next_tick().max(neighbor_watch.now() + 1);
             tokio::select! {
-                // On an error, `readable` would fail again immediately. The error is ignored until the next step.
+                // After an error, `readable` would fail again immediately, so the loop then waits for the next tick.
                 Ok(()) = neighbor_watch.socket.readable() => neighbor_watch.read(&mut buffer),
                 () = sleep_until(neighbor_watch.started_at + Duration::from_millis(due)) => {}
             }
@@ -58,7 +58,7 @@
             let (length, from) = match self.socket.try_recv_from(buffer) {
                 Ok(read) => read,
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return,
-                // An ICMP error of a datagram sent earlier; it says nothing about the received datagrams.
+                // An ICMP error for a datagram that was sent earlier. Received datagrams can still be read.
                 Err(_) => continue,
             };
             let message = buffer.get(..length).and_then(Message::decode);
--- a/crates/transport/src/peer_choice.rs
+++ b/crates/transport/src/peer_choice.rs
@@ -228,7 +228,8 @@
         }
     }
 
-    /// The followed control plane has answered that the leader confirms its state. Its next heartbeat will be fresh.
+    /// The followed control plane has answered a freshness query: the leader confirms its state. The answer counts like
+    /// a fresh heartbeat until the next heartbeat arrives.
     pub fn on_fresh_answer(&mut self, now: Millis) {
         if let Some(following) = &mut self.following {
             following.answered_at = now;
@@ -259,10 +260,10 @@
         now > following.last_message_at + silence_timeout || is_stale && has_alternative
     }
 
-    /// Whether a process that has no configuration yet may adopt a received one of this version. A control plane that
-    /// lags behind would put an outdated configuration into effect again. The version must be at least that of the
-    /// last fresh heartbeat, because the configuration may come from a previously followed control plane: a control
-    /// plane sends its heartbeat before its configuration.
+    /// Whether a process without a configuration may adopt a received configuration of this version. A control plane
+    /// whose state is not confirmed by the leader may send an outdated one. The version must also be at least that of
+    /// the last fresh heartbeat: a control plane sends its heartbeat before its configuration, so a configuration with
+    /// a lower version comes from a previously followed control plane.
     pub fn may_adopt_first_config(&self, now: Millis, version: u64) -> bool {
         let is_confirmed = |followed: &Followed| followed.fresh && version >= followed.version;
         self.following.as_ref().is_some_and(is_confirmed) || now > self.started_at + STALE_CONFIG_DELAY_MS
