--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -54,13 +54,13 @@
 /// Shortest pause between two heartbeats when a change of the leader triggers one early.
 const MIN_HEARTBEAT_INTERVAL_MS: u64 = 40;
 /// A leader that a heartbeat reports is believed for this long: two heartbeat intervals plus a margin.
-/// Data planes leave a control plane 0.9 s after its last current heartbeat, so that data planes behind an isolated
-/// control plane receive updates again within 2 s.
+/// A data plane stops following a control plane 0.9 s after the last heartbeat that was marked as current, so that data
+/// planes that follow an isolated control plane receive updates again within 2 s.
 const LEADER_REPORT_TTL_MS: u64 = 800;
 /// Interval of gossip: other control planes receive the ids of backends with new heartbeats, and the known addresses.
 const GOSSIP_INTERVAL_MS: u64 = 400;
 /// Interval at which an unchanged list of connected data planes is sent again. A list stays valid as long as its
-/// connection; the previous version treats each list as a sign of life and counts a data plane for 30 s after it.
+/// connection; a process of the previous version counts a data plane for 30 s after the last list that contains it.
 const DATA_PLANES_RESEND_INTERVAL_MS: u64 = 8000;
 /// Minimum delay before an unreachable control plane is dialed again; jitter at most doubles the delay. Short,
 /// because after a simultaneous restart the first election waits for these connections.
@@ -84,9 +84,10 @@
 /// A control plane that has run for less than this may not know all backends yet, so that its list of backends is
 /// sent as additions only and not as the complete list.
 const WARMUP_MS: u64 = 4000;
-/// A connection without a message for this long does not count as a sign of life.
+/// A peer that has sent no message for this long no longer counts as alive, even if its connection is open.
 const PEER_TIMEOUT_MS: u64 = 2500;
-/// A process whose state has not been confirmed as current for this long counts as isolated. An election takes less.
+/// A process whose state has not been confirmed as current for this long counts as isolated. An election takes less
+/// time, so an election alone does not make a process count as isolated.
 const ISOLATION_GRACE_MS: u64 = 1500;
 
 /// Settings of a control plane.
@@ -104,7 +105,7 @@
     pub timing: Timing,
     /// Simultaneous losses that the deployment has to tolerate.
     pub tolerance: Tolerance,
-    /// A voter that is silent for this many milliseconds counts as gone.
+    /// A voter that is silent for this many milliseconds may be removed from the voter list.
     pub retire_after_ms: u64,
     /// Quota lease requests per second that one quota holder can serve. Above that rate the leader appoints deputy
     /// holders; 0 disables deputies.
@@ -395,8 +396,8 @@
         if self.node.as_ref().is_some_and(|node| now >= node.next_due()) {
             self.step_raft(Input::Tick);
         }
-        // A replay after a restart commits many versions at once. Subscribers need only the last one, and a heartbeat
-        // that confirms the last one would wait behind every version sent before.
+        // After a restart, the replay of the log commits many configurations at once. Only the newest one is sent:
+        // subscribers need no others, and the heartbeat that reports the newest version would be queued behind them.
         if std::mem::take(&mut self.config_changed) {
             self.on_config_changed();
         }
@@ -410,7 +411,7 @@
         self.query_leader(now);
         self.process_leader_calls_awaiting_lease(now);
         self.progress_shutdown();
-        // A new leader, or the end of this process's catch-up, is reported immediately.
+        // Subscribers are notified immediately when the leader changes, or when this process becomes current.
         let (leader, epoch, fresh) = self.leader(now);
         if fresh {
             self.last_current_at = now;
--- a/crates/control-plane/src/control_plane/connections.rs
+++ b/crates/control-plane/src/control_plane/connections.rs
@@ -63,7 +63,8 @@
 
     pub(super) fn other_control_planes(&self) -> BTreeSet<SocketAddr> {
         let known = self.directory.addresses().chain(&self.settings.seeds).copied();
-        // After a restart the settings may name no current voter, and no other process may be left to report one.
+        // Includes the voters from the Raft log: after a restart the seeds in the settings may be outdated, and no
+        // running process may be left that reports the current voters.
         let voters = self.node.iter().flat_map(|node| node.members());
         let voters = voters.filter_map(|voter| voter.address.parse().ok());
         known.chain(voters).filter(|address| *address != self.settings.address).collect()
@@ -245,8 +246,8 @@
         match hello.plane {
             Plane::DataPlane => {
                 self.fleet.record_contact(now, &hello.name, hello.process_incarnation);
-                // The fleet size must include the new data plane first. Otherwise the quota service counts the new
-                // data plane as one of the silent data planes.
+                // The fleet size must include the new data plane before the quota service records contact with it.
+                // Otherwise the quota service would count the new data plane as one of the known silent data planes.
                 self.resize_fleet(now);
                 self.on_data_plane_contact(&hello, quota::Epoch::default(), now);
                 if let Some(peer) = self.peers.get(&connection) {
@@ -304,7 +305,8 @@
         {
             self.fleet.record_contact(now, &hello.name, hello.process_incarnation);
         }
-        // A subscriber may have sent this message before it received a newer configuration.
+        // The subscriber may have sent this message before it received a newer configuration that is already recorded
+        // here as sent; then the record stays.
         if have.version >= peer.held.version {
             peer.held = have;
         }
--- a/crates/control-plane/src/control_plane/orders.rs
+++ b/crates/control-plane/src/control_plane/orders.rs
@@ -268,8 +268,8 @@
 
     /// Removes a voter. The Raft node completes a removal only if the request is repeated until a majority of the
     /// other voters has the new list, so the caller repeats the call: 202 means in progress, 404 means that no voter
-    /// has this address. A leader with a lease is in contact with a majority of the voters; removing an unresponsive
-    /// voter keeps all responsive ones.
+    /// has this address. The removal is safe: a leader with a lease is in contact with a majority of the voters, and
+    /// only an unresponsive voter is removed, so the responsive majority remains.
     fn remove_voter(&mut self, address: &str, now: u64) -> Reply {
         let Some(node) = &self.node else { return Reply::error(503, "this process does not lead") };
         let in_progress = Reply::error(202, "under way: ask again");
--- a/crates/control-plane/src/control_plane/quota_service.rs
+++ b/crates/control-plane/src/control_plane/quota_service.rs
@@ -183,7 +183,7 @@
 
     /// Handles an assignment from another process, usually the leader.
     pub(super) fn on_assignment(&mut self, assignment: &HolderAssignment, now: u64) {
-        // The leader of an older term is ignored.
+        // An assignment that is not newer, such as one of an older term's leader, is ignored.
         if assignment.epoch <= self.assignment.epoch
             || self.node.as_ref().is_none_or(|n| assignment.epoch.term < n.term())
         {
@@ -211,7 +211,7 @@
         }
     }
 
-    /// A new holder needs its lease, and subscribers must learn the new assignment immediately.
+    /// Requests a lease if this process is a new holder, and sends the new assignment to subscribers immediately.
     fn on_assignment_changed(&mut self, now: u64) {
         self.offers.next_at = now;
         self.send_holder_lease_request(now);
--- a/crates/raft/src/membership.rs
+++ b/crates/raft/src/membership.rs
@@ -8,8 +8,8 @@
 };
 use crate::types::{Millis, Output, Payload, VoterId};
 
-/// The maximum lag of a node that counts as caught up, in entries. Covers entries that are in flight while changes
-/// continue.
+/// The maximum lag of a node that counts as caught up, in entries. While changes continue, some entries are always in
+/// flight, so a lag of zero would never be observed.
 const MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 8;
 /// The maximum lag of a node that counts as caught up, in bytes: what a 2 Mbit/s link carries in half a second.
 const MAX_CAUGHT_UP_LAG_BYTES: usize = 128 << 10;
@@ -90,7 +90,7 @@
     /// Promotes a learner to a voter if the learner has caught up, no other change is pending and the promotion does
     /// not reduce the number of tolerated losses. A voter with the same address and another incarnation is removed
     /// first, in a separate entry: replacing a voter in one step may form a majority that does not overlap with an
-    /// old majority. The replaced voter never returns, so removing it costs nothing.
+    /// old majority. The replaced voter has lost its disk and never returns, so its removal loses no live voter.
     pub(crate) fn promote_learner(&mut self, now: Millis, voter: &VoterId, out: &mut Vec<Output>) {
         if !self.is_ready_to_join(voter, now) || !self.may_change_members() {
             return;
@@ -198,7 +198,7 @@
         let (voters, healthy) = (self.members(), self.healthy_voters(self.members(), now));
         let mut losses = further_losses(voters.len(), healthy.len());
         if !self.membership_committed() {
-            // If the leader fails now, the previous list may become effective again.
+            // The newest list may not be committed yet: if the leader fails now, the previous list may apply again.
             let (previous, _) = self.log.members_as_of(self.log.members_index() - 1);
             losses = losses.min(further_losses(previous.len(), self.healthy_voters(&previous, now).len()));
         }
--- a/crates/transport/src/freshness.rs
+++ b/crates/transport/src/freshness.rs
@@ -12,10 +12,11 @@
 /// Milliseconds of the host's monotonic clock.
 type Millis = u64;
 
-/// Minimum of the stale age, the age of the newest answer at which a search starts. Answers of nearly this age are
-/// common, since the query intervals of the control plane and the data plane add up.
+/// Minimum of the stale age, which is the age of the state at which a search for another control plane starts. Ages
+/// just below the minimum are common: the control plane's query interval to the leader and the data plane's query
+/// interval to the control plane add up.
 const MIN_STALE_AFTER_MS: Millis = 500;
-/// Maximum of the stale age. A higher value has no benefit.
+/// Maximum of the stale age, used even if the staleness bound allows more: a higher value has no benefit.
 const MAX_STALE_AFTER_MS: Millis = 900;
 /// Number of queries within the stale age, so that a lost answer does not start a search.
 const QUERIES_PER_STALE_PERIOD: Millis = 3;
