--- a/crates/control-plane/tests/config_history.rs
+++ b/crates/control-plane/tests/config_history.rs
@@ -64,7 +64,8 @@
     config_history.apply(LogPosition::default(), change(0, 3, 1));
     config_history.apply(LogPosition::default(), change(3, 5, 2));
     assert_eq!(config_history.evaluate(base, version, &[digest; 32]), verdict);
-    // Whichever version is accepted next, a refusal stays a refusal, and an accepted change stays acknowledged.
+    // A final verdict still holds after any next version: a refused change stays refused, and an accepted one stays
+    // accepted.
     for next in [6, 7, 8, 9, 20] {
         let mut later = config_history.clone();
         assert_eq!(later.apply(LogPosition::default(), change(5, next, 7)), Verdict::Accepted);
--- a/crates/control-plane/tests/control_socket.rs
+++ b/crates/control-plane/tests/control_socket.rs
@@ -52,7 +52,7 @@
     assert!(bytes <= raft::MAX_CHANGE_BYTES, "{bytes} bytes");
 }
 
-/// Longer than the response timeout.
+/// Duration of an upload that is longer than the response timeout, which starts only after the body.
 const SLOW_UPLOAD: Duration = Duration::from_millis(2_900);
 
 /// Starts a process that acknowledges every order and accepts this many connections.
@@ -135,7 +135,8 @@
 
 const MAX_ATTEMPTS: usize = 10_000;
 
-/// Exceeds what three orders of maximum length leave of the budget, and fits into the socket buffers.
+/// Size in bytes of an order that no longer fits into the body budget while three orders of maximum length are being
+/// read, but fits into the socket buffers.
 const SMALL_ORDER: usize = 64 * 1024;
 
 #[test]
--- a/crates/control-plane/tests/data_planes/mod.rs
+++ b/crates/control-plane/tests/data_planes/mod.rs
@@ -1,4 +1,7 @@
 //! Which data planes control planes count, over real connections.
+//!
+//! The fleet is the set of data planes that count. Each quota is divided by the size of the fleet, so a data plane
+//! that counts too long wastes quota, and one that is missing causes quotas to be exceeded.
 
 use super::fake_peer::{FakePeer, hello};
 use super::*;
@@ -12,8 +15,8 @@
     });
 }
 
-/// Sends a list of data planes from before a departure, as another process. `marker` shows when the list has been
-/// handled.
+/// Sends, as another control plane, a delayed list that still contains the departed data plane `name`. Once the data
+/// plane `marker` of the list counts, the receiver has handled the list.
 fn send_late_list(to: SocketAddr, name: &str, marker: &str) -> FakePeer {
     let mut other = FakePeer::new(TcpStream::connect(to).expect("a connection"));
     other.send(&Message::Hello(hello("late", 1, Plane::ControlPlane)));
@@ -35,7 +38,7 @@
     assert!(begun.elapsed() < Duration::from_secs(20), "a silent data plane counts for 30 s");
     let _late = send_late_list(fleet.peers[first], "b", "c");
     wait_for_data_planes(&control_planes[first], &["a", "c"]);
-    // A process that starts now learns of the departure as well.
+    // A restarted control plane learns of the departure from the others.
     control_planes[first].kill();
     control_planes[first] = fleet.start(first, false);
     stays.stream.shutdown(std::net::Shutdown::Both).expect("cannot shut down the stream");
@@ -92,9 +95,9 @@
         fleet_size: 9,
         ..Heartbeat::default()
     }));
-    // The process itself is connected with one data plane only, whose slice would be the whole of each quota. The
-    // reported leader does not respond, so no heartbeat is marked as current; none of them may contain a smaller
-    // fleet.
+    // The process is connected with one data plane only. If the process counted only that data plane, its slice would
+    // be the whole of each quota. The reported leader does not respond, so no heartbeat is marked as current, and no
+    // heartbeat may report a fleet smaller than the 9 data planes received before.
     let mut only = FakePeer::data_plane(ports[0], "a", 1);
     let fleet = wait_for(|| match only.next() {
         Message::Heartbeat(heartbeat) if heartbeat.leader.is_some() => Some(heartbeat.fleet_size),
--- a/crates/control-plane/tests/drains.rs
+++ b/crates/control-plane/tests/drains.rs
@@ -2,6 +2,10 @@
 //!
 //! Every data plane whose confirmation dates from after the acknowledgement of a drain must know of that drain,
 //! whichever process the data plane follows.
+//!
+//! A confirmation is a control plane's answer to a freshness query of a data plane. Its date is the time up to
+//! which the state that the data plane has received is complete. A drain is acknowledged once it is recorded in the
+//! Raft log; the backend then exits soon, so no data plane may send requests to it any more.
 
 #[path = "support/simulation.rs"]
 mod simulation;
@@ -147,7 +151,7 @@
         None
     }
 
-    /// The process that says of itself that it holds the lease.
+    /// The leader: the process whose status reports that it holds the leader lease.
     async fn leader(&self) -> usize {
         for process in (0..VOTERS).cycle() {
             let status = self.simulation.call(process, Call::Status, CALL_TIMEOUT).await;
@@ -335,8 +339,8 @@
     }
 }
 
-/// Time limit after a cut: an election, the first lease, and the call. From the backend's first call to a process
-/// that knows the new leader, the acknowledgement takes less than the second that is allowed for it.
+/// Time limit for an acknowledgement after a cut: an election, the first lease, and the call. A process that already
+/// knows the new leader acknowledges a drain in less than the one second after which a backend calls another process.
 const MAX_RECOVERY_TIME: Duration = Duration::from_millis(1500);
 
 #[test]
--- a/crates/control-plane/tests/heartbeats.rs
+++ b/crates/control-plane/tests/heartbeats.rs
@@ -1,4 +1,7 @@
 //! Heartbeats of backends at isolated processes, and which processes know these backends then.
+//!
+//! An isolated process has no contact to the leader. The process refuses heartbeats, so that the backends call
+//! another process, whose updates reach the data planes.
 
 #[path = "support/simulation.rs"]
 #[allow(dead_code)] // These tests freeze no processes and hang no disks.
@@ -18,8 +21,8 @@
 const SETTLE_TIME: Duration = Duration::from_secs(6);
 /// Timeout after which a backend calls another process.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// An isolated process still accepts heartbeats for the first of these times after the cut, and refuses them after
-/// the second.
+/// An isolated process still accepts heartbeats for [`MAX_ELECTION_TIME`] after the cut, because the cause may be an
+/// election, and refuses heartbeats after [`ISOLATION_NOTICE_TIME`].
 const MAX_ELECTION_TIME: Duration = Duration::from_millis(1400);
 const ISOLATION_NOTICE_TIME: Duration = Duration::from_millis(2500);
 const HEARTBEAT_PAUSE: Duration = Duration::from_millis(100);
@@ -53,7 +56,7 @@
     simulation.call(process, call, CALL_TIMEOUT).await.is_some_and(|reply| reply.status == 200)
 }
 
-/// The process that says of itself that it holds the lease.
+/// The leader: the process whose status reports that it holds the leader lease.
 async fn leader(simulation: &Simulation) -> usize {
     for process in 0..VOTERS {
         let status = simulation.call(process, Call::Status, CALL_TIMEOUT).await;
@@ -187,7 +190,7 @@
 }
 
 const NEW_BACKENDS: u32 = 200;
-/// Limit for 300 ms: one message per 50 ms, plus a margin.
+/// Maximum number of messages in 300 ms: one per batch interval of 50 ms, plus a margin.
 const MAX_MESSAGES: usize = 12;
 
 #[test]
--- a/crates/control-plane/tests/isolation.rs
+++ b/crates/control-plane/tests/isolation.rs
@@ -4,6 +4,9 @@
 //! backend asks each process to acknowledge its drain. The tests check that the operators' history is linearizable,
 //! that an isolated process gives no definite answer, that updates marked as current are current, and that the other
 //! processes keep serving.
+//!
+//! A definite answer is one that the caller may rely on: an accepted or refused change, or a read. An update is
+//! current if its sender marks its state as recently confirmed by the leader.
 
 #[path = "support/linearizability.rs"]
 mod linearizability;
@@ -216,7 +219,7 @@
         }
     }
 
-    /// The process that says of itself that it holds the lease.
+    /// The leader: the process whose status reports that it holds the leader lease.
     async fn leader(&self) -> usize {
         for process in (0..self.simulation.size()).cycle() {
             let status = self.simulation.call(process, Call::Status, READ_TIMEOUT).await;
--- a/crates/control-plane/tests/orders/chaos.rs
+++ b/crates/control-plane/tests/orders/chaos.rs
@@ -1,5 +1,8 @@
 //! Orders of operators in random runs: real Raft nodes with kills, lost disks, freezes and cuts, and the histories
 //! that their log produces. Copies of orders arrive late and at any process.
+//!
+//! A promise is what an answer to an order guarantees: a confirmed order is in force, and a refused order never
+//! comes into force.
 
 #[allow(dead_code, reason = "the Raft crate's own tests use the rest")]
 #[path = "../../../raft/tests/simulation/mod.rs"]
--- a/crates/control-plane/tests/orders/main.rs
+++ b/crates/control-plane/tests/orders/main.rs
@@ -21,12 +21,13 @@
 
 const TWO_OF_EACH: Budget = Budget { copies: 2, elections: 2 };
 
-/// Nothing is accepted yet: two orders of one version, one of another version, and one that builds on the first.
+/// Orders for an empty history: two orders of version 1, one of version 2, and one that builds on version 1.
 const INITIAL: &[Order] =
     &[Order::new(0, 1, 1), Order::new(0, 1, 2), Order::new(0, 2, 1), Order::new(1, 3, 1)];
-/// Each order builds on the one before, and the last two have the same version.
+/// Each order builds on the previous version, except that the last two have the same base and the same version.
 const CHAIN: &[Order] = &[Order::new(0, 2, 1), Order::new(2, 3, 1), Order::new(3, 5, 1), Order::new(3, 5, 2)];
-/// One version on different bases, a version that is not above its base, and one that is no longer above its base.
+/// Orders that conflict by version: two orders of version 5 with different bases, version 4 on base 5 (a version must
+/// be above its base), and version 2, which is too low once version 5 is accepted.
 const VERSIONS: &[Order] =
     &[Order::new(0, 2, 1), Order::new(2, 5, 1), Order::new(0, 5, 2), Order::new(5, 4, 1)];
 
--- a/crates/control-plane/tests/orders/world.rs
+++ b/crates/control-plane/tests/orders/world.rs
@@ -217,7 +217,8 @@
         verdict
     }
 
-    /// No process answers for the entries that a new leader finds in its log.
+    /// Makes another process the leader. Entries that the new leader has from its predecessor get no answer, since only
+    /// the leader that proposed an entry knows whom to answer.
     fn elect(&mut self, kept: usize) {
         self.elections += 1;
         self.former = Some(self.leader.clone());
--- a/crates/control-plane/tests/processes.rs
+++ b/crates/control-plane/tests/processes.rs
@@ -207,7 +207,7 @@
     }
 }
 
-/// The process that says of itself that it holds the lease.
+/// The leader: the process whose status reports that it holds the leader lease.
 fn leader(processes: &[Process]) -> usize {
     wait_for(|| {
         processes.iter().position(|process| {
@@ -563,7 +563,8 @@
     control_planes[gone].kill();
     let successor = fleet.start_with_seeds(3, &fleet.peers[..VOTERS]);
     wait_for_three_healthy_voters(&[&control_planes[first], &control_planes[other]], fleet.peers[3]);
-    // The next loss is tolerated: of four voters including a dead one, only two would be left.
+    // The next loss is tolerated, because the dead voter was removed: on a list of four with two dead voters, the two
+    // live ones would be no majority.
     control_planes[first].kill();
     assert_eq!(successor.replace_until_final(1, &config(2)), 200);
     assert_eq!(control_planes[other].read(), (200, config(2)));
@@ -575,7 +576,8 @@
     let mut control_planes = fleet.all(true);
     assert_eq!(control_planes[0].replace_until_final(0, &config(1)), 200);
     control_planes.iter_mut().for_each(Process::kill);
-    // All seeds were replaced meanwhile, and the processes that they name are not running either.
+    // The settings now name other seeds, and no process runs at their addresses. The voters must find each other by the
+    // list in the Raft log.
     let restarted: Vec<_> = (0..VOTERS).map(|at| fleet.start_with_seeds(at, &fleet.peers[4..])).collect();
     assert_eq!(restarted[0].replace_until_final(1, &config(2)), 200);
     assert_eq!(restarted[2].read(), (200, config(2)));
--- a/crates/control-plane/tests/shutdown.rs
+++ b/crates/control-plane/tests/shutdown.rs
@@ -1,5 +1,7 @@
 //! Graceful shutdown of a control plane: leadership is transferred, orders keep being accepted, and no pending call
 //! is lost.
+//!
+//! An order is an operator's request to change the configuration.
 
 #[path = "support/simulation.rs"]
 #[allow(dead_code)] // These tests cut no links and hang no disks.
@@ -42,7 +44,7 @@
     serde_json::from_slice(&status.body).expect("JSON")
 }
 
-/// The process that says of itself that it holds the lease.
+/// The leader: the process whose status reports that it holds the leader lease.
 async fn leader(simulation: &Simulation) -> usize {
     loop {
         for process in 0..simulation.size() {
@@ -97,7 +99,8 @@
 const MAX_RECOVERY_TIME: Duration = Duration::from_millis(1500);
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// A planned replacement: the successor votes and a former voter shuts down. Right then another voter is lost.
+/// A planned replacement: a new voter has joined, and the voter that it replaces shuts down. Immediately afterwards
+/// another voter is lost.
 #[test]
 fn an_even_voter_list_tolerates_another_loss_once_a_voter_has_shut_down() {
     for seed in 0..12 {
--- a/crates/raft/tests/chunked_transfer.rs
+++ b/crates/raft/tests/chunked_transfer.rs
@@ -1,4 +1,6 @@
 //! Rules of a follower that receives a chunked transfer.
+//!
+//! A chunked transfer sends a long snapshot or entry in several messages.
 
 use raft::{Input, Message, Node, Output, PersistentState, Timing, TransferId, TransferKind, VoterId};
 
--- a/crates/raft/tests/membership/mod.rs
+++ b/crates/raft/tests/membership/mod.rs
@@ -1,5 +1,7 @@
 //! Repeated simultaneous losses, repairs and replacements of as many voters as tolerated: commits continue throughout,
 //! and after the time to catch up the cluster tolerates the same number of losses again.
+//!
+//! The voters tolerate a number of losses if a majority remains after any such number of voters is lost.
 
 use crate::simulation::World;
 use raft::{Faults, Input, Millis, RetirementPolicy, further_losses, majority_of, min_voters};
--- a/crates/registry/tests/drains.rs
+++ b/crates/registry/tests/drains.rs
@@ -1,4 +1,7 @@
 //! Drain records, and the synchronization of a table without a log with the leader's table.
+//!
+//! A drain record is the id of a backend that must receive no new requests. The Raft leader numbers the records; a
+//! process without a Raft log copies them from the leader.
 
 use registry::{DrainRun, DrainTable};
 
--- a/crates/registry/tests/fleet.rs
+++ b/crates/registry/tests/fleet.rs
@@ -1,4 +1,7 @@
 //! Which data planes the fleet counts, with reports and departures in any order.
+//!
+//! The fleet is the set of data planes that may spend quota. A departure is the announcement of a data plane that
+//! it has ended; an incarnation is one run of a data plane.
 
 use protocol::Departure;
 use registry::{Fleet, FleetFaults, SILENT_DATA_PLANE_TIMEOUT_MS};
--- a/crates/transport/tests/freshness.rs
+++ b/crates/transport/tests/freshness.rs
@@ -1,4 +1,7 @@
 //! The age of a data plane's state, the width of the search for a fresh control plane, and drain records.
+//!
+//! The width is the number of control planes that a data plane queries at a time during a search. A drain record is
+//! the id of a backend that must receive no new requests; the Raft leader numbers the records.
 
 use protocol::FreshnessAnswer;
 use transport::DrainRecords;
