--- a/crates/control-plane/src/config_history.rs
+++ b/crates/control-plane/src/config_history.rs
@@ -1,4 +1,9 @@
 //! History of accepted configurations: the result of the log's entries, equal on every voter.
+//!
+//! Each configuration has a version and a digest of its body (the text that the operator sent). An order names its
+//! base, the version that the operator edited, and is accepted only if the base is the newest version. The history
+//! also keeps what the next quota holder needs: the size of the fleet of data planes, and the quota floors (see
+//! [`quota::Floor`]).
 
 pub mod snapshot_format;
 
@@ -10,7 +15,7 @@
 /// cannot be distinguished from another one of the same version, so a retry of an older order gets no final answer.
 const MAX_DIGESTS: usize = 4096;
 /// Maximum number of quota floors (see [`quota::Floor`]), one per tenant. Under a new quota holder, tenants beyond this
-/// limit start without any units.
+/// limit start without any quota units.
 const MAX_FLOORS: usize = 4096;
 /// Number of versions whose log position is remembered.
 const MAX_POSITIONS: usize = 64;
--- a/crates/registry/src/fleet.rs
+++ b/crates/registry/src/fleet.rs
@@ -3,6 +3,10 @@
 //! A data plane is identified by the name of its machine and by its incarnation, a random number drawn at each start.
 //! A departure is final for its incarnation: later reports of contact with the incarnation, from any process, have no
 //! effect. A new incarnation of the same name is a different data plane; departures of earlier ones do not affect it.
+//!
+//! A data plane without a quota lease spends fallback slices: its share of each quota, which is the quota divided
+//! by the slice divisor, a number of data planes that the control planes publish. A slice is oversized if the data
+//! plane divides by an outdated, smaller number.
 
 use crate::Millis;
 use protocol::Departure;
@@ -13,8 +17,8 @@
 /// spend its fallback slices (its share of each quota while it gets no lease). The lease cache of a data plane spends
 /// fallback slices for this long after the last message of a control plane.
 pub const SILENT_DATA_PLANE_TIMEOUT_MS: Millis = 30_000;
-/// How long a departure is remembered: longer than any process still reports contact with the departed data plane. A
-/// report after this time counts the data plane again, for [`SILENT_DATA_PLANE_TIMEOUT_MS`].
+/// How long a departure is remembered: longer than processes can still report contact with the departed data plane. A
+/// report after this time would add the data plane to the fleet again, for [`SILENT_DATA_PLANE_TIMEOUT_MS`].
 const DEPARTURE_RETENTION_MS: Millis = 120_000;
 /// How long another process may report contact with a data plane that no longer receives anything: twice the silence
 /// timeout of a connection, plus the intervals of the reports.
@@ -90,14 +94,14 @@
     /// Sets the divisor by which data planes divide their slices from now on.
     pub fn set_slice_divisor(&mut self, now: Millis, divisor: u32) {
         self.divisors.push_back((now, divisor));
-        // Keeps the newest divisor from before the window, which was in effect when the window began.
+        // Keeps the divisors of the last `REPORT_DELAY_MS`, and the one that was in effect when that span began.
         while self.divisors.get(1).is_some_and(|(since, _)| since + REPORT_DELAY_MS <= now) {
             self.divisors.pop_front();
         }
     }
 
-    /// The data planes that may divide their slices by less than `present`, because their last contact was when the
-    /// fleet was smaller. Data planes in contact receive the larger fleet size in time.
+    /// The data planes whose slices may be oversized: their last contact was when the slice divisor was smaller than
+    /// `present`. Data planes in contact receive the larger divisor in time.
     pub fn oversized_slices(&self, present: u32) -> Vec<OversizedSlice> {
         let oversized = |(name, entry): (&String, &DataPlaneEntry)| {
             let divisor = entry.divisor.filter(|divisor| *divisor < present && entry.is_present())?;
@@ -113,8 +117,8 @@
         in_effect.map(|((_, divisor), _)| *divisor).min()
     }
 
-    /// Records that an incarnation has announced its end, after which it spends no quota. Returns whether the
-    /// departure is new here.
+    /// Records that an incarnation of a data plane has announced its end, after which the incarnation spends no quota.
+    /// Returns whether the departure was not recorded before.
     pub fn record_departure(&mut self, now: Millis, departure: &Departure) -> bool {
         let faults = self.faults;
         let Some(entry) = self.entry_or_insert(&departure.name) else { return false };
--- a/crates/transport/src/search.rs
+++ b/crates/transport/src/search.rs
@@ -1,6 +1,8 @@
 //! Search for a control plane whose state the leader confirms, while the followed one may be isolated from the
 //! leader. An answer to a freshness query is fresh if the state of its sender was confirmed by the leader recently; see
 //! [`FreshnessTracker::is_recent`](crate::freshness::FreshnessTracker::is_recent).
+//!
+//! A candidate is a control plane that the search has dialed and queries besides the followed one.
 
 use crate::upstream::Upstream;
 use std::collections::BTreeMap;
@@ -100,8 +102,8 @@
     }
 
     /// Once the settle time has passed, takes the candidate with the earliest fresh answer among those with a recent
-    /// one, and closes all other connections. The candidate that answers first is the least loaded one. The first one
-    /// in the data plane's own order of preference may be the cause of the search.
+    /// one, and closes all other connections. The earliest answer indicates the least loaded candidate. The order of
+    /// preference is not used, since its first control plane may be the one whose isolation started the search.
     pub(crate) fn take_best(&mut self, now: Millis) -> Option<Upstream> {
         self.first_fresh_at.filter(|first_fresh_at| now >= first_fresh_at + SETTLE_TIME_MS)?;
         let is_fresh =
