--- a/emulator/src/books.rs
+++ b/emulator/src/books.rs
@@ -1,6 +1,11 @@
 //! The books of a day: the worth that was earned, the prices, and the cause of each unit of worth that was lost.
 //! Each first try that earned less than its offered worth is booked under exactly one cause, so all losses sum to 1
-//! - G, where G is the result of the day.
+//! - G, where G is the result of the day: the weighted sum of the shares earned in the whole day, in the worst window
+//! and by the worst plan, minus the prices.
+//!
+//! Terms: worth is the value of an answered first try in the score. A try is one request of a client to a gateway; the
+//! first try may be followed by retries. A price is a cost that is subtracted from the result ([`Price`]). A point is
+//! a unit of G. A window is a period of fixed length within the day.
 
 use crate::draw::{Day, FirstTry, Micros, millis};
 use crate::world::{Ended, Record, Trigger, Try};
@@ -12,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// Refused while the quota was spent by retries, other first tries, or tries sent beyond the quota.
+    /// Refused while the quota was used up by retries, other first tries, or tries sent beyond the quota.
     QuotaSpent,
     /// Refused on arrival, before the gateway had a counter total, although the quota had room.
     BlindShed,
@@ -36,7 +41,7 @@
     ClientGaveUp,
     /// The request was served, but beyond the quota.
     SentBeyond,
-    /// The try before was refused, and the retry came too late for a timely answer.
+    /// The previous try was refused, and the retry was sent too late for an answer within the target latency.
     CameTooLate,
     /// Any other cause.
     Other,
@@ -60,14 +65,14 @@
     Counter,
     /// New connections.
     Handshake,
-    /// Tries answered unsent after more than half of their time.
+    /// Tries that a gateway ended without an attempt, after more than half of the time that the client waits.
     HeldBack,
 }
 
 /// The worth offered and earned in a part of the day.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Worth {
-    /// The worth requested within the quotas; requests beyond the quotas count with their reduced worth.
+    /// Total worth of the first tries. First tries beyond the quotas count with their reduced worth.
     pub offered: f64,
     /// The worth earned.
     pub earned: f64,
@@ -301,7 +306,7 @@
     }
 }
 
-/// Whether a try was answered unsent after more than half of its time.
+/// Whether a gateway ended a try without an attempt, after more than half of the time that the client waits.
 fn was_held_back(client_try: &Try) -> bool {
     let answered =
         matches!(client_try.ended, Ended::Refused | Ended::Failed) && client_try.attempts.is_empty();
@@ -333,7 +338,7 @@
     let last = tries.iter().map(of).rev().find(|client_try| client_try.sent <= aim);
     let Some(last) = last else { return Cause::Other };
     if last.number > 0 && !in_time(&last) && last.closed.is_some() {
-        // The retry came too late: the cause is the end of the try before, unless a backend ended it.
+        // The retry was sent too late: the cause is the end of the previous try, unless a backend ended that try.
         let before = tries.iter().map(of).rev().find(|client_try| client_try.number + 1 == last.number);
         if matches!(last.ended, Ended::Served(_)) && before.is_some_and(|t| t.attempts.is_empty()) {
             return Cause::CameTooLate;
--- a/emulator/src/draw.rs
+++ b/emulator/src/draw.rs
@@ -316,7 +316,8 @@
     }
 }
 
-/// The true token bucket of a customer's quota.
+/// Token bucket of a customer's quota across all gateways. No real gateway can observe this bucket, because each
+/// gateway receives only a part of the customer's requests.
 #[derive(Clone, Debug, Default)]
 pub struct TokenBucket {
     /// The units in the bucket.
--- a/emulator/src/trial/judge.rs
+++ b/emulator/src/trial/judge.rs
@@ -2,6 +2,12 @@
 //! stand-ins recorded, not on claims of the gateways; only the checks of duties use the gateways' own records. Each
 //! violation names the rule, the time, the parties and the active faults.
 //!
+//! Terms: a duty is a named role that at most one gateway performs at a time, under a fencing token. A takeover is the
+//! change of a duty to a new fencing token. The quota of a customer is a token bucket; excess over a quota is counted,
+//! but violates no rule. The ceiling is a second token bucket with a tolerated excess; exceeding the ceiling by more
+//! violates a rule. A cold backend has restarted and has not reached its full speed yet. A void trial has no verdict,
+//! for example because a fault could not be injected.
+//!
 //! The judge excuses failures that the injected faults may have caused. A request may be lost if its link or its
 //! gateway process was faulty while the request was outstanding. A discovery list that a fault may have delayed counts
 //! as received only once the gateway confirms its version. The judge never excuses a request that ran twice, a forged
@@ -315,7 +321,7 @@
 /// State of a backend as a gateway knows it from discovery.
 #[derive(Clone, Copy, Default)]
 struct KnownBackend {
-    /// Time since which the gateway knows that the backend accepts no new requests.
+    /// Time at which the gateway was notified that the backend accepts no new requests.
     unusable_since: Option<u64>,
     born_ms: u64,
 }
@@ -746,7 +752,7 @@
     let bucket_index = |stamp: u64| (stamp / BUCKET_US) as usize;
     let first_due = lines.iter().find(|line| matches!(line.seen, Seen::Due { .. })).map_or(0, |line| line.at);
     let first = judge.faults.all.iter().map(|(_, begin, _)| *begin).min();
-    // The first second is excluded: connections and counter blocks are not established yet.
+    // The first second is excluded: the gateways have neither backend connections nor quota from the counter yet.
     let before = first
         .and_then(|first| share(bucket_index(first_due) + WINDOW_BUCKETS, bucket_index(first)))
         .filter(|share| *share > 0.0);
