--- a/crates/testbed/src/capacity/model.rs
+++ b/crates/testbed/src/capacity/model.rs
@@ -1,6 +1,10 @@
 //! Traffic and processor use of each role at a size: lengths and costs of messages and steps, multiplied by their
 //! rates. The rates follow from constants of the protocol and from the capacity plan; this module measures
 //! nothing.
+//!
+//! Terms: a follower is a data plane that receives configurations and heartbeats from a control plane. A lease is a
+//! number of units of a tenant's quota that a data plane may spend for a limited time. A quota holder is a control
+//! plane that answers lease requests. A flow is one kind of message or step with its rate.
 
 use super::costs::{StepCost, step};
 use super::messages::{HEARTBEAT_MS, MessageLength, ROUND_MS, kind};
@@ -29,7 +33,8 @@
     ControlPlane,
     /// Additional load of the log leader.
     Leader,
-    /// Additional load of the quota holder; the leader is the only holder as long as quotas are not spread.
+    /// Additional load of the quota holder. The log leader is the only holder unless quotas are spread over several
+    /// control planes.
     QuotaHolder,
 }
 
@@ -69,8 +74,8 @@
     size.backends as f64 / size.control_planes as f64 * 1000.0 / HEARTBEAT_MS
 }
 
-/// The messages of a role in both directions. `kept` says whether control planes keep the previous configuration body,
-/// so that configurations are sent as differences.
+/// The messages that a role sends and receives. `kept` says whether control planes keep the previous configuration
+/// body; if so, they send each configuration as the difference from the previous one.
 pub fn messages(role: Role, size: &Size, kept: bool) -> Vec<Flow> {
     let leases = LEASE_REQUESTS_PER_REQUEST * size.requests_per_s;
     let configuration = if kept { kind::CONFIGURATION_DIFFERENCE } else { kind::CONFIGURATION };
--- a/crates/testbed/src/capacity/size.rs
+++ b/crates/testbed/src/capacity/size.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether the history keeps the previous configuration body, so that configurations are sent as differences.
+    /// Whether control planes keep the previous configuration body. If so, they send configurations as differences.
     pub fn keeps_previous_body(&self) -> bool {
         let length = super::samples::configuration_bytes(self, 1).len();
         let mut history = ConfigHistory::default();
--- a/crates/testbed/src/changes.rs
+++ b/crates/testbed/src/changes.rs
@@ -1,4 +1,5 @@
-//! The operator's configuration changes: which of them may be in force at a given time.
+//! The operator's configuration changes: which of them may be in force at a given time. Each change adds a route; a
+//! probe requests this route to find out whether the change is in force.
 
 use crate::history::{Event, Record};
 use crate::judge::{Rule, TimeBounds, Violations};
--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -2,10 +2,10 @@
 //! observed and what the testbed itself did, never statements of the processes under test. Each violation names the
 //! rule, the time, the parties involved and the active faults.
 //!
-//! Rules with a time bound apply to undisturbed machines only: for [`TimeBounds::contact`], no process of the machine
-//! or of a control plane's machine was killed, started or stopped, and no link of these had a fault. Duplicate runs,
-//! forged answers, runs of refused requests, and excess over a quota or a retry budget are violations even while faults
-//! are active.
+//! Rules with a time bound apply to undisturbed machines only. A machine is undisturbed when, for at least
+//! [`TimeBounds::contact`], no process of the machine or of a machine with a control plane was killed, started or
+//! stopped, and no link of these machines had a fault. Duplicate runs, forged answers, runs of refused requests, and
+//! excess over a quota or a retry budget are violations even while faults are active.
 //!
 //! Terms: an attempt is one sending of a client's request to a gateway; a request has several attempts if the client
 //! retries. An attempt runs when a backend processes it. An effectful request must run at most once, a pure request may
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -1,6 +1,8 @@
 //! Hollow data planes, many per process. Each has the connections, protocol and lease requests of a real one, but
 //! neither serves clients nor keeps tables of backends and quotas. Hollow backends, which only send heartbeats, run in
 //! the same processes.
+//!
+//! A lease is a number of units of a tenant's quota that a control plane grants to a data plane for a limited time.
 
 use super::report::{Report, steady_seconds};
 use crate::capacity::messages::lease_request;
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,5 +1,6 @@
 //! Scale measurements: real control planes and a few real data planes among hollow ones, at several sizes. A linear fit
-//! over some sizes is checked at a size that was left out.
+//! over some sizes is checked at a size that was left out of the fit. A size is a number of data planes. Hollow data
+//! planes produce the control traffic of real ones, but serve no requests ([`hollow`]).
 
 pub mod hollow;
 pub mod report;
--- a/crates/testbed/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -1,5 +1,5 @@
-//! One measurement: real control planes and a few real data planes, together with hollow data planes and hollow backends
-//! (see [`super::hollow`]), which produce the control traffic of a large fleet without serving requests.
+//! One measurement: real control planes and a few real data planes, together with hollow data planes and hollow
+//! backends (see [`super::hollow`]), which produce the control traffic of a large fleet without serving requests.
 
 use super::hollow::HollowSettings;
 use super::report::{Report, steady_seconds};
@@ -19,8 +19,8 @@
 
 /// Timeout for the start.
 const START_TIMEOUT: Duration = Duration::from_secs(40);
-/// Pause before the measurement. Processes that have just started send their complete tables (see the message "all
-/// backends" in [`super::hollow`]) twice.
+/// Pause before the measurement. Processes that have just started send the complete list of backends twice; the reports
+/// of [`super::hollow`] count these messages as "all backends".
 const SETTLE_TIME: Duration = Duration::from_secs(6);
 /// Interval between configuration changes.
 const CHANGE_INTERVAL: Duration = Duration::from_secs(5);
--- a/crates/testbed/src/trial/parties.rs
+++ b/crates/testbed/src/trial/parties.rs
@@ -1,4 +1,5 @@
-//! The communicating parties of a trial, and their names in schedules.
+//! The communicating parties of a trial, and their names in schedules. A link is one direction of traffic between two
+//! parties. A backend slot is a place in a zone that one simulated backend at a time occupies.
 
 use crate::site::{SLOTS, VOTERS, ZONES};
 use std::fmt;
--- a/crates/testbed/src/trial/results.rs
+++ b/crates/testbed/src/trial/results.rs
@@ -1,4 +1,5 @@
-//! The figures of one trial, stored as a JSON line, and the comparison of two such files.
+//! The figures of one trial, stored as a JSON line, and the comparison of two files with such lines. Worth is defined
+//! at [`Verdict::worth`].
 
 use super::schedule::Schedule;
 use crate::history::{End, Event, Record};
--- a/crates/testbed/src/windows.rs
+++ b/crates/testbed/src/windows.rs
@@ -49,7 +49,8 @@
     let mut minimum = f64::INFINITY;
     let mut worst = f64::NEG_INFINITY;
     for (index, time) in times.iter().enumerate() {
-        // A span from i to j holds j - i + 1 times, so each end contributes one independent figure.
+        // A span from time i to time j holds j - i + 1 times. The excess of the span is therefore the figure of j minus
+        // the figure of i, plus 1 - burst.
         let figure = index as f64 - rate * (*time - *first) as f64 / 1e6;
         minimum = minimum.min(figure);
         worst = worst.max(figure - minimum + 1.0 - burst);
--- a/emulator/src/decider.rs
+++ b/emulator/src/decider.rs
@@ -13,7 +13,7 @@
 /// The true state of the simulated world, which no real gateway can observe.
 #[derive(Clone, Debug, Default)]
 pub struct TrueState {
-    /// The true token bucket of each customer, by customer number.
+    /// The token bucket of each customer across all gateways, by customer number.
     pub buckets: Vec<TrueQuota>,
     /// Requests held by each backend per unit of its capacity; infinite for a backend that cannot serve.
     pub loads: Vec<f64>,
@@ -107,7 +107,7 @@
     /// Calls the counter for every try and admits the try if the window's total is within the burst. Without an
     /// answer it admits the try.
     CountEach,
-    /// Admits requests that the customer's true token bucket covers.
+    /// Admits requests that the customer's token bucket across all gateways covers.
     TrueState(StateView),
 }
 
@@ -173,7 +173,7 @@
     backends: BTreeMap<Name, BackendView>,
     requests: BTreeMap<RequestId, PendingRequest>,
     buckets: HashMap<Name, (f64, Millis)>,
-    /// Tries that wait for the counter's answer under this name, in the order of the calls.
+    /// By name of the counter value: the tries that wait for the counter's answer, in the order of the calls.
     pending_counts: HashMap<u64, Vec<(RequestId, f64)>>,
 }
 
--- a/emulator/src/results.rs
+++ b/emulator/src/results.rs
@@ -41,7 +41,8 @@
 /// The floor and the top of a day's score, derived from the baselines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScoreRange {
-    /// G when all requests are admitted; 0 if that is higher or if a ceiling is exceeded.
+    /// G of the baseline that admits all requests, but at least 0, and 0 if this baseline exceeds a ceiling. The floor
+    /// is raised where the distance to the top would be too large ([`crate::experiment::score_range`]).
     pub floor: f64,
     /// The mean of G with the current and with the delayed true state.
     pub top: f64,
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -1,5 +1,9 @@
 //! Scenarios: the parameters of a site as ranges, and the size and troubles of a day. Both are TOML files. Every
 //! error names the position in the file, and an invalid file starts nothing.
+//!
+//! Terms: a site is the environment of the fleet (network, clients, backends, counter, plans, rules and prices). A
+//! trouble is a fault at a scheduled time. A plan is a customer's tariff: a quota as a token bucket of units (one per
+//! request), and optionally a ceiling that no customer may exceed. [`crate`] defines try, attempt, worth and cold.
 
 pub use fault_injection::Span;
 use serde::de::{Deserializer, Error as _};
--- a/emulator/src/world/backend.rs
+++ b/emulator/src/world/backend.rs
@@ -4,7 +4,7 @@
 use crate::draw::{Machine, Micros};
 use std::collections::VecDeque;
 
-/// An attempt at a backend: the number of the try and the number of the attempt within it.
+/// An attempt at a backend: the number of the try, and the number of the attempt within the try.
 pub type Job = (u32, u32);
 
 /// Whether a backend's machine can be reached.
@@ -49,7 +49,7 @@
     /// Running requests, each with the value of `progress` at which the request completes.
     running: Vec<(f64, Job, f64)>,
     waiting: VecDeque<(Job, f64)>,
-    /// Incremented with each change: a completion scheduled for an older epoch is void.
+    /// Incremented with each change of the backend. The world ignores completions scheduled for an older epoch.
     pub epoch: u64,
 }
 
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Cancels an attempt. Returns the work already done for it, or `None` if the backend continues the work.
+    /// Cancels an attempt. Returns the work already done for the attempt, or `None` if the backend continues the work.
     pub fn cancel(&mut self, job: Job, machine: &Machine) -> Option<f64> {
         if let Some(at) = self.waiting.iter().position(|(waiting, _)| *waiting == job) {
             self.waiting.remove(at);
--- a/emulator/src/world/event.rs
+++ b/emulator/src/world/event.rs
@@ -18,7 +18,7 @@
     BackendStarts(usize),
     /// Discovery has noticed a change of a backend's state: the list changes.
     StateNoticed(usize),
-    /// The counter is back, if no newer failure has occurred since.
+    /// The counter is available again, unless the counter has failed again since this event was scheduled.
     CounterBack(u32),
     /// A gateway's process dies.
     GatewayDies(usize),
@@ -38,7 +38,7 @@
     BackendProgress(usize, u64),
     /// An attempt arrives at its backend completely.
     AttemptArrives(u32, u32),
-    /// A backend learns that an attempt was cancelled.
+    /// The cancellation of an attempt reaches the backend.
     CancelArrives(u32, u32),
     /// A call reaches the counter.
     CallArrives(u32),
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -104,7 +104,8 @@
     pub inside: Option<bool>,
     /// The event that triggered the first send.
     pub send_trigger: Trigger,
-    /// For a try that was ended unsent: the customer's token bucket, and whether its limit of open attempts had room.
+    /// For a try that the gateway ended without an attempt: the units in the customer's token bucket, and whether the
+    /// customer's limit of open attempts permitted another attempt.
     pub bucket: Option<(f64, bool)>,
     /// The retry delay that the gateway advised.
     pub advice: Micros,
@@ -239,7 +240,7 @@
     tries: Vec<Try>,
     /// For each first try, the values of [`Record::served`].
     first_tries: Vec<Option<(Micros, bool)>>,
-    /// For each customer, the true token bucket and the number of attempts in flight.
+    /// For each customer, the token bucket across all gateways and the number of attempts in flight.
     buckets: Vec<(TokenBucket, u32)>,
     /// Units that each customer requested in the last second, with exponential decay; read by policies that see the
     /// true state.
@@ -731,8 +732,8 @@
         self.deliver(gateway, event);
     }
 
-    /// Discovery writes full lists one after another at a limited rate. A gateway that would wait too long retries
-    /// later.
+    /// Discovery writes full backend lists one after another at a limited rate. A gateway retries later if its list
+    /// would take too long.
     fn request_full_list(&mut self, gateway: usize, incarnation: u32) {
         if !self.is_alive(gateway, incarnation) {
             return;
@@ -992,7 +993,8 @@
                 self.day.gateway_of(customer, self.now, random)
             }
         };
-        // The front skips gateways that it knows to be down, and moves traffic away from a zone as a trouble requires.
+        // The front (the load balancer) skips gateways that it has detected as down. During a trouble of the kind
+        // [`Kind::ZoneShift`], the front also moves a share of the traffic away from the affected zone.
         for _ in 0..8 {
             let down = self.gateways[gateway].down_since;
             let noticed = down.is_some_and(|since| {
@@ -1123,7 +1125,7 @@
         }
     }
 
-    /// The plan and the true token bucket of a first try's customer, refilled up to now.
+    /// The plan of a first try's customer, and the customer's token bucket across all gateways, refilled up to now.
     fn quota_store(&mut self, first_try: usize) -> (&'a doorcourse::Plan, f64) {
         let customer = self.day.first_tries[first_try].customer as usize;
         let plan = &self.day.settings.plans[self.day.customers[customer].plan];
