--- a/emulator/src/books.rs
+++ b/emulator/src/books.rs
@@ -23,7 +23,8 @@
     BlindShed,
     /// Refused after a counter total or the failure of a counter call, although the quota had room.
     NoBlock,
-    /// Refused or answered late after a wait for a block of quota, an open slot or a backend.
+    /// Refused or answered late because the gateway delayed the try: the try waited for quota from the counter, for the
+    /// customer's limit of open attempts, or for a backend.
     HeldTooLong,
     /// Answered too late although the gateway hardly delayed the request: the backend was slow.
     BackendSlow,
@@ -189,7 +190,7 @@
 }
 
 impl Books {
-    /// All lost points: 1 - G.
+    /// Sum of all lost points, 1 - G.
     pub fn lost(&self) -> f64 {
         let losses: f64 = self.losses.values().sum();
         let prices: f64 = self.prices.values().sum();
--- a/emulator/src/decider.rs
+++ b/emulator/src/decider.rs
@@ -1,6 +1,9 @@
 //! The decision makers of simulated gateways: the library's decisions, and baseline policies to compare them with.
 //! Every decision maker receives the same events and returns the same kinds of action. Only the policies with
 //! access to the true state read the [`TrueStateView`]; all others must ignore it.
+//!
+//! The true state is the state of the whole simulated world, such as the load of each backend and the quota left to
+//! each customer. Real gateways cannot observe the true state; baselines with access to it bound what is achievable.
 
 use crate::draw::{Customer, Micros};
 use doorcourse::{
--- a/emulator/src/draw.rs
+++ b/emulator/src/draw.rs
@@ -106,7 +106,7 @@
     pub name: Name,
     /// The backend's zone.
     pub zone: usize,
-    /// The backend's cell.
+    /// Number of the backend's cell, a group of four backends with consecutive numbers.
     pub cell: u64,
     /// Cores times speed, in core milliseconds of work per millisecond.
     pub speed: f64,
--- a/emulator/src/experiment.rs
+++ b/emulator/src/experiment.rs
@@ -1,4 +1,5 @@
-//! Experiments: days of scenarios and seeds, simulated in parallel on all cores, and paired comparisons of results.
+//! Experiments: days of scenarios and seeds, simulated in parallel on all cores, and paired comparisons of results. A
+//! pair is the same scenario, seed and policy in the old and in the new results. G is the result of a day.
 
 use crate::books::Books;
 use crate::decider::{BASELINES, Library, Policy};
--- a/emulator/src/judge.rs
+++ b/emulator/src/judge.rs
@@ -1,5 +1,6 @@
 //! The judge checks the five rules and the interface's protocol at every event. It keeps its own records and relies
-//! neither on the gateways' state nor on the world's flags. Each breach names time, gateway, request and rule.
+//! neither on the gateways' state nor on the flags of the simulated world. Each breach (a violation of a rule) names
+//! time, gateway, request and rule. [`crate`] defines try, attempt, ceiling and cold backend.
 
 use crate::draw::{Micros, TokenBucket, millis};
 use crate::scenario::Rules;
@@ -55,7 +56,7 @@
     in_flight: u32,
     /// Whether a backend may have run the request.
     may_have_run: bool,
-    /// Whether the gateway owes no final answer any more: the answer was sent, or the client has left.
+    /// Whether the gateway need not send a final answer any more: the answer was sent, or the client has left.
     finished: bool,
 }
 
--- a/emulator/src/live/mod.rs
+++ b/emulator/src/live/mod.rs
@@ -1,5 +1,8 @@
 //! Demo: real gateway processes on loopback sockets with stand-in backends, discovery and counter, under a steady
 //! load and with an optional fault.
+//!
+//! With a group, the gateways share a replicated log, of which the voters are the members with a vote. The gateways
+//! compete for duties: named roles that at most one gateway holds at a time, under a fencing token.
 
 pub mod history;
 pub mod load;
--- a/emulator/src/results.rs
+++ b/emulator/src/results.rs
@@ -1,6 +1,9 @@
 //! Result files: one JSON object per line. The first line is a head with the planned days; then the days follow in
 //! the planned order, each written when it and all days before it are complete. A truncated file can still be read,
 //! and reports how many days are missing.
+//!
+//! Terms: G is the result of a day's books ([`crate::books`]). A baseline is a simple policy to compare the library's
+//! decisions with ([`crate::decider`]). The score of a day places G between a floor and a top, both from baselines.
 
 use crate::books::Books;
 use crate::judge::Breach;
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -348,7 +348,8 @@
     pub counter: f64,
     /// The price of one new connection per first try.
     pub handshake: f64,
-    /// The share of its worth that a try costs when it is answered unsent after more than half of its time.
+    /// The share of its worth that a try costs when the gateway ends the try without an attempt, after more than half
+    /// of the time that the client waits.
     pub held_back: f64,
 }
 
--- a/emulator/src/trial/mod.rs
+++ b/emulator/src/trial/mod.rs
@@ -1,6 +1,11 @@
 //! Trials: fault-injection runs against real gateway processes. The gateways talk to stand-ins (backends, discovery and
 //! counter) through a relay on every link. The relays and the process control inject faults, and the judge checks the
 //! recorded history. Each submodule documents its own guarantees.
+//!
+//! Terms: a party is a client, gateway, backend or service that has connections; a link is one direction of traffic
+//! between two parties. A group is a set of gateways that share a replicated log, of which the voters are the members
+//! with a vote. A duty is a named role that at most one gateway of the group performs at a time, under a fencing token.
+//! A handover replaces the process of a gateway: a second process starts and takes over before the first one ends.
 
 pub mod judge;
 pub mod page;
--- a/emulator/src/trial/schedule.rs
+++ b/emulator/src/trial/schedule.rs
@@ -1,5 +1,8 @@
 //! Schedule of a trial: its fleet, load and faults, read from TOML or drawn at random from a seed and stated ranges.
 //! A file is validated completely before anything starts. An error is one line that states the position in the file.
+//!
+//! A fault acts on links (each one direction between two parties) or on parties: gateway processes and stand-ins. A
+//! fault pattern is a template from which a seed draws one or more faults. [`super`] defines group, voter and duty.
 
 use crate::scenario::Span;
 use crate::trial::relay::{Flow, Party};
