--- a/crates/testbed/src/capacity/costs.rs
+++ b/crates/testbed/src/capacity/costs.rs
@@ -1,4 +1,7 @@
 //! Processor time of single steps on one thread.
+//!
+//! A quota holder is the control plane that grants units of quota (leases) to data planes. A floor is a level in the
+//! replicated log below which no grant takes a tenant's quota counter; see the `quota` crate.
 
 use super::messages::{changed, lease_request};
 use super::samples::{backend, backend_id, backends, configuration_bytes, gateway_name, quotas, tenant_name};
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -1,4 +1,5 @@
 //! Records what clients, backends, the operator and the testbed observe, on one clock. The judge uses nothing else.
+//! A request may have several attempts; each attempt is one sending of the request to a gateway.
 
 use serde::{Deserialize, Serialize};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -35,7 +36,7 @@
     Wrong(String),
 }
 
-/// An observed event. Machines, tenants and kinds are indexes from 0; attempts are identified by their ids.
+/// An observed event. Machines, tenants and kinds of request are indexes from 0; attempts are identified by their ids.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// A client issues a request for a tenant.
@@ -79,7 +80,8 @@
         id: Option<u64>,
         /// Number of the backend.
         backend: u32,
-        /// The machine whose connection carried the attempt, if relays make it known.
+        /// The machine whose connection carried the attempt; known only with relays, whose source addresses differ by
+        /// machine.
         machine: Option<usize>,
     },
     /// A backend starts to process an attempt.
@@ -125,7 +127,7 @@
     Done {
         /// Index of the request's kind.
         kind: usize,
-        /// Whether service is owed for the request: false beyond the tenant's quota.
+        /// Whether the request is within the tenant's quota, so that the fleet owes its service.
         owed: bool,
         /// When the request was due, in microseconds.
         due: u64,
--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -10,8 +10,8 @@
 //! Terms: an attempt is one sending of a client's request to a gateway; a request has several attempts if the client
 //! retries. An attempt runs when a backend processes it. An effectful request must run at most once, a pure request may
 //! run several times. A seal ([`seal`]) is a header value by which a backend proves that it answered an attempt. Worth
-//! measures the service that clients received: each request within its tenant's quota is owed 1 and earns 1, 0.5 or 0,
-//! depending on its outcome ([`Verdict::worth`]).
+//! measures the service that clients received: the fleet owes 1 for each request within the tenant's quota, and the
+//! request earns 1, 0.5 or 0, depending on its outcome ([`Verdict::worth`]).
 
 use crate::backend::is_valid_seal;
 pub use crate::backend::seal;
@@ -140,9 +140,9 @@
     pub uses: Vec<QuotaUse>,
     /// Delays that the machine may have caused; they do not count as violations.
     pub late: Vec<String>,
-    /// Worth owed and worth earned per bucket of [`BUCKET_US`], by the due time of requests. Each request within its
-    /// tenant's quota is owed 1. The request earns 1 if served within the latency goal of its kind, 0.5 if served later,
-    /// and 0 otherwise.
+    /// Worth owed and worth earned per bucket of [`BUCKET_US`], by the due time of requests. The fleet owes 1 for each
+    /// request within its tenant's quota. The request earns 1 if served within the latency goal of its kind, 0.5 if
+    /// served later, and 0 otherwise.
     pub worth: Vec<(f64, f64)>,
 }
 
--- a/crates/testbed/src/trial/mod.rs
+++ b/crates/testbed/src/trial/mod.rs
@@ -75,7 +75,8 @@
 /// Returns an error when something cannot be started or written.
 pub async fn run(schedule: Schedule, options: &Options) -> Result<CompletedTrial, Error> {
     match run_schedule(schedule.clone(), options).await {
-        // A fleet that fails to start hints at an overloaded machine, so the trial is void; demos check startup.
+        // A fleet that does not start in time suggests an overloaded machine, so the trial has no verdict. Demos check
+        // that a fleet starts in time.
         Err(Error::Timeout { what, within, .. }) => {
             let void = Some(format!("not run: after {} s {what}", within.as_secs()));
             let verdict = Verdict { void, ..Verdict::default() };
@@ -160,7 +161,8 @@
     } else if late > MAX_CLOCK_DELAY {
         Some(format!("the testbed itself was delayed by {} ms", late.as_millis()))
     } else if disk_delay > MAX_WRITE_TIME {
-        // Elections, changes and shutdowns of control planes wait for the disk.
+        // Control planes wait for the disk in elections, configuration changes and shutdowns, so a slow disk delays
+        // these steps.
         Some(format!("a small disk write of the testbed took {} ms", disk_delay.as_millis()))
     } else if environment.net.failure_count() > 0 {
         Some(format!(
--- a/emulator/src/decider.rs
+++ b/emulator/src/decider.rs
@@ -222,8 +222,8 @@
                 let unknown = TrueQuota { held: plan.burst, ..TrueQuota::default() };
                 let seen = number.and_then(|n| view.state.buckets.get(n)).copied().unwrap_or(unknown);
                 let has_slot = plan.open == 0 || seen.in_flight < plan.open;
-                // With a delayed state, admits a random share of the requests: the share that the token bucket can cover
-                // until the state is up to date.
+                // With a delayed state, the policy admits a random share of the requests: the share that the units in
+                // the token bucket and the refill during the delay can cover.
                 let age_s = DELAYED_VIEW_AGE as f64 / 1e6;
                 let admit_share = (seen.held - 0.5 + plan.rate * age_s) / (seen.requested * age_s).max(1e-9);
                 let fits =
@@ -248,8 +248,8 @@
         let random = self.random_unit();
         let count = self.backends.len().max(1);
         let start = (random * count as f64) as usize;
-        // With a delayed state, compares two backends only: otherwise every gateway would pick the same backends from
-        // the same stale order.
+        // With a delayed state, the policy compares only two randomly chosen backends. Otherwise every gateway would
+        // choose the same backends, because all gateways see the same outdated loads.
         let candidates = if self.admission == Admission::TrueState(StateView::Delayed) { 2 } else { count };
         let usable = |(_, k): &(&Name, &BackendView)| k.ready && now >= k.avoid_until;
         let step = 1 + (random * 7919.0) as usize % 17;
--- a/emulator/src/draw.rs
+++ b/emulator/src/draw.rs
@@ -763,7 +763,8 @@
     }
 }
 
-/// A step that visits every position of a ring before any position twice.
+/// Step width through a ring of `places` positions. The width has no common divisor with `places`, so the steps visit
+/// every position before they visit any position twice.
 fn ring_step(places: usize, chance: u64) -> usize {
     let has_common_divisor = |mut a: usize, mut b: usize| {
         while b > 0 {
--- a/emulator/src/judge.rs
+++ b/emulator/src/judge.rs
@@ -319,7 +319,8 @@
             cold.capacities.pop_front();
         }
         let mean = cold.capacities.iter().map(|(_, c)| c).sum::<f64>() / cold.capacities.len() as f64;
-        // Tolerance for random variation: three standard deviations of a sum of this many exponential works.
+        // Tolerance for random variation: three standard deviations of the sum of `count` exponentially distributed
+        // amounts of work.
         let count = cold.sent.len() as f64;
         let budget = multiple * mean * window as f64 + 3.0 * cold.sum / count * count.sqrt();
         if cold.sum <= budget {
--- a/emulator/src/trial/judge.rs
+++ b/emulator/src/trial/judge.rs
@@ -441,9 +441,9 @@
                 tally[4] += 1;
                 *at > limit
             }
-            // A gateway may close an idle connection while a client writes a request to the connection; the gateway
-            // does not read that request. If a new connection closes before the gateway forwards its first request,
-            // the request has failed; a few of these per trial do not count as lost.
+            // A gateway may close an idle connection while a client writes a request to the connection. The gateway
+            // does not read this request, so the request is not lost. If a new connection closes before the gateway forwards
+            // the first request, the request has failed; a few such requests per trial do not count as lost.
             Ended::Broken { fresh } => {
                 tally[4] += 1;
                 if *fresh && record.arrived.is_empty() && !excused {
@@ -609,8 +609,8 @@
         let sum: f64 = self.sent.iter().map(|(_, work, ..)| work).sum();
         let speed_share = |at: u64| warmth(Duration::from_micros(at.saturating_sub(self.born)));
         let mean = (speed_share(at.saturating_sub(window)) + speed_share(at)) / 2.0;
-        // Slack for random variation: three standard deviations of the sum of this many exponentially distributed
-        // values.
+        // Slack for random variation: three standard deviations of the sum of as many exponentially distributed values
+        // as requests arrived in the window.
         let slack = 3.0 * sum / (self.sent.len() as f64).sqrt();
         let allowed = multiple * mean * OVERLOAD_LIMIT.0.as_secs_f64() * 1000.0 + slack;
         if sum <= allowed {
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -956,8 +956,8 @@
     }
 
     /// Broadcasts a gateway's health report about a backend to the other gateways, except those behind a partition.
-    /// Each receiver gets the report after its own random delay, which covers the report, its entry in the group's log and
-    /// the notification of the receiver. Loss of the group's majority and rate limits of reports are not modelled.
+    /// Each receiver gets the report after its own random delay, which covers the report, its entry in the group's log
+    /// and the notification of the receiver. Loss of the group's majority and rate limits of reports are not modelled.
     fn report_to_peers(&mut self, gateway: usize, backend: &Name, down: bool) {
         let Some(delay) = self.day.source.peer_report_ms else { return };
         let Some(number) = self.backends.get(backend).copied() else { return };
