--- a/crates/testbed/src/backend.rs
+++ b/crates/testbed/src/backend.rs
@@ -1,5 +1,5 @@
 //! A simulated backend with a fixed number of slots, a bounded queue, random service times and the answers that the
-//! protocol requires.
+//! protocol requires. Each slot processes one request at a time. A backend is cold during the warm-up after its start.
 
 use crate::behavior::{Behavior, Body};
 use crate::control::Control;
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -1,5 +1,5 @@
-//! Stand-in clients with persistent connections; they retry according to the protocol. In this module, a gateway is a
-//! data plane of the fleet.
+//! Simulated clients with persistent connections, which retry according to the protocol. In this module, a gateway is a
+//! data plane of the fleet, and an attempt is one sending of a request to a gateway.
 
 use crate::backend::{answer_body, is_valid_seal, request_body, request_path};
 use crate::history::{End, Event, History};
@@ -209,7 +209,8 @@
                 break;
             }
             tries += 1;
-            // A pure request that gets no answer is abandoned early, to retry it at another gateway.
+            // A client abandons an attempt of a pure request early if no answer arrives, and retries at another
+            // gateway.
             let attempt_timeout = if client_request.pure && attempt_index + 1 < MAX_ATTEMPTS {
                 (remaining / 3).max(MIN_ATTEMPT_TIME)
             } else {
--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -159,7 +159,8 @@
     }
 }
 
-/// A fault, or the downtime of a process, with the affected machines. A downtime that begins with SIGTERM is planned.
+/// A fault, or the downtime of a process, with the affected machines. A downtime that begins with SIGTERM is planned,
+/// because the process can shut down gracefully.
 struct Disruption {
     begin: u64,
     end: u64,
@@ -500,7 +501,8 @@
         }
     }
 
-    /// Checks that effectful requests ran at most once, and that refused ones did not run at all, not even later.
+    /// Checks that effectful attempts ran at most once, and that refused effectful attempts did not run at all, neither
+    /// before nor after the refusal.
     fn check_effectful(&mut self) {
         let mut effectful: Vec<_> = self.attempts.iter().filter(|(_, attempt)| !attempt.pure).collect();
         effectful.sort_unstable_by_key(|(id, attempt)| (attempt.sent, **id));
@@ -523,7 +525,8 @@
             arrived.sort_unstable();
             let bound = quota_bound(tenant.rate, tenant.burst);
             let (ran, peak) = (arrived.len() as u64, max_within(&arrived, QUOTA_WINDOW));
-            // Requests that a fault delayed arrive together although clients sent them over a longer time.
+            // A fault can delay requests so that they arrive together although clients sent them over a longer time. An
+            // excess is therefore a violation only if clients also sent the requests within one window.
             if peak > bound && max_sent_and_run_within(pairs, QUOTA_WINDOW) > bound {
                 let at = arrived.last().copied().unwrap_or_default();
                 let label = tenant.label;
--- a/crates/testbed/src/trial/environment.rs
+++ b/crates/testbed/src/trial/environment.rs
@@ -1,4 +1,5 @@
 //! The environment of a trial: processes, simulated parties and the relays between them, and how faults are injected.
+//! A backend slot is a place in a zone that one backend at a time occupies.
 
 use super::misbehaving_client::run_rude_client;
 use super::parties::{Party, ZONES_OF_BACKENDS};
--- a/crates/testbed/src/windows.rs
+++ b/crates/testbed/src/windows.rs
@@ -13,7 +13,8 @@
 /// Number of retries that a window may hold in addition to [`RETRY_RATIO`].
 const RETRY_SLACK: u64 = 66;
 
-/// Maximum number of requests both sent and run within one window, from pairs `(sent, arrived)` in any order.
+/// Maximum number of requests that clients sent and backends ran within the same window. The pairs `(sent, arrived)`
+/// may be in any order.
 pub fn max_sent_and_run_within(pairs: &mut [(u64, u64)], window: u64) -> u64 {
     pairs.sort_unstable();
     let mut maximum = 0;
@@ -58,7 +59,8 @@
     worst
 }
 
-/// Whether a window holds more retries than its requests, or those of the preceding window, allow.
+/// Whether any window holds more retries than `RETRY_RATIO` and `RETRY_SLACK` allow. The number of requests is the
+/// largest of the same window, the window half a length earlier and the preceding window.
 pub fn over_budget(first: &[u64], retries: &[u64]) -> bool {
     let count = |times: &[u64], from: u64, to: u64| {
         let before = |time: &u64| *time < from;
--- a/emulator/src/live/history.rs
+++ b/emulator/src/live/history.rs
@@ -1,6 +1,6 @@
 //! History of a trial: the events of its parties, timestamped with the clock of the emulator. Clients and stand-ins
 //! record their own actions at the time of each action. The only events that gateways report themselves are
-//! [`Seen::Acted`].
+//! [`Seen::Acted`]. A duty is a named role that at most one gateway performs at a time, under a fencing token.
 
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, Ipv4Addr};
--- a/emulator/src/live/stand_ins.rs
+++ b/emulator/src/live/stand_ins.rs
@@ -1,6 +1,7 @@
 //! Stand-ins for the services that a gateway uses, on loopback sockets: backends, discovery and counter. They
 //! implement the gateway's external protocol. Each can inject faults while it runs. They support functional trials
-//! and do not measure performance.
+//! and do not measure performance. A slot of a backend processes one request at a time. A cold backend has restarted
+//! recently and works below its full speed.
 
 use crate::live::history::{Entry, History, Seen, gateway_at};
 use bytes::Bytes;
--- a/emulator/src/trial/judge.rs
+++ b/emulator/src/trial/judge.rs
@@ -442,8 +442,8 @@
                 *at > limit
             }
             // A gateway may close an idle connection while a client writes a request to the connection. The gateway
-            // does not read this request, so the request is not lost. If a new connection closes before the gateway forwards
-            // the first request, the request has failed; a few such requests per trial do not count as lost.
+            // does not read this request, so the request is not lost. If a new connection closes before the gateway
+            // forwards the first request, the request has failed; a few such requests per trial do not count as lost.
             Ended::Broken { fresh } => {
                 tally[4] += 1;
                 if *fresh && record.arrived.is_empty() && !excused {
@@ -490,7 +490,7 @@
 /// Checks that draining backends receive no new requests, and that gateways together do not overload cold backends.
 fn check_backends(judge: &mut Judge<'_>, lines: &[Line], records: &HashMap<&str, RequestRecord>) {
     let mut known_backends: HashMap<(usize, usize), KnownBackend> = HashMap::new();
-    // Discovery lists that a fault may have delayed, until the gateway confirms their version.
+    // Discovery lists that a fault may have delayed. A list is kept here until the gateway confirms the list's version.
     let mut unconfirmed: Vec<(usize, u64, Vec<Entry>)> = Vec::new();
     // Version of the newest list that each gateway is known to have. An older list does not replace a newer one.
     let mut newest: HashMap<usize, u64> = HashMap::new();
--- a/emulator/src/trial/report.rs
+++ b/emulator/src/trial/report.rs
@@ -1,4 +1,5 @@
-//! Runs several trials and summarizes their results.
+//! Runs several trials and summarizes their results. A takeover is the change of a duty (a named role that at most one
+//! gateway performs at a time) to a new fencing token.
 
 use super::judge::Verdict;
 use super::schedule::Schedule;
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -1,6 +1,7 @@
 //! The simulated world: clients, network, gateways, backends, discovery, counter and troubles. The world passes
 //! events to the gateways and carries out their actions. The day and the policy determine the course completely.
-//! Decisions are made by [`crate::decider`], and breaches are detected by [`crate::judge`].
+//! Decisions are made by [`crate::decider`], and breaches are detected by [`crate::judge`]. Discovery publishes the
+//! changes of the backend list, or the full list on request. [`crate`] defines the other terms.
 
 pub mod backend;
 pub mod counter;
@@ -147,7 +148,7 @@
     /// Whether the gateway shuts down and receives no new connections.
     shutting_down: bool,
     down_since: Option<Micros>,
-    /// The number of entries of the change log that the gateway has received.
+    /// The number of changes of the backend list that the gateway has received from discovery.
     changes_seen: usize,
     pools: Vec<Pool>,
 }
@@ -242,8 +243,8 @@
     first_tries: Vec<Option<(Micros, bool)>>,
     /// For each customer, the token bucket across all gateways and the number of attempts in flight.
     buckets: Vec<(TokenBucket, u32)>,
-    /// Units that each customer requested in the last second, with exponential decay; read by policies that see the
-    /// true state.
+    /// Units that each customer requested in the last second, with exponential decay. Only policies that see the true
+    /// state ([`crate::decider`]) read these values.
     requested: Vec<f64>,
     /// Changes of backends that discovery has noticed: backend number, state, and time of the last start.
     change_log: Vec<(usize, BackendState, Option<Micros>)>,
@@ -251,7 +252,7 @@
     published: usize,
     /// Whether the next publication is scheduled.
     publishing: bool,
-    /// Time at which discovery has written all full lists that were requested so far.
+    /// Time at which discovery has written all full backend lists that gateways have requested so far.
     discovery_free: f64,
     judge: Judge,
     totals: Totals,
@@ -698,7 +699,7 @@
         }
     }
 
-    /// The full list after the first `upto` changes.
+    /// The full backend list after the first `upto` entries of the change log.
     fn full_list(&self, upto: usize) -> Vec<(usize, BackendState, Option<Micros>)> {
         let mut last: Vec<Option<(usize, BackendState, Option<Micros>)>> = vec![None; self.servers.len()];
         self.change_log[..upto].iter().for_each(|line| last[line.0] = Some(*line));
