--- a/crates/testbed/src/backend.rs
+++ b/crates/testbed/src/backend.rs
@@ -364,7 +364,7 @@
         let warm = (self.started.elapsed().as_secs_f64() / WARMUP.as_secs_f64()).min(1.0);
         let cold = COLD_FACTOR - (COLD_FACTOR - 1.0) * warm;
         let full = if self.slots.available_permits() == 0 { 1.3 } else { 1.0 };
-        // Limit the draw: extreme service times would say more about the random numbers than about the fleet.
+        // Limits the random service time, so that single extreme values do not dominate the results.
         self.mean_service_time.mul_f64((0.3 + 0.7 * drawn).min(6.0) * cold * full)
     }
 }
--- a/crates/testbed/src/changes.rs
+++ b/crates/testbed/src/changes.rs
@@ -12,7 +12,7 @@
     /// Version that the change is based on.
     base: u64,
     valid: bool,
-    /// Versions of the changes whose own routes the configuration contains.
+    /// Versions of the changes whose routes the configuration contains. Each valid change adds one route.
     routes: Vec<u64>,
     sent: u64,
     /// Time of the acknowledgement.
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -44,9 +44,9 @@
 pub struct Program {
     /// The executable.
     pub file: PathBuf,
-    /// Arguments before the name of the plane.
+    /// Arguments before the name of the plane (control or data).
     pub before: Vec<String>,
-    /// Arguments after the name of the plane.
+    /// Arguments after the name of the plane (control or data).
     pub after: Vec<String>,
 }
 
@@ -268,7 +268,7 @@
         let temp_dir = temp_dir.map_err(TestbedError::file(std::env::temp_dir()))?;
         let directory = temp_dir.path();
         let progress = Progress::default();
-        // Derive the addresses from the process id, so that fleets of other processes on this machine use other ones.
+        // Derives the addresses from the process id, so that other fleets on this machine use other addresses.
         let pid = std::process::id();
         let site = Site::find(64 + (pid >> 8) as u8 % 128, pid as u8, u64::from(pid))?;
         let (mut control_planes, mut data_planes) = self.program.start_all(directory, &site)?;
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -150,7 +150,7 @@
         base: u64,
         /// Whether the change is valid.
         valid: bool,
-        /// Versions of the changes whose own routes the configuration contains.
+        /// Versions of the changes whose routes the configuration contains. Each valid change adds one route.
         routes: Vec<u64>,
     },
     /// A change was acknowledged.
--- a/crates/testbed/src/operator.rs
+++ b/crates/testbed/src/operator.rs
@@ -39,7 +39,7 @@
     unresolved: Vec<(u64, Value)>,
 }
 
-/// Versions of the changes whose own routes a configuration contains.
+/// Versions of the changes whose routes the configuration contains. Each valid change adds one route.
 fn routes(of: &Value) -> Vec<u64> {
     let labels = of["route_table"].as_object().into_iter().flat_map(|table| table.keys());
     labels.filter_map(|label| label.strip_prefix("more-")?.parse().ok()).collect()
--- a/crates/testbed/src/trial/environment.rs
+++ b/crates/testbed/src/trial/environment.rs
@@ -45,7 +45,7 @@
     directory: PathBuf,
     /// Control planes by machine. The lock holder controls the process and records its state changes.
     pub control_planes: Vec<Mutex<Process>>,
-    /// Data planes by machine, locked in the same way.
+    /// Data planes by machine. As for control planes, the lock holder controls the process.
     pub data_planes: Vec<Mutex<Process>>,
     /// Backends by slot.
     pub backends: Vec<Mutex<Arc<StandInBackend>>>,
--- a/crates/testbed/src/trial/misbehaving_client.rs
+++ b/crates/testbed/src/trial/misbehaving_client.rs
@@ -14,8 +14,8 @@
 /// Maximum duration of one connection.
 const MAX_CONNECTION_TIME: Duration = Duration::from_secs(2);
 
-/// Runs one misbehaving client until a deadline. Complete requests are recorded; smuggled ones are not, since they must
-/// never run.
+/// Runs one misbehaving client until a deadline. Complete requests are recorded. Smuggled requests are not recorded, so
+/// the judge reports a violation if a backend runs one.
 pub async fn run_rude_client(
     number: u64, seed: u64, fronts: Arc<[SocketAddr]>, history: Arc<History>, until: Instant,
 ) {
--- a/emulator/src/draw.rs
+++ b/emulator/src/draw.rs
@@ -93,7 +93,7 @@
     pub line: f64,
     /// The timeout of callers.
     pub timeout: Micros,
-    /// Time until a lost counter is available again, without its values.
+    /// Time until the counter is available again after a failure, which loses all its values.
     pub back: Micros,
     /// The counter's zone.
     pub zone: usize,
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -181,7 +181,7 @@
     pub line: Span,
     /// The timeout of callers, in ms.
     pub timeout_ms: f64,
-    /// Time until a lost counter is available again, without its values, in s.
+    /// Time until the counter is available again after a failure, which loses all its values, in s.
     pub back_s: Span,
 }
 
