--- a/crates/testbed/src/heartbeats.rs
+++ b/crates/testbed/src/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats of simulated backends to the control planes.
+//! Heartbeats of simulated backends to the control planes. A drain announces that a backend will stop; a departure
+//! announces that the backend stops now.
 
 use crate::control::Control;
 use crate::plan::DRAIN_MS;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -12,7 +12,7 @@
 //! - An *attempt* is one sending of a client's request to a gateway; a client may send several attempts of a request.
 //! - A *pure* request may run more than once; an *effectful* request may not.
 //! - A *backend slot* is a place in a zone that one backend at a time occupies.
-//! - A *drain* announces that a backend will stop; a *departure* announces that the backend has stopped.
+//! - A *drain* announces that a backend will stop; a *departure* announces that the backend stops now.
 //! - A *hollow* data plane or backend only sends and receives control traffic; it serves no requests.
 //! - *Worth* measures the service that clients received: see [`judge::Verdict::worth`].
 
--- a/crates/testbed/src/operator.rs
+++ b/crates/testbed/src/operator.rs
@@ -1,4 +1,5 @@
-//! Simulated operator: sends configuration changes, races of two changes and invalid changes, and reads the result.
+//! Simulated operator: sends configuration changes, races of two changes and invalid changes, and reads the result. A
+//! race is two changes to the same base version, of which the control planes may accept only one.
 
 use crate::backend::request_path;
 use crate::control::Control;
@@ -39,7 +40,7 @@
     unresolved: Vec<(u64, Value)>,
 }
 
-/// Versions of the changes whose routes the configuration contains. Each valid change adds one route.
+/// Versions of the changes whose routes a configuration contains. Each valid change adds one route.
 fn routes(of: &Value) -> Vec<u64> {
     let labels = of["route_table"].as_object().into_iter().flat_map(|table| table.keys());
     labels.filter_map(|label| label.strip_prefix("more-")?.parse().ok()).collect()
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -1,4 +1,5 @@
-//! The machines of the fleet: loopback addresses with the same ports on each, and a settings file per process.
+//! The machines of the fleet: loopback addresses with the same ports on each, and a settings file per process. A
+//! backend slot is a place in a zone that one simulated backend at a time occupies.
 
 use crate::error::TestbedError;
 use crate::plan::{APPLY_MS, DRAIN_MS};
--- a/crates/testbed/src/trial/page.rs
+++ b/crates/testbed/src/trial/page.rs
@@ -1,4 +1,5 @@
-//! The HTML page of a trial: faults and worth over time, latencies, retries, leaders, and versions by control plane.
+//! The HTML page of a trial: faults and worth ([`Verdict::worth`]) over time, latencies, retries, leaders, and
+//! configuration versions by control plane.
 
 use super::schedule::Schedule;
 use crate::history::{End, Event, Record};
--- a/crates/testbed/src/trial/several.rs
+++ b/crates/testbed/src/trial/several.rs
@@ -1,4 +1,5 @@
-//! Runs several trials, some of them in parallel, and summarizes them.
+//! Runs several trials, some of them in parallel, and summarizes them. A trial has no verdict if the testbed itself
+//! failed or ran late.
 
 use super::results::summary_line;
 use super::schedule::Schedule;
--- a/emulator/src/decider.rs
+++ b/emulator/src/decider.rs
@@ -3,7 +3,8 @@
 //! access to the true state read the [`TrueStateView`]; all others must ignore it.
 //!
 //! The true state is the state of the whole simulated world, such as the load of each backend and the quota left to
-//! each customer. Real gateways cannot observe the true state; baselines with access to it bound what is achievable.
+//! each customer. Real gateways cannot observe the true state. The baselines with access to the true state set the top
+//! of the score ([`crate::results::ScoreRange`]).
 
 use crate::draw::{Customer, Micros};
 use doorcourse::{
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -14,7 +14,7 @@
 //! - A *trouble* is a fault that the day injects at a scheduled time.
 //! - A *breach* is one violation of a rule, as found by the judge.
 //! - The *quota* of a customer is a token bucket; an answer to a request beyond the quota earns a reduced worth. The
-//!   *ceiling* is a larger token bucket with a tolerated excess; exceeding the ceiling by more is a breach.
+//!   *ceiling* is a second token bucket with a tolerated excess; exceeding the ceiling by more is a breach.
 //! - The *counter* is a shared service that adds up the units of quota that all gateways took for a customer.
 //! - *Discovery* publishes the list of backends to the gateways. The *front* is the load balancer before the gateways.
 //! - A backend is *cold* from its start until its warm-up ends, and has only a part of its capacity until then.
