--- a/crates/testbed/src/capacity/costs.rs
+++ b/crates/testbed/src/capacity/costs.rs
@@ -168,7 +168,8 @@
             let _ = quota_service.needs_lower_floor();
         },
     );
-    // For each request without a unit, a data plane queries the cache, collects lease requests and checks deadlines.
+    // For each request that finds no unit of quota in the lease cache, a data plane queries the cache, collects lease
+    // requests and checks deadlines.
     let admitted = measure(
         LONG_TURNS,
         || lease_cache(size),
--- a/crates/testbed/src/control.rs
+++ b/crates/testbed/src/control.rs
@@ -35,7 +35,8 @@
         Self { announced: addresses.clone(), addresses, next_index: Arc::default() }
     }
 
-    /// Creates a client that calls relays at `addresses`; redirects to an address in `announced` also go through its relay.
+    /// Creates a client that calls the relays at `addresses`. When a control plane redirects the client to an address
+    /// in `announced`, the client calls the relay with the same index.
     pub fn via_relays(
         addresses: impl Into<Arc<[SocketAddr]>>, announced: impl Into<Arc<[SocketAddr]>>,
     ) -> Self {
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -117,7 +117,7 @@
 
     /// Kills the process, even if it is suspended, and waits until it has exited.
     pub async fn kill(&mut self) {
-        // Read the processor time first: it vanishes with the process.
+        // Reads the processor time first, because the kernel discards the figure when the process is reaped.
         self.cpu_time = self.cpu_time();
         if let Some(mut child) = self.child.take() {
             signal(self.pid, Signal::KILL);
@@ -173,7 +173,7 @@
     if rest.trim_start().starts_with('Z') {
         return None;
     }
-    // The first field is the state, a letter; some other fields are negative. Both are read as 0.
+    // The first field is a letter, the process state, and some other fields are negative. All of these are read as 0.
     Some(rest.split_whitespace().map(|field| field.parse().unwrap_or(0)).collect())
 }
 
@@ -184,7 +184,7 @@
     Some(Duration::from_secs_f64(ticks as f64 / rustix::param::clock_ticks_per_second() as f64))
 }
 
-/// Start time in clock ticks since boot. Together with the process id it identifies a process uniquely.
+/// Start time in clock ticks since boot. Start time and process id together identify a process uniquely.
 pub fn start_ticks(pid: u32) -> Option<u64> {
     proc_stat(pid)?.get(19).copied()
 }
--- a/crates/testbed/src/trial/page.rs
+++ b/crates/testbed/src/trial/page.rs
@@ -113,7 +113,8 @@
     vec![("median".to_owned(), at(0.5)), ("p95".to_owned(), at(0.95))]
 }
 
-/// Per second: retries by clients, and further arrivals of attempts that had arrived before.
+/// Per second: retries by clients, and further arrivals at backends of attempts that had arrived at a backend before,
+/// which are retries by data planes.
 fn retries(records: &[Record], load_start: u64) -> Vec<Series> {
     let mut per_second: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
     let mut seen_once = HashSet::new();
--- a/emulator/src/draw.rs
+++ b/emulator/src/draw.rs
@@ -420,7 +420,7 @@
         };
         let mut backends: Vec<_> =
             (0..random.integer_within(scenario.backends)).map(|n| new_backend(&mut random, n)).collect();
-        // Zones are about even: backends are assigned round-robin, with an offset that depends on the seed.
+        // Distributes the backends evenly over the zones: round-robin, with a random offset.
         let offset = random.below(zones);
         backends.iter_mut().enumerate().for_each(|(n, b)| b.zone = (n + offset) % zones);
         let gateways: Vec<usize> =
@@ -599,7 +599,7 @@
         }
         for trouble in &troubles {
             match trouble.kind {
-                // The load is a rate per second: one to three customers add a share of the total rate.
+                // One to three customers together request 2.5 * `size` times the demand within the quotas.
                 Kind::HotCustomer => {
                     let hot = 1 + random.below(3);
                     for _ in 0..hot {
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -86,7 +86,7 @@
 /// One try of a client.
 #[derive(Clone, Debug)]
 pub struct Try {
-    /// The number of the first try that this one repeats, or of itself.
+    /// Index in [`Day::first_tries`] of the first try that this try is or repeats.
     pub first_try: u32,
     /// The number of retries before this try.
     pub number: u32,
@@ -203,7 +203,8 @@
 pub struct Record {
     /// All tries, in the order in which clients sent them.
     pub tries: Vec<Try>,
-    /// For each first try: when the answer in time arrived, and whether the served try was inside the quota.
+    /// For each first try that was answered within the target latency: the time of the answer, and whether the answered
+    /// try was within the quota. `None` for all other first tries.
     pub served: Vec<Option<(Micros, bool)>>,
     /// The totals.
     pub totals: Totals,
@@ -531,7 +532,7 @@
                     if begins {
                         self.kill_gateway(gateway);
                     } else {
-                        // Machines do not come back at the same instant.
+                        // The gateways restart at different times within half a second.
                         let at = self.now + (self.net.unit() * 500_000.0) as Micros;
                         self.schedule(at, SimEvent::GatewayStarts(gateway));
                     }
@@ -864,7 +865,8 @@
         }
     }
 
-    /// Passes an event to a gateway and carries out its actions. Events that follow at once are queued.
+    /// Passes an event to a gateway and carries out the gateway's actions. Events that these actions cause immediately
+    /// are queued for the gateway.
     fn deliver(&mut self, gateway: usize, event: Event) {
         let trigger = match &event {
             Event::Request(_) => Trigger::Arrival,
@@ -931,7 +933,8 @@
                     let what = "set a timer that never ends".into();
                     return self.judge.record_breach(now, gateway, None, Rule::Protocol, what);
                 }
-                // The timer fires at its time or later, never earlier: the gateway's clock is finer than the world's.
+                // Rounds up to whole microseconds: the gateway's clock has a finer resolution than the simulation, and
+                // a timer must not fire early.
                 let wait = (after.max(0.0) * 1000.0).ceil() as Micros;
                 self.schedule(now + wait.max(1), SimEvent::Timer(gateway, incarnation, token));
             }
