--- a/crates/testbed/src/capacity/costs.rs
+++ b/crates/testbed/src/capacity/costs.rs
@@ -1,4 +1,7 @@
 //! Processor time of single steps on one thread.
+//!
+//! A quota holder is the control plane that grants units of quota (leases) to data planes. A floor is a level in the
+//! replicated log below which no grant takes a tenant's quota counter; see the `quota` crate.
 
 use super::messages::{changed, lease_request};
 use super::samples::{backend, backend_id, backends, configuration_bytes, gateway_name, quotas, tenant_name};
@@ -165,7 +168,8 @@
             let _ = quota_service.needs_lower_floor();
         },
     );
-    // For each request without a unit, a data plane queries the cache, collects lease requests and checks deadlines.
+    // For each request that finds no unit of quota in the lease cache, a data plane queries the cache, collects lease
+    // requests and checks deadlines.
     let admitted = measure(
         LONG_TURNS,
         || lease_cache(size),
--- a/crates/testbed/src/changes.rs
+++ b/crates/testbed/src/changes.rs
@@ -1,4 +1,5 @@
-//! The operator's configuration changes: which of them may be in force at a given time.
+//! The operator's configuration changes: which of them may be in force at a given time. Each change adds a route; a
+//! probe requests this route to find out whether the change is in force.
 
 use crate::history::{Event, Record};
 use crate::judge::{Rule, TimeBounds, Violations};
@@ -11,7 +12,7 @@
     /// Version that the change is based on.
     base: u64,
     valid: bool,
-    /// Versions of the changes whose own routes the configuration contains.
+    /// Versions of the changes whose routes the configuration contains. Each valid change adds one route.
     routes: Vec<u64>,
     sent: u64,
     /// Time of the acknowledgement.
--- a/crates/testbed/src/judge.rs
+++ b/crates/testbed/src/judge.rs
@@ -2,16 +2,16 @@
 //! observed and what the testbed itself did, never statements of the processes under test. Each violation names the
 //! rule, the time, the parties involved and the active faults.
 //!
-//! Rules with a time bound apply to undisturbed machines only: for [`TimeBounds::contact`], no process of the machine
-//! or of a control plane's machine was killed, started or stopped, and no link of these had a fault. Duplicate runs,
-//! forged answers, runs of refused requests, and excess over a quota or a retry budget are violations even while faults
-//! are active.
+//! Rules with a time bound apply to undisturbed machines only. A machine is undisturbed when, for at least
+//! [`TimeBounds::contact`], no process of the machine or of a machine with a control plane was killed, started or
+//! stopped, and no link of these machines had a fault. Duplicate runs, forged answers, runs of refused requests, and
+//! excess over a quota or a retry budget are violations even while faults are active.
 //!
 //! Terms: an attempt is one sending of a client's request to a gateway; a request has several attempts if the client
 //! retries. An attempt runs when a backend processes it. An effectful request must run at most once, a pure request may
 //! run several times. A seal ([`seal`]) is a header value by which a backend proves that it answered an attempt. Worth
-//! measures the service that clients received: each request within its tenant's quota is owed 1 and earns 1, 0.5 or 0,
-//! depending on its outcome ([`Verdict::worth`]).
+//! measures the service that clients received: the fleet owes 1 for each request within the tenant's quota, and the
+//! request earns 1, 0.5 or 0, depending on its outcome ([`Verdict::worth`]).
 
 use crate::backend::is_valid_seal;
 pub use crate::backend::seal;
@@ -140,9 +140,9 @@
     pub uses: Vec<QuotaUse>,
     /// Delays that the machine may have caused; they do not count as violations.
     pub late: Vec<String>,
-    /// Worth owed and worth earned per bucket of [`BUCKET_US`], by the due time of requests. Each request within its
-    /// tenant's quota is owed 1. The request earns 1 if served within the latency goal of its kind, 0.5 if served later,
-    /// and 0 otherwise.
+    /// Worth owed and worth earned per bucket of [`BUCKET_US`], by the due time of requests. The fleet owes 1 for each
+    /// request within its tenant's quota. The request earns 1 if served within the latency goal of its kind, 0.5 if
+    /// served later, and 0 otherwise.
     pub worth: Vec<(f64, f64)>,
 }
 
@@ -159,7 +159,8 @@
     }
 }
 
-/// A fault, or the downtime of a process, with the affected machines. A downtime that begins with SIGTERM is planned.
+/// A fault, or the downtime of a process, with the affected machines. A downtime that begins with SIGTERM is planned,
+/// because the process can shut down gracefully.
 struct Disruption {
     begin: u64,
     end: u64,
@@ -500,7 +501,8 @@
         }
     }
 
-    /// Checks that effectful requests ran at most once, and that refused ones did not run at all, not even later.
+    /// Checks that effectful attempts ran at most once, and that refused effectful attempts did not run at all, neither
+    /// before nor after the refusal.
     fn check_effectful(&mut self) {
         let mut effectful: Vec<_> = self.attempts.iter().filter(|(_, attempt)| !attempt.pure).collect();
         effectful.sort_unstable_by_key(|(id, attempt)| (attempt.sent, **id));
@@ -523,7 +525,8 @@
             arrived.sort_unstable();
             let bound = quota_bound(tenant.rate, tenant.burst);
             let (ran, peak) = (arrived.len() as u64, max_within(&arrived, QUOTA_WINDOW));
-            // Requests that a fault delayed arrive together although clients sent them over a longer time.
+            // A fault can delay requests so that they arrive together although clients sent them over a longer time. An
+            // excess is therefore a violation only if clients also sent the requests within one window.
             if peak > bound && max_sent_and_run_within(pairs, QUOTA_WINDOW) > bound {
                 let at = arrived.last().copied().unwrap_or_default();
                 let label = tenant.label;
--- a/crates/testbed/src/trial/environment.rs
+++ b/crates/testbed/src/trial/environment.rs
@@ -1,4 +1,5 @@
 //! The environment of a trial: processes, simulated parties and the relays between them, and how faults are injected.
+//! A backend slot is a place in a zone that one backend at a time occupies.
 
 use super::misbehaving_client::run_rude_client;
 use super::parties::{Party, ZONES_OF_BACKENDS};
@@ -44,7 +45,7 @@
     directory: PathBuf,
     /// Control planes by machine. The lock holder controls the process and records its state changes.
     pub control_planes: Vec<Mutex<Process>>,
-    /// Data planes by machine, locked in the same way.
+    /// Data planes by machine. As for control planes, the lock holder controls the process.
     pub data_planes: Vec<Mutex<Process>>,
     /// Backends by slot.
     pub backends: Vec<Mutex<Arc<StandInBackend>>>,
--- a/crates/testbed/src/trial/page.rs
+++ b/crates/testbed/src/trial/page.rs
@@ -1,4 +1,5 @@
-//! The HTML page of a trial: faults and worth over time, latencies, retries, leaders, and versions by control plane.
+//! The HTML page of a trial: faults and worth ([`Verdict::worth`]) over time, latencies, retries, leaders, and
+//! configuration versions by control plane.
 
 use super::schedule::Schedule;
 use crate::history::{End, Event, Record};
@@ -112,7 +113,8 @@
     vec![("median".to_owned(), at(0.5)), ("p95".to_owned(), at(0.95))]
 }
 
-/// Per second: retries by clients, and further arrivals of attempts that had arrived before.
+/// Per second: retries by clients, and further arrivals at backends of attempts that had arrived at a backend before,
+/// which are retries by data planes.
 fn retries(records: &[Record], load_start: u64) -> Vec<Series> {
     let mut per_second: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
     let mut seen_once = HashSet::new();
--- a/emulator/src/decider.rs
+++ b/emulator/src/decider.rs
@@ -1,6 +1,10 @@
 //! The decision makers of simulated gateways: the library's decisions, and baseline policies to compare them with.
 //! Every decision maker receives the same events and returns the same kinds of action. Only the policies with
 //! access to the true state read the [`TrueStateView`]; all others must ignore it.
+//!
+//! The true state is the state of the whole simulated world, such as the load of each backend and the quota left to
+//! each customer. Real gateways cannot observe the true state. The baselines with access to the true state set the top
+//! of the score ([`crate::results::ScoreRange`]).
 
 use crate::draw::{Customer, Micros};
 use doorcourse::{
@@ -13,7 +17,7 @@
 /// The true state of the simulated world, which no real gateway can observe.
 #[derive(Clone, Debug, Default)]
 pub struct TrueState {
-    /// The true token bucket of each customer, by customer number.
+    /// The token bucket of each customer across all gateways, by customer number.
     pub buckets: Vec<TrueQuota>,
     /// Requests held by each backend per unit of its capacity; infinite for a backend that cannot serve.
     pub loads: Vec<f64>,
@@ -107,7 +111,7 @@
     /// Calls the counter for every try and admits the try if the window's total is within the burst. Without an
     /// answer it admits the try.
     CountEach,
-    /// Admits requests that the customer's true token bucket covers.
+    /// Admits requests that the customer's token bucket across all gateways covers.
     TrueState(StateView),
 }
 
@@ -173,7 +177,7 @@
     backends: BTreeMap<Name, BackendView>,
     requests: BTreeMap<RequestId, PendingRequest>,
     buckets: HashMap<Name, (f64, Millis)>,
-    /// Tries that wait for the counter's answer under this name, in the order of the calls.
+    /// By name of the counter value: the tries that wait for the counter's answer, in the order of the calls.
     pending_counts: HashMap<u64, Vec<(RequestId, f64)>>,
 }
 
@@ -219,8 +223,8 @@
                 let unknown = TrueQuota { held: plan.burst, ..TrueQuota::default() };
                 let seen = number.and_then(|n| view.state.buckets.get(n)).copied().unwrap_or(unknown);
                 let has_slot = plan.open == 0 || seen.in_flight < plan.open;
-                // With a delayed state, admits a random share of the requests: the share that the token bucket can cover
-                // until the state is up to date.
+                // With a delayed state, the policy admits a random share of the requests: the share that the units in
+                // the token bucket and the refill during the delay can cover.
                 let age_s = DELAYED_VIEW_AGE as f64 / 1e6;
                 let admit_share = (seen.held - 0.5 + plan.rate * age_s) / (seen.requested * age_s).max(1e-9);
                 let fits =
@@ -245,8 +249,8 @@
         let random = self.random_unit();
         let count = self.backends.len().max(1);
         let start = (random * count as f64) as usize;
-        // With a delayed state, compares two backends only: otherwise every gateway would pick the same backends from
-        // the same stale order.
+        // With a delayed state, the policy compares only two randomly chosen backends. Otherwise every gateway would
+        // choose the same backends, because all gateways see the same outdated loads.
         let candidates = if self.admission == Admission::TrueState(StateView::Delayed) { 2 } else { count };
         let usable = |(_, k): &(&Name, &BackendView)| k.ready && now >= k.avoid_until;
         let step = 1 + (random * 7919.0) as usize % 17;
--- a/emulator/src/draw.rs
+++ b/emulator/src/draw.rs
@@ -93,7 +93,7 @@
     pub line: f64,
     /// The timeout of callers.
     pub timeout: Micros,
-    /// Time until a lost counter is available again, without its values.
+    /// Time until the counter is available again after a failure, which loses all its values.
     pub back: Micros,
     /// The counter's zone.
     pub zone: usize,
@@ -106,7 +106,7 @@
     pub name: Name,
     /// The backend's zone.
     pub zone: usize,
-    /// The backend's cell.
+    /// Number of the backend's cell, a group of four backends with consecutive numbers.
     pub cell: u64,
     /// Cores times speed, in core milliseconds of work per millisecond.
     pub speed: f64,
@@ -316,7 +316,8 @@
     }
 }
 
-/// The true token bucket of a customer's quota.
+/// Token bucket of a customer's quota across all gateways. No real gateway can observe this bucket, because each
+/// gateway receives only a part of the customer's requests.
 #[derive(Clone, Debug, Default)]
 pub struct TokenBucket {
     /// The units in the bucket.
@@ -419,7 +420,7 @@
         };
         let mut backends: Vec<_> =
             (0..random.integer_within(scenario.backends)).map(|n| new_backend(&mut random, n)).collect();
-        // Zones are about even: backends are assigned round-robin, with an offset that depends on the seed.
+        // Distributes the backends evenly over the zones: round-robin, with a random offset.
         let offset = random.below(zones);
         backends.iter_mut().enumerate().for_each(|(n, b)| b.zone = (n + offset) % zones);
         let gateways: Vec<usize> =
@@ -598,7 +599,7 @@
         }
         for trouble in &troubles {
             match trouble.kind {
-                // The load is a rate per second: one to three customers add a share of the total rate.
+                // One to three customers together request 2.5 * `size` times the demand within the quotas.
                 Kind::HotCustomer => {
                     let hot = 1 + random.below(3);
                     for _ in 0..hot {
@@ -762,7 +763,8 @@
     }
 }
 
-/// A step that visits every position of a ring before any position twice.
+/// Step width through a ring of `places` positions. The width has no common divisor with `places`, so the steps visit
+/// every position before they visit any position twice.
 fn ring_step(places: usize, chance: u64) -> usize {
     let has_common_divisor = |mut a: usize, mut b: usize| {
         while b > 0 {
--- a/emulator/src/results.rs
+++ b/emulator/src/results.rs
@@ -1,6 +1,9 @@
 //! Result files: one JSON object per line. The first line is a head with the planned days; then the days follow in
 //! the planned order, each written when it and all days before it are complete. A truncated file can still be read,
 //! and reports how many days are missing.
+//!
+//! Terms: G is the result of a day's books ([`crate::books`]). A baseline is a simple policy to compare the library's
+//! decisions with ([`crate::decider`]). The score of a day places G between a floor and a top, both from baselines.
 
 use crate::books::Books;
 use crate::judge::Breach;
@@ -41,7 +44,8 @@
 /// The floor and the top of a day's score, derived from the baselines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScoreRange {
-    /// G when all requests are admitted; 0 if that is higher or if a ceiling is exceeded.
+    /// G of the baseline that admits all requests, but at least 0, and 0 if this baseline exceeds a ceiling. The floor
+    /// is raised where the distance to the top would be too large ([`crate::experiment::score_range`]).
     pub floor: f64,
     /// The mean of G with the current and with the delayed true state.
     pub top: f64,
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -1,5 +1,9 @@
 //! Scenarios: the parameters of a site as ranges, and the size and troubles of a day. Both are TOML files. Every
 //! error names the position in the file, and an invalid file starts nothing.
+//!
+//! Terms: a site is the environment of the fleet (network, clients, backends, counter, plans, rules and prices). A
+//! trouble is a fault at a scheduled time. A plan is a customer's tariff: a quota as a token bucket of units (one per
+//! request), and optionally a ceiling that no customer may exceed. [`crate`] defines try, attempt, worth and cold.
 
 pub use fault_injection::Span;
 use serde::de::{Deserializer, Error as _};
@@ -177,7 +181,7 @@
     pub line: Span,
     /// The timeout of callers, in ms.
     pub timeout_ms: f64,
-    /// Time until a lost counter is available again, without its values, in s.
+    /// Time until the counter is available again after a failure, which loses all its values, in s.
     pub back_s: Span,
 }
 
@@ -344,7 +348,8 @@
     pub counter: f64,
     /// The price of one new connection per first try.
     pub handshake: f64,
-    /// The share of its worth that a try costs when it is answered unsent after more than half of its time.
+    /// The share of its worth that a try costs when the gateway ends the try without an attempt, after more than half
+    /// of the time that the client waits.
     pub held_back: f64,
 }
 
--- a/emulator/src/trial/judge.rs
+++ b/emulator/src/trial/judge.rs
@@ -2,6 +2,12 @@
 //! stand-ins recorded, not on claims of the gateways; only the checks of duties use the gateways' own records. Each
 //! violation names the rule, the time, the parties and the active faults.
 //!
+//! Terms: a duty is a named role that at most one gateway performs at a time, under a fencing token. A takeover is the
+//! change of a duty to a new fencing token. The quota of a customer is a token bucket; excess over a quota is counted,
+//! but violates no rule. The ceiling is a second token bucket with a tolerated excess; exceeding the ceiling by more
+//! violates a rule. A cold backend has restarted and has not reached its full speed yet. A void trial has no verdict,
+//! for example because a fault could not be injected.
+//!
 //! The judge excuses failures that the injected faults may have caused. A request may be lost if its link or its
 //! gateway process was faulty while the request was outstanding. A discovery list that a fault may have delayed counts
 //! as received only once the gateway confirms its version. The judge never excuses a request that ran twice, a forged
@@ -315,7 +321,7 @@
 /// State of a backend as a gateway knows it from discovery.
 #[derive(Clone, Copy, Default)]
 struct KnownBackend {
-    /// Time since which the gateway knows that the backend accepts no new requests.
+    /// Time at which the gateway was notified that the backend accepts no new requests.
     unusable_since: Option<u64>,
     born_ms: u64,
 }
@@ -435,9 +441,9 @@
                 tally[4] += 1;
                 *at > limit
             }
-            // A gateway may close an idle connection while a client writes a request to the connection; the gateway
-            // does not read that request. If a new connection closes before the gateway forwards its first request,
-            // the request has failed; a few of these per trial do not count as lost.
+            // A gateway may close an idle connection while a client writes a request to the connection. The gateway
+            // does not read this request, so the request is not lost. If a new connection closes before the gateway
+            // forwards the first request, the request has failed; a few such requests per trial do not count as lost.
             Ended::Broken { fresh } => {
                 tally[4] += 1;
                 if *fresh && record.arrived.is_empty() && !excused {
@@ -484,7 +490,7 @@
 /// Checks that draining backends receive no new requests, and that gateways together do not overload cold backends.
 fn check_backends(judge: &mut Judge<'_>, lines: &[Line], records: &HashMap<&str, RequestRecord>) {
     let mut known_backends: HashMap<(usize, usize), KnownBackend> = HashMap::new();
-    // Discovery lists that a fault may have delayed, until the gateway confirms their version.
+    // Discovery lists that a fault may have delayed. A list is kept here until the gateway confirms the list's version.
     let mut unconfirmed: Vec<(usize, u64, Vec<Entry>)> = Vec::new();
     // Version of the newest list that each gateway is known to have. An older list does not replace a newer one.
     let mut newest: HashMap<usize, u64> = HashMap::new();
@@ -603,8 +609,8 @@
         let sum: f64 = self.sent.iter().map(|(_, work, ..)| work).sum();
         let speed_share = |at: u64| warmth(Duration::from_micros(at.saturating_sub(self.born)));
         let mean = (speed_share(at.saturating_sub(window)) + speed_share(at)) / 2.0;
-        // Slack for random variation: three standard deviations of the sum of this many exponentially distributed
-        // values.
+        // Slack for random variation: three standard deviations of the sum of as many exponentially distributed values
+        // as requests arrived in the window.
         let slack = 3.0 * sum / (self.sent.len() as f64).sqrt();
         let allowed = multiple * mean * OVERLOAD_LIMIT.0.as_secs_f64() * 1000.0 + slack;
         if sum <= allowed {
@@ -746,7 +752,7 @@
     let bucket_index = |stamp: u64| (stamp / BUCKET_US) as usize;
     let first_due = lines.iter().find(|line| matches!(line.seen, Seen::Due { .. })).map_or(0, |line| line.at);
     let first = judge.faults.all.iter().map(|(_, begin, _)| *begin).min();
-    // The first second is excluded: connections and counter blocks are not established yet.
+    // The first second is excluded: the gateways have neither backend connections nor quota from the counter yet.
     let before = first
         .and_then(|first| share(bucket_index(first_due) + WINDOW_BUCKETS, bucket_index(first)))
         .filter(|share| *share > 0.0);
--- a/emulator/src/world/mod.rs
+++ b/emulator/src/world/mod.rs
@@ -1,6 +1,7 @@
 //! The simulated world: clients, network, gateways, backends, discovery, counter and troubles. The world passes
 //! events to the gateways and carries out their actions. The day and the policy determine the course completely.
-//! Decisions are made by [`crate::decider`], and breaches are detected by [`crate::judge`].
+//! Decisions are made by [`crate::decider`], and breaches are detected by [`crate::judge`]. Discovery publishes the
+//! changes of the backend list, or the full list on request. [`crate`] defines the other terms.
 
 pub mod backend;
 pub mod counter;
@@ -85,7 +86,7 @@
 /// One try of a client.
 #[derive(Clone, Debug)]
 pub struct Try {
-    /// The number of the first try that this one repeats, or of itself.
+    /// Index in [`Day::first_tries`] of the first try that this try is or repeats.
     pub first_try: u32,
     /// The number of retries before this try.
     pub number: u32,
@@ -104,7 +105,8 @@
     pub inside: Option<bool>,
     /// The event that triggered the first send.
     pub send_trigger: Trigger,
-    /// For a try that was ended unsent: the customer's token bucket, and whether its limit of open attempts had room.
+    /// For a try that the gateway ended without an attempt: the units in the customer's token bucket, and whether the
+    /// customer's limit of open attempts permitted another attempt.
     pub bucket: Option<(f64, bool)>,
     /// The retry delay that the gateway advised.
     pub advice: Micros,
@@ -146,7 +148,7 @@
     /// Whether the gateway shuts down and receives no new connections.
     shutting_down: bool,
     down_since: Option<Micros>,
-    /// The number of entries of the change log that the gateway has received.
+    /// The number of changes of the backend list that the gateway has received from discovery.
     changes_seen: usize,
     pools: Vec<Pool>,
 }
@@ -201,7 +203,8 @@
 pub struct Record {
     /// All tries, in the order in which clients sent them.
     pub tries: Vec<Try>,
-    /// For each first try: when the answer in time arrived, and whether the served try was inside the quota.
+    /// For each first try that was answered within the target latency: the time of the answer, and whether the answered
+    /// try was within the quota. `None` for all other first tries.
     pub served: Vec<Option<(Micros, bool)>>,
     /// The totals.
     pub totals: Totals,
@@ -239,10 +242,10 @@
     tries: Vec<Try>,
     /// For each first try, the values of [`Record::served`].
     first_tries: Vec<Option<(Micros, bool)>>,
-    /// For each customer, the true token bucket and the number of attempts in flight.
+    /// For each customer, the token bucket across all gateways and the number of attempts in flight.
     buckets: Vec<(TokenBucket, u32)>,
-    /// Units that each customer requested in the last second, with exponential decay; read by policies that see the
-    /// true state.
+    /// Units that each customer requested in the last second, with exponential decay. Only policies that see the true
+    /// state ([`crate::decider`]) read these values.
     requested: Vec<f64>,
     /// Changes of backends that discovery has noticed: backend number, state, and time of the last start.
     change_log: Vec<(usize, BackendState, Option<Micros>)>,
@@ -250,7 +253,7 @@
     published: usize,
     /// Whether the next publication is scheduled.
     publishing: bool,
-    /// Time at which discovery has written all full lists that were requested so far.
+    /// Time at which discovery has written all full backend lists that gateways have requested so far.
     discovery_free: f64,
     judge: Judge,
     totals: Totals,
@@ -529,7 +532,7 @@
                     if begins {
                         self.kill_gateway(gateway);
                     } else {
-                        // Machines do not come back at the same instant.
+                        // The gateways restart at different times within half a second.
                         let at = self.now + (self.net.unit() * 500_000.0) as Micros;
                         self.schedule(at, SimEvent::GatewayStarts(gateway));
                     }
@@ -697,7 +700,7 @@
         }
     }
 
-    /// The full list after the first `upto` changes.
+    /// The full backend list after the first `upto` entries of the change log.
     fn full_list(&self, upto: usize) -> Vec<(usize, BackendState, Option<Micros>)> {
         let mut last: Vec<Option<(usize, BackendState, Option<Micros>)>> = vec![None; self.servers.len()];
         self.change_log[..upto].iter().for_each(|line| last[line.0] = Some(*line));
@@ -731,8 +734,8 @@
         self.deliver(gateway, event);
     }
 
-    /// Discovery writes full lists one after another at a limited rate. A gateway that would wait too long retries
-    /// later.
+    /// Discovery writes full backend lists one after another at a limited rate. A gateway retries later if its list
+    /// would take too long.
     fn request_full_list(&mut self, gateway: usize, incarnation: u32) {
         if !self.is_alive(gateway, incarnation) {
             return;
@@ -862,7 +865,8 @@
         }
     }
 
-    /// Passes an event to a gateway and carries out its actions. Events that follow at once are queued.
+    /// Passes an event to a gateway and carries out the gateway's actions. Events that these actions cause immediately
+    /// are queued for the gateway.
     fn deliver(&mut self, gateway: usize, event: Event) {
         let trigger = match &event {
             Event::Request(_) => Trigger::Arrival,
@@ -929,7 +933,8 @@
                     let what = "set a timer that never ends".into();
                     return self.judge.record_breach(now, gateway, None, Rule::Protocol, what);
                 }
-                // The timer fires at its time or later, never earlier: the gateway's clock is finer than the world's.
+                // Rounds up to whole microseconds: the gateway's clock has a finer resolution than the simulation, and
+                // a timer must not fire early.
                 let wait = (after.max(0.0) * 1000.0).ceil() as Micros;
                 self.schedule(now + wait.max(1), SimEvent::Timer(gateway, incarnation, token));
             }
@@ -954,9 +959,9 @@
         }
     }
 
-    /// Broadcasts a gateway's observation of a backend in the group. The report reaches each gateway that no
-    /// partition separates from the sender, after a random delay of its own for report, log entry and watch. The
-    /// loss of the group's majority and the rate limits of reports are not modelled.
+    /// Broadcasts a gateway's health report about a backend to the other gateways, except those behind a partition.
+    /// Each receiver gets the report after its own random delay, which covers the report, its entry in the group's log
+    /// and the notification of the receiver. Loss of the group's majority and rate limits of reports are not modelled.
     fn report_to_peers(&mut self, gateway: usize, backend: &Name, down: bool) {
         let Some(delay) = self.day.source.peer_report_ms else { return };
         let Some(number) = self.backends.get(backend).copied() else { return };
@@ -992,7 +997,8 @@
                 self.day.gateway_of(customer, self.now, random)
             }
         };
-        // The front skips gateways that it knows to be down, and moves traffic away from a zone as a trouble requires.
+        // The front (the load balancer) skips gateways that it has detected as down. During a trouble of the kind
+        // [`Kind::ZoneShift`], the front also moves a share of the traffic away from the affected zone.
         for _ in 0..8 {
             let down = self.gateways[gateway].down_since;
             let noticed = down.is_some_and(|since| {
@@ -1123,7 +1129,7 @@
         }
     }
 
-    /// The plan and the true token bucket of a first try's customer, refilled up to now.
+    /// The plan of a first try's customer, and the customer's token bucket across all gateways, refilled up to now.
     fn quota_store(&mut self, first_try: usize) -> (&'a doorcourse::Plan, f64) {
         let customer = self.day.first_tries[first_try].customer as usize;
         let plan = &self.day.settings.plans[self.day.customers[customer].plan];
