--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -169,7 +169,7 @@
     pub pure: bool,
     /// Maximum time for which a request may be held.
     pub deadline: Duration,
-    /// Response time up to which an answer has its full worth.
+    /// Latency goal: response time up to which an answer has its full value for the client.
     pub goal: Duration,
     /// Priority; 0 is the highest and the default.
     pub rank: u32,
@@ -452,7 +452,7 @@
         Some(goal)
     });
     let rank = cursor.optional("rank").map_or(Some(0), |cursor| cursor.integer(issues));
-    // The specification allows 0, but a route whose requests may not be sent anywhere would be useless.
+    // The specification allows 0, but the requests of such a route could not be sent to any backend.
     let max_tries = cursor
         .required("max_tries", issues)
         .and_then(|cursor| cursor.integer(issues))
--- a/crates/data-plane/src/backend_protocol.rs
+++ b/crates/data-plane/src/backend_protocol.rs
@@ -1,4 +1,7 @@
 //! The HTTP conventions between gateway and backends, and the interpretation of backend answers.
+//!
+//! A sealed answer carries a header by which the backend itself, and no intermediary, marks the answer as its own. An
+//! answer also echoes the id of its request. A framed answer has a `Content-Length`, chunked encoding or no body.
 
 use crate::headers::{
     ATTEMPT_ID, DEADLINE_LEFT, INSTANCE_ID, NOT_EXECUTED, SEAL, TARGET_INSTANCE, TENANT, keep_alive_timeout,
@@ -18,8 +21,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The gateway keeps an idle connection for at most this share of the backend's own idle timeout, so that a request
-/// never crosses the backend's close.
+/// The gateway keeps an idle connection for at most this share of the backend's own idle timeout, so that the backend
+/// does not close a connection while the gateway sends a request on it.
 const IDLE_TIMEOUT_RATIO: f64 = 0.5;
 
 /// The longest idle timeout of a connection to a backend, since unused connections cost both sides resources.
@@ -138,7 +141,7 @@
                 (Outcome::Full, false)
             }
             _ if misdirected => (Outcome::Full, false),
-            // These statuses promise the client that the request did not run, but the backend made no such promise.
+            // Clients read these statuses as "did not run", but the backend's `NOT_EXECUTED` header is missing.
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS | StatusCode::REQUEST_TIMEOUT
                 if !not_run =>
             {
--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -1,4 +1,7 @@
 //! The state of the data plane: the configuration in force, the backend instances and the engine of each service.
+//!
+//! An engine is an instance of the `doorcourse` decision engine: it chooses backends and decides about retries and the
+//! ejection of backends. A request class groups requests that the engine treats alike (see `ClassKey`).
 
 use crate::backend_protocol::BackendProtocol;
 use crate::frontend::Frontend;
@@ -23,7 +26,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
 
-/// The connect timeout to a backend. A machine that does not accept within this time is considered unreachable.
+/// The timeout for connecting to a backend. A machine that does not accept within this time counts as unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The idle time after which a backend is assumed to close a connection if its answers carry no `Keep-Alive`. The
 /// connection pool reuses a connection only during the first half of this time.
@@ -34,8 +37,8 @@
 const CLIENT_FD_RATIO: f64 = 0.55;
 /// The number of connections to one backend that is always allowed, however low `max_conns` is.
 const MIN_CONNECTIONS_PER_BACKEND: usize = 2;
-/// How often the engine is notified again of backends with overdue heartbeats. The engine's own observations take
-/// precedence over such a notice, and those observations may have changed meanwhile.
+/// How often the engine is notified again of backends with overdue heartbeats. The engine's own
+/// observations take precedence over a notice, so a repeated notice takes effect once the observations have changed.
 const OVERDUE_REMINDER_INTERVAL: Duration = Duration::from_secs(1);
 /// The maximum number of attempts per request, including attempts that never reached a backend. The bound of the route,
 /// `max_tries`, is lower and counts only the backends that were reached.
@@ -44,7 +47,7 @@
 const COLD_CAPACITY_RATIO: f64 = 0.3;
 /// The longest retry delay that the engine suggests, in ms. The frontend adapts the delay to each request.
 const MAX_RETRY_AFTER_MS: f64 = 1000.0;
-/// The name of the engine's only rate plan. Tenants are metered before, by the host's `Admission`.
+/// The name of the engine's only rate plan. The host's `Admission` applies the tenants' quotas before the engine.
 pub const PLAN_NAME: &str = "all";
 
 /// What distinguishes request classes: whether the route is pure, the latency goal in ms, and the rank up to
--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -1,5 +1,8 @@
 //! The client side: accepts connections, applies admission, forwards requests through the engines, writes the answers,
 //! and drains connections at shutdown.
+//!
+//! Admission takes one unit of the tenant's quota for each request. A route's latency goal is the configured response
+//! time up to which an answer has its full value for the client.
 
 use crate::backend_protocol::BackendProtocol;
 use crate::data_plane::{DataPlane, PLAN_NAME, Service};
@@ -50,7 +53,7 @@
 /// service level; the goal is not known at that point, but few goals are shorter than four times this value.
 const CONFIG_WAIT: Duration = Duration::from_millis(100);
 /// The range of the retry delay while there is no configuration. If all processes were down, a leader has to be elected
-/// first, and clients retry only a few times.
+/// first, and clients give up after a few retries.
 const UNCONFIGURED_RETRY_AFTER: (Duration, Duration) =
     (Duration::from_millis(300), Duration::from_millis(500));
 /// The retry delay if the decision on a quota unit does not arrive in time.
@@ -178,7 +181,7 @@
                 data_plane.figures().usage().request_received();
                 let mut response = data_plane.handle(request, arrived).await;
                 let headers = response.headers_mut();
-                // Closing sends the client to another gateway, or makes room for other clients on this one.
+                // Closing makes the client reconnect, to another gateway during a shutdown, or frees a place here.
                 if data_plane.is_shutting_down() || data_plane.frontend().connections.is_full() {
                     headers.insert(CONNECTION, HeaderValue::from_static("close"));
                 } else if let Some(keep_alive) = keep_alive.filter(|_| !headers.contains_key(CONNECTION)) {
--- a/crates/data-plane/src/instances.rs
+++ b/crates/data-plane/src/instances.rs
@@ -1,4 +1,5 @@
-//! The known backend instances, built from updates of the control plane.
+//! The known backend instances, built from updates of the control plane. An instance is one run of a backend process; a
+//! restarted backend is a new instance with a new id. An instance has ended once its phase is `Phase::Gone`.
 //!
 //! Updates can arrive out of order and from sources that lag behind. Of two updates on one instance the one with the
 //! higher call count wins, and the phase of an instance only moves forward, so that an outdated list reverts nothing.
@@ -24,8 +25,8 @@
     /// The address to connect to, after detours.
     pub address: SocketAddr,
     pub phase: Phase,
-    /// The highest call count received. The count rises with each call of the backend to the control plane, so that an
-    /// update with a lower count is older.
+    /// The highest call count received. A backend raises the count with each of its calls to the control plane, so
+    /// an update with a lower count is older.
     pub call_count: u64,
     /// Whether the heartbeats of the instance are overdue.
     pub overdue: bool,
@@ -75,7 +76,7 @@
             let listed: HashSet<&str> = backends.iter().map(|backend| &*backend.id).collect();
             for (id, instance) in &mut self.instances {
                 if instance.phase != Phase::Gone && instance.listed && !listed.contains(&**id) {
-                    // The instance has not ended: the sender of the list may lag behind and not know the instance yet.
+                    // The list may be outdated: a missing instance becomes unlisted, not ended (`Phase::Gone`).
                     instance.listed = false;
                     changed.push((id.clone(), instance.clone()));
                 }
@@ -97,7 +98,7 @@
 
     /// Applies an update on one instance. Returns the instance if its effective state changed.
     fn apply(&mut self, backend: &Backend) -> Option<(Name, Instance)> {
-        // If a source has only recorded that an instance is leaving, the update carries nothing but the id.
+        // A source that knows only the end of an instance sends an update with the id and no other data.
         let address = backend.address.parse().ok().map(|address| self.detours.to(address));
         let Some(instance) = self.instances.get_mut(&*backend.id) else {
             let address = address?;
@@ -164,7 +165,7 @@
     }
 
     /// When the warmup of a new instance began, if the instance is to receive reduced load. If half or more of a
-    /// service's instances are warming up, none of them gets reduced load: the requests have nowhere else to go.
+    /// service's instances are warming up, none of them gets reduced load, since too few warm instances remain.
     fn reduced_load_since(&self, new: &Instance) -> Option<Instant> {
         let now = Instant::now();
         let of_service = self.serving().filter(|(_, instance)| instance.service == new.service);
--- a/crates/data-plane/src/lease_client.rs
+++ b/crates/data-plane/src/lease_client.rs
@@ -1,4 +1,7 @@
 //! Runs this gateway's quota lease cache: requests leases from their holders and lets client requests wait for them.
+//!
+//! A quota holder is the control plane process that counts the units used of a tenant's quota. A lease is a number of
+//! units that the holder grants to one gateway for a limited time. A client request spends one unit.
 
 use crate::{Admission, AdmissionDecision};
 use quota::{Grant, HolderAssignment, LeaseCache, LeaseRequest, Quota, Verdict};
@@ -60,7 +63,8 @@
         self.cache.borrow_mut().update_fleet_size(self.now_ms(), gateways, fresh);
     }
 
-    /// Ends admission for good. No unit is spent afterwards, so that the gateway may report that it has ended.
+    /// Ends admission permanently. The gateway spends no unit afterwards, so the gateway may report that it has
+    /// ended.
     pub fn close(&self) {
         let mut verdicts = Vec::new();
         self.cache.borrow_mut().close(self.now_ms(), &mut verdicts);
@@ -87,7 +91,7 @@
         self.wake.notify_one();
     }
 
-    /// Passes verdicts on to the waiting requests.
+    /// Delivers the lease cache's verdicts (a unit, or a retry delay) to the waiting requests.
     fn deliver(&self, verdicts: Vec<(u64, Verdict)>) {
         for (request, verdict) in verdicts {
             let result = match verdict {
--- a/crates/data-plane/src/recorder.rs
+++ b/crates/data-plane/src/recorder.rs
@@ -1,4 +1,7 @@
 //! Request records, events and counters for operators. Requests that succeed at the first attempt only update counters.
+//!
+//! An attempt is one transmission of a request to one backend. A step is the kind of an event in the log, such as
+//! `drain`. An abandoned request is a request whose client disconnected before the answer.
 
 use crate::backend_protocol::ClientRequest;
 use crate::data_plane::{DataPlane, Service};
@@ -18,11 +21,11 @@
 /// The maximum number of records of requests that were sent to a backend.
 const MAX_SENT_RECORDS: usize = 700;
 /// The maximum number of records of requests that were never sent. These records are kept apart, so that a tenant that
-/// continues without quota does not evict the records of everyone else.
+/// keeps sending requests without quota does not evict the records of other tenants.
 const MAX_UNSENT_RECORDS: usize = 300;
 /// The maximum number of event records.
 const MAX_EVENT_RECORDS: usize = 128;
-/// The maximum length of a recorded text, in characters, or id, in bytes. Both contain input from outside.
+/// The maximum length of a recorded text, in characters, or id, in bytes. Both may contain client input of any length.
 const MAX_TEXT_LENGTH: usize = 160;
 /// The maximum number of recorded attempts of one request.
 const MAX_RECORDED_ATTEMPTS: usize = 8;
--- a/crates/data-plane/src/routing.rs
+++ b/crates/data-plane/src/routing.rs
@@ -58,7 +58,8 @@
             return Err(Rejection::Malformed("no Host"));
         }
         let host = host_header.and_then(|host| host.to_str().ok()).unwrap_or_default();
-        // The request target and the `Host` header disagree: a backend could route by the one that the gateway ignores.
+        // The request target and the `Host` header disagree: a backend could route by the one of the two
+        // that the gateway ignores.
         if uri.authority().is_some_and(|authority| !authority.as_str().eq_ignore_ascii_case(host)) {
             return Err(Rejection::Malformed("two hosts"));
         }
--- a/crates/observability/src/log_rate_limiter.rs
+++ b/crates/observability/src/log_rate_limiter.rs
@@ -1,4 +1,4 @@
-//! Rate limit for log lines that may repeat without end.
+//! Rate limit for log lines whose cause may persist, such as a failing backend.
 
 /// Allows a maximum number of lines per time window and counts the suppressed ones.
 #[derive(Debug)]
--- a/crates/reachlb/src/founder.rs
+++ b/crates/reachlb/src/founder.rs
@@ -1,4 +1,6 @@
 //! Tells whether an empty data directory of a founding voter means the first start of the fleet or a lost disk.
+//!
+//! A founding voter (founder) is one of the seeds: the machines that the settings name as running at the first start.
 
 use crate::operator::client;
 use config::Settings;
--- a/crates/reachlb/src/run_control_plane.rs
+++ b/crates/reachlb/src/run_control_plane.rs
@@ -1,4 +1,7 @@
-//! Control plane program.
+//! Control plane program, which replicates configurations by Raft, tracks backends and grants quota leases.
+//!
+//! A seed is a machine that the settings name as running at the first start of the fleet. The catch-up bound is the
+//! setting that limits how long a machine that has returned still counts as lost.
 
 use crate::start;
 use config::Settings;
--- a/crates/reachlb/src/run_data_plane.rs
+++ b/crates/reachlb/src/run_data_plane.rs
@@ -1,4 +1,7 @@
 //! Data plane program, which proxies requests.
+//!
+//! The follower receives state and updates from a control plane. The lease client requests quota leases: numbers of
+//! requests that this gateway may admit for a tenant. A departure is the announcement that this gateway ends.
 
 use crate::start;
 use config::{Config, Settings};
--- a/gateway/src/control/config.rs
+++ b/gateway/src/control/config.rs
@@ -121,8 +121,8 @@
         Self::parse(&Self::read_file()?, |key| std::env::var(key).ok())
     }
 
-    /// Reads the file again after its replacement. The file's address of discovery takes precedence over the
-    /// environment, which is older.
+    /// Reads the file again after its replacement. The discovery address in the file takes precedence over
+    /// the environment, which was set at the start of the process.
     ///
     /// # Errors
     /// When the file is invalid.
--- a/gateway/src/control/counter.rs
+++ b/gateway/src/control/counter.rs
@@ -1,4 +1,5 @@
-//! Client of the shared counter: pipelined RESP2 calls on a few connections.
+//! Client of the shared counter, a service that adds up the quota units used by all gateways. The client pipelines
+//! RESP2 calls on a few connections. A call whose outcome is `Unknown` may or may not have been executed.
 
 use crate::observe::usage::{ConnectionUse, ResourceUsage};
 use crate::time::clock::millis;
@@ -23,7 +24,7 @@
 /// Delay before reconnecting, first and maximum; the delay doubles with every failure.
 const RECONNECT_BACKOFF: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(500)];
 /// A connection with pending calls on which nothing has arrived for this long is closed: a machine that vanished sends
-/// no reset. The timeout exceeds the longest queue of calls that the counter accumulates.
+/// no reset. The timeout exceeds the time in which the counter works off its longest queue of calls.
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(250);
 /// Interval of pings on an idle connection.
 const PING_INTERVAL: Duration = Duration::from_secs(3);
@@ -112,7 +113,7 @@
         let home = name as usize % self.connections.len();
         let mut connections = self.connections[home..].iter().chain(&self.connections[..home]);
         // Avoids connections that are closed or unresponsive while another connection responds: every call on such a
-        // connection would fail until it is replaced.
+        // connection would fail until the connection is re-established.
         let connection =
             connections.find(|connection| connection.is_responsive()).unwrap_or(&self.connections[home]);
         let name_text = name.to_string();
--- a/gateway/src/group/scout.rs
+++ b/gateway/src/group/scout.rs
@@ -1,6 +1,7 @@
-//! Health reports about backends. Every gateway reports its findings to the scout of the zone, which publishes them in
-//! a record for all gateways; each gateway passes new reports to its decision engine. Being the scout is a duty: one
-//! gateway per zone holds the duty at a time, and each record carries the fencing token of the duty.
+//! Health reports about backends. Every gateway reports backends that it finds down or up again to the scout of the
+//! zone, which publishes the reports in a record for all gateways; each gateway passes new reports to its decision
+//! engine. Being the scout is a duty: one gateway per zone holds the duty at a time, and each record carries the
+//! fencing token of the duty.
 //!
 //! This module makes no decisions. Limits: each gateway reports on a backend at most once a second and sends at most
 //! `MAX_REPORTS_PER_SECOND` reports a second; a scout writes a record of at most `MAX_RECORD_REPORTS` reports, at
--- a/gateway/src/group/settings.rs
+++ b/gateway/src/group/settings.rs
@@ -1,4 +1,5 @@
-//! The `group` object of the configuration. Without it the gateway is in no group.
+//! The `group` object of the configuration. Without the object the gateway is in no group. A duty is a named role that
+//! at most one gateway of the group holds at a time; a voter is a gateway that takes part in the group's Raft quorum.
 
 use super::scout::duty;
 use fennelscale_group::member::CandidateDuty;
--- a/gateway/src/state/detached.rs
+++ b/gateway/src/state/detached.rs
@@ -1,5 +1,5 @@
-//! Backends that operators have detached: reported to the decision engine, and stored in a file in `$TMPDIR`, so that
-//! they stay detached when a new process takes over.
+//! Backends that operators have detached, that is, excluded from new requests: reported to the decision
+//! engine, and stored in a file in `$TMPDIR`, so that they stay detached when a new process takes over.
 
 use crate::backends::pool::Backends;
 use crate::control::engine::Engine;
--- a/gateway/src/state/handover.rs
+++ b/gateway/src/state/handover.rs
@@ -1,7 +1,7 @@
 //! Handover between two processes of a gateway, for upgrades under load. The running process passes its listening
 //! socket to the new process, then its quota leases, its list of backends and the learned state. Both use one listener
 //! with one accept queue, so no waiting connection is reset. Until the old process ends, the two share the descriptor
-//! limits.
+//! limits. A detached backend is one that an operator has excluded from new requests.
 
 use crate::backends::list::List;
 use crate::backends::pool::{Backends, spawn};
--- a/group/src/lease.rs
+++ b/group/src/lease.rs
@@ -1,6 +1,9 @@
 //! Session leases. The leader and the holder both track the expiry of a session such that the group never ends a
 //! session that its holder still considers valid.
 //!
+//! A session registers one process, its holder, in the group. Through the session the process holds duties: named roles
+//! that at most one session holds at a time, each under a fence (fencing token) that rises with every grant.
+//!
 //! Let L be the session TTL and D the allowance for clock drift:
 //! - The holder considers the session valid until L after the moment *before* it sent the renewal that was granted.
 //! - The leader ends the session no sooner than L + D after a moment at which it held the Raft leader lease. The
@@ -57,8 +60,8 @@
     }
 
     /// Extends the deadline of a session. The caller has confirmed its leadership after the renewal arrived. Returns
-    /// `false` if the renewal came after the deadline: the session may be ending, so its holder must not consider it
-    /// valid.
+    /// `false` if the renewal came after the deadline: the session may be ending, so its holder must not rely on the
+    /// session.
     pub fn renew(&mut self, now: Moment, session: u64) -> bool {
         let Some(deadline) = self.deadlines.get_mut(&session).filter(|deadline| **deadline > now) else {
             return false;
--- a/group/src/member.rs
+++ b/group/src/member.rs
@@ -1,6 +1,9 @@
 //! A member of the group. It keeps a session alive through any voter that responds, opens a new session when the old
 //! one ends, follows the view of the group, and holds duties for this process.
 //!
+//! A duty is a named role that at most one session holds at a time. Each grant of a duty has a fence, a fencing token
+//! that rises with every grant. A guard is the local permission to perform a held duty, see [`crate::lease`].
+//!
 //! Invariants:
 //! - A guard is created only for a duty whose fence the group granted to the current session, and never again for a
 //!   fence that was released.
--- a/group/src/run.rs
+++ b/group/src/run.rs
@@ -1,5 +1,8 @@
 //! Runs the group thread of a process: a member and, if configured, a voter. The rest of the process uses a [`Handle`]
 //! and never blocks on the group while it serves a request.
+//!
+//! A session registers one process in the group for as long as the process renews it. A duty is a named role that at
+//! most one session holds at a time. A guard ([`crate::lease::Guard`]) is the local permission to perform a held duty.
 
 use crate::clock::Clock;
 use crate::lease::Guard;
--- a/group/src/state_machine.rs
+++ b/group/src/state_machine.rs
@@ -1,6 +1,9 @@
 //! The replicated state: sessions, duties with fencing tokens, planned absences, and records written under a fence.
 //! The state is a pure function of the log, without clocks or randomness, so all voters compute the same state.
 //!
+//! A session registers one process in the group. A duty is a named role that at most one session holds at a time. The
+//! fence of a duty is a fencing token that rises with every grant. A planned absence is, for example, a restart.
+//!
 //! Invariants:
 //! - A duty has at most one holder, and the holder has an open session.
 //! - Each grant of a duty has a higher fence than every earlier grant. This includes fences that members remember from
--- a/group/src/store.rs
+++ b/group/src/store.rs
@@ -2,8 +2,9 @@
 //! Everything that the voter acknowledges to others has been synced before.
 //!
 //! Invariants: a file that cannot be read completely, or that belongs to another group or process, is renamed and
-//! reported in one log line. The voter then starts empty under an incarnation that was never used before. So it cannot
-//! vote twice in a term that it has forgotten, because votes of the old incarnation count for no one.
+//! reported in one log line. The voter then starts empty under a new incarnation (a random number that identifies one
+//! lifetime of a voter's state) that was never used before. The voter cannot vote twice in a term that the lost file recorded,
+//! because the other voters ignore votes of the old incarnation.
 
 use crate::state_machine::{Command, Reply, State};
 use raft::{Entry, Payload, PersistentState, Snapshot, VoterId};
--- a/group/src/voter.rs
+++ b/group/src/voter.rs
@@ -1,5 +1,8 @@
 //! A voter: runs Raft on the log of [`crate::state_machine`], tracks session expiry while it leads ([`crate::lease`]),
 //! and answers members. A follower forwards requests to the leader.
+//!
+//! An incarnation identifies one lifetime of a voter's state: a voter that lost its disk gets a new incarnation. A note
+//! is a message to the holder of a duty that only the leader keeps, for a limited time.
 
 mod driver;
 mod leader;
--- a/group/src/voter/driver.rs
+++ b/group/src/voter/driver.rs
@@ -94,8 +94,8 @@
         Ok(())
     }
 
-    /// Stops taking part in the group. A voter that cannot persist its state cannot keep its promises, so the others
-    /// must detect its failure.
+    /// Stops taking part in the group. A voter that cannot persist its votes and log entries must not vote or
+    /// acknowledge, so it falls silent and the other voters treat it as failed.
     pub(super) fn halt(&self, reason: &dyn fmt::Display) {
         {
             let mut core = self.core.borrow_mut();
--- a/group/src/voter/leader.rs
+++ b/group/src/voter/leader.rs
@@ -74,7 +74,7 @@
                     let _ = reply.await;
                 }
             };
-            // Expirations that are not finished by then are repeated in the next round or by the next leader.
+            // The next round, or the next leader, repeats expirations that are not finished within the time limit.
             let _ = timeout(self.timeouts.session_ttl / 3, all_replies).await;
         }
     }
--- a/group/src/wire.rs
+++ b/group/src/wire.rs
@@ -24,7 +24,7 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-/// The protocol version; both sides must use the same one.
+/// The protocol version; both sides of a call must use the same version.
 const PROTOCOL_VERSION: &str = "2";
 const HEADERS: [&str; 3] = ["group-form", "group-name", "group-target"];
 /// Maximum size of a request or response body.
--- a/http-proxy/src/clients.rs
+++ b/http-proxy/src/clients.rs
@@ -109,9 +109,9 @@
         self.close_requested.notify_one();
     }
 
-    /// Waits until the time for the next request has elapsed. Receiving a head has a timeout of its own, but the first
-    /// head has to arrive within the idle timeout as well: otherwise a peer that never completes a request could stay
-    /// twice as long.
+    /// Waits until the timeout for the next request has elapsed. Receiving a head has a timeout of its own, but the
+    /// first head has to arrive within the idle timeout as well: otherwise a peer that never completes a request could
+    /// stay twice as long.
     async fn timed_out(&self) {
         loop {
             let (idle_by, head_started_at) =
@@ -202,7 +202,7 @@
 pub struct ResponseGuard<P: Protocol> {
     /// Keeps the connection busy.
     pub busy: Option<BusyGuard>,
-    /// For a long answer: the request, which ends with its answer.
+    /// For a long answer: guards of the request, which counts as active until the answer ends.
     pub streamed: Option<(ActiveRequest, RequestGuard<P>)>,
 }
 
@@ -309,7 +309,7 @@
         self.clients.borrow_mut().push(client.clone());
         let open = self.metrics.usage().connection_opened(ConnectionUse::Client);
         spawn(async move {
-            // Declared before the connection, hence dropped after it.
+            // `_open` is declared before `connection`, so `_open` is dropped after `connection`.
             let _open = open;
             let _ = stream.set_nodelay(true);
             let socket = ClientSocket { stream, client: client.clone(), metrics: self.metrics.clone() };
--- a/http-proxy/src/engine.rs
+++ b/http-proxy/src/engine.rs
@@ -1,5 +1,9 @@
 //! Adapter between the decision engine (`doorcourse::Gateway`) and I/O: feeds events to the engine and carries out
 //! the actions that the engine returns. Owns the tables of pending requests and of attempts in flight.
+//!
+//! An attempt is one transmission of a request to one backend; a retry is a further attempt. The counter is a service
+//! shared by all gateways that adds up the units used of each quota. A handover passes the state of the engine from one
+//! process of a gateway to the next.
 
 use crate::observe::metrics::{Metrics, Stage};
 use crate::pool::{Answer, AttemptResult, Backends, CancelReason, ForwardedRequest, Protocol, spawn};
@@ -22,14 +26,14 @@
 pub enum Reply {
     /// The answer of a backend.
     Served(Answer),
-    /// Refused; the client may safely retry, best after `wait`.
+    /// Refused; the client may safely retry, best after `retry_after`.
     Refused {
         /// The recommended delay before a retry.
         retry_after: Millis,
         /// Whether an attempt may have executed the request.
         may_have_run: bool,
     },
-    /// Failed, and the request may have been executed. True if the last attempt timed out.
+    /// Failed, and the request may have been executed. The field is true if the last attempt timed out.
     Failed(bool),
 }
 
@@ -56,7 +60,7 @@
     reply: oneshot::Sender<Reply>,
     /// Number of attempts so far.
     attempts: u32,
-    /// Number of attempts that wrote part of the request to a backend, and its maximum.
+    /// Number of attempts that wrote part of the request to a backend, and the maximum of this number.
     backends_reached: u32,
     max_backends: u32,
     /// Whether the last attempt timed out.
@@ -93,7 +97,7 @@
     last_id: RequestId,
 }
 
-/// Runs the decision engine of one gateway or service.
+/// Runs one decision engine: the quota gateway has one, a data plane has one for each service.
 pub struct Engine<P: Protocol> {
     clock: Cell<Clock>,
     backends: Rc<Backends<P>>,
@@ -107,7 +111,7 @@
     me: Weak<Self>,
 }
 
-/// Receives the engine's findings about backends: name, zone, and whether the backend is down.
+/// Receives the engine's health decisions about backends: name, zone, and whether the backend is down.
 pub type HealthObserver = Box<dyn Fn(Name, &str, bool)>;
 
 impl<P: Protocol> Engine<P> {
@@ -173,7 +177,7 @@
         self.metrics.event_loop_lag().current()
     }
 
-    /// Sets the observer of the engine's findings about backends. Only the first call has an effect.
+    /// Sets the observer of the engine's health decisions about backends. Only the first call has an effect.
     pub fn set_health_observer(&self, observer: HealthObserver) {
         let _ = self.health_observer.set(observer);
     }
@@ -466,7 +470,7 @@
                 .map(|pending| {
                     (pending.timed_out, pending.waiting_since) = (timed_out, Instant::now());
                     pending.backends_reached += u32::from(write_started);
-                    // Once the request has reached the maximum number of backends, `body_consumed` is set so that
+                    // Once the request has reached the maximum number of backends, sets `body_consumed` so that
                     // the decision engine sends no further attempt.
                     body_consumed |= pending.backends_reached >= pending.max_backends;
                     let not_executed =
--- a/http-proxy/src/observe/metrics.rs
+++ b/http-proxy/src/observe/metrics.rs
@@ -1,4 +1,7 @@
 //! Metrics for operators: counters that start at zero with the process and are updated when requests and attempts end.
+//!
+//! An attempt is one transmission of a request to one backend; a retry is a further attempt. Each attempt may use only
+//! a share of the request's time budget.
 
 use crate::observe::usage::ResourceUsage;
 use crate::time::budget::EventLoopLag;
@@ -140,7 +143,7 @@
         count.set(count.get() + 1);
     }
 
-    /// All metrics as one line of JSON, with those of the group if there is one.
+    /// All metrics as one line of JSON. `group` holds the metrics of this process's membership in a group of gateways.
     pub fn to_json_line(&self, pool: Pool, group: Option<Value>) -> String {
         let classes = |of: fn(&ClassCounters) -> Value| {
             let pairs = self.classes.iter().map(|(name, counters)| (name.to_string(), of(counters)));
--- a/http-proxy/src/pool.rs
+++ b/http-proxy/src/pool.rs
@@ -1,4 +1,8 @@
 //! The backend side of the proxy: known backends, connection pools, attempts, probes and their outcomes.
+//!
+//! An attempt is one transmission of a request to one backend; a retry is a further attempt. A probe is a request by
+//! which the proxy itself queries the load or health of a backend. A draining backend finishes open requests and accepts
+//! no new ones.
 
 use crate::fault_injection::{FaultInjector, Faults};
 pub use crate::message::ForwardedRequest;
@@ -54,12 +58,12 @@
     /// request id does not tell a late second answer to an earlier attempt from the answer to the present one.
     const MAY_ANSWER_TWICE: bool = false;
 
-    /// Builds the request to a backend that has `left` to answer.
+    /// Builds the request to a backend that has the time `left` to answer.
     fn request(
         &self, request: &Self::RequestHead, to: &Name, address: SocketAddr, left: Duration,
     ) -> request::Builder;
 
-    /// Whether an answer belongs to the request. If not, the connection is closed.
+    /// Whether an answer belongs to the request. An answer to another request closes the connection.
     fn matches_request(&self, request: &Self::RequestHead, head: &response::Parts) -> bool;
 
     /// The idle timeout that the answer announces for its connection, if any.
@@ -381,14 +385,14 @@
             let broken = next.is_err();
             match timeout(CLIENT_STALL_TIMEOUT, sender.send(next)).await {
                 Ok(_) if broken => return Outcome::Broken,
-                // The client has the whole body by its length and may have dropped the receiver.
+                // The client has received `Content-Length` bytes and may have dropped the receiver.
                 Ok(_) if last => break,
                 Ok(Ok(())) => {}
                 // The client has left or has stopped reading.
                 Ok(Err(_)) | Err(_) => return Outcome::CalledOff,
             }
             next = tokio::select! {
-                // Polls the body first: the receiver is also closed when the client has the whole body by its length.
+                // Polls the body first: the receiver also closes once the client has received `Content-Length` bytes.
                 biased;
                 next = timeout(P::ANSWER_STALL_TIMEOUT, connection.next_bytes(&mut body)) => match next {
                     Ok(Some(bytes)) => bytes.map(Some).map_err(|_| BodyError::Broken),
@@ -405,7 +409,7 @@
     }
 
     /// Closes the idle connections to a backend that has answered nothing since `since`. Guards against machines that
-    /// vanish: connections to them stay open, and each would leave one more request without a known outcome. A new
+    /// vanish without closing connections: a request sent on such a connection would have an unknown outcome. A new
     /// connection fails early and with a known outcome. A backend that has answered in the meantime is merely slow.
     fn close_suspect_connections(&self, name: &Name, since: Instant) {
         let mut backends = self.backends.borrow_mut();
@@ -470,7 +474,7 @@
             self.fault_injector.drop_duplicate(connection.id());
             let faults = self.fault_injector.faults.get();
             match opened {
-                // The answer belongs to another request, and what follows on this connection is unknown.
+                // The answer belongs to another request, so this connection cannot be used any further.
                 Ok((head, ..)) if !faults.accept_any_answer && !matches_request(&head) => {
                     if faults.reuse_unmatched && connection.is_reusable().await {
                         self.record_answer(name, address, None, Some(connection));
--- a/http-proxy/src/time/budget.rs
+++ b/http-proxy/src/time/budget.rs
@@ -1,9 +1,11 @@
-//! The time budget of a request: created once on arrival, read by every later stage.
+//! The time budget of a request: the time in which a backend's answer must arrive. Created once on
+//! arrival, read by every later stage.
 //!
 //! Invariants: a budget is created when the request, or the start of its long body, has been received, and never grows;
 //! it uses the monotonic clock; the reserve for writing the answer to the client is subtracted here and nowhere else in
 //! the gateway; no wait for a request lasts longer than the budget plus [`Budget::grace`], which ends before the
-//! client's own deadline. Long uploads are bounded by their progress (`body.rs`): the budget starts with the last byte.
+//! client's own deadline. The budget of a long upload starts with its last byte; until
+//! then `body.rs` aborts the upload if it makes no progress.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -13,7 +15,7 @@
 const ANSWER_RESERVE: Duration = Duration::from_millis(25);
 /// Maximum share of the client's timeout that is reserved.
 const ANSWER_RESERVE_RATIO: f64 = 0.25;
-/// How long an observed lag of the event loop counts.
+/// How long an observed lag of the event loop is reported after its observation.
 const LAG_TTL: Duration = Duration::from_millis(100);
 /// Delay of a timer up to which the event loop does not count as lagging: timers are no more precise.
 const TIMER_GRANULARITY: Duration = Duration::from_millis(5);
