--- a/crates/data-plane/src/data_plane.rs
+++ b/crates/data-plane/src/data_plane.rs
@@ -82,8 +82,8 @@
     }
 }
 
-/// The engine's settings of a request class. The worth of an answer falls with the rank and is doubled for effectful
-/// requests.
+/// The engine's settings of a request class. The worth of an answer, by which the engine decides which class
+/// to refuse first under overload, falls with the rank and is doubled for requests that are not pure.
 fn class_settings((pure, goal, rank): ClassKey) -> Class {
     let idempotency = if pure { Idempotency::Safe } else { Idempotency::Unsafe };
     let worth = 2.0 / (1.0 + 0.5 * f64::from(rank)) * if pure { 1.0 } else { 2.0 };
@@ -407,7 +407,8 @@
         self.backends.set_max_per_backend(per_backend.max(MIN_CONNECTIONS_PER_BACKEND));
     }
 
-    /// Reminds the engines of overdue backends and removes what is no longer needed, until the data plane is dropped.
+    /// Notifies the engines of overdue backends again, and removes unused services and backends. Ends when the data
+    /// plane is dropped.
     async fn run_maintenance(weak: Weak<Self>) {
         loop {
             sleep(OVERDUE_REMINDER_INTERVAL).await;
--- a/gateway/src/clients/frontend.rs
+++ b/gateway/src/clients/frontend.rs
@@ -1,4 +1,7 @@
 //! The client side of the gateway: accepts requests, parses their heads, writes answers and drains at shutdown.
+//!
+//! To drain means to answer the open requests and to close each client connection after its last answer. A class is the
+//! kind of a request, named by its path. A customer has a quota, counted in units.
 
 use crate::backends::pool::{BackendProtocol, ForwardedRequest, RequestHead, spawn};
 use crate::control::engine::{Engine, Reply, RequestGuard};
@@ -29,7 +32,7 @@
 /// complete within the same time after its first byte. The value lies between two requirements of the protocol: a peer
 /// that sends no valid request gets an error or a close within 3 s, and an idle connection stays open for at least 2 s.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2300);
-/// Minimum time for the first bytes of a body whose head arrived late.
+/// Minimum time for the first bytes of a body, however long the head of its request took to arrive.
 const BODY_START_TIMEOUT: Duration = Duration::from_millis(600);
 /// A client's timeout starts with the last byte of its request, but the decision engine decides before a long body is
 /// complete. The deadline for the engine is extended by this much: the time of the slowest client for the longest body.
@@ -182,7 +185,7 @@
                     - FINAL_ANSWER_RESERVE.min(self.grace.mul_f64(FINAL_ANSWER_RESERVE_RATIO)),
             );
             sleep(SHUTDOWN_DELAY / 2).await;
-            // Clients resend a request that crosses the close of an idle connection on a new connection, so new
+            // A client whose request arrives while its idle connection closes resends it on a new connection, so new
             // connections are accepted for a while longer.
             self.connections.close_idle(Duration::ZERO);
             sleep(SHUTDOWN_DELAY / 2).await;
@@ -193,7 +196,7 @@
                 () = shutdown.as_mut() => break,
                 () = self.hand_over.notified() => {
                     drop(listener);
-                    // Busy connections close with their next answer, since a request that crosses a close would be
+                    // Busy connections close with their next answer, since a request in transit during a close would be
                     // lost. Idle connections close after a timeout.
                     while self.connections.count() > 0 {
                         let _ = timeout(SHUTDOWN_POLL_INTERVAL, self.connections.closed()).await;
--- a/gateway/src/control/discovery.rs
+++ b/gateway/src/control/discovery.rs
@@ -1,4 +1,5 @@
-//! Keeps the list of backends up to date by long polling the discovery service.
+//! Keeps the list of backends up to date by long polling the discovery service. A watch is the state that the service
+//! keeps for a gateway between two polls.
 
 use crate::backends::list::List;
 use crate::backends::pool::Backends;
--- a/gateway/src/operators/console.rs
+++ b/gateway/src/operators/console.rs
@@ -1,5 +1,7 @@
 //! The operators' console: a TCP address at which each connection carries one command and its reply. The length of a
 //! command, the time per connection and the number of connections are limited, so that no peer can block the console.
+//!
+//! In lame-duck mode the gateway moves its clients to other gateways. A detached backend gets no new requests.
 
 use crate::backends::pool::spawn;
 use crate::clients::frontend::Frontend;
--- a/group/src/store.rs
+++ b/group/src/store.rs
@@ -3,8 +3,8 @@
 //!
 //! Invariants: a file that cannot be read completely, or that belongs to another group or process, is renamed and
 //! reported in one log line. The voter then starts empty under a new incarnation (a random number that identifies one
-//! lifetime of a voter's state) that was never used before. The voter cannot vote twice in a term that the lost file recorded,
-//! because the other voters ignore votes of the old incarnation.
+//! lifetime of a voter's state) that was never used before. The voter cannot vote twice in a term that the lost file
+//! recorded, because the other voters ignore votes of the old incarnation.
 
 use crate::state_machine::{Command, Reply, State};
 use raft::{Entry, Payload, PersistentState, Snapshot, VoterId};
--- a/http-proxy/src/fault_injection.rs
+++ b/http-proxy/src/fault_injection.rs
@@ -1,4 +1,5 @@
-//! Fault injection for tests that verify that violations are detected. All faults are off in production.
+//! Fault injection for tests. Each fault breaks a safety rule of the proxy, so that a test can verify that the break is
+//! detected. All faults are off in production.
 
 use crate::wire::connection::Connection;
 use std::cell::{Cell, RefCell};
@@ -16,7 +17,7 @@
     pub timeout_is_unsent: bool,
     /// Reuse the connection of a request that timed out.
     pub reuse_timed_out: bool,
-    /// Reuse a connection after an answer that belongs to no request.
+    /// Reuse a connection after an answer that belongs to none of its requests.
     pub reuse_unmatched: bool,
     /// Allow several attempts of a request on the same connection.
     pub share_connection: bool,
--- a/http-proxy/src/message.rs
+++ b/http-proxy/src/message.rs
@@ -1,4 +1,5 @@
-//! A client's request as the proxy forwards it to backends, with its time budget.
+//! A client's request as the proxy forwards it to backends, with its time budget. An attempt is one transmission of the
+//! request to one backend.
 
 use crate::time::budget::Budget;
 use crate::wire::body::Upload;
--- a/http-proxy/src/pool.rs
+++ b/http-proxy/src/pool.rs
@@ -1,8 +1,8 @@
 //! The backend side of the proxy: known backends, connection pools, attempts, probes and their outcomes.
 //!
 //! An attempt is one transmission of a request to one backend; a retry is a further attempt. A probe is a request by
-//! which the proxy itself queries the load or health of a backend. A draining backend finishes open requests and accepts
-//! no new ones.
+//! which the proxy itself queries the load or health of a backend. A draining backend finishes open requests and
+//! accepts no new ones.
 
 use crate::fault_injection::{FaultInjector, Faults};
 pub use crate::message::ForwardedRequest;
--- a/http-proxy/src/time/clock.rs
+++ b/http-proxy/src/time/clock.rs
@@ -1,15 +1,17 @@
-//! The wall clock of a gateway and the backoff between retries.
+//! The wall clock of a gateway and the backoff between retries. A handover passes the state of one process of a gateway
+//! to the next process of that gateway.
 
 use doorcourse::Millis;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
 /// If the clocks of two processes of a gateway differ by more than this many ms, the system clock was set between the
-/// starts of the processes. The duration of a handover alone explains only much smaller differences.
+/// starts of the processes. A handover itself takes far less time than this.
 const MIN_CLOCK_STEP: Millis = 2000.0;
 
 /// Unix time in milliseconds, read once from the system clock and then advanced by the monotonic clock, so that it
-/// never jumps. Count names contain window numbers derived from this time, so the clocks of all gateways must agree.
+/// never jumps. Quotas are counted per time window. The name of a count at the shared counter contains the window's
+/// number, derived from this time, so the clocks of all gateways must agree.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     unix: Duration,
--- a/http-proxy/src/wire/body.rs
+++ b/http-proxy/src/wire/body.rs
@@ -20,14 +20,14 @@
 pub const MAX_REQUEST_BODY: u64 = 34 << 20;
 /// Queue capacity of a streamed answer, in frames.
 const ANSWER_QUEUE_FRAMES: usize = 2;
-/// Maximum time without bytes in the middle of a body of which at most [`MAX_BUFFERED_BODY`] bytes have arrived.
+/// Maximum time without new bytes while at most [`MAX_BUFFERED_BODY`] bytes of the body have arrived.
 const SHORT_BODY_GAP_TIMEOUT: Duration = Duration::from_millis(2300);
-/// Maximum time without bytes in the middle of a longer body.
+/// Maximum time without new bytes once more than [`MAX_BUFFERED_BODY`] bytes of the body have arrived.
 const LONG_BODY_GAP_TIMEOUT: Duration = Duration::from_secs(6);
 /// Maximum total time waiting for the bytes of a client's body, in addition to the time that the received bytes take at
 /// [`MIN_BYTES_PER_SECOND`].
 const TOTAL_WAIT_BASE: Duration = Duration::from_millis(2500);
-/// Minimum rate of a client's body. Half of the rate that slow clients are promised, since bytes arrive in bursts.
+/// Minimum rate of a client's body. Half of the slowest rate that clients are guaranteed, since bytes arrive in bursts.
 const MIN_BYTES_PER_SECOND: f64 = 32_000.0;
 
 /// Maximum time in which a backend reads none of the available bytes of a long body.
--- a/http-proxy/src/wire/connection.rs
+++ b/http-proxy/src/wire/connection.rs
@@ -1,5 +1,5 @@
-//! An HTTP/1.1 client connection. It makes progress only while its owner awaits it, never resends a request, and is
-//! closed as soon as it is dropped.
+//! A connection to an HTTP/1.1 server. The connection makes progress only while its owner awaits a future of the
+//! connection, never resends a request, and closes when dropped.
 
 use crate::observe::metrics::Metrics;
 use crate::observe::usage::{ConnectionUse, OpenConnection, ResourceUsage};
@@ -230,7 +230,7 @@
         let answer = self.sender.send_request(request);
         let answer = drive(&mut self.driver, answer).await;
         let answer = answer.map_err(|_| self.write_state.progress.get())?;
-        // A server that answers before it has the whole request may take the rest for a new request. After an answer
+        // A server that answers before it has the whole request may parse the rest as a new request. After an answer
         // of an older HTTP version the library would send the next request in that version.
         self.reusable &=
             self.write_state.progress.get() == WriteProgress::Whole && answer.version() == Version::HTTP_11;
