--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -336,7 +336,7 @@
     for (label, cursor) in
         service_table.iter().filter_map(|cursor| cursor.table(issues)).flatten().collect::<Vec<_>>()
     {
-        // An invalid service is still inserted, so that its routes are not reported as well.
+        // An invalid service is still inserted, so that its routes are not also reported as naming an unknown service.
         let label: Arc<str> = label.into();
         services.insert(label.clone(), read_service(label, &cursor, issues));
     }
--- a/crates/data-plane/src/frontend.rs
+++ b/crates/data-plane/src/frontend.rs
@@ -371,7 +371,7 @@
                     retry_after
                 }))
             }
-            // A request that may have run must not get a status which promises that it did not run.
+            // A request that may have run must not get status 429 or 503, which promise that it did not run.
             Reply::Refused { .. } | Reply::Failed(false) => {
                 active.finish(RequestResult::Failed);
                 match message.rest.as_ref().and_then(|rest| rest.error()) {
--- a/crates/data-plane/src/lease_client.rs
+++ b/crates/data-plane/src/lease_client.rs
@@ -154,7 +154,7 @@
                 AdmissionDecision::Pending(receiver)
             }
         };
-        // Leases are renewed before they are used up, and a waiting request needs a lease now.
+        // A client request can make a lease request due: to renew a lease early, or to serve the waiting request.
         self.send_lease_requests();
         if matches!(decision, AdmissionDecision::Pending(_)) {
             self.wake.notify_one();
--- a/crates/reachlb/src/operator/client.rs
+++ b/crates/reachlb/src/operator/client.rs
@@ -96,7 +96,7 @@
             let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
             Ok((status, body.map_err(|error| error.to_string())?.to_bytes()))
         };
-        // The connection makes progress only while it is polled. It may end before the response has been read, so its
+        // The connection makes progress only while polled. The connection may end before the response is read, so its
         // future must not complete the select.
         let drive = async {
             let _ = connection.await;
--- a/gateway/src/control/counter.rs
+++ b/gateway/src/control/counter.rs
@@ -179,7 +179,7 @@
                 {
                     eprintln!("counter: {error} (logged once)");
                 }
-                // A connection that lasted this long was working: the backoff starts anew.
+                // A connection that lasted this long was usable, so the next reconnect starts with the shortest delay.
                 if started.elapsed() > UNRESPONSIVE_TIMEOUT {
                     backoff = RECONNECT_BACKOFF[0];
                 }
--- a/gateway/src/operators/console.rs
+++ b/gateway/src/operators/console.rs
@@ -141,7 +141,7 @@
         match self.detached.set(id, detach) {
             Ok(true) => format!("YES {id} is {done}"),
             Ok(false) => "NO backend has this ID".into(),
-            // The change is effective in this process, but a succeeding process would not know of it.
+            // The change is effective in this process but not stored, so a succeeding process would not apply it.
             Err(error) => format!("YES {id} is {done}, but until this process ends only: {error}"),
         }
     }
--- a/group/src/member.rs
+++ b/group/src/member.rs
@@ -386,7 +386,7 @@
                 let Some(guard) = self.held_duties.update(|held| held.remove(&duty)) else {
                     return GroupResponse::Refused(format!("{duty} is not held here"));
                 };
-                // From here on this process does not act under the fence, whether or not the group receives the
+                // From here on this process performs no action under the fence, whether or not the group receives the
                 // release.
                 self.retire(&guard);
                 let Some(session) = self.session_id() else { return GroupResponse::SessionEnded };
--- a/group/src/run.rs
+++ b/group/src/run.rs
@@ -144,7 +144,7 @@
                 return drop(startup_sender.send(Err(error)));
             }
             let Settings { group, session, candidate_duties, voters, session_ttl, .. } = settings;
-            // Prefer the voter of this process, which is the nearest.
+            // Prefer the voter in this process: requests to it need no network hop to another machine.
             let mut voters = voters;
             voters.sort_by_key(|endpoint| endpoint.name != session.name);
             let member_settings = MemberSettings { session, candidate_duties, voters, session_ttl };
--- a/group/src/store.rs
+++ b/group/src/store.rs
@@ -176,7 +176,7 @@
                 Ok(Some(store)) => return Ok(store),
                 // The process that created the file stopped before it wrote an identity.
                 Ok(None) => {}
-                // Leave the file in place: the previous process still votes with it.
+                // Leave the file in place: the process that has the file open still votes with this state.
                 Err(StoreError::Busy) => return Err(StoreError::Busy),
                 Err(error) => {
                     let backup = set_aside(&path)?;
@@ -296,7 +296,7 @@
     }
     let (new_store, _) = raft::store::Store::open(&new_path)?;
     let incarnation = new_id.incarnation;
-    // The new term exceeds every term that this voter has seen, since an older term may have had another leader.
+    // The new term exceeds every term that this voter has seen, since a seen term may have had another leader.
     new_store.create_from_snapshot(new_id, saved.term + 1, snapshot)?;
     drop((disk, new_store));
     set_aside(&path)?;
--- a/group/src/voter/driver.rs
+++ b/group/src/voter/driver.rs
@@ -133,7 +133,7 @@
                         state_changed = true;
                     }
                     Output::Install { snapshot } => {
-                        // Another program version wrote this state, and its leader continues without this voter.
+                        // A different program version wrote the snapshot. This voter stops; the other voters continue.
                         let Some(applied) = AppliedState::from_snapshot(&snapshot) else {
                             drop(core);
                             return self.halt(&StoreError::UnreadableState);
--- a/group/src/voter/leader.rs
+++ b/group/src/voter/leader.rs
@@ -173,8 +173,8 @@
         if !self.change_voters(Input::AddVoter(added.clone()), |voters| voters.contains(&added)).await {
             return GroupResponse::Unavailable;
         }
-        // The voter has been added even if its address is not replicated: the others learn the address from its
-        // messages.
+        // The voter has been added even if its address is not replicated: the other voters learn the address
+        // from the new voter's messages.
         match self
             .propose_and_wait(&Command::SetVoterAddress { name: endpoint.name, address: endpoint.address })
             .await
@@ -206,7 +206,7 @@
         let mut changes = self.applied_changes.subscribe();
         loop {
             self.handle_input(input.clone());
-            // Check this first: a leader that has removed itself no longer leads.
+            // Check for the committed change first: a leader that has removed itself no longer leads.
             if done(&self.core.borrow().applied.voters) {
                 return true;
             }
--- a/group/src/voter/raft_transport.rs
+++ b/group/src/voter/raft_transport.rs
@@ -68,7 +68,7 @@
         let mut outgoing = self.outgoing.borrow_mut();
         let needs_task = !outgoing.contains_key(&to);
         let queue = outgoing.entry(to.clone()).or_default();
-        // The receiver does not respond, and the oldest messages are of no use to it any more.
+        // The receiver does not respond, and newer Raft messages supersede the oldest ones.
         if queue.len() >= MAX_QUEUED_MESSAGES {
             queue.pop_front();
         }
--- a/http-proxy/src/engine.rs
+++ b/http-proxy/src/engine.rs
@@ -353,7 +353,7 @@
                 }
             }
             Action::Log(text) => self.backends.protocol().log(None, format_args!("{text}")),
-            // The proxy sends no messages to other gateways, and it watches the backend list all the time.
+            // Needs no action: the proxy sends no messages to other gateways and always watches the backend list.
             Action::Broadcast { .. } | Action::WatchBackends => {}
         }
     }
--- a/http-proxy/src/pool.rs
+++ b/http-proxy/src/pool.rs
@@ -341,7 +341,7 @@
                 let idle_timeout = self.protocol.idle_timeout(&head.headers);
                 let classified = self.protocol.classify(&forwarded.head, name, head, Payload::Stream(stream));
                 let AttemptResult { outcome, answer, load, .. } = classified;
-                // A long answer that the client does not receive is not read; its connection is closed.
+                // Without an answer to pass on, a long body stays unread and its connection closes.
                 let Some(answer) = answer else { return outcome.into() };
                 begin(answer);
                 let (since, stream_outcome) = (
