--- a/crates/data-plane/src/recorder.rs
+++ b/crates/data-plane/src/recorder.rs
@@ -25,7 +25,7 @@
 const MAX_UNSENT_RECORDS: usize = 300;
 /// The maximum number of event records.
 const MAX_EVENT_RECORDS: usize = 128;
-/// The maximum length of a recorded text, in characters, or id, in bytes. Both may contain input of clients or backends.
+/// The maximum length of a recorded text, in characters, or id, in bytes. Both may contain external input.
 const MAX_TEXT_LENGTH: usize = 160;
 /// The maximum number of recorded attempts of one request.
 const MAX_RECORDED_ATTEMPTS: usize = 8;
