--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -169,7 +169,7 @@
     pub pure: bool,
     /// Maximum time for which a request may be held.
     pub deadline: Duration,
-    /// Response time up to which an answer has its full worth.
+    /// Latency goal: response time up to which an answer has its full value for the client.
     pub goal: Duration,
     /// Priority; 0 is the highest and the default.
     pub rank: u32,
@@ -336,7 +336,7 @@
     for (label, cursor) in
         service_table.iter().filter_map(|cursor| cursor.table(issues)).flatten().collect::<Vec<_>>()
     {
-        // An invalid service is still inserted, so that its routes are not reported as well.
+        // An invalid service is still inserted, so that its routes are not also reported as naming an unknown service.
         let label: Arc<str> = label.into();
         services.insert(label.clone(), read_service(label, &cursor, issues));
     }
@@ -452,7 +452,7 @@
         Some(goal)
     });
     let rank = cursor.optional("rank").map_or(Some(0), |cursor| cursor.integer(issues));
-    // The specification allows 0, but a route whose requests may not be sent anywhere would be useless.
+    // The specification allows 0, but the requests of such a route could not be sent to any backend.
     let max_tries = cursor
         .required("max_tries", issues)
         .and_then(|cursor| cursor.integer(issues))
--- a/gateway/src/operators/console.rs
+++ b/gateway/src/operators/console.rs
@@ -1,5 +1,7 @@
 //! The operators' console: a TCP address at which each connection carries one command and its reply. The length of a
 //! command, the time per connection and the number of connections are limited, so that no peer can block the console.
+//!
+//! In lame-duck mode the gateway moves its clients to other gateways. A detached backend gets no new requests.
 
 use crate::backends::pool::spawn;
 use crate::clients::frontend::Frontend;
@@ -139,7 +141,7 @@
         match self.detached.set(id, detach) {
             Ok(true) => format!("YES {id} is {done}"),
             Ok(false) => "NO backend has this ID".into(),
-            // The change is effective in this process, but a succeeding process would not know of it.
+            // The change is effective in this process but not stored, so a succeeding process would not apply it.
             Err(error) => format!("YES {id} is {done}, but until this process ends only: {error}"),
         }
     }
--- a/group/src/store.rs
+++ b/group/src/store.rs
@@ -2,8 +2,9 @@
 //! Everything that the voter acknowledges to others has been synced before.
 //!
 //! Invariants: a file that cannot be read completely, or that belongs to another group or process, is renamed and
-//! reported in one log line. The voter then starts empty under an incarnation that was never used before. So it cannot
-//! vote twice in a term that it has forgotten, because votes of the old incarnation count for no one.
+//! reported in one log line. The voter then starts empty under a new incarnation (a random number that identifies one
+//! lifetime of a voter's state) that was never used before. The voter cannot vote twice in a term that the lost file
+//! recorded, because the other voters ignore votes of the old incarnation.
 
 use crate::state_machine::{Command, Reply, State};
 use raft::{Entry, Payload, PersistentState, Snapshot, VoterId};
@@ -175,7 +176,7 @@
                 Ok(Some(store)) => return Ok(store),
                 // The process that created the file stopped before it wrote an identity.
                 Ok(None) => {}
-                // Leave the file in place: the previous process still votes with it.
+                // Leave the file in place: the process that has the file open still votes with this state.
                 Err(StoreError::Busy) => return Err(StoreError::Busy),
                 Err(error) => {
                     let backup = set_aside(&path)?;
@@ -295,7 +296,7 @@
     }
     let (new_store, _) = raft::store::Store::open(&new_path)?;
     let incarnation = new_id.incarnation;
-    // The new term exceeds every term that this voter has seen, since an older term may have had another leader.
+    // The new term exceeds every term that this voter has seen, since a seen term may have had another leader.
     new_store.create_from_snapshot(new_id, saved.term + 1, snapshot)?;
     drop((disk, new_store));
     set_aside(&path)?;
