--- a/crates/quota/src/floor.rs
+++ b/crates/quota/src/floor.rs
@@ -12,8 +12,8 @@
 /// A floor rises only if the counter stayed above the new floor for this long. Longer than the compliance span, the
 /// 5 s over which the use of a quota is checked.
 const OBSERVATION_PERIOD: Millis = 6000.0;
-/// Floor of a tenant that uses little of its quota, as a fraction of a window's maximum. The counter of such a tenant
-/// normally stays above this floor.
+/// Floor of a tenant that uses little of its quota, as a fraction of `max_units`, the most units that one window may
+/// grant to the tenant. The counter of such a tenant normally stays above this floor.
 const FLOOR_RATIO: f64 = 0.5;
 /// A counter is near its floor when the distance is below this fraction of a refill. The floor must then be lowered.
 const NEAR_FLOOR_RATIO: f64 = 0.25;
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -1,4 +1,6 @@
-//! A Raft log that replicates control changes: a deterministic state machine without I/O or a clock, and its storage.
+//! A Raft log, as a deterministic state machine without I/O or a clock, and its storage. It replicates the changes that
+//! the control planes agree on: configurations, quota checkpoints and drains of backends, all of them opaque to this
+//! crate, and the list of voters.
 //!
 //! [`Node`] is the state machine: it takes an [`Input`] with the host's monotonic time and returns the [`Output`]s that
 //! the host must carry out. [`store`] keeps the state that must survive a restart. The host transports messages, writes
--- a/crates/registry/src/fleet.rs
+++ b/crates/registry/src/fleet.rs
@@ -100,8 +100,10 @@
         }
     }
 
-    /// The data planes whose slices may be oversized: their last contact was when the slice divisor was smaller than
-    /// `present`. Data planes in contact receive the larger divisor in time.
+    /// The data planes whose slices may be oversized: the smallest divisor that they may still use is below `present`,
+    /// the number of data planes that may spend quota now. A data plane that stays in contact receives the larger
+    /// divisor; a contact more than `REPORT_DELAY_MS` after the change removes it from the list. One that falls silent
+    /// before that stays listed while it is present, since it may keep the smaller divisor.
     pub fn oversized_slices(&self, present: u32) -> Vec<OversizedSlice> {
         let oversized = |(name, entry): (&String, &DataPlaneEntry)| {
             let divisor = entry.divisor.filter(|divisor| *divisor < present && entry.is_present())?;
--- a/crates/testbed/src/capacity/samples.rs
+++ b/crates/testbed/src/capacity/samples.rs
@@ -5,7 +5,8 @@
 use quota::Quota;
 use serde_json::{Map, Value, json};
 
-/// Quota rate of a tenant in requests per second: the plan's peak divided by its tenants, with some margin.
+/// Quota rate of a tenant in requests per second: the peak load of the planned deployment (`requests_per_s` of `PLAN`
+/// in `size.rs`) divided by its number of tenants, with some margin.
 pub const TENANT_RATE: f64 = 5.0;
 /// Quota burst of a tenant in requests.
 pub const TENANT_BURST: f64 = 10.0;
--- a/src/logic/backends.rs
+++ b/src/logic/backends.rs
@@ -37,7 +37,7 @@
 /// A cold backend gets an even part of the requests, times its current share of capacity, times this. Warm
 /// backends get no more than their capacity, so all gateways together stay below the cold overload factor.
 pub(super) const COLD_LOAD: f64 = 0.8;
-/// In a large fleet a cold backend is loaded like a warm one, up to this part of the overload factor.
+/// Large fleet: a cold backend gets up to an even part times its capacity share, `overload_factor` and this.
 pub(super) const COLD_LOAD_LARGE_FLEET: f64 = 0.5;
 /// A backend that operators put back into use gets its first request within this time, in ms.
 pub(super) const MAX_UNUSED_AFTER_ATTACH: Millis = 2500.0;
