--- a/emulator/src/books.rs
+++ b/emulator/src/books.rs
@@ -1,6 +1,6 @@
 //! The books of a day: the worth that was earned, the prices, and the cause of each unit of worth that was lost.
-//! Each first try that earned less than its offered worth is booked under exactly one cause, so all losses sum to 1
-//! - G, where G is the result of the day: the weighted sum of the shares earned in the whole day, in the worst window
+//! Each first try that earned less than its offered worth is booked under exactly one cause, so all losses sum to
+//! `1 - G`, where G is the result of the day: the weighted sum of the shares earned in the whole day, in the worst window
 //! and by the worst plan, minus the prices.
 //!
 //! Terms: worth is the value of an answered first try in the score. A try is one request of a client to a gateway; the
